--- /dev/null
+++ b/internal/handover/golden_test.go
@@ -0,0 +1,38 @@
+package handover
+
+import (
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+
+	"dewhitch/internal/golden"
+)
+
+// TestGoldenHandover keeps the file of excluded servers, its name and its content: the process that replaces a gateway's
+// reads it, and may be of another version.
+func TestGoldenHandover(t *testing.T) {
+	dir := t.TempDir()
+	want := State{Excluded: []string{"s-00000009", "s-5be2a07c"}}
+	if err := Save(Path(dir, "n7"), want); err != nil {
+		t.Fatal(err)
+	}
+	files, err := os.ReadDir(dir)
+	if err != nil || len(files) != 1 {
+		t.Fatalf("%v, %v", files, err)
+	}
+	golden.Compare(t, "name", []byte(files[0].Name()+"\n"))
+	text, err := os.ReadFile(filepath.Join(dir, files[0].Name()))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "handover.json", text)
+	// What another process left is found under its name, and read.
+	left := t.TempDir()
+	if err := os.WriteFile(filepath.Join(left, "dewhitch-n7.handover.json"), golden.Read(t, "handover.json"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if got, err := Load(Path(left, "n7")); err != nil || !reflect.DeepEqual(got, want) {
+		t.Errorf("%+v, %v; want %+v", got, err, want)
+	}
+}
