--- /dev/null
+++ b/internal/admin/golden_test.go
@@ -0,0 +1,56 @@
+package admin
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"io"
+	"net"
+	"strings"
+	"testing"
+
+	"dewhitch/internal/golden"
+)
+
+// goldenGateway takes every call but those about the server s-2; it is ready until it is drained.
+type goldenGateway struct{ drained bool }
+
+func (g *goldenGateway) Ready() bool                     { return !g.drained }
+func (g *goldenGateway) AppendTelemetry(b []byte) []byte { return append(b, `{"concurrent":3}`...) }
+func (g *goldenGateway) Exclude(id string) error         { return g.known(id) }
+func (g *goldenGateway) Include(id string) error         { return g.known(id) }
+func (g *goldenGateway) Drain(on bool)                   { g.drained = on }
+func (g *goldenGateway) known(id string) error {
+	if id == "s-2" {
+		return errors.New("a fault\nof two lines")
+	}
+	return nil
+}
+
+// TestGoldenCalls keeps the operators' calls and the bytes of their answers, faults among them, which operators' scripts
+// and the platform's readiness check read.
+func TestGoldenCalls(t *testing.T) {
+	s := &Server{Gateway: &goldenGateway{}}
+	var seen bytes.Buffer
+	for _, line := range []string{"readyz", "telemetry", "exclude s-1", "exclude s-2", "include s-1", "include s-2", "evacuate",
+		"readyz", "activate", "readyz", " READYZ \r", "", "exclude", "include s-1 s-2", "telemetry now", "reboot", "readyz\x01",
+		"exclude " + strings.Repeat("x", 65), strings.Repeat("y", 255), strings.Repeat("z", 300)} {
+		answer, err := ask(s, line)
+		if err != nil {
+			t.Fatalf("%q: %v", line, err)
+		}
+		fmt.Fprintf(&seen, "> %q\n< %q\n", line+"\n", answer)
+	}
+	golden.Compare(t, "calls", seen.Bytes())
+}
+
+// ask sends one line over a connection of its own, and reads to the end.
+func ask(s *Server, line string) ([]byte, error) {
+	client, server := net.Pipe()
+	go func() {
+		defer server.Close()
+		s.answer(server)
+	}()
+	go io.WriteString(client, line+"\n") // of a line that is too long, not all is read
+	return io.ReadAll(client)
+}
--- /dev/null
+++ b/internal/fleet/agent/golden_test.go
@@ -0,0 +1,14 @@
+package agent
+
+import (
+	"testing"
+
+	"dewhitch/internal/golden"
+)
+
+// TestGoldenMetrics keeps the names, types and labels of the fleet's metrics, which operators' alerts go by.
+func TestGoldenMetrics(t *testing.T) {
+	all, stop := start(t, 1, false)
+	defer stop()
+	golden.Compare(t, "metrics", golden.Metrics(t, all[0]))
+}
--- /dev/null
+++ b/internal/operator/golden_test.go
@@ -0,0 +1,75 @@
+package operator
+
+import (
+	"io"
+	"net"
+	"net/http"
+	"strings"
+	"testing"
+
+	"dewhitch/internal/golden"
+	"dewhitch/internal/ledger"
+	"dewhitch/internal/ledger/desk"
+)
+
+// books gives a report that does not change.
+type books desk.Report
+
+func (b books) Report() desk.Report { return desk.Report(b) }
+
+// counts has a value of its own at each event, from a first one on.
+func counts(first uint64) (c ledger.Counts) {
+	for e := ledger.None + 1; e < ledger.Events; e++ {
+		n := first + uint64(e)
+		c.Set(e, n, int64(n)*1_000_000+int64(e))
+	}
+	return c
+}
+
+// TestGoldenPages keeps the operators' pages of the books: the metrics, names, labels and values, and the JSON lines of
+// /ledger, which operators' alerts and scripts read.
+func TestGoldenPages(t *testing.T) {
+	report := books{
+		Names: ledger.Names{Plans: []string{"fleet", "basic"}, Classes: []string{"query", "booking"}},
+		Lines: []ledger.Line{
+			{Key: ledger.Key{Customer: 0xabc, Plan: 0, Class: 1}, Counts: counts(1000)},
+			{Key: ledger.Key{Customer: ledger.Others, Plan: 1, Class: 0}, Counts: counts(2000)},
+			{Key: ledger.Key{Customer: 0xdef, Plan: 1, Class: ledger.ClassQuery}, Counts: counts(3000)},
+			{Key: ledger.Key{Customer: 0xdef, Plan: 1, Class: ledger.ClassAdjust}, Counts: counts(4000)},
+			{Key: ledger.Account(0xdef), Counts: counts(5000)},
+			{Key: ledger.Key{Customer: 0xdef, Plan: 7, Class: 8}}, // numbers without words, and nothing booked
+		},
+		Total: counts(6000), Open: 11, Rows: 12, Evictions: 13, Abandoned: 14, Alarms: 15, Raised: 16, Cleared: 17,
+	}
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	served := make(chan error, 1)
+	go func() { served <- Serve(t.Context(), l, Ledger(report, func() bool { return true })) }()
+	for path, name := range map[string]string{"/metrics": "metrics", "/ledger": "ledger.jsonl"} {
+		answer, err := http.Get("http://" + l.Addr().String() + path)
+		if err != nil {
+			t.Fatal(err)
+		}
+		body, err := io.ReadAll(answer.Body)
+		answer.Body.Close()
+		if err != nil || answer.StatusCode != http.StatusOK {
+			t.Fatalf("%s: %d, %v", path, answer.StatusCode, err)
+		}
+		kind, _, _ := strings.Cut(answer.Header.Get("Content-Type"), ";") // what is behind it is the library's
+		own := strings.Builder{}
+		own.WriteString("Content-Type: " + kind + "\n")
+		for line := range strings.Lines(string(body)) {
+			if !strings.HasPrefix(line, "go_") && !strings.Contains(line, " go_") { // the runtime's are not the program's
+				own.WriteString(line)
+			}
+		}
+		golden.Compare(t, name, []byte(own.String()))
+	}
+	select {
+	case err := <-served:
+		t.Errorf("it ended: %v", err)
+	default:
+	}
+}
