--- /dev/null
+++ b/cmd/dewhitch/golden_test.go
@@ -0,0 +1,144 @@
+package main
+
+import (
+	"bytes"
+	"encoding/json"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	dw "dewhitch"
+	"dewhitch/internal/admin"
+	"dewhitch/internal/discovery"
+	"dewhitch/internal/golden"
+	"dewhitch/internal/ops"
+	"dewhitch/internal/snapshot"
+	"dewhitch/internal/telemetry"
+)
+
+// goldenAt is the instant of the golden snapshot.
+const goldenAt = dw.Instant(1_790_000_000_000_000_000)
+
+// goldenSnapshot is a snapshot with a value of its own in each field.
+func goldenSnapshot() (snapshot.Generation, *snapshot.Image) {
+	return snapshot.Generation{Life: 71, Number: 72}, &snapshot.Image{
+		Node: "n7", Instances: 5, Self: 3, Zones: 2, Classes: []string{"query", "booking"},
+		Plans: []snapshot.Plan{{Name: "fleet", Rate: 8.1, Burst: 16.2, Ceiling: 24.3}, {Name: "basic", Rate: 4.4, Burst: 9.5, Ceiling: 12.6}},
+		Learnt: dw.Learnt{
+			At: goldenAt, Sent: 101.1, Wanted: 102.2, Tried: 103.3, Good: 104.4, Budget: 105.5, Latency: 0.061, Idle: 0.052,
+			Worth: 2.3, Measured: goldenAt - 1e9, CallRate: 106.6, CallQuickest: 0.0017, Sizes: []float64{1.25, 3.75},
+			Cut: []float64{0.125, 0.625},
+			Servers: []dw.LearntServer{
+				{
+					ServerEntry: dw.ServerEntry{ID: 0x5be2a07c, Cell: 11, Zone: 1, Kind: 13, Since: goldenAt - 2e9, Rating: 14.5,
+						State: dw.Draining, Feed: 15.5, Look: dw.LookAny},
+					Latency: 0.071, Measured: goldenAt - 3e9, Answered: goldenAt - 4e9, Fed: 0.81, FedAt: goldenAt - 5e9,
+					Verdicts: []dw.LearntVerdict{{Failed: 21, Answered: goldenAt - 6e9, At: goldenAt - 7e9, Ejected: goldenAt + 8e9}, {}},
+				},
+				{
+					ServerEntry: dw.ServerEntry{ID: 9, Cell: 31, Zone: 32, Kind: 33, Rating: 34.5, State: dw.Gone, Feed: 35.5, Look: dw.LookSpare},
+					Latency:     0.072, Verdicts: []dw.LearntVerdict{},
+				},
+			},
+			Customers: []dw.LearntCustomer{
+				{
+					ID: 0xfedcba9876543210, Plan: 1, Spread: 4, InSet: true, Window: 4e9, Level: 41.1, Predicted: 42.2, Own: 43.3,
+					Others: 44.4, Asked: 45.5, AskedIn: 46.6, At: goldenAt - 9e9, LastTotal: goldenAt - 10e9,
+					ListedTill: goldenAt + 11e9, Seen: goldenAt - 12e9, Turn: 447_500_000, Total: 47.7, Mine: 48.8, Past: 49.9,
+				},
+				{ID: 0xabc, Plan: 9, Spread: 2, Window: 8e9, Level: -51.1},
+			},
+		},
+	}
+}
+
+// TestGoldenSnapshotShow keeps what the command snapshot show prints, as JSON and as tables: operators' scripts read the
+// first, whose names of fields are given by the struct types of a snapshot.
+func TestGoldenSnapshotShow(t *testing.T) {
+	g, m := goldenSnapshot()
+	text, err := snapshot.Encode(nil, g, m)
+	if err != nil {
+		t.Fatal(err)
+	}
+	file := filepath.Join(t.TempDir(), "a.snapshot")
+	if err := os.WriteFile(file, text, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "show.json", printed(t, func() error { return snapshotShow{File: file, JSON: true}.Run() }))
+	now := time.Unix(0, int64(goldenAt)).Add(1500 * time.Millisecond)
+	golden.Compare(t, "show", printed(t, func() error { return show(g, m, now) }))
+
+	var got struct {
+		Generation snapshot.Generation
+		snapshot.Image
+	}
+	g, m = goldenSnapshot() // show has ordered the customers
+	d := json.NewDecoder(bytes.NewReader(golden.Read(t, "show.json")))
+	d.DisallowUnknownFields()
+	if err := d.Decode(&got); err != nil || got.Generation != g || !reflect.DeepEqual(&got.Image, m) {
+		t.Errorf("read back: %v\n got %+v %+v\nwant %+v %+v", err, got.Generation, got.Image, g, *m)
+	}
+}
+
+// printed is what f writes to the standard output.
+func printed(t *testing.T, f func() error) []byte {
+	t.Helper()
+	out, err := os.Create(filepath.Join(t.TempDir(), "out"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer out.Close()
+	defer func(stdout *os.File) { os.Stdout = stdout }(os.Stdout)
+	os.Stdout = out
+	if err := f(); err != nil {
+		t.Fatal(err)
+	}
+	text, err := os.ReadFile(out.Name())
+	if err != nil {
+		t.Fatal(err)
+	}
+	return text
+}
+
+// TestGoldenCalls keeps what a gateway that has just started answers to the operators' calls: the fields of its figures,
+// and what it says of a server that was never listed. Operators' scripts read it.
+func TestGoldenCalls(t *testing.T) {
+	o := &operated{state: &ops.State{}, figures: &ops.Figures{}, metrics: telemetry.New(),
+		decoder: discovery.NewDecoder(discovery.Names{}), log: zap.NewNop()}
+	o.figures.Classes([]string{"lookup"})
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	served := make(chan error, 1)
+	go func() {
+		served <- (&admin.Server{Listener: l, Gateway: o, Log: o.log}).Serve(t.Context())
+	}()
+	var seen bytes.Buffer
+	for _, line := range []string{"readyz", "telemetry", "exclude none", "include none", "evacuate", "activate"} {
+		conn, err := net.Dial("tcp", l.Addr().String())
+		if err != nil {
+			t.Fatal(err)
+		}
+		io.WriteString(conn, line+"\n")
+		answer, err := io.ReadAll(conn)
+		conn.Close()
+		if err != nil {
+			t.Fatal(err)
+		}
+		seen.WriteString("> " + line + "\n")
+		seen.Write(answer)
+	}
+	golden.Compare(t, "calls", seen.Bytes())
+	select {
+	case err := <-served:
+		t.Errorf("it ended: %v", err)
+	default:
+	}
+}
