--- /dev/null
+++ b/internal/ledger/golden_test.go
@@ -0,0 +1,104 @@
+package ledger
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+	"testing"
+
+	"dewhitch/internal/golden"
+)
+
+// events are all events in the order of their numbers, which stand in log segments and in rows of the embedded store.
+var events = []Event{None, FrontTaken, FrontServed, FrontRefused, FrontFailed, FrontGone, FrontCut, FrontKept, FrontCutoff,
+	PlanTaken, PlanServed, PlanRefusedQuota, PlanRefusedCeiling, PlanRefusedServers, PlanRefusedGaveUp, PlanRefusedUnusable,
+	PlanFailedGaveUp, PlanFailedOpen, PlanFailedUnread, PlanGone, PlanCutoff, PlanSent, PlanHeard,
+	FetchBegan, FetchOK, FetchError, FetchRejected, FetchTimeout, FetchConnectFailed, FetchReset, FetchCancelled, FetchNotSent,
+	FetchCutoff, UnitsDrawn, UnitsTold, UnitsReturned, UnitsForgotten, CallBegan, CallAdded, CallRejected, CallUnknown,
+	CallCutoff, FrontNeverTaken, FetchNeverBegan, PlanHeardCutoff, CallNeverBegan, UnitsNeverReturned, UnitsCutoff, FrontKeyed}
+
+// TestEventForm freezes the number, the text and the book of each event, and whether it has units. Segments and rows hold
+// the number; export records, CSV columns, metrics and alarms hold the text, which ByName reads.
+func TestEventForm(t *testing.T) {
+	if len(events) != int(Events) {
+		t.Errorf("%d events are listed, and there are %d", len(events), Events)
+	}
+	var lines strings.Builder
+	for n, e := range events {
+		if int(e) != n {
+			t.Errorf("event %s has number %d in place of %d", e, e, n)
+		}
+		fmt.Fprintln(&lines, uint8(e), e, e.Book(), e.HasUnits())
+	}
+	golden.Compare(t, "events", []byte(lines.String()))
+	for line := range strings.Lines(string(golden.Read(t, "events"))) {
+		var number int
+		var text, book string
+		var units bool
+		if _, err := fmt.Sscan(line, &number, &text, &book, &units); err != nil {
+			t.Fatal(err)
+		}
+		if e, ok := ByName(text); number != 0 && (!ok || e != events[number]) {
+			t.Errorf("%q is read as event %d in place of %d", text, e, number)
+		}
+	}
+}
+
+// TestNumberForm freezes the numbers and texts of books, verdicts and reserved keys. The embedded store holds verdicts (in
+// the entries that are open) and keys; alarms and the export hold the texts.
+func TestNumberForm(t *testing.T) {
+	var lines strings.Builder
+	for _, b := range []Book{Front, Planner, Fetches, Units, Counter} {
+		fmt.Fprintln(&lines, "book", uint8(b), b)
+	}
+	for _, v := range []struct {
+		name string
+		verdict
+	}{{"undecided", undecided}, {"served", served}, {"refused", refused}, {"failed", failed}, {"other", other}} {
+		fmt.Fprintln(&lines, "verdict", uint8(v.verdict), v.name)
+	}
+	for _, e := range events {
+		fmt.Fprintln(&lines, "verdict of", e, uint8(decided(e)))
+	}
+	n := Names{Plans: []string{"basic", "fleet"}, Classes: []string{"space-query", "booking", "query"}}
+	for _, i := range []int16{NoPlan, 0, 1, 2} {
+		fmt.Fprintln(&lines, "plan", i, n.Plan(i))
+	}
+	for _, i := range []int16{ClassAccount, ClassAdjust, ClassQuery, 0, 1, 2, 3} {
+		fmt.Fprintln(&lines, "class", i, n.Class(i))
+	}
+	for _, customer := range []uint64{0, 0xaa, 0x123456789abcdef0, Others} {
+		fmt.Fprintln(&lines, "haulier", customer, HaulierText(customer))
+	}
+	account := Account(0xaa)
+	fmt.Fprintln(&lines, "account", account.Customer, account.Plan, account.Class)
+	golden.Compare(t, "numbers", []byte(lines.String()))
+}
+
+// TestCheckForm freezes the text of each check with the order of its two books. The alarm file, the program's log and the
+// verify command show it; readers tell alarms apart by it.
+func TestCheckForm(t *testing.T) {
+	l := New(Limits{}, false)
+	for _, k := range []Key{{Customer: 5, Plan: 1, Class: 2}, Account(6)} {
+		kept := Kept{Key: k, Lost: [4]uint64{3, 5, 7, 9}}
+		for _, e := range events[1:] {
+			kept.Set(e, 1000+uint64(e)*uint64(e)*uint64(e), int64(e)*int64(e)*1e6)
+		}
+		kept.N[PlanServed] += 1e6
+		l.Restore(kept)
+		l.RestoreOpen(Open{Ref: k.Customer, Entry: Entry{Key: k, Since: 1, Wait: 1}})
+	}
+	l.total.N[FrontServed]++
+	tally := func(uint64) (float64, bool) { return 17, true }
+	_, forgotten := l.AuditAccounts([]Key{Account(6)}, func(uint64) (float64, bool) { return 0, false })
+	tallies, _ := l.AuditAccounts([]Key{Account(6)}, tally)
+	var lines []string // sorted, as an audit goes through the rows in any order
+	for _, m := range slices.Concat(l.Audit(true), l.Overdue(3e9), tallies) {
+		lines = append(lines, fmt.Sprintln(m.Key.Customer, m.Key.Plan, m.Key.Class, m.All, m))
+	}
+	for _, p := range forgotten {
+		lines = append(lines, fmt.Sprintln("forgotten:", p.Event, p.Key.Customer, p.Units))
+	}
+	slices.Sort(lines)
+	golden.Compare(t, "checks", []byte(strings.Join(lines, "")))
+}
