--- /dev/null
+++ b/internal/ledger/store/golden_test.go
@@ -0,0 +1,257 @@
+package store
+
+import (
+	"encoding/hex"
+	"fmt"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strconv"
+	"strings"
+	"testing"
+	"time"
+
+	"go.etcd.io/bbolt"
+	"go.uber.org/zap"
+
+	"dewhitch/internal/golden"
+	"dewhitch/internal/ledger"
+	"dewhitch/internal/ledger/statement"
+)
+
+// memory makes segments in memory.
+type memory struct{}
+
+func (memory) Create(_ string, size int) ([]byte, error) { return make([]byte, size), nil }
+func (memory) Unmap([]byte) error                        { return nil }
+
+var (
+	stated    = time.Date(2026, 3, 1, 6, 0, 0, 1000, time.UTC)
+	marked    = time.Date(2026, 3, 1, 6, 1, 2, 3000, time.UTC)
+	bookingOf = ledger.Key{Customer: 0xaa, Plan: 1, Class: 2}
+	accountOf = ledger.Key{Customer: 0xbb, Plan: ledger.NoPlan, Class: ledger.ClassAccount}
+	wording   = ledger.Names{Plans: []string{"basic", "fleet"}, Classes: []string{"space-query", "lookup", "booking"}}
+
+	postings = []ledger.Posting{
+		{Event: ledger.FrontKeyed, Key: ledger.Key{Customer: 0x1122334455667788, Plan: 0x0102, Class: 0x0304}, Ref: 899,
+			Units: -0x0a0b0c0d0e0f1011, At: 0x1213141516171819, Wait: 0x2021},
+		{Event: ledger.FrontTaken, Key: bookingOf, Ref: 900, Units: 3e6, At: 1772344860000000000, Wait: 60},
+		{Event: ledger.PlanTaken, Key: bookingOf, Ref: 900, Units: 4e6, At: 1772344861000000000, Wait: 61},
+	}
+)
+
+// TestSegmentForm freezes a segment of the log: its head, a record of the statement that it stands behind, postings, and the
+// record of a gap. Another version of the program reads it after a restart, and the ledger command beside a gateway.
+func TestSegmentForm(t *testing.T) {
+	for _, c := range []struct {
+		name string
+		gap  bool
+	}{{"segment", false}, {"segment-gap", true}} {
+		s, err := createSegment(memory{}, "", 12, headSize+6*recordSize)
+		if err != nil {
+			t.Fatal(err)
+		}
+		s.takeUp(21)
+		for _, p := range postings {
+			s.put(p)
+		}
+		if c.gap {
+			s.gap()
+		}
+		golden.Compare(t, c.name, s.m)
+		var got []ledger.Posting
+		found, err := scan(golden.Read(t, c.name), 12, 0, 21, func(p ledger.Posting) { got = append(got, p) })
+		if err != nil || found != (scanned{read: 4, gap: c.gap}) || !reflect.DeepEqual(got, postings) {
+			t.Errorf("%s: read as %+v %+v, %v", c.name, got, found, err)
+		}
+	}
+	if s := segmentPath("dir", 0xab); s != "dir/wal-00000000000000ab.log" || dbName != "ledger.db" || lockName != "lock" {
+		t.Error("files are called", s, dbName, lockName)
+	}
+}
+
+// figures gives each event a count and units of its own.
+func figures(from uint64) (c ledger.Counts) {
+	for e := ledger.None + 1; e < ledger.Events; e++ {
+		c.Set(e, from+uint64(e), -int64(from)*1e6-int64(e))
+	}
+	return c
+}
+
+// keptRows are the rows of the frozen store, in the order of their keys.
+func keptRows() []ledger.Kept {
+	return []ledger.Kept{{Key: bookingOf, Counts: figures(100), Lost: [4]uint64{1, 2, 3, 400}},
+		{Key: accountOf, Counts: figures(20000), Lost: [4]uint64{5, 6, 7, 8}}}
+}
+
+// openEntries are an entry with all fields and, as a swap of two flags would not show in it, one for each flag.
+func openEntries() []ledger.Open {
+	return []ledger.Open{
+		{Ref: 500, Entry: ledger.Entry{Key: bookingOf, Units: 11, Since: 12, Wait: 13, Keyed: true, Hash: 14, Call: true,
+			FrontTaken: true, FrontEnded: true, NeverTaken: true, Lost: true, PlanTaken: true, PlanEnded: 2, Sent: 15, Heard: 16,
+			Began: 17, Ended: 18, Told: true, CallBegan: true, CallOver: true, Rejected: true, Returned: true}},
+		{Ref: 501, Entry: ledger.Entry{Key: bookingOf, Keyed: true}},
+		{Ref: 502, Entry: ledger.Entry{Key: accountOf, Call: true}},
+		{Ref: 503, Entry: ledger.Entry{Key: bookingOf, FrontTaken: true}},
+		{Ref: 504, Entry: ledger.Entry{Key: bookingOf, FrontEnded: true}},
+		{Ref: 505, Entry: ledger.Entry{Key: bookingOf, NeverTaken: true}},
+		{Ref: 506, Entry: ledger.Entry{Key: bookingOf, Lost: true}},
+		{Ref: 507, Entry: ledger.Entry{Key: bookingOf, PlanTaken: true}},
+		{Ref: 508, Entry: ledger.Entry{Key: accountOf, Told: true}},
+		{Ref: 509, Entry: ledger.Entry{Key: accountOf, CallBegan: true}},
+		{Ref: 510, Entry: ledger.Entry{Key: accountOf, CallOver: true}},
+		{Ref: 511, Entry: ledger.Entry{Key: accountOf, Rejected: true}},
+		{Ref: 512, Entry: ledger.Entry{Key: accountOf, Returned: true}},
+	}
+}
+
+// head is what the frozen store knows of itself.
+var head = meta{Version: 1, Node: "n3", Role: statement.Forwarder, Life: 7, Statements: 21, Seq: 45, First: 41,
+	Chain: "5ec34aeb5874f821", Segment: 12, At: 2, Names: wording, Stated: marked}
+
+// keptRecords are the records for export of the frozen store.
+func keptRecords() []statement.Record {
+	booking, account := figures(1000), figures(3000)
+	return []statement.Record{
+		{Seq: 41, Node: "n3", Role: statement.Forwarder, Life: 7, Kind: statement.Life, From: stated, To: marked,
+			Note: "2 postings replayed", Chain: "f702399a79ebd510"},
+		{Seq: 42, Node: "n3", Role: statement.Forwarder, Life: 7, Kind: statement.Gap, From: marked, To: stated,
+			Note: "<torn> & \"odd\" späť", Chain: "1f4080a6434d221a"},
+		{Seq: 43, Node: "n3", Role: statement.Forwarder, Life: 7, Kind: statement.Figures, From: stated, To: marked,
+			Haulier: "00000000000000aa", Plan: "fleet", Class: "booking", Figures: &booking, Chain: "2f7c2839b197afb5"},
+		{Seq: 44, Node: "n3", Role: statement.Forwarder, Life: 7, Kind: statement.Figures, From: stated, To: marked,
+			Haulier: "00000000000000bb", Plan: "-", Class: "account", Figures: &account, Chain: "9c77eae1d67da865"},
+		{Seq: 45, Node: "n3", Role: statement.Forwarder, Life: 7, Kind: statement.Try, From: time.Unix(1772344800, 5).UTC(),
+			To: time.Unix(1772344801, 6).UTC(), Haulier: "00000000000000aa", Plan: "fleet", Class: "booking",
+			Key: "00000000deadbeef", End: "refused", Chain: "5ec34aeb5874f821"},
+	}
+}
+
+// dump is a line for each value of an embedded store: its bucket, its key in hexadecimal digits, and itself, quoted.
+func dump(t *testing.T, path string) string {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	var lines strings.Builder
+	if err := db.View(func(tx *bbolt.Tx) error {
+		return tx.ForEach(func(name []byte, b *bbolt.Bucket) error {
+			return b.ForEach(func(k, v []byte) error {
+				_, err := fmt.Fprintf(&lines, "%s %x %+q\n", name, k, v)
+				return err
+			})
+		})
+	}); err != nil {
+		t.Fatal(err)
+	}
+	return lines.String()
+}
+
+// restore makes an embedded store of what dump has written.
+func restore(t *testing.T, path, lines string) {
+	t.Helper()
+	db, err := bbolt.Open(path, 0o600, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	if err := db.Update(func(tx *bbolt.Tx) error {
+		for line := range strings.Lines(lines) {
+			part := strings.SplitN(strings.TrimSuffix(line, "\n"), " ", 3)
+			key, err := hex.DecodeString(part[1])
+			if err != nil {
+				return err
+			}
+			value, err := strconv.Unquote(part[2])
+			if err != nil {
+				return err
+			}
+			b, err := tx.CreateBucketIfNotExists([]byte(part[0]))
+			if err != nil {
+				return err
+			}
+			if err := b.Put(key, []byte(value)); err != nil {
+				return err
+			}
+		}
+		return nil
+	}); err != nil {
+		t.Fatal(err)
+	}
+}
+
+// TestStoreForm freezes the embedded store: the head and the table of what is open (JSON), the rows (binary) and the records
+// for export, under their keys. Another version of the program reads it after a restart. Nothing in it is masked: the
+// statement that is written has fixed times.
+func TestStoreForm(t *testing.T) {
+	dir := t.TempDir()
+	s := &Store{o: Options{Dir: dir, Wait: time.Second, Records: 5}, meta: meta{Version: 1, Node: "n3", Role: statement.Forwarder,
+		Life: 7, Statements: 20, Seq: 40, First: 38, Chain: "00112233445566ff", Segment: 11, At: 1, Stated: stated}}
+	p := newPending()
+	for _, k := range append(keptRows(), ledger.Kept{Key: ledger.Key{Customer: 9}, Gone: true}) {
+		p.rows[k.Key] = k
+	}
+	booking, account := figures(1000), figures(3000)
+	p.deltas[bookingOf], p.deltas[accountOf] = &booking, &account
+	p.open, p.segment, p.at, p.to = openEntries(), 12, 2, marked
+	p.tries = []ledger.Try{{Key: bookingOf, Hash: 0xdeadbeef, Taken: 1772344800000000005, Ended: 1772344801000000006,
+		End: ledger.FrontRefused}}
+	p.notes = []statement.Record{{Kind: statement.Life, From: stated, To: marked, Note: "2 postings replayed"},
+		{Kind: statement.Gap, From: marked, To: stated, Note: "<torn> & \"odd\" späť"}}
+	got, err := s.write(p, wording)
+	if err != nil || !reflect.DeepEqual(got, head) {
+		t.Errorf("wrote %+v, %v", got, err)
+	}
+	golden.Compare(t, "store", []byte(dump(t, filepath.Join(dir, dbName))))
+}
+
+// TestStoreRead reads the frozen store, with the frozen segment behind it, by each of the program's readers: the start of a
+// process, the commands that show books, and the export.
+func TestStoreRead(t *testing.T) {
+	dir := t.TempDir()
+	restore(t, filepath.Join(dir, dbName), string(golden.Read(t, "store")))
+	if err := os.WriteFile(segmentPath(dir, 12), golden.Read(t, "segment"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	m, c, err := load(filepath.Join(dir, dbName))
+	if err != nil || !reflect.DeepEqual(m, head) || !reflect.DeepEqual(c, content{keptRows(), openEntries()}) {
+		t.Errorf("loaded as %+v %+v, %v", m, c, err)
+	}
+
+	lines := []ledger.Line{{Key: bookingOf, Counts: figures(100)}, {Key: accountOf, Counts: figures(20000)}}
+	lines[0].Counts.Book(ledger.FrontTaken, 3e6) // the log behind place 2
+	lines[0].Counts.Book(ledger.PlanTaken, 4e6)
+	v, err := Read(dir)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got := v.Ledger.Lines(); !reflect.DeepEqual(got, lines) || v.Ledger.Open() != len(openEntries())+1 {
+		t.Errorf("the ledger is read as %+v, %d open", got, v.Ledger.Open())
+	}
+	v.Ledger = nil
+	if want := (&View{Node: "n3", Role: statement.Forwarder, Life: 7, Names: wording, Replayed: 2, First: 41, Last: 45}); !reflect.DeepEqual(v, want) {
+		t.Errorf("read as %+v", v)
+	}
+
+	var records []statement.Record
+	if err := Records(dir, 0, func(_ []byte, r statement.Record) error {
+		records = append(records, r)
+		return nil
+	}); err != nil || !reflect.DeepEqual(records, keptRecords()) {
+		t.Errorf("records are read as %+v, %v", records, err)
+	}
+
+	s, _, known, found, err := Open(Options{Dir: dir, Node: "n3", Role: statement.Forwarder, SegmentBytes: 16 << 10, Segments: 8,
+		Records: 5, Limits: ledger.Limits{Rows: 100, Open: 100, Flight: 64}, Log: zap.NewNop()})
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(known, wording) || found.Life != 8 || found.Replayed != 2 || len(found.Notes) != 0 {
+		t.Errorf("taken over as %+v %+v", known, found)
+	}
+	if err := s.Close(); err != nil {
+		t.Error(err)
+	}
+}
