--- /dev/null
+++ b/internal/ledger/statement/golden_test.go
@@ -0,0 +1,126 @@
+package statement
+
+import (
+	"bytes"
+	"errors"
+	"reflect"
+	"testing"
+	"time"
+
+	"dewhitch/internal/golden"
+	"dewhitch/internal/ledger"
+)
+
+// figuresFrom gives each event a count and units of its own.
+func figuresFrom(from uint64) *ledger.Counts {
+	c := &ledger.Counts{}
+	for e := ledger.None + 1; e < ledger.Events; e++ {
+		c.Set(e, from+uint64(e), -int64(from)*1e5-int64(e))
+	}
+	return c
+}
+
+// chained are records of each kind, and one with all fields, as one node writes them behind each other.
+func chained() []Record {
+	from, to := time.Date(2026, 3, 1, 6, 0, 0, 1000, time.UTC), time.Date(2026, 3, 1, 6, 1, 2, 30, time.UTC)
+	return []Record{
+		{Seq: 1, Node: "f1", Role: Forwarder, Life: 2, Kind: Life, From: from, To: to, Note: "3 postings replayed",
+			Chain: "87b8e99b56c5e4d2"},
+		{Seq: 2, Node: "f1", Role: Forwarder, Life: 2, Kind: Gap, From: to, To: from,
+			Note: "späť <torn> & \"odd\" \\ \n", Chain: "f2a4f37589367be9"},
+		{Seq: 3, Node: "f1", Role: Forwarder, Life: 2, Kind: Try, From: from, To: to, Haulier: "00000000000000aa",
+			Plan: "fleet", Class: "booking", Key: "00000000deadbeef", End: "served", Chain: "4093a5561d376168"},
+		{Seq: 4, Node: "f1", Role: Forwarder, Life: 2, Kind: Figures, From: from, To: to, Haulier: "others",
+			Plan: "-", Class: "account", Figures: figuresFrom(300), Chain: "4bbfce1f718065eb"},
+		{Seq: 5, Node: "f1", Role: Gateway, Life: 4, Kind: Figures, From: from, To: to, Haulier: "00000000000000bb",
+			Plan: "basic", Class: "space-query", Figures: figuresFrom(5000), Key: "00000000feedbeef", End: "refused",
+			Note: "all fields", Chain: "0c0700360b99a8cb"},
+	}
+}
+
+// TestRecordForm freezes the JSON line of a record of each kind, and the chain that seals each behind the one before. Merging
+// and verifying read it, on other machines and by other versions of the program.
+func TestRecordForm(t *testing.T) {
+	var lines []byte
+	before := ""
+	for _, want := range chained() {
+		r := want
+		r.Chain = ""
+		lines = append(r.Seal(lines, before), '\n')
+		if before = r.Chain; r.Chain != want.Chain {
+			t.Errorf("record %d has the chain %s", r.Seq, r.Chain)
+		}
+	}
+	golden.Compare(t, "records.jsonl", lines)
+	var got []Record
+	var chain Chain
+	if err := Read(bytes.NewReader(golden.Read(t, "records.jsonl")), func(r Record) error {
+		got = append(got, r)
+		return chain.Next(r)
+	}); err != nil || !reflect.DeepEqual(got, chained()) {
+		t.Errorf("read as %+v, %v", got, err)
+	}
+}
+
+// TestCSVForm freezes the head and the rows of CSV, which accounting reads outside the program.
+func TestCSVForm(t *testing.T) {
+	var out bytes.Buffer
+	c, err := NewCSV(&out)
+	for _, r := range chained() {
+		err = errors.Join(err, c.Write(r))
+	}
+	if err = errors.Join(err, c.Flush()); err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "records.csv", out.Bytes())
+}
+
+// TestTableForm freezes the table of sums, which people read.
+func TestTableForm(t *testing.T) {
+	var out bytes.Buffer
+	if err := WriteTable(&out, []Sum{
+		{Name: Name{Haulier: "00000000000000aa", Plan: "fleet", Class: "booking"}, Counts: *figuresFrom(100), PassedOn: 7, Tries: 8},
+		{Name: Name{Plan: "basic", Class: "space-query"}, Counts: *figuresFrom(9000), PassedOn: 10, Tries: 11},
+		{Name: Name{Haulier: "left out", Plan: "-", Class: "account"}, Counts: *figuresFrom(200), PassedOn: 12, Tries: 13},
+	}); err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "table", out.Bytes())
+}
+
+// TestMergedForm freezes what the frozen records add up to, for those who verify and merge them: sums, gaps, bookings, and
+// the words for rows that do not add up and for records that are missing, changed or come twice.
+func TestMergedForm(t *testing.T) {
+	records := chained()
+	changed := records[3]
+	changed.Seq = 8
+	m := NewMerged()
+	for _, r := range append(records, records[4], changed) {
+		m.Add(r)
+	}
+	changed.Seq, changed.Life = 9, 6
+	m.Add(changed)
+	m.Add(record(7, "g1", func(r *Record) {
+		counts(r, ledger.FrontTaken, 1, ledger.FrontServed, 1, ledger.PlanServed, 2, ledger.PlanRefusedQuota, 3)
+		r.Figures.Set(ledger.PlanTaken, 1, 4e6)
+	}))
+	m.Add(record(8, "g2", func(r *Record) {
+		r.Class = "account"
+		counts(r, ledger.UnitsTold, 1, ledger.CallBegan, 1)
+		r.Figures.Set(ledger.CallAdded, 1, 3e6)
+	}))
+	var out bytes.Buffer
+	for _, hauliers := range []bool{false, true} {
+		if err := WriteTable(&out, m.Sums(hauliers)); err != nil {
+			t.Fatal(err)
+		}
+	}
+	for _, err := range m.Verify() {
+		out.WriteString(err.Error() + "\n")
+	}
+	n := m.Nodes["f1"]
+	if n.Name != "f1" || n.Role != Forwarder || n.Lives != 6 || n.First != 1 || !reflect.DeepEqual(n.Gaps, []string{records[1].Note}) {
+		t.Errorf("merged as %+v", n)
+	}
+	golden.Compare(t, "merged", out.Bytes())
+}
