--- /dev/null
+++ b/internal/operator/golden_ledger_test.go
@@ -0,0 +1,52 @@
+package operator
+
+import (
+	"net/http"
+	"net/http/httptest"
+	"testing"
+
+	"github.com/prometheus/client_golang/prometheus"
+	"github.com/prometheus/client_golang/prometheus/promhttp"
+
+	"dewhitch/internal/golden"
+	"dewhitch/internal/ledger"
+	"dewhitch/internal/ledger/desk"
+)
+
+// fixed is a report with all fields.
+type fixed struct{}
+
+func (fixed) Report() desk.Report {
+	figures := func(from uint64) (c ledger.Counts) {
+		for e := ledger.None + 1; e < ledger.Events; e++ {
+			c.Set(e, from+uint64(e), -int64(from)*1e5-int64(e))
+		}
+		return c
+	}
+	return desk.Report{Names: ledger.Names{Plans: []string{"basic", "fleet"}, Classes: []string{"space-query", "booking"}},
+		Lines: []ledger.Line{{Key: ledger.Key{Customer: ledger.Others, Plan: 1, Class: 1}, Counts: figures(100)},
+			{Key: ledger.Key{Customer: ledger.Others, Plan: 0, Class: ledger.ClassQuery}, Counts: figures(200)},
+			{Key: ledger.Key{Customer: ledger.Others, Plan: 0, Class: ledger.ClassAdjust}},
+			{Key: ledger.Account(ledger.Others), Counts: figures(300)}},
+		Total: figures(400), Open: 501, Rows: 502, Evictions: 503, Abandoned: 504, Alarms: 505, Raised: 506, Cleared: 507}
+}
+
+// TestLedgerForm freezes the page /ledger and the ledger's metrics, which operators' tools read.
+func TestLedgerForm(t *testing.T) {
+	part := Ledger(fixed{}, func() bool { return true })
+	mux, registry := http.NewServeMux(), prometheus.NewRegistry()
+	registry.MustRegister(part)
+	part.Pages(mux)
+	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
+	for path, c := range map[string]struct{ name, kind string }{
+		"/ledger":  {"ledger.jsonl", "application/jsonl"},
+		"/metrics": {"ledger.metrics", "text/plain; version=0.0.4; charset=utf-8; escaping=underscores"},
+	} {
+		w := httptest.NewRecorder()
+		mux.ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, nil))
+		if kind := w.Header().Get("Content-Type"); w.Code != http.StatusOK || kind != c.kind {
+			t.Errorf("%s: %d, %s", path, w.Code, kind)
+		}
+		golden.Compare(t, c.name, w.Body.Bytes())
+	}
+}
