--- /dev/null
+++ b/cmd/dewhitch/golden_ledger_test.go
@@ -0,0 +1,112 @@
+package main_test
+
+import (
+	"bytes"
+	"encoding/hex"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strconv"
+	"strings"
+	"testing"
+
+	"go.etcd.io/bbolt"
+
+	"dewhitch/internal/golden"
+)
+
+// The frozen store and segment, and the frozen export of another node, as the packages that write them hold them.
+const (
+	frozenStore  = "../../../../internal/ledger/store/testdata/golden/"
+	frozenExport = "../../internal/ledger/statement/testdata/golden/records.jsonl"
+)
+
+// frozenBooks makes the folder of a ledger from the frozen store and the segment behind it.
+func frozenBooks(t *testing.T) string {
+	t.Helper()
+	dir := t.TempDir()
+	db, err := bbolt.Open(filepath.Join(dir, "ledger.db"), 0o600, nil)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer db.Close()
+	if err := db.Update(func(tx *bbolt.Tx) error {
+		for line := range strings.Lines(string(golden.Read(t, frozenStore+"store"))) {
+			part := strings.SplitN(strings.TrimSuffix(line, "\n"), " ", 3)
+			key, err := hex.DecodeString(part[1])
+			if err != nil {
+				return err
+			}
+			value, err := strconv.Unquote(part[2])
+			if err != nil {
+				return err
+			}
+			b, err := tx.CreateBucketIfNotExists([]byte(part[0]))
+			if err != nil {
+				return err
+			}
+			if err := b.Put(key, []byte(value)); err != nil {
+				return err
+			}
+		}
+		return nil
+	}); err != nil {
+		t.Fatal(err)
+	}
+	if err := os.WriteFile(filepath.Join(dir, "wal-000000000000000c.log"), golden.Read(t, frozenStore+"segment"), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	return dir
+}
+
+// TestLedgerForms freezes what the ledger commands print on a frozen store: people read the tables and the mismatches,
+// accounting reads the CSV, and the commands merge and verify read the JSON lines again. Nothing in it is masked.
+func TestLedgerForms(t *testing.T) {
+	t.Parallel()
+	dir, files := frozenBooks(t), t.TempDir()
+	export, sound := filepath.Join(files, "export"), filepath.Join(files, "sound")
+	first, _, _ := bytes.Cut(golden.Read(t, "../../"+frozenExport), []byte("\n"))
+	if err := os.WriteFile(sound, first, 0o600); err != nil {
+		t.Fatal(err)
+	}
+	for _, c := range []struct {
+		name   string
+		args   []string
+		failed bool
+		sorted bool // nodes and mismatches come in any order: the lines are compared sorted, and each node as one
+	}{
+		{"show", []string{"show", dir}, false, false},
+		{"show-hauliers", []string{"show", "--hauliers", dir}, false, false},
+		{"export.jsonl", []string{"export", dir}, false, false},
+		{"export-after.jsonl", []string{"export", "--after", "43", dir}, false, false},
+		{"export.csv", []string{"export", "--csv", dir}, false, false},
+		{"verify", []string{"verify", dir, frozenExport}, true, true},
+		{"verify-sound", []string{"verify", sound}, false, false},
+		{"merge", []string{"merge", export}, true, false},
+		{"merge-hauliers", []string{"merge", "--hauliers", export}, true, false},
+		{"merge-two", []string{"merge", export, frozenExport}, true, true},
+	} {
+		cmd := exec.Command(program, append([]string{"ledger"}, c.args...)...)
+		var errors bytes.Buffer
+		cmd.Stderr = &errors
+		out, err := cmd.Output()
+		if (err != nil) != c.failed {
+			t.Errorf("%s: %v, %s", c.name, err, errors.Bytes())
+		}
+		if c.name == "export.jsonl" {
+			if err := os.WriteFile(export, out, 0o600); err != nil {
+				t.Fatal(err)
+			}
+		}
+		if c.sorted {
+			lines := strings.Split(strings.ReplaceAll(string(out), " lives), ", " lives)\n"), "\n")
+			slices.Sort(lines)
+			out = []byte(strings.Join(lines, "\n"))
+		}
+		if errors.Len() > 0 {
+			out = append(append(out, "on the standard error:\n"...), errors.Bytes()...)
+		}
+		golden.Compare(t, "ledger/"+c.name, out)
+	}
+}
