--- /dev/null
+++ b/internal/fleet/golden_test.go
@@ -0,0 +1,158 @@
+package fleet
+
+import (
+	"encoding/json"
+	"maps"
+	"reflect"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"dewhitch/internal/golden"
+)
+
+var (
+	goldenCount  = Count{Tries: 101, Served: 11, Refused: 12, Silent: 13, Failed: 14, Turned: 15, Micros: 16, Late: 7}
+	goldenServer = Server{Count: Count{Tries: 201, Served: 21, Refused: 22, Silent: 23, Failed: 24, Turned: 25, Micros: 26, Late: 8},
+		Zone: "hall-c", Queue: 31, InFlight: 32}
+	goldenReport = Report{Zones: map[string]Count{"hall-b": goldenCount}, Servers: map[uint32]Server{41: goldenServer}, Asked: 42}
+	goldenStatus = Status{Zone: "hall-a", Region: "north", Epoch: Epoch{1001, 1002}, Fresh: true, Leader: "g1", Identity: 51, Founding: 52,
+		Promised: 53, Term: 54, Report: &goldenReport, In: []uint64{61, 62}, Out: []uint64{63}, Acts: 55, Away: map[string]uint64{"s-00000001": 64}}
+	goldenPlan = Plan{Epoch: Epoch{2001, 2002}, Sections: map[string]cbor.RawMessage{"zones": {0x82, 1, 2}}}
+	goldenMark = Mark{By: "alice", Why: "night", At: 1700000000123}
+)
+
+// TestGoldenMessages freezes the messages that members send one another, one of each kind; decode of another version reads them.
+func TestGoldenMessages(t *testing.T) {
+	for name, e := range map[string]envelope{
+		"status": {Status: &goldenStatus},
+		"grant":  {Grant: &grant{Seq: 71, Epoch: Epoch{72, 73}, Feed: []byte{7, 4}}},
+		"plan":   {Plan: &goldenPlan},
+		"raft":   {Raft: &raftMessage{Founding: 81, To: 82, Message: []byte{8, 3}}},
+		"ask":    {Ask: &ask{ID: "g2/1/1", Verb: "freeze", Args: []byte{9, 1}}},
+		"told":   {Told: &told{ID: "g2/1/2", Fault: "no", Epoch: Epoch{92, 93}}},
+		"found":  {Found: &founding{Number: 94, Promise: true, Plan: &goldenPlan}},
+		"later":  {Later: &life{Started: 95, Life: 96}},
+		// What is left out of a message has a form as well.
+		"status-least": {Status: &Status{}},
+		"grant-least":  {Grant: &grant{}},
+		"told-least":   {Told: &told{}},
+		"found-least":  {Found: &founding{}},
+	} {
+		e.Version, e.Fleet, e.From, e.Started, e.Life, e.Seq = wireVersion, "north-fleet", "g2", 1700000000000000001, 1<<63+5, 6
+		v := reflect.ValueOf(e)
+		for i := range v.NumField() {
+			if f := v.Field(i); f.Kind() != reflect.Pointer {
+				golden.Filled(t, f.Interface())
+			} else if !f.IsNil() && !strings.HasSuffix(name, "-least") {
+				golden.Filled(t, f.Interface())
+			}
+		}
+		file := "message-" + name + ".cbor"
+		golden.Compare(t, file, encode(e))
+		if got, err := decode("north-fleet", golden.Read(t, file)); err != nil || !reflect.DeepEqual(*got, e) {
+			t.Errorf("%s: read as %+v, %v", name, got, err)
+		}
+	}
+}
+
+// goldenCBOR compares the encoded form of a value that has every field set, and has its golden file read into a new one.
+func goldenCBOR[T any](t *testing.T, file string, v T, read func([]byte, any) error) {
+	t.Helper()
+	golden.Filled(t, v)
+	golden.Compare(t, file, encode(v))
+	var got T
+	if err := read(golden.Read(t, file), &got); err != nil || !reflect.DeepEqual(got, v) {
+		t.Errorf("%s: read as %+v, %v", file, got, err)
+	}
+}
+
+// TestGoldenLog freezes the entry of the log, which voters store and send; the plan, which snapshots and members have; and the
+// sections and operators' words of this package.
+func TestGoldenLog(t *testing.T) {
+	goldenCBOR(t, "change.cbor", change{Base: Epoch{31, 32}, Set: map[string]cbor.RawMessage{"work": {0x81, 5}}, ID: "g1/a/7"}, cbor.Unmarshal)
+	goldenCBOR(t, "change-removes.cbor", change{Base: Epoch{33, 34}, Set: map[string]cbor.RawMessage{"freeze": {null}}, ID: "g1/a/8"}, cbor.Unmarshal)
+	goldenCBOR(t, "plan.cbor", goldenPlan, cbor.Unmarshal)
+	goldenCBOR(t, "voters.cbor", map[string]uint64{"g3": 1<<63 + 9}, cbor.Unmarshal)
+	goldenCBOR(t, "mark.cbor", goldenMark, cbor.Unmarshal)
+	goldenCBOR(t, "said.cbor", Said{By: "bob", Why: "day"}, decoder.Unmarshal)
+	golden.Compare(t, "said.cbor", Words("bob", "day"))
+	var s Said
+	if err := s.Read(golden.Read(t, "said.cbor")); err != nil || s != (Said{"bob", "day"}) {
+		t.Errorf("%+v, %v", s, err)
+	}
+	if got := encode(change{Set: map[string]cbor.RawMessage{"freeze": nil}}); !slices.Contains([]byte(got), null) {
+		t.Errorf("a section that is removed: %x", got)
+	}
+}
+
+// TestGoldenSections freezes the names of the sections, the calls, and the digest of a plan, and reads each section by its name.
+func TestGoldenSections(t *testing.T) {
+	p := Plan{Epoch: Epoch{11, 12}, Sections: map[string]cbor.RawMessage{"voters": golden.Read(t, "voters.cbor"), "freeze": golden.Read(t, "mark.cbor")}}
+	if m, ok := p.Frozen(); !ok || m != goldenMark {
+		t.Errorf("frozen: %+v, %v", m, ok)
+	}
+	if v := p.voters(); !maps.Equal(v, map[string]uint64{"g3": 1<<63 + 9}) {
+		t.Errorf("voters: %v", v)
+	}
+	if got := p.Digest(); got != goldenDigest {
+		t.Errorf("digest: %#x", got)
+	}
+	if got := slices.Sorted(maps.Keys(Freezing())); !slices.Equal(got, []string{"freeze", "thaw"}) {
+		t.Error("calls:", got)
+	}
+	set, err := Freezing()["freeze"](&Plan{}, golden.Read(t, "said.cbor"), 1700000000123)
+	if err != nil || !reflect.DeepEqual(set, map[string]cbor.RawMessage{"freeze": encode(Mark{"bob", "day", 1700000000123})}) {
+		t.Errorf("freeze: %v, %v", set, err)
+	}
+	set, err = Freezing()["thaw"](&p, golden.Read(t, "said.cbor"), 1)
+	if err != nil || !reflect.DeepEqual(set, map[string]cbor.RawMessage{"freeze": nil}) {
+		t.Errorf("thaw: %v, %v", set, err)
+	}
+}
+
+// TestGoldenFounded freezes the snapshot with which a log begins, as voters store and send it.
+func TestGoldenFounded(t *testing.T) {
+	s := founded(21, 22, goldenPlan)
+	golden.Compare(t, "plan.cbor", s.Snapshot.GetData())
+	var v voter
+	if err := v.restore(s.Snapshot); err != nil || !reflect.DeepEqual(v.plan, goldenPlan) || v.applied != 1 {
+		t.Errorf("%+v, %v", v.plan, err)
+	}
+	if s.Identity != 21 || s.Founding != 22 || s.Promised != 22 || s.Hard.GetTerm() != 1 || s.Hard.GetCommit() != 1 {
+		t.Errorf("%+v", s)
+	}
+}
+
+// TestGoldenJSON freezes what operators are shown of this package's types, and the epoch as text.
+func TestGoldenJSON(t *testing.T) {
+	type page struct {
+		Epoch  Epoch  `json:"epoch"`
+		Mark   Mark   `json:"mark"`
+		Said   Said   `json:"said"`
+		Report Report `json:"report"`
+	}
+	v := page{Epoch{1234567890123, 45}, goldenMark, Said{"bob", "day"}, goldenReport}
+	golden.Filled(t, v)
+	text, err := json.MarshalIndent(v, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "shown.json", text)
+	var got page
+	if err := json.Unmarshal(golden.Read(t, "shown.json"), &got); err != nil || !reflect.DeepEqual(got, v) {
+		t.Errorf("read as %+v, %v", got, err)
+	}
+	if got := v.Epoch.String(); got != "1234567890123.45" {
+		t.Error(got)
+	}
+	for _, bad := range []string{"", "1", "1.", ".1", "a.1", "1.b", "1.2.3"} {
+		if err := new(Epoch).UnmarshalText([]byte(bad)); err == nil {
+			t.Errorf("%q is read as an epoch", bad)
+		}
+	}
+}
+
+const goldenDigest = 0x3182e3d5e93bb1a3 // of the plan in TestGoldenSections
--- /dev/null
+++ b/internal/golden/filled_test.go
@@ -0,0 +1,44 @@
+package golden_test
+
+import (
+	"testing"
+
+	"dewhitch/internal/golden"
+)
+
+// counting counts the faults of a test instead of failing it.
+type counting struct {
+	testing.TB
+	faults int
+}
+
+func (c *counting) Helper()               {}
+func (c *counting) Errorf(string, ...any) { c.faults++ }
+
+// TestFilled has a value with every field set pass, and one with a zero field at any depth fail.
+func TestFilled(t *testing.T) {
+	type inner struct{ A, B int }
+	type outer struct {
+		In   inner
+		List []inner
+		Map  map[string]inner
+		At   *inner
+	}
+	full := inner{1, 2}
+	for _, c := range []struct {
+		v      outer
+		faults int
+	}{
+		{outer{full, []inner{full}, map[string]inner{"k": full}, &full}, 0},
+		{outer{inner{1, 0}, []inner{full}, map[string]inner{"k": full}, &full}, 1},
+		{outer{full, []inner{{0, 2}}, map[string]inner{"k": full}, &full}, 1},
+		{outer{full, []inner{full}, map[string]inner{"k": {1, 0}}, &full}, 1},
+		{outer{full, []inner{full}, map[string]inner{"k": full}, &inner{1, 0}}, 1},
+		{outer{full, []inner{}, map[string]inner{}, nil}, 3},
+	} {
+		got := counting{TB: t}
+		if golden.Filled(&got, c.v); got.faults != c.faults {
+			t.Errorf("%+v: %d faults, want %d", c.v, got.faults, c.faults)
+		}
+	}
+}
