--- /dev/null
+++ b/internal/fleet/ramp/golden_test.go
@@ -0,0 +1,21 @@
+package ramp
+
+import (
+	"reflect"
+	"testing"
+
+	"dewhitch/internal/golden"
+)
+
+// TestGoldenFeed freezes what the leader's answer gives a gateway to send to cold servers, and reads it as the gateway does.
+func TestGoldenFeed(t *testing.T) {
+	for name, f := range map[string]Feed{"feed": {Rates: map[uint32]float64{0x0a0b0c0d: 12.375}}, "feed-least": {}} {
+		if name == "feed" {
+			golden.Filled(t, f)
+		}
+		golden.Compare(t, name+".cbor", f.Encode())
+		if got, ok := Read(golden.Read(t, name+".cbor")); !ok || !reflect.DeepEqual(got, f) {
+			t.Errorf("%s: read as %+v, %v", name, got, ok)
+		}
+	}
+}
