--- /dev/null
+++ b/internal/fleet/find/golden_test.go
@@ -0,0 +1,86 @@
+package find
+
+import (
+	"context"
+	"maps"
+	"strings"
+	"sync"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"dewhitch/internal/golden"
+	"dewhitch/internal/registry"
+	"dewhitch/internal/standin/zookeeper"
+)
+
+// TestGoldenNode freezes the name and the data of a member's node in the registry, as another process finds it there, and has
+// such a node, written by nothing of this package, read by Run.
+func TestGoldenNode(t *testing.T) {
+	z, err := zookeeper.New()
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer z.Close()
+	ctx, stop := context.WithTimeout(t.Context(), 30*time.Second)
+	var running sync.WaitGroup
+	defer running.Wait()
+	defer stop()
+	open := func(path string) *registry.Registry {
+		r, err := registry.Open([]string{z.Addr()}, path, 4*time.Second, zap.NewNop())
+		if err != nil {
+			t.Fatal(err)
+		}
+		t.Cleanup(r.Close)
+		return r
+	}
+	run := func(path, name, addr string, found func(map[string]string)) {
+		o := Options{Servers: []string{z.Addr()}, Path: path, Session: 4 * time.Second, Name: name, Address: addr, Log: zap.NewNop()}
+		if err := Run(ctx, o, found); err != nil {
+			t.Error(err)
+		}
+	}
+
+	nodes := make(chan string, 1)
+	seen, seenEnough := context.WithCancel(ctx)
+	running.Go(func() { run("/written", "hall a/g1", "127.0.0.1:7001", func(map[string]string) {}) })
+	_ = open("/written").Follow(seen, func(all map[string][]byte) {
+		for name, data := range all {
+			seenEnough()
+			select {
+			case nodes <- name + " " + string(data):
+			default:
+			}
+		}
+	})
+	select {
+	case line := <-nodes:
+		golden.Compare(t, "node.txt", []byte(line))
+	default:
+		t.Fatal("no node")
+	}
+
+	name, data, _ := strings.Cut(string(golden.Read(t, "node.txt")), " ")
+	read := open("/read")
+	running.Go(func() { _ = read.Keep(ctx, name, []byte(data)) })
+	members := make(chan map[string]string, 1)
+	running.Go(func() {
+		run("/read", "g2", "127.0.0.1:7002", func(at map[string]string) {
+			if len(at) == 2 {
+				select {
+				case members <- at:
+				default:
+				}
+			}
+		})
+	})
+	select {
+	case got := <-members:
+		if !maps.Equal(got, map[string]string{"hall a/g1": "127.0.0.1:7001", "g2": "127.0.0.1:7002"}) {
+			t.Errorf("read as %v", got)
+		}
+	case <-ctx.Done():
+		t.Fatal("the nodes are not read")
+	}
+}
--- /dev/null
+++ b/internal/fleet/gossip/golden_test.go
@@ -0,0 +1,54 @@
+package gossip
+
+import (
+	"encoding/json"
+	"net"
+	"testing"
+
+	"github.com/hashicorp/memberlist"
+
+	"dewhitch/internal/golden"
+)
+
+var goldenAbout = About{Zone: "hall-a", Region: "north", Number: 3, Version: "1.2.3", Role: "gateway"}
+
+// TestGoldenAbout freezes what members say of themselves in the library's gossip, and what other members read of it. Packets
+// and streams are the library's own.
+func TestGoldenAbout(t *testing.T) {
+	for name, about := range map[string]About{"about": goldenAbout, "about-least": {}} {
+		if name == "about" {
+			golden.Filled(t, about)
+		}
+		g := &Gossip{o: Options{About: about, Changed: func(string, string) {}}, known: map[string]Member{}}
+		golden.Compare(t, name+".cbor", (&delegate{g}).NodeMeta(memberlist.MetaMaxSize))
+		n := &memberlist.Node{Name: "g3", Addr: net.IPv4(127, 0, 0, 3), Port: 7003, Meta: golden.Read(t, name+".cbor")}
+		(&delegate{g}).NotifyJoin(n)
+		if got := g.known["g3"]; got != (Member{"g3", "alive", "127.0.0.3:7003", about}) {
+			t.Errorf("%s: read as %+v", name, got)
+		}
+		(&delegate{g}).NotifyLeave(n)
+		if got := g.known["g3"].State; got != "gone" {
+			t.Errorf("lost: %s", got)
+		}
+		n.State = memberlist.StateLeft
+		(&delegate{g}).NotifyLeave(n)
+		if got := g.known["g3"].State; got != "left" {
+			t.Errorf("left: %s", got)
+		}
+	}
+}
+
+// TestGoldenMember freezes a member as operators are shown it.
+func TestGoldenMember(t *testing.T) {
+	m := Member{Name: "g3", State: "suspect", Address: "127.0.0.3:7003", About: goldenAbout}
+	golden.Filled(t, m)
+	text, err := json.MarshalIndent(m, "", "  ")
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "member.json", text)
+	var got Member
+	if err := json.Unmarshal(golden.Read(t, "member.json"), &got); err != nil || got != m {
+		t.Errorf("read as %+v, %v", got, err)
+	}
+}
