--- a/internal/fleet/work/golden_test.go
+++ b/internal/fleet/work/golden_test.go
@@ -61,7 +61,13 @@
 	for state, want := range map[State]string{Waiting: "", Announced: "announced", Free: "free", Back: "back", Held: "held", Done: "done",
 		Cancelled: "cancelled"} {
 		if string(state) != want {
-			t.Errorf("%s, want %s", state, want)
+			t.Errorf("%s, want %s", string(state), want)
+		}
+		if want == "" {
+			want = "waiting" // as it is shown
+		}
+		if got := state.String(); got != want {
+			t.Errorf("shown as %s, want %s", got, want)
 		}
 	}
 	for kind, want := range map[Kind]string{Restart: "restart", Replace: "replace", Off: "off"} {
