--- /dev/null
+++ b/internal/config/settings/golden_test.go
@@ -0,0 +1,83 @@
+package settings
+
+import (
+	"reflect"
+	"strings"
+	"testing"
+
+	dw "dewhitch"
+	"dewhitch/internal/golden"
+)
+
+// goldenSettings is what settings.json says, key by key.
+var goldenSettings = dw.Settings{Instances: 6, Self: 5, Zones: 3, Zone: 1, Tick: 91,
+	Classes: []dw.Class{
+		{Aim: 41, AimStretch: 44.5, Deadline: 42, LateWorth: 0.375, Points: 45.5, Effect: dw.Safe, Group: dw.GroupAll, DedupWindow: 43, Streaming: true},
+		{Aim: 51, AimStretch: 54.5, Deadline: 52, LateWorth: 0.875, Points: 55.5, Effect: dw.Keyed, Group: dw.GroupZone, DedupWindow: 53, Streaming: true},
+		{Aim: 61, AimStretch: 64.5, Deadline: 62, LateWorth: 0.5, Points: 65.5, Effect: dw.Unsafe, Group: dw.GroupCell, DedupWindow: 63, Streaming: true}},
+	Plans: []dw.Plan{
+		{Rate: 15.5, Burst: 12.5, Open: 17, CeilingRate: 11.5, CeilingBurst: 13.5, Tolerance: 16.5, Price: 14.5, BeyondEarns: 0.25, OverrunCost: 0.75},
+		{Rate: 25.5, Burst: 22.5, Open: 27, CeilingRate: 21.5, CeilingBurst: 23.5, Tolerance: 26.5, Price: 24.5, BeyondEarns: 0.125, OverrunCost: 0.625}},
+	Counter: true, CounterTimeout: 32, CounterFee: 31.5, MeterPeriod: 33, MaxUnits: 34.5, TruedUp: true,
+	MaxAttempts: 4, ParallelTries: true, MayCancel: true, MayProbe: true, MayTell: true, MaxRetryAfter: 1003, ConnectTimeout: 1002,
+	ListOnRequest: true, Reports: dw.ReportsInAnswers, RatingsTell: true,
+	ReportFields: dw.HasInflight | dw.HasQueue | dw.HasUtil | dw.HasLatency | dw.HasRate | dw.HasErrors,
+	AnswerSlack:  71, AskWithin: 72, ColdSpan: 73, FallSpan: 74, DrainGrace: 75, FallMultiple: 76.5, StartCapacity: 0.775,
+	CrossZonePrice: 81.5, LatePrice: 82.5, ProbePrice: 83.5, WastePrice: 84.5}
+
+var goldenWords = Words{Zones: []string{"lake-a", "lake-b", "lake-c"}, Kinds: []string{"small", "large"},
+	Classes: []string{"quote", "order", "charge"}, Plans: []string{"wide", "slim"}, ConnIdle: 1001}
+
+// The settings object with each of its keys, as the simulator's hello message and the node's configuration file hold it.
+// The gateway reads it at its start.
+func TestGoldenSettings(t *testing.T) {
+	s, w, err := Decode(golden.Read(t, "settings.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !reflect.DeepEqual(s, goldenSettings) {
+		t.Errorf("settings\n got %+v\nwant %+v", s, goldenSettings)
+	}
+	if !reflect.DeepEqual(w, goldenWords) {
+		t.Errorf("words\n got %+v\nwant %+v", w, goldenWords)
+	}
+	if err := s.Check(); err != nil {
+		t.Error(err)
+	}
+}
+
+// The words that stand for a value in the settings object, each of them, and the error that names a key whose word is unknown.
+func TestGoldenSettingsWords(t *testing.T) {
+	text := string(golden.Read(t, "settings.json"))
+	for _, c := range []struct {
+		old, new string
+		want     func(*dw.Settings)
+	}{
+		{`"MembershipMode":"on_request"`, `"MembershipMode":"pushed"`, func(s *dw.Settings) { s.ListOnRequest = false }},
+		{`"MembershipMode":"on_request"`, `"MembershipMode":""`, func(s *dw.Settings) { s.ListOnRequest = false }},
+		{`"Source":"answers"`, `"Source":"probe"`, func(s *dw.Settings) { s.Reports = dw.ReportsInProbes }},
+		{`"Source":"answers"`, `"Source":"none"`, func(s *dw.Settings) { s.Reports = dw.ReportsNone }},
+		{`"Source":"answers"`, `"Source":""`, func(s *dw.Settings) { s.Reports = dw.ReportsNone }},
+		{`"Weights":"nominal"`, `"Weights":"none"`, func(s *dw.Settings) { s.RatingsTell = false }},
+		{`"Weights":"nominal"`, `"Weights":""`, func(s *dw.Settings) { s.RatingsTell = false }},
+		{`"RetryAfter":true`, `"RetryAfter":false`, func(s *dw.Settings) { s.MaxRetryAfter = 0 }},
+		{`"Group":"all"`, `"Group":""`, func(*dw.Settings) {}},
+	} {
+		want := goldenSettings
+		c.want(&want)
+		got, _, err := Decode([]byte(strings.Replace(text, c.old, c.new, 1)))
+		if err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("%s: %v\n got %+v\nwant %+v", c.new, err, got, want)
+		}
+	}
+	var faults []byte
+	for _, old := range []string{`"MembershipMode":"on_request"`, `"Source":"answers"`, `"Effect":"safe"`, `"Group":"zone"`} {
+		key, _, _ := strings.Cut(old, ":")
+		_, _, err := Decode([]byte(strings.Replace(text, old, key+`:"odd"`, 1)))
+		if err == nil {
+			t.Fatalf("%s: an unknown word is taken", key)
+		}
+		faults = append(append(faults, err.Error()...), '\n')
+	}
+	golden.Compare(t, "faults.txt", faults)
+}
