--- /dev/null
+++ b/internal/config/golden_test.go
@@ -0,0 +1,140 @@
+package config
+
+import (
+	"encoding/json"
+	"os"
+	"path/filepath"
+	"reflect"
+	"testing"
+	"time"
+
+	"dewhitch/internal/config/settings"
+	"dewhitch/internal/golden"
+)
+
+// goldenFile is the path of a golden input file, for what is read by its path.
+func goldenFile(name string) string { return filepath.Join("testdata", "golden", name) }
+
+// goldenNode is what node.json says, beside the settings.
+func goldenNode(t *testing.T) Node {
+	t.Helper()
+	var f struct {
+		Settings json.RawMessage `json:"settings"`
+	}
+	if err := json.Unmarshal(golden.Read(t, "node.json"), &f); err != nil {
+		t.Fatal(err)
+	}
+	s, w, err := settings.Decode(f.Settings) // frozen field by field in that package
+	if err != nil || len(s.Classes) != 3 {
+		t.Fatal(err)
+	}
+	return Node{Name: "node-1", Listen: "10.0.0.1:1001", Discovery: "10.0.0.2:1002", Counter: "10.0.0.3:1003", Admin: "10.0.0.4:1004",
+		Scratch: "/scratch", Seed: 0x1f, Cores: 1.5, MemoryMB: 101, Sockets: 102, Known: json.RawMessage(`{"revision":7,"members":[]}`),
+		Settings: s, Words: w}
+}
+
+// The node's configuration file with each of its keys, and the environment variables that stand above it. Platforms write them; the
+// gateway reads them at its start and at SIGHUP.
+func TestGoldenNode(t *testing.T) {
+	file := goldenNode(t)
+	above := file
+	above.Name, above.Listen, above.Discovery, above.Admin, above.Inherited = "node-2", "10.0.1.1:1101", "10.0.1.2:1102", "10.0.1.4:1104", 5
+	again := above
+	again.Discovery = file.Discovery
+	variables := map[string]string{"NODE_CONFIG": goldenFile("node.json"), "TMPDIR": "/scratch"}
+	all := map[string]string{"NODE_NAME": "node-2", "NODE_LISTEN": "10.0.1.1:1101", "NODE_DISCOVERY": "10.0.1.2:1102",
+		"NODE_ADMIN": "10.0.1.4:1104", "NODE_FD": "5", "NODE_CONFIG": variables["NODE_CONFIG"], "TMPDIR": "/scratch"}
+	for _, c := range []struct {
+		what string
+		env  map[string]string
+		load func(func(string) string) (*Node, error)
+		want Node
+	}{{"the file", variables, LoadNode, file}, {"the environment above it", all, LoadNode, above},
+		{"the same, read anew", all, ReloadNode, again}} {
+		got, err := c.load(func(key string) string { return c.env[key] })
+		if err != nil {
+			t.Fatal(c.what, err)
+		}
+		if !reflect.DeepEqual(*got, c.want) {
+			t.Errorf("%s\n got %+v\nwant %+v", c.what, *got, c.want)
+		}
+	}
+}
+
+// The limits file with each of its keys. Operators write it; gateways and forwarders read it.
+func TestGoldenLimits(t *testing.T) {
+	got, err := LoadLimits(goldenFile("limits.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := (Limits{Listen: "10.0.0.1:2001",
+		Registry: Registry{Servers: []string{"10.0.0.2:2002", "10.0.0.3:2003"}, Path: "/golden/planners", Session: 2004 * time.Millisecond},
+		Forward:  Forward{Listen: "10.0.0.4:2005", Gateways: 6, Sockets: 2007, MemoryMB: 208}}); !reflect.DeepEqual(*got, want) {
+		t.Errorf("\n got %+v\nwant %+v", *got, want)
+	}
+	if err := got.CheckForward(); err != nil {
+		t.Error(err)
+	}
+}
+
+// The operators' file with each of its keys. Operators write it; gateways and forwarders read it. sync is on unless the file says otherwise.
+func TestGoldenOperations(t *testing.T) {
+	got, err := LoadOperations(goldenFile("operations.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := (Operations{Operator: Operator{Listen: "10.0.0.1:3001"},
+		Ledger: Ledger{Enabled: true, Rows: 3002, Open: 3003, Flight: 3004, Audit: 3005 * time.Millisecond, Statement: 3006 * time.Millisecond,
+			AlarmFile: "alarms.jsonl", Dir: "books", SegmentBytes: 7 << 20, Segments: 11, Records: 3009},
+		Warm: WarmStart{Mode: "on", Every: 3010 * time.Millisecond, Dir: "warm"}}); !reflect.DeepEqual(*got, want) {
+		t.Errorf("\n got %+v\nwant %+v", *got, want)
+	}
+}
+
+// The fleet file with each of its keys. Operators write it; a member of a fleet reads it.
+func TestGoldenFleet(t *testing.T) {
+	got, err := LoadFleet(goldenFile("fleet.toml"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if want := (Fleet{Name: "golden", Listen: "10.0.0.1:4001", Region: "north", Voters: []string{"n0", "n1", "n2"},
+		Seeds: []string{"n0/10.0.0.2:4002", "n1"}, Keyring: "keys", Dir: "votes", Lease: 4003 * time.Millisecond, Status: 404 * time.Millisecond,
+		Peers: map[string]string{"n1": "10.0.0.5:4009", "n2": "10.0.0.6:4010"}, MostZones: 5,
+		Registry: Registry{Servers: []string{"10.0.0.3:4006", "10.0.0.4:4007"}, Path: "/golden/members/golden",
+			Session: 4008 * time.Millisecond}}); !reflect.DeepEqual(*got, want) {
+		t.Errorf("\n got %+v\nwant %+v", *got, want)
+	}
+}
+
+// The defaults, where a file leaves its keys out.
+func TestGoldenDefaults(t *testing.T) {
+	dir := t.TempDir()
+	write := func(text string) string {
+		path := filepath.Join(dir, "file.toml")
+		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+			t.Fatal(err)
+		}
+		return path
+	}
+	limits, err := LoadLimits(write(""))
+	if want := (&Limits{Registry: Registry{Path: "/dewhitch/planners", Session: 4 * time.Second},
+		Forward: Forward{Sockets: 1024, MemoryMB: 192}}); err != nil || !reflect.DeepEqual(limits, want) {
+		t.Errorf("limits: %v\n got %+v\nwant %+v", err, limits, want)
+	}
+	operations, err := LoadOperations(write(""))
+	if want := (&Operations{Ledger: Ledger{Rows: 20000, Open: 65536, Flight: 4096, Audit: time.Second, Statement: 10 * time.Second,
+		SegmentBytes: 4 << 20, Segments: 8, Records: 1000000, Sync: true},
+		Warm: WarmStart{Mode: "auto", Every: 500 * time.Millisecond}}); err != nil || !reflect.DeepEqual(operations, want) {
+		t.Errorf("operations: %v\n got %+v\nwant %+v", err, operations, want)
+	}
+	fleet, err := LoadFleet(write("[fleet]\nname = \"x\"\nlisten = \"10.0.0.1:1\"\nvoters = [\"n0\"]\n"))
+	if want := (&Fleet{Name: "x", Listen: "10.0.0.1:1", Voters: []string{"n0"}, Lease: 2 * time.Second, Status: 200 * time.Millisecond,
+		Registry: Registry{Path: "/dewhitch/members/x", Session: 4 * time.Second}}); err != nil || !reflect.DeepEqual(fleet, want) {
+		t.Errorf("fleet: %v\n got %+v\nwant %+v", err, fleet, want)
+	}
+	node, err := parseNode([]byte(`{"name":"n","listen":"10.0.0.1:1","discovery":"10.0.0.1:2","seed":"1","settings":{"NInstances":1,`+
+		`"RequestClasses":[{"Aim":1,"Deadline":1,"Effect":"safe"}],"Caps":{"TryLimit":1}}}`), noEnv, false)
+	if err != nil || node.Cores != 1 || node.MemoryMB != 192 || node.Sockets != 1024 || node.Known != nil {
+		t.Errorf("node: %v, %+v", err, node)
+	}
+}
