--- /dev/null
+++ b/internal/front/limits/golden_test.go
@@ -0,0 +1,128 @@
+package limits
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"reflect"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	dw "dewhitch"
+	"dewhitch/internal/config/settings"
+	"dewhitch/internal/core"
+	"dewhitch/internal/front"
+	"dewhitch/internal/front/platform"
+	"dewhitch/internal/golden"
+	"dewhitch/internal/ledger/desk"
+	"dewhitch/internal/resp"
+	"dewhitch/internal/standin"
+)
+
+func goldenCommands() *Commands {
+	return &Commands{&platform.Commands{Books: desk.Nobody{}, Words: settings.Words{Plans: []string{"wide", "slim", "open"}},
+		Settings: dw.Settings{Instances: 9, MaxUnits: 40, Plans: []dw.Plan{{Rate: 5, Burst: 10}, {Rate: 6, Burst: 20.5}, {Open: 3}}}}}
+}
+
+// The answers to LIMIT.GET and LIMIT.ADJUST by verdict. Clients read them.
+func TestGoldenAnswers(t *testing.T) {
+	var b []byte
+	for _, a := range []core.Answer{
+		{Verdict: core.Served, Limit: &dw.Limit{Request: "r-1", Limit: 20.5, Left: 3.25, More: 1500000001}},
+		{Verdict: core.Served, Limit: &dw.Limit{Request: "r-2", Limit: 10, Left: 9.9996}},
+		{Verdict: core.Served, Units: 2.5},
+		{Verdict: core.Served, Units: -1.25},
+		{Verdict: core.Refused},
+		{Verdict: core.Refused, RetryAfter: 250 * time.Millisecond},
+		{Verdict: core.Failed},
+	} {
+		b = appendAnswer(b, a)
+	}
+	golden.Compare(t, "answers.txt", b)
+}
+
+// The words of LIMIT.GET and LIMIT.ADJUST. Clients write them, and forwarders pass them on.
+func TestGoldenRequest(t *testing.T) {
+	for _, c := range []struct {
+		words []string
+		kind  core.Kind
+		want  *core.Req
+	}{
+		{[]string{"LIMIT.GET", "00000001b4d65521", "t=slim,d=1500.5,spread=3,first=4"}, core.Query,
+			&core.Req{Kind: core.Query, Plan: 1, Customer: 0x1b4d65521, Wait: 1500500 * time.Microsecond, Spread: 3, First: 4}},
+		{[]string{"LIMIT.ADJUST", "00000001b4d65521", "-2.5", "t=slim,d=1500.5,spread=3,first=4"}, core.Adjust,
+			&core.Req{Kind: core.Adjust, Plan: 1, Customer: 0x1b4d65521, Wait: 1500500 * time.Microsecond, Units: -2.5, Spread: 3, First: 4}},
+	} {
+		cmd := resp.Command{}
+		for _, w := range c.words {
+			cmd = append(cmd, []byte(w))
+		}
+		got, err := goldenCommands().decode(cmd, c.kind)
+		if err != nil || !reflect.DeepEqual(got, c.want) {
+			t.Errorf("%q: %v\n got %+v\nwant %+v", c.words, err, got, c.want)
+		}
+	}
+}
+
+// The errors for commands on limits that can't be used, and the way to the platform's commands. Clients read them.
+func TestGoldenErrors(t *testing.T) {
+	const customer, list = "00000000b4d65521", "t=slim,d=50,spread=1,first=0"
+	var b []byte
+	for _, words := range [][]string{
+		{"PING"},
+		{"NOVEL"},
+		{"LIMIT.GET", customer},
+		{"LIMIT.GET", customer, list, "more"},
+		{"LIMIT.GET", "b4", list},
+		{"LIMIT.GET", customer, "t=novel,d=50,spread=1,first=0"},
+		{"LIMIT.GET", customer, "t=open,d=50,spread=1,first=0"},
+		{"limit.get", customer, "t=slim,spread=1,first=0"},
+		{"LIMIT.ADJUST", customer, list},
+		{"LIMIT.ADJUST", customer, "0", list},
+		{"LIMIT.ADJUST", customer, "21", list},
+		{"LIMIT.ADJUST", customer, "much", list},
+	} {
+		b = append(b, exchange(t, goldenCommands(), words...)...)
+	}
+	golden.Compare(t, "errors.txt", b)
+}
+
+// exchange is one command and what a client reads for it, over a session of its own.
+func exchange(t *testing.T, c front.Commands, words ...string) []byte {
+	t.Helper()
+	l, err := net.Listen("tcp", standin.OwnAddr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := &front.Server{Listener: l, Log: zap.NewNop(), Bounds: front.NewBounds(64 << 20), Sessions: 1,
+		Open: func() front.Commands { return c }}
+	ctx, stop := context.WithCancel(t.Context())
+	over := make(chan struct{})
+	go func() {
+		defer close(over)
+		server.Serve(ctx)
+	}()
+	client, err := standin.Dial(l.Addr().String(), 10*time.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() {
+		client.Close()
+		stop()
+		<-over
+	}()
+	client.SetDeadline(time.Now().Add(10 * time.Second))
+	if err := client.Send(words); err != nil {
+		t.Fatal(err)
+	}
+	var text bytes.Buffer
+	if _, err := standin.ReadReply(bufio.NewReader(io.TeeReader(client, &text))); err != nil {
+		t.Fatalf("%q: %v", words, err)
+	}
+	return fmt.Appendf(nil, "%q\n\t%q\n", words, text.Bytes())
+}
--- /dev/null
+++ b/internal/front/sessions/golden_test.go
@@ -0,0 +1,106 @@
+package sessions
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"go.uber.org/zap"
+
+	"dewhitch/internal/front"
+	"dewhitch/internal/golden"
+	"dewhitch/internal/resp"
+	"dewhitch/internal/standin"
+)
+
+// passed answers what a session hands on with the words that it was handed; drained, it has PING say so.
+type passed struct{ drained bool }
+
+func (p passed) Do(_ time.Time, cmd resp.Command, s *front.Slot) {
+	s.Fill(resp.AppendBulk(nil, bytes.Join(cmd, []byte("|"))))
+}
+
+func (p passed) Drained() bool { return p.drained }
+
+// The answers about a session: HELLO, CLIENT, SELECT, ECHO, QUIT, COMMAND and PING, and their errors. RESP clients read them.
+func TestGoldenSession(t *testing.T) {
+	long := strings.Repeat("n", maxName+1)
+	var b []byte
+	for _, c := range []struct {
+		words   string
+		drained bool
+	}{
+		{"HELLO", false}, {"hello 2", false}, {"HELLO 2 SETNAME name-2", false}, {"HELLO 3", false}, {"HELLO x", false},
+		{"HELLO 2 AUTH user password", false}, {"HELLO 2 NOVEL", false}, {"HELLO 2 SETNAME " + long, false},
+		{"HELLO 2 AUTH user", false}, {"HELLO 2 a b c d e f", false},
+		{"CLIENT", false}, {"CLIENT ID", false}, {"CLIENT GETNAME", false}, {"CLIENT SETNAME name-3", false}, {"CLIENT SETNAME " + long, false},
+		{"CLIENT SETINFO LIB-NAME lib-1", false}, {"CLIENT SETINFO lib-ver 1.2", false}, {"CLIENT SETINFO NOVEL x", false},
+		{"CLIENT ID more", false}, {"CLIENT NOVEL", false},
+		{"SELECT 0", false}, {"SELECT 1", false}, {"SELECT x", false}, {"SELECT", false},
+		{"ECHO word", false}, {"PING", false}, {"PING word", false}, {"PING", true}, {"QUIT", false},
+		{"COMMAND COUNT", false}, {"COMMAND DOCS", false}, {"COMMAND NOVEL", false},
+		{"COMMAND INFO hello client select echo ping quit command novel", false},
+		{"COMMAND INFO svc.query svc.submit limit.get limit.adjust", false},
+		{"SVC.SUBMIT a b c", false}, {"novel x", false},
+	} {
+		s := &Commands{Commands: passed{c.drained}, id: 7, name: "name-1", version: "v1.2.3"}
+		b = append(b, exchange(t, s, strings.Fields(c.words)...)...)
+	}
+	golden.Compare(t, "session.txt", b)
+}
+
+// The commands that COMMAND and COMMAND LIST tell of, which have no order. RESP clients read them.
+func TestGoldenCommandList(t *testing.T) {
+	s := &Commands{Commands: passed{}}
+	var b []byte
+	for _, words := range []string{"COMMAND LIST", "COMMAND"} {
+		text := exchange(t, s, strings.Fields(words)...)
+		_, answer, _ := strings.Cut(strings.TrimSpace(string(text)), "\n\t")
+		parts := strings.Split(strings.Trim(answer, `"`), `\r\n`)
+		slices.Sort(parts)
+		b = fmt.Appendf(b, "%q\n%q\n", words, parts)
+	}
+	golden.Compare(t, "commands.txt", b)
+}
+
+// exchange is one command and what a client reads for it, over a session of its own.
+func exchange(t *testing.T, c front.Commands, words ...string) []byte {
+	t.Helper()
+	l, err := net.Listen("tcp", standin.OwnAddr())
+	if err != nil {
+		t.Fatal(err)
+	}
+	server := &front.Server{Listener: l, Log: zap.NewNop(), Bounds: front.NewBounds(64 << 20), Sessions: 1,
+		Open: func() front.Commands { return c }}
+	ctx, stop := context.WithCancel(t.Context())
+	over := make(chan struct{})
+	go func() {
+		defer close(over)
+		server.Serve(ctx)
+	}()
+	client, err := standin.Dial(l.Addr().String(), 10*time.Second)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer func() {
+		client.Close()
+		stop()
+		<-over
+	}()
+	client.SetDeadline(time.Now().Add(10 * time.Second))
+	if err := client.Send(words); err != nil {
+		t.Fatal(err)
+	}
+	var text bytes.Buffer
+	if _, err := standin.ReadReply(bufio.NewReader(io.TeeReader(client, &text))); err != nil {
+		t.Fatalf("%q: %v", words, err)
+	}
+	return fmt.Appendf(nil, "%q\n\t%q\n", words, text.Bytes())
+}
