--- /dev/null
+++ b/internal/backend/golden_test.go
@@ -0,0 +1,71 @@
+package backend
+
+import (
+	"bytes"
+	"reflect"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	dw "dewhitch"
+	"dewhitch/internal/core"
+	"dewhitch/internal/golden"
+	"dewhitch/internal/resp"
+)
+
+// The commands that servers are sent. Servers read the words, and each name of the list of names and values. The clock is a fixed one.
+func TestGoldenCommands(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		p := New(Names{Plans: []string{"wide", "slim"}}, Limits{}, noBooks{})
+		var b []byte
+		for _, c := range []struct {
+			left time.Duration
+			req  *core.Req
+		}{
+			{1500 * time.Millisecond, &core.Req{Named: "order", Plan: 1, Customer: 0x1b4d65521, Units: 2.5, Spread: 3, First: 4, Repeat: true,
+				Message: core.Message{Name: "name-1", Key: "key-1", Body: []byte("body\r\n1")}}},
+			{20*time.Millisecond + 1, &core.Req{Named: "quote", Query: true, Customer: 7, Units: 1, Spread: 1, Message: core.Message{Name: "name-2"}}},
+			{-time.Second, &core.Req{Named: "charge", Customer: 0xfedcba9876543210, Units: 1e6, Spread: 5, First: 6,
+				Message: core.Message{Name: "name-3", Body: []byte{}}}},
+		} {
+			b = append(b, p.command(&fetch{Fetch: core.Fetch{Until: time.Now().Add(c.left), Source: c.req}})...)
+		}
+		golden.Compare(t, "commands.txt", b)
+	})
+}
+
+// The answers that servers give: an array of the value, the figures on use and the load report; or a failure with a load report as its
+// last word. The gateway reads them. One golden line is one answer, with \r\n for a line's end.
+func TestGoldenAnswers(t *testing.T) {
+	full := dw.Load{Has: dw.HasInflight | dw.HasQueue | dw.HasUtil | dw.HasLatency | dw.HasRate | dw.HasErrors,
+		Inflight: 1.5, Queue: 2.5, Util: 0.5, LatencyMS: 3.25, Rate: 4.5, Errors: 0.25}
+	want := []struct {
+		end   core.FetchEnd
+		whole bool
+	}{
+		{core.FetchEnd{Outcome: dw.OutcomeOK, Value: []byte("value-1"), Load: full}, true},
+		{core.FetchEnd{Outcome: dw.OutcomeOK, Value: []byte("value-2"), Load: dw.Load{Has: dw.HasQueue, Queue: 7}}, true},
+		{core.FetchEnd{Outcome: dw.OutcomeRejected}, true},
+		{core.FetchEnd{Outcome: dw.OutcomeRejected, Load: full}, true},
+		{core.FetchEnd{Outcome: dw.OutcomeError}, true},
+		{core.FetchEnd{Outcome: dw.OutcomeError, Load: dw.Load{Has: dw.HasInflight, Inflight: 9}}, true},
+		{core.FetchEnd{Outcome: dw.OutcomeError}, false}, // of no such word
+		{core.FetchEnd{Outcome: dw.OutcomeError}, false}, // no value
+		{core.FetchEnd{Outcome: dw.OutcomeError}, false}, // not of three parts
+		{core.FetchEnd{Outcome: dw.OutcomeError}, false}, // of another kind
+	}
+	lines := strings.Split(strings.TrimSpace(string(golden.Read(t, "answers.txt"))), "\n")
+	if len(lines) != len(want) {
+		t.Fatalf("%d answers, want %d", len(lines), len(want))
+	}
+	for i, line := range lines {
+		v, err := resp.NewReader(bytes.NewReader([]byte(strings.ReplaceAll(line, `\r\n`, "\r\n"))), 0).ReadValue()
+		if err != nil {
+			t.Fatal(line, err)
+		}
+		if end, whole := outcome(v, true); whole != want[i].whole || !reflect.DeepEqual(end, want[i].end) {
+			t.Errorf("%s\n got %+v, %v\nwant %+v, %v", line, end, whole, want[i].end, want[i].whole)
+		}
+	}
+}
