--- /dev/null
+++ b/internal/discovery/golden_test.go
@@ -0,0 +1,86 @@
+package discovery
+
+import (
+	"bytes"
+	"context"
+	"fmt"
+	"io"
+	"net"
+	"reflect"
+	"strings"
+	"testing"
+
+	"go.uber.org/zap"
+
+	dw "dewhitch"
+	"dewhitch/internal/core"
+	"dewhitch/internal/golden"
+	"dewhitch/internal/standin"
+)
+
+// The list of servers with each of its keys, each phase, and a zone and a kind by whole names and by their parts behind a dash. The
+// discovery service writes it; the gateway reads it, and its configuration holds one in the same form.
+func TestGoldenList(t *testing.T) {
+	names := Names{Zones: []string{"lake-a", "lake-b", "lake-c"}, Kinds: []string{"size-small", "size-large"}}
+	got, err := NewDecoder(names).Decode(golden.Read(t, "list.json"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := Message{Revision: 41, Complete: true, Members: []Member{
+		{ServerName: "s-5be2a07c", Addr: "10.0.0.1:1001", Entry: dw.ServerEntry{ID: 0x5be2a07c, Cell: 3, Zone: 1, Kind: 1,
+			Since: 1700000000001e6, Rating: 1.5, State: dw.Ready}},
+		{ServerName: "s-00000002", Addr: "10.0.0.2:1002", Entry: dw.ServerEntry{ID: 2, Cell: 4, Zone: 2, Since: 1700000000002e6, Rating: 2.5,
+			State: dw.Draining}},
+		{ServerName: "s-00000003", Entry: dw.ServerEntry{ID: 3, State: dw.Gone}},
+		{ServerName: "node-x", Addr: "10.0.0.4:1004", Entry: dw.ServerEntry{ID: 1, Cell: 5, Rating: 3.5, State: dw.Ready}},
+	}}
+	if !reflect.DeepEqual(got, want) {
+		t.Errorf("\n got %+v\nwant %+v", got, want)
+	}
+	known, err := NewDecoder(names).Known(golden.Read(t, "list.json"))
+	listing := core.Listing{List: dw.ServerList{Kind: dw.ListCached, Version: 41}}
+	for _, m := range want.Members {
+		appendMember(&listing, m)
+	}
+	if err != nil || !reflect.DeepEqual(known, listing) {
+		t.Errorf("%v\n got %+v\nwant %+v", err, known, listing)
+	}
+}
+
+// The questions that a discovery service is asked: for all of the list, and for what changed since a revision. It reads their bytes.
+func TestGoldenQuestions(t *testing.T) {
+	asked := make(chan []byte, 2)
+	l, err := standin.Listen("", func(c net.Conn) {
+		for _, answer := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 45\r\n\r\n" + `{"revision":42,"complete":true, "members":[]}`,
+			"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"} {
+			var b []byte
+			for one := make([]byte, 1); !bytes.HasSuffix(b, []byte("\r\n\r\n")); b = append(b, one...) {
+				if _, err := io.ReadFull(c, one); err != nil {
+					return
+				}
+			}
+			asked <- b
+			fmt.Fprint(c, answer)
+		}
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer l.Close()
+	d := New(l.Addr(), NewDecoder(Names{}), func(core.Listing) error { return nil }, 1, zap.NewNop())
+	if _, err := d.follow(context.Background(), l.Addr()); err == nil || err.Error() != "status 503" {
+		t.Error(err)
+	}
+	text := append(<-asked, <-asked...)
+	golden.Compare(t, "questions.txt", bytes.ReplaceAll(text, []byte(l.Addr()), []byte("HOST:PORT")))
+}
+
+// The reasons for which the list broke off, which are a label of the metrics. Operators read them.
+func TestGoldenReasons(t *testing.T) {
+	var b strings.Builder
+	for _, err := range []error{statusError(503), net.ErrClosed, &net.OpError{Op: "dial", Err: io.EOF}, errOlder, errTooLong, errTooSlow, errEnded, errCut,
+		&net.OpError{Op: "read", Err: io.ErrNoProgress}, io.ErrNoProgress} {
+		fmt.Fprintln(&b, reason(err))
+	}
+	golden.Compare(t, "reasons.txt", []byte(b.String()))
+}
--- /dev/null
+++ b/internal/resp/golden_test.go
@@ -0,0 +1,48 @@
+package resp
+
+import (
+	"math"
+	"reflect"
+	"strings"
+	"testing"
+
+	"dewhitch/internal/golden"
+)
+
+// Each kind of value as it is written, and as it is read from the same bytes. Clients, servers and planners read and write them.
+func TestGoldenValues(t *testing.T) {
+	b := AppendBulk(nil, "bulk\r\n1")
+	b = AppendBulk(b, []byte{})
+	b = AppendBulk(AppendInt(AppendArray(b, 2), -7), "x")
+	b = AppendArray(b, 0)
+	b = AppendInt(b, math.MaxInt64)
+	b = AppendStatus(b, "PONG")
+	b = AppendFailure(b, "BUSY 20")
+	b = AppendFailure(b, "ERR a\r\n+PONG")
+	b = AppendStatus(b, strings.Repeat("x", MaxLine+9))
+	for _, v := range []float64{2.5, -1.25, 9.9996, -0.0001, 1e21, 0} {
+		b = AppendNumber(b, v)
+	}
+	b = append(append(AppendBulkHead(b, 3), "abc"...), End...)
+	values := []Value{
+		{Kind: Bulk, Text: []byte("bulk\r\n1")},
+		{Kind: Bulk, Text: []byte{}},
+		{Kind: Array, Len: 2, Items: []Value{{Kind: Integer, Int: -7}, {Kind: Bulk, Text: []byte("x")}}},
+		{Kind: Array},
+		{Kind: Integer, Int: math.MaxInt64},
+		{Kind: Status, Text: []byte("PONG")},
+		{Kind: Failure, Text: []byte("BUSY 20")},
+		{Kind: Failure, Text: []byte("ERR a  +PONG")},
+		{Kind: Status, Text: []byte(strings.Repeat("x", MaxLine-1))},
+	}
+	r := NewReader(strings.NewReader(string(b)), 0)
+	for i, want := range values {
+		got, err := r.ReadValue()
+		if err != nil || !reflect.DeepEqual(got, want) {
+			t.Errorf("value %d: %v\n got %+v\nwant %+v", i+1, err, got, want)
+		}
+		b = AppendValue(b, want)
+	}
+	b = AppendValue(b, Value{Kind: Bulk, Null: true})
+	golden.Compare(t, "values.txt", AppendValue(b, Value{Kind: Array, Null: true}))
+}
