--- a/api.go
+++ b/api.go
@@ -272,13 +272,15 @@
 
 // ServerEntry is one line of the server list.
 type ServerEntry struct {
-	ID               ServerID
-	Cell, Zone, Kind int
-	Since            Instant // last start; 0: long ago
-	Rating           float64
-	State            ServerState
-	Feed             float64 // attempts a second that this gateway may send it while it is cold; 0: by its own guess
-	Look             Look
+	ID     ServerID    `json:"ID"`
+	Cell   int         `json:"Cell"`
+	Zone   int         `json:"Zone"`
+	Kind   int         `json:"Kind"`
+	Since  Instant     `json:"Since"` // last start; 0: long ago
+	Rating float64     `json:"Rating"`
+	State  ServerState `json:"State"`
+	Feed   float64     `json:"Feed"` // attempts a second that this gateway may send it while it is cold; 0: by its own guess
+	Look   Look        `json:"Look"`
 }
 
 // Look says that a server is looked at, to see whether it is well: what goes there goes there first, as its budget allows.
--- a/cmd/dewhitch/snapshot.go
+++ b/cmd/dewhitch/snapshot.go
@@ -32,7 +32,7 @@
 		out := json.NewEncoder(os.Stdout)
 		out.SetIndent("", "  ")
 		return out.Encode(struct {
-			Generation snapshot.Generation
+			Generation snapshot.Generation `json:"Generation"`
 			*snapshot.Image
 		}{g, m})
 	}
--- a/internal/ledger/books.go
+++ b/internal/ledger/books.go
@@ -18,9 +18,9 @@
 // Key names a row: what one haulier asked for, under one plan and class. The numbers of plans and classes are the
 // desk's (it knows their names).
 type Key struct {
-	Customer uint64
-	Plan     int16
-	Class    int16
+	Customer uint64 `json:"Customer"`
+	Plan     int16  `json:"Plan"`
+	Class    int16  `json:"Class"`
 }
 
 // Others is the customer of the rows into which those of evicted hauliers are rolled up, by plan and class.
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -33,22 +33,29 @@
 
 // Entry is what is open under a Ref. It holds what the owners have said of this req or call, each in its own words.
 type Entry struct {
-	Key                       Key
-	Units                     int64
-	Since                     int64 // Unix time in nanoseconds
-	Wait                      uint16
-	Keyed                     bool
-	Hash                      uint64
-	Call                      bool
-	FrontTaken, FrontEnded    bool
-	NeverTaken                bool // the planner will not take it
-	Lost                      bool // its answer did not reach the client
-	PlanTaken                 bool
-	PlanEnded                 verdict
-	Sent, Heard, Began, Ended uint16
-	Told, CallBegan, CallOver bool // of a Call
-	Rejected, Returned        bool
-	row                       *row // of Key
+	Key        Key     `json:"Key"`
+	Units      int64   `json:"Units"`
+	Since      int64   `json:"Since"` // Unix time in nanoseconds
+	Wait       uint16  `json:"Wait"`
+	Keyed      bool    `json:"Keyed"`
+	Hash       uint64  `json:"Hash"`
+	Call       bool    `json:"Call"`
+	FrontTaken bool    `json:"FrontTaken"`
+	FrontEnded bool    `json:"FrontEnded"`
+	NeverTaken bool    `json:"NeverTaken"` // the planner will not take it
+	Lost       bool    `json:"Lost"`       // its answer did not reach the client
+	PlanTaken  bool    `json:"PlanTaken"`
+	PlanEnded  verdict `json:"PlanEnded"`
+	Sent       uint16  `json:"Sent"`
+	Heard      uint16  `json:"Heard"`
+	Began      uint16  `json:"Began"`
+	Ended      uint16  `json:"Ended"`
+	Told       bool    `json:"Told"`      // of a Call
+	CallBegan  bool    `json:"CallBegan"` // of a Call
+	CallOver   bool    `json:"CallOver"`  // of a Call
+	Rejected   bool    `json:"Rejected"`
+	Returned   bool    `json:"Returned"`
+	row        *row    // of Key
 }
 
 // row holds the figures of a key.
@@ -435,7 +442,7 @@
 
 // Open is an entry of the table, as a store keeps it.
 type Open struct {
-	Ref uint64
+	Ref uint64 `json:"Ref"`
 	Entry
 }
 
--- a/internal/ledger/names.go
+++ b/internal/ledger/names.go
@@ -3,7 +3,10 @@
 import "strconv"
 
 // Names are the words behind the numbers in keys, in their order.
-type Names struct{ Plans, Classes []string }
+type Names struct {
+	Plans   []string `json:"Plans"`
+	Classes []string `json:"Classes"`
+}
 
 // HaulierText is a haulier as commands and exports have it.
 func HaulierText(customer uint64) string {
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -36,24 +36,27 @@
 
 // Generation orders snapshots: the lives of processes, and the writes of each.
 type Generation struct {
-	Life, Number uint64
+	Life   uint64 `json:"Life"`
+	Number uint64 `json:"Number"`
 }
 
 // Image is a snapshot's content: what was learnt, and whose settings its indices are of.
 type Image struct {
-	Node            string
-	Instances, Self int
-	Zones           int
-	Classes         []string
-	Plans           []Plan
-	Learnt          dw.Learnt
+	Node      string    `json:"Node"`
+	Instances int       `json:"Instances"`
+	Self      int       `json:"Self"`
+	Zones     int       `json:"Zones"`
+	Classes   []string  `json:"Classes"`
+	Plans     []Plan    `json:"Plans"`
+	Learnt    dw.Learnt `json:"Learnt"`
 }
 
 // Plan is what a plan's accounts depend on; one that says anything else is another plan.
 type Plan struct {
-	Name        string
-	Rate, Burst float64
-	Ceiling     float64
+	Name    string  `json:"Name"`
+	Rate    float64 `json:"Rate"`
+	Burst   float64 `json:"Burst"`
+	Ceiling float64 `json:"Ceiling"`
 }
 
 // The faults of a snapshot, for figures and log lines.
--- a/state.go
+++ b/state.go
@@ -10,47 +10,64 @@
 type (
 	// Learnt is what a gateway has learnt by an instant. Classes and plans are indices into its settings.
 	Learnt struct {
-		At                        Instant
-		Sent, Wanted, Tried, Good float64
-		Budget, Latency, Idle     float64
-		Worth                     float64
-		Measured                  Instant
-		CallRate, CallQuickest    float64 // of the counter
-		Sizes                     []float64
-		Cut                       []float64 // by zone
-		Servers                   []LearntServer
-		Customers                 []LearntCustomer
+		At           Instant          `json:"At"`
+		Sent         float64          `json:"Sent"`
+		Wanted       float64          `json:"Wanted"`
+		Tried        float64          `json:"Tried"`
+		Good         float64          `json:"Good"`
+		Budget       float64          `json:"Budget"`
+		Latency      float64          `json:"Latency"`
+		Idle         float64          `json:"Idle"`
+		Worth        float64          `json:"Worth"`
+		Measured     Instant          `json:"Measured"`
+		CallRate     float64          `json:"CallRate"`     // of the counter
+		CallQuickest float64          `json:"CallQuickest"` // of the counter
+		Sizes        []float64        `json:"Sizes"`
+		Cut          []float64        `json:"Cut"` // by zone
+		Servers      []LearntServer   `json:"Servers"`
+		Customers    []LearntCustomer `json:"Customers"`
 	}
 	// LearntServer is what it has learnt of a server since that one's last start.
 	LearntServer struct {
 		_ struct{} `cbor:",toarray"` // there are many, and their fields' names would be most of them
 		ServerEntry
-		Latency            float64
-		Measured, Answered Instant
-		Fed                float64 // budget of a cold one
-		FedAt              Instant
-		Verdicts           []LearntVerdict // by class
+		Latency  float64         `json:"Latency"`
+		Measured Instant         `json:"Measured"`
+		Answered Instant         `json:"Answered"`
+		Fed      float64         `json:"Fed"` // budget of a cold one
+		FedAt    Instant         `json:"FedAt"`
+		Verdicts []LearntVerdict `json:"Verdicts"` // by class
 	}
 	// LearntVerdict is what speaks against a server for a class.
 	LearntVerdict struct {
-		_                     struct{} `cbor:",toarray"`
-		Failed                int
-		Answered, At, Ejected Instant
+		_        struct{} `cbor:",toarray"`
+		Failed   int      `json:"Failed"`
+		Answered Instant  `json:"Answered"`
+		At       Instant  `json:"At"`
+		Ejected  Instant  `json:"Ejected"`
 	}
 	// LearntCustomer is a customer's account.
 	LearntCustomer struct {
-		_                         struct{} `cbor:",toarray"`
-		ID                        CustomerID
-		Plan, Spread              int
-		InSet                     bool
-		Window                    Span
-		Level, Predicted          float64
-		Own, Others               float64
-		Asked, AskedIn            float64
-		At, LastTotal, ListedTill Instant
-		Seen                      Instant
-		Turn                      int64
-		Total, Mine, Past         float64
+		_          struct{}   `cbor:",toarray"`
+		ID         CustomerID `json:"ID"`
+		Plan       int        `json:"Plan"`
+		Spread     int        `json:"Spread"`
+		InSet      bool       `json:"InSet"`
+		Window     Span       `json:"Window"`
+		Level      float64    `json:"Level"`
+		Predicted  float64    `json:"Predicted"`
+		Own        float64    `json:"Own"`
+		Others     float64    `json:"Others"`
+		Asked      float64    `json:"Asked"`
+		AskedIn    float64    `json:"AskedIn"`
+		At         Instant    `json:"At"`
+		LastTotal  Instant    `json:"LastTotal"`
+		ListedTill Instant    `json:"ListedTill"`
+		Seen       Instant    `json:"Seen"`
+		Turn       int64      `json:"Turn"`
+		Total      float64    `json:"Total"`
+		Mine       float64    `json:"Mine"`
+		Past       float64    `json:"Past"`
 	}
 )
 
