--- a/api.go
+++ b/api.go
@@ -47,29 +47,29 @@
 	return h ^ h>>31
 }
 
-// Effect tells what running a request twice would do.
-type Effect int
+// Idempotency tells what running a request twice would do.
+type Idempotency int
 
 // The effects.
 const (
-	Safe   Effect = iota // may be repeated at will
-	Keyed                // repeats are dropped by a group of servers, for a while
-	Unsafe               // must never run twice
+	Idempotent      Idempotency = iota // may be repeated at will
+	IdempotentByKey                    // repeats are dropped by a group of servers, for a while
+	NotIdempotent                      // must never run twice
 )
 
-// Group is the set of servers that drop each other's repeats of a keyed request.
-type Group int
+// DedupScope is the set of servers that drop each other's repeats of a keyed request.
+type DedupScope int
 
 // The groups.
 const (
-	GroupAll Group = iota
-	GroupZone
-	GroupCell
+	DedupAll DedupScope = iota
+	DedupZone
+	DedupCell
 )
 
 // same tells that two servers are in one group.
-func (k Group) same(a, b ServerEntry) bool {
-	return k == GroupAll || k == GroupZone && a.Zone == b.Zone || k == GroupCell && a.Cell == b.Cell
+func (k DedupScope) same(a, b Endpoint) bool {
+	return k == DedupAll || k == DedupZone && a.Zone == b.Zone || k == DedupCell && a.Cell == b.Cell
 }
 
 // Outcome is how an attempt, a probe or a counter call ended.
@@ -85,7 +85,7 @@
 	OutcomeReset                 // the connection broke; it may have run
 	OutcomeCancelled             // withdrawn; it may have run
 	OutcomeNotSent               // never left the gateway
-	Outcomes                     // how many there are
+	OutcomeCount                 // how many there are
 )
 
 // String is the outcome's name in metrics and logs.
@@ -95,24 +95,24 @@
 
 // Class describes one kind of request.
 type Class struct {
-	Aim         Span    // answers within it earn full worth
-	AimStretch  float64 // the aim grows by this multiple of the request's own work
-	Deadline    Span    // all of a client's waiting
-	LateWorth   float64 // share of the worth of an answer after the aim
-	Points      float64 // worth
-	Effect      Effect
-	Group       Group
-	DedupWindow Span // how long a group remembers a keyed request
-	Streaming   bool
+	Objective        Span    // answers within it earn full worth
+	ObjectiveStretch float64 // the aim grows by this multiple of the request's own work
+	Deadline         Span    // all of a client's waiting
+	LateWeight       float64 // share of the worth of an answer after the aim
+	Weight           float64 // worth
+	Idempotency      Idempotency
+	DedupScope       DedupScope
+	DedupWindow      Span // how long a group remembers a keyed request
+	Streaming        bool
 }
 
 // Plan is what a customer has bought; it holds over all gateways together.
 type Plan struct {
 	Rate, Burst                          float64 // the quota: a token bucket; no such quota if Rate is 0
-	Open                                 int     // most attempts out at once; no such quota if 0
+	MaxInFlight                          int     // most attempts out at once; no such quota if 0
 	CeilingRate, CeilingBurst, Tolerance float64 // the hard ceiling; none if CeilingRate is 0
-	Price                                float64 // multiplies worth
-	BeyondEarns, OverrunCost             float64 // share of the worth, for what is sent on beyond the quota
+	WeightFactor                         float64 // multiplies worth
+	OverQuotaValue, OverQuotaCost        float64 // share of the worth, for what is sent on beyond the quota
 }
 
 // LoadFields is a set of the values a load report can hold.
@@ -185,24 +185,24 @@
 	CounterFee     float64
 	MeterPeriod    Span // answers tell a customer's use over such a period; 0: they do not
 	MaxUnits       float64
-	TruedUp        bool // units are a guess, put right by the answer
+	UnitsCorrected bool // units are a guess, put right by the answer
 
-	MaxAttempts    int
-	ParallelTries  bool
-	MayCancel      bool
-	MayProbe       bool
-	MayTell        bool // messages to other gateways are possible
-	MaxRetryAfter  Span // longest wait a client obeys; 0: advice is not possible
-	ConnectTimeout Span
+	MaxAttempts      int
+	ParallelAttempts bool
+	MayCancel        bool
+	MayProbe         bool
+	MayMessagePeers  bool // messages to other gateways are possible
+	MaxRetryAfter    Span // longest wait a client obeys; 0: advice is not possible
+	ConnectTimeout   Span
 
 	ListOnRequest bool // the server list must be subscribed to
 	Reports       ReportSource
 	ReportFields  LoadFields
-	RatingsTell   bool // the list's ratings differ by server
+	RatingsDiffer bool // the list's ratings differ by server
 
-	AnswerSlack, DrainGrace, AskWithin Span
-	ColdSpan, FallSpan                 Span // a cold server is warm after the first; pushed over within the second
-	StartCapacity, FallMultiple        float64
+	AnswerSlack, DrainGrace, PollWithin Span
+	SlowStartSpan, OverloadSpan         Span // a cold server is warm after the first; pushed over within the second
+	StartCapacity, OverloadMultiple     float64
 
 	CrossZonePrice, WastePrice, ProbePrice, LatePrice float64
 }
@@ -222,20 +222,20 @@
 	errs := []error{check(s.Instances > 0, "Instances"), check(s.Self >= 0 && s.Self < s.Instances, "Self"),
 		check(s.Tick >= 0, "Tick"), check(s.CounterTimeout >= 0, "CounterTimeout"),
 		check(!s.Counter || s.CounterTimeout > 0, "CounterTimeout"), check(len(s.Classes) > 0, "Classes"),
-		check(s.MaxAttempts > 0, "MaxAttempts"), check(s.ColdSpan >= 0, "ColdSpan"),
-		check(s.FallSpan >= 0, "FallSpan"), check(s.FallMultiple >= 0, "FallMultiple"),
+		check(s.MaxAttempts > 0, "MaxAttempts"), check(s.SlowStartSpan >= 0, "ColdSpan"),
+		check(s.OverloadSpan >= 0, "FallSpan"), check(s.OverloadMultiple >= 0, "FallMultiple"),
 		check(s.StartCapacity >= 0 && s.StartCapacity <= 1, "StartCapacity"), check(s.MaxUnits >= 0, "MaxUnits"),
 		check(s.AnswerSlack >= 0, "AnswerSlack"), check(s.DrainGrace >= 0, "DrainGrace"),
 		check(s.MaxRetryAfter >= 0, "MaxRetryAfter"), check(s.MeterPeriod >= 0, "MeterPeriod")}
 	for i, c := range s.Classes {
 		field := fmt.Sprintf("Classes[%d].", i)
-		errs = append(errs, check(c.Aim > 0, field+"Aim"), check(c.Deadline > 0, field+"Deadline"),
-			check(c.DedupWindow >= 0, field+"DedupWindow"), check(c.Points >= 0, field+"Points"))
+		errs = append(errs, check(c.Objective > 0, field+"Aim"), check(c.Deadline > 0, field+"Deadline"),
+			check(c.DedupWindow >= 0, field+"DedupWindow"), check(c.Weight >= 0, field+"Points"))
 	}
 	for i, p := range s.Plans {
 		field := fmt.Sprintf("Plans[%d].", i)
 		errs = append(errs, check(p.Rate >= 0, field+"Rate"), check(p.Burst >= 0, field+"Burst"),
-			check(p.Open >= 0, field+"Open"), check(p.CeilingRate >= 0, field+"CeilingRate"),
+			check(p.MaxInFlight >= 0, field+"Open"), check(p.CeilingRate >= 0, field+"CeilingRate"),
 			check(p.CeilingBurst >= 0, field+"CeilingBurst"), check(p.Tolerance >= 0, field+"Tolerance"))
 	}
 	for _, err := range errs {
@@ -260,46 +260,46 @@
 	ListFailed
 )
 
-// ServerState is what the server list knows of a process.
-type ServerState int
+// EndpointState is what the server list knows of a process.
+type EndpointState int
 
 // The states.
 const (
-	Ready ServerState = iota
+	Ready EndpointState = iota
 	Draining
-	Gone
+	Removed
 )
 
-// ServerEntry is one line of the server list.
-type ServerEntry struct {
-	ID     ServerID    `json:"ID"`
-	Cell   int         `json:"Cell"`
-	Zone   int         `json:"Zone"`
-	Kind   int         `json:"Kind"`
-	Since  Instant     `json:"Since"` // last start; 0: long ago
-	Rating float64     `json:"Rating"`
-	State  ServerState `json:"State"`
-	Feed   float64     `json:"Feed"` // attempts a second that this gateway may send it while it is cold; 0: by its own guess
-	Look   Look        `json:"Look"`
+// Endpoint is one line of the server list.
+type Endpoint struct {
+	ID            ServerID        `json:"ID"`
+	Cell          int             `json:"Cell"`
+	Zone          int             `json:"Zone"`
+	Kind          int             `json:"Kind"`
+	StartedAt     Instant         `json:"Since"` // last start; 0: long ago
+	Rating        float64         `json:"Rating"`
+	State         EndpointState   `json:"State"`
+	SlowStartRate float64         `json:"Feed"` // attempts a second that this gateway may send it while it is cold; 0: by its own guess
+	HealthCheck   HealthCheckMode `json:"Look"`
 }
 
-// Look says that a server is looked at, to see whether it is well: what goes there goes there first, as its budget allows.
-type Look int
+// HealthCheckMode says that a server is looked at, to see whether it is well: what goes there goes there first, as its budget allows.
+type HealthCheckMode int
 
 // The looks.
 const (
-	NoLook    Look = iota
-	LookSpare      // by what may be repeated alone
-	LookAny
+	HealthCheckOff        HealthCheckMode = iota
+	HealthCheckIdempotent                 // by what may be repeated alone
+	HealthCheckAny
 )
 
 // The events.
 type (
-	// ServerList brings news of the servers.
-	ServerList struct {
+	// EndpointList brings news of the servers.
+	EndpointList struct {
 		Kind    ListKind
 		Version int64
-		Servers []ServerEntry
+		Servers []Endpoint
 	}
 	// Arrival is a request that this gateway must answer exactly once.
 	Arrival struct {
@@ -324,15 +324,15 @@
 		LimitQuery
 		Units float64 // 0 or below: given back
 	}
-	// Started tells that a streamed answer has begun.
-	Started struct {
+	// AnswerStarted tells that a streamed answer has begun.
+	AnswerStarted struct {
 		Request RequestID
 		Attempt int
 		Server  ServerID
 		Latency Span
 	}
-	// Ended is the one outcome of an attempt.
-	Ended struct {
+	// AttemptEnded is the one outcome of an attempt.
+	AttemptEnded struct {
 		Request   RequestID
 		Attempt   int
 		Server    ServerID
@@ -343,47 +343,47 @@
 		TrueUnits float64
 		Load      Load
 	}
-	// ClientGone tells that a client has left; no answer is owed.
-	ClientGone struct{ Request RequestID }
-	// Hurry tells that a request must have its answer now, however long its client would wait.
-	Hurry struct{ Request RequestID }
-	// Ending tells that this gateway ends: every request must have its answer by then, however long its client would wait.
-	Ending struct{ By Instant }
+	// ClientLeft tells that a client has left; no answer is owed.
+	ClientLeft struct{ Request RequestID }
+	// Expedite tells that a request must have its answer now, however long its client would wait.
+	Expedite struct{ Request RequestID }
+	// Shutdown tells that this gateway ends: every request must have its answer by then, however long its client would wait.
+	Shutdown struct{ By Instant }
 	// TimerFired returns a timer.
 	TimerFired struct{ ID TimerID }
-	// Probed is what a Probe found.
-	Probed struct {
+	// HealthChecked is what a Probe found.
+	HealthChecked struct {
 		Server  ServerID
 		Outcome Outcome
 		Latency Span
 		Load    Load
 	}
-	// Counted is the answer to a Count.
-	Counted struct {
+	// CounterAnswered is the answer to a Count.
+	CounterAnswered struct {
 		Name    string
 		Outcome Outcome
 		Latency Span
 		Total   float64 // valid if the outcome is OutcomeOK
 	}
-	// Told is a message from another gateway.
-	Told struct {
+	// PeerMessage is a message from another gateway.
+	PeerMessage struct {
 		From int
 		Data []byte
 	}
 )
 
-func (ServerList) event() {}
-func (Arrival) event()    {}
-func (LimitQuery) event() {}
-func (Started) event()    {}
-func (Ended) event()      {}
-func (ClientGone) event() {}
-func (Hurry) event()      {}
-func (Ending) event()     {}
-func (TimerFired) event() {}
-func (Probed) event()     {}
-func (Counted) event()    {}
-func (Told) event()       {}
+func (EndpointList) event()    {}
+func (Arrival) event()         {}
+func (LimitQuery) event()      {}
+func (AnswerStarted) event()   {}
+func (AttemptEnded) event()    {}
+func (ClientLeft) event()      {}
+func (Expedite) event()        {}
+func (Shutdown) event()        {}
+func (TimerFired) event()      {}
+func (HealthChecked) event()   {}
+func (CounterAnswered) event() {}
+func (PeerMessage) event()     {}
 
 // arrival is what a command on limits has in common with a request.
 func (q LimitQuery) arrival(units float64) Arrival {
@@ -391,17 +391,17 @@
 		Spread: q.Spread, First: q.First}
 }
 
-// Why tells what a request was refused or failed for. It is for bookkeeping: clients are told when to come back.
-type Why int
+// Reason tells what a request was refused or failed for. It is for bookkeeping: clients are told when to come back.
+type Reason int
 
 // The reasons.
 const (
-	WhyUnusable Why = iota // of no class or plan, or out of time
-	WhyQuota               // no room in the quota, or at the cap on open attempts
-	WhyCeiling             // none under the hard ceiling
-	WhyServers             // the servers are pressed, or none may be asked
-	WhyGaveUp              // out of attempts or of time
-	WhyUnread              // the counter gave no exact answer in time
+	ReasonInvalid       Reason = iota // of no class or plan, or out of time
+	ReasonQuota                       // no room in the quota, or at the cap on open attempts
+	ReasonCeiling                     // none under the hard ceiling
+	ReasonOverload                    // the servers are pressed, or none may be asked
+	ReasonExhausted                   // out of attempts or of time
+	ReasonCounterUnread               // the counter gave no exact answer in time
 )
 
 // Tally tells what a customer's tally holds, for bookkeeping; not known: the account was dropped, with its tally.
@@ -418,38 +418,38 @@
 
 // The actions.
 type (
-	// Send starts an attempt; a request's attempts count from 0.
-	Send struct {
-		Request RequestID
-		Server  ServerID
-		Timeout Span // 0: until the client gives up
-		Within  Span // it may begin to be written for so long, and is not sent after that; 0: for as long as it may take
+	// StartAttempt starts an attempt; a request's attempts count from 0.
+	StartAttempt struct {
+		Request     RequestID
+		Server      ServerID
+		Timeout     Span // 0: until the client gives up
+		StartWithin Span // it may begin to be written for so long, and is not sent after that; 0: for as long as it may take
 	}
-	// Cancel withdraws an attempt.
-	Cancel struct {
+	// CancelAttempt withdraws an attempt.
+	CancelAttempt struct {
 		Request RequestID
 		Attempt int
 	}
-	// Refuse is a final answer: trying again does no harm.
-	Refuse struct {
+	// Reject is a final answer: trying again does no harm.
+	Reject struct {
 		Request    RequestID
-		Why        Why
+		Reason     Reason
 		RetryAfter Span // 0: no advice
 	}
 	// Fail is a final answer that promises nothing.
 	Fail struct {
 		Request RequestID
-		Why     Why
+		Reason  Reason
 	}
-	// Limit is the final answer to a LimitQuery, exact by the counter.
-	Limit struct {
-		Request RequestID
-		Limit   float64 // most units that can be left
-		Left    float64 // units that may be taken now
-		More    Span    // until there are more; 0: there can't be
+	// LimitAnswer is the final answer to a LimitQuery, exact by the counter.
+	LimitAnswer struct {
+		Request          RequestID
+		Limit            float64 // most units that can be left
+		Remaining        float64 // units that may be taken now
+		ReplenishedAfter Span    // until there are more; 0: there can't be
 	}
-	// Adjusted is the final answer to a LimitAdjust.
-	Adjusted struct {
+	// AdjustAnswer is the final answer to a LimitAdjust.
+	AdjustAnswer struct {
 		Request RequestID
 		Units   float64 // taken; below 0: given back, and never more than was used
 	}
@@ -458,33 +458,33 @@
 		At Instant
 		ID TimerID
 	}
-	// Count adds to a named number that all gateways share, and reads it.
-	Count struct {
+	// CounterAdd adds to a named number that all gateways share, and reads it.
+	CounterAdd struct {
 		Name     string
 		Customer CustomerID // whose tally it takes along, all of it
 		Add      float64
 		TTL      Span // a new name is forgotten after it
 	}
-	// Drawn says that units went onto a customer's tally, which the next Count takes along; below 0: off it. A tally
+	// TallyChanged says that units went onto a customer's tally, which the next Count takes along; below 0: off it. A tally
 	// also gets back what a Count could not add. It is for bookkeeping; nothing is to be done.
-	Drawn struct {
+	TallyChanged struct {
 		Customer CustomerID
 		Units    float64
 	}
-	// Probe asks a server for its health.
-	Probe struct{ Server ServerID }
-	// Subscribe asks for changes of the server list.
-	Subscribe struct{}
+	// HealthCheck asks a server for its health.
+	HealthCheck struct{ Server ServerID }
+	// SubscribeEndpoints asks for changes of the server list.
+	SubscribeEndpoints struct{}
 )
 
-func (Send) action()      {}
-func (Cancel) action()    {}
-func (Refuse) action()    {}
-func (Fail) action()      {}
-func (Limit) action()     {}
-func (Adjusted) action()  {}
-func (SetTimer) action()  {}
-func (Count) action()     {}
-func (Drawn) action()     {}
-func (Probe) action()     {}
-func (Subscribe) action() {}
+func (StartAttempt) action()       {}
+func (CancelAttempt) action()      {}
+func (Reject) action()             {}
+func (Fail) action()               {}
+func (LimitAnswer) action()        {}
+func (AdjustAnswer) action()       {}
+func (SetTimer) action()           {}
+func (CounterAdd) action()         {}
+func (TallyChanged) action()       {}
+func (HealthCheck) action()        {}
+func (SubscribeEndpoints) action() {}
--- a/cmd/dewhitch/fleet.go
+++ b/cmd/dewhitch/fleet.go
@@ -35,8 +35,8 @@
 		return nil
 	}
 	own := ""
-	if z := g.n.Settings.Zone; z < len(g.n.Words.Zones) {
-		own = g.n.Words.Zones[z]
+	if z := g.n.Settings.Zone; z < len(g.n.Names.Zones) {
+		own = g.n.Names.Zones[z]
 	}
 	g.acts, g.heard = make(chan agent.Acts, 1), make(chan struct{})
 	follow := func(a agent.Acts) {
@@ -46,7 +46,7 @@
 		}
 		g.acts <- a
 	}
-	cold := ramp.Config{Start: g.n.Settings.StartCapacity, Span: time.Duration(g.n.Settings.ColdSpan)}
+	cold := ramp.Config{Start: g.n.Settings.StartCapacity, Span: time.Duration(g.n.Settings.SlowStartSpan)}
 	judge := zone.Standard
 	judge.MostOut = g.f.MostZones
 	a, err := agent.Open(agent.Options{Work: work.Standard, Follow: follow, Drain: g.state.DrainItself, Quiet: g.quiet, Zones: judge, Cold: cold, Voters: g.f.Voters, Dir: g.f.Dir, Lease: g.f.Lease, Status: g.f.Status, Log: g.log,
@@ -57,7 +57,7 @@
 		return fmt.Errorf("fleet: %w", err)
 	}
 	g.fleet = a
-	g.planner.Watch(&watcher{agent: a, zones: g.n.Words.Zones})
+	g.planner.Watch(&watcher{agent: a, zones: g.n.Names.Zones})
 	return nil
 }
 
@@ -79,11 +79,11 @@
 
 func (w *watcher) Asked() { w.agent.Tally().Asked() }
 
-func (w *watcher) Listed(entries []dw.ServerEntry) {
+func (w *watcher) Listed(entries []dw.Endpoint) {
 	var servers []ramp.Server
 	for _, e := range entries {
 		if e.State == dw.Ready && e.Zone < len(w.zones) {
-			servers = append(servers, ramp.Server{ID: uint32(e.ID), Zone: w.zones[e.Zone], Since: int64(e.Since) / 1e6})
+			servers = append(servers, ramp.Server{ID: uint32(e.ID), Zone: w.zones[e.Zone], Since: int64(e.StartedAt) / 1e6})
 		}
 	}
 	w.agent.Listed(servers)
@@ -112,7 +112,7 @@
 				g.log.Error("the fleet's verdicts can't be read: the last ones hold", zap.Error(err))
 				continue
 			}
-			f := core.Fleet{Zones: uses(v, g.n.Words.Zones, g.n.Settings.Zone, g.n.Name, g.planner.Instant(time.Now())), Fed: true,
+			f := core.Fleet{Zones: uses(v, g.n.Names.Zones, g.n.Settings.Zone, g.n.Name, g.planner.Instant(time.Now())), Fed: true,
 				Feeds: map[dw.ServerID]float64{}, Away: map[dw.ServerID]bool{}}
 			for id, rate := range a.Feed.Rates {
 				f.Feeds[dw.ServerID(id)] = rate
@@ -148,9 +148,9 @@
 		case w.State == zone.Returning:
 			uses[i] = core.Use{Since: since}
 		case w.State == zone.Probing && slices.Contains(w.Probers, name):
-			uses[i] = core.Use{Since: since, Look: dw.LookSpare}
+			uses[i] = core.Use{Since: since, Look: dw.HealthCheckIdempotent}
 			if w.Any {
-				uses[i] = core.Use{Since: since, Look: dw.LookAny}
+				uses[i] = core.Use{Since: since, Look: dw.HealthCheckAny}
 			}
 		default:
 			uses[i] = core.Use{Avoid: true}
@@ -160,7 +160,7 @@
 }
 
 // outcomes are the module's as the fleet counts them. What was withdrawn, or never left, shows nothing of a server.
-var outcomes = [dw.Outcomes]agent.Outcome{dw.OutcomeOK: agent.Served, dw.OutcomeError: agent.Failed, dw.OutcomeRejected: agent.Turned,
+var outcomes = [dw.OutcomeCount]agent.Outcome{dw.OutcomeOK: agent.Served, dw.OutcomeError: agent.Failed, dw.OutcomeRejected: agent.Turned,
 	dw.OutcomeTimeout: agent.Silent, dw.OutcomeConnectFailed: agent.Refused, dw.OutcomeReset: agent.Failed,
 	dw.OutcomeCancelled: agent.Nothing, dw.OutcomeNotSent: agent.Nothing}
 
--- a/cmd/dewhitch/gateway.go
+++ b/cmd/dewhitch/gateway.go
@@ -103,10 +103,10 @@
 
 // openFigures opens the books and the counts.
 func (g *gateway) openFigures() (err error) {
-	g.classes, g.n.Settings.Classes = retune.Spared(g.n.Words.Classes, g.n.Settings.Classes)
-	names := ledger.Names{Plans: g.n.Words.Plans, Classes: g.classes}
+	g.classes, g.n.Settings.Classes = retune.Spared(g.n.Names.Classes, g.n.Settings.Classes)
+	names := ledger.Names{Plans: g.n.Names.Plans, Classes: g.classes}
 	g.state, g.figures, g.metrics = &ops.State{}, &ops.Figures{}, telemetry.New()
-	g.figures.Classes(g.n.Words.Classes)
+	g.figures.Classes(g.n.Names.Classes)
 	g.keep, err = keepBooks(g.o, g.n.Name, statement.Gateway, names, g.log)
 	return err
 }
@@ -118,7 +118,7 @@
 	g.fetches = int(fetchShare * float64(sockets))
 	g.places = sockets - g.fetches
 	connect := time.Duration(n.Settings.ConnectTimeout)
-	g.pools = backend.New(backend.Names{Plans: n.Words.Plans}, backend.Limits{Conns: g.fetches, Idle: n.Words.ConnIdle,
+	g.pools = backend.New(backend.Names{Plans: n.Names.Plans}, backend.Limits{Conns: g.fetches, Idle: n.Names.ConnIdle,
 		Connect: connect}, books)
 	g.pools.Dispatched = g.figures.Dispatched
 	g.pools.Log = g.log
@@ -132,7 +132,7 @@
 	if g.keep.desk != nil {
 		g.keep.desk.Tallies(g.planner.Tallies)
 	}
-	g.decoder = discovery.NewDecoder(discovery.Names{Zones: n.Words.Zones, Kinds: n.Words.Kinds})
+	g.decoder = discovery.NewDecoder(discovery.Names{Zones: n.Names.Zones, Kinds: n.Names.Kinds})
 	if g.known, err = g.decoder.Known(n.Known); err != nil {
 		return fmt.Errorf("configuration: known: %w", err)
 	}
@@ -165,7 +165,7 @@
 // openFronts opens the clients' addresses.
 func (g *gateway) openFronts() (err error) {
 	g.ready = make(chan struct{})
-	g.commands = &platform.Commands{Planner: g.planner, Books: g.keep.books, Words: g.n.Words, Settings: g.n.Settings,
+	g.commands = &platform.Commands{Planner: g.planner, Books: g.keep.books, Names: g.n.Names, Settings: g.n.Settings,
 		Figures: g.figures, State: g.state}
 	bounds := front.NewBounds(g.n.MemoryMB << 20)
 	first := &front.Server{Open: func() front.Commands { return g.commands }, Bounds: bounds, Log: g.log,
@@ -343,7 +343,7 @@
 
 // retune has reqs come by the classes of the new settings, with no more attempts than they allow.
 func (g *gateway) retune(m *config.Node) {
-	t := g.commands.Retune(m.Words.Classes, m.Settings.Classes)
+	t := g.commands.Retune(m.Names.Classes, m.Settings.Classes)
 	g.figures.Classes(t.Names())
 	g.longest.Store(int64(m.Longest()))
 	g.planner.Attempts(m.Settings.MaxAttempts)
--- a/cmd/dewhitch/golden_test.go
+++ b/cmd/dewhitch/golden_test.go
@@ -30,27 +30,27 @@
 	return snapshot.Generation{Life: 71, Number: 72}, &snapshot.Image{
 		Node: "n7", Instances: 5, Self: 3, Zones: 2, Classes: []string{"query", "booking"},
 		Plans: []snapshot.Plan{{Name: "fleet", Rate: 8.1, Burst: 16.2, Ceiling: 24.3}, {Name: "basic", Rate: 4.4, Burst: 9.5, Ceiling: 12.6}},
-		Learnt: dw.Learnt{
-			At: goldenAt, Sent: 101.1, Wanted: 102.2, Tried: 103.3, Good: 104.4, Budget: 105.5, Latency: 0.061, Idle: 0.052,
-			Worth: 2.3, Measured: goldenAt - 1e9, CallRate: 106.6, CallQuickest: 0.0017, Sizes: []float64{1.25, 3.75},
-			Cut: []float64{0.125, 0.625},
-			Servers: []dw.LearntServer{
+		State: dw.State{
+			At: goldenAt, SentAttempts: 101.1, EndpointRequests: 102.2, ThrottleRequests: 103.3, ThrottleAccepts: 104.4, RetryBudget: 105.5, Latency: 0.061, IdleLatency: 0.052,
+			MeanWeight: 2.3, Measured: goldenAt - 1e9, CounterCallRate: 106.6, CounterMinLatency: 0.0017, ClassSizes: []float64{1.25, 3.75},
+			ZoneFailureShare: []float64{0.125, 0.625},
+			Servers: []dw.ServerStatistics{
 				{
-					ServerEntry: dw.ServerEntry{ID: 0x5be2a07c, Cell: 11, Zone: 1, Kind: 13, Since: goldenAt - 2e9, Rating: 14.5,
-						State: dw.Draining, Feed: 15.5, Look: dw.LookAny},
-					Latency: 0.071, Measured: goldenAt - 3e9, Answered: goldenAt - 4e9, Fed: 0.81, FedAt: goldenAt - 5e9,
-					Verdicts: []dw.LearntVerdict{{Failed: 21, Answered: goldenAt - 6e9, At: goldenAt - 7e9, Ejected: goldenAt + 8e9}, {}},
+					Endpoint: dw.Endpoint{ID: 0x5be2a07c, Cell: 11, Zone: 1, Kind: 13, StartedAt: goldenAt - 2e9, Rating: 14.5,
+						State: dw.Draining, SlowStartRate: 15.5, HealthCheck: dw.HealthCheckAny},
+					Latency: 0.071, Measured: goldenAt - 3e9, Answered: goldenAt - 4e9, SlowStartBudget: 0.81, SlowStartBudgetAt: goldenAt - 5e9,
+					Failures: []dw.FailureStatistics{{Count: 21, AnsweredAt: goldenAt - 6e9, FirstAt: goldenAt - 7e9, EjectedUntil: goldenAt + 8e9}, {}},
 				},
 				{
-					ServerEntry: dw.ServerEntry{ID: 9, Cell: 31, Zone: 32, Kind: 33, Rating: 34.5, State: dw.Gone, Feed: 35.5, Look: dw.LookSpare},
-					Latency:     0.072, Verdicts: []dw.LearntVerdict{},
+					Endpoint: dw.Endpoint{ID: 9, Cell: 31, Zone: 32, Kind: 33, Rating: 34.5, State: dw.Removed, SlowStartRate: 35.5, HealthCheck: dw.HealthCheckIdempotent},
+					Latency:  0.072, Failures: []dw.FailureStatistics{},
 				},
 			},
-			Customers: []dw.LearntCustomer{
+			Customers: []dw.AccountState{
 				{
-					ID: 0xfedcba9876543210, Plan: 1, Spread: 4, InSet: true, Window: 4e9, Level: 41.1, Predicted: 42.2, Own: 43.3,
-					Others: 44.4, Asked: 45.5, AskedIn: 46.6, At: goldenAt - 9e9, LastTotal: goldenAt - 10e9,
-					ListedTill: goldenAt + 11e9, Seen: goldenAt - 12e9, Turn: 447_500_000, Total: 47.7, Mine: 48.8, Past: 49.9,
+					ID: 0xfedcba9876543210, Plan: 1, Spread: 4, InSet: true, Window: 4e9, Level: 41.1, Predicted: 42.2, OwnRate: 43.3,
+					OthersRate: 44.4, Demand: 45.5, DemandSpan: 46.6, UpdatedAt: goldenAt - 9e9, LastTotalAt: goldenAt - 10e9,
+					BlockedUntil: goldenAt + 11e9, LastRequestAt: goldenAt - 12e9, WindowNumber: 447_500_000, WindowTotal: 47.7, OwnInWindow: 48.8, WindowElapsed: 49.9,
 				},
 				{ID: 0xabc, Plan: 9, Spread: 2, Window: 8e9, Level: -51.1},
 			},
--- a/cmd/dewhitch/snapshot.go
+++ b/cmd/dewhitch/snapshot.go
@@ -41,7 +41,7 @@
 
 // show prints a table of servers and one of customers, those that used most of their store first.
 func show(g snapshot.Generation, m *snapshot.Image, now time.Time) error {
-	l := &m.Learnt
+	l := &m.State
 	age := func(i dw.Instant) string {
 		return time.Unix(0, int64(l.At)).Sub(time.Unix(0, int64(i))).Round(time.Millisecond).String()
 	}
@@ -53,8 +53,8 @@
 	fmt.Fprintln(w, "\nserver\tlatency\tmeasured before\tclasses that failed")
 	for _, v := range l.Servers {
 		failed := 0
-		for _, d := range v.Verdicts {
-			failed += min(1, d.Failed)
+		for _, d := range v.Failures {
+			failed += min(1, d.Count)
 		}
 		measured := "never"
 		if v.Measured > 0 {
@@ -63,13 +63,13 @@
 		fmt.Fprintf(w, "s-%08x\t%.1f ms\t%s\t%d\n", uint32(v.ID), 1000*v.Latency, measured, failed)
 	}
 	fmt.Fprintln(w, "\ncustomer\tplan\tlevel\town use/s\tothers' use/s\tcount\tlisted")
-	slices.SortFunc(l.Customers, func(a, b dw.LearntCustomer) int { return int(min(1, max(-1, a.Level-b.Level))) })
+	slices.SortFunc(l.Customers, func(a, b dw.AccountState) int { return int(min(1, max(-1, a.Level-b.Level))) })
 	for _, c := range l.Customers {
 		plan := "?"
 		if c.Plan >= 0 && c.Plan < len(m.Plans) {
 			plan = m.Plans[c.Plan].Name
 		}
-		fmt.Fprintf(w, "%016x\t%s\t%.2f\t%.2f\t%.2f\t%.2f\t%v\n", uint64(c.ID), plan, c.Level, c.Own, c.Others, c.Total, c.ListedTill > l.At)
+		fmt.Fprintf(w, "%016x\t%s\t%.2f\t%.2f\t%.2f\t%.2f\t%v\n", uint64(c.ID), plan, c.Level, c.OwnRate, c.OthersRate, c.WindowTotal, c.BlockedUntil > l.At)
 	}
 	return w.Flush()
 }
--- a/cmd/dewhitch/uses_test.go
+++ b/cmd/dewhitch/uses_test.go
@@ -20,7 +20,7 @@
 		want map[int]core.Use
 	}{
 		{0, "n0", map[int]core.Use{1: {Avoid: true}}},
-		{1, "n1", map[int]core.Use{1: {Since: since, Look: dw.LookSpare}}},
+		{1, "n1", map[int]core.Use{1: {Since: since, Look: dw.HealthCheckIdempotent}}},
 		{2, "n2", map[int]core.Use{1: {Avoid: true}}},
 	} {
 		if got := uses(v, zones, c.own, c.name, core.FromUnixMS(9)); !maps.Equal(got, c.want) {
--- a/cmd/dewhitch/warm.go
+++ b/cmd/dewhitch/warm.go
@@ -35,7 +35,7 @@
 	}
 	dir := cmp.Or(w.Dir, n.Scratch)
 	k := &warmth{planner: p, every: w.Every, log: log, ending: make(chan struct{}), ended: make(chan struct{}),
-		image: snapshot.Of(n.Name, &n.Settings, classes, n.Words.Plans)}
+		image: snapshot.Of(n.Name, &n.Settings, classes, n.Names.Plans)}
 	found, err := snapshot.Latest(dir, n.Name)
 	if err != nil {
 		log.Warn("no snapshots are kept, and the start is a cold one", zap.Error(err))
@@ -103,8 +103,8 @@
 
 // keep writes one snapshot.
 func (k *warmth) keep() {
-	err := k.planner.Learnt(&k.image.Learnt, snapshot.MaxCustomers)
-	if err == nil && k.image.Learnt.At > 0 {
+	err := k.planner.Learnt(&k.image.State, snapshot.MaxCustomers)
+	if err == nil && k.image.State.At > 0 {
 		_, err = k.writer.Write(&k.image)
 	}
 	if err != nil && !k.ailing {
--- a/counting.go
+++ b/counting.go
@@ -12,14 +12,14 @@
 	e.Remaining = g.untilEnd(e.Remaining)
 	known := e.Plan >= 0 && e.Plan < len(g.set.Plans) && g.set.Plans[e.Plan].Rate > 0
 	if !g.set.Counter || !known || e.Remaining <= 0 {
-		g.acts = append(g.acts, Fail{Request: e.ID, Why: WhyUnread})
+		g.acts = append(g.acts, Fail{Request: e.ID, Reason: ReasonCounterUnread})
 		return
 	}
 	c := g.customer(e, &g.set.Plans[e.Plan])
 	r := &request{id: e.ID, units: e.Units, customer: c, spent: c.spent}
 	g.requests[r.id] = r
 	spare := min(e.Remaining/limitSpare, second/10)
-	g.after(e.Remaining-spare, func() { g.finish(r, Fail{Request: r.id, Why: WhyUnread}) })
+	g.after(e.Remaining-spare, func() { g.finish(r, Fail{Request: r.id, Reason: ReasonCounterUnread}) })
 	c.asks = append(c.asks, r)
 	if g.queue(c, true); !c.calling && g.mayCall() {
 		g.count(c)
@@ -36,7 +36,7 @@
 			c.mine -= back
 			g.spend(c, -back)
 			g.queue(c, true) // the others shall know
-			g.finish(r, Adjusted{Request: r.id, Units: -back})
+			g.finish(r, AdjustAnswer{Request: r.id, Units: -back})
 		}
 	}
 }
@@ -47,11 +47,11 @@
 		kept := g.kept(r)
 		spent := told && kept > 0 && c.total > (1-kept)*c.plan.Rate*seconds(c.window)
 		if s, _ := g.pick(r, math.Inf(1)); spent || g.now < c.listedTill {
-			g.refuse(r, WhyQuota, Span(c.edge()-g.now))
+			g.refuse(r, ReasonQuota, Span(c.edge()-g.now))
 		} else if r.take && (told || g.chance(c)) {
-			g.finish(r, Adjusted{Request: r.id, Units: r.units})
+			g.finish(r, AdjustAnswer{Request: r.id, Units: r.units})
 		} else if s == nil || !told && !g.chance(c) {
-			g.refuse(r, WhyServers, g.comeBack(r, 1))
+			g.refuse(r, ReasonOverload, g.comeBack(r, 1))
 		} else {
 			g.send(r, s)
 		}
@@ -111,11 +111,11 @@
 	c.lastPush, c.period = g.now, g.now+Instant(c.window)/pushesAWindow
 	g.names[name] = c
 	g.calls.Called()
-	g.acts = append(g.acts, Count{Name: name, Customer: c.id, Add: c.adding, TTL: min(maxWindow, 2*c.window)})
+	g.acts = append(g.acts, CounterAdd{Name: name, Customer: c.id, Add: c.adding, TTL: min(maxWindow, 2*c.window)})
 }
 
 // counted takes the counter's answer.
-func (g *Gateway) counted(e Counted) {
+func (g *Gateway) counted(e CounterAnswered) {
 	c := g.names[e.Name]
 	if c == nil || !c.calling {
 		return
--- a/ending.go
+++ b/ending.go
@@ -33,7 +33,7 @@
 	switch r := g.requests[id]; {
 	case r == nil || r.done:
 	case r.class == nil: // a query, or a give-back
-		g.finish(r, Fail{Request: r.id, Why: WhyUnread})
+		g.finish(r, Fail{Request: r.id, Reason: ReasonCounterUnread})
 	default:
 		g.giveUp(r)
 	}
--- a/ending_test.go
+++ b/ending_test.go
@@ -10,8 +10,8 @@
 // not run twice has failed, any other may come again.
 func TestEndingAnswersAll(t *testing.T) {
 	const safe, unsafe = 0, 1
-	b := newBed(t, settings(), dw.ServerEntry{ID: 1, Rating: 1})
-	b.answer = func(dw.Count) *dw.Counted { return nil }
+	b := newBed(t, settings(), dw.Endpoint{ID: 1, Rating: 1})
+	b.answer = func(dw.CounterAdd) *dw.CounterAnswered { return nil }
 	by := b.now + dw.Instant(300*ms)
 	arrive := func(id dw.RequestID, class int) {
 		b.do(dw.Arrival{ID: id, Class: class, Customer: dw.CustomerID(b.now), Remaining: 10 * sec, Units: 1, Spread: 1, First: 0})
@@ -19,7 +19,7 @@
 	arrive("safe, before", safe)
 	arrive("unsafe, before", unsafe)
 	b.do(dw.LimitQuery{ID: "query, before", Customer: 7, Remaining: 10 * sec, Spread: 1})
-	b.do(dw.Ending{By: by})
+	b.do(dw.Shutdown{By: by})
 	b.pass(100 * ms)
 	arrive("safe, after", safe)
 	b.do(dw.LimitQuery{ID: "query, after", Customer: 8, Remaining: 10 * sec, Spread: 1})
@@ -37,7 +37,7 @@
 	for id, refused := range map[dw.RequestID]bool{"safe, before": true, "unsafe, before": false, "query, before": false,
 		"safe, after": true, "query, after": false} {
 		switch b.over[id].(type) {
-		case dw.Refuse:
+		case dw.Reject:
 			if !refused {
 				t.Errorf("%s was refused, and may have run", id)
 			}
@@ -50,7 +50,7 @@
 		}
 	}
 	arrive("too late", safe)
-	if _, refused := b.over["too late"].(dw.Refuse); !refused {
+	if _, refused := b.over["too late"].(dw.Reject); !refused {
 		t.Error("what comes after the end is not refused")
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -11,22 +11,22 @@
 	g, err := dw.New(dw.Settings{
 		Instances: 2, Zones: 1, Tick: 1e6, MaxAttempts: 3, MayCancel: true,
 		Counter: true, CounterTimeout: 50e6, MaxUnits: 1,
-		Classes: []dw.Class{{Aim: 400e6, Deadline: 800e6, Points: 1, Effect: dw.Safe}},
-		Plans:   []dw.Plan{{Rate: 1, Burst: 2, Price: 1, OverrunCost: 1}},
+		Classes: []dw.Class{{Objective: 400e6, Deadline: 800e6, Weight: 1, Idempotency: dw.Idempotent}},
+		Plans:   []dw.Plan{{Rate: 1, Burst: 2, WeightFactor: 1, OverQuotaCost: 1}},
 	}, 1)
 	if err != nil {
 		fmt.Println(err)
 		return
 	}
 	now := dw.Instant(1e9)
-	g.Handle(now, dw.ServerList{Servers: []dw.ServerEntry{{ID: 7}}}, nil)
+	g.Handle(now, dw.EndpointList{Servers: []dw.Endpoint{{ID: 7}}}, nil)
 	for _, id := range []dw.RequestID{"a", "b", "c"} {
 		e := dw.Arrival{ID: id, Customer: 42, Remaining: 800e6, Units: 1, Spread: 1}
 		for _, a := range g.Handle(now, e, nil) {
 			switch a := a.(type) {
-			case dw.Send:
+			case dw.StartAttempt:
 				fmt.Println(a.Request, "goes to server", a.Server)
-			case dw.Refuse:
+			case dw.Reject:
 				fmt.Println(a.Request, "is refused")
 			}
 		}
--- a/fleet_test.go
+++ b/fleet_test.go
@@ -24,7 +24,7 @@
 
 // model is a server: cores that each do one request after another, the reported figures half a second late.
 type model struct {
-	dw.ServerEntry
+	dw.Endpoint
 	work               dw.Span // mean
 	cores              []dw.Instant
 	held, begun, tally int
@@ -55,10 +55,10 @@
 func newFleet(t *testing.T, s dw.Settings, servers int) *fleet {
 	t.Helper()
 	f := &fleet{now: dw.Instant(1000 * sec), rng: rand.New(rand.NewPCG(1, 2)), servers: map[dw.ServerID]*model{}}
-	var list []dw.ServerEntry
+	var list []dw.Endpoint
 	for i := range servers {
-		m := f.add(dw.ServerEntry{ID: dw.ServerID(i * 7919), Zone: i % max(1, s.Zones)}, 150*ms)
-		list = append(list, m.ServerEntry)
+		m := f.add(dw.Endpoint{ID: dw.ServerID(i * 7919), Zone: i % max(1, s.Zones)}, 150*ms)
+		list = append(list, m.Endpoint)
 	}
 	for i := range s.Instances {
 		s.Self = i
@@ -68,7 +68,7 @@
 		}
 		f.gates = append(f.gates, g)
 		f.meets = append(f.meets, map[dw.ServerID]bool{})
-		f.do(i, dw.ServerList{Kind: dw.ListCached, Servers: list})
+		f.do(i, dw.EndpointList{Kind: dw.ListCached, Servers: list})
 	}
 	return f
 }
@@ -79,8 +79,8 @@
 }
 
 // add starts a server of three cores.
-func (f *fleet) add(e dw.ServerEntry, work dw.Span) *model {
-	m := &model{ServerEntry: e, work: work, cores: make([]dw.Instant, 3)}
+func (f *fleet) add(e dw.Endpoint, work dw.Span) *model {
+	m := &model{Endpoint: e, work: work, cores: make([]dw.Instant, 3)}
 	f.servers[m.ID] = m
 	f.after(0, func() { f.refresh(m) })
 	return m
@@ -127,13 +127,13 @@
 		switch a := a.(type) {
 		case dw.SetTimer:
 			f.after(dw.Span(a.At-f.now), func() { f.do(gate, dw.TimerFired{ID: a.ID}) })
-		case dw.Send:
+		case dw.StartAttempt:
 			f.send(gate, a)
 		}
 	}
 }
 
-func (f *fleet) send(gate int, a dw.Send) {
+func (f *fleet) send(gate int, a dw.StartAttempt) {
 	m, began := f.servers[a.Server], f.now
 	f.meets[gate][a.Server] = true
 	m.held++
@@ -149,15 +149,15 @@
 	f.after(dw.Span(done-f.now), func() {
 		m.held--
 		m.tally++
-		f.do(gate, dw.Ended{Request: a.Request, Server: m.ID, Final: true, Latency: dw.Span(f.now - began), Load: m.report})
+		f.do(gate, dw.AttemptEnded{Request: a.Request, Server: m.ID, Final: true, Latency: dw.Span(f.now - began), Load: m.report})
 	})
 }
 
 // vast are the settings of 80 gateways.
 func vast() dw.Settings {
 	s := many()
-	s.Instances, s.ParallelTries = 80, false
-	s.Classes = []dw.Class{{Aim: 1500 * ms, Deadline: 4 * sec, Points: 1, Effect: dw.Safe}}
+	s.Instances, s.ParallelAttempts = 80, false
+	s.Classes = []dw.Class{{Objective: 1500 * ms, Deadline: 4 * sec, Weight: 1, Idempotency: dw.Idempotent}}
 	return s
 }
 
@@ -166,7 +166,7 @@
 // servers, and goes by what these say of themselves.
 func TestManyGatewaysLeaveSlowServers(t *testing.T) {
 	s := vast()
-	s.Plans[0] = dw.Plan{Price: 1}
+	s.Plans[0] = dw.Plan{WeightFactor: 1}
 	f := newFleet(t, s, 60)
 	slow := map[dw.ServerID]bool{}
 	for id, m := range f.servers {
@@ -211,8 +211,8 @@
 func TestNoCallWhereUseBeyondTheQuotaCostsNothing(t *testing.T) {
 	for _, earns := range []float64{0, 0.2} {
 		s := vast()
-		s.Plans[0].BeyondEarns, s.Plans[0].OverrunCost = earns, 0.1
-		b := newBed(t, s, dw.ServerEntry{ID: 7})
+		s.Plans[0].OverQuotaValue, s.Plans[0].OverQuotaCost = earns, 0.1
+		b := newBed(t, s, dw.Endpoint{ID: 7})
 		b.ask(dw.Arrival{Customer: 1, Spread: 50})
 		if calls, sent := len(b.calls), len(b.sent); calls+sent != 1 || sent != int(5*earns) {
 			t.Errorf("beyond the quota earning %v: %d calls, and sent on %d times, before an answer", earns, calls, sent)
@@ -225,8 +225,8 @@
 	t.Helper()
 	s := vast()
 	s.Classes = append(s.Classes, s.Classes[0])
-	s.Classes[1].Points = 5
-	b := newBed(t, s, dw.ServerEntry{ID: 7}, dw.ServerEntry{ID: 8})
+	s.Classes[1].Weight = 5
+	b := newBed(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8})
 	for i := range 400 {
 		b.serve(1, 20*ms, dw.Arrival{Customer: dw.CustomerID(100 + i), Class: i % 2, Remaining: sec})
 	}
@@ -243,7 +243,7 @@
 			id, ok := b.ask(dw.Arrival{Customer: 1, Class: i % 2, Spread: spread, Remaining: sec})
 			if b.pass(5 * ms); ok || b.over[id] == nil {
 				in[i%2]++
-				b.do(dw.Ended{Request: id, Server: b.sent[len(b.sent)-1].Server, Final: true, Latency: 10 * ms})
+				b.do(dw.AttemptEnded{Request: id, Server: b.sent[len(b.sent)-1].Server, Final: true, Latency: 10 * ms})
 			}
 			b.pass(195 * ms)
 		}
@@ -263,12 +263,12 @@
 			q.ID = dw.RequestID(fmt.Sprint("ask", i))
 			b.do(q)
 			b.pass(10 * ms)
-			left := b.over[q.ID].(dw.Limit).Left
+			left := b.over[q.ID].(dw.LimitAnswer).Remaining
 			take := dw.LimitAdjust{LimitQuery: q, Units: 1}
 			take.ID = dw.RequestID(fmt.Sprint("take", i))
 			b.do(take)
 			b.pass(10 * ms)
-			if _, taken := b.over[take.ID].(dw.Adjusted); taken != (left >= 1) {
+			if _, taken := b.over[take.ID].(dw.AdjustAnswer); taken != (left >= 1) {
 				t.Errorf("spread %d: %.2f are left, and one can be taken: %v", spread, left, taken)
 			}
 		}
@@ -279,25 +279,25 @@
 // more than a multiple of what it can do then, in any window in which that would push it over (rule 4).
 func TestManyGatewaysSpareColdServers(t *testing.T) {
 	s := vast()
-	s.Plans[0] = dw.Plan{Price: 1}
+	s.Plans[0] = dw.Plan{WeightFactor: 1}
 	f := newFleet(t, s, 60)
 	f.load()
 	f.run(10 * sec)
-	var news []dw.ServerEntry
+	var news []dw.Endpoint
 	var cold []*model
 	for i := range 36 {
-		news = append(news, dw.ServerEntry{ID: dw.ServerID(i * 7919), State: dw.Gone})
-		m := f.add(dw.ServerEntry{ID: dw.ServerID(1e6 + i), Since: f.now}, 600*ms)
-		cold, news = append(cold, m), append(news, m.ServerEntry)
+		news = append(news, dw.Endpoint{ID: dw.ServerID(i * 7919), State: dw.Removed})
+		m := f.add(dw.Endpoint{ID: dw.ServerID(1e6 + i), StartedAt: f.now}, 600*ms)
+		cold, news = append(cold, m), append(news, m.Endpoint)
 	}
 	for gate := range f.gates {
-		f.do(gate, dw.ServerList{Kind: dw.ListDelta, Servers: news})
+		f.do(gate, dw.EndpointList{Kind: dw.ListDelta, Servers: news})
 	}
 	begins := s.StartCapacity * 3 / 0.15 // requests a second
-	limit := s.FallMultiple * begins * float64(s.FallSpan) / float64(sec)
+	limit := s.OverloadMultiple * begins * float64(s.OverloadSpan) / float64(sec)
 	all, most := 0, 0
 	for range 3 { // windows from the start, each taken to bear no more than the first
-		f.run(s.FallSpan)
+		f.run(s.OverloadSpan)
 		for _, m := range cold {
 			all, most, m.begun = all+m.begun, max(most, m.begun), 0
 		}
@@ -313,8 +313,8 @@
 // count once, not in what was learnt and in the warmth by which that is divided.
 func TestColdServersAreUsedByThoseWhoSeeThem(t *testing.T) {
 	s := vast()
-	s.Instances, s.Plans[0] = 2, dw.Plan{Price: 1}
-	s.Classes[0].Aim = sec
+	s.Instances, s.Plans[0] = 2, dw.Plan{WeightFactor: 1}
+	s.Classes[0].Objective = sec
 	asked, begun := 0, 0
 	const seeds = 12
 	for seed := range uint64(seeds) {
@@ -336,27 +336,27 @@
 			f.after(0, next)
 		}
 		f.run(10 * sec)
-		var news []dw.ServerEntry
+		var news []dw.Endpoint
 		for i := range 6 {
-			news = append(news, dw.ServerEntry{ID: dw.ServerID(i * 7919), State: dw.Gone})
-			m := f.add(dw.ServerEntry{ID: dw.ServerID(1e6 + i), Since: f.now}, 0)
+			news = append(news, dw.Endpoint{ID: dw.ServerID(i * 7919), State: dw.Removed})
+			m := f.add(dw.Endpoint{ID: dw.ServerID(1e6 + i), StartedAt: f.now}, 0)
 			var warm func()
 			warm = func() {
-				part := min(1, s.StartCapacity+(1-s.StartCapacity)*float64(f.now-m.Since)/float64(s.ColdSpan))
+				part := min(1, s.StartCapacity+(1-s.StartCapacity)*float64(f.now-m.StartedAt)/float64(s.SlowStartSpan))
 				m.work = dw.Span(float64(100*ms) / part)
 				f.after(sec/4, warm)
 			}
 			warm()
-			news = append(news, m.ServerEntry)
+			news = append(news, m.Endpoint)
 		}
 		for gate := range f.gates {
-			f.do(gate, dw.ServerList{Kind: dw.ListDelta, Servers: news})
+			f.do(gate, dw.EndpointList{Kind: dw.ListDelta, Servers: news})
 		}
 		for _, m := range f.servers {
 			m.begun = 0
 		}
 		counts = true
-		f.run(s.ColdSpan)
+		f.run(s.SlowStartSpan)
 		for _, m := range f.servers {
 			begun += m.begun
 		}
--- a/gateway.go
+++ b/gateway.go
@@ -101,13 +101,13 @@
 	g := &Gateway{set: s, rng: rand.New(rand.NewPCG(seed, 1)), byID: map[ServerID]*server{},
 		requests: map[RequestID]*request{}, customers: map[CustomerID]*customer{}, timers: map[TimerID]func(){},
 		names: map[string]*customer{}, suspects: map[*server]bool{}, outs: make([]int, len(s.Classes)),
-		outAt: make([]Instant, len(s.Classes)), cut: map[int]float64{}, minAim: s.Classes[0].Aim,
+		outAt: make([]Instant, len(s.Classes)), cut: map[int]float64{}, minAim: s.Classes[0].Objective,
 		budget: retryBurst,
-		worth:  max(s.Classes[0].Points, minPoints), calls: pace.New(seconds(s.CounterTimeout), s.Instances)}
+		worth:  max(s.Classes[0].Weight, minPoints), calls: pace.New(seconds(s.CounterTimeout), s.Instances)}
 	for _, c := range s.Classes {
 		g.sizes, g.sized = append(g.sizes, 1), append(g.sized, sizeGuess)
-		g.minAim = min(g.minAim, c.Aim)
-		g.latency += startLatency * seconds(c.Aim) / float64(len(s.Classes))
+		g.minAim = min(g.minAim, c.Objective)
+		g.latency += startLatency * seconds(c.Objective) / float64(len(s.Classes))
 	}
 	g.idle = g.latency
 	return g, nil
@@ -119,13 +119,13 @@
 	if !g.started {
 		g.started, g.startAt, g.leaked = true, now, now
 		if g.set.ListOnRequest {
-			g.acts = append(g.acts, Subscribe{})
+			g.acts = append(g.acts, SubscribeEndpoints{})
 		}
 		g.after(g.sweepEvery(), g.sweep)
 		g.after(expireEvery, g.expire)
 	}
 	switch e := e.(type) {
-	case ServerList:
+	case EndpointList:
 		g.list(e)
 	case Arrival:
 		g.arrive(e, false)
@@ -137,27 +137,27 @@
 		} else {
 			g.query(a)
 		}
-	case Started:
+	case AnswerStarted:
 		if r := g.requests[e.Request]; r != nil {
 			r.customer.begun += 1 - r.begun
 			r.done, r.begun = true, 1 // the client owns the attempt from now on
 		}
-	case Ended:
+	case AttemptEnded:
 		g.ended(e)
-	case ClientGone:
+	case ClientLeft:
 		if r := g.requests[e.Request]; r != nil {
 			g.finish(r, nil)
 		}
-	case Hurry:
+	case Expedite:
 		g.answerNow(e.Request)
-	case Ending:
+	case Shutdown:
 		g.end(e.By)
 	case TimerFired:
 		if f := g.timers[e.ID]; f != nil {
 			delete(g.timers, e.ID)
 			f()
 		}
-	case Counted:
+	case CounterAnswered:
 		g.counted(e)
 	}
 	acts, g.acts = g.acts, nil
--- a/gateway_test.go
+++ b/gateway_test.go
@@ -17,10 +17,10 @@
 func settings() dw.Settings {
 	return dw.Settings{Instances: 2, Zones: 1, Tick: ms, Counter: true, CounterTimeout: 50 * ms, MaxUnits: 1,
 		MaxAttempts: 3, MayCancel: true, MaxRetryAfter: 500 * ms, AnswerSlack: 16 * ms, DrainGrace: sec,
-		ColdSpan: 15 * sec, FallSpan: 2 * sec, StartCapacity: 0.2, FallMultiple: 2.5,
-		Classes: []dw.Class{{Aim: 400 * ms, Deadline: 800 * ms, Points: 3, Effect: dw.Safe},
-			{Aim: 400 * ms, Deadline: 800 * ms, Points: 5, Effect: dw.Unsafe}},
-		Plans: []dw.Plan{{Rate: 2, Burst: 6, Price: 1, OverrunCost: 1}}}
+		SlowStartSpan: 15 * sec, OverloadSpan: 2 * sec, StartCapacity: 0.2, OverloadMultiple: 2.5,
+		Classes: []dw.Class{{Objective: 400 * ms, Deadline: 800 * ms, Weight: 3, Idempotency: dw.Idempotent},
+			{Objective: 400 * ms, Deadline: 800 * ms, Weight: 5, Idempotency: dw.NotIdempotent}},
+		Plans: []dw.Plan{{Rate: 2, Burst: 6, WeightFactor: 1, OverQuotaCost: 1}}}
 }
 
 // bed drives one gateway by hand: it keeps its timers and answers its counter calls as it is told to.
@@ -29,21 +29,21 @@
 	g      *dw.Gateway
 	now    dw.Instant
 	timers []dw.SetTimer
-	sent   []dw.Send
+	sent   []dw.StartAttempt
 	over   map[dw.RequestID]dw.Action // final answers
-	cancel []dw.Cancel
-	calls  []dw.Count
-	answer func(dw.Count) *dw.Counted // nil: silence until the time-out
+	cancel []dw.CancelAttempt
+	calls  []dw.CounterAdd
+	answer func(dw.CounterAdd) *dw.CounterAnswered // nil: silence until the time-out
 	replys []reply
 	next   int
 }
 
 type reply struct {
 	at dw.Instant
-	e  dw.Counted
+	e  dw.CounterAnswered
 }
 
-func newBed(t *testing.T, s dw.Settings, servers ...dw.ServerEntry) *bed {
+func newBed(t *testing.T, s dw.Settings, servers ...dw.Endpoint) *bed {
 	t.Helper()
 	g, err := dw.New(s, 1)
 	if err != nil {
@@ -51,11 +51,11 @@
 	}
 	totals := map[string]float64{}
 	b := &bed{t: t, g: g, now: dw.Instant(100 * sec), over: map[dw.RequestID]dw.Action{}}
-	b.answer = func(c dw.Count) *dw.Counted {
+	b.answer = func(c dw.CounterAdd) *dw.CounterAnswered {
 		totals[c.Name] += c.Add
-		return &dw.Counted{Name: c.Name, Total: totals[c.Name]}
+		return &dw.CounterAnswered{Name: c.Name, Total: totals[c.Name]}
 	}
-	b.do(dw.ServerList{Kind: dw.ListCached, Servers: servers})
+	b.do(dw.EndpointList{Kind: dw.ListCached, Servers: servers})
 	return b
 }
 
@@ -64,21 +64,21 @@
 		switch a := a.(type) {
 		case dw.SetTimer:
 			b.timers = append(b.timers, a)
-		case dw.Send:
+		case dw.StartAttempt:
 			b.sent = append(b.sent, a)
-		case dw.Refuse:
+		case dw.Reject:
 			b.over[a.Request] = a
 		case dw.Fail:
 			b.over[a.Request] = a
-		case dw.Limit:
+		case dw.LimitAnswer:
 			b.over[a.Request] = a
-		case dw.Adjusted:
+		case dw.AdjustAnswer:
 			b.over[a.Request] = a
-		case dw.Cancel:
+		case dw.CancelAttempt:
 			b.cancel = append(b.cancel, a)
-		case dw.Count:
+		case dw.CounterAdd:
 			b.calls = append(b.calls, a)
-			r := reply{b.now + dw.Instant(50*ms), dw.Counted{Name: a.Name, Outcome: dw.OutcomeTimeout}}
+			r := reply{b.now + dw.Instant(50*ms), dw.CounterAnswered{Name: a.Name, Outcome: dw.OutcomeTimeout}}
 			if e := b.answer(a); e != nil {
 				r = reply{b.now + dw.Instant(2*ms), *e}
 			}
@@ -142,7 +142,7 @@
 		if ok {
 			in++
 			s := b.sent[len(b.sent)-1]
-			b.do(dw.Ended{Request: id, Server: s.Server, Final: true, Latency: 10 * ms})
+			b.do(dw.AttemptEnded{Request: id, Server: s.Server, Final: true, Latency: 10 * ms})
 		}
 		b.pass(d)
 	}
@@ -159,10 +159,10 @@
 		{"Tick", func(s *dw.Settings) { s.Tick = -1 }},
 		{"CounterTimeout", func(s *dw.Settings) { s.CounterTimeout = 0 }},
 		{"Classes", func(s *dw.Settings) { s.Classes = nil }},
-		{"Classes[1].Aim", func(s *dw.Settings) { s.Classes[1].Aim = 0 }},
+		{"Classes[1].Aim", func(s *dw.Settings) { s.Classes[1].Objective = 0 }},
 		{"Plans[0].Rate", func(s *dw.Settings) { s.Plans[0].Rate = -1 }},
 		{"Plans[0].CeilingRate", func(s *dw.Settings) { s.Plans[0].CeilingRate = -1 }},
-		{"ColdSpan", func(s *dw.Settings) { s.ColdSpan = -1 }},
+		{"ColdSpan", func(s *dw.Settings) { s.SlowStartSpan = -1 }},
 		{"StartCapacity", func(s *dw.Settings) { s.StartCapacity = 2 }},
 	}
 	for _, c := range cases {
@@ -176,12 +176,12 @@
 
 func TestOddEvents(t *testing.T) {
 	odd := []dw.Event{
-		dw.Ended{Request: "none", Attempt: 3}, dw.ClientGone{Request: "none"}, dw.TimerFired{ID: "none"},
-		dw.Counted{Name: "none", Total: 3}, dw.Started{Request: "none"}, dw.Probed{Server: 5}, dw.Told{From: 1},
-		dw.ServerList{Kind: dw.ListFull}, dw.ServerList{Kind: dw.ListFailed},
-		dw.ServerList{Kind: dw.ListDelta, Servers: []dw.ServerEntry{{ID: 7}, {ID: 7}}},
+		dw.AttemptEnded{Request: "none", Attempt: 3}, dw.ClientLeft{Request: "none"}, dw.TimerFired{ID: "none"},
+		dw.CounterAnswered{Name: "none", Total: 3}, dw.AnswerStarted{Request: "none"}, dw.HealthChecked{Server: 5}, dw.PeerMessage{From: 1},
+		dw.EndpointList{Kind: dw.ListFull}, dw.EndpointList{Kind: dw.ListFailed},
+		dw.EndpointList{Kind: dw.ListDelta, Servers: []dw.Endpoint{{ID: 7}, {ID: 7}}},
 	}
-	b := newBed(t, settings(), dw.ServerEntry{ID: 7})
+	b := newBed(t, settings(), dw.Endpoint{ID: 7})
 	for _, e := range odd {
 		b.do(e)
 	}
@@ -198,8 +198,8 @@
 		t.Error("no server at all")
 	}
 	s := settings()
-	s.Plans[0] = dw.Plan{Price: 1}
-	if in := newBed(t, s, dw.ServerEntry{ID: 7}).serve(50, ms, dw.Arrival{}); in != 50 {
+	s.Plans[0] = dw.Plan{WeightFactor: 1}
+	if in := newBed(t, s, dw.Endpoint{ID: 7}).serve(50, ms, dw.Arrival{}); in != 50 {
 		t.Errorf("a plan with no quota lets in %d of 50", in)
 	}
 }
@@ -216,7 +216,7 @@
 		{"three times the rate, over two windows' edges", 150, 166 * ms, 50, 57}, // 6 + 2 a second for 25 s
 	}
 	for _, c := range cases {
-		in := newBed(t, settings(), dw.ServerEntry{ID: 7}).serve(c.n, c.d, dw.Arrival{Customer: 1})
+		in := newBed(t, settings(), dw.Endpoint{ID: 7}).serve(c.n, c.d, dw.Arrival{Customer: 1})
 		if in < c.min || in > c.max {
 			t.Errorf("%s: %d let in, want %d to %d", c.name, in, c.min, c.max)
 		}
@@ -225,13 +225,15 @@
 
 // A counter that is silent, refuses or forgets gives neither free passage nor a wall.
 func TestCounterTrouble(t *testing.T) {
-	timeout := func(dw.Count) *dw.Counted { return nil }
-	refuse := func(c dw.Count) *dw.Counted { return &dw.Counted{Name: c.Name, Outcome: dw.OutcomeRejected} }
-	forget := func(c dw.Count) *dw.Counted { return &dw.Counted{Name: c.Name, Total: c.Add} }
-	for name, answer := range map[string]func(dw.Count) *dw.Counted{"silent": timeout, "refusing": refuse,
+	timeout := func(dw.CounterAdd) *dw.CounterAnswered { return nil }
+	refuse := func(c dw.CounterAdd) *dw.CounterAnswered {
+		return &dw.CounterAnswered{Name: c.Name, Outcome: dw.OutcomeRejected}
+	}
+	forget := func(c dw.CounterAdd) *dw.CounterAnswered { return &dw.CounterAnswered{Name: c.Name, Total: c.Add} }
+	for name, answer := range map[string]func(dw.CounterAdd) *dw.CounterAnswered{"silent": timeout, "refusing": refuse,
 		"forgetting": forget} {
 		for _, heavy := range []bool{false, true} {
-			b := newBed(t, settings(), dw.ServerEntry{ID: 7})
+			b := newBed(t, settings(), dw.Endpoint{ID: 7})
 			b.answer = answer
 			d, n := 1500*ms, 20 // a third of the rate
 			if heavy {
@@ -253,8 +255,8 @@
 
 // What others have used shows in the total, and is not let in again.
 func TestOthersUse(t *testing.T) {
-	b := newBed(t, settings(), dw.ServerEntry{ID: 7})
-	b.answer = func(c dw.Count) *dw.Counted { return &dw.Counted{Name: c.Name, Total: c.Add + 6} }
+	b := newBed(t, settings(), dw.Endpoint{ID: 7})
+	b.answer = func(c dw.CounterAdd) *dw.CounterAnswered { return &dw.CounterAnswered{Name: c.Name, Total: c.Add + 6} }
 	if in := b.serve(1, 500*ms, dw.Arrival{Customer: 1, Spread: 2}); in != 1 {
 		t.Fatal("the first request is refused")
 	}
@@ -273,10 +275,10 @@
 		{1, dw.OutcomeRejected, "sent"}, {1, dw.OutcomeConnectFailed, "sent"}, {1, dw.OutcomeNotSent, "sent"},
 		{1, dw.OutcomeReset, "failed"}, {1, dw.OutcomeError, "failed"}, {1, dw.OutcomeTimeout, "failed"},
 	} {
-		b := newBed(t, settings(), dw.ServerEntry{ID: 7}, dw.ServerEntry{ID: 8})
+		b := newBed(t, settings(), dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8})
 		id, _ := b.ask(dw.Arrival{Class: c.class})
 		b.pass(5 * ms)
-		b.do(dw.Ended{Request: id, Server: b.sent[0].Server, Outcome: c.outcome, Latency: 5 * ms})
+		b.do(dw.AttemptEnded{Request: id, Server: b.sent[0].Server, Outcome: c.outcome, Latency: 5 * ms})
 		got := "nothing"
 		if len(b.sent) == 2 && b.sent[1].Server != b.sent[0].Server {
 			got = "sent"
@@ -293,7 +295,7 @@
 // again, and the repeats made the overload. A silent server is another matter.
 func TestMovesOnOnlyFromSilence(t *testing.T) {
 	for _, silent := range []bool{false, true} {
-		b := newBed(t, settings(), dw.ServerEntry{ID: 7})
+		b := newBed(t, settings(), dw.Endpoint{ID: 7})
 		for c := range dw.CustomerID(50) { // the servers are known to be at ease
 			b.serve(1, 10*ms, dw.Arrival{Customer: c + 10})
 		}
@@ -302,7 +304,7 @@
 		other, _ := b.ask(dw.Arrival{Customer: 2})
 		b.pass(50 * ms)
 		if !silent {
-			b.do(dw.Ended{Request: other, Server: 7, Final: true, Latency: 50 * ms})
+			b.do(dw.AttemptEnded{Request: other, Server: 7, Final: true, Latency: 50 * ms})
 		}
 		b.pass(150 * ms)
 		moved := len(b.cancel) > 0
@@ -316,11 +318,11 @@
 // servers are well again.
 func TestWayBackFromRefusingAll(t *testing.T) {
 	s := settings()
-	s.Plans[0] = dw.Plan{Price: 1}
-	b := newBed(t, s, dw.ServerEntry{ID: 7}, dw.ServerEntry{ID: 8})
+	s.Plans[0] = dw.Plan{WeightFactor: 1}
+	b := newBed(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8})
 	for range 100 {
 		if id, ok := b.ask(dw.Arrival{}); ok {
-			b.do(dw.Ended{Request: id, Server: b.sent[len(b.sent)-1].Server, Final: true, Latency: 390 * ms})
+			b.do(dw.AttemptEnded{Request: id, Server: b.sent[len(b.sent)-1].Server, Final: true, Latency: 390 * ms})
 		}
 		b.pass(ms)
 	}
@@ -335,10 +337,10 @@
 
 func TestColdServerIsSpared(t *testing.T) {
 	s := settings()
-	s.Plans[0] = dw.Plan{Price: 1}
-	b := newBed(t, s, dw.ServerEntry{ID: 7})
+	s.Plans[0] = dw.Plan{WeightFactor: 1}
+	b := newBed(t, s, dw.Endpoint{ID: 7})
 	b.serve(500, 10*ms, dw.Arrival{})
-	b.do(dw.ServerList{Kind: dw.ListDelta, Servers: []dw.ServerEntry{{ID: 7, State: dw.Gone}, {ID: 8, Since: b.now}}})
+	b.do(dw.EndpointList{Kind: dw.ListDelta, Servers: []dw.Endpoint{{ID: 7, State: dw.Removed}, {ID: 8, StartedAt: b.now}}})
 	// 2 s at 100 a second, of which the server that is gone carried all: a fifth, rising to a third.
 	if in := b.serve(200, 10*ms, dw.Arrival{}); in > 60 || in == 0 {
 		t.Errorf("%d of 200 requests went to the cold server", in)
@@ -348,10 +350,10 @@
 // What is refused for want of cold servers must not starve them: they warm up, and get their share of all that asks.
 func TestColdServerIsFedWhileOthersAreAway(t *testing.T) {
 	s := settings()
-	s.Plans[0] = dw.Plan{Price: 1}
-	b := newBed(t, s, dw.ServerEntry{ID: 7})
+	s.Plans[0] = dw.Plan{WeightFactor: 1}
+	b := newBed(t, s, dw.Endpoint{ID: 7})
 	b.serve(500, 10*ms, dw.Arrival{})
-	b.do(dw.ServerList{Kind: dw.ListDelta, Servers: []dw.ServerEntry{{ID: 7, State: dw.Draining}, {ID: 8, Since: b.now}}})
+	b.do(dw.EndpointList{Kind: dw.ListDelta, Servers: []dw.Endpoint{{ID: 7, State: dw.Draining}, {ID: 8, StartedAt: b.now}}})
 	b.serve(800, 10*ms, dw.Arrival{})
 	// From 8 to 10 s its least capacity is 0.63 to 0.73 of a warm one's, which bore 100 a second (28 go there by what was sent alone).
 	if in := b.serve(200, 10*ms, dw.Arrival{}); in < 45 || in > 140 {
@@ -363,8 +365,8 @@
 // once, however often it is told to have begun.
 func TestAnswersOnTheirWayCountOnce(t *testing.T) {
 	s := settings()
-	s.Instances, s.Plans[0] = 4, dw.Plan{Open: 4, Price: 1, OverrunCost: 1}
-	b := newBed(t, s, dw.ServerEntry{ID: 7})
+	s.Instances, s.Plans[0] = 4, dw.Plan{MaxInFlight: 4, WeightFactor: 1, OverQuotaCost: 1}
+	b := newBed(t, s, dw.Endpoint{ID: 7})
 	var began []dw.RequestID
 	for i := range 6 {
 		id, ok := b.ask(dw.Arrival{Spread: 4})
@@ -373,12 +375,12 @@
 		}
 		if ok {
 			began = append(began, id)
-			b.do(dw.Started{Request: id, Server: 7})
-			b.do(dw.Started{Request: id, Server: 7})
+			b.do(dw.AnswerStarted{Request: id, Server: 7})
+			b.do(dw.AnswerStarted{Request: id, Server: 7})
 		}
 	}
 	for _, id := range began {
-		b.do(dw.Ended{Request: id, Server: 7, Final: true, Latency: 10 * ms})
+		b.do(dw.AttemptEnded{Request: id, Server: 7, Final: true, Latency: 10 * ms})
 	}
 	// None of them is left in the count: one that has not begun is taken for four.
 	if _, ok := b.ask(dw.Arrival{Spread: 4}); !ok {
@@ -392,24 +394,24 @@
 // Where only slow servers are left for a while, the others are not taken for slow when they are back.
 func TestServersThatWereAwayAreNotTakenForSlow(t *testing.T) {
 	s := settings()
-	s.Plans[0] = dw.Plan{Price: 1}
-	var all, away []dw.ServerEntry
+	s.Plans[0] = dw.Plan{WeightFactor: 1}
+	var all, away []dw.Endpoint
 	for id := range dw.ServerID(6) {
-		all = append(all, dw.ServerEntry{ID: id})
+		all = append(all, dw.Endpoint{ID: id})
 		if id > 1 {
-			away = append(away, dw.ServerEntry{ID: id, State: dw.Draining})
+			away = append(away, dw.Endpoint{ID: id, State: dw.Draining})
 		}
 	}
 	b := newBed(t, s, all...)
 	b.serve(500, 10*ms, dw.Arrival{})
-	b.do(dw.ServerList{Kind: dw.ListDelta, Servers: away})
+	b.do(dw.EndpointList{Kind: dw.ListDelta, Servers: away})
 	for i := range 500 { // the two that are left are too slow for what earns less
 		if id, ok := b.ask(dw.Arrival{Class: i % 2}); ok {
-			b.do(dw.Ended{Request: id, Server: b.sent[len(b.sent)-1].Server, Final: true, Latency: 95 * ms})
+			b.do(dw.AttemptEnded{Request: id, Server: b.sent[len(b.sent)-1].Server, Final: true, Latency: 95 * ms})
 		}
 		b.pass(10 * ms)
 	}
-	b.do(dw.ServerList{Kind: dw.ListDelta, Servers: all[2:]})
+	b.do(dw.EndpointList{Kind: dw.ListDelta, Servers: all[2:]})
 	if in := b.serve(50, 10*ms, dw.Arrival{}); in < 48 {
 		t.Errorf("of 50 requests %d went on", in)
 	}
@@ -418,7 +420,7 @@
 // Rule 1 holds even if the outcome of the last attempt is late.
 func TestAnsweredWithoutAnOutcome(t *testing.T) {
 	for class := range 2 {
-		b := newBed(t, settings(), dw.ServerEntry{ID: 7})
+		b := newBed(t, settings(), dw.Endpoint{ID: 7})
 		id, _ := b.ask(dw.Arrival{Class: class})
 		b.pass(816 * ms)
 		if _, failed := b.over[id].(dw.Fail); b.over[id] == nil || class == 1 && !failed {
@@ -430,8 +432,8 @@
 // A gateway that has just started may have spent its share of the ceiling in an earlier life.
 func TestCeilingStartsEmpty(t *testing.T) {
 	s := settings()
-	s.Plans[0] = dw.Plan{Rate: 10, Burst: 20, CeilingRate: 20, CeilingBurst: 40, Tolerance: 4, Price: 1}
-	b := newBed(t, s, dw.ServerEntry{ID: 7})
+	s.Plans[0] = dw.Plan{Rate: 10, Burst: 20, CeilingRate: 20, CeilingBurst: 40, Tolerance: 4, WeightFactor: 1}
+	b := newBed(t, s, dw.Endpoint{ID: 7})
 	if in := b.serve(10, ms, dw.Arrival{Customer: 1, Spread: 2}); in > 0 {
 		t.Errorf("%d let in at once", in)
 	}
@@ -442,8 +444,8 @@
 }
 
 func TestSameEventsSameActions(t *testing.T) {
-	run := func() []dw.Send {
-		b := newBed(t, settings(), dw.ServerEntry{ID: 7}, dw.ServerEntry{ID: 8}, dw.ServerEntry{ID: 9})
+	run := func() []dw.StartAttempt {
+		b := newBed(t, settings(), dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8}, dw.Endpoint{ID: 9})
 		for c := range dw.CustomerID(5) {
 			b.serve(20, 30*ms, dw.Arrival{Customer: c, Spread: 2})
 		}
@@ -456,7 +458,7 @@
 
 // A customer that comes back after its account was dropped is treated as a new one, and no better.
 func TestIdleAccountsExpire(t *testing.T) {
-	b := newBed(t, settings(), dw.ServerEntry{ID: 7})
+	b := newBed(t, settings(), dw.Endpoint{ID: 7})
 	for range 2 {
 		if in := b.serve(20, ms, dw.Arrival{Customer: 1}); in < 5 || in > 6 {
 			t.Errorf("%d let in at once", in)
@@ -468,15 +470,15 @@
 // many are the settings of one gateway of very many, where a share of a store is under one request.
 func many() dw.Settings {
 	s := settings()
-	s.Instances, s.ParallelTries = 100, true
+	s.Instances, s.ParallelAttempts = 100, true
 	return s
 }
 
 // First scores at full size: each of many gateways let the first request of a customer in, whatever the total.
 func TestThinCustomerIsCountedFirst(t *testing.T) {
 	for total, want := range map[float64]bool{1: true, 9: true, 10: false, 500: false} { // a burst and a half
-		b := newBed(t, many(), dw.ServerEntry{ID: 7})
-		b.answer = func(c dw.Count) *dw.Counted { return &dw.Counted{Name: c.Name, Total: total} }
+		b := newBed(t, many(), dw.Endpoint{ID: 7})
+		b.answer = func(c dw.CounterAdd) *dw.CounterAnswered { return &dw.CounterAnswered{Name: c.Name, Total: total} }
 		id, _ := b.ask(dw.Arrival{Customer: 1, Spread: 50})
 		if len(b.sent) > 0 || len(b.calls) != 1 || b.calls[0].Add != 1 {
 			t.Fatalf("total %v: sent %v before the count told, calls %v", total, b.sent, b.calls)
@@ -491,8 +493,8 @@
 // A request that waits for a silent counter goes on at its time-out, or ends before a short patience does.
 func TestHeldRequestIsAnswered(t *testing.T) {
 	for remaining, sent := range map[dw.Span]int{800 * ms: 1, 20 * ms: 0} {
-		b := newBed(t, many(), dw.ServerEntry{ID: 7})
-		b.answer = func(dw.Count) *dw.Counted { return nil }
+		b := newBed(t, many(), dw.Endpoint{ID: 7})
+		b.answer = func(dw.CounterAdd) *dw.CounterAnswered { return nil }
 		id, _ := b.ask(dw.Arrival{Customer: 1, Spread: 50, Remaining: remaining})
 		b.pass(min(remaining, 60*ms))
 		if len(b.sent) != sent || sent == 0 && b.over[id] == nil {
@@ -504,8 +506,8 @@
 // A server that leaves one class unanswered goes on serving the other.
 func TestOneClassFails(t *testing.T) {
 	s := settings()
-	s.Plans[0] = dw.Plan{Price: 1}
-	b := newBed(t, s, dw.ServerEntry{ID: 7}, dw.ServerEntry{ID: 8})
+	s.Plans[0] = dw.Plan{WeightFactor: 1}
+	b := newBed(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8})
 	var got [2][2]int // by server and class, in the second half
 	for i := range 400 {
 		class := i % 2
@@ -516,10 +518,10 @@
 			}
 			if to == 8 || class == 1 {
 				b.pass(10 * ms)
-				b.do(dw.Ended{Request: id, Server: to, Final: true, Latency: 10 * ms})
+				b.do(dw.AttemptEnded{Request: id, Server: to, Final: true, Latency: 10 * ms})
 			} else {
 				b.pass(800 * ms)
-				b.do(dw.Ended{Request: id, Server: to, Outcome: dw.OutcomeTimeout, Final: true, Latency: 800 * ms})
+				b.do(dw.AttemptEnded{Request: id, Server: to, Outcome: dw.OutcomeTimeout, Final: true, Latency: 800 * ms})
 			}
 		}
 		b.pass(20 * ms)
@@ -533,14 +535,14 @@
 // attempts were budgeted by arrivals. When most attempts end badly, less is sent; it clears by itself.
 func TestCollapseEnds(t *testing.T) {
 	s := settings()
-	s.Plans[0] = dw.Plan{Price: 1}
-	b := newBed(t, s, dw.ServerEntry{ID: 7}, dw.ServerEntry{ID: 8}, dw.ServerEntry{ID: 9})
+	s.Plans[0] = dw.Plan{WeightFactor: 1}
+	b := newBed(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8}, dw.Endpoint{ID: 9})
 	play := func(outcome dw.Outcome) int {
 		before, seen := len(b.sent), len(b.sent)
 		for range 500 {
 			id, ok := b.ask(dw.Arrival{})
 			for attempt := 0; ok && seen < len(b.sent); attempt++ {
-				e := dw.Ended{Request: id, Attempt: attempt, Server: b.sent[seen].Server, Outcome: outcome, Latency: 5 * ms}
+				e := dw.AttemptEnded{Request: id, Attempt: attempt, Server: b.sent[seen].Server, Outcome: outcome, Latency: 5 * ms}
 				e.Final = outcome == dw.OutcomeOK
 				seen++
 				b.do(e)
@@ -565,16 +567,16 @@
 	total := 0
 	for seed := range uint64(100) {
 		s := many()
-		s.Plans[0] = dw.Plan{Price: 1}
+		s.Plans[0] = dw.Plan{WeightFactor: 1}
 		g, err := dw.New(s, seed)
 		if err != nil {
 			t.Fatal(err)
 		}
 		b := &bed{t: t, g: g, now: dw.Instant(100 * sec), over: map[dw.RequestID]dw.Action{}}
-		b.do(dw.ServerList{Kind: dw.ListCached, Servers: []dw.ServerEntry{{ID: 1}, {ID: 2}, {ID: 3}, {ID: 4}}})
+		b.do(dw.EndpointList{Kind: dw.ListCached, Servers: []dw.Endpoint{{ID: 1}, {ID: 2}, {ID: 3}, {ID: 4}}})
 		b.serve(50, 200*ms, dw.Arrival{})
 		before := len(b.sent)
-		b.do(dw.ServerList{Kind: dw.ListDelta, Servers: []dw.ServerEntry{{ID: 9, Since: b.now}}})
+		b.do(dw.EndpointList{Kind: dw.ListDelta, Servers: []dw.Endpoint{{ID: 9, StartedAt: b.now}}})
 		b.serve(10, 200*ms, dw.Arrival{})
 		for _, a := range b.sent[before:] {
 			if a.Server == 9 {
@@ -592,10 +594,10 @@
 // A zone that is cut off is found out as one, not server by server.
 func TestZoneCutOff(t *testing.T) {
 	s := many()
-	s.Zones, s.Plans[0] = 2, dw.Plan{Price: 1}
-	var servers []dw.ServerEntry
+	s.Zones, s.Plans[0] = 2, dw.Plan{WeightFactor: 1}
+	var servers []dw.Endpoint
 	for i := range 60 {
-		servers = append(servers, dw.ServerEntry{ID: dw.ServerID(i), Zone: i % 2})
+		servers = append(servers, dw.Endpoint{ID: dw.ServerID(i), Zone: i % 2})
 	}
 	lost := 0
 	for seed := range uint64(20) {
@@ -604,12 +606,12 @@
 			t.Fatal(err)
 		}
 		b := &bed{t: t, g: g, now: dw.Instant(100 * sec), over: map[dw.RequestID]dw.Action{}}
-		b.do(dw.ServerList{Kind: dw.ListCached, Servers: servers})
+		b.do(dw.EndpointList{Kind: dw.ListCached, Servers: servers})
 		for range 60 {
 			id, ok := b.ask(dw.Arrival{})
 			for attempt := 0; ok && b.over[id] == nil && attempt < 3; attempt++ {
 				to := b.sent[len(b.sent)-1]
-				e := dw.Ended{Request: id, Attempt: attempt, Server: to.Server, Final: true, Latency: 30 * ms}
+				e := dw.AttemptEnded{Request: id, Attempt: attempt, Server: to.Server, Final: true, Latency: 30 * ms}
 				if to.Request != id {
 					break
 				} else if to.Server%2 == 1 {
@@ -634,10 +636,10 @@
 func TestNoCopiesWhenAllAreSlow(t *testing.T) {
 	for latency, want := range map[dw.Span]struct{ min, max int }{250 * ms: {0, 5}, 10 * ms: {10, 40}} {
 		s := many()
-		s.Plans[0] = dw.Plan{Price: 1}
-		var servers []dw.ServerEntry
+		s.Plans[0] = dw.Plan{WeightFactor: 1}
+		var servers []dw.Endpoint
 		for i := range 50 {
-			servers = append(servers, dw.ServerEntry{ID: dw.ServerID(i)})
+			servers = append(servers, dw.Endpoint{ID: dw.ServerID(i)})
 		}
 		b := newBed(t, s, servers...)
 		first := 0
@@ -647,7 +649,7 @@
 				first++
 				if wait := latency; i%10 != 0 { // else it is never answered
 					b.pass(wait)
-					b.do(dw.Ended{Request: id, Server: b.sent[n].Server, Final: true, Latency: wait})
+					b.do(dw.AttemptEnded{Request: id, Server: b.sent[n].Server, Final: true, Latency: wait})
 				}
 			}
 			b.pass(100 * ms)
@@ -663,10 +665,10 @@
 // times, so a gateway went on sending as if all were at ease.
 func TestAllSlowIsSeenAmongManyServers(t *testing.T) {
 	s := many()
-	s.Plans[0] = dw.Plan{Price: 1}
-	var servers []dw.ServerEntry
+	s.Plans[0] = dw.Plan{WeightFactor: 1}
+	var servers []dw.Endpoint
 	for i := range 100 {
-		servers = append(servers, dw.ServerEntry{ID: dw.ServerID(i)})
+		servers = append(servers, dw.Endpoint{ID: dw.ServerID(i)})
 	}
 	b := newBed(t, s, servers...)
 	in := 0
@@ -677,7 +679,7 @@
 		}
 		if id, ok := b.ask(dw.Arrival{}); ok {
 			b.pass(latency)
-			b.do(dw.Ended{Request: id, Server: b.sent[len(b.sent)-1].Server, Final: true, Latency: latency})
+			b.do(dw.AttemptEnded{Request: id, Server: b.sent[len(b.sent)-1].Server, Final: true, Latency: latency})
 			if i >= 230 && i < 300 {
 				in++
 			}
@@ -693,15 +695,15 @@
 // latency, and came back together. Advice differs from request to request and leaves time for an answer.
 func TestAdviceIsSpread(t *testing.T) {
 	s := settings()
-	s.Plans[0] = dw.Plan{Price: 1}
-	b := newBed(t, s, dw.ServerEntry{ID: 7}, dw.ServerEntry{ID: 8})
+	s.Plans[0] = dw.Plan{WeightFactor: 1}
+	b := newBed(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8})
 	least, most := sec, dw.Span(0)
 	for range 200 {
 		id, ok := b.ask(dw.Arrival{})
 		if ok {
 			b.pass(220 * ms)
-			b.do(dw.Ended{Request: id, Server: b.sent[len(b.sent)-1].Server, Final: true, Latency: 220 * ms})
-		} else if r, refused := b.over[id].(dw.Refuse); refused {
+			b.do(dw.AttemptEnded{Request: id, Server: b.sent[len(b.sent)-1].Server, Final: true, Latency: 220 * ms})
+		} else if r, refused := b.over[id].(dw.Reject); refused {
 			least, most = min(least, r.RetryAfter), max(most, r.RetryAfter)
 		}
 		b.pass(ms)
@@ -716,34 +718,34 @@
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
 	refuse := func(b *bed, id dw.RequestID) { // every attempt is turned away until none is left
 		for i := 0; i < len(b.sent); i++ {
-			b.do(dw.Ended{Request: id, Attempt: i, Server: b.sent[i].Server, Outcome: dw.OutcomeRejected, Latency: ms})
+			b.do(dw.AttemptEnded{Request: id, Attempt: i, Server: b.sent[i].Server, Outcome: dw.OutcomeRejected, Latency: ms})
 		}
 	}
 	for name, end := range map[string]func(b *bed, id dw.RequestID){
 		"no server left": refuse,
 		"may have run": func(b *bed, id dw.RequestID) {
-			b.do(dw.Ended{Request: id, Server: b.sent[0].Server, Outcome: dw.OutcomeReset, Latency: ms})
+			b.do(dw.AttemptEnded{Request: id, Server: b.sent[0].Server, Outcome: dw.OutcomeReset, Latency: ms})
 			for i := 1; i < len(b.sent); i++ {
-				b.do(dw.Ended{Request: id, Attempt: i, Server: b.sent[i].Server, Outcome: dw.OutcomeError, Latency: ms})
+				b.do(dw.AttemptEnded{Request: id, Attempt: i, Server: b.sent[i].Server, Outcome: dw.OutcomeError, Latency: ms})
 			}
 		},
 	} {
 		for class := range 2 {
-			b := newBed(t, settings(), dw.ServerEntry{ID: 7}, dw.ServerEntry{ID: 8})
+			b := newBed(t, settings(), dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8})
 			id, _ := b.ask(dw.Arrival{Class: class})
 			b.pass(5 * ms)
 			end(b, id)
-			r, refused := b.over[id].(dw.Refuse)
+			r, refused := b.over[id].(dw.Reject)
 			if b.over[id] == nil || refused && (r.RetryAfter <= 0 || r.RetryAfter == 400*ms) {
 				t.Errorf("%s, class %d: answer %+v", name, class, b.over[id])
 			}
 		}
 	}
-	b := newBed(t, many(), dw.ServerEntry{ID: 7}) // the server goes while the request waits for its count
+	b := newBed(t, many(), dw.Endpoint{ID: 7}) // the server goes while the request waits for its count
 	id, _ := b.ask(dw.Arrival{Customer: 1, Spread: 50})
-	b.do(dw.ServerList{Kind: dw.ListDelta, Servers: []dw.ServerEntry{{ID: 7, State: dw.Gone}}})
+	b.do(dw.EndpointList{Kind: dw.ListDelta, Servers: []dw.Endpoint{{ID: 7, State: dw.Removed}}})
 	b.pass(3 * ms)
-	if r, refused := b.over[id].(dw.Refuse); !refused || r.RetryAfter <= 0 {
+	if r, refused := b.over[id].(dw.Reject); !refused || r.RetryAfter <= 0 {
 		t.Errorf("no server when the count is known: answer %+v", b.over[id])
 	}
 }
@@ -753,18 +755,18 @@
 func TestCapOfThinCustomer(t *testing.T) {
 	for total, want := range map[float64]bool{3: true, 150: false} {
 		s := many()
-		s.Plans[0].Open = 2
-		b := newBed(t, s, dw.ServerEntry{ID: 7})
-		b.answer = func(c dw.Count) *dw.Counted {
+		s.Plans[0].MaxInFlight = 2
+		b := newBed(t, s, dw.Endpoint{ID: 7})
+		b.answer = func(c dw.CounterAdd) *dw.CounterAnswered {
 			told := total
 			total = 1 // the next window has just begun
-			return &dw.Counted{Name: c.Name, Total: told}
+			return &dw.CounterAnswered{Name: c.Name, Total: told}
 		}
 		last := total
 		first, _ := b.ask(dw.Arrival{Customer: 1, Spread: 50})
 		b.pass(10 * ms)
 		if len(b.sent) == 1 {
-			b.do(dw.Ended{Request: first, Server: 7, Final: true, Latency: 10 * ms})
+			b.do(dw.AttemptEnded{Request: first, Server: 7, Final: true, Latency: 10 * ms})
 		}
 		b.pass(2100 * ms) // into the next window
 		id, _ := b.ask(dw.Arrival{Customer: 1, Spread: 50})
@@ -778,8 +780,8 @@
 // Colleges at half load: work that takes a sixth of its aim was refused as if the servers were pressed.
 func TestLongWorkIsNoPressure(t *testing.T) {
 	s := settings()
-	s.Plans[0] = dw.Plan{Price: 1}
-	b := newBed(t, s, dw.ServerEntry{ID: 7}, dw.ServerEntry{ID: 8})
+	s.Plans[0] = dw.Plan{WeightFactor: 1}
+	b := newBed(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8})
 	for _, c := range []struct {
 		latency  dw.Span
 		min, max int
@@ -788,7 +790,7 @@
 		for i := range 200 {
 			if id, ok := b.ask(dw.Arrival{}); ok {
 				b.pass(c.latency)
-				b.do(dw.Ended{Request: id, Server: b.sent[len(b.sent)-1].Server, Final: true, Latency: c.latency})
+				b.do(dw.AttemptEnded{Request: id, Server: b.sent[len(b.sent)-1].Server, Final: true, Latency: c.latency})
 				if i >= 100 {
 					in++
 				}
@@ -803,9 +805,9 @@
 
 // A long way to the counter is no line at it: calls keep their pace while their answers take as long as ever.
 func TestLongWayToTheCounter(t *testing.T) {
-	b := newBed(t, settings(), dw.ServerEntry{ID: 1})
+	b := newBed(t, settings(), dw.Endpoint{ID: 1})
 	add := b.answer
-	b.answer = func(c dw.Count) *dw.Counted {
+	b.answer = func(c dw.CounterAdd) *dw.CounterAnswered {
 		e := add(c)
 		e.Latency = 20 * ms // of 50 after which a call is given up
 		return e
@@ -822,10 +824,10 @@
 // another: what one server can't do in time is no reason to refuse.
 func TestLotFallsOnSlowServer(t *testing.T) {
 	s := many()
-	s.Plans[0] = dw.Plan{Price: 1}
-	var servers []dw.ServerEntry
+	s.Plans[0] = dw.Plan{WeightFactor: 1}
+	var servers []dw.Endpoint
 	for i := range 20 {
-		servers = append(servers, dw.ServerEntry{ID: dw.ServerID(i)})
+		servers = append(servers, dw.Endpoint{ID: dw.ServerID(i)})
 	}
 	b := newBed(t, s, servers...)
 	refused := 0
@@ -834,7 +836,7 @@
 		if !ok {
 			refused++
 		} else {
-			e := dw.Ended{Request: id, Server: b.sent[len(b.sent)-1].Server, Final: true, Latency: 20 * ms}
+			e := dw.AttemptEnded{Request: id, Server: b.sent[len(b.sent)-1].Server, Final: true, Latency: 20 * ms}
 			if e.Server < 2 {
 				e.Latency = 350 * ms // and the others are as quick as ever
 			}
@@ -851,7 +853,7 @@
 // Many customers come only once: accounts that nothing is owed to or known of go with their windows, so that a long
 // day holds no more of them than a short one.
 func TestAccountsOfOnceOnlyCustomers(t *testing.T) {
-	b := newBed(t, settings(), dw.ServerEntry{ID: 7})
+	b := newBed(t, settings(), dw.Endpoint{ID: 7})
 	for i := range 400 {
 		b.serve(1, 100*ms, dw.Arrival{Customer: dw.CustomerID(1000 + i)})
 	}
@@ -863,10 +865,10 @@
 // Where calls to the counter are short, those whose room goes down quickly are told of first: the others can wait.
 func TestShortCallsGoToThoseNearTheirQuota(t *testing.T) {
 	s := settings()
-	s.Plans = append(s.Plans, dw.Plan{Rate: 20, Burst: 100, Price: 1, OverrunCost: 1})
-	b := newBed(t, s, dw.ServerEntry{ID: 1})
+	s.Plans = append(s.Plans, dw.Plan{Rate: 20, Burst: 100, WeightFactor: 1, OverQuotaCost: 1})
+	b := newBed(t, s, dw.Endpoint{ID: 1})
 	add := b.answer
-	b.answer = func(c dw.Count) *dw.Counted {
+	b.answer = func(c dw.CounterAdd) *dw.CounterAnswered {
 		e := add(c)
 		e.Latency = 45 * ms * dw.Span(len(b.calls)%2)
 		return e
@@ -888,7 +890,7 @@
 
 // A listed customer waits out its window, so that is no longer than it needs to be: two bursts.
 func TestWindowsOfTwoBursts(t *testing.T) {
-	b := newBed(t, settings(), dw.ServerEntry{ID: 1})
+	b := newBed(t, settings(), dw.Endpoint{ID: 1})
 	b.serve(240, 100*ms, dw.Arrival{Customer: 1})
 	windows := map[string]bool{}
 	for _, c := range b.calls {
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -56,7 +56,7 @@
 	}
 }
 
-var ends = [dw.Outcomes]ledger.Event{dw.OutcomeOK: ledger.FetchOK, dw.OutcomeError: ledger.FetchError,
+var ends = [dw.OutcomeCount]ledger.Event{dw.OutcomeOK: ledger.FetchOK, dw.OutcomeError: ledger.FetchError,
 	dw.OutcomeRejected: ledger.FetchRejected, dw.OutcomeTimeout: ledger.FetchTimeout,
 	dw.OutcomeConnectFailed: ledger.FetchConnectFailed, dw.OutcomeReset: ledger.FetchReset,
 	dw.OutcomeCancelled: ledger.FetchCancelled, dw.OutcomeNotSent: ledger.FetchNotSent}
--- a/internal/backend/forbidden_test.go
+++ b/internal/backend/forbidden_test.go
@@ -14,9 +14,9 @@
 )
 
 // listing is a whole list of one backend, in a state.
-func (b *bed) listing(version int64, state dw.ServerState, addr string) core.Listing {
-	return core.Listing{List: dw.ServerList{Kind: dw.ListFull, Version: version,
-		Servers: []dw.ServerEntry{{ID: b.to.ID, Rating: 1, State: state}}}, Addrs: []string{addr}, Read: time.Now()}
+func (b *bed) listing(version int64, state dw.EndpointState, addr string) core.Listing {
+	return core.Listing{List: dw.EndpointList{Kind: dw.ListFull, Version: version,
+		Servers: []dw.Endpoint{{ID: b.to.ID, Rating: 1, State: state}}}, Addrs: []string{addr}, Read: time.Now()}
 }
 
 // The planner stands still, as it would on a loaded machine, when the list says that a backend drains, or is gone, or is another
@@ -27,14 +27,14 @@
 		want dw.Outcome
 	}{
 		"draining":        {func(b *bed) core.Listing { return b.listing(2, dw.Draining, b.to.Addr) }, dw.OutcomeNotSent},
-		"removed":         {func(b *bed) core.Listing { return b.listing(2, dw.Gone, b.to.Addr) }, dw.OutcomeNotSent},
-		"left out":        {func(*bed) core.Listing { return core.Listing{List: dw.ServerList{Kind: dw.ListFull, Version: 2}} }, dw.OutcomeNotSent},
+		"removed":         {func(b *bed) core.Listing { return b.listing(2, dw.Removed, b.to.Addr) }, dw.OutcomeNotSent},
+		"left out":        {func(*bed) core.Listing { return core.Listing{List: dw.EndpointList{Kind: dw.ListFull, Version: 2}} }, dw.OutcomeNotSent},
 		"another address": {func(b *bed) core.Listing { return b.listing(2, dw.Ready, "127.0.0.1:1") }, dw.OutcomeNotSent},
 		"as it was":       {func(b *bed) core.Listing { return b.listing(2, dw.Ready, b.to.Addr) }, dw.OutcomeOK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBed(t, standin.Always(standin.Step{}))
-			p, err := core.NewPlanner(settings(true, dw.Safe), 1, core.NewClock(), b.Pools, noCounter{}, noRefs{}, zap.NewNop())
+			p, err := core.NewPlanner(settings(true, dw.Idempotent), 1, core.NewClock(), b.Pools, noCounter{}, noRefs{}, zap.NewNop())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -61,15 +61,15 @@
 func TestNewsDoesNotStarveClients(t *testing.T) {
 	b := newBed(t, standin.Always(standin.Step{}))
 	close(b.up)
-	p := b.planner(settings(true, dw.Safe))
+	p := b.planner(settings(true, dw.Idempotent))
 	ctx, stop := context.WithCancel(t.Context())
 	over := make(chan struct{})
 	go func() {
 		defer close(over)
 		for v := int64(2); ctx.Err() == nil; v++ {
-			l := core.Listing{List: dw.ServerList{Kind: dw.ListDelta, Version: v}, Read: time.Now()}
+			l := core.Listing{List: dw.EndpointList{Kind: dw.ListDelta, Version: v}, Read: time.Now()}
 			for i := range 100 {
-				l.List.Servers = append(l.List.Servers, dw.ServerEntry{ID: dw.ServerID(1000 + i), State: dw.Draining, Rating: 1})
+				l.List.Servers = append(l.List.Servers, dw.Endpoint{ID: dw.ServerID(1000 + i), State: dw.Draining, Rating: 1})
 				l.Addrs = append(l.Addrs, fmt.Sprintf("127.0.0.1:%d", i+1))
 			}
 			if p.Listed(l) != nil {
--- a/internal/backend/leaving_test.go
+++ b/internal/backend/leaving_test.go
@@ -37,16 +37,16 @@
 		stop()
 		<-over
 	})
-	list := core.Listing{List: dw.ServerList{Kind: dw.ListFull, Version: 1, Servers: []dw.ServerEntry{{ID: b.to.ID}}}, Addrs: []string{b.to.Addr}}
+	list := core.Listing{List: dw.EndpointList{Kind: dw.ListFull, Version: 1, Servers: []dw.Endpoint{{ID: b.to.ID}}}, Addrs: []string{b.to.Addr}}
 	if err := p.Listed(list); err != nil {
 		b.t.Fatal(err)
 	}
 	return p
 }
 
-func settings(cancel bool, e dw.Effect) dw.Settings {
+func settings(cancel bool, e dw.Idempotency) dw.Settings {
 	return dw.Settings{Instances: 1, Zones: 1, Tick: 1e6, MaxAttempts: 3, MayCancel: cancel,
-		Classes: []dw.Class{{Aim: 10e9, Deadline: 20e9, Points: 1, Effect: e, DedupWindow: 10e9}}, Plans: []dw.Plan{{Rate: 100, Burst: 100, Price: 1}}}
+		Classes: []dw.Class{{Objective: 10e9, Deadline: 20e9, Weight: 1, Idempotency: e, DedupWindow: 10e9}}, Plans: []dw.Plan{{Rate: 100, Burst: 100, WeightFactor: 1}}}
 }
 
 func (b *bed) req(answer func(core.Answer)) *core.Req {
@@ -59,7 +59,7 @@
 func TestClientLeavesWhileItsConnectionComesUp(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		b := newBed(t, standin.Always(standin.Step{}))
-		p := b.planner(settings(cancel, dw.Safe))
+		p := b.planner(settings(cancel, dw.Idempotent))
 		ticket, err := p.Take(b.req(func(a core.Answer) { t.Errorf("an answer for nobody: %+v", a) }))
 		if err != nil {
 			t.Fatal(err)
@@ -100,7 +100,7 @@
 // asks the request itself.
 func TestLeavingIsInForceBeforeThePlannerHearsIt(t *testing.T) {
 	b := newBed(t, standin.Always(standin.Step{}))
-	p, err := core.NewPlanner(settings(true, dw.Safe), 1, core.NewClock(), b.Pools, noCounter{}, noRefs{}, zap.NewNop())
+	p, err := core.NewPlanner(settings(true, dw.Idempotent), 1, core.NewClock(), b.Pools, noCounter{}, noRefs{}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -27,7 +27,7 @@
 	MemoryMB, Sockets                int
 	Known                            json.RawMessage // the list as last held, in discovery's form; may be nil
 	Settings                         dw.Settings
-	Words                            settings.Words
+	Names                            settings.Names
 }
 
 // The defaults, where the configuration leaves a limit out.
@@ -120,7 +120,7 @@
 	if len(f.Settings) == 0 {
 		return nil, fault("settings", "missing")
 	}
-	if n.Settings, n.Words, err = settings.Decode(f.Settings); err != nil {
+	if n.Settings, n.Names, err = settings.Decode(f.Settings); err != nil {
 		return nil, fault("settings", "%v", err)
 	}
 	if err = n.Settings.Check(); err != nil {
@@ -188,7 +188,7 @@
 // Fixed names the keys in which m differs from n and which are read at the start only. Of the settings, classes and
 // attempts are retuned while the program runs.
 func (n *Node) Fixed(m *Node) (keys []string) {
-	a, b, aw, bw := n.Settings, m.Settings, n.Words, m.Words
+	a, b, aw, bw := n.Settings, m.Settings, n.Names, m.Names
 	a.Classes, a.MaxAttempts, aw.Classes = b.Classes, b.MaxAttempts, bw.Classes
 	for _, v := range []struct {
 		key  string
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -30,7 +30,7 @@
 	}
 	return Node{Name: "node-1", Listen: "10.0.0.1:1001", Discovery: "10.0.0.2:1002", Counter: "10.0.0.3:1003", Admin: "10.0.0.4:1004",
 		Scratch: "/scratch", Seed: 0x1f, Cores: 1.5, MemoryMB: 101, Sockets: 102, Known: json.RawMessage(`{"revision":7,"members":[]}`),
-		Settings: s, Words: w}
+		Settings: s, Names: w}
 }
 
 // The node's configuration file with each of its keys, and the environment variables that stand above it. Platforms write them; the
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -30,8 +30,8 @@
 		if err := n.Settings.Check(); err != nil {
 			t.Fatalf("taken with settings that no module can work with: %v", err)
 		}
-		if len(n.Words.Classes) != len(n.Settings.Classes) {
-			t.Fatalf("%d names of %d classes", len(n.Words.Classes), len(n.Settings.Classes))
+		if len(n.Names.Classes) != len(n.Settings.Classes) {
+			t.Fatalf("%d names of %d classes", len(n.Names.Classes), len(n.Settings.Classes))
 		}
 	})
 }
--- a/internal/config/settings/golden_test.go
+++ b/internal/config/settings/golden_test.go
@@ -12,20 +12,20 @@
 // goldenSettings is what settings.json says, key by key.
 var goldenSettings = dw.Settings{Instances: 6, Self: 5, Zones: 3, Zone: 1, Tick: 91,
 	Classes: []dw.Class{
-		{Aim: 41, AimStretch: 44.5, Deadline: 42, LateWorth: 0.375, Points: 45.5, Effect: dw.Safe, Group: dw.GroupAll, DedupWindow: 43, Streaming: true},
-		{Aim: 51, AimStretch: 54.5, Deadline: 52, LateWorth: 0.875, Points: 55.5, Effect: dw.Keyed, Group: dw.GroupZone, DedupWindow: 53, Streaming: true},
-		{Aim: 61, AimStretch: 64.5, Deadline: 62, LateWorth: 0.5, Points: 65.5, Effect: dw.Unsafe, Group: dw.GroupCell, DedupWindow: 63, Streaming: true}},
+		{Objective: 41, ObjectiveStretch: 44.5, Deadline: 42, LateWeight: 0.375, Weight: 45.5, Idempotency: dw.Idempotent, DedupScope: dw.DedupAll, DedupWindow: 43, Streaming: true},
+		{Objective: 51, ObjectiveStretch: 54.5, Deadline: 52, LateWeight: 0.875, Weight: 55.5, Idempotency: dw.IdempotentByKey, DedupScope: dw.DedupZone, DedupWindow: 53, Streaming: true},
+		{Objective: 61, ObjectiveStretch: 64.5, Deadline: 62, LateWeight: 0.5, Weight: 65.5, Idempotency: dw.NotIdempotent, DedupScope: dw.DedupCell, DedupWindow: 63, Streaming: true}},
 	Plans: []dw.Plan{
-		{Rate: 15.5, Burst: 12.5, Open: 17, CeilingRate: 11.5, CeilingBurst: 13.5, Tolerance: 16.5, Price: 14.5, BeyondEarns: 0.25, OverrunCost: 0.75},
-		{Rate: 25.5, Burst: 22.5, Open: 27, CeilingRate: 21.5, CeilingBurst: 23.5, Tolerance: 26.5, Price: 24.5, BeyondEarns: 0.125, OverrunCost: 0.625}},
-	Counter: true, CounterTimeout: 32, CounterFee: 31.5, MeterPeriod: 33, MaxUnits: 34.5, TruedUp: true,
-	MaxAttempts: 4, ParallelTries: true, MayCancel: true, MayProbe: true, MayTell: true, MaxRetryAfter: 1003, ConnectTimeout: 1002,
-	ListOnRequest: true, Reports: dw.ReportsInAnswers, RatingsTell: true,
+		{Rate: 15.5, Burst: 12.5, MaxInFlight: 17, CeilingRate: 11.5, CeilingBurst: 13.5, Tolerance: 16.5, WeightFactor: 14.5, OverQuotaValue: 0.25, OverQuotaCost: 0.75},
+		{Rate: 25.5, Burst: 22.5, MaxInFlight: 27, CeilingRate: 21.5, CeilingBurst: 23.5, Tolerance: 26.5, WeightFactor: 24.5, OverQuotaValue: 0.125, OverQuotaCost: 0.625}},
+	Counter: true, CounterTimeout: 32, CounterFee: 31.5, MeterPeriod: 33, MaxUnits: 34.5, UnitsCorrected: true,
+	MaxAttempts: 4, ParallelAttempts: true, MayCancel: true, MayProbe: true, MayMessagePeers: true, MaxRetryAfter: 1003, ConnectTimeout: 1002,
+	ListOnRequest: true, Reports: dw.ReportsInAnswers, RatingsDiffer: true,
 	ReportFields: dw.HasInflight | dw.HasQueue | dw.HasUtil | dw.HasLatency | dw.HasRate | dw.HasErrors,
-	AnswerSlack:  71, AskWithin: 72, ColdSpan: 73, FallSpan: 74, DrainGrace: 75, FallMultiple: 76.5, StartCapacity: 0.775,
+	AnswerSlack:  71, PollWithin: 72, SlowStartSpan: 73, OverloadSpan: 74, DrainGrace: 75, OverloadMultiple: 76.5, StartCapacity: 0.775,
 	CrossZonePrice: 81.5, LatePrice: 82.5, ProbePrice: 83.5, WastePrice: 84.5}
 
-var goldenWords = Words{Zones: []string{"lake-a", "lake-b", "lake-c"}, Kinds: []string{"small", "large"},
+var goldenWords = Names{Zones: []string{"lake-a", "lake-b", "lake-c"}, Kinds: []string{"small", "large"},
 	Classes: []string{"quote", "order", "charge"}, Plans: []string{"wide", "slim"}, ConnIdle: 1001}
 
 // The settings object with each of its keys, as the simulator's hello message and the node's configuration file hold it.
@@ -58,8 +58,8 @@
 		{`"Source":"answers"`, `"Source":"probe"`, func(s *dw.Settings) { s.Reports = dw.ReportsInProbes }},
 		{`"Source":"answers"`, `"Source":"none"`, func(s *dw.Settings) { s.Reports = dw.ReportsNone }},
 		{`"Source":"answers"`, `"Source":""`, func(s *dw.Settings) { s.Reports = dw.ReportsNone }},
-		{`"Weights":"nominal"`, `"Weights":"none"`, func(s *dw.Settings) { s.RatingsTell = false }},
-		{`"Weights":"nominal"`, `"Weights":""`, func(s *dw.Settings) { s.RatingsTell = false }},
+		{`"Weights":"nominal"`, `"Weights":"none"`, func(s *dw.Settings) { s.RatingsDiffer = false }},
+		{`"Weights":"nominal"`, `"Weights":""`, func(s *dw.Settings) { s.RatingsDiffer = false }},
 		{`"RetryAfter":true`, `"RetryAfter":false`, func(s *dw.Settings) { s.MaxRetryAfter = 0 }},
 		{`"Group":"all"`, `"Group":""`, func(*dw.Settings) {}},
 	} {
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -60,29 +60,29 @@
 	return v, nil
 }
 
-// Words are the names in the settings, which the module does without, and what connections need to know.
-type Words struct {
+// Names are the names in the settings, which the module does without, and what connections need to know.
+type Names struct {
 	Zones, Kinds, Classes, Plans []string
 	ConnIdle                     time.Duration // a backend closes a connection that was idle for so long
 }
 
 // Decode reads the settings object.
-func Decode(text []byte) (s dw.Settings, w Words, err error) {
+func Decode(text []byte) (s dw.Settings, w Names, err error) {
 	var c object
 	if err := json.Unmarshal(text, &c); err != nil {
 		return s, w, err
 	}
-	w = Words{Zones: c.Areas, Kinds: c.Kinds, ConnIdle: time.Duration(c.Caps.ConnIdle)}
+	w = Names{Zones: c.Areas, Kinds: c.Kinds, ConnIdle: time.Duration(c.Caps.ConnIdle)}
 	s = dw.Settings{Instances: c.NInstances, Self: c.MyNumber, Zones: len(c.Areas), Zone: c.Az, Tick: dw.Span(c.Tick),
 		Counter: c.FamilyInfo.Counter, CounterTimeout: dw.Span(c.FamilyInfo.CountLimit),
 		CounterFee: c.FamilyInfo.CountFee, MeterPeriod: dw.Span(c.FamilyInfo.UsePeriod),
-		MaxUnits: c.FamilyInfo.UnitsTop, TruedUp: c.FamilyInfo.TruedUp,
-		MaxAttempts: c.Caps.TryLimit, ParallelTries: c.Caps.ParallelTries, MayCancel: c.Caps.MayCancel,
-		MayProbe: c.Caps.Probes, MayTell: c.Caps.PeerMessages, ConnectTimeout: dw.Span(c.Caps.ConnectTimeout),
-		RatingsTell: c.Weights != "none" && c.Weights != "",
-		AnswerSlack: dw.Span(c.Rules.AnswerSlack), DrainGrace: dw.Span(c.Rules.StopSendingWithin),
-		AskWithin: dw.Span(c.Rules.AskWithin), ColdSpan: dw.Span(c.Rules.Cold), FallSpan: dw.Span(c.Rules.Fall),
-		StartCapacity: c.Rules.StartCapacity, FallMultiple: c.Rules.FallMultiple,
+		MaxUnits: c.FamilyInfo.UnitsTop, UnitsCorrected: c.FamilyInfo.TruedUp,
+		MaxAttempts: c.Caps.TryLimit, ParallelAttempts: c.Caps.ParallelTries, MayCancel: c.Caps.MayCancel,
+		MayProbe: c.Caps.Probes, MayMessagePeers: c.Caps.PeerMessages, ConnectTimeout: dw.Span(c.Caps.ConnectTimeout),
+		RatingsDiffer: c.Weights != "none" && c.Weights != "",
+		AnswerSlack:   dw.Span(c.Rules.AnswerSlack), DrainGrace: dw.Span(c.Rules.StopSendingWithin),
+		PollWithin: dw.Span(c.Rules.AskWithin), SlowStartSpan: dw.Span(c.Rules.Cold), OverloadSpan: dw.Span(c.Rules.Fall),
+		StartCapacity: c.Rules.StartCapacity, OverloadMultiple: c.Rules.FallMultiple,
 		CrossZonePrice: c.Tariffs.CrossZone, WastePrice: c.Tariffs.Waste, ProbePrice: c.Tariffs.Probe,
 		LatePrice: c.Tariffs.LateFail}
 	if c.Caps.RetryAfter {
@@ -101,20 +101,20 @@
 	}
 	for _, p := range c.Contracts {
 		w.Plans = append(w.Plans, p.Name)
-		s.Plans = append(s.Plans, dw.Plan{Rate: p.QuotaRate, Burst: p.Depth, Open: p.Open, CeilingRate: p.CapRate,
-			CeilingBurst: p.HardBurst, Tolerance: p.Tolerance, Price: p.Pays, BeyondEarns: p.BeyondEarns,
-			OverrunCost: p.OverrunCost})
+		s.Plans = append(s.Plans, dw.Plan{Rate: p.QuotaRate, Burst: p.Depth, MaxInFlight: p.Open, CeilingRate: p.CapRate,
+			CeilingBurst: p.HardBurst, Tolerance: p.Tolerance, WeightFactor: p.Pays, OverQuotaValue: p.BeyondEarns,
+			OverQuotaCost: p.OverrunCost})
 	}
 	for _, p := range c.RequestClasses {
 		w.Classes = append(w.Classes, p.Name)
-		k := dw.Class{Aim: dw.Span(p.Aim), AimStretch: p.AimStretch, Deadline: dw.Span(p.Deadline),
-			LateWorth: p.LateWorth, Points: p.Points, DedupWindow: dw.Span(p.DedupWindow), Streaming: p.Streaming}
-		if k.Effect, err = word("RequestClasses.Effect", p.Effect,
-			map[string]dw.Effect{"safe": dw.Safe, "keyed": dw.Keyed, "unsafe": dw.Unsafe}); err != nil {
+		k := dw.Class{Objective: dw.Span(p.Aim), ObjectiveStretch: p.AimStretch, Deadline: dw.Span(p.Deadline),
+			LateWeight: p.LateWorth, Weight: p.Points, DedupWindow: dw.Span(p.DedupWindow), Streaming: p.Streaming}
+		if k.Idempotency, err = word("RequestClasses.Effect", p.Effect,
+			map[string]dw.Idempotency{"safe": dw.Idempotent, "keyed": dw.IdempotentByKey, "unsafe": dw.NotIdempotent}); err != nil {
 			return s, w, err
 		}
-		if k.Group, err = word("RequestClasses.Group", p.Group, map[string]dw.Group{"": dw.GroupAll,
-			"all": dw.GroupAll, "zone": dw.GroupZone, "cell": dw.GroupCell}); err != nil {
+		if k.DedupScope, err = word("RequestClasses.Group", p.Group, map[string]dw.DedupScope{"": dw.DedupAll,
+			"all": dw.DedupAll, "zone": dw.DedupZone, "cell": dw.DedupCell}); err != nil {
 			return s, w, err
 		}
 		s.Classes = append(s.Classes, k)
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -28,10 +28,10 @@
 
 // What the books call the module's reasons.
 var (
-	refusals = map[dw.Why]ledger.Event{dw.WhyUnusable: ledger.PlanRefusedUnusable, dw.WhyQuota: ledger.PlanRefusedQuota,
-		dw.WhyCeiling: ledger.PlanRefusedCeiling, dw.WhyServers: ledger.PlanRefusedServers,
-		dw.WhyGaveUp: ledger.PlanRefusedGaveUp}
-	failures = map[dw.Why]ledger.Event{dw.WhyGaveUp: ledger.PlanFailedGaveUp, dw.WhyUnread: ledger.PlanFailedUnread}
+	refusals = map[dw.Reason]ledger.Event{dw.ReasonInvalid: ledger.PlanRefusedUnusable, dw.ReasonQuota: ledger.PlanRefusedQuota,
+		dw.ReasonCeiling: ledger.PlanRefusedCeiling, dw.ReasonOverload: ledger.PlanRefusedServers,
+		dw.ReasonExhausted: ledger.PlanRefusedGaveUp}
+	failures = map[dw.Reason]ledger.Event{dw.ReasonExhausted: ledger.PlanFailedGaveUp, dw.ReasonCounterUnread: ledger.PlanFailedUnread}
 )
 
 // answer gives a req its one final answer, at once; whatever is decided later on it is passed over.
--- a/internal/core/book.go
+++ b/internal/core/book.go
@@ -8,18 +8,18 @@
 )
 
 type counted struct {
-	dw.Counted
+	dw.CounterAnswered
 	returned ledger.Posting // if nothing was added
 }
 
 // count books use on the shared counter.
-func (p *Planner) count(now time.Time, a dw.Count) {
+func (p *Planner) count(now time.Time, a dw.CounterAdd) {
 	c := Call{Name: a.Name, Amount: a.Add, Life: time.Duration(a.TTL), Ref: p.books.Ref(),
 		Row: ledger.Account(uint64(a.Customer))}
 	told := ledger.Posting{Event: ledger.UnitsTold, Key: c.Row, Ref: c.Ref, Units: ledger.MicroUnits(a.Add)}
 	p.books.Post(told)
 	p.counter.Add(c, func(o dw.Outcome, total float64) {
-		m := counted{Counted: dw.Counted{Name: a.Name, Outcome: o, Latency: dw.Span(time.Since(now)), Total: total}}
+		m := counted{CounterAnswered: dw.CounterAnswered{Name: a.Name, Outcome: o, Latency: dw.Span(time.Since(now)), Total: total}}
 		if o != dw.OutcomeOK && o != dw.OutcomeTimeout { // nothing was added: the module puts it on the tally again
 			m.returned = told
 			m.returned.Event = ledger.UnitsReturned
@@ -32,7 +32,7 @@
 	if m.returned.Event != ledger.None {
 		p.books.Post(m.returned)
 	}
-	p.tell(m.Counted)
+	p.tell(m.CounterAnswered)
 }
 
 func (counted) queue() Queue { return QueueOutcome }
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -76,11 +76,11 @@
 // Answer is the one final answer to a req.
 type Answer struct {
 	Verdict    Verdict
-	Value      []byte        // of a served req, if it is held
-	Stream     Stream        // of a served req, if it is not
-	RetryAfter time.Duration // of a refused one; 0: no advice
-	Limit      *dw.Limit     // of a query that was served
-	Units      float64       // of an adjustment that was served: those booked
+	Value      []byte          // of a served req, if it is held
+	Stream     Stream          // of a served req, if it is not
+	RetryAfter time.Duration   // of a refused one; 0: no advice
+	Limit      *dw.LimitAnswer // of a query that was served
+	Units      float64         // of an adjustment that was served: those booked
 }
 
 // Backend is a server as discovery's list has it.
--- a/internal/core/ending.go
+++ b/internal/core/ending.go
@@ -19,7 +19,7 @@
 
 func (m hurry) handle(p *Planner) {
 	if t := p.reqs[m.ticket.id]; t != nil && !t.answered {
-		p.tell(dw.Hurry{Request: t.id})
+		p.tell(dw.Expedite{Request: t.id})
 	}
 }
 
@@ -38,6 +38,6 @@
 }
 
 func (m ending) handle(p *Planner) {
-	p.tell(dw.Ending{By: p.Instant(m.by)})
+	p.tell(dw.Shutdown{By: p.Instant(m.by)})
 	m.done <- nil
 }
--- a/internal/core/exclude.go
+++ b/internal/core/exclude.go
@@ -69,7 +69,7 @@
 	}
 	e.done <- nil
 	if entry, listed := p.listed[e.id]; listed {
-		p.tell(dw.ServerList{Kind: dw.ListDelta, Version: p.version, Servers: []dw.ServerEntry{p.overlay(entry)}})
+		p.tell(dw.EndpointList{Kind: dw.ListDelta, Version: p.version, Servers: []dw.Endpoint{p.overlay(entry)}})
 	}
 	p.counted()
 	if p.excludedTo != nil {
@@ -85,7 +85,7 @@
 
 // overlay is an entry as the module is told it, which is kept: an excluded server drains, with its own start time, so that
 // its cold return is judged by the module's rules once it is put back.
-func (p *Planner) overlay(e dw.ServerEntry) dw.ServerEntry {
+func (p *Planner) overlay(e dw.Endpoint) dw.Endpoint {
 	e = p.overlaid(e)
 	p.told.set(e)
 	if b, known := p.route(e.ID); known && e.State != dw.Ready {
@@ -96,18 +96,18 @@
 	return e
 }
 
-func (p *Planner) overlaid(e dw.ServerEntry) dw.ServerEntry {
+func (p *Planner) overlaid(e dw.Endpoint) dw.Endpoint {
 	use := p.fleet.Zones[e.Zone]
 	if (p.excluded[e.ID] || p.fleet.Away[e.ID] || use.Avoid) && e.State == dw.Ready {
 		e.State = dw.Draining
 	}
-	e.Since, e.Look = max(e.Since, use.Since), use.Look
-	if e.State != dw.Ready || !p.fleet.Fed || !p.begins(e.Since) {
+	e.StartedAt, e.HealthCheck = max(e.StartedAt, use.Since), use.Look
+	if e.State != dw.Ready || !p.fleet.Fed || !p.begins(e.StartedAt) {
 		return e
 	}
 	// Danger: a fleet that has just begun, or whose leader has, gives nothing for a while. Where most servers are cold that
 	// would be an outage, and the module's guess is better than none.
-	if e.Feed = p.fleet.Feeds[e.ID]; e.Feed <= 0 && !p.fewWarm {
+	if e.SlowStartRate = p.fleet.Feeds[e.ID]; e.SlowStartRate <= 0 && !p.fewWarm {
 		e.State = dw.Draining
 	}
 	return e
@@ -124,16 +124,16 @@
 	}
 	now := p.Instant(time.Now())
 	p.counts = now + dw.Instant(countEvery)
-	p.figures.Targets(len(p.listed), p.gate.Avoided(now)+p.told.disabled)
+	p.figures.Targets(len(p.listed), p.gate.EjectedServers(now)+p.told.disabled)
 }
 
 // toldEntries are the listed servers as the module was told of them.
 type toldEntries struct {
-	entries  map[dw.ServerID]dw.ServerEntry
+	entries  map[dw.ServerID]dw.Endpoint
 	disabled int // of them, those that get nothing new
 }
 
-func (t *toldEntries) set(e dw.ServerEntry) {
+func (t *toldEntries) set(e dw.Endpoint) {
 	t.drop(e.ID)
 	t.entries[e.ID] = e
 	if e.State != dw.Ready {
--- a/internal/core/learnt.go
+++ b/internal/core/learnt.go
@@ -8,7 +8,7 @@
 
 // learnt asks for a copy of what the module has learnt.
 type learnt struct {
-	into *dw.Learnt
+	into *dw.State
 	most int
 	done chan error
 }
@@ -17,7 +17,7 @@
 
 // Learnt copies out what the module has learnt, with most customers at most, between two events; into is the caller's
 // again when it returns.
-func (p *Planner) Learnt(into *dw.Learnt, most int) error {
+func (p *Planner) Learnt(into *dw.State, most int) error {
 	m := learnt{into, most, make(chan error, 1)}
 	return p.call(m, m.done)
 }
@@ -28,6 +28,6 @@
 }
 
 // Resume starts from what the process before had learnt, before Run.
-func (p *Planner) Resume(l *dw.Learnt) (servers, customers int) {
+func (p *Planner) Resume(l *dw.State) (servers, customers int) {
 	return p.gate.Import(p.Instant(time.Now()), l)
 }
--- a/internal/core/order_test.go
+++ b/internal/core/order_test.go
@@ -51,9 +51,9 @@
 }
 
 func testSettings() dw.Settings {
-	return dw.Settings{Instances: 1, Classes: []dw.Class{{Aim: dw.Span(time.Minute), Deadline: dw.Span(time.Minute), Points: 1}},
-		Plans: []dw.Plan{{Rate: 1e6, Burst: 1e6, Price: 1}}, MaxAttempts: 3, Tick: dw.Span(4 * time.Millisecond),
-		ColdSpan: dw.Span(13 * time.Second), StartCapacity: 0.22, FallSpan: dw.Span(3 * time.Second), FallMultiple: 3}
+	return dw.Settings{Instances: 1, Classes: []dw.Class{{Objective: dw.Span(time.Minute), Deadline: dw.Span(time.Minute), Weight: 1}},
+		Plans: []dw.Plan{{Rate: 1e6, Burst: 1e6, WeightFactor: 1}}, MaxAttempts: 3, Tick: dw.Span(4 * time.Millisecond),
+		SlowStartSpan: dw.Span(13 * time.Second), StartCapacity: 0.22, OverloadSpan: dw.Span(3 * time.Second), OverloadMultiple: 3}
 }
 
 func newBusyPlanner(t *testing.T, servers int) *busyPlanner {
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	p.Monitor(r)
-	listing(1, servers, func(int) dw.ServerState { return dw.Ready }).handle(p)
+	listing(1, servers, func(int) dw.EndpointState { return dw.Ready }).handle(p)
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	running.Go(func() { p.Run(ctx) })
@@ -88,10 +88,10 @@
 }
 
 // listing is a whole list of servers in the states given.
-func listing(version int64, servers int, state func(int) dw.ServerState) Listing {
-	l := Listing{List: dw.ServerList{Kind: dw.ListFull, Version: version}, Read: time.Now()}
+func listing(version int64, servers int, state func(int) dw.EndpointState) Listing {
+	l := Listing{List: dw.EndpointList{Kind: dw.ListFull, Version: version}, Read: time.Now()}
 	for i := range servers {
-		l.List.Servers = append(l.List.Servers, dw.ServerEntry{ID: dw.ServerID(i + 1), Rating: 1, State: state(i)})
+		l.List.Servers = append(l.List.Servers, dw.Endpoint{ID: dw.ServerID(i + 1), Rating: 1, State: state(i)})
 		l.Addrs = append(l.Addrs, fmt.Sprintf("127.0.0.1:%d", i+1))
 	}
 	return l
@@ -114,7 +114,7 @@
 	for p.waiting() < arrivalSize { // the rest waits for room
 		time.Sleep(time.Millisecond)
 	}
-	draining := func(i int) dw.ServerState {
+	draining := func(i int) dw.EndpointState {
 		if i < servers-1 {
 			return dw.Draining
 		}
--- a/internal/core/planner.go
+++ b/internal/core/planner.go
@@ -60,7 +60,7 @@
 	acts   []dw.Action
 
 	serving    Serving
-	listed     map[dw.ServerID]dw.ServerEntry
+	listed     map[dw.ServerID]dw.Endpoint
 	known      map[dw.ServerID]bool // ever listed, up to mostKnown
 	excluded   map[dw.ServerID]bool
 	version    int64      // of the list
@@ -90,8 +90,8 @@
 	}
 	return &Planner{Clock: c, gate: g, backends: b, counter: n, books: k, monitor: noMonitor{}, log: log,
 		inbox: newInbox(), reqs: map[dw.RequestID]*taken{}, open: map[string]bool{}, routes: map[dw.ServerID]Backend{},
-		listed: map[dw.ServerID]dw.ServerEntry{}, known: map[dw.ServerID]bool{},
-		excluded: map[dw.ServerID]bool{}, told: toldEntries{entries: map[dw.ServerID]dw.ServerEntry{}}, coldSpan: s.ColdSpan, starts: newStartTimes()}, nil
+		listed: map[dw.ServerID]dw.Endpoint{}, known: map[dw.ServerID]bool{},
+		excluded: map[dw.ServerID]bool{}, told: toldEntries{entries: map[dw.ServerID]dw.Endpoint{}}, coldSpan: s.SlowStartSpan, starts: newStartTimes()}, nil
 }
 
 // Attempts bounds the fetches of reqs taken from now on, below what the module's settings allow.
@@ -152,26 +152,26 @@
 	p.acts = nil // an action may lead to an event of its own
 	for _, a := range acts {
 		switch a := a.(type) {
-		case dw.Send:
+		case dw.StartAttempt:
 			p.send(now, a)
-		case dw.Cancel:
+		case dw.CancelAttempt:
 			p.backends.Cancel(a.Request, a.Attempt)
-		case dw.Refuse:
-			p.answer(a.Request, refusals[a.Why], Answer{Verdict: Refused, RetryAfter: time.Duration(a.RetryAfter)})
+		case dw.Reject:
+			p.answer(a.Request, refusals[a.Reason], Answer{Verdict: Refused, RetryAfter: time.Duration(a.RetryAfter)})
 		case dw.Fail:
-			p.answer(a.Request, failures[a.Why], Answer{Verdict: Failed})
-		case dw.Limit:
+			p.answer(a.Request, failures[a.Reason], Answer{Verdict: Failed})
+		case dw.LimitAnswer:
 			p.answer(a.Request, ledger.PlanServed, Answer{Limit: &a})
-		case dw.Adjusted:
+		case dw.AdjustAnswer:
 			p.answer(a.Request, ledger.PlanServed, Answer{Units: a.Units})
-		case dw.Drawn:
+		case dw.TallyChanged:
 			p.books.Post(ledger.Posting{Event: ledger.UnitsDrawn, Key: ledger.Account(uint64(a.Customer)),
 				Units: ledger.MicroUnits(a.Units)})
 		case dw.SetTimer:
 			heap.Push(&p.timers, a)
-		case dw.Count:
+		case dw.CounterAdd:
 			p.count(now, a)
-		case dw.Subscribe: // discovery is subscribed at all times
+		case dw.SubscribeEndpoints: // discovery is subscribed at all times
 		default:
 			p.log.Error("no such action on this platform", zap.String("action", fmt.Sprintf("%T", a)))
 		}
--- a/internal/core/relay.go
+++ b/internal/core/relay.go
@@ -28,7 +28,7 @@
 	if !m.end.First.IsZero() {
 		first = m.end.First
 	}
-	p.tell(dw.Ended{Request: t.id, Attempt: m.fetch.Attempt, Server: m.fetch.Backend.ID, Outcome: m.end.Outcome,
+	p.tell(dw.AttemptEnded{Request: t.id, Attempt: m.fetch.Attempt, Server: m.fetch.Backend.ID, Outcome: m.end.Outcome,
 		Final: t.answered, Latency: dw.Span(first.Sub(m.began)), Load: m.end.Load})
 	p.drop(t)
 }
@@ -41,6 +41,6 @@
 		m.value.Close()
 		return
 	}
-	p.tell(dw.Started{Request: t.id, Attempt: m.fetch.Attempt, Server: m.fetch.Backend.ID, Latency: dw.Span(time.Since(m.began))})
+	p.tell(dw.AnswerStarted{Request: t.id, Attempt: m.fetch.Attempt, Server: m.fetch.Backend.ID, Latency: dw.Span(time.Since(m.began))})
 	p.answer(t.id, ledger.PlanServed, Answer{Verdict: Served, Stream: m.value})
 }
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -10,7 +10,7 @@
 
 // Listing is news of discovery's list, with the addresses of the backends named in it.
 type Listing struct {
-	List  dw.ServerList
+	List  dw.EndpointList
 	Addrs []string  // in the order of List.Servers
 	Whole bool      // it stands for a list that names every server: what it leaves out is as it was
 	Read  time.Time // when its first byte was read; zero: it is no message of discovery's
@@ -33,10 +33,10 @@
 		named[s.ID] = true
 		old, known := p.routes[s.ID]
 		p.routes[s.ID] = Backend{ID: s.ID, Addr: l.Addrs[i]}
-		if known && (old.Addr != l.Addrs[i] || s.State == dw.Gone) {
+		if known && (old.Addr != l.Addrs[i] || s.State == dw.Removed) {
 			p.backends.Forget(old)
 		}
-		if s.State == dw.Gone {
+		if s.State == dw.Removed {
 			delete(p.routes, s.ID)
 		}
 	}
@@ -55,7 +55,7 @@
 }
 
 // remember keeps the entries of the list as discovery gave them, and gives the list back as the module is told it.
-func (p *Planner) remember(l dw.ServerList, whole bool) dw.ServerList {
+func (p *Planner) remember(l dw.EndpointList, whole bool) dw.EndpointList {
 	if l.Kind == dw.ListFailed {
 		return l
 	}
@@ -65,9 +65,9 @@
 		p.told.clear()
 	}
 	p.version = l.Version
-	told := dw.ServerList{Kind: l.Kind, Version: l.Version, Servers: make([]dw.ServerEntry, len(l.Servers))}
+	told := dw.EndpointList{Kind: l.Kind, Version: l.Version, Servers: make([]dw.Endpoint, len(l.Servers))}
 	for _, e := range l.Servers {
-		if e.State == dw.Gone {
+		if e.State == dw.Removed {
 			delete(p.listed, e.ID)
 			p.told.drop(e.ID)
 			delete(p.starts.servers, e.ID)
@@ -84,7 +84,7 @@
 	p.fewWarm = p.cold()
 	for i, e := range l.Servers {
 		told.Servers[i] = e
-		if e.State != dw.Gone {
+		if e.State != dw.Removed {
 			told.Servers[i] = p.overlay(e)
 		}
 	}
@@ -96,7 +96,7 @@
 }
 
 // resolved is the list with the servers' starts on the planner's clock.
-func (p *Planner) resolved(l dw.ServerList, whole bool) dw.ServerList {
+func (p *Planner) resolved(l dw.EndpointList, whole bool) dw.EndpointList {
 	read := time.Now()
 	now, wall := p.Instant(read), dw.Instant(read.UnixNano())
 	if whole {
@@ -105,7 +105,7 @@
 	l.Servers = slices.Clone(l.Servers)
 	for i := range l.Servers {
 		e := &l.Servers[i]
-		e.Since = p.starts.resolve(e.ID, e.Since, now, wall)
+		e.StartedAt = p.starts.resolve(e.ID, e.StartedAt, now, wall)
 	}
 	return l
 }
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -25,7 +25,7 @@
 }
 
 // send starts a fetch. The module alone decides to send again: nothing here does.
-func (p *Planner) send(now time.Time, a dw.Send) {
+func (p *Planner) send(now time.Time, a dw.StartAttempt) {
 	t := p.reqs[a.Request]
 	if t == nil {
 		return
@@ -34,8 +34,8 @@
 	if until := now.Add(time.Duration(a.Timeout)); a.Timeout != 0 && until.Before(f.Until) {
 		f.Until = until
 	}
-	if a.Within != 0 {
-		f.Begin = now.Add(time.Duration(a.Within))
+	if a.StartWithin != 0 {
+		f.Begin = now.Add(time.Duration(a.StartWithin))
 	}
 	if t.attempts > 0 {
 		p.monitor.Retried(t.last)
--- a/internal/core/starttimes.go
+++ b/internal/core/starttimes.go
@@ -54,7 +54,7 @@
 }
 
 // keep forgets the servers that are not listed.
-func (s *startTimes) keep(listed map[dw.ServerID]dw.ServerEntry) {
+func (s *startTimes) keep(listed map[dw.ServerID]dw.Endpoint) {
 	maps.DeleteFunc(s.servers, func(id dw.ServerID, _ startTime) bool {
 		_, in := listed[id]
 		return !in
--- a/internal/core/starttimes_test.go
+++ b/internal/core/starttimes_test.go
@@ -101,7 +101,7 @@
 	for id := range dw.ServerID(10) {
 		s.resolve(id, begun, begun, begun)
 	}
-	s.keep(map[dw.ServerID]dw.ServerEntry{3: {ID: 3}})
+	s.keep(map[dw.ServerID]dw.Endpoint{3: {ID: 3}})
 	if _, in := s.servers[3]; len(s.servers) != 1 || !in {
 		t.Errorf("%v is left", s)
 	}
--- a/internal/core/takein.go
+++ b/internal/core/takein.go
@@ -103,7 +103,7 @@
 		p.settle(t)
 		t.post(p, ledger.PlanGone)
 		p.monitor.Answered(ledger.PlanGone)
-		p.tell(dw.ClientGone{Request: t.id})
+		p.tell(dw.ClientLeft{Request: t.id})
 		p.drop(t)
 	}
 }
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -8,9 +8,9 @@
 
 // Use is how the servers of a zone are to be used, beside what the list says of them.
 type Use struct {
-	Avoid bool       // nothing new is sent there
-	Since dw.Instant // not 0: as if they had begun then, so that they are fed as cold ones are
-	Look  dw.Look    // it is only looked at
+	Avoid bool               // nothing new is sent there
+	Since dw.Instant         // not 0: as if they had begun then, so that they are fed as cold ones are
+	Look  dw.HealthCheckMode // it is only looked at
 }
 
 // Fleet is what the gateways have settled together of the use of servers.
@@ -44,7 +44,7 @@
 
 // retell tells the module of the listed servers whose use has changed since it was told.
 func (p *Planner) retell() {
-	told := dw.ServerList{Kind: dw.ListDelta, Version: p.version}
+	told := dw.EndpointList{Kind: dw.ListDelta, Version: p.version}
 	p.fewWarm = p.cold()
 	for _, e := range p.listed {
 		if now := p.overlaid(e); now != p.told.entries[e.ID] {
@@ -66,7 +66,7 @@
 		if e.State != dw.Ready || p.fleet.Zones[e.Zone].Avoid || p.excluded[e.ID] || p.fleet.Away[e.ID] {
 			continue
 		}
-		if all++; !p.begins(max(e.Since, p.fleet.Zones[e.Zone].Since)) {
+		if all++; !p.begins(max(e.StartedAt, p.fleet.Zones[e.Zone].Since)) {
 			warm++
 		}
 	}
@@ -88,8 +88,8 @@
 type Watcher interface {
 	Began(f FetchRef, server dw.ServerID, zone int)
 	Ended(f FetchRef, e FetchEnd)
-	Asked()                          // a req was taken in
-	Listed(servers []dw.ServerEntry) // the list, at each change
+	Asked()                       // a req was taken in
+	Listed(servers []dw.Endpoint) // the list, at each change
 }
 
 // Watch has w see fetches; before the planner runs.
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -72,7 +72,7 @@
 // Books are what the client posts to.
 type Books interface{ Post(ledger.Posting) }
 
-var ends = [dw.Outcomes]ledger.Event{dw.OutcomeOK: ledger.CallAdded, dw.OutcomeTimeout: ledger.CallUnknown,
+var ends = [dw.OutcomeCount]ledger.Event{dw.OutcomeOK: ledger.CallAdded, dw.OutcomeTimeout: ledger.CallUnknown,
 	dw.OutcomeRejected: ledger.CallRejected, dw.OutcomeConnectFailed: ledger.CallRejected}
 
 func (c *call) settle(from int32, o dw.Outcome, total float64) bool {
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -24,11 +24,11 @@
 type Member struct {
 	ServerName string // the id, as discovery words it
 	Addr       string
-	Entry      dw.ServerEntry // its Since is Unix time
+	Entry      dw.Endpoint // its Since is Unix time
 }
 
 // phases are the states of servers by discovery's names for them.
-var phases = map[string]dw.ServerState{"up": dw.Ready, "draining": dw.Draining, "removed": dw.Gone}
+var phases = map[string]dw.EndpointState{"up": dw.Ready, "draining": dw.Draining, "removed": dw.Removed}
 
 // Decode reads one message. It is an error, and nothing of it is kept, if any member of it can't be used.
 func (d *Decoder) Decode(text []byte) (Message, error) {
@@ -107,10 +107,10 @@
 		return m, err
 	}
 	state, known := phases[string(f.phase)]
-	if len(f.id) == 0 || !known || len(f.addr) == 0 && state != dw.Gone {
+	if len(f.id) == 0 || !known || len(f.addr) == 0 && state != dw.Removed {
 		return m, fmt.Errorf("members: id %q has host_port %q, phase %q", f.id, f.addr, f.phase)
 	}
-	m.Entry.State, m.Entry.Since = state, core.FromUnixMS(upSinceMS)
+	m.Entry.State, m.Entry.StartedAt = state, core.FromUnixMS(upSinceMS)
 	m.ServerName, m.Entry.ID = d.intern(f.id)
 	m.Addr = d.address(m.Entry.ID, f.addr)
 	return m, nil
--- a/internal/discovery/golden_wire_test.go
+++ b/internal/discovery/golden_wire_test.go
@@ -27,18 +27,18 @@
 		t.Fatal(err)
 	}
 	want := Message{Revision: 41, Complete: true, Members: []Member{
-		{ServerName: "s-5be2a07c", Addr: "10.0.0.1:1001", Entry: dw.ServerEntry{ID: 0x5be2a07c, Cell: 3, Zone: 1, Kind: 1,
-			Since: 1700000000001e6, Rating: 1.5, State: dw.Ready}},
-		{ServerName: "s-00000002", Addr: "10.0.0.2:1002", Entry: dw.ServerEntry{ID: 2, Cell: 4, Zone: 2, Since: 1700000000002e6, Rating: 2.5,
+		{ServerName: "s-5be2a07c", Addr: "10.0.0.1:1001", Entry: dw.Endpoint{ID: 0x5be2a07c, Cell: 3, Zone: 1, Kind: 1,
+			StartedAt: 1700000000001e6, Rating: 1.5, State: dw.Ready}},
+		{ServerName: "s-00000002", Addr: "10.0.0.2:1002", Entry: dw.Endpoint{ID: 2, Cell: 4, Zone: 2, StartedAt: 1700000000002e6, Rating: 2.5,
 			State: dw.Draining}},
-		{ServerName: "s-00000003", Entry: dw.ServerEntry{ID: 3, State: dw.Gone}},
-		{ServerName: "node-x", Addr: "10.0.0.4:1004", Entry: dw.ServerEntry{ID: 1, Cell: 5, Rating: 3.5, State: dw.Ready}},
+		{ServerName: "s-00000003", Entry: dw.Endpoint{ID: 3, State: dw.Removed}},
+		{ServerName: "node-x", Addr: "10.0.0.4:1004", Entry: dw.Endpoint{ID: 1, Cell: 5, Rating: 3.5, State: dw.Ready}},
 	}}
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("\n got %+v\nwant %+v", got, want)
 	}
 	known, err := NewDecoder(names).Known(golden.Read(t, "list.json"))
-	listing := core.Listing{List: dw.ServerList{Kind: dw.ListCached, Version: 41}}
+	listing := core.Listing{List: dw.EndpointList{Kind: dw.ListCached, Version: 41}}
 	for _, m := range want.Members {
 		appendMember(&listing, m)
 	}
--- a/internal/discovery/long_list_test.go
+++ b/internal/discovery/long_list_test.go
@@ -171,7 +171,7 @@
 		clear(list)
 	}
 	for _, s := range m.Members {
-		if delete(list, s.Entry.ID); s.Entry.State != dw.Gone {
+		if delete(list, s.Entry.ID); s.Entry.State != dw.Removed {
 			list[s.Entry.ID] = s
 		}
 	}
@@ -183,7 +183,7 @@
 		clear(list)
 	}
 	for i, e := range l.List.Servers {
-		if delete(list, e.ID); e.State != dw.Gone {
+		if delete(list, e.ID); e.State != dw.Removed {
 			list[e.ID] = Member{ServerName: fmt.Sprintf("s-%08x", uint32(e.ID)), Addr: l.Addrs[i], Entry: e}
 		}
 	}
--- a/internal/discovery/orders_test.go
+++ b/internal/discovery/orders_test.go
@@ -151,7 +151,7 @@
 				got = append(got, fmt.Sprintf("%d (%s)", l.List.Version, state))
 				continue
 			}
-			state = map[dw.ServerState]string{dw.Ready: "up", dw.Draining: "draining", dw.Gone: "removed"}[l.List.Servers[0].State]
+			state = map[dw.EndpointState]string{dw.Ready: "up", dw.Draining: "draining", dw.Removed: "removed"}[l.List.Servers[0].State]
 			got = append(got, fmt.Sprintf("%d %s", l.List.Version, state))
 		case <-time.After(patience):
 			t.Fatalf("told %q, and no more came; want %q", got, want)
--- a/internal/discovery/view.go
+++ b/internal/discovery/view.go
@@ -24,7 +24,7 @@
 
 // change takes a message into the view, and returns what changes by it.
 func (v *view) change(m Message) core.Listing {
-	out := core.Listing{List: dw.ServerList{Kind: dw.ListDelta, Version: m.Revision}, Whole: m.Complete}
+	out := core.Listing{List: dw.EndpointList{Kind: dw.ListDelta, Version: m.Revision}, Whole: m.Complete}
 	if m.Complete {
 		v.round++
 		if !v.whole { // the planner may hold servers that the view does not know
@@ -44,7 +44,7 @@
 // put takes a server into the view, and into out if it changes.
 func (v *view) put(out *core.Listing, s Member) {
 	old, known := v.members[s.Entry.ID]
-	if s.Entry.State == dw.Gone {
+	if s.Entry.State == dw.Removed {
 		delete(v.members, s.Entry.ID)
 		v.decoder.forget(s.Entry.ID)
 		appendMember(out, s)
@@ -64,7 +64,7 @@
 		}
 		delete(v.members, id)
 		v.decoder.forget(id)
-		s.Entry.State = dw.Gone
+		s.Entry.State = dw.Removed
 		appendMember(out, s.Member)
 	}
 	v.decoder.retain(v.members)
@@ -73,7 +73,7 @@
 // forbids is what a message that is not to be believed says of servers that get nothing new; the view is changed by that
 // alone.
 func (v *view) forbids(m Message, version int64) core.Listing {
-	out := core.Listing{List: dw.ServerList{Kind: dw.ListDelta, Version: version}}
+	out := core.Listing{List: dw.EndpointList{Kind: dw.ListDelta, Version: version}}
 	for _, s := range m.Members {
 		if s.Entry.State != dw.Ready {
 			v.put(&out, s)
@@ -89,7 +89,7 @@
 
 // Known reads the list that the configuration holds, which may be out of date, or missing.
 func (d *Decoder) Known(text []byte) (core.Listing, error) {
-	out := core.Listing{List: dw.ServerList{Kind: dw.ListCached}}
+	out := core.Listing{List: dw.EndpointList{Kind: dw.ListCached}}
 	if len(text) == 0 {
 		return out, nil
 	}
--- a/internal/front/limits/golden_test.go
+++ b/internal/front/limits/golden_test.go
@@ -25,16 +25,16 @@
 )
 
 func goldenCommands() *Commands {
-	return &Commands{&platform.Commands{Books: desk.Nobody{}, Words: settings.Words{Plans: []string{"wide", "slim", "open"}},
-		Settings: dw.Settings{Instances: 9, MaxUnits: 40, Plans: []dw.Plan{{Rate: 5, Burst: 10}, {Rate: 6, Burst: 20.5}, {Open: 3}}}}}
+	return &Commands{&platform.Commands{Books: desk.Nobody{}, Names: settings.Names{Plans: []string{"wide", "slim", "open"}},
+		Settings: dw.Settings{Instances: 9, MaxUnits: 40, Plans: []dw.Plan{{Rate: 5, Burst: 10}, {Rate: 6, Burst: 20.5}, {MaxInFlight: 3}}}}}
 }
 
 // The answers to LIMIT.GET and LIMIT.ADJUST by verdict. Clients read them.
 func TestGoldenAnswers(t *testing.T) {
 	var b []byte
 	for _, a := range []core.Answer{
-		{Verdict: core.Served, Limit: &dw.Limit{Request: "r-1", Limit: 20.5, Left: 3.25, More: 1500000001}},
-		{Verdict: core.Served, Limit: &dw.Limit{Request: "r-2", Limit: 10, Left: 9.9996}},
+		{Verdict: core.Served, Limit: &dw.LimitAnswer{Request: "r-1", Limit: 20.5, Remaining: 3.25, ReplenishedAfter: 1500000001}},
+		{Verdict: core.Served, Limit: &dw.LimitAnswer{Request: "r-2", Limit: 10, Remaining: 9.9996}},
 		{Verdict: core.Served, Units: 2.5},
 		{Verdict: core.Served, Units: -1.25},
 		{Verdict: core.Refused},
--- a/internal/front/limits/limits.go
+++ b/internal/front/limits/limits.go
@@ -84,6 +84,6 @@
 		return resp.AppendNumber(b, a.Units)
 	}
 	b = resp.AppendNumber(resp.AppendArray(b, 3), a.Limit.Limit)
-	b = resp.AppendNumber(b, a.Limit.Left)
-	return resp.AppendInt(b, platform.Milliseconds(time.Duration(a.Limit.More)))
+	b = resp.AppendNumber(b, a.Limit.Remaining)
+	return resp.AppendInt(b, platform.Milliseconds(time.Duration(a.Limit.ReplenishedAfter)))
 }
--- a/internal/front/platform/golden_test.go
+++ b/internal/front/platform/golden_test.go
@@ -26,9 +26,9 @@
 )
 
 func goldenCommands() *Commands {
-	return &Commands{Books: desk.Nobody{}, Words: settings.Words{Classes: []string{"quote", "order", "charge"}, Plans: []string{"wide", "slim"}},
-		Settings: dw.Settings{Instances: 9, MaxUnits: 40, Classes: []dw.Class{{Effect: dw.Safe, Aim: 1, Deadline: 1},
-			{Effect: dw.Keyed, Aim: 1, Deadline: 1}, {Effect: dw.Unsafe, Aim: 1, Deadline: 1}}}}
+	return &Commands{Books: desk.Nobody{}, Names: settings.Names{Classes: []string{"quote", "order", "charge"}, Plans: []string{"wide", "slim"}},
+		Settings: dw.Settings{Instances: 9, MaxUnits: 40, Classes: []dw.Class{{Idempotency: dw.Idempotent, Objective: 1, Deadline: 1},
+			{Idempotency: dw.IdempotentByKey, Objective: 1, Deadline: 1}, {Idempotency: dw.NotIdempotent, Objective: 1, Deadline: 1}}}}
 }
 
 // The answers to SVC.QUERY and SVC.SUBMIT by verdict. Clients read them.
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -34,7 +34,7 @@
 type Commands struct {
 	Planner  *core.Planner
 	Books    Books
-	Words    settings.Words
+	Names    settings.Names
 	Settings dw.Settings
 	Figures  *ops.Figures // counts for operators; nil: none
 	State    *ops.State   // whether PING says yes, as it does but when drained; nil: always
@@ -47,7 +47,7 @@
 	if t := c.table.Load(); t != nil {
 		return *t
 	}
-	t := retune.Start(c.Words.Classes, c.Settings.Classes)
+	t := retune.Start(c.Names.Classes, c.Settings.Classes)
 	c.table.CompareAndSwap(nil, &t)
 	return *c.table.Load()
 }
@@ -226,10 +226,10 @@
 	if !known || e.Class < 0 {
 		return nil, fmt.Errorf("c: no class %.32q", class)
 	}
-	r.Class, r.Named, r.Query = e.Class, e.Name, e.Effect == dw.Safe
+	r.Class, r.Named, r.Query = e.Class, e.Name, e.Effect == dw.Idempotent
 	if query != r.Query {
 		return nil, fmt.Errorf("c: class %q is for the other command", class)
-	} else if e.Effect == dw.Keyed && r.Message.Key == "" {
+	} else if e.Effect == dw.IdempotentByKey && r.Message.Key == "" {
 		return nil, errors.New("k: missing")
 	}
 	return r, nil
@@ -253,7 +253,7 @@
 	if err != nil {
 		return "", err
 	}
-	if r.Plan = slices.Index(c.Words.Plans, plan); r.Plan < 0 {
+	if r.Plan = slices.Index(c.Names.Plans, plan); r.Plan < 0 {
 		return "", fmt.Errorf("t: no plan %.32q", plan)
 	}
 	// Danger: a set or units out of range would go into the customer's account, which its other reqs share.
--- a/internal/ledger/desk/planted_test.go
+++ b/internal/ledger/desk/planted_test.go
@@ -93,8 +93,8 @@
 
 	set := dw.Settings{Instances: 1, Zones: 1, Tick: 4e6, Counter: true, CounterTimeout: 1e9, MaxUnits: 4, MaxAttempts: 6,
 		MayCancel: true, MaxRetryAfter: 5e8, ConnectTimeout: 1e9, DrainGrace: 5e8, StartCapacity: 0.2,
-		Classes: []dw.Class{{Aim: 5e9, Deadline: 1e10, Points: 1}, {Aim: 5e9, Deadline: 1e10, Points: 5, Effect: dw.Keyed, DedupWindow: 3e9}},
-		Plans:   []dw.Plan{{Rate: 5, Burst: 10, Price: 1, OverrunCost: 1}, {Rate: 500, Burst: 1000, Price: 1, OverrunCost: 1}}}
+		Classes: []dw.Class{{Objective: 5e9, Deadline: 1e10, Weight: 1}, {Objective: 5e9, Deadline: 1e10, Weight: 5, Idempotency: dw.IdempotentByKey, DedupWindow: 3e9}},
+		Plans:   []dw.Plan{{Rate: 5, Burst: 10, WeightFactor: 1, OverQuotaCost: 1}, {Rate: 500, Burst: 1000, WeightFactor: 1, OverQuotaCost: 1}}}
 	names := backend.Names{Plans: o.Names.Plans}
 	pools := backend.New(names, backend.Limits{Conns: 64, Idle: 15 * time.Second, Connect: time.Second}, plant)
 	count := counter.New(shared.Addr(), 3*time.Second, time.Second, plant, o.Log)
@@ -104,7 +104,7 @@
 	}
 	d.Tallies(planner.Tallies)
 	commands := &limits.Commands{Commands: &platform.Commands{Planner: planner, Books: plant, Settings: set,
-		Words: settings.Words{Classes: o.Names.Classes, Plans: o.Names.Plans}}}
+		Names: settings.Names{Classes: o.Names.Classes, Plans: o.Names.Plans}}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -121,7 +121,7 @@
 	fronts.Go(func() { server.Serve(taking) })
 	list := core.Listing{}
 	for i, b := range backends.Nodes {
-		list.List.Servers = append(list.List.Servers, dw.ServerEntry{ID: dw.ServerID(i + 1)})
+		list.List.Servers = append(list.List.Servers, dw.Endpoint{ID: dw.ServerID(i + 1)})
 		list.Addrs = append(list.Addrs, b.Addr())
 	}
 	if err := planner.Listed(list); err != nil {
--- a/internal/retune/retune.go
+++ b/internal/retune/retune.go
@@ -16,8 +16,8 @@
 // Entry is what one class name means.
 type Entry struct {
 	Name   string
-	Class  int       // of the module; below 0: none is strict enough, and reqs of the name are refused
-	Effect dw.Effect // as the settings that named it last say: which command it comes by
+	Class  int            // of the module; below 0: none is strict enough, and reqs of the name are refused
+	Effect dw.Idempotency // as the settings that named it last say: which command it comes by
 }
 
 // Table is the names that clients may use, those of the settings in force first.
@@ -31,7 +31,7 @@
 	t := make(Table, 0, len(names))
 	for i, n := range names {
 		if _, twice := t.Find(n); !twice { // a name given twice means what it meant first
-			t = append(t, Entry{Name: n, Class: i, Effect: classes[i].Effect})
+			t = append(t, Entry{Name: n, Class: i, Effect: classes[i].Idempotency})
 		}
 	}
 	return t
@@ -43,8 +43,8 @@
 func Spared(names []string, classes []dw.Class) ([]string, []dw.Class) {
 	names, classes = slices.Clone(names), slices.Clone(classes)
 	for i, c := range classes {
-		if c.Effect != dw.Unsafe {
-			c.Effect, c.Group, c.DedupWindow = dw.Unsafe, dw.GroupAll, 0
+		if c.Idempotency != dw.NotIdempotent {
+			c.Idempotency, c.DedupScope, c.DedupWindow = dw.NotIdempotent, dw.DedupAll, 0
 			names, classes = append(names, names[i]+" (once)"), append(classes, c)
 		}
 	}
@@ -61,7 +61,7 @@
 			continue // a name given twice means what it meant first
 		}
 		named[n] = true
-		out = append(out, Entry{Name: n, Class: Choose(module, classes[i]), Effect: classes[i].Effect})
+		out = append(out, Entry{Name: n, Class: Choose(module, classes[i]), Effect: classes[i].Idempotency})
 	}
 	for _, e := range t {
 		if !named[e.Name] && len(out) < MostNames {
@@ -102,9 +102,9 @@
 		if !Stricter(m, c) {
 			continue
 		}
-		d := far(float64(m.Deadline), float64(c.Deadline)) + far(float64(m.Aim), float64(c.Aim)) +
-			far(m.Points+1, c.Points+1)
-		if m.Effect != c.Effect {
+		d := far(float64(m.Deadline), float64(c.Deadline)) + far(float64(m.Objective), float64(c.Objective)) +
+			far(m.Weight+1, c.Weight+1)
+		if m.Idempotency != c.Idempotency {
 			d += 100 // another effect costs retries that the class would have had
 		}
 		if d < nearest {
@@ -123,13 +123,13 @@
 	if m.Streaming != c.Streaming {
 		return false
 	}
-	switch c.Effect {
-	case dw.Safe:
+	switch c.Idempotency {
+	case dw.Idempotent:
 		return true
-	case dw.Keyed:
-		return m.Effect == dw.Unsafe ||
-			m.Effect == dw.Keyed && (m.Group == c.Group || c.Group == dw.GroupAll) && m.DedupWindow <= c.DedupWindow
+	case dw.IdempotentByKey:
+		return m.Idempotency == dw.NotIdempotent ||
+			m.Idempotency == dw.IdempotentByKey && (m.DedupScope == c.DedupScope || c.DedupScope == dw.DedupAll) && m.DedupWindow <= c.DedupWindow
 	default:
-		return m.Effect == dw.Unsafe
+		return m.Idempotency == dw.NotIdempotent
 	}
 }
--- a/internal/retune/retune_test.go
+++ b/internal/retune/retune_test.go
@@ -12,11 +12,11 @@
 
 func class(t *rapid.T, label string) dw.Class {
 	return dw.Class{
-		Aim:         dw.Span(rapid.IntRange(1, 5).Draw(t, label+".aim")) * 1e8,
+		Objective:   dw.Span(rapid.IntRange(1, 5).Draw(t, label+".aim")) * 1e8,
 		Deadline:    dw.Span(rapid.IntRange(1, 5).Draw(t, label+".deadline")) * 1e9,
-		Points:      float64(rapid.IntRange(0, 3).Draw(t, label+".points")),
-		Effect:      dw.Effect(rapid.IntRange(0, 2).Draw(t, label+".effect")),
-		Group:       dw.Group(rapid.IntRange(0, 2).Draw(t, label+".group")),
+		Weight:      float64(rapid.IntRange(0, 3).Draw(t, label+".points")),
+		Idempotency: dw.Idempotency(rapid.IntRange(0, 2).Draw(t, label+".effect")),
+		DedupScope:  dw.DedupScope(rapid.IntRange(0, 2).Draw(t, label+".group")),
 		DedupWindow: dw.Span(rapid.IntRange(0, 3).Draw(t, label+".window")) * 1e9,
 		Streaming:   rapid.IntRange(0, 4).Draw(t, label+".streaming") == 0,
 	}
@@ -51,7 +51,7 @@
 				}
 				seen[n] = true
 				e, ok := table.Find(n)
-				if !ok || e.Effect != cs[i].Effect {
+				if !ok || e.Effect != cs[i].Idempotency {
 					t.Fatalf("%s: %+v, %v", n, e, ok)
 				}
 				if e.Class >= 0 && !Stricter(module[e.Class], cs[i]) {
@@ -108,18 +108,18 @@
 }
 
 func TestStricter(t *testing.T) {
-	safe := dw.Class{Effect: dw.Safe}
-	keyedAll := dw.Class{Effect: dw.Keyed, Group: dw.GroupAll, DedupWindow: 3e9}
-	keyedZone := dw.Class{Effect: dw.Keyed, Group: dw.GroupZone, DedupWindow: 3e9}
-	unsafe := dw.Class{Effect: dw.Unsafe}
+	safe := dw.Class{Idempotency: dw.Idempotent}
+	keyedAll := dw.Class{Idempotency: dw.IdempotentByKey, DedupScope: dw.DedupAll, DedupWindow: 3e9}
+	keyedZone := dw.Class{Idempotency: dw.IdempotentByKey, DedupScope: dw.DedupZone, DedupWindow: 3e9}
+	unsafe := dw.Class{Idempotency: dw.NotIdempotent}
 	for _, c := range []struct {
 		m, c dw.Class
 		want bool
 	}{
 		{safe, safe, true}, {unsafe, safe, true}, {safe, unsafe, false}, {safe, keyedAll, false},
 		{keyedZone, keyedAll, true}, {keyedAll, keyedZone, false}, {unsafe, keyedZone, true},
-		{keyedAll, unsafe, false}, {dw.Class{Effect: dw.Keyed, DedupWindow: 4e9}, keyedAll, false},
-		{dw.Class{Effect: dw.Safe, Streaming: true}, safe, false},
+		{keyedAll, unsafe, false}, {dw.Class{Idempotency: dw.IdempotentByKey, DedupWindow: 4e9}, keyedAll, false},
+		{dw.Class{Idempotency: dw.Idempotent, Streaming: true}, safe, false},
 	} {
 		if got := Stricter(c.m, c.c); got != c.want {
 			t.Errorf("%+v for %+v: %v", c.m, c.c, got)
--- a/internal/snapshot/fit.go
+++ b/internal/snapshot/fit.go
@@ -29,11 +29,11 @@
 
 // Fit turns what m holds into the terms of now's settings, in place: classes and plans go by name. What belongs to one
 // that is gone or has changed is left out, and dropped says how much; what is no number spoils the whole.
-func Fit(m, now *Image) (l *dw.Learnt, dropped int, err error) {
+func Fit(m, now *Image) (l *dw.State, dropped int, err error) {
 	if m.Node != now.Node || m.Instances != now.Instances || m.Self != now.Self || m.Zones != now.Zones {
 		return nil, 0, fmt.Errorf("%w: %s, gateway %d of %d", ErrForeign, m.Node, m.Self, m.Instances)
 	}
-	l = &m.Learnt
+	l = &m.State
 	if err := Check(m); err != nil {
 		return nil, 0, err
 	}
@@ -46,19 +46,19 @@
 	sizes := make([]float64, len(class))
 	for i, was := range class {
 		if sizes[i] = 1; was >= 0 {
-			sizes[i] = l.Sizes[was]
+			sizes[i] = l.ClassSizes[was]
 		}
 	}
-	l.Sizes = sizes
+	l.ClassSizes = sizes
 	for i := range l.Servers {
 		v := &l.Servers[i]
-		verdicts := make([]dw.LearntVerdict, len(class))
+		verdicts := make([]dw.FailureStatistics, len(class))
 		for k, was := range class {
-			if was >= 0 && was < len(v.Verdicts) {
-				verdicts[k] = v.Verdicts[was]
+			if was >= 0 && was < len(v.Failures) {
+				verdicts[k] = v.Failures[was]
 			}
 		}
-		v.Verdicts = verdicts
+		v.Failures = verdicts
 	}
 	kept := l.Customers[:0]
 	for _, c := range l.Customers {
@@ -74,31 +74,31 @@
 
 // Check tells that all numbers are such as a gateway can have: the module takes them as they are.
 func Check(m *Image) error {
-	l := &m.Learnt
-	ok := len(l.Sizes) == len(m.Classes) && len(l.Cut) <= m.Zones
+	l := &m.State
+	ok := len(l.ClassSizes) == len(m.Classes) && len(l.ZoneFailureShare) <= m.Zones
 	within := func(least, most float64, all ...float64) {
 		for _, v := range all {
 			ok = ok && v >= least && v <= most // not so for what is no number
 		}
 	}
 	const many, years = 1e12, 1e9
-	within(0, many, l.Sent, l.Wanted, l.Tried, l.Good, l.Budget)
-	within(0, many, l.CallRate, l.CallQuickest)
-	within(1e-9, many, l.Latency, l.Idle, l.Worth)
-	within(1e-9, many, l.Sizes...)
-	within(0, 1-1e-9, l.Cut...)
+	within(0, many, l.SentAttempts, l.EndpointRequests, l.ThrottleRequests, l.ThrottleAccepts, l.RetryBudget)
+	within(0, many, l.CounterCallRate, l.CounterMinLatency)
+	within(1e-9, many, l.Latency, l.IdleLatency, l.MeanWeight)
+	within(1e-9, many, l.ClassSizes...)
+	within(0, 1-1e-9, l.ZoneFailureShare...)
 	for _, v := range l.Servers {
 		within(1e-9, many, v.Latency)
-		within(-many, many, v.Fed, v.Rating)
-		for _, d := range v.Verdicts {
-			within(0, 1000, float64(d.Failed))
+		within(-many, many, v.SlowStartBudget, v.Rating)
+		for _, d := range v.Failures {
+			within(0, 1000, float64(d.Count))
 		}
 	}
 	for _, c := range l.Customers {
 		ok = ok && c.Plan >= 0 && c.Plan < len(m.Plans) && c.Spread > 0 && c.Spread <= m.Instances && c.Window > 0
-		within(-many, many, c.Level, c.Total, c.Mine)
-		within(0, many, c.Own, c.Others, c.Asked, c.AskedIn)
-		within(-years, years, c.Past)
+		within(-many, many, c.Level, c.WindowTotal, c.OwnInWindow)
+		within(0, many, c.OwnRate, c.OthersRate, c.Demand, c.DemandSpan)
+		within(-years, years, c.WindowElapsed)
 		within(-many, many, c.Predicted)
 	}
 	if !ok {
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -42,13 +42,13 @@
 
 // Image is a snapshot's content: what was learnt, and whose settings its indices are of.
 type Image struct {
-	Node      string    `json:"Node"`
-	Instances int       `json:"Instances"`
-	Self      int       `json:"Self"`
-	Zones     int       `json:"Zones"`
-	Classes   []string  `json:"Classes"`
-	Plans     []Plan    `json:"Plans"`
-	Learnt    dw.Learnt `json:"Learnt"`
+	Node      string   `json:"Node"`
+	Instances int      `json:"Instances"`
+	Self      int      `json:"Self"`
+	Zones     int      `json:"Zones"`
+	Classes   []string `json:"Classes"`
+	Plans     []Plan   `json:"Plans"`
+	State     dw.State `json:"Learnt"`
 }
 
 // Plan is what a plan's accounts depend on; one that says anything else is another plan.
@@ -136,8 +136,8 @@
 	if err := decoding.Unmarshal(b[headerSize:], m); err != nil {
 		return g, nil, fmt.Errorf("%w: %v", ErrBroken, err)
 	}
-	if len(m.Learnt.Customers) > MaxCustomers {
-		return g, nil, fmt.Errorf("%w: %d customers", ErrBroken, len(m.Learnt.Customers))
+	if len(m.State.Customers) > MaxCustomers {
+		return g, nil, fmt.Errorf("%w: %d customers", ErrBroken, len(m.State.Customers))
 	}
 	return g, m, nil
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -25,15 +25,15 @@
 func image(n int, v float64) *snapshot.Image {
 	m := &snapshot.Image{Node: "n1", Instances: 4, Self: 1, Zones: 2, Classes: []string{"query", "booking"},
 		Plans: []snapshot.Plan{{Name: "fleet", Rate: 8, Burst: 16}, {Name: "basic", Rate: 4, Burst: 8}}}
-	m.Learnt = dw.Learnt{At: 1e18, Latency: 0.05, Idle: 0.04, Worth: 2, Sizes: []float64{1, v + 1}, Cut: []float64{0, 0.5}}
+	m.State = dw.State{At: 1e18, Latency: 0.05, IdleLatency: 0.04, MeanWeight: 2, ClassSizes: []float64{1, v + 1}, ZoneFailureShare: []float64{0, 0.5}}
 	for i := range 10 {
-		m.Learnt.Servers = append(m.Learnt.Servers, dw.LearntServer{ServerEntry: dw.ServerEntry{ID: dw.ServerID(i)},
-			Latency: 0.1, Verdicts: []dw.LearntVerdict{{Failed: 1}, {Failed: 2}}})
+		m.State.Servers = append(m.State.Servers, dw.ServerStatistics{Endpoint: dw.Endpoint{ID: dw.ServerID(i)},
+			Latency: 0.1, Failures: []dw.FailureStatistics{{Count: 1}, {Count: 2}}})
 	}
 	for i := range n {
-		m.Learnt.Customers = append(m.Learnt.Customers, dw.LearntCustomer{ID: dw.CustomerID(rand.Uint64()), Plan: i % 2,
-			Spread: 4, InSet: true, Window: 4e9, Level: v, Own: v, Others: 1.7 * v, At: 1e18, LastTotal: 1e18 - 3e8,
-			Seen: 1e18 - 7, Turn: 12345678, Total: v, Mine: v / 3, Past: 1.234})
+		m.State.Customers = append(m.State.Customers, dw.AccountState{ID: dw.CustomerID(rand.Uint64()), Plan: i % 2,
+			Spread: 4, InSet: true, Window: 4e9, Level: v, OwnRate: v, OthersRate: 1.7 * v, UpdatedAt: 1e18, LastTotalAt: 1e18 - 3e8,
+			LastRequestAt: 1e18 - 7, WindowNumber: 12345678, WindowTotal: v, OwnInWindow: v / 3, WindowElapsed: 1.234})
 	}
 	return m
 }
@@ -48,7 +48,7 @@
 		}
 		b = b[len("front"):]
 		g2, m2, err := snapshot.Decode(b)
-		if err != nil || g2 != g || !reflect.DeepEqual(m2.Learnt.Servers, m.Learnt.Servers) ||
+		if err != nil || g2 != g || !reflect.DeepEqual(m2.State.Servers, m.State.Servers) ||
 			fmt.Sprint(m2) != fmt.Sprint(m) {
 			t.Fatalf("%v: %v\n%v\n%v", err, g2, m2, m)
 		}
@@ -109,7 +109,7 @@
 }
 
 func TestFit(t *testing.T) {
-	now := func() *snapshot.Image { m := image(0, 0); m.Learnt = dw.Learnt{}; return m }
+	now := func() *snapshot.Image { m := image(0, 0); m.State = dw.State{}; return m }
 	then := image(10, 1)
 	other := now()
 	other.Classes = []string{"booking", "inquiry"}                                                         // one dropped, one new, another order
@@ -118,14 +118,14 @@
 	if err != nil || dropped != 6 || len(l.Customers) != 5 || l.Customers[0].Plan != 0 {
 		t.Fatalf("%v: %d dropped, %+v", err, dropped, l)
 	}
-	if want := []float64{2, 1}; !reflect.DeepEqual(l.Sizes, want) || l.Servers[0].Verdicts[0].Failed != 2 || l.Servers[0].Verdicts[1].Failed != 0 {
-		t.Fatalf("%v, %+v", l.Sizes, l.Servers[0])
+	if want := []float64{2, 1}; !reflect.DeepEqual(l.ClassSizes, want) || l.Servers[0].Failures[0].Count != 2 || l.Servers[0].Failures[1].Count != 0 {
+		t.Fatalf("%v, %+v", l.ClassSizes, l.Servers[0])
 	}
 	for i, spoil := range []func(m *snapshot.Image){func(m *snapshot.Image) { m.Node = "n2" }, func(m *snapshot.Image) { m.Instances++ },
-		func(m *snapshot.Image) { m.Learnt.Latency = 0 }, func(m *snapshot.Image) { m.Learnt.Sizes = nil },
-		func(m *snapshot.Image) { m.Learnt.Worth = math.NaN() }, func(m *snapshot.Image) { m.Learnt.Customers[3].Plan = 2 },
-		func(m *snapshot.Image) { m.Learnt.Customers[3].Level = math.Inf(1) }, func(m *snapshot.Image) { m.Learnt.Cut[1] = 1 },
-		func(m *snapshot.Image) { m.Learnt.Servers[3].Latency = -1 }} {
+		func(m *snapshot.Image) { m.State.Latency = 0 }, func(m *snapshot.Image) { m.State.ClassSizes = nil },
+		func(m *snapshot.Image) { m.State.MeanWeight = math.NaN() }, func(m *snapshot.Image) { m.State.Customers[3].Plan = 2 },
+		func(m *snapshot.Image) { m.State.Customers[3].Level = math.Inf(1) }, func(m *snapshot.Image) { m.State.ZoneFailureShare[1] = 1 },
+		func(m *snapshot.Image) { m.State.Servers[3].Latency = -1 }} {
 		m := image(10, 1)
 		spoil(m)
 		if l, _, err := snapshot.Fit(m, now()); err == nil || l != nil {
@@ -164,7 +164,7 @@
 	latest := func(v float64, life, number uint64) {
 		t.Helper()
 		f, err := snapshot.Latest(dir, "n1")
-		if err != nil || f.Image == nil || f.Image.Learnt.Customers[4].Level != v || f.Generation != (snapshot.Generation{Life: life, Number: number}) {
+		if err != nil || f.Image == nil || f.Image.State.Customers[4].Level != v || f.Generation != (snapshot.Generation{Life: life, Number: number}) {
 			t.Fatalf("%+v, %v", f.Generation, err)
 		}
 	}
@@ -249,8 +249,8 @@
 			t.Fatalf("kill %d: found %+v, where %+v was on the disk", kill, f.Generation, said)
 		}
 		want := float64(f.Life*1e6 + f.Number)
-		for _, c := range f.Image.Learnt.Customers {
-			if c.Level != want || c.Total != want {
+		for _, c := range f.Image.State.Customers {
+			if c.Level != want || c.WindowTotal != want {
 				t.Fatalf("kill %d: mixed: %v in %v", kill, c.Level, want)
 			}
 		}
@@ -277,13 +277,15 @@
 				t.Fatal(err)
 			}
 			g.Import(l.At+1e6, l)
-			g.Handle(l.At+2e6, dw.ServerList{Kind: dw.ListFull, Servers: []dw.ServerEntry{{ID: 1}}}, nil)
+			g.Handle(l.At+2e6, dw.EndpointList{Kind: dw.ListFull, Servers: []dw.Endpoint{{ID: 1}}}, nil)
 			g.Handle(l.At+3e6, dw.Arrival{ID: "a", Remaining: 1e9, Units: 1, Spread: 1}, nil)
 		}
 	})
 }
 
-func make2() []dw.Class { return []dw.Class{{Aim: 1e9, Deadline: 1e9}, {Aim: 1e9, Deadline: 1e9}} }
+func make2() []dw.Class {
+	return []dw.Class{{Objective: 1e9, Deadline: 1e9}, {Objective: 1e9, Deadline: 1e9}}
+}
 
 func BenchmarkEncode(b *testing.B) {
 	m := image(10000, 123.456)
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -29,7 +29,7 @@
 	for e := ledger.None + 1; e < ledger.Events; e++ {
 		m.Answered(e)
 	}
-	for o := range dw.Outcomes {
+	for o := range dw.OutcomeCount {
 		m.Retried(o)
 	}
 	return m
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -44,7 +44,7 @@
 	listBytes   prometheus.Counter
 	listBreaks  *prometheus.CounterVec
 	answers     [ledger.Events]prometheus.Counter
-	retries     [dw.Outcomes]prometheus.Counter
+	retries     [dw.OutcomeCount]prometheus.Counter
 	closes      *prometheus.CounterVec
 	overdue     prometheus.Counter
 	collectors  []prometheus.Collector
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -259,7 +259,7 @@
 		m.Body = Kill{}
 	case "peers_known":
 		scope := f.code("Scope", 5)
-		l := dw.ServerList{Version: f.int64("Serial")}
+		l := dw.EndpointList{Version: f.int64("Serial")}
 		switch scope {
 		case 1:
 			l.Kind = dw.ListCached
@@ -298,22 +298,22 @@
 		a.Repeat, a.Write = o&2 != 0, o&4 != 0
 		m.Body = a
 	case "established":
-		m.Body = dw.Started{Request: f.request(), Attempt: f.code("Hop", math.MaxInt32), Server: f.server("Server"),
+		m.Body = dw.AnswerStarted{Request: f.request(), Attempt: f.code("Hop", math.MaxInt32), Server: f.server("Server"),
 			Latency: dw.Span(f.int64("Spent"))}
 	case "response":
-		e := dw.Ended{Request: f.request(), Final: f.bool("NoMore"), Used: int(f.int64("UsePct"))}
+		e := dw.AttemptEnded{Request: f.request(), Final: f.bool("NoMore"), Used: int(f.int64("UsePct"))}
 		e.Server, e.Outcome, e.Latency = f.server("Server"), f.outcome(), dw.Span(f.int64("Spent"))
 		e.Attempt, e.TrueUnits, e.Load = f.code("Hop", math.MaxInt32), f.float("TrueUnits"), f.load()
 		m.Body = e
 	case "vanished":
-		m.Body = dw.ClientGone{Request: f.request()}
+		m.Body = dw.ClientLeft{Request: f.request()}
 	case "ring":
 		m.Body = dw.TimerFired{ID: dw.TimerID(f.need("Ref"))}
 	case "health":
-		m.Body = dw.Probed{Server: f.server("Server"), Outcome: f.outcome(), Latency: dw.Span(f.int64("Spent")),
+		m.Body = dw.HealthChecked{Server: f.server("Server"), Outcome: f.outcome(), Latency: dw.Span(f.int64("Spent")),
 			Load: f.load()}
 	case "peer":
-		p := dw.Told{From: f.code("Src", math.MaxInt32)}
+		p := dw.PeerMessage{From: f.code("Src", math.MaxInt32)}
 		if raw := f.take("Raw"); raw != "-" {
 			var err error
 			if p.Data, err = hex.DecodeString(raw); err != nil {
@@ -322,24 +322,24 @@
 		}
 		m.Body = p
 	case "ledger_reply":
-		m.Body = dw.Counted{Name: f.need("Cname"), Outcome: f.outcome(), Latency: dw.Span(f.int64("Spent")),
+		m.Body = dw.CounterAnswered{Name: f.need("Cname"), Outcome: f.outcome(), Latency: dw.Span(f.int64("Spent")),
 			Total: f.float("Value")}
 	}
 	return m, f.err
 }
 
-func (r *Reader) entry() (dw.ServerEntry, error) {
+func (r *Reader) entry() (dw.Endpoint, error) {
 	s, err := r.next()
 	if err != nil {
-		return dw.ServerEntry{}, &Error{r.line + 1, "m", "-", "the input ends inside a list"}
+		return dw.Endpoint{}, &Error{r.line + 1, "m", "-", "the input ends inside a list"}
 	}
 	f := r.fields("m", s, 7)
 	if !strings.HasPrefix(s, "m ") {
 		f.fail("-", "want a list entry")
 	}
-	e := dw.ServerEntry{Cell: int(f.int64("Pod")), Zone: int(f.int64("Site")), Kind: int(f.int64("GenerationHw")),
-		ID: f.server("Server"), Since: dw.Instant(f.int64("OnlineSince")), Rating: f.float("Rating")}
-	e.State = [...]dw.ServerState{dw.Draining, dw.Ready, dw.Gone}[f.code("State", 3)]
+	e := dw.Endpoint{Cell: int(f.int64("Pod")), Zone: int(f.int64("Site")), Kind: int(f.int64("GenerationHw")),
+		ID: f.server("Server"), StartedAt: dw.Instant(f.int64("OnlineSince")), Rating: f.float("Rating")}
+	e.State = [...]dw.EndpointState{dw.Draining, dw.Ready, dw.Removed}[f.code("State", 3)]
 	return e, f.err
 }
 
@@ -349,16 +349,16 @@
 	text := func(s string) { b = append(append(b, ' '), s...) }
 	num := func(v int64) { b = strconv.AppendInt(append(b, ' '), v, 10) }
 	switch a := a.(type) {
-	case dw.Send:
+	case dw.StartAttempt:
 		line("deliver")
 		text(string(a.Request))
 		num(int64(a.Server))
 		num(int64(a.Timeout))
-	case dw.Cancel:
+	case dw.CancelAttempt:
 		line("undo_send")
 		text(string(a.Request))
 		num(int64(a.Attempt))
-	case dw.Refuse:
+	case dw.Reject:
 		line("deny")
 		text(string(a.Request))
 		num(int64(a.RetryAfter))
@@ -369,18 +369,18 @@
 		line("remind")
 		num(int64(a.At))
 		text(string(a.ID))
-	case dw.Count:
+	case dw.CounterAdd:
 		line("bump")
 		text(a.Name)
 		b = strconv.AppendFloat(append(b, ' '), a.Add, 'f', -1, 64)
 		num(int64(a.TTL))
-	case dw.Probe:
+	case dw.HealthCheck:
 		line("probe")
 		num(int64(a.Server))
-	case dw.Subscribe:
+	case dw.SubscribeEndpoints:
 		line("stream_changes")
 		num(1)
-	case dw.Drawn: // for bookkeeping alone
+	case dw.TallyChanged: // for bookkeeping alone
 		return b
 	default:
 		panic(fmt.Sprintf("wire: no line for %T", a))
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -34,22 +34,22 @@
 		{"kill gateway_3", Kill{}},
 		{"submit gateway_3 r-brwyere 0 1 91f03b7c55d20a64 240000000 2.5 3 1 6", dw.Arrival{ID: "r-brwyere", Plan: 1,
 			Customer: 0x91f03b7c55d20a64, Remaining: 240e6, Units: 2.5, Spread: 3, First: 1, Repeat: true, Write: true}},
-		{"response gateway_3 r-a 1 86 51 1 18500000 0 3 inflight:4,novel:9,qps:2.5", dw.Ended{Request: "r-a", Final: true,
+		{"response gateway_3 r-a 1 86 51 1 18500000 0 3 inflight:4,novel:9,qps:2.5", dw.AttemptEnded{Request: "r-a", Final: true,
 			Used: 86, Server: 51, Outcome: dw.OutcomeOK, Latency: 18500000, TrueUnits: 3,
 			Load: dw.Load{Has: dw.HasInflight | dw.HasRate, Inflight: 4, Rate: 2.5}}},
-		{"response gateway_3 r-a 0 - 51 4 1 2 - -", dw.Ended{Request: "r-a", Server: 51, Latency: 1, Attempt: 2,
+		{"response gateway_3 r-a 0 - 51 4 1 2 - -", dw.AttemptEnded{Request: "r-a", Server: 51, Latency: 1, Attempt: 2,
 			Outcome: dw.OutcomeConnectFailed}},
-		{"established gateway_3 r-a 0 51 9", dw.Started{Request: "r-a", Server: 51, Latency: 9}},
-		{"vanished gateway_3 r-a", dw.ClientGone{Request: "r-a"}},
+		{"established gateway_3 r-a 0 51 9", dw.AnswerStarted{Request: "r-a", Server: 51, Latency: 9}},
+		{"vanished gateway_3 r-a", dw.ClientLeft{Request: "r-a"}},
 		{"ring gateway_3 sweep", dw.TimerFired{ID: "sweep"}},
-		{"health gateway_3 747 3 1400000 -", dw.Probed{Server: 747, Outcome: dw.OutcomeTimeout, Latency: 1400000}},
-		{"peer gateway_3 2 6869", dw.Told{From: 2, Data: []byte("hi")}},
-		{"peer gateway_3 2 -", dw.Told{From: 2}},
-		{"ledger_reply gateway_3 sweep 1 2150000 38", dw.Counted{Name: "sweep", Latency: 2150000, Total: 38}},
-		{"peers_known gateway_3 1 41 2\nm 0 0 0 51 - 1 1\nm 3 1 2 74 6100000000 1.5 0", dw.ServerList{Kind: dw.ListCached,
-			Version: 41, Servers: []dw.ServerEntry{{ID: 51, Rating: 1},
-				{ID: 74, Cell: 3, Zone: 1, Kind: 2, Since: 6100000000, Rating: 1.5, State: dw.Draining}}}},
-		{"peers_known gateway_3 2 41 0", dw.ServerList{Kind: dw.ListFailed, Version: 41}},
+		{"health gateway_3 747 3 1400000 -", dw.HealthChecked{Server: 747, Outcome: dw.OutcomeTimeout, Latency: 1400000}},
+		{"peer gateway_3 2 6869", dw.PeerMessage{From: 2, Data: []byte("hi")}},
+		{"peer gateway_3 2 -", dw.PeerMessage{From: 2}},
+		{"ledger_reply gateway_3 sweep 1 2150000 38", dw.CounterAnswered{Name: "sweep", Latency: 2150000, Total: 38}},
+		{"peers_known gateway_3 1 41 2\nm 0 0 0 51 - 1 1\nm 3 1 2 74 6100000000 1.5 0", dw.EndpointList{Kind: dw.ListCached,
+			Version: 41, Servers: []dw.Endpoint{{ID: 51, Rating: 1},
+				{ID: 74, Cell: 3, Zone: 1, Kind: 2, StartedAt: 6100000000, Rating: 1.5, State: dw.Draining}}}},
+		{"peers_known gateway_3 2 41 0", dw.EndpointList{Kind: dw.ListFailed, Version: 41}},
 	}
 	for _, c := range cases {
 		r := read(t, "round 8412250000\n"+c.line+"\ncommit\n")
@@ -64,10 +64,10 @@
 func TestSettings(t *testing.T) {
 	h := read(t, "round 1\nhello gateway_1 77 "+settingsText+"\ncommit\n").Messages[0].Body.(Hello)
 	want := Hello{Seed: 77, Settings: dw.Settings{Instances: 2, Self: 1, Zones: 2, Zone: 1, Tick: 4e6,
-		Classes: []dw.Class{{Aim: 400e6, Deadline: 800e6, Effect: dw.Keyed, Group: dw.GroupCell, Points: 3}},
-		Plans:   []dw.Plan{{Rate: 1.5, Burst: 6, Open: 2, CeilingRate: 3, CeilingBurst: 9, Tolerance: 1}},
+		Classes: []dw.Class{{Objective: 400e6, Deadline: 800e6, Idempotency: dw.IdempotentByKey, DedupScope: dw.DedupCell, Weight: 3}},
+		Plans:   []dw.Plan{{Rate: 1.5, Burst: 6, MaxInFlight: 2, CeilingRate: 3, CeilingBurst: 9, Tolerance: 1}},
 		Counter: true, CounterTimeout: 50e6, MaxUnits: 4, MaxAttempts: 3, MaxRetryAfter: 500e6, ListOnRequest: true,
-		Reports: dw.ReportsInAnswers, ReportFields: dw.HasInflight, RatingsTell: true}}
+		Reports: dw.ReportsInAnswers, ReportFields: dw.HasInflight, RatingsDiffer: true}}
 	if !reflect.DeepEqual(h, want) {
 		t.Errorf("got  %+v\nwant %+v", h, want)
 	}
@@ -118,14 +118,14 @@
 		a    dw.Action
 		want string
 	}{
-		{dw.Send{Request: "r-a", Server: 51530247, Timeout: 80e6}, "deliver g r-a 51530247 80000000\n"},
-		{dw.Cancel{Request: "r-a", Attempt: 1}, "undo_send g r-a 1\n"},
-		{dw.Refuse{Request: "r-a", RetryAfter: 250e6}, "deny g r-a 250000000\n"},
+		{dw.StartAttempt{Request: "r-a", Server: 51530247, Timeout: 80e6}, "deliver g r-a 51530247 80000000\n"},
+		{dw.CancelAttempt{Request: "r-a", Attempt: 1}, "undo_send g r-a 1\n"},
+		{dw.Reject{Request: "r-a", RetryAfter: 250e6}, "deny g r-a 250000000\n"},
 		{dw.Fail{Request: "r-a"}, "finish_error g r-a\n"},
 		{dw.SetTimer{At: 8912250000, ID: "x"}, "remind g 8912250000 x\n"},
-		{dw.Count{Name: "n", Add: -1.5, TTL: 3e9}, "bump g n -1.5 3000000000\n"},
-		{dw.Probe{Server: 7}, "probe g 7\n"},
-		{dw.Subscribe{}, "stream_changes g 1\n"},
+		{dw.CounterAdd{Name: "n", Add: -1.5, TTL: 3e9}, "bump g n -1.5 3000000000\n"},
+		{dw.HealthCheck{Server: 7}, "probe g 7\n"},
+		{dw.SubscribeEndpoints{}, "stream_changes g 1\n"},
 	}
 	for _, c := range cases {
 		if got := string(AppendAction(nil, "g", c.a)); got != c.want {
--- a/limits.go
+++ b/limits.go
@@ -3,7 +3,7 @@
 // This file words the answers to queries about limits. It decides nothing on requests.
 
 // left is what c's quota held by the total just read, before what was spent later, and when it holds more.
-func (g *Gateway) left(c *customer, later float64, id RequestID) Limit {
+func (g *Gateway) left(c *customer, later float64, id RequestID) LimitAnswer {
 	g.advance(c)
 	window := c.plan.Rate*seconds(c.window) - c.total - c.tally + later // until c is listed
 	level := c.level + later
@@ -16,11 +16,11 @@
 	if g.now < c.listedTill {
 		window = 0
 	}
-	l := Limit{Request: id, Limit: c.plan.Burst, Left: max(0, min(level, window, c.plan.Burst))}
-	if l.Left < c.plan.Burst && l.Left == max(0, window) { // it is the window that binds
-		l.More = Span(c.edge() - g.now)
-	} else if l.Left < c.plan.Burst {
-		l.More = Span(max(1, 1-level) / c.plan.Rate * 1e9)
+	l := LimitAnswer{Request: id, Limit: c.plan.Burst, Remaining: max(0, min(level, window, c.plan.Burst))}
+	if l.Remaining < c.plan.Burst && l.Remaining == max(0, window) { // it is the window that binds
+		l.ReplenishedAfter = Span(c.edge() - g.now)
+	} else if l.Remaining < c.plan.Burst {
+		l.ReplenishedAfter = Span(max(1, 1-level) / c.plan.Rate * 1e9)
 	}
 	return l
 }
--- a/limits_test.go
+++ b/limits_test.go
@@ -22,7 +22,7 @@
 
 func (b *bed) left(t *testing.T, want float64) {
 	t.Helper()
-	if l, ok := b.command(0, 1, 300*ms).(dw.Limit); !ok || math.Abs(l.Left-want) > 1 {
+	if l, ok := b.command(0, 1, 300*ms).(dw.LimitAnswer); !ok || math.Abs(l.Remaining-want) > 1 {
 		t.Errorf("%+v, want %v left", l, want)
 	}
 }
@@ -35,20 +35,20 @@
 }
 
 func TestQuery(t *testing.T) {
-	b := newBed(t, limited(), dw.ServerEntry{ID: 7})
+	b := newBed(t, limited(), dw.Endpoint{ID: 7})
 	b.left(t, 6)
 	b.serve(3, ms, dw.Arrival{Customer: 1})
 	b.left(t, 3)
 	b.serve(9, ms, dw.Arrival{Customer: 1})
-	l, ok := b.command(0, 1, 300*ms).(dw.Limit)
-	if !ok || l.Left >= 1 || l.Limit != 6 || l.More <= 0 || l.More > 10*sec {
+	l, ok := b.command(0, 1, 300*ms).(dw.LimitAnswer)
+	if !ok || l.Remaining >= 1 || l.Limit != 6 || l.ReplenishedAfter <= 0 || l.ReplenishedAfter > 10*sec {
 		t.Errorf("over the quota: %+v", l)
 	}
 	// The advice holds: when the time has come, one more is let in, and not before.
 	if in := b.serve(1, ms, dw.Arrival{Customer: 1}); in != 0 {
 		t.Error("let in before the time")
 	}
-	b.pass(l.More + 200*ms)
+	b.pass(l.ReplenishedAfter + 200*ms)
 	if in := b.serve(1, ms, dw.Arrival{Customer: 1}); in != 1 {
 		t.Error("not let in when the time has come")
 	}
@@ -56,31 +56,31 @@
 
 // What is taken after a query came is not in its answer, though its own call may push it.
 func TestQuerySeesNothingLater(t *testing.T) {
-	b := newBed(t, limited(), dw.ServerEntry{ID: 7})
+	b := newBed(t, limited(), dw.Endpoint{ID: 7})
 	b.serve(1, ms, dw.Arrival{Customer: 1})
 	b.do(dw.LimitQuery{ID: "early", Customer: 1, Remaining: 800 * ms, Spread: 1})
 	b.serve(3, ms, dw.Arrival{Customer: 1})
 	b.pass(300 * ms)
-	if l, ok := b.over["early"].(dw.Limit); !ok || math.Abs(l.Left-5) > 0.5 {
+	if l, ok := b.over["early"].(dw.LimitAnswer); !ok || math.Abs(l.Remaining-5) > 0.5 {
 		t.Errorf("%+v, want 5 left", l)
 	}
 }
 
 func TestAdjust(t *testing.T) {
-	b := newBed(t, limited(), dw.ServerEntry{ID: 7})
+	b := newBed(t, limited(), dw.Endpoint{ID: 7})
 	steps := []struct {
 		units float64
 		want  any
-	}{{-2, dw.Adjusted{Units: 0}}, {5, dw.Adjusted{Units: 5}}, {2, nil}, {-2, dw.Adjusted{Units: -2}},
-		{-9, dw.Adjusted{Units: -3}}, {-1, dw.Adjusted{Units: 0}}}
+	}{{-2, dw.AdjustAnswer{Units: 0}}, {5, dw.AdjustAnswer{Units: 5}}, {2, nil}, {-2, dw.AdjustAnswer{Units: -2}},
+		{-9, dw.AdjustAnswer{Units: -3}}, {-1, dw.AdjustAnswer{Units: 0}}}
 	for i, step := range steps {
 		got := b.command(step.units, 1, 300*ms)
 		switch got := got.(type) {
-		case dw.Adjusted:
-			if want, ok := step.want.(dw.Adjusted); !ok || math.Abs(got.Units-want.Units) > 1e-9 {
+		case dw.AdjustAnswer:
+			if want, ok := step.want.(dw.AdjustAnswer); !ok || math.Abs(got.Units-want.Units) > 1e-9 {
 				t.Errorf("step %d, %v: %+v", i, step.units, got)
 			}
-		case dw.Refuse:
+		case dw.Reject:
 			if step.want != nil || got.RetryAfter <= 0 {
 				t.Errorf("step %d, %v: %+v", i, step.units, got)
 			}
@@ -103,8 +103,8 @@
 // With no answer of the counter there is none to a query, and its failure comes before its time is up.
 func TestQueryWithNoCounter(t *testing.T) {
 	for _, o := range []dw.Outcome{dw.OutcomeTimeout, dw.OutcomeRejected, dw.OutcomeConnectFailed} {
-		b := newBed(t, limited(), dw.ServerEntry{ID: 7})
-		b.answer = func(c dw.Count) *dw.Counted { return &dw.Counted{Name: c.Name, Outcome: o} }
+		b := newBed(t, limited(), dw.Endpoint{ID: 7})
+		b.answer = func(c dw.CounterAdd) *dw.CounterAnswered { return &dw.CounterAnswered{Name: c.Name, Outcome: o} }
 		if a, ok := b.command(0, 1, 790*ms).(dw.Fail); !ok {
 			t.Errorf("outcome %v: %+v", o, a)
 		}
@@ -116,11 +116,11 @@
 
 // A push whose answer was lost has counted: its units must not be taken from the store again as others' use.
 func TestLostAnswer(t *testing.T) {
-	b := newBed(t, limited(), dw.ServerEntry{ID: 7})
+	b := newBed(t, limited(), dw.Endpoint{ID: 7})
 	add := b.answer
 	b.left(t, 6)
 	b.serve(2, ms, dw.Arrival{Customer: 1})
-	b.answer = func(c dw.Count) *dw.Counted { add(c); return nil }
+	b.answer = func(c dw.CounterAdd) *dw.CounterAnswered { add(c); return nil }
 	b.command(0, 1, 100*ms)
 	b.answer = add
 	b.pass(sec)
@@ -130,8 +130,11 @@
 // A total that falls is told apart: others gave back, or the counter has lost its numbers.
 func TestTotalThatFalls(t *testing.T) {
 	total := 0.0
-	b := newBed(t, limited(), dw.ServerEntry{ID: 7})
-	b.answer = func(c dw.Count) *dw.Counted { total += c.Add; return &dw.Counted{Name: c.Name, Total: total} }
+	b := newBed(t, limited(), dw.Endpoint{ID: 7})
+	b.answer = func(c dw.CounterAdd) *dw.CounterAnswered {
+		total += c.Add
+		return &dw.CounterAnswered{Name: c.Name, Total: total}
+	}
 	b.serve(2, ms, dw.Arrival{Customer: 1, Spread: 2})
 	total += 3 // by the other gateway
 	b.left(t, 1)
@@ -144,13 +147,13 @@
 // A request that waited for the count is not sent on when its client has left: nothing would end that attempt.
 func TestHeldForOneThatLeft(t *testing.T) {
 	s := settings()
-	s.Plans[0] = dw.Plan{Rate: 1, Burst: 1, Price: 1, OverrunCost: 1} // thin: the push comes first
-	b := newBed(t, s, dw.ServerEntry{ID: 7})
+	s.Plans[0] = dw.Plan{Rate: 1, Burst: 1, WeightFactor: 1, OverQuotaCost: 1} // thin: the push comes first
+	b := newBed(t, s, dw.Endpoint{ID: 7})
 	id, sent := b.ask(dw.Arrival{Customer: 1, Spread: 2})
 	if sent || len(b.calls) == 0 {
 		t.Fatal("it does not wait for the count")
 	}
-	b.do(dw.ClientGone{Request: id})
+	b.do(dw.ClientLeft{Request: id})
 	b.pass(100 * ms)
 	if len(b.sent) > 0 {
 		t.Error("sent on for a client that has left")
@@ -162,16 +165,16 @@
 	s := settings()
 	s.MaxRetryAfter = 60 * sec
 	s.Plans[0].CeilingRate, s.Plans[0].CeilingBurst, s.Plans[0].Tolerance = 0.5, 6, 1
-	b := newBed(t, s, dw.ServerEntry{ID: 7})
-	r, ok := b.command(1, 2, ms).(dw.Refuse)
+	b := newBed(t, s, dw.Endpoint{ID: 7})
+	r, ok := b.command(1, 2, ms).(dw.Reject)
 	if !ok || r.RetryAfter < sec || r.RetryAfter > 8*sec {
 		t.Fatalf("%+v", r)
 	}
-	if _, ok := b.command(1, 2, ms).(dw.Refuse); !ok {
+	if _, ok := b.command(1, 2, ms).(dw.Reject); !ok {
 		t.Error("let in before the time")
 	}
 	b.pass(r.RetryAfter)
-	if a, ok := b.command(1, 2, ms).(dw.Adjusted); !ok {
+	if a, ok := b.command(1, 2, ms).(dw.AdjustAnswer); !ok {
 		t.Errorf("not let in when the time has come: %+v", a)
 	}
 }
@@ -180,9 +183,9 @@
 // have as many out as this one, though its rate of use says that they have hardly any.
 func TestOpenCapWhileSlow(t *testing.T) {
 	s := settings()
-	s.Plans[0] = dw.Plan{Rate: 50, Burst: 100, Open: 6, Price: 1, OverrunCost: 1}
+	s.Plans[0] = dw.Plan{Rate: 50, Burst: 100, MaxInFlight: 6, WeightFactor: 1, OverQuotaCost: 1}
 	in := 0
-	b := newBed(t, s, dw.ServerEntry{ID: 7}, dw.ServerEntry{ID: 8}, dw.ServerEntry{ID: 9})
+	b := newBed(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8}, dw.Endpoint{ID: 9})
 	b.serve(100, 20*ms, dw.Arrival{Customer: 1, Spread: 2}) // at ease, all seen here: others use nothing
 	for range 12 {
 		if _, sent := b.ask(dw.Arrival{Customer: 1, Spread: 2}); sent { // no server answers these
--- a/membership.go
+++ b/membership.go
@@ -9,32 +9,32 @@
 )
 
 // list follows the server list. Rule 3: what drains or is gone gets nothing new from this moment on.
-func (g *Gateway) list(e ServerList) {
+func (g *Gateway) list(e EndpointList) {
 	if e.Kind == ListFailed {
 		if g.set.ListOnRequest {
-			g.after(second, func() { g.acts = append(g.acts, Subscribe{}) })
+			g.after(second, func() { g.acts = append(g.acts, SubscribeEndpoints{}) })
 		}
 		return
 	}
 	if e.Kind != ListDelta {
 		for _, s := range g.servers {
-			s.State = Gone
+			s.State = Removed
 		}
 	}
 	known := len(g.servers)
 	for _, entry := range e.Servers {
 		s := g.byID[entry.ID]
 		if s == nil {
-			s = &server{ServerEntry: ServerEntry{Since: -1}, rank: entry.ID.rank(g.set.Self)}
+			s = &server{Endpoint: Endpoint{StartedAt: -1}, rank: entry.ID.rank(g.set.Self)}
 			g.byID[entry.ID] = s
 			g.servers = append(g.servers, s)
 		}
-		if entry.Since != s.Since { // it has started anew
+		if entry.StartedAt != s.StartedAt { // it has started anew
 			s.latency, s.verdicts = g.latency, make([]verdict, len(g.set.Classes))
 			s.budget = bucket{level: g.rng.Float64(), at: g.now}
 			delete(g.suspects, s)
 		}
-		s.ServerEntry = entry
+		s.Endpoint = entry
 	}
 	if len(g.servers) > known {
 		slices.SortFunc(g.servers, func(a, b *server) int {
@@ -47,7 +47,7 @@
 // index forgets the servers that are gone and owe nothing, and finds those that may be sent to, in order of
 // rank.
 func (g *Gateway) index() {
-	gone := func(s *server) bool { return s.State == Gone && s.out == 0 }
+	gone := func(s *server) bool { return s.State == Removed && s.out == 0 }
 	if slices.ContainsFunc(g.servers, gone) {
 		maps.DeleteFunc(g.byID, func(_ ServerID, s *server) bool { return gone(s) })
 		maps.DeleteFunc(g.suspects, func(s *server, _ bool) bool { return gone(s) })
@@ -59,7 +59,7 @@
 			continue
 		}
 		g.ready = append(g.ready, s)
-		if s.Feed > 0 {
+		if s.SlowStartRate > 0 {
 			g.fed++
 		}
 	}
--- a/quota.go
+++ b/quota.go
@@ -131,7 +131,7 @@
 	}
 	// Those that they have out: by Little's law, or as many as this one has, but for its clients' sake.
 	others = max(others*g.latency/max(1, g.set.MaxUnits/2), (c.spread-1)*float64(c.open-c.begun))
-	if p.Open > 0 && float64(c.open+1)+others > float64(p.Open) {
+	if p.MaxInFlight > 0 && float64(c.open+1)+others > float64(p.MaxInFlight) {
 		return Span(g.latency * 1e9), false
 	}
 	return 0, true
@@ -163,7 +163,7 @@
 // draw puts units on the tally, and says so.
 func (g *Gateway) draw(c *customer, units float64) {
 	c.tally += units
-	g.acts = append(g.acts, Drawn{Customer: c.id, Units: units})
+	g.acts = append(g.acts, TallyChanged{Customer: c.id, Units: units})
 }
 
 // expire drops the accounts that have been idle for so long that they stand as a new one would.
--- a/repeat_window.go
+++ b/repeat_window.go
@@ -9,7 +9,7 @@
 // run, or if r's class has no window.
 func (r *request) windowEnd() (end Instant, repeats bool) {
 	first := r.live()
-	if first == nil || !again[r.class.Effect].inGroup {
+	if first == nil || !again[r.class.Idempotency].inGroup {
 		return 0, false
 	}
 	return first.at + Instant(r.class.DedupWindow), true
@@ -26,7 +26,7 @@
 	g.at(end, func() {
 		for i := range earlier {
 			if !r.attempts[i].ended {
-				g.acts = append(g.acts, Cancel{Request: r.id, Attempt: i})
+				g.acts = append(g.acts, CancelAttempt{Request: r.id, Attempt: i})
 			}
 		}
 	})
--- a/repeat_window_test.go
+++ b/repeat_window_test.go
@@ -22,9 +22,9 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := settings()
 			s.Zones, s.Instances, s.MaxUnits, s.MaxAttempts = 2, 1, 4, 4
-			s.ParallelTries, s.MayCancel = seed%2 == 0, seed%3 > 0
-			s.Classes = []dw.Class{{Aim: 200 * ms, Deadline: 800 * ms, Points: 5, Effect: dw.Keyed, DedupWindow: window}}
-			s.Plans = []dw.Plan{{Rate: 1000, Burst: 1000, Price: 1}}
+			s.ParallelAttempts, s.MayCancel = seed%2 == 0, seed%3 > 0
+			s.Classes = []dw.Class{{Objective: 200 * ms, Deadline: 800 * ms, Weight: 5, Idempotency: dw.IdempotentByKey, DedupWindow: window}}
+			s.Plans = []dw.Plan{{Rate: 1000, Burst: 1000, WeightFactor: 1}}
 			w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 3)), set: s, now: 1e9, count: map[string]float64{},
 				store: map[dw.CustomerID]*store{}}
 			for c := range dw.CustomerID(6) {
--- a/request.go
+++ b/request.go
@@ -32,26 +32,26 @@
 	e.Remaining = g.untilEnd(e.Remaining)
 	known := e.Class >= 0 && e.Class < len(g.set.Classes) && e.Plan >= 0 && e.Plan < len(g.set.Plans)
 	if !known || e.Remaining <= 0 {
-		g.acts = append(g.acts, Refuse{Request: e.ID, Why: WhyUnusable})
+		g.acts = append(g.acts, Reject{Request: e.ID, Reason: ReasonInvalid})
 		return
 	}
 	class, plan := &g.set.Classes[e.Class], &g.set.Plans[e.Plan]
 	c := g.customer(e, plan)
 	r := &request{id: e.ID, kind: e.Class, class: class, customer: c,
-		units: max(0, e.Units), take: take, aim: g.now + Instant(class.Aim), due: g.now + Instant(e.Remaining)}
+		units: max(0, e.Units), take: take, aim: g.now + Instant(class.Objective), due: g.now + Instant(e.Remaining)}
 	// Beyond the quota goes on what earns more than it costs, if the ceiling has room and servers are at ease.
 	wait, inside := g.quota(c, r.units, g.kept(r))
-	sure := !c.thin || plan.BeyondEarns > plan.OverrunCost || g.atEase(c) // what harms nobody takes no call
+	sure := !c.thin || plan.OverQuotaValue > plan.OverQuotaCost || g.atEase(c) // what harms nobody takes no call
 	ask := inside && !sure && (c.calling || g.mayCall())
 	if inside && !sure && !ask && !g.chance(c) {
 		inside = false
 		g.draw(c, r.units) // the count of a thin customer is of what was asked for
 	}
 	full, under := g.underCeiling(c, r.units)
-	if !inside && (take || plan.BeyondEarns <= plan.OverrunCost) || !under {
-		why := WhyQuota
+	if !inside && (take || plan.OverQuotaValue <= plan.OverQuotaCost) || !under {
+		why := ReasonQuota
 		if !under {
-			why = WhyCeiling
+			why = ReasonCeiling
 		}
 		g.refuse(r, why, max(wait, full))
 		return
@@ -85,7 +85,7 @@
 		g.spend(c, r.units)
 	}
 	if take {
-		g.finish(r, Adjusted{Request: r.id, Units: r.units})
+		g.finish(r, AdjustAnswer{Request: r.id, Units: r.units})
 	} else {
 		g.send(r, s)
 	}
@@ -93,7 +93,7 @@
 
 // worthOf is what r earns for the work it takes.
 func (g *Gateway) worthOf(r *request) float64 {
-	return max(r.class.Points, minPoints) / g.sizes[r.kind]
+	return max(r.class.Weight, minPoints) / g.sizes[r.kind]
 }
 
 // fit finds the server for a request that its quota lets in, or refuses it for the servers' sake.
@@ -108,7 +108,7 @@
 	g.wanted++
 	s, expect := g.pick(r, limit)
 	if s == nil || expect > limit || g.throttled() {
-		g.refuse(r, WhyServers, g.comeBack(r, expect/limit))
+		g.refuse(r, ReasonOverload, g.comeBack(r, expect/limit))
 		return nil
 	}
 	g.budget = min(retryBurst, g.budget+retryShare) // by what goes on: the refused come again
@@ -121,13 +121,13 @@
 	return Span(max(0, min(wait, seconds(r.aim-g.now)-g.latency)) * 1e9)
 }
 
-func (g *Gateway) refuse(r *request, why Why, wait Span) {
-	g.finish(r, Refuse{Request: r.id, Why: why, RetryAfter: max(0, min(wait, g.set.MaxRetryAfter))})
+func (g *Gateway) refuse(r *request, why Reason, wait Span) {
+	g.finish(r, Reject{Request: r.id, Reason: why, RetryAfter: max(0, min(wait, g.set.MaxRetryAfter))})
 }
 
 // send starts an attempt. The rules that bear on it have been asked by usable and mayTry.
 func (g *Gateway) send(r *request, s *server) {
-	half := Instant(hedgeAt * float64(r.class.Aim))
+	half := Instant(hedgeAt * float64(r.class.Objective))
 	if n := len(r.attempts) + 1; g.now+half < r.aim {
 		g.at(g.now+half, func() { g.hedge(r, n) })
 	}
@@ -149,17 +149,17 @@
 	}
 	left := Span(until - g.now)
 	r.attempts = append(r.attempts, attempt{server: s, at: g.now, beside: s.out - 1})
-	g.acts = append(g.acts, Send{Request: r.id, Server: s.ID, Timeout: left, Within: left})
+	g.acts = append(g.acts, StartAttempt{Request: r.id, Server: s.ID, Timeout: left, StartWithin: left})
 }
 
 // Rule 2 in one table: by outcome, whether an attempt may have run; by effect, what may follow if one may.
 var (
-	mayRun = [Outcomes]bool{OutcomeOK: true, OutcomeError: true, OutcomeTimeout: true, OutcomeReset: true,
+	mayRun = [OutcomeCount]bool{OutcomeOK: true, OutcomeError: true, OutcomeTimeout: true, OutcomeReset: true,
 		OutcomeCancelled: true}
 	again = [...]struct{ send, inGroup, refuse bool }{
-		Safe:   {send: true, refuse: true},
-		Keyed:  {send: true, inGroup: true, refuse: true}, // refuse: if the group is all servers
-		Unsafe: {},
+		Idempotent:      {send: true, refuse: true},
+		IdempotentByKey: {send: true, inGroup: true, refuse: true}, // refuse: if the group is all servers
+		NotIdempotent:   {},
 	}
 )
 
@@ -175,21 +175,21 @@
 
 // mayTry keeps rule 2 for a further attempt of r on s.
 func (g *Gateway) mayTry(r *request, s *server) bool {
-	if r.done || len(r.attempts) >= g.set.MaxAttempts || r.out > 0 && !g.set.ParallelTries {
+	if r.done || len(r.attempts) >= g.set.MaxAttempts || r.out > 0 && !g.set.ParallelAttempts {
 		return false
 	}
 	a := r.live()
 	if a == nil {
 		return true
 	}
-	rule := again[r.class.Effect]
-	known := r.class.Group.same(s.ServerEntry, a.server.ServerEntry) &&
+	rule := again[r.class.Idempotency]
+	known := r.class.DedupScope.same(s.Endpoint, a.server.Endpoint) &&
 		g.now-a.at < Instant(r.class.DedupWindow) && g.canEndOthers(r)
 	return rule.send && (known || !rule.inGroup)
 }
 
 // ended takes the outcome of an attempt: a request that is owed an answer goes elsewhere or is given up.
-func (g *Gateway) ended(e Ended) {
+func (g *Gateway) ended(e AttemptEnded) {
 	r := g.requests[e.Request]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
 		return
@@ -200,7 +200,7 @@
 	r.customer.open--
 	r.customer.begun, r.begun = r.customer.begun-r.begun, 0
 	g.judge(r, a, e)
-	if e.Outcome == OutcomeOK && g.set.TruedUp && e.TrueUnits > 0 && r.inside {
+	if e.Outcome == OutcomeOK && g.set.UnitsCorrected && e.TrueUnits > 0 && r.inside {
 		g.spend(r.customer, e.TrueUnits-r.units)
 		r.units = e.TrueUnits
 	}
@@ -235,25 +235,25 @@
 // Danger: where all servers are slow, and a gateway sends each of them little, every wait looks like silence,
 // and copies make it worse. So they stop when a mean attempt takes more than the least threshold.
 func (g *Gateway) hedge(r *request, n int) {
-	if r.done || r.attempts[n-1].ended || !g.suspect(r, &r.attempts[n-1]) || !again[r.class.Effect].send ||
+	if r.done || r.attempts[n-1].ended || !g.suspect(r, &r.attempts[n-1]) || !again[r.class.Idempotency].send ||
 		len(r.attempts) != n || n >= g.set.MaxAttempts ||
-		g.latency*g.sizes[r.kind] > beyondUse*aimUse*seconds(r.class.Aim) {
+		g.latency*g.sizes[r.kind] > beyondUse*aimUse*seconds(r.class.Objective) {
 		return
 	}
-	if g.set.ParallelTries {
+	if g.set.ParallelAttempts {
 		g.retry(r)
 	} else if g.set.MayCancel && g.budget >= 1 {
-		g.acts = append(g.acts, Cancel{Request: r.id, Attempt: n - 1})
+		g.acts = append(g.acts, CancelAttempt{Request: r.id, Attempt: n - 1})
 	}
 }
 
 // giveUp ends r in the kindest way that rule 2 allows.
 func (g *Gateway) giveUp(r *request) {
-	rule := again[r.class.Effect]
-	if r.live() == nil || rule.refuse && (!rule.inGroup || r.class.Group == GroupAll) {
-		g.refuse(r, WhyGaveUp, g.comeBack(r, 1))
+	rule := again[r.class.Idempotency]
+	if r.live() == nil || rule.refuse && (!rule.inGroup || r.class.DedupScope == DedupAll) {
+		g.refuse(r, ReasonExhausted, g.comeBack(r, 1))
 	} else {
-		g.finish(r, Fail{Request: r.id, Why: WhyGaveUp})
+		g.finish(r, Fail{Request: r.id, Reason: ReasonExhausted})
 	}
 }
 
@@ -268,7 +268,7 @@
 	}
 	for i := range r.attempts {
 		if !r.attempts[i].ended && g.set.MayCancel {
-			g.acts = append(g.acts, Cancel{Request: r.id, Attempt: i})
+			g.acts = append(g.acts, CancelAttempt{Request: r.id, Attempt: i})
 		}
 	}
 	if r.out == 0 {
--- a/rules_test.go
+++ b/rules_test.go
@@ -29,13 +29,13 @@
 type gate struct {
 	*dw.Gateway
 	self    int
-	state   map[dw.ServerID]dw.ServerState
+	state   map[dw.ServerID]dw.EndpointState
 	told    map[dw.ServerID]dw.Instant // when it was told of a drain
-	servers map[dw.ServerID]dw.ServerEntry
+	servers map[dw.ServerID]dw.Endpoint
 	reqs    map[dw.RequestID]*req
 	due     []due
 	tally   map[dw.CustomerID]float64 // by what it said
-	calls   map[string]dw.Count
+	calls   map[string]dw.CounterAdd
 }
 
 type due struct {
@@ -73,7 +73,7 @@
 
 func (w *world) handle(g *gate, e dw.Event) {
 	acts := g.Handle(w.now, e, nil)
-	if e, ok := e.(dw.Counted); ok { // before what it led to, which may be another call
+	if e, ok := e.(dw.CounterAnswered); ok { // before what it led to, which may be another call
 		if e.Outcome != dw.OutcomeOK && e.Outcome != dw.OutcomeTimeout {
 			g.tally[g.calls[e.Name].Customer] += g.calls[e.Name].Add
 		}
@@ -107,8 +107,8 @@
 		r.finished, r.owed = true, false
 		class := w.set.Classes[r.arrival.Class]
 		for _, k := range r.attempts {
-			if refused && k.mayHaveRun() && (class.Effect == dw.Unsafe ||
-				class.Effect == dw.Keyed && class.Group != dw.GroupAll) {
+			if refused && k.mayHaveRun() && (class.Idempotency == dw.NotIdempotent ||
+				class.Idempotency == dw.IdempotentByKey && class.DedupScope != dw.DedupAll) {
 				t.Fatalf("rule 2: %s refused though an attempt may have run", id)
 			}
 		}
@@ -116,13 +116,13 @@
 	switch a := a.(type) {
 	case dw.SetTimer:
 		w.schedule(g, dw.Span(max(a.At-w.now, dw.Instant(w.set.Tick))), dw.TimerFired{ID: a.ID})
-	case dw.Refuse:
+	case dw.Reject:
 		final(a.Request, true)
 	case dw.Fail:
 		final(a.Request, false)
-	case dw.Drawn:
+	case dw.TallyChanged:
 		g.tally[a.Customer] += a.Units
-	case dw.Count:
+	case dw.CounterAdd:
 		if said := g.tally[a.Customer]; math.Abs(said-a.Add) > 1e-6 {
 			t.Fatalf("customer %d: %v is told, after %v was drawn", a.Customer, a.Add, said)
 		}
@@ -142,8 +142,8 @@
 			total = w.count[a.Name]
 		}
 		w.schedule(g, 1+dw.Span(w.rng.Int64N(int64(w.set.CounterTimeout))),
-			dw.Counted{Name: a.Name, Outcome: outcome, Total: total})
-	case dw.Cancel:
+			dw.CounterAnswered{Name: a.Name, Outcome: outcome, Total: total})
+	case dw.CancelAttempt:
 		r := g.reqs[a.Request]
 		if r == nil || a.Attempt >= len(r.attempts) || !w.set.MayCancel {
 			t.Fatalf("illegal cancel %+v", a)
@@ -151,14 +151,14 @@
 		if k := r.attempts[a.Attempt]; !k.ended {
 			w.end(g, r, a.Attempt, dw.OutcomeCancelled)
 		}
-	case dw.Send:
+	case dw.StartAttempt:
 		w.send(g, a)
 	default:
 		t.Fatalf("unexpected action %T", a)
 	}
 }
 
-func (w *world) send(g *gate, a dw.Send) {
+func (w *world) send(g *gate, a dw.StartAttempt) {
 	t, r := w.t, g.reqs[a.Request]
 	if r == nil || r.finished || r.final > 0 {
 		t.Fatalf("rule 1: %s sent after its end", a.Request)
@@ -181,14 +181,14 @@
 		}
 		first := g.servers[k.server]
 		switch {
-		case class.Effect == dw.Unsafe:
+		case class.Idempotency == dw.NotIdempotent:
 			t.Fatalf("rule 2: unsafe %s sent again though it may have run", a.Request)
-		case class.Effect == dw.Keyed && (class.Group == dw.GroupCell && first.Cell != s.Cell ||
-			class.Group == dw.GroupZone && first.Zone != s.Zone || a.Within <= 0 || w.now+dw.Instant(a.Within)-k.at > dw.Instant(class.DedupWindow)):
+		case class.Idempotency == dw.IdempotentByKey && (class.DedupScope == dw.DedupCell && first.Cell != s.Cell ||
+			class.DedupScope == dw.DedupZone && first.Zone != s.Zone || a.StartWithin <= 0 || w.now+dw.Instant(a.StartWithin)-k.at > dw.Instant(class.DedupWindow)):
 			t.Fatalf("rule 2: keyed %s sent outside its group or window", a.Request)
 		}
 	}
-	if out > 0 && !w.set.ParallelTries {
+	if out > 0 && !w.set.ParallelAttempts {
 		t.Fatalf("rule 2: %s has two attempts out", a.Request)
 	}
 	if len(r.attempts) >= w.set.MaxAttempts {
@@ -234,7 +234,7 @@
 		return
 	}
 	k.ended, k.outcome = true, outcome
-	w.schedule(g, dw.Span(w.set.Tick), dw.Ended{Request: r.arrival.ID, Attempt: attempt, Server: k.server,
+	w.schedule(g, dw.Span(w.set.Tick), dw.AttemptEnded{Request: r.arrival.ID, Attempt: attempt, Server: k.server,
 		Outcome: outcome, Latency: dw.Span(w.now - k.at), TrueUnits: float64(1 + w.rng.IntN(4))})
 }
 
@@ -243,17 +243,17 @@
 	if err != nil {
 		w.t.Fatal(err)
 	}
-	*g = gate{Gateway: gw, self: g.self, state: map[dw.ServerID]dw.ServerState{},
-		told: map[dw.ServerID]dw.Instant{}, servers: map[dw.ServerID]dw.ServerEntry{}, reqs: map[dw.RequestID]*req{},
-		tally: map[dw.CustomerID]float64{}, calls: map[string]dw.Count{}}
-	list := dw.ServerList{Kind: dw.ListCached}
+	*g = gate{Gateway: gw, self: g.self, state: map[dw.ServerID]dw.EndpointState{},
+		told: map[dw.ServerID]dw.Instant{}, servers: map[dw.ServerID]dw.Endpoint{}, reqs: map[dw.RequestID]*req{},
+		tally: map[dw.CustomerID]float64{}, calls: map[string]dw.CounterAdd{}}
+	list := dw.EndpointList{Kind: dw.ListCached}
 	for id := dw.ServerID(1); id <= 9; id++ {
-		list.Servers = append(list.Servers, dw.ServerEntry{ID: id, Cell: int(id) / 3, Zone: int(id) % 2})
+		list.Servers = append(list.Servers, dw.Endpoint{ID: id, Cell: int(id) / 3, Zone: int(id) % 2})
 	}
 	w.tell(g, list)
 }
 
-func (w *world) tell(g *gate, l dw.ServerList) {
+func (w *world) tell(g *gate, l dw.EndpointList) {
 	for _, s := range l.Servers {
 		if s.State != dw.Ready && g.state[s.ID] == dw.Ready {
 			g.told[s.ID] = w.now
@@ -281,7 +281,7 @@
 				w.end(g, p.r, p.attempt, p.outcome)
 				continue
 			}
-			if e, ok := d.e.(dw.Ended); ok { // the first good answer finishes a request, and this tells of it
+			if e, ok := d.e.(dw.AttemptEnded); ok { // the first good answer finishes a request, and this tells of it
 				r := g.reqs[e.Request]
 				if e.Outcome == dw.OutcomeOK {
 					r.finished, r.owed = true, false
@@ -308,20 +308,20 @@
 		w.handle(g, a)
 		if w.rng.IntN(20) == 0 {
 			g.reqs[a.ID].finished, g.reqs[a.ID].owed = true, false
-			w.handle(g, dw.ClientGone{Request: a.ID})
+			w.handle(g, dw.ClientLeft{Request: a.ID})
 		}
 	}
 	switch g := w.gates[w.rng.IntN(len(w.gates))]; w.rng.IntN(400) {
 	case 0:
 		id := dw.ServerID(1 + w.rng.IntN(9))
 		s := g.servers[id]
-		s.State = dw.ServerState(w.rng.IntN(3))
+		s.State = dw.EndpointState(w.rng.IntN(3))
 		if s.State == dw.Ready {
-			s.Since = w.now
+			s.StartedAt = w.now
 		}
-		w.tell(g, dw.ServerList{Kind: dw.ListDelta, Servers: []dw.ServerEntry{s}})
+		w.tell(g, dw.EndpointList{Kind: dw.ListDelta, Servers: []dw.Endpoint{s}})
 	case 1:
-		w.handle(g, dw.ServerList{Kind: dw.ListFailed})
+		w.handle(g, dw.EndpointList{Kind: dw.ListFailed})
 	case 2:
 		if w.rng.IntN(10) == 0 {
 			w.start(g) // killed, and started again
@@ -333,18 +333,18 @@
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := settings()
-			s.Zones, s.Instances, s.MaxUnits, s.TruedUp = 2, 3, 4, true
+			s.Zones, s.Instances, s.MaxUnits, s.UnitsCorrected = 2, 3, 4, true
 			if seed >= 12 { // many gateways with few requests each: the count comes first
 				s.Instances = 40
 			}
-			s.ParallelTries, s.MayCancel = seed%2 == 0, seed%3 > 0
-			s.Classes = []dw.Class{{Aim: 400e6, Deadline: 800e6, Points: 3, Effect: dw.Safe},
-				{Aim: 400e6, Deadline: 800e6, Points: 5, Effect: dw.Unsafe},
-				{Aim: 400e6, Deadline: 800e6, Points: 5, Effect: dw.Keyed, DedupWindow: 300e6},
-				{Aim: 400e6, Deadline: 800e6, Points: 5, Effect: dw.Keyed, Group: dw.GroupCell, DedupWindow: 5e9}}
-			s.Plans = []dw.Plan{{Rate: 20, Burst: 40, Price: 1},
-				{Rate: 20, Burst: 60, CeilingRate: 30, CeilingBurst: 60, Tolerance: 6, Price: 1},
-				{Rate: 20, Burst: 40, Open: 3, BeyondEarns: 0.3, OverrunCost: 0.1, Price: 1}}
+			s.ParallelAttempts, s.MayCancel = seed%2 == 0, seed%3 > 0
+			s.Classes = []dw.Class{{Objective: 400e6, Deadline: 800e6, Weight: 3, Idempotency: dw.Idempotent},
+				{Objective: 400e6, Deadline: 800e6, Weight: 5, Idempotency: dw.NotIdempotent},
+				{Objective: 400e6, Deadline: 800e6, Weight: 5, Idempotency: dw.IdempotentByKey, DedupWindow: 300e6},
+				{Objective: 400e6, Deadline: 800e6, Weight: 5, Idempotency: dw.IdempotentByKey, DedupScope: dw.DedupCell, DedupWindow: 5e9}}
+			s.Plans = []dw.Plan{{Rate: 20, Burst: 40, WeightFactor: 1},
+				{Rate: 20, Burst: 60, CeilingRate: 30, CeilingBurst: 60, Tolerance: 6, WeightFactor: 1},
+				{Rate: 20, Burst: 40, MaxInFlight: 3, OverQuotaValue: 0.3, OverQuotaCost: 0.1, WeightFactor: 1}}
 			w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 2)), set: s, now: 1e9, count: map[string]float64{},
 				store: map[dw.CustomerID]*store{}}
 			for c := range dw.CustomerID(6) {
--- a/scale_test.go
+++ b/scale_test.go
@@ -25,16 +25,16 @@
 func newFleetGateway(t testing.TB, servers int, rate int) *fleetGateway {
 	s := settings()
 	s.Instances, s.Counter = 312, false
-	s.Plans[0] = dw.Plan{Rate: 1e6, Burst: 1e6, Price: 1}
+	s.Plans[0] = dw.Plan{Rate: 1e6, Burst: 1e6, WeightFactor: 1}
 	g, err := dw.New(s, 1)
 	if err != nil {
 		t.Fatal(err)
 	}
 	f := &fleetGateway{bed: &bed{g: g, now: dw.Instant(100 * sec), over: map[dw.RequestID]dw.Action{}}, gap: sec / dw.Span(rate),
 		used: map[dw.ServerID]int{}}
-	l := dw.ServerList{Kind: dw.ListFull}
+	l := dw.EndpointList{Kind: dw.ListFull}
 	for i := range servers {
-		l.Servers = append(l.Servers, dw.ServerEntry{ID: dw.ServerID(i + 1), Rating: 1})
+		l.Servers = append(l.Servers, dw.Endpoint{ID: dw.ServerID(i + 1), Rating: 1})
 	}
 	f.do(l)
 	return f
@@ -50,7 +50,7 @@
 		f.do(dw.Arrival{ID: dw.RequestID(fmt.Sprint(f.asked)), Customer: 1, Remaining: 100 * ms, Units: 1, Spread: 1})
 		for _, s := range f.sent {
 			f.used[s.Server]++
-			f.do(dw.Ended{Request: s.Request, Server: s.Server, Latency: 20 * ms, Final: true})
+			f.do(dw.AttemptEnded{Request: s.Request, Server: s.Server, Latency: 20 * ms, Final: true})
 		}
 	}
 }
@@ -96,9 +96,9 @@
 // Of very many servers half fail and are left out: requests still find those that are well, and none goes to one that drains.
 func TestManyServersFail(t *testing.T) {
 	f := newFleetGateway(t, mostServers, 2600)
-	draining := dw.ServerList{Kind: dw.ListDelta, Version: 2}
+	draining := dw.EndpointList{Kind: dw.ListDelta, Version: 2}
 	for i := 0; i < mostServers; i += 4 {
-		draining.Servers = append(draining.Servers, dw.ServerEntry{ID: dw.ServerID(i + 1), Rating: 1, State: dw.Draining})
+		draining.Servers = append(draining.Servers, dw.Endpoint{ID: dw.ServerID(i + 1), Rating: 1, State: dw.Draining})
 	}
 	f.serve(5000)
 	f.do(draining)
@@ -117,7 +117,7 @@
 					late++
 				}
 			}
-			f.do(dw.Ended{Request: s.Request, Server: s.Server, Outcome: outcome, Latency: 20 * ms, Final: true})
+			f.do(dw.AttemptEnded{Request: s.Request, Server: s.Server, Outcome: outcome, Latency: 20 * ms, Final: true})
 		}
 	}
 	for id, n := range f.used {
@@ -128,7 +128,7 @@
 	if late > 10_000/20 {
 		t.Errorf("%d of the last 10,000 requests went to servers that had failed", late)
 	}
-	if out := f.g.Avoided(f.now); out == 0 {
+	if out := f.g.EjectedServers(f.now); out == 0 {
 		t.Error("no server is left out")
 	}
 }
--- a/selection.go
+++ b/selection.go
@@ -66,8 +66,8 @@
 // visit compares a server, if r may go there.
 func (c *selection) visit(s *server) {
 	g, r := c.g, c.r
-	if c.room <= 0 && s.Feed == 0 || c.trust && g.isOut(s, r) || !g.mayTry(r, s) ||
-		s.Look == LookSpare && r.class.Effect == Unsafe {
+	if c.room <= 0 && s.SlowStartRate == 0 || c.trust && g.isOut(s, r) || !g.mayTry(r, s) ||
+		s.HealthCheck == HealthCheckIdempotent && r.class.Idempotency == NotIdempotent {
 		return
 	}
 	warmth := g.warmth(s)
@@ -75,11 +75,11 @@
 	// alone, cold servers get the less the more is refused for want of them, and stay so.
 	if warmth < 1 {
 		// What all gateways together have settled goes before this one's guess.
-		if s.budget.fill(g.now, cmp.Or(s.Feed, warmth*c.feed), 1); s.budget.level < 1 {
+		if s.budget.fill(g.now, cmp.Or(s.SlowStartRate, warmth*c.feed), 1); s.budget.level < 1 {
 			return
 		}
 	}
-	if c.room--; s.Look != NoLook { // by as few as its budget allows
+	if c.room--; s.HealthCheck != HealthCheckOff { // by as few as its budget allows
 		c.best, c.decided = candidate{server: s}, true
 		return
 	}
@@ -95,7 +95,7 @@
 	cost := expect * math.Pow(expect*warmth*g.rng.ExpFloat64(), c.blind)
 	expect = (expect + c.blind*max(0, g.latency-expect)) * g.sizes[r.kind]
 	if n := len(r.attempts); n > 0 && r.attempts[n-1].server == s {
-		cost += seconds(r.class.Aim)
+		cost += seconds(r.class.Objective)
 	}
 	// Danger: a cut-off zone, found out server by server, one loss each
 	if cost /= 1 - g.cut[s.Zone]; s.Zone != g.set.Zone {
--- a/servers.go
+++ b/servers.go
@@ -7,7 +7,7 @@
 )
 
 type server struct {
-	ServerEntry
+	Endpoint
 	out               int     // attempts out from this gateway
 	waiting, answered Instant // since when something is out with no answer; the last answer, of any class
 	latency           float64 // smoothed, as of a warm one
@@ -44,7 +44,7 @@
 func (g *Gateway) sendRate() float64 { g.leak(); return g.sent / seconds(sendSpan) } // own, attempts a second
 
 // judge learns from an outcome.
-func (g *Gateway) judge(r *request, a *attempt, e Ended) {
+func (g *Gateway) judge(r *request, a *attempt, e AttemptEnded) {
 	s := a.server
 	s.out--
 	if e.Outcome == OutcomeNotSent || e.Outcome == OutcomeCancelled {
@@ -52,7 +52,7 @@
 	}
 	sample := seconds(e.Latency)
 	if e.Outcome == OutcomeOK {
-		if g.leak(); e.Latency <= r.class.Aim {
+		if g.leak(); e.Latency <= r.class.Objective {
 			g.good++
 		}
 		s.waiting, s.answered = g.now, g.now
@@ -114,10 +114,10 @@
 
 // warmth is the least share of its capacity that a server has reached.
 func (g *Gateway) warmth(s *server) float64 {
-	if s.Since <= 0 || g.now-s.Since >= Instant(g.set.ColdSpan) {
+	if s.StartedAt <= 0 || g.now-s.StartedAt >= Instant(g.set.SlowStartSpan) {
 		return 1
 	}
-	return g.set.StartCapacity + (1-g.set.StartCapacity)*seconds(g.now-s.Since)/seconds(g.set.ColdSpan)
+	return g.set.StartCapacity + (1-g.set.StartCapacity)*seconds(g.now-s.StartedAt)/seconds(g.set.SlowStartSpan)
 }
 
 // expect is how long a new attempt on s should take.
--- a/sizes_test.go
+++ b/sizes_test.go
@@ -25,13 +25,13 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			s := settings()
-			s.Classes, s.Plans[0] = nil, dw.Plan{Price: 1}
+			s.Classes, s.Plans[0] = nil, dw.Plan{WeightFactor: 1}
 			for _, k := range c.classes {
-				s.Classes = append(s.Classes, dw.Class{Aim: dw.Span(k.aim * 1e9), Deadline: dw.Span(k.wait * 1e9), Points: 30 * k.work})
+				s.Classes = append(s.Classes, dw.Class{Objective: dw.Span(k.aim * 1e9), Deadline: dw.Span(k.wait * 1e9), Weight: 30 * k.work})
 			}
-			var servers []dw.ServerEntry
+			var servers []dw.Endpoint
 			for i := range dw.ServerID(12) {
-				servers = append(servers, dw.ServerEntry{ID: i + 1})
+				servers = append(servers, dw.Endpoint{ID: i + 1})
 			}
 			asked, in := make([]float64, len(c.classes)), make([]float64, len(c.classes))
 			const seeds = 20
@@ -42,7 +42,7 @@
 					asked[k]++
 					if id, ok := b.ask(dw.Arrival{Class: k}); ok {
 						in[k]++
-						b.do(dw.Ended{Request: id, Server: b.sent[len(b.sent)-1].Server, Final: true,
+						b.do(dw.AttemptEnded{Request: id, Server: b.sent[len(b.sent)-1].Server, Final: true,
 							Latency: dw.Span(c.classes[k].work * (0.3 + 0.7*rng.ExpFloat64()) * 1e9)})
 					}
 					b.pass(200 * ms)
--- a/state_test.go
+++ b/state_test.go
@@ -8,21 +8,21 @@
 
 // replaced is a bed whose gateway is another process of b's, with or without what that one had learnt. Both go on using
 // one counter, and the list is told anew.
-func (b *bed) replaced(s dw.Settings, warm bool, servers ...dw.ServerEntry) *bed {
+func (b *bed) replaced(s dw.Settings, warm bool, servers ...dw.Endpoint) *bed {
 	b.t.Helper()
 	g, err := dw.New(s, 2)
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	if warm {
-		var l dw.Learnt
+		var l dw.State
 		b.g.Export(&l, 1000)
 		if n, m := g.Import(b.now, &l); n == 0 || m == 0 {
 			b.t.Fatalf("took %d servers and %d customers", n, m)
 		}
 	}
 	c := &bed{t: b.t, g: g, now: b.now, over: map[dw.RequestID]dw.Action{}, answer: b.answer, next: b.next}
-	c.do(dw.ServerList{Kind: dw.ListFull, Servers: servers})
+	c.do(dw.EndpointList{Kind: dw.ListFull, Servers: servers})
 	return c
 }
 
@@ -30,8 +30,8 @@
 // the window holds for the others' use, and refuses what there is room for.
 func TestWarmStartKeepsACustomersRoom(t *testing.T) {
 	s := settings()
-	s.Instances, s.Plans[0] = 4, dw.Plan{Rate: 4, Burst: 12, Price: 1, OverrunCost: 1}
-	hall := dw.ServerEntry{ID: 7}
+	s.Instances, s.Plans[0] = 4, dw.Plan{Rate: 4, Burst: 12, WeightFactor: 1, OverQuotaCost: 1}
+	hall := dw.Endpoint{ID: 7}
 	in := map[bool]int{}
 	for _, warm := range []bool{true, false} {
 		b := newBed(t, s, hall)
@@ -47,8 +47,8 @@
 // Its quota is no larger for that: what the old process has not pushed yet counts, once.
 func TestWarmStartSpendsNothingTwice(t *testing.T) {
 	s := settings()
-	s.Plans[0] = dw.Plan{Rate: 2, Burst: 12, Price: 1, OverrunCost: 1}
-	hall := dw.ServerEntry{ID: 7}
+	s.Plans[0] = dw.Plan{Rate: 2, Burst: 12, WeightFactor: 1, OverQuotaCost: 1}
+	hall := dw.Endpoint{ID: 7}
 	b := newBed(t, s, hall)
 	in := b.serve(40, 50*ms, dw.Arrival{})
 	for range 5 { // one process after another, within 8 s
@@ -64,15 +64,15 @@
 // avoided, one called fast gets no flood, and one that has started since is new.
 func TestWarmStartDoubtsServers(t *testing.T) {
 	s := settings()
-	s.Plans[0] = dw.Plan{Price: 1}
-	var four []dw.ServerEntry
+	s.Plans[0] = dw.Plan{WeightFactor: 1}
+	var four []dw.Endpoint
 	for id := range dw.ServerID(4) {
-		four = append(four, dw.ServerEntry{ID: id + 1})
+		four = append(four, dw.Endpoint{ID: id + 1})
 	}
-	l := dw.Learnt{Latency: 0.02, Idle: 0.02, Worth: 3, Sent: 100, Good: 100, Tried: 100, Wanted: 100, Budget: 10,
-		Sizes: []float64{1, 1}, Cut: []float64{0}}
+	l := dw.State{Latency: 0.02, IdleLatency: 0.02, MeanWeight: 3, SentAttempts: 100, ThrottleAccepts: 100, ThrottleRequests: 100, EndpointRequests: 100, RetryBudget: 10,
+		ClassSizes: []float64{1, 1}, ZoneFailureShare: []float64{0}}
 	for i, e := range four {
-		l.Servers = append(l.Servers, dw.LearntServer{ServerEntry: e, Latency: []float64{0.001, 0.02, 0.02, 0.5}[i]})
+		l.Servers = append(l.Servers, dw.ServerStatistics{Endpoint: e, Latency: []float64{0.001, 0.02, 0.02, 0.5}[i]})
 	}
 	start := func(age dw.Span) *bed {
 		g, err := dw.New(s, 3)
@@ -90,7 +90,7 @@
 	if _, ok := b.ask(dw.Arrival{}); ok {
 		t.Fatal("sent to a server that no list named")
 	}
-	b.do(dw.ServerList{Kind: dw.ListFull, Servers: four})
+	b.do(dw.EndpointList{Kind: dw.ListFull, Servers: four})
 	got := map[dw.ServerID]int{}
 	for range 12 { // nothing is answered yet
 		if _, ok := b.ask(dw.Arrival{}); ok {
@@ -105,8 +105,8 @@
 // A server that fails is counted as avoided for as long as nothing new goes there; where most fail, none is left out.
 func TestAvoidedServersAreCounted(t *testing.T) {
 	s := settings()
-	s.Plans[0] = dw.Plan{Price: 1}
-	b := newBed(t, s, dw.ServerEntry{ID: 1}, dw.ServerEntry{ID: 2}, dw.ServerEntry{ID: 3})
+	s.Plans[0] = dw.Plan{WeightFactor: 1}
+	b := newBed(t, s, dw.Endpoint{ID: 1}, dw.Endpoint{ID: 2}, dw.Endpoint{ID: 3})
 	b.serve(200, 10*ms, dw.Arrival{})
 	fail := func(bad ...dw.ServerID) {
 		for range 50 { // within the first turn of being left out
@@ -121,21 +121,21 @@
 				}
 			}
 			b.pass(10 * ms)
-			b.do(dw.Ended{Request: id, Server: at, Outcome: o, Final: true, Latency: 10 * ms})
+			b.do(dw.AttemptEnded{Request: id, Server: at, Outcome: o, Final: true, Latency: 10 * ms})
 		}
 	}
-	if n := b.g.Avoided(b.now); n != 0 {
+	if n := b.g.EjectedServers(b.now); n != 0 {
 		t.Fatalf("%d avoided at first", n)
 	}
 	fail(b.sent[len(b.sent)-1].Server) // the one that is used
-	if n := b.g.Avoided(b.now); n != 1 {
+	if n := b.g.EjectedServers(b.now); n != 1 {
 		t.Errorf("%d avoided, where one fails", n)
 	}
 	fail(1, 2, 3)
-	if n := b.g.Avoided(b.now); n != 0 {
+	if n := b.g.EjectedServers(b.now); n != 0 {
 		t.Errorf("%d avoided, where all fail and none is left out", n)
 	}
-	if n := b.g.Avoided(b.now + dw.Instant(60*sec)); n != 0 {
+	if n := b.g.EjectedServers(b.now + dw.Instant(60*sec)); n != 0 {
 		t.Errorf("%d avoided a minute later", n)
 	}
 }
