--- a/cmd/dewhitch/fleet.go
+++ b/cmd/dewhitch/fleet.go
@@ -57,7 +57,7 @@
 		return fmt.Errorf("fleet: %w", err)
 	}
 	g.fleet = a
-	g.planner.Watch(&watcher{agent: a, zones: g.n.Names.Zones})
+	g.planner.SetWatcher(&watcher{agent: a, zones: g.n.Names.Zones})
 	return nil
 }
 
@@ -77,9 +77,9 @@
 	zones []string
 }
 
-func (w *watcher) Asked() { w.agent.Tally().Asked() }
+func (w *watcher) RequestReceived() { w.agent.Tally().Asked() }
 
-func (w *watcher) Listed(entries []dw.Endpoint) {
+func (w *watcher) EndpointsChanged(entries []dw.Endpoint) {
 	var servers []ramp.Server
 	for _, e := range entries {
 		if e.State == dw.Ready && e.Zone < len(w.zones) {
@@ -89,14 +89,14 @@
 	w.agent.Listed(servers)
 }
 
-func (w *watcher) Began(f core.FetchRef, server dw.ServerID, zone int) {
+func (w *watcher) AttemptStarted(f core.AttemptID, server dw.ServerID, zone int) {
 	if zone < len(w.zones) {
-		w.agent.Tally().Began(agent.Ref{Req: string(f.Req), Attempt: f.Attempt}, w.zones[zone], uint32(server))
+		w.agent.Tally().Began(agent.Ref{Req: string(f.RequestID), Attempt: f.Number}, w.zones[zone], uint32(server))
 	}
 }
 
-func (w *watcher) Ended(f core.FetchRef, e core.FetchEnd) {
-	w.agent.Tally().Ended(agent.Ref{Req: string(f.Req), Attempt: f.Attempt}, outcomes[e.Outcome], uint32(e.Load.Queue), uint32(e.Load.Inflight))
+func (w *watcher) AttemptEnded(f core.AttemptID, e core.AttemptResult) {
+	w.agent.Tally().Ended(agent.Ref{Req: string(f.RequestID), Attempt: f.Number}, outcomes[e.Outcome], uint32(e.Load.Queue), uint32(e.Load.Inflight))
 }
 
 // followFleet has the planner use servers as the fleet says. With an old view the last plan holds, and cold servers get nothing.
@@ -112,17 +112,17 @@
 				g.log.Error("the fleet's verdicts can't be read: the last ones hold", zap.Error(err))
 				continue
 			}
-			f := core.Fleet{Zones: uses(v, g.n.Names.Zones, g.n.Settings.Zone, g.n.Name, g.planner.Instant(time.Now())), Fed: true,
-				Feeds: map[dw.ServerID]float64{}, Away: map[dw.ServerID]bool{}}
+			f := core.FleetPlan{Zones: uses(v, g.n.Names.Zones, g.n.Settings.Zone, g.n.Name, g.planner.Instant(time.Now())), Active: true,
+				SlowStartRates: map[dw.ServerID]float64{}, InMaintenance: map[dw.ServerID]bool{}}
 			for id, rate := range a.Feed.Rates {
-				f.Feeds[dw.ServerID(id)] = rate
+				f.SlowStartRates[dw.ServerID(id)] = rate
 			}
 			for name := range a.Away {
 				if id, ok := g.decoder.Lookup(name); ok {
-					f.Away[id] = true
+					f.InMaintenance[id] = true
 				}
 			}
-			if err := g.planner.Together(f); err != nil {
+			if err := g.planner.ApplyFleetPlan(f); err != nil {
 				return nil
 			}
 			g.fleet.Applied(a.Away)
@@ -132,12 +132,12 @@
 }
 
 // uses is what verdicts say to one gateway. A start in its future, by a leader whose clock is ahead, is taken for now.
-func uses(v zone.Verdicts, zones []string, own int, name string, now dw.Instant) map[int]core.Use {
+func uses(v zone.Verdicts, zones []string, own int, name string, now dw.Instant) map[int]core.ZoneUse {
 	from := ""
 	if own < len(zones) {
 		from = zones[own]
 	}
-	uses := map[int]core.Use{}
+	uses := map[int]core.ZoneUse{}
 	for i, z := range zones {
 		w, ok := v.For(from, z)
 		if !ok {
@@ -146,14 +146,14 @@
 		since := min(now, core.FromUnixMS(w.Since))
 		switch {
 		case w.State == zone.Returning:
-			uses[i] = core.Use{Since: since}
+			uses[i] = core.ZoneUse{StartedAt: since}
 		case w.State == zone.Probing && slices.Contains(w.Probers, name):
-			uses[i] = core.Use{Since: since, Look: dw.HealthCheckIdempotent}
+			uses[i] = core.ZoneUse{StartedAt: since, HealthCheck: dw.HealthCheckIdempotent}
 			if w.Any {
-				uses[i] = core.Use{Since: since, Look: dw.HealthCheckAny}
+				uses[i] = core.ZoneUse{StartedAt: since, HealthCheck: dw.HealthCheckAny}
 			}
 		default:
-			uses[i] = core.Use{Avoid: true}
+			uses[i] = core.ZoneUse{Avoid: true}
 		}
 	}
 	return uses
--- a/cmd/dewhitch/gateway.go
+++ b/cmd/dewhitch/gateway.go
@@ -64,7 +64,7 @@
 	count           *counter.Client
 	planner         *core.Planner
 	decoder         *discovery.Decoder
-	known           core.Listing
+	known           core.EndpointUpdate
 	list            *discovery.Client
 	patience        time.Duration // for discovery's first list
 
@@ -127,16 +127,16 @@
 		return err
 	}
 	g.pools.Allowed = g.planner.Serving().Allows
-	g.planner.Count(g.figures)
-	g.planner.Monitor(g.metrics)
+	g.planner.SetFigures(g.figures)
+	g.planner.SetMonitor(g.metrics)
 	if g.keep.desk != nil {
-		g.keep.desk.Tallies(g.planner.Tallies)
+		g.keep.desk.Tallies(g.planner.ReadTallies)
 	}
 	g.decoder = discovery.NewDecoder(discovery.Names{Zones: n.Names.Zones, Kinds: n.Names.Kinds})
 	if g.known, err = g.decoder.Known(n.Known); err != nil {
 		return fmt.Errorf("configuration: known: %w", err)
 	}
-	g.list, g.patience = discovery.New(n.Discovery, g.decoder, g.planner.Listed, n.Seed, g.log), listWait
+	g.list, g.patience = discovery.New(n.Discovery, g.decoder, g.planner.UpdateEndpoints, n.Seed, g.log), listWait
 	g.list.Monitor(g.metrics)
 	if n.Settings.ListOnRequest {
 		known := len(g.known.List.Servers) > 0
@@ -192,7 +192,7 @@
 func (g *gateway) openLasting() error {
 	g.excluded = g.operated.exclusions()
 	g.keeper = warmStart(g.n, g.o.Warm, g.classes, g.planner, g.figures, g.log)
-	return g.planner.Listed(g.known)
+	return g.planner.UpdateEndpoints(g.known)
 }
 
 // close ends the books, after all that posts to them has ended.
@@ -346,7 +346,7 @@
 	t := g.commands.Retune(m.Names.Classes, m.Settings.Classes)
 	g.figures.Classes(t.Names())
 	g.longest.Store(int64(m.Longest()))
-	g.planner.Attempts(m.Settings.MaxAttempts)
+	g.planner.SetMaxAttempts(m.Settings.MaxAttempts)
 	g.log.Info("retuned", zap.Any("classes", t), zap.Int("attempts", m.Settings.MaxAttempts))
 }
 
@@ -418,7 +418,7 @@
 	for _, s := range g.servers {
 		s.CloseBy(plan.CloseBy)
 	}
-	if err := g.planner.End(plan.AnswerBy); err != nil {
+	if err := g.planner.Shutdown(plan.AnswerBy); err != nil {
 		g.log.Warn("requests are answered by their own deadlines alone", zap.Error(err))
 	}
 	return plan
--- a/cmd/dewhitch/operate.go
+++ b/cmd/dewhitch/operate.go
@@ -85,7 +85,7 @@
 				ids = append(ids, n)
 			}
 		}
-		if err := o.planner.Excluded(ids); err != nil {
+		if err := o.planner.RestoreExclusions(ids); err != nil {
 			return
 		}
 		o.log.Info("exclusions taken over", zap.Strings("servers", s.Excluded))
--- a/cmd/dewhitch/uses_test.go
+++ b/cmd/dewhitch/uses_test.go
@@ -17,17 +17,17 @@
 	for _, c := range []struct {
 		own  int
 		name string
-		want map[int]core.Use
+		want map[int]core.ZoneUse
 	}{
-		{0, "n0", map[int]core.Use{1: {Avoid: true}}},
-		{1, "n1", map[int]core.Use{1: {Since: since, Look: dw.HealthCheckIdempotent}}},
-		{2, "n2", map[int]core.Use{1: {Avoid: true}}},
+		{0, "n0", map[int]core.ZoneUse{1: {Avoid: true}}},
+		{1, "n1", map[int]core.ZoneUse{1: {StartedAt: since, HealthCheck: dw.HealthCheckIdempotent}}},
+		{2, "n2", map[int]core.ZoneUse{1: {Avoid: true}}},
 	} {
 		if got := uses(v, zones, c.own, c.name, core.FromUnixMS(9)); !maps.Equal(got, c.want) {
 			t.Errorf("%s: %+v, expected %+v", c.name, got, c.want)
 		}
 	}
-	if got := uses(v, zones, 1, "n1", core.FromUnixMS(3)); got[1].Since != core.FromUnixMS(3) {
+	if got := uses(v, zones, 1, "n1", core.FromUnixMS(3)); got[1].StartedAt != core.FromUnixMS(3) {
 		t.Errorf("a start in the future: %+v", got)
 	}
 }
--- a/cmd/dewhitch/warm.go
+++ b/cmd/dewhitch/warm.go
@@ -53,7 +53,7 @@
 			}
 		}
 		if err == nil {
-			servers, customers := p.Resume(learnt)
+			servers, customers := p.ImportState(learnt)
 			log.Info("warm start", zap.Uint64("life", found.Life), zap.Uint64("number", found.Number),
 				zap.Duration("age", age), zap.Int("servers", servers), zap.Int("customers", customers),
 				zap.Int("of", len(learnt.Customers)), zap.Int("dropped", dropped))
@@ -103,7 +103,7 @@
 
 // keep writes one snapshot.
 func (k *warmth) keep() {
-	err := k.planner.Learnt(&k.image.State, snapshot.MaxCustomers)
+	err := k.planner.ExportState(&k.image.State, snapshot.MaxCustomers)
 	if err == nil && k.image.State.At > 0 {
 		_, err = k.writer.Write(&k.image)
 	}
--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -28,11 +28,11 @@
 // fetch is one attempt, on its way from waiting to begun or to withdrawn: all that would have it not sent, and what sends
 // it, meet in Pools.mu.
 type fetch struct {
-	core.Fetch
+	core.Attempt
 	pool   *pool
 	state  state
 	began  func(core.Stream)
-	done   func(core.FetchEnd)
+	done   func(core.AttemptResult)
 	entry  ledger.Posting  // of its end; its event is None once that is posted
 	ctx    context.Context // ends when the module gives the fetch up
 	cancel context.CancelFunc
@@ -83,9 +83,9 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case f.state != waiting || f.ctx.Err() != nil, !f.Begin.IsZero() && !p.now().Before(f.Begin):
+	case f.state != waiting || f.ctx.Err() != nil, !f.StartBy.IsZero() && !p.now().Before(f.StartBy):
 		return errLate
-	case f.Source.Left():
+	case f.Request.ClientLeft():
 		f.state = withdrawn
 		return errLeft
 	case p.Allowed != nil && !p.Allowed(f.Backend):
@@ -103,12 +103,12 @@
 		return
 	}
 	if e := p.Log.Check(zap.DebugLevel, "an attempt begins"); e != nil {
-		e.Write(zap.String("request", f.Source.Message.Name), zap.Int("attempt", f.Attempt), zap.String("address", f.Backend.Addr))
+		e.Write(zap.String("request", f.Request.Message.Name), zap.Int("attempt", f.Number), zap.String("address", f.Backend.Addr))
 	}
 }
 
 // run carries out one fetch and tells how it ended.
-func (p *Pools) run(f *fetch) core.FetchEnd {
+func (p *Pools) run(f *fetch) core.AttemptResult {
 	c, err := p.take(f)
 	if err == nil {
 		if err = p.begin(f); err != nil {
@@ -119,15 +119,15 @@
 		// No fault of the backend's; blamed, every backend would be avoided for what this machine lacks.
 		ours := errors.Is(err, errFull) || errors.Is(err, errLeft) || errors.Is(err, errForbidden) || sockets.DialClass(err) == sockets.Shortage
 		if ours || errors.Is(f.ctx.Err(), context.Canceled) {
-			return core.FetchEnd{Outcome: dw.OutcomeNotSent}
+			return core.AttemptResult{Outcome: dw.OutcomeNotSent}
 		}
-		return core.FetchEnd{Outcome: dw.OutcomeConnectFailed}
+		return core.AttemptResult{Outcome: dw.OutcomeConnectFailed}
 	}
 	// From here on the connection is the fetch's own: when time is up or the fetch is given up, its reads and
 	// writes fail, and it is closed, which tells the backend.
 	unhook := context.AfterFunc(f.ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
 	end, clean := p.exchange(f, c, unhook)
-	if (unhook() || !end.First.IsZero()) && clean {
+	if (unhook() || !end.FirstByteAt.IsZero()) && clean {
 		p.put(c)
 	} else {
 		p.drop(c)
@@ -137,17 +137,17 @@
 
 // exchange writes the command and reads the answer; clean means that the connection may be used again. A value that is
 // streamed is no longer the fetch's to end: unhook takes its time and its cancelling off the connection.
-func (p *Pools) exchange(f *fetch, c *conn, unhook func() bool) (end core.FetchEnd, clean bool) {
+func (p *Pools) exchange(f *fetch, c *conn, unhook func() bool) (end core.AttemptResult, clean bool) {
 	command := p.command(f)
 	if n, _ := c.Write(command); n < len(command) {
 		// Not written whole, whatever the reason: the backend never begins it.
 		if errors.Is(f.ctx.Err(), context.Canceled) {
-			return core.FetchEnd{Outcome: dw.OutcomeNotSent}, false
+			return core.AttemptResult{Outcome: dw.OutcomeNotSent}, false
 		}
-		return core.FetchEnd{Outcome: dw.OutcomeConnectFailed}, false
+		return core.AttemptResult{Outcome: dw.OutcomeConnectFailed}, false
 	}
 	if p.Dispatched != nil {
-		p.Dispatched(f.Source.Named)
+		p.Dispatched(f.Request.ClassName)
 	}
 	// An answer that begins and is not whole soon is spoilt, though the connection may stay open for good.
 	_, err := c.r.Peek()
--- a/internal/backend/backend.go
+++ b/internal/backend/backend.go
@@ -62,9 +62,9 @@
 }
 
 // Start implements core.Backends.
-func (p *Pools) Start(f core.Fetch, began func(core.Stream), done func(core.FetchEnd)) {
-	ctx, cancel := context.WithDeadline(context.Background(), f.Until)
-	k, x := key{f.Req, f.Attempt}, &fetch{Fetch: f, began: began, done: done, ctx: ctx, cancel: cancel}
+func (p *Pools) Start(f core.Attempt, began func(core.Stream), done func(core.AttemptResult)) {
+	ctx, cancel := context.WithDeadline(context.Background(), f.Deadline)
+	k, x := key{f.RequestID, f.Number}, &fetch{Attempt: f, began: began, done: done, ctx: ctx, cancel: cancel}
 	p.mu.Lock()
 	p.fetches[k] = x
 	if x.pool = p.pools[f.Backend]; x.pool == nil {
@@ -74,7 +74,7 @@
 	x.pool.gone = false // it is on the list, or nothing would be sent
 	x.pool.out[x] = struct{}{}
 	p.mu.Unlock()
-	x.entry = ledger.Posting{Event: ledger.FetchBegan, Key: f.Source.Row, Ref: f.Source.Ref}
+	x.entry = ledger.Posting{Event: ledger.FetchBegan, Key: f.Request.LedgerKey, Ref: f.Request.LedgerRef}
 	p.books.Post(x.entry)
 	go func() {
 		end := p.run(x)
--- a/internal/backend/backend_test.go
+++ b/internal/backend/backend_test.go
@@ -50,17 +50,17 @@
 }
 
 // fetch starts one and gives back its number, and where its end comes.
-func (b *bed) fetch(begin time.Time) (dw.RequestID, <-chan core.FetchEnd) {
+func (b *bed) fetch(begin time.Time) (dw.RequestID, <-chan core.AttemptResult) {
 	b.next++
 	id := dw.RequestID(rune('a' + b.next))
-	end := make(chan core.FetchEnd, 1)
-	b.Start(core.Fetch{Req: id, Backend: b.to, Until: time.Now().Add(patience), Begin: begin,
-		Source: &core.Req{Named: "booking", Units: 1, Spread: 1, Message: core.Message{Name: string(id)}}},
-		func(s core.Stream) { s.Close() }, func(e core.FetchEnd) { end <- e })
+	end := make(chan core.AttemptResult, 1)
+	b.Start(core.Attempt{RequestID: id, Backend: b.to, Deadline: time.Now().Add(patience), StartBy: begin,
+		Request: &core.Request{ClassName: "booking", Units: 1, Spread: 1, Message: core.Message{Name: string(id)}}},
+		func(s core.Stream) { s.Close() }, func(e core.AttemptResult) { end <- e })
 	return id, end
 }
 
-func (b *bed) ended(end <-chan core.FetchEnd, want dw.Outcome) {
+func (b *bed) ended(end <-chan core.AttemptResult, want dw.Outcome) {
 	b.t.Helper()
 	select {
 	case e := <-end:
--- a/internal/backend/codec.go
+++ b/internal/backend/codec.go
@@ -14,17 +14,17 @@
 
 // command words a fetch as the client worded its req, but for the time that is left.
 func (p *Pools) command(f *fetch) []byte {
-	r := f.Source
+	r := f.Request
 	name, words := "SVC.SUBMIT", 4
-	if r.Query {
+	if r.IdempotentQuery {
 		name = "SVC.QUERY"
 	}
 	if r.Message.Body != nil {
 		words++
 	}
-	args := append(append([]byte("c="), r.Named...), ",t="...)
+	args := append(append([]byte("c="), r.ClassName...), ",t="...)
 	args = append(append(args, p.names.Plans[r.Plan]...), ",d="...)
-	args = strconv.AppendInt(args, max(1, time.Until(f.Until).Milliseconds()), 10)
+	args = strconv.AppendInt(args, max(1, time.Until(f.Deadline).Milliseconds()), 10)
 	if r.Message.Key != "" {
 		args = append(append(args, ",k="...), r.Message.Key...)
 	}
@@ -33,7 +33,7 @@
 	}
 	args = strconv.AppendFloat(append(args, ",units="...), r.Units, 'f', -1, 64)
 	args = strconv.AppendInt(append(args, ",spread="...), int64(r.Spread), 10)
-	args = strconv.AppendInt(append(args, ",first="...), int64(r.First), 10)
+	args = strconv.AppendInt(append(args, ",first="...), int64(r.FirstGateway), 10)
 	b := make([]byte, 0, 128+len(args)+len(r.Message.Body))
 	b = resp.AppendBulk(resp.AppendArray(b, words), name)
 	b = resp.AppendBulk(b, CustomerText(r.Customer))
@@ -55,7 +55,7 @@
 
 // outcome reads a backend's answer, or as much of it as could be read. It is whole if it is one that a backend gives:
 // with any other the connection is of no further use, as nobody knows where the next answer begins.
-func outcome(v resp.Value, read bool) (end core.FetchEnd, whole bool) {
+func outcome(v resp.Value, read bool) (end core.AttemptResult, whole bool) {
 	end.Outcome = dw.OutcomeError // it may have run
 	switch {
 	case v.Kind == resp.Array && v.Len == parts && len(v.Items) > 0:
--- a/internal/backend/connections.go
+++ b/internal/backend/connections.go
@@ -81,7 +81,7 @@
 // as a connection may take to come up; nothing was sent by any.
 func (p *Pools) connect(f *fetch) (net.Conn, error) {
 	for until := p.now().Add(p.limits.Connect); ; {
-		c, err := p.dial(f.ctx, f.Backend.Addr, f.Begin)
+		c, err := p.dial(f.ctx, f.Backend.Addr, f.StartBy)
 		if sockets.DialClass(err) != sockets.Shortage || !p.now().Before(until) {
 			return c, err
 		}
--- a/internal/backend/forbidden_test.go
+++ b/internal/backend/forbidden_test.go
@@ -14,23 +14,25 @@
 )
 
 // listing is a whole list of one backend, in a state.
-func (b *bed) listing(version int64, state dw.EndpointState, addr string) core.Listing {
-	return core.Listing{List: dw.EndpointList{Kind: dw.ListFull, Version: version,
-		Servers: []dw.Endpoint{{ID: b.to.ID, Rating: 1, State: state}}}, Addrs: []string{addr}, Read: time.Now()}
+func (b *bed) listing(version int64, state dw.EndpointState, addr string) core.EndpointUpdate {
+	return core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListFull, Version: version,
+		Servers: []dw.Endpoint{{ID: b.to.ID, Rating: 1, State: state}}}, Addrs: []string{addr}, ReadAt: time.Now()}
 }
 
 // The planner stands still, as it would on a loaded machine, when the list says that a backend drains, or is gone, or is another
 // at the same id: what waits for its connection is not written, though nobody has withdrawn it.
 func TestNewsIsInForceBeforeThePlannerHearsIt(t *testing.T) {
 	for name, c := range map[string]struct {
-		news func(b *bed) core.Listing
+		news func(b *bed) core.EndpointUpdate
 		want dw.Outcome
 	}{
-		"draining":        {func(b *bed) core.Listing { return b.listing(2, dw.Draining, b.to.Addr) }, dw.OutcomeNotSent},
-		"removed":         {func(b *bed) core.Listing { return b.listing(2, dw.Removed, b.to.Addr) }, dw.OutcomeNotSent},
-		"left out":        {func(*bed) core.Listing { return core.Listing{List: dw.EndpointList{Kind: dw.ListFull, Version: 2}} }, dw.OutcomeNotSent},
-		"another address": {func(b *bed) core.Listing { return b.listing(2, dw.Ready, "127.0.0.1:1") }, dw.OutcomeNotSent},
-		"as it was":       {func(b *bed) core.Listing { return b.listing(2, dw.Ready, b.to.Addr) }, dw.OutcomeOK},
+		"draining": {func(b *bed) core.EndpointUpdate { return b.listing(2, dw.Draining, b.to.Addr) }, dw.OutcomeNotSent},
+		"removed":  {func(b *bed) core.EndpointUpdate { return b.listing(2, dw.Removed, b.to.Addr) }, dw.OutcomeNotSent},
+		"left out": {func(*bed) core.EndpointUpdate {
+			return core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListFull, Version: 2}}
+		}, dw.OutcomeNotSent},
+		"another address": {func(b *bed) core.EndpointUpdate { return b.listing(2, dw.Ready, "127.0.0.1:1") }, dw.OutcomeNotSent},
+		"as it was":       {func(b *bed) core.EndpointUpdate { return b.listing(2, dw.Ready, b.to.Addr) }, dw.OutcomeOK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBed(t, standin.Always(standin.Step{}))
@@ -39,12 +41,12 @@
 				t.Fatal(err)
 			}
 			b.Allowed = p.Serving().Allows // the planner itself never runs
-			if err := p.Listed(b.listing(1, dw.Ready, b.to.Addr)); err != nil {
+			if err := p.UpdateEndpoints(b.listing(1, dw.Ready, b.to.Addr)); err != nil {
 				t.Fatal(err)
 			}
 			_, end := b.fetch(time.Time{})
 			<-b.dialled
-			if err := p.Listed(c.news(b)); err != nil {
+			if err := p.UpdateEndpoints(c.news(b)); err != nil {
 				t.Fatal(err)
 			}
 			b.up <- struct{}{}
@@ -67,18 +69,18 @@
 	go func() {
 		defer close(over)
 		for v := int64(2); ctx.Err() == nil; v++ {
-			l := core.Listing{List: dw.EndpointList{Kind: dw.ListDelta, Version: v}, Read: time.Now()}
+			l := core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListDelta, Version: v}, ReadAt: time.Now()}
 			for i := range 100 {
 				l.List.Servers = append(l.List.Servers, dw.Endpoint{ID: dw.ServerID(1000 + i), State: dw.Draining, Rating: 1})
 				l.Addrs = append(l.Addrs, fmt.Sprintf("127.0.0.1:%d", i+1))
 			}
-			if p.Listed(l) != nil {
+			if p.UpdateEndpoints(l) != nil {
 				return
 			}
 		}
 	}()
 	answered := make(chan core.Answer, 1)
-	if _, err := p.Take(b.req(func(a core.Answer) { answered <- a })); err != nil {
+	if _, err := p.Submit(b.req(func(a core.Answer) { answered <- a })); err != nil {
 		t.Fatal(err)
 	}
 	select {
--- a/internal/backend/giveup_test.go
+++ b/internal/backend/giveup_test.go
@@ -33,11 +33,11 @@
 			p := New(Names{Plans: []string{"basic"}}, Limits{Conns: 8, Idle: time.Minute, Connect: patience}, noBooks{})
 			written := make(chan struct{})
 			p.Dispatched = func(string) { close(written) }
-			ended := make(chan core.FetchEnd, 1)
+			ended := make(chan core.AttemptResult, 1)
 			body := bytes.Repeat([]byte("x"), 32<<10)
-			p.Start(core.Fetch{Req: "a", Backend: core.Backend{ID: 1, Addr: server.Addr()}, Until: time.Now().Add(end.wait),
-				Source: &core.Req{Named: "booking", Units: 1, Spread: 1, Message: core.Message{Name: "n", Body: body}}},
-				func(s core.Stream) { s.Close() }, func(e core.FetchEnd) { ended <- e })
+			p.Start(core.Attempt{RequestID: "a", Backend: core.Backend{ID: 1, Addr: server.Addr()}, Deadline: time.Now().Add(end.wait),
+				Request: &core.Request{ClassName: "booking", Units: 1, Spread: 1, Message: core.Message{Name: "n", Body: body}}},
+				func(s core.Stream) { s.Close() }, func(e core.AttemptResult) { ended <- e })
 			conn := <-server.Conns
 			defer conn.Close()
 			<-written
--- a/internal/backend/golden_test.go
+++ b/internal/backend/golden_test.go
@@ -21,15 +21,15 @@
 		var b []byte
 		for _, c := range []struct {
 			left time.Duration
-			req  *core.Req
+			req  *core.Request
 		}{
-			{1500 * time.Millisecond, &core.Req{Named: "order", Plan: 1, Customer: 0x1b4d65521, Units: 2.5, Spread: 3, First: 4, Repeat: true,
+			{1500 * time.Millisecond, &core.Request{ClassName: "order", Plan: 1, Customer: 0x1b4d65521, Units: 2.5, Spread: 3, FirstGateway: 4, Repeat: true,
 				Message: core.Message{Name: "name-1", Key: "key-1", Body: []byte("body\r\n1")}}},
-			{20*time.Millisecond + 1, &core.Req{Named: "quote", Query: true, Customer: 7, Units: 1, Spread: 1, Message: core.Message{Name: "name-2"}}},
-			{-time.Second, &core.Req{Named: "charge", Customer: 0xfedcba9876543210, Units: 1e6, Spread: 5, First: 6,
+			{20*time.Millisecond + 1, &core.Request{ClassName: "quote", IdempotentQuery: true, Customer: 7, Units: 1, Spread: 1, Message: core.Message{Name: "name-2"}}},
+			{-time.Second, &core.Request{ClassName: "charge", Customer: 0xfedcba9876543210, Units: 1e6, Spread: 5, FirstGateway: 6,
 				Message: core.Message{Name: "name-3", Body: []byte{}}}},
 		} {
-			b = append(b, p.command(&fetch{Fetch: core.Fetch{Until: time.Now().Add(c.left), Source: c.req}})...)
+			b = append(b, p.command(&fetch{Attempt: core.Attempt{Deadline: time.Now().Add(c.left), Request: c.req}})...)
 		}
 		golden.Compare(t, "commands.txt", b)
 	})
@@ -41,19 +41,19 @@
 	full := dw.Load{Has: dw.HasInflight | dw.HasQueue | dw.HasUtil | dw.HasLatency | dw.HasRate | dw.HasErrors,
 		Inflight: 1.5, Queue: 2.5, Util: 0.5, LatencyMS: 3.25, Rate: 4.5, Errors: 0.25}
 	want := []struct {
-		end   core.FetchEnd
+		end   core.AttemptResult
 		whole bool
 	}{
-		{core.FetchEnd{Outcome: dw.OutcomeOK, Value: []byte("value-1"), Load: full}, true},
-		{core.FetchEnd{Outcome: dw.OutcomeOK, Value: []byte("value-2"), Load: dw.Load{Has: dw.HasQueue, Queue: 7}}, true},
-		{core.FetchEnd{Outcome: dw.OutcomeRejected}, true},
-		{core.FetchEnd{Outcome: dw.OutcomeRejected, Load: full}, true},
-		{core.FetchEnd{Outcome: dw.OutcomeError}, true},
-		{core.FetchEnd{Outcome: dw.OutcomeError, Load: dw.Load{Has: dw.HasInflight, Inflight: 9}}, true},
-		{core.FetchEnd{Outcome: dw.OutcomeError}, false}, // of no such word
-		{core.FetchEnd{Outcome: dw.OutcomeError}, false}, // no value
-		{core.FetchEnd{Outcome: dw.OutcomeError}, false}, // not of three parts
-		{core.FetchEnd{Outcome: dw.OutcomeError}, false}, // of another kind
+		{core.AttemptResult{Outcome: dw.OutcomeOK, Value: []byte("value-1"), Load: full}, true},
+		{core.AttemptResult{Outcome: dw.OutcomeOK, Value: []byte("value-2"), Load: dw.Load{Has: dw.HasQueue, Queue: 7}}, true},
+		{core.AttemptResult{Outcome: dw.OutcomeRejected}, true},
+		{core.AttemptResult{Outcome: dw.OutcomeRejected, Load: full}, true},
+		{core.AttemptResult{Outcome: dw.OutcomeError}, true},
+		{core.AttemptResult{Outcome: dw.OutcomeError, Load: dw.Load{Has: dw.HasInflight, Inflight: 9}}, true},
+		{core.AttemptResult{Outcome: dw.OutcomeError}, false}, // of no such word
+		{core.AttemptResult{Outcome: dw.OutcomeError}, false}, // no value
+		{core.AttemptResult{Outcome: dw.OutcomeError}, false}, // not of three parts
+		{core.AttemptResult{Outcome: dw.OutcomeError}, false}, // of another kind
 	}
 	lines := strings.Split(strings.TrimSpace(string(golden.Read(t, "answers.txt"))), "\n")
 	if len(lines) != len(want) {
--- a/internal/backend/leaving_test.go
+++ b/internal/backend/leaving_test.go
@@ -14,7 +14,7 @@
 
 type noCounter struct{}
 
-func (noCounter) Add(core.Call, func(dw.Outcome, float64)) {}
+func (noCounter) Add(core.CounterCall, func(dw.Outcome, float64)) {}
 
 type noRefs struct{ noBooks }
 
@@ -37,8 +37,8 @@
 		stop()
 		<-over
 	})
-	list := core.Listing{List: dw.EndpointList{Kind: dw.ListFull, Version: 1, Servers: []dw.Endpoint{{ID: b.to.ID}}}, Addrs: []string{b.to.Addr}}
-	if err := p.Listed(list); err != nil {
+	list := core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListFull, Version: 1, Servers: []dw.Endpoint{{ID: b.to.ID}}}, Addrs: []string{b.to.Addr}}
+	if err := p.UpdateEndpoints(list); err != nil {
 		b.t.Fatal(err)
 	}
 	return p
@@ -49,8 +49,8 @@
 		Classes: []dw.Class{{Objective: 10e9, Deadline: 20e9, Weight: 1, Idempotency: e, DedupWindow: 10e9}}, Plans: []dw.Plan{{Rate: 100, Burst: 100, WeightFactor: 1}}}
 }
 
-func (b *bed) req(answer func(core.Answer)) *core.Req {
-	return &core.Req{Came: time.Now(), Named: "booking", Customer: 7, Wait: patience, Units: 1, Spread: 1,
+func (b *bed) req(answer func(core.Answer)) *core.Request {
+	return &core.Request{ReceivedAt: time.Now(), ClassName: "booking", Customer: 7, Timeout: patience, Units: 1, Spread: 1,
 		Message: core.Message{Name: "n", Key: "k"}, Answer: answer}
 }
 
@@ -60,14 +60,14 @@
 	for _, cancel := range []bool{true, false} {
 		b := newBed(t, standin.Always(standin.Step{}))
 		p := b.planner(settings(cancel, dw.Idempotent))
-		ticket, err := p.Take(b.req(func(a core.Answer) { t.Errorf("an answer for nobody: %+v", a) }))
+		ticket, err := p.Submit(b.req(func(a core.Answer) { t.Errorf("an answer for nobody: %+v", a) }))
 		if err != nil {
 			t.Fatal(err)
 		}
 		<-b.dialled
-		p.Leave(ticket)
+		p.Cancel(ticket)
 		asked := make(chan struct{})
-		p.Tallies(func(func(uint64) (float64, bool)) { close(asked) }) // and the planner has heard
+		p.ReadTallies(func(func(uint64) (float64, bool)) { close(asked) }) // and the planner has heard
 		<-asked
 		b.up <- struct{}{}
 		b.settled()
@@ -105,14 +105,14 @@
 		t.Fatal(err)
 	}
 	r := b.req(func(core.Answer) {})
-	ticket, err := p.Take(r) // the planner itself never runs
+	ticket, err := p.Submit(r) // the planner itself never runs
 	if err != nil {
 		t.Fatal(err)
 	}
-	end := make(chan core.FetchEnd, 1)
-	b.Start(core.Fetch{Req: "a", Backend: b.to, Until: time.Now().Add(patience), Source: r}, nil, func(e core.FetchEnd) { end <- e })
+	end := make(chan core.AttemptResult, 1)
+	b.Start(core.Attempt{RequestID: "a", Backend: b.to, Deadline: time.Now().Add(patience), Request: r}, nil, func(e core.AttemptResult) { end <- e })
 	<-b.dialled
-	p.Leave(ticket)
+	p.Cancel(ticket)
 	b.up <- struct{}{}
 	b.ended(end, dw.OutcomeNotSent)
 	if n := len(b.node.Seen()); n != 0 {
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -71,9 +71,9 @@
 }
 
 // stream has a large value passed on, and reads what stands behind it.
-func (p *Pools) stream(f *fetch, c *conn, v resp.Value, size int) (core.FetchEnd, bool) {
+func (p *Pools) stream(f *fetch, c *conn, v resp.Value, size int) (core.AttemptResult, bool) {
 	s := &stream{c: c, size: size, left: size, over: make(chan struct{})}
-	end := core.FetchEnd{Outcome: dw.OutcomeOK, First: time.Now()}
+	end := core.AttemptResult{Outcome: dw.OutcomeOK, FirstByteAt: time.Now()}
 	p.book(f, dw.OutcomeOK) // before the req is: whatever becomes of the value, it was a good fetch's
 	f.began(s)
 	<-s.over
--- a/internal/core/admit.go
+++ b/internal/core/admit.go
@@ -10,19 +10,19 @@
 // admit asks the module for a decision on a req.
 func (p *Planner) admit(t *taken) {
 	r := t.req
-	left := dw.Span(r.Wait - time.Since(r.Came))
+	left := dw.Span(r.Timeout - time.Since(r.ReceivedAt))
 	ask := dw.LimitQuery{ID: t.id, Plan: r.Plan, Customer: r.Customer, Remaining: left, Spread: r.Spread,
-		First: r.First}
+		First: r.FirstGateway}
 	switch r.Kind {
-	case Query:
+	case KindQueryLimit:
 		p.tell(ask)
 		return
-	case Adjust:
+	case KindAdjustLimit:
 		p.tell(dw.LimitAdjust{LimitQuery: ask, Units: r.Units})
 		return
 	}
 	p.tell(dw.Arrival{ID: t.id, Class: r.Class, Plan: r.Plan, Customer: r.Customer,
-		Remaining: left, Units: r.Units, Spread: r.Spread, First: r.First,
+		Remaining: left, Units: r.Units, Spread: r.Spread, First: r.FirstGateway,
 		Repeat: r.Repeat})
 }
 
--- a/internal/core/book.go
+++ b/internal/core/book.go
@@ -14,9 +14,9 @@
 
 // count books use on the shared counter.
 func (p *Planner) count(now time.Time, a dw.CounterAdd) {
-	c := Call{Name: a.Name, Amount: a.Add, Life: time.Duration(a.TTL), Ref: p.books.Ref(),
-		Row: ledger.Account(uint64(a.Customer))}
-	told := ledger.Posting{Event: ledger.UnitsTold, Key: c.Row, Ref: c.Ref, Units: ledger.MicroUnits(a.Add)}
+	c := CounterCall{Name: a.Name, Amount: a.Add, TTL: time.Duration(a.TTL), LedgerRef: p.books.Ref(),
+		LedgerKey: ledger.Account(uint64(a.Customer))}
+	told := ledger.Posting{Event: ledger.UnitsTold, Key: c.LedgerKey, Ref: c.LedgerRef, Units: ledger.MicroUnits(a.Add)}
 	p.books.Post(told)
 	p.counter.Add(c, func(o dw.Outcome, total float64) {
 		m := counted{CounterAnswered: dw.CounterAnswered{Name: a.Name, Outcome: o, Latency: dw.Span(time.Since(now)), Total: total}}
@@ -42,9 +42,9 @@
 	f func(tally func(customer uint64) (float64, bool))
 }
 
-// Tallies has f read the module's tallies on the planner, where nothing is drawn meanwhile; f may not block. It
+// ReadTallies has f read the module's tallies on the planner, where nothing is drawn meanwhile; f may not block. It
 // returns before f is called, or with ErrStopped.
-func (p *Planner) Tallies(f func(tally func(customer uint64) (units float64, known bool))) error {
+func (p *Planner) ReadTallies(f func(tally func(customer uint64) (units float64, known bool))) error {
 	return p.post(tallies{f})
 }
 
--- a/internal/core/core.go
+++ b/internal/core/core.go
@@ -14,40 +14,40 @@
 	"dewhitch/internal/ledger"
 )
 
-// Kind is what a req asks for.
-type Kind int
+// RequestKind is what a req asks for.
+type RequestKind int
 
 // The kinds.
 const (
-	Book   Kind = iota // a fetch from a backend
-	Query              // what the customer's quota has left
-	Adjust             // to take units from the quota, or to give them back
+	KindForward     RequestKind = iota // a fetch from a backend
+	KindQueryLimit                     // what the customer's quota has left
+	KindAdjustLimit                    // to take units from the quota, or to give them back
 )
 
-// Req is one try of a client.
-type Req struct {
-	Kind     Kind
-	Came     time.Time // when its last byte had been read
-	Class    int       // index in the module's settings, as is Plan; of a booking alone
-	Named    string    // of a booking: its class as the client named it, which settings read anew may have added
-	Query    bool      // of a booking: it came as a query, safe to repeat
-	Plan     int
-	Customer dw.CustomerID
-	Wait     time.Duration // from Came, how long the client will wait
-	Units    float64       // below 0: given back
-	Spread   int           // the customer's gateways: so many in a row
-	First    int           // from this one on
-	Repeat   bool
-	Message  Message      // of a booking
-	Ref      uint64       // under which the books have it, as they have
-	Row      ledger.Key   // its row
-	Answer   func(Answer) // called once, on the planner; it may not block
-	left     atomic.Bool  // the client has gone
+// Request is one try of a client.
+type Request struct {
+	Kind            RequestKind
+	ReceivedAt      time.Time // when its last byte had been read
+	Class           int       // index in the module's settings, as is Plan; of a booking alone
+	ClassName       string    // of a booking: its class as the client named it, which settings read anew may have added
+	IdempotentQuery bool      // of a booking: it came as a query, safe to repeat
+	Plan            int
+	Customer        dw.CustomerID
+	Timeout         time.Duration // from Came, how long the client will wait
+	Units           float64       // below 0: given back
+	Spread          int           // the customer's gateways: so many in a row
+	FirstGateway    int           // from this one on
+	Repeat          bool
+	Message         Message      // of a booking
+	LedgerRef       uint64       // under which the books have it, as they have
+	LedgerKey       ledger.Key   // its row
+	Answer          func(Answer) // called once, on the planner; it may not block
+	clientLeft      atomic.Bool  // the client has gone
 }
 
-// Left reports whether the client has gone, from the moment in which that is seen on: whoever begins an attempt asks it last, as
+// ClientLeft reports whether the client has gone, from the moment in which that is seen on: whoever begins an attempt asks it last, as
 // the news still has to wait for the planner. It is safe for any goroutine.
-func (r *Req) Left() bool { return r.left.Load() }
+func (r *Request) ClientLeft() bool { return r.clientLeft.Load() }
 
 // Message is what a backend is sent, unchanged by any gateway.
 type Message struct {
@@ -56,14 +56,14 @@
 	Body []byte // nil: none
 }
 
-// Verdict is how a req ended.
-type Verdict int
+// Result is how a req ended.
+type Result int
 
 // The verdicts.
 const (
-	Served  Verdict = iota
-	Refused         // trying again is harmless
-	Failed          // nothing is promised
+	ResultServed   Result = iota
+	ResultRejected        // trying again is harmless
+	ResultFailed          // nothing is promised
 )
 
 // Stream is a value too large to be held, as it comes. Whoever was given it reads it to its end, or not, and closes it.
@@ -75,7 +75,7 @@
 
 // Answer is the one final answer to a req.
 type Answer struct {
-	Verdict    Verdict
+	Result     Result
 	Value      []byte          // of a served req, if it is held
 	Stream     Stream          // of a served req, if it is not
 	RetryAfter time.Duration   // of a refused one; 0: no advice
@@ -89,29 +89,29 @@
 	Addr string
 }
 
-// Fetch is one attempt at a req.
-type Fetch struct {
-	Req     dw.RequestID
-	Attempt int
-	Backend Backend
-	Until   time.Time // when to stop waiting
-	Begin   time.Time // by when its first byte is written, or none is; zero: by Until
-	Source  *Req
+// Attempt is one attempt at a req.
+type Attempt struct {
+	RequestID dw.RequestID
+	Number    int
+	Backend   Backend
+	Deadline  time.Time // when to stop waiting
+	StartBy   time.Time // by when its first byte is written, or none is; zero: by Until
+	Request   *Request
 }
 
-// FetchEnd is the one end of a fetch.
-type FetchEnd struct {
-	Outcome dw.Outcome // tells truly whether the fetch may have run
-	Value   []byte
-	Load    dw.Load
-	First   time.Time // of a value that was streamed: when it began; zero: now
+// AttemptResult is the one end of a fetch.
+type AttemptResult struct {
+	Outcome     dw.Outcome // tells truly whether the fetch may have run
+	Value       []byte
+	Load        dw.Load
+	FirstByteAt time.Time // of a value that was streamed: when it began; zero: now
 }
 
 // Backends starts fetches; none of its methods may block.
 type Backends interface {
 	// Start begins f and calls done once, from any goroutine but the caller's. Before that it calls began, if the value
 	// is too large to be held: whoever takes the stream ends the fetch by closing it.
-	Start(f Fetch, began func(Stream), done func(FetchEnd))
+	Start(f Attempt, began func(Stream), done func(AttemptResult))
 	// Cancel gives a fetch up, if it is still out.
 	Cancel(req dw.RequestID, attempt int)
 	// Retract ends a fetch of which nothing is written yet; with any other it does nothing.
@@ -123,23 +123,23 @@
 	Forget(b Backend)
 }
 
-// Call is one call to the counter.
-type Call struct {
-	Name   string
-	Amount float64
-	Life   time.Duration // of a new name
-	Ref    uint64        // under which the books have it, as they have
-	Row    ledger.Key    // its account
+// CounterCall is one call to the counter.
+type CounterCall struct {
+	Name      string
+	Amount    float64
+	TTL       time.Duration // of a new name
+	LedgerRef uint64        // under which the books have it, as they have
+	LedgerKey ledger.Key    // its account
 }
 
 // Counter adds to shared numbers; it may not block.
 type Counter interface {
 	// Add calls done once, from any goroutine but the caller's; for one name, in the order of the calls.
-	Add(c Call, done func(dw.Outcome, float64))
+	Add(c CounterCall, done func(dw.Outcome, float64))
 }
 
-// Books are what the planner posts to.
-type Books interface {
+// Recorder are what the planner posts to.
+type Recorder interface {
 	Ref() uint64 // a number for a call
 	Post(ledger.Posting)
 }
--- a/internal/core/ending.go
+++ b/internal/core/ending.go
@@ -7,12 +7,12 @@
 )
 
 // hurry tells that a req must have its answer now.
-type hurry struct{ ticket *Ticket }
+type hurry struct{ ticket *PendingRequest }
 
 func (hurry) queue() Queue { return QueueOutcome }
 
-// Hurry has a req answered now, in the best way that is still allowed: its client's connection must end.
-func (p *Planner) Hurry(t *Ticket) {
+// Expedite has a req answered now, in the best way that is still allowed: its client's connection must end.
+func (p *Planner) Expedite(t *PendingRequest) {
 	t.hurried.Store(true)
 	_ = p.post(hurry{t}) // a planner that has stopped owes nothing
 }
@@ -31,8 +31,8 @@
 
 func (ending) queue() Queue { return QueueControl }
 
-// End has every request answered by a time, those that are open and those that are still taken.
-func (p *Planner) End(by time.Time) error {
+// Shutdown has every request answered by a time, those that are open and those that are still taken.
+func (p *Planner) Shutdown(by time.Time) error {
 	m := ending{by, make(chan error, 1)}
 	return p.call(m, m.done)
 }
--- a/internal/core/exclude.go
+++ b/internal/core/exclude.go
@@ -36,8 +36,8 @@
 // Include ends an exclusion.
 func (p *Planner) Include(id dw.ServerID) error { return p.exclude(exclusion{id: id}) }
 
-// Excluded takes over the exclusions of the process before this one, whether or not their servers are listed yet.
-func (p *Planner) Excluded(ids []dw.ServerID) error {
+// RestoreExclusions takes over the exclusions of the process before this one, whether or not their servers are listed yet.
+func (p *Planner) RestoreExclusions(ids []dw.ServerID) error {
 	for _, id := range ids {
 		if err := p.exclude(exclusion{id: id, out: true, known: true}); err != nil {
 			return err
@@ -98,16 +98,16 @@
 
 func (p *Planner) overlaid(e dw.Endpoint) dw.Endpoint {
 	use := p.fleet.Zones[e.Zone]
-	if (p.excluded[e.ID] || p.fleet.Away[e.ID] || use.Avoid) && e.State == dw.Ready {
+	if (p.excluded[e.ID] || p.fleet.InMaintenance[e.ID] || use.Avoid) && e.State == dw.Ready {
 		e.State = dw.Draining
 	}
-	e.StartedAt, e.HealthCheck = max(e.StartedAt, use.Since), use.Look
-	if e.State != dw.Ready || !p.fleet.Fed || !p.begins(e.StartedAt) {
+	e.StartedAt, e.HealthCheck = max(e.StartedAt, use.StartedAt), use.HealthCheck
+	if e.State != dw.Ready || !p.fleet.Active || !p.begins(e.StartedAt) {
 		return e
 	}
 	// Danger: a fleet that has just begun, or whose leader has, gives nothing for a while. Where most servers are cold that
 	// would be an outage, and the module's guess is better than none.
-	if e.SlowStartRate = p.fleet.Feeds[e.ID]; e.SlowStartRate <= 0 && !p.fewWarm {
+	if e.SlowStartRate = p.fleet.SlowStartRates[e.ID]; e.SlowStartRate <= 0 && !p.fewWarm {
 		e.State = dw.Draining
 	}
 	return e
--- a/internal/core/inbox.go
+++ b/internal/core/inbox.go
@@ -40,12 +40,12 @@
 // inbox holds what waits for the planner. Its queues are taken from in their order: news and control before what clients
 // asked for, and the ends of attempts before new requests, as they give an answer, and free what the attempt held.
 type inbox struct {
-	queues [Queues]chan posted
+	queues [QueueCount]chan posted
 	stop   chan struct{} // closed when the planner ends: nobody may wait for it then
 }
 
 func newInbox() inbox {
-	return inbox{stop: make(chan struct{}), queues: [Queues]chan posted{QueueNews: make(chan posted, newsSize),
+	return inbox{stop: make(chan struct{}), queues: [QueueCount]chan posted{QueueEndpoints: make(chan posted, newsSize),
 		QueueControl: make(chan posted, controlSize), QueueOutcome: make(chan posted, outcomeSize),
 		QueueArrival: make(chan posted, arrivalSize)}}
 }
@@ -100,7 +100,7 @@
 	select {
 	case <-ctx.Done():
 	case <-wake:
-	case m = <-b.queues[QueueNews]:
+	case m = <-b.queues[QueueEndpoints]:
 		return m, true
 	case m = <-b.queues[QueueControl]:
 		return m, true
--- a/internal/core/learnt.go
+++ b/internal/core/learnt.go
@@ -15,9 +15,9 @@
 
 func (learnt) queue() Queue { return QueueControl }
 
-// Learnt copies out what the module has learnt, with most customers at most, between two events; into is the caller's
+// ExportState copies out what the module has learnt, with most customers at most, between two events; into is the caller's
 // again when it returns.
-func (p *Planner) Learnt(into *dw.State, most int) error {
+func (p *Planner) ExportState(into *dw.State, most int) error {
 	m := learnt{into, most, make(chan error, 1)}
 	return p.call(m, m.done)
 }
@@ -27,7 +27,7 @@
 	m.done <- nil
 }
 
-// Resume starts from what the process before had learnt, before Run.
-func (p *Planner) Resume(l *dw.State) (servers, customers int) {
+// ImportState starts from what the process before had learnt, before Run.
+func (p *Planner) ImportState(l *dw.State) (servers, customers int) {
 	return p.gate.Import(p.Instant(time.Now()), l)
 }
--- a/internal/core/monitor.go
+++ b/internal/core/monitor.go
@@ -12,11 +12,11 @@
 
 // The queues.
 const (
-	QueueNews    Queue = iota // changes of the list of servers
-	QueueControl              // operators' calls, the fleet's settlements, the end of the process
-	QueueOutcome              // ends of attempts and of calls to the counter
-	QueueArrival              // what clients ask for, and that they have left
-	Queues                    // how many there are
+	QueueEndpoints Queue = iota // changes of the list of servers
+	QueueControl                // operators' calls, the fleet's settlements, the end of the process
+	QueueOutcome                // ends of attempts and of calls to the counter
+	QueueArrival                // what clients ask for, and that they have left
+	QueueCount                  // how many there are
 )
 
 // String is the queue's name in metrics and logs.
@@ -42,5 +42,5 @@
 func (noMonitor) Answered(ledger.Event)            {}
 func (noMonitor) Retried(dw.Outcome)               {}
 
-// Monitor has m told what the planner does; before it runs.
-func (p *Planner) Monitor(m Monitor) { p.monitor = m }
+// SetMonitor has m told what the planner does; before it runs.
+func (p *Planner) SetMonitor(m Monitor) { p.monitor = m }
--- a/internal/core/order_test.go
+++ b/internal/core/order_test.go
@@ -26,22 +26,22 @@
 	r.events = append(r.events, fmt.Sprintf(format, a...))
 }
 
-func (r *recorder) Start(f Fetch, _ func(Stream), _ func(FetchEnd)) {
+func (r *recorder) Start(f Attempt, _ func(Stream), _ func(AttemptResult)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.starts = append(r.starts, f.Backend)
 }
-func (r *recorder) Cancel(dw.RequestID, int)             {}
-func (r *recorder) Retract(dw.RequestID, int)            {}
-func (r *recorder) Withdraw(Backend)                     {}
-func (r *recorder) Forget(Backend)                       {}
-func (r *recorder) Add(Call, func(dw.Outcome, float64))  {}
-func (r *recorder) Ref() uint64                          { return 0 }
-func (r *recorder) Post(ledger.Posting)                  {}
-func (r *recorder) Waited(q Queue, _ time.Duration)      { r.note("%v", q) }
-func (r *recorder) ListApplied(v int64, _ time.Duration) { r.note("list %d", v) }
-func (r *recorder) Answered(ledger.Event)                {}
-func (r *recorder) Retried(dw.Outcome)                   {}
+func (r *recorder) Cancel(dw.RequestID, int)                   {}
+func (r *recorder) Retract(dw.RequestID, int)                  {}
+func (r *recorder) Withdraw(Backend)                           {}
+func (r *recorder) Forget(Backend)                             {}
+func (r *recorder) Add(CounterCall, func(dw.Outcome, float64)) {}
+func (r *recorder) Ref() uint64                                { return 0 }
+func (r *recorder) Post(ledger.Posting)                        {}
+func (r *recorder) Waited(q Queue, _ time.Duration)            { r.note("%v", q) }
+func (r *recorder) ListApplied(v int64, _ time.Duration)       { r.note("list %d", v) }
+func (r *recorder) Answered(ledger.Event)                      {}
+func (r *recorder) Retried(dw.Outcome)                         {}
 
 // busyPlanner is a planner that stands still in the answer to a first request until it is released.
 type busyPlanner struct {
@@ -63,13 +63,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.Monitor(r)
+	p.SetMonitor(r)
 	listing(1, servers, func(int) dw.EndpointState { return dw.Ready }).handle(p)
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	running.Go(func() { p.Run(ctx) })
 	standing, released := make(chan struct{}), make(chan struct{})
-	if _, err := p.Take(&Req{Kind: Book, Class: -1, Came: time.Now(), Wait: time.Minute, Units: 1, Spread: 1, Message: Message{Name: "first"},
+	if _, err := p.Submit(&Request{Kind: KindForward, Class: -1, ReceivedAt: time.Now(), Timeout: time.Minute, Units: 1, Spread: 1, Message: Message{Name: "first"},
 		Answer: func(Answer) {
 			close(standing)
 			<-released
@@ -88,8 +88,8 @@
 }
 
 // listing is a whole list of servers in the states given.
-func listing(version int64, servers int, state func(int) dw.EndpointState) Listing {
-	l := Listing{List: dw.EndpointList{Kind: dw.ListFull, Version: version}, Read: time.Now()}
+func listing(version int64, servers int, state func(int) dw.EndpointState) EndpointUpdate {
+	l := EndpointUpdate{List: dw.EndpointList{Kind: dw.ListFull, Version: version}, ReadAt: time.Now()}
 	for i := range servers {
 		l.List.Servers = append(l.List.Servers, dw.Endpoint{ID: dw.ServerID(i + 1), Rating: 1, State: state(i)})
 		l.Addrs = append(l.Addrs, fmt.Sprintf("127.0.0.1:%d", i+1))
@@ -98,8 +98,8 @@
 }
 
 // request is one that any server may serve.
-func request(name string, answer func(Answer)) *Req {
-	return &Req{Kind: Book, Came: time.Now(), Wait: time.Minute, Units: 1, Spread: 1, Message: Message{Name: name}, Answer: answer}
+func request(name string, answer func(Answer)) *Request {
+	return &Request{Kind: KindForward, ReceivedAt: time.Now(), Timeout: time.Minute, Units: 1, Spread: 1, Message: Message{Name: name}, Answer: answer}
 }
 
 // The planner is held up while clients ask for more than its inbox holds, and servers begin to drain: it hears of that before
@@ -109,7 +109,7 @@
 	p := newBusyPlanner(t, servers)
 	var clients sync.WaitGroup
 	for i := range asked {
-		clients.Go(func() { p.Take(request(fmt.Sprint("r", i), func(Answer) {})) })
+		clients.Go(func() { p.Submit(request(fmt.Sprint("r", i), func(Answer) {})) })
 	}
 	for p.waiting() < arrivalSize { // the rest waits for room
 		time.Sleep(time.Millisecond)
@@ -120,7 +120,7 @@
 		}
 		return dw.Ready
 	}
-	if err := p.Listed(listing(2, servers, draining)); err != nil {
+	if err := p.UpdateEndpoints(listing(2, servers, draining)); err != nil {
 		t.Fatal(err)
 	}
 	p.release()
--- a/internal/core/planner.go
+++ b/internal/core/planner.go
@@ -47,7 +47,7 @@
 	gate     *dw.Gateway
 	backends Backends
 	counter  Counter
-	books    Books
+	books    Recorder
 	monitor  Monitor
 	log      *zap.Logger
 
@@ -68,7 +68,7 @@
 	figures    Figures
 	excludedTo func([]dw.ServerID)
 	watcher    Watcher     // nil: nobody asks
-	fleet      Fleet       // as told last
+	fleet      FleetPlan   // as told last
 	told       toldEntries // of the listed, as the module was told
 	fewWarm    bool
 	coldSpan   dw.Span
@@ -83,7 +83,7 @@
 }
 
 // NewPlanner makes a planner that knows no backends yet.
-func NewPlanner(s dw.Settings, seed uint64, c Clock, b Backends, n Counter, k Books, log *zap.Logger) (*Planner, error) {
+func NewPlanner(s dw.Settings, seed uint64, c Clock, b Backends, n Counter, k Recorder, log *zap.Logger) (*Planner, error) {
 	g, err := dw.New(s, seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
@@ -94,11 +94,11 @@
 		excluded: map[dw.ServerID]bool{}, told: toldEntries{entries: map[dw.ServerID]dw.Endpoint{}}, coldSpan: s.SlowStartSpan, starts: newStartTimes()}, nil
 }
 
-// Attempts bounds the fetches of reqs taken from now on, below what the module's settings allow.
-func (p *Planner) Attempts(n int) { p.most.Store(int64(n)) }
+// SetMaxAttempts bounds the fetches of reqs taken from now on, below what the module's settings allow.
+func (p *Planner) SetMaxAttempts(n int) { p.most.Store(int64(n)) }
 
-// Count has the planner tell f what operators read of it.
-func (p *Planner) Count(f Figures) { p.figures = f }
+// SetFigures has the planner tell f what operators read of it.
+func (p *Planner) SetFigures(f Figures) { p.figures = f }
 
 // call hands the planner a message and waits until it is done.
 func (p *Planner) call(m message, done <-chan error) error {
@@ -134,7 +134,7 @@
 func (p *Planner) fire() {
 	now := p.Instant(time.Now())
 	if now >= p.counts {
-		if p.fleet.Fed { // what was cold may be warm by now
+		if p.fleet.Active { // what was cold may be warm by now
 			p.retell()
 		}
 		p.counted()
@@ -157,9 +157,9 @@
 		case dw.CancelAttempt:
 			p.backends.Cancel(a.Request, a.Attempt)
 		case dw.Reject:
-			p.answer(a.Request, refusals[a.Reason], Answer{Verdict: Refused, RetryAfter: time.Duration(a.RetryAfter)})
+			p.answer(a.Request, refusals[a.Reason], Answer{Result: ResultRejected, RetryAfter: time.Duration(a.RetryAfter)})
 		case dw.Fail:
-			p.answer(a.Request, failures[a.Reason], Answer{Verdict: Failed})
+			p.answer(a.Request, failures[a.Reason], Answer{Result: ResultFailed})
 		case dw.LimitAnswer:
 			p.answer(a.Request, ledger.PlanServed, Answer{Limit: &a})
 		case dw.AdjustAnswer:
--- a/internal/core/route.go
+++ b/internal/core/route.go
@@ -8,18 +8,18 @@
 	dw "dewhitch"
 )
 
-// Listing is news of discovery's list, with the addresses of the backends named in it.
-type Listing struct {
-	List  dw.EndpointList
-	Addrs []string  // in the order of List.Servers
-	Whole bool      // it stands for a list that names every server: what it leaves out is as it was
-	Read  time.Time // when its first byte was read; zero: it is no message of discovery's
+// EndpointUpdate is news of discovery's list, with the addresses of the backends named in it.
+type EndpointUpdate struct {
+	List     dw.EndpointList
+	Addrs    []string  // in the order of List.Servers
+	Complete bool      // it stands for a list that names every server: what it leaves out is as it was
+	ReadAt   time.Time // when its first byte was read; zero: it is no message of discovery's
 }
 
-func (l Listing) queue() Queue { return QueueNews }
+func (l EndpointUpdate) queue() Queue { return QueueEndpoints }
 
-// Listed passes on what discovery told, in the order told. What it forbids is in force when it returns.
-func (p *Planner) Listed(l Listing) error {
+// UpdateEndpoints passes on what discovery told, in the order told. What it forbids is in force when it returns.
+func (p *Planner) UpdateEndpoints(l EndpointUpdate) error {
 	p.serving.apply(l)
 	return p.post(l)
 }
@@ -27,7 +27,7 @@
 // Serving is the set of backends that new work may go to by the newest list.
 func (p *Planner) Serving() *Serving { return &p.serving }
 
-func (l Listing) handle(p *Planner) {
+func (l EndpointUpdate) handle(p *Planner) {
 	named := make(map[dw.ServerID]bool, len(l.List.Servers))
 	for i, s := range l.List.Servers {
 		named[s.ID] = true
@@ -48,9 +48,9 @@
 			}
 		}
 	}
-	p.tell(p.remember(l.List, l.Whole))
-	if !l.Read.IsZero() {
-		p.monitor.ListApplied(l.List.Version, time.Since(l.Read))
+	p.tell(p.remember(l.List, l.Complete))
+	if !l.ReadAt.IsZero() {
+		p.monitor.ListApplied(l.List.Version, time.Since(l.ReadAt))
 	}
 }
 
@@ -89,7 +89,7 @@
 		}
 	}
 	if p.watcher != nil {
-		p.watcher.Listed(slices.Collect(maps.Values(p.listed)))
+		p.watcher.EndpointsChanged(slices.Collect(maps.Values(p.listed)))
 	}
 	p.counted()
 	return told
--- a/internal/core/send.go
+++ b/internal/core/send.go
@@ -9,7 +9,7 @@
 
 // fetchBegan tells that the value of a good fetch has begun to come.
 type fetchBegan struct {
-	fetch Fetch
+	fetch Attempt
 	began time.Time
 	value Stream
 }
@@ -18,9 +18,9 @@
 func (fetchEnded) queue() Queue { return QueueOutcome }
 
 type fetchEnded struct {
-	fetch  Fetch
+	fetch  Attempt
 	began  time.Time
-	end    FetchEnd
+	end    AttemptResult
 	unsent bool // it was never started
 }
 
@@ -30,12 +30,12 @@
 	if t == nil {
 		return
 	}
-	f := Fetch{Req: t.id, Attempt: t.attempts, Source: t.req, Until: t.req.Came.Add(t.req.Wait)}
-	if until := now.Add(time.Duration(a.Timeout)); a.Timeout != 0 && until.Before(f.Until) {
-		f.Until = until
+	f := Attempt{RequestID: t.id, Number: t.attempts, Request: t.req, Deadline: t.req.ReceivedAt.Add(t.req.Timeout)}
+	if until := now.Add(time.Duration(a.Timeout)); a.Timeout != 0 && until.Before(f.Deadline) {
+		f.Deadline = until
 	}
 	if a.StartWithin != 0 {
-		f.Begin = now.Add(time.Duration(a.StartWithin))
+		f.StartBy = now.Add(time.Duration(a.StartWithin))
 	}
 	if t.attempts > 0 {
 		p.monitor.Retried(t.last)
@@ -46,19 +46,19 @@
 	f.Backend = backend
 	// Past the attempts that settings read anew allow, a fetch is not sent, as one whose time is up.
 	spent := t.most > 0 && t.attempts > t.most
-	if t.answered || t.req.Left() || !known || !now.Before(f.Until) || spent { // it never left; told later, as any end is
+	if t.answered || t.req.ClientLeft() || !known || !now.Before(f.Deadline) || spent { // it never left; told later, as any end is
 		f.Backend.ID = a.Server
-		end := fetchEnded{f, now, FetchEnd{Outcome: dw.OutcomeNotSent}, true}
+		end := fetchEnded{f, now, AttemptResult{Outcome: dw.OutcomeNotSent}, true}
 		go func() { _ = p.post(end) }()
 		return
 	}
 	t.post(p, ledger.PlanSent)
 	if p.watcher != nil {
-		p.watcher.Began(FetchRef{t.id, f.Attempt}, backend.ID, p.listed[backend.ID].Zone)
+		p.watcher.AttemptStarted(AttemptID{t.id, f.Number}, backend.ID, p.listed[backend.ID].Zone)
 	}
 	p.backends.Start(f, func(v Stream) {
 		if p.post(fetchBegan{f, now, v}) != nil {
 			v.Close()
 		}
-	}, func(end FetchEnd) { _ = p.post(fetchEnded{f, now, end, false}) })
+	}, func(end AttemptResult) { _ = p.post(fetchEnded{f, now, end, false}) })
 }
--- a/internal/core/serving.go
+++ b/internal/core/serving.go
@@ -15,7 +15,7 @@
 }
 
 // apply takes a message of discovery's into the set.
-func (s *Serving) apply(l Listing) {
+func (s *Serving) apply(l EndpointUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if l.List.Kind == dw.ListFailed {
--- a/internal/core/takein.go
+++ b/internal/core/takein.go
@@ -13,7 +13,7 @@
 // taken is a req from take in until its answer is given and its last fetch has ended.
 type taken struct {
 	id       dw.RequestID
-	req      *Req
+	req      *Request
 	attempts int        // fetches asked for
 	most     int        // fetches that may be sent, as the settings said at take in; 0: as the module says
 	out      int        // fetches that have not ended
@@ -21,34 +21,34 @@
 	answered bool
 }
 
-// Ticket names a req that was taken in.
-type Ticket struct {
+// PendingRequest names a req that was taken in.
+type PendingRequest struct {
 	id  dw.RequestID // the planner's own; empty: it has not come to the req yet
-	req *Req
+	req *Request
 	// hurried says that the req must be answered at once.
 	hurried atomic.Bool
 }
 
 type takeIn struct {
-	req    *Req
-	ticket *Ticket
+	req    *Request
+	ticket *PendingRequest
 }
 
-type clientGone struct{ ticket *Ticket }
+type clientGone struct{ ticket *PendingRequest }
 
 func (takeIn) queue() Queue     { return QueueArrival }
 func (clientGone) queue() Queue { return QueueOutcome }
 
-// Take hands a req over: from now on it gets one final answer, unless Leave is called first. The ticket is
+// Submit hands a req over: from now on it gets one final answer, unless Leave is called first. The ticket is
 // for Leave alone. With ErrBusy nothing was handed over: the req is to be refused.
-func (p *Planner) Take(r *Req) (*Ticket, error) {
-	t := &Ticket{req: r}
+func (p *Planner) Submit(r *Request) (*PendingRequest, error) {
+	t := &PendingRequest{req: r}
 	return t, p.postWithin(takeIn{r, t}, arrivalPatience)
 }
 
-// Leave tells that the client has gone; no answer is owed any more, and no attempt begins from now on.
-func (p *Planner) Leave(t *Ticket) {
-	t.req.left.Store(true)
+// Cancel tells that the client has gone; no answer is owed any more, and no attempt begins from now on.
+func (p *Planner) Cancel(t *PendingRequest) {
+	t.req.clientLeft.Store(true)
 	if e := p.log.Check(zap.DebugLevel, "a client has left"); e != nil {
 		e.Write(zap.String("request", t.req.Message.Name))
 	}
@@ -58,33 +58,33 @@
 func (m takeIn) handle(p *Planner) {
 	m.ticket.id = p.nextID()
 	t := &taken{id: m.ticket.id, req: m.req, most: int(p.most.Load())}
-	p.books.Post(ledger.Posting{Event: ledger.PlanTaken, Key: m.req.Row, Ref: m.req.Ref,
+	p.books.Post(ledger.Posting{Event: ledger.PlanTaken, Key: m.req.LedgerKey, Ref: m.req.LedgerRef,
 		Units: ledger.MicroUnits(m.req.Units)})
-	if m.req.Left() { // while this waited; what says so may have come before
-		p.books.Post(ledger.Posting{Event: ledger.PlanGone, Key: m.req.Row, Ref: m.req.Ref})
+	if m.req.ClientLeft() { // while this waited; what says so may have come before
+		p.books.Post(ledger.Posting{Event: ledger.PlanGone, Key: m.req.LedgerKey, Ref: m.req.LedgerRef})
 		p.monitor.Answered(ledger.PlanGone)
 		return
 	}
 	if m.ticket.hurried.Load() { // while this waited: nothing has been done for it
-		p.books.Post(ledger.Posting{Event: ledger.PlanRefusedGaveUp, Key: m.req.Row, Ref: m.req.Ref})
+		p.books.Post(ledger.Posting{Event: ledger.PlanRefusedGaveUp, Key: m.req.LedgerKey, Ref: m.req.LedgerRef})
 		p.monitor.Answered(ledger.PlanRefusedGaveUp)
-		m.req.Answer(Answer{Verdict: Refused})
+		m.req.Answer(Answer{Result: ResultRejected})
 		return
 	}
 	// Danger: a client may send the id of a req that another's is open under. A backend would be sent two of one id,
 	// and could not tell that it is no copy; nor does the customer's quota pay for it.
-	if name := m.req.Message.Name; m.req.Kind == Book {
+	if name := m.req.Message.Name; m.req.Kind == KindForward {
 		if p.open[name] {
 			t.post(p, ledger.PlanFailedOpen)
 			p.monitor.Answered(ledger.PlanFailedOpen)
-			m.req.Answer(Answer{Verdict: Failed})
+			m.req.Answer(Answer{Result: ResultFailed})
 			return
 		}
 		p.open[name] = true
 	}
 	p.reqs[t.id] = t
 	if p.watcher != nil {
-		p.watcher.Asked()
+		p.watcher.RequestReceived()
 	}
 	p.admit(t)
 }
@@ -119,14 +119,14 @@
 
 // post books an event of the planner's on a req.
 func (t *taken) post(p *Planner, e ledger.Event) {
-	p.books.Post(ledger.Posting{Event: e, Key: t.req.Row, Ref: t.req.Ref})
+	p.books.Post(ledger.Posting{Event: e, Key: t.req.LedgerKey, Ref: t.req.LedgerRef})
 }
 
 // drop forgets a req that nothing is owed to and nothing is out for.
 func (p *Planner) drop(t *taken) {
 	if t.answered && t.out == 0 && p.reqs[t.id] == t {
 		delete(p.reqs, t.id)
-		if t.req.Kind == Book {
+		if t.req.Kind == KindForward {
 			delete(p.open, t.req.Message.Name)
 		}
 	}
--- a/internal/core/zones.go
+++ b/internal/core/zones.go
@@ -6,31 +6,31 @@
 	dw "dewhitch"
 )
 
-// Use is how the servers of a zone are to be used, beside what the list says of them.
-type Use struct {
-	Avoid bool               // nothing new is sent there
-	Since dw.Instant         // not 0: as if they had begun then, so that they are fed as cold ones are
-	Look  dw.HealthCheckMode // it is only looked at
+// ZoneUse is how the servers of a zone are to be used, beside what the list says of them.
+type ZoneUse struct {
+	Avoid       bool               // nothing new is sent there
+	StartedAt   dw.Instant         // not 0: as if they had begun then, so that they are fed as cold ones are
+	HealthCheck dw.HealthCheckMode // it is only looked at
 }
 
-// Fleet is what the gateways have settled together of the use of servers.
-type Fleet struct {
-	Zones map[int]Use             // one that is not named is used as the list has it
-	Feeds map[dw.ServerID]float64 // fetches a second that this gateway may send to cold servers; one that is not named gets nothing
-	Away  map[dw.ServerID]bool    // out for work: nothing new is sent there
-	Fed   bool                    // false: there is no fleet, and cold servers are fed by the module's guess
+// FleetPlan is what the gateways have settled together of the use of servers.
+type FleetPlan struct {
+	Zones          map[int]ZoneUse         // one that is not named is used as the list has it
+	SlowStartRates map[dw.ServerID]float64 // fetches a second that this gateway may send to cold servers; one that is not named gets nothing
+	InMaintenance  map[dw.ServerID]bool    // out for work: nothing new is sent there
+	Active         bool                    // false: there is no fleet, and cold servers are fed by the module's guess
 }
 
 // fleetUse has the planner use servers as told, from now on.
 type fleetUse struct {
-	f    Fleet
+	f    FleetPlan
 	done chan error
 }
 
 func (fleetUse) queue() Queue { return QueueControl }
 
-// Together has servers used as the fleet has settled.
-func (p *Planner) Together(f Fleet) error {
+// ApplyFleetPlan has servers used as the fleet has settled.
+func (p *Planner) ApplyFleetPlan(f FleetPlan) error {
 	m := fleetUse{f: f, done: make(chan error, 1)}
 	return p.call(m, m.done)
 }
@@ -58,15 +58,15 @@
 
 // cold tells whether fewer than half of the servers that are to be used are warm. Only where a fleet feeds them does it matter.
 func (p *Planner) cold() bool {
-	if !p.fleet.Fed {
+	if !p.fleet.Active {
 		return false
 	}
 	warm, all := 0, 0
 	for _, e := range p.listed {
-		if e.State != dw.Ready || p.fleet.Zones[e.Zone].Avoid || p.excluded[e.ID] || p.fleet.Away[e.ID] {
+		if e.State != dw.Ready || p.fleet.Zones[e.Zone].Avoid || p.excluded[e.ID] || p.fleet.InMaintenance[e.ID] {
 			continue
 		}
-		if all++; !p.begins(max(e.StartedAt, p.fleet.Zones[e.Zone].Since)) {
+		if all++; !p.begins(max(e.StartedAt, p.fleet.Zones[e.Zone].StartedAt)) {
 			warm++
 		}
 	}
@@ -78,19 +78,19 @@
 	return since > 0 && p.Instant(time.Now())-since < dw.Instant(p.coldSpan)
 }
 
-// FetchRef names a fetch that is out.
-type FetchRef struct {
-	Req     dw.RequestID
-	Attempt int
+// AttemptID names a fetch that is out.
+type AttemptID struct {
+	RequestID dw.RequestID
+	Number    int
 }
 
 // Watcher sees fetches begin and end, on the planner's goroutine: it may not block.
 type Watcher interface {
-	Began(f FetchRef, server dw.ServerID, zone int)
-	Ended(f FetchRef, e FetchEnd)
-	Asked()                       // a req was taken in
-	Listed(servers []dw.Endpoint) // the list, at each change
+	AttemptStarted(f AttemptID, server dw.ServerID, zone int)
+	AttemptEnded(f AttemptID, e AttemptResult)
+	RequestReceived()                       // a req was taken in
+	EndpointsChanged(servers []dw.Endpoint) // the list, at each change
 }
 
-// Watch has w see fetches; before the planner runs.
-func (p *Planner) Watch(w Watcher) { p.watcher = w }
+// SetWatcher has w see fetches; before the planner runs.
+func (p *Planner) SetWatcher(w Watcher) { p.watcher = w }
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -100,11 +100,11 @@
 func (c *Client) Move(addr string) { c.where.Move(addr) }
 
 // Add makes one call.
-func (c *Client) Add(o core.Call, done func(dw.Outcome, float64)) {
+func (c *Client) Add(o core.CounterCall, done func(dw.Outcome, float64)) {
 	target := "/counters/" + o.Name + "?by=" + strconv.FormatFloat(o.Amount, 'f', -1, 64) +
-		"&expire_ms=" + strconv.FormatInt(max(1, o.Life.Milliseconds()), 10)
-	k := &call{target: target, done: done, books: c.books, entry: ledger.Posting{Event: ledger.CallBegan, Key: o.Row,
-		Ref: o.Ref, Units: ledger.MicroUnits(o.Amount)}}
+		"&expire_ms=" + strconv.FormatInt(max(1, o.TTL.Milliseconds()), 10)
+	k := &call{target: target, done: done, books: c.books, entry: ledger.Posting{Event: ledger.CallBegan, Key: o.LedgerKey,
+		Ref: o.LedgerRef, Units: ledger.MicroUnits(o.Amount)}}
 	c.books.Post(k.entry)
 	// A call that is overdue is settled here; if it was written, its answer is still to come, and the line reads
 	// and passes over it, so that later answers stay with their calls.
--- a/internal/counter/golden_test.go
+++ b/internal/counter/golden_test.go
@@ -44,10 +44,10 @@
 	over := make(chan error)
 	go func() { over <- c.Run(ctx) }()
 	var b []byte
-	for _, call := range []core.Call{
-		{Name: "q-00000001b4d65521", Amount: 2.5, Life: 4001 * time.Millisecond},
-		{Name: "q.2", Amount: -0.125, Life: 1},
-		{Name: "q.3", Amount: 1e6, Life: time.Hour},
+	for _, call := range []core.CounterCall{
+		{Name: "q-00000001b4d65521", Amount: 2.5, TTL: 4001 * time.Millisecond},
+		{Name: "q.2", Amount: -0.125, TTL: 1},
+		{Name: "q.3", Amount: 1e6, TTL: time.Hour},
 	} {
 		total := make(chan float64, 1)
 		c.Add(call, func(o dw.Outcome, v float64) {
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -38,7 +38,7 @@
 	First    chan struct{} // closed when a whole list has been read
 	decoder  *Decoder
 	view     *view
-	listed   func(core.Listing) error
+	listed   func(core.EndpointUpdate) error
 	log      *zap.Logger
 	monitor  Monitor
 	first    sync.Once
@@ -55,7 +55,7 @@
 }
 
 // New makes a client; listed is called for each message, in order. The seed scatters when it asks again.
-func New(addr string, d *Decoder, listed func(core.Listing) error, seed uint64, log *zap.Logger) *Client {
+func New(addr string, d *Decoder, listed func(core.EndpointUpdate) error, seed uint64, log *zap.Logger) *Client {
 	return &Client{First: make(chan struct{}), where: moving.At(addr), decoder: d, view: newView(d), listed: listed, log: log, monitor: noMonitor{},
 		patience: answerTime, silence: silence, now: time.Now,
 		again: backoff.Backoff{First: backoffFrom, Most: backoffTo, Busy: backoffTo, Rand: rand.New(rand.NewPCG(seed, 2))}}
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 		told := make(chan int64, 8)
-		d := New(l.Addr(), NewDecoder(Names{}), func(l core.Listing) error {
+		d := New(l.Addr(), NewDecoder(Names{}), func(l core.EndpointUpdate) error {
 			told <- l.List.Version
 			return nil
 		}, 1, zap.NewNop())
--- a/internal/discovery/follow.go
+++ b/internal/discovery/follow.go
@@ -203,13 +203,13 @@
 		d.older = d.now()
 	}
 	older := !d.older.IsZero() && (!m.Complete || d.now().Sub(d.older) < olderTime)
-	var change core.Listing
+	var change core.EndpointUpdate
 	if older {
 		change = d.view.forbids(m, d.revision)
 	} else {
 		change = d.view.change(m)
 	}
-	d.revision, change.Read = change.List.Version, read
+	d.revision, change.ReadAt = change.List.Version, read
 	d.logChange(m, change, older, len(text))
 	if err := d.listed(change); err != nil {
 		return err
@@ -223,7 +223,7 @@
 }
 
 // logChange says what a message brought.
-func (d *Client) logChange(m Message, change core.Listing, older bool, bytes int) {
+func (d *Client) logChange(m Message, change core.EndpointUpdate, older bool, bytes int) {
 	ready := 0
 	for _, s := range change.List.Servers {
 		if s.State == dw.Ready {
@@ -232,5 +232,5 @@
 	}
 	d.log.Info("a change of the list was read", zap.Int64("revision", m.Revision), zap.Bool("whole", m.Complete),
 		zap.Bool("older", older), zap.Int("named", len(m.Members)), zap.Int("changed", len(change.List.Servers)),
-		zap.Int("ready", ready), zap.Int("bytes", bytes), zap.Duration("age", time.Since(change.Read)))
+		zap.Int("ready", ready), zap.Int("bytes", bytes), zap.Duration("age", time.Since(change.ReadAt)))
 }
--- a/internal/discovery/golden_wire_test.go
+++ b/internal/discovery/golden_wire_test.go
@@ -38,7 +38,7 @@
 		t.Errorf("\n got %+v\nwant %+v", got, want)
 	}
 	known, err := NewDecoder(names).Known(golden.Read(t, "list.json"))
-	listing := core.Listing{List: dw.EndpointList{Kind: dw.ListCached, Version: 41}}
+	listing := core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListCached, Version: 41}}
 	for _, m := range want.Members {
 		appendMember(&listing, m)
 	}
@@ -67,7 +67,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	d := New(l.Addr(), NewDecoder(Names{}), func(core.Listing) error { return nil }, 1, zap.NewNop())
+	d := New(l.Addr(), NewDecoder(Names{}), func(core.EndpointUpdate) error { return nil }, 1, zap.NewNop())
 	if _, err := d.follow(context.Background(), l.Addr()); err == nil || err.Error() != "status 503" {
 		t.Error(err)
 	}
--- a/internal/discovery/long_list_test.go
+++ b/internal/discovery/long_list_test.go
@@ -115,7 +115,7 @@
 		truth, planner := map[dw.ServerID]Member{}, map[dw.ServerID]Member{}
 		for n := range messages {
 			m := randomMessage(rng, d, int64(n+1), ids)
-			var l core.Listing
+			var l core.EndpointUpdate
 			if older := rng.IntN(6) == 0; older {
 				l = v.forbids(m, int64(n))
 				m.Complete = false
@@ -178,7 +178,7 @@
 }
 
 // hear takes a listing into a list as the planner does.
-func hear(list map[dw.ServerID]Member, l core.Listing) {
+func hear(list map[dw.ServerID]Member, l core.EndpointUpdate) {
 	if l.List.Kind != dw.ListDelta {
 		clear(list)
 	}
--- a/internal/discovery/orders_test.go
+++ b/internal/discovery/orders_test.go
@@ -92,11 +92,11 @@
 	mu      sync.Mutex
 	answers []answer
 	asked   []string
-	told    chan core.Listing
+	told    chan core.EndpointUpdate
 }
 
 func newBed(t *testing.T, answers ...answer) *bed {
-	b := &bed{answers: answers, told: make(chan core.Listing, 64)}
+	b := &bed{answers: answers, told: make(chan core.EndpointUpdate, 64)}
 	l, err := standin.Listen("", func(conn net.Conn) {
 		for r := bufio.NewReader(conn); ; {
 			q, err := http.ReadRequest(r)
@@ -117,7 +117,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.Client = New(l.Addr(), NewDecoder(Names{}), func(l core.Listing) error {
+	b.Client = New(l.Addr(), NewDecoder(Names{}), func(l core.EndpointUpdate) error {
 		b.told <- l
 		return nil
 	}, 1, zap.NewNop())
@@ -255,7 +255,7 @@
 	b := newBed(t, whole(message(41, true, "up")), func(c *net.TCPConn) bool { return silent(c) })
 	b.silence, b.patience = patience, patience
 	old := b.listed
-	b.listed = func(l core.Listing) error {
+	b.listed = func(l core.EndpointUpdate) error {
 		if l.List.Version == 41 {
 			addr, _ := next.where.Now()
 			b.Move(addr)
--- a/internal/discovery/view.go
+++ b/internal/discovery/view.go
@@ -23,8 +23,8 @@
 func newView(d *Decoder) *view { return &view{decoder: d, members: map[dw.ServerID]seenMember{}} }
 
 // change takes a message into the view, and returns what changes by it.
-func (v *view) change(m Message) core.Listing {
-	out := core.Listing{List: dw.EndpointList{Kind: dw.ListDelta, Version: m.Revision}, Whole: m.Complete}
+func (v *view) change(m Message) core.EndpointUpdate {
+	out := core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListDelta, Version: m.Revision}, Complete: m.Complete}
 	if m.Complete {
 		v.round++
 		if !v.whole { // the planner may hold servers that the view does not know
@@ -42,7 +42,7 @@
 }
 
 // put takes a server into the view, and into out if it changes.
-func (v *view) put(out *core.Listing, s Member) {
+func (v *view) put(out *core.EndpointUpdate, s Member) {
 	old, known := v.members[s.Entry.ID]
 	if s.Entry.State == dw.Removed {
 		delete(v.members, s.Entry.ID)
@@ -57,7 +57,7 @@
 }
 
 // dropOthers drops the servers that the last whole list has left out: they are gone.
-func (v *view) dropOthers(out *core.Listing) {
+func (v *view) dropOthers(out *core.EndpointUpdate) {
 	for id, s := range v.members {
 		if s.round == v.round {
 			continue
@@ -72,8 +72,8 @@
 
 // forbids is what a message that is not to be believed says of servers that get nothing new; the view is changed by that
 // alone.
-func (v *view) forbids(m Message, version int64) core.Listing {
-	out := core.Listing{List: dw.EndpointList{Kind: dw.ListDelta, Version: version}}
+func (v *view) forbids(m Message, version int64) core.EndpointUpdate {
+	out := core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListDelta, Version: version}}
 	for _, s := range m.Members {
 		if s.Entry.State != dw.Ready {
 			v.put(&out, s)
@@ -82,14 +82,14 @@
 	return out
 }
 
-func appendMember(out *core.Listing, s Member) {
+func appendMember(out *core.EndpointUpdate, s Member) {
 	out.List.Servers = append(out.List.Servers, s.Entry)
 	out.Addrs = append(out.Addrs, s.Addr)
 }
 
 // Known reads the list that the configuration holds, which may be out of date, or missing.
-func (d *Decoder) Known(text []byte) (core.Listing, error) {
-	out := core.Listing{List: dw.EndpointList{Kind: dw.ListCached}}
+func (d *Decoder) Known(text []byte) (core.EndpointUpdate, error) {
+	out := core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListCached}}
 	if len(text) == 0 {
 		return out, nil
 	}
--- a/internal/forward/forward.go
+++ b/internal/forward/forward.go
@@ -140,15 +140,15 @@
 	}
 	customer, err := platform.Customer(cmd[1])
 	if err == nil {
-		var r core.Req
+		var r core.Request
 		var class, plan string
 		if class, plan, err = platform.Route(cmd[at], &r); err == nil {
-			r.Row = c.books.RowByName(uint64(customer), plan, class)
+			r.LedgerKey = c.books.RowByName(uint64(customer), plan, class)
 			switch name {
 			case "LIMIT.GET":
-				r.Row.Class, r.Units = ledger.ClassQuery, 0
+				r.LedgerKey.Class, r.Units = ledger.ClassQuery, 0
 			case "LIMIT.ADJUST":
-				r.Row.Class = ledger.ClassAdjust
+				r.LedgerKey.Class = ledger.ClassAdjust
 				r.Units, _ = strconv.ParseFloat(string(cmd[2]), 64) // what is none, the planner says
 			}
 			c.pass(came, cmd, customer, &r, s)
@@ -160,13 +160,13 @@
 
 // pass writes a command to the first planner of the set that takes it whole. A planner that has not been sent the
 // last byte has applied nothing, and another may be asked; after that nothing is sent again.
-func (c *Commands) pass(came time.Time, cmd resp.Command, customer dewhitch.CustomerID, r *core.Req, s *front.Slot) {
+func (c *Commands) pass(came time.Time, cmd resp.Command, customer dewhitch.CustomerID, r *core.Request, s *front.Slot) {
 	b := resp.AppendArray(nil, len(cmd))
 	for _, word := range cmd {
 		b = resp.AppendBulk(b, word)
 	}
 	o := c.take(r, s)
-	for _, addr := range c.planners.Of(customer, r.Spread, r.First, c.gateways) {
+	for _, addr := range c.planners.Of(customer, r.Spread, r.FirstGateway, c.gateways) {
 		l := c.links[addr]
 		if l == nil || l.lost.Load() {
 			conn, err := dialPlanner(addr)
@@ -185,7 +185,7 @@
 				c.planners.release(l)
 			}()
 		}
-		if l.send(b, o, time.Until(came.Add(r.Wait+grace))) {
+		if l.send(b, o, time.Until(came.Add(r.Timeout+grace))) {
 			return
 		}
 	}
@@ -216,12 +216,12 @@
 }
 
 // take books a command and has its end booked.
-func (c *Commands) take(r *core.Req, s *front.Slot) *order {
-	o := &order{slot: s, books: c.books, entry: ledger.Posting{Key: r.Row, Ref: c.books.Ref()}}
+func (c *Commands) take(r *core.Request, s *front.Slot) *order {
+	o := &order{slot: s, books: c.books, entry: ledger.Posting{Key: r.LedgerKey, Ref: c.books.Ref()}}
 	taken := o.entry
-	taken.Event, taken.Units, taken.Wait = ledger.FrontTaken, ledger.MicroUnits(r.Units), ledger.WholeSeconds(r.Wait)
+	taken.Event, taken.Units, taken.Wait = ledger.FrontTaken, ledger.MicroUnits(r.Units), ledger.WholeSeconds(r.Timeout)
 	c.books.Post(taken)
-	if r.Message.Key != "" && r.Row.Class >= 0 {
+	if r.Message.Key != "" && r.LedgerKey.Class >= 0 {
 		o.entry.Units = int64(xxhash.Sum64String(r.Message.Key))
 		o.post(ledger.FrontKeyed)
 		o.entry.Units = 0
--- a/internal/front/limits/golden_test.go
+++ b/internal/front/limits/golden_test.go
@@ -33,13 +33,13 @@
 func TestGoldenAnswers(t *testing.T) {
 	var b []byte
 	for _, a := range []core.Answer{
-		{Verdict: core.Served, Limit: &dw.LimitAnswer{Request: "r-1", Limit: 20.5, Remaining: 3.25, ReplenishedAfter: 1500000001}},
-		{Verdict: core.Served, Limit: &dw.LimitAnswer{Request: "r-2", Limit: 10, Remaining: 9.9996}},
-		{Verdict: core.Served, Units: 2.5},
-		{Verdict: core.Served, Units: -1.25},
-		{Verdict: core.Refused},
-		{Verdict: core.Refused, RetryAfter: 250 * time.Millisecond},
-		{Verdict: core.Failed},
+		{Result: core.ResultServed, Limit: &dw.LimitAnswer{Request: "r-1", Limit: 20.5, Remaining: 3.25, ReplenishedAfter: 1500000001}},
+		{Result: core.ResultServed, Limit: &dw.LimitAnswer{Request: "r-2", Limit: 10, Remaining: 9.9996}},
+		{Result: core.ResultServed, Units: 2.5},
+		{Result: core.ResultServed, Units: -1.25},
+		{Result: core.ResultRejected},
+		{Result: core.ResultRejected, RetryAfter: 250 * time.Millisecond},
+		{Result: core.ResultFailed},
 	} {
 		b = appendAnswer(b, a)
 	}
@@ -50,13 +50,13 @@
 func TestGoldenRequest(t *testing.T) {
 	for _, c := range []struct {
 		words []string
-		kind  core.Kind
-		want  *core.Req
+		kind  core.RequestKind
+		want  *core.Request
 	}{
-		{[]string{"LIMIT.GET", "00000001b4d65521", "t=slim,d=1500.5,spread=3,first=4"}, core.Query,
-			&core.Req{Kind: core.Query, Plan: 1, Customer: 0x1b4d65521, Wait: 1500500 * time.Microsecond, Spread: 3, First: 4}},
-		{[]string{"LIMIT.ADJUST", "00000001b4d65521", "-2.5", "t=slim,d=1500.5,spread=3,first=4"}, core.Adjust,
-			&core.Req{Kind: core.Adjust, Plan: 1, Customer: 0x1b4d65521, Wait: 1500500 * time.Microsecond, Units: -2.5, Spread: 3, First: 4}},
+		{[]string{"LIMIT.GET", "00000001b4d65521", "t=slim,d=1500.5,spread=3,first=4"}, core.KindQueryLimit,
+			&core.Request{Kind: core.KindQueryLimit, Plan: 1, Customer: 0x1b4d65521, Timeout: 1500500 * time.Microsecond, Spread: 3, FirstGateway: 4}},
+		{[]string{"LIMIT.ADJUST", "00000001b4d65521", "-2.5", "t=slim,d=1500.5,spread=3,first=4"}, core.KindAdjustLimit,
+			&core.Request{Kind: core.KindAdjustLimit, Plan: 1, Customer: 0x1b4d65521, Timeout: 1500500 * time.Microsecond, Units: -2.5, Spread: 3, FirstGateway: 4}},
 	} {
 		cmd := resp.Command{}
 		for _, w := range c.words {
--- a/internal/front/limits/limits.go
+++ b/internal/front/limits/limits.go
@@ -24,34 +24,34 @@
 func (c *Commands) Do(came time.Time, cmd resp.Command, s *front.Slot) {
 	switch string(bytes.ToUpper(cmd[0])) {
 	case "LIMIT.GET":
-		c.take(came, cmd, core.Query, s)
+		c.take(came, cmd, core.KindQueryLimit, s)
 	case "LIMIT.ADJUST":
-		c.take(came, cmd, core.Adjust, s)
+		c.take(came, cmd, core.KindAdjustLimit, s)
 	default:
 		c.Commands.Do(came, cmd, s)
 	}
 }
 
-func (c *Commands) take(came time.Time, cmd resp.Command, kind core.Kind, s *front.Slot) {
+func (c *Commands) take(came time.Time, cmd resp.Command, kind core.RequestKind, s *front.Slot) {
 	r, err := c.decode(cmd, kind)
 	if err != nil {
 		s.Reject(err.Error())
 		return
 	}
-	r.Came = came
+	r.ReceivedAt = came
 	c.Hand(r, s, appendAnswer)
 }
 
 // decode reads CUSTOMER ARGUMENTS, or CUSTOMER UNITS ARGUMENTS for an adjustment.
-func (c *Commands) decode(cmd resp.Command, kind core.Kind) (*core.Req, error) {
+func (c *Commands) decode(cmd resp.Command, kind core.RequestKind) (*core.Request, error) {
 	words := 3
-	if kind == core.Adjust {
+	if kind == core.KindAdjustLimit {
 		words = 4
 	}
 	if len(cmd) != words {
 		return nil, errors.New("wrong number of arguments")
 	}
-	r := &core.Req{Kind: kind}
+	r := &core.Request{Kind: kind}
 	var err error
 	if r.Customer, err = platform.Customer(cmd[1]); err != nil {
 		return nil, err
@@ -63,7 +63,7 @@
 	if plan.Rate <= 0 {
 		return nil, errors.New("t: this plan has no limit")
 	}
-	if r.Units = 0; kind == core.Adjust {
+	if r.Units = 0; kind == core.KindAdjustLimit {
 		r.Units, err = strconv.ParseFloat(string(cmd[2]), 64)
 		if most := plan.Burst; err != nil || r.Units == 0 || !(r.Units >= -most && r.Units <= most) {
 			return nil, fmt.Errorf("units: %.32q is not a number from %v to %v, 0 excepted", cmd[2], -most, most)
@@ -76,9 +76,9 @@
 // for an adjustment, the units that were booked, below 0 for those given back.
 func appendAnswer(b []byte, a core.Answer) []byte {
 	switch {
-	case a.Verdict == core.Failed:
+	case a.Result == core.ResultFailed:
 		return resp.AppendFailure(b, "ERR no exact answer in time")
-	case a.Verdict == core.Refused:
+	case a.Result == core.ResultRejected:
 		return platform.AppendAnswer(b, a)
 	case a.Limit == nil:
 		return resp.AppendNumber(b, a.Units)
--- a/internal/front/platform/golden_test.go
+++ b/internal/front/platform/golden_test.go
@@ -35,12 +35,12 @@
 func TestGoldenAnswers(t *testing.T) {
 	var b []byte
 	for _, a := range []core.Answer{
-		{Verdict: core.Served, Value: []byte("value\r\n1")},
-		{Verdict: core.Served, Value: []byte{}},
-		{Verdict: core.Refused},
-		{Verdict: core.Refused, RetryAfter: 250 * time.Millisecond},
-		{Verdict: core.Refused, RetryAfter: 250*time.Millisecond + 1},
-		{Verdict: core.Failed},
+		{Result: core.ResultServed, Value: []byte("value\r\n1")},
+		{Result: core.ResultServed, Value: []byte{}},
+		{Result: core.ResultRejected},
+		{Result: core.ResultRejected, RetryAfter: 250 * time.Millisecond},
+		{Result: core.ResultRejected, RetryAfter: 250*time.Millisecond + 1},
+		{Result: core.ResultFailed},
 	} {
 		b = AppendAnswer(b, a)
 	}
@@ -53,13 +53,13 @@
 	for _, c := range []struct {
 		words []string
 		query bool
-		want  *core.Req
+		want  *core.Request
 	}{
 		{[]string{"SVC.SUBMIT", "00000001b4d65521", "name-1", "c=order,t=slim,d=1500.5,k=key-1,r=1,units=2.5,spread=3,first=4,novel=5", "body-1"}, false,
-			&core.Req{Class: 1, Named: "order", Plan: 1, Customer: 0x1b4d65521, Wait: 1500500 * time.Microsecond, Units: 2.5, Spread: 3, First: 4,
+			&core.Request{Class: 1, ClassName: "order", Plan: 1, Customer: 0x1b4d65521, Timeout: 1500500 * time.Microsecond, Units: 2.5, Spread: 3, FirstGateway: 4,
 				Repeat: true, Message: core.Message{Name: "name-1", Key: "key-1", Body: []byte("body-1")}}},
 		{[]string{"SVC.QUERY", "0000000000000007", "name-2", "c=quote,t=wide,d=20,spread=1,first=0"}, true,
-			&core.Req{Named: "quote", Query: true, Customer: 7, Wait: 20 * time.Millisecond, Units: 1, Spread: 1,
+			&core.Request{ClassName: "quote", IdempotentQuery: true, Customer: 7, Timeout: 20 * time.Millisecond, Units: 1, Spread: 1,
 				Message: core.Message{Name: "name-2"}}},
 	} {
 		cmd := resp.Command{}
@@ -71,9 +71,9 @@
 			t.Errorf("%q: %v\n got %+v\nwant %+v", c.words, err, got, c.want)
 		}
 	}
-	var r core.Req
+	var r core.Request
 	class, plan, err := Route([]byte("c=order,t=slim,d=1500.5,k=key-1,r=1,units=2.5,spread=3,first=4"), &r)
-	if want := (&core.Req{Wait: 1500500 * time.Microsecond, Units: 2.5, Spread: 3, First: 4, Repeat: true,
+	if want := (&core.Request{Timeout: 1500500 * time.Microsecond, Units: 2.5, Spread: 3, FirstGateway: 4, Repeat: true,
 		Message: core.Message{Key: "key-1"}}); err != nil || class != "order" || plan != "slim" || !reflect.DeepEqual(&r, want) {
 		t.Errorf("%q, %q, %v\n got %+v\nwant %+v", class, plan, err, &r, want)
 	}
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -98,41 +98,41 @@
 		s.Reject(err.Error())
 		return
 	}
-	r.Came = came
+	r.ReceivedAt = came
 	c.Hand(r, s, AppendAnswer)
 }
 
 // Hand gives a req to the planner, and its answer, as words has it, to the slot.
-func (c *Commands) Hand(r *core.Req, s *front.Slot, words func([]byte, core.Answer) []byte) {
+func (c *Commands) Hand(r *core.Request, s *front.Slot, words func([]byte, core.Answer) []byte) {
 	class := r.Class
 	switch r.Kind {
-	case core.Query:
+	case core.KindQueryLimit:
 		class = int(ledger.ClassQuery)
-	case core.Adjust:
+	case core.KindAdjustLimit:
 		class = int(ledger.ClassAdjust)
 	}
-	r.Ref, r.Row = c.Books.Ref(), c.Books.Row(uint64(r.Customer), r.Plan, class)
-	verdict := core.Failed
+	r.LedgerRef, r.LedgerKey = c.Books.Ref(), c.Books.Row(uint64(r.Customer), r.Plan, class)
+	verdict := core.ResultFailed
 	ended := c.count(r)
 	r.Answer = func(a core.Answer) {
-		verdict = a.Verdict
-		ended(a.Verdict, true)
+		verdict = a.Result
+		ended(a.Result, true)
 		if a.Stream != nil {
 			s.FillFrom(resp.AppendBulkHead(nil, a.Stream.Size()), a.Stream)
 			return
 		}
 		s.Fill(words(nil, a))
 	}
-	taken := ledger.Posting{Event: ledger.FrontTaken, Key: r.Row, Ref: r.Ref, Units: ledger.MicroUnits(r.Units),
-		Wait: ledger.WholeSeconds(r.Wait)}
+	taken := ledger.Posting{Event: ledger.FrontTaken, Key: r.LedgerKey, Ref: r.LedgerRef, Units: ledger.MicroUnits(r.Units),
+		Wait: ledger.WholeSeconds(r.Timeout)}
 	c.Books.Post(taken)
-	if r.Message.Key != "" && r.Kind == core.Book {
-		c.Books.Post(ledger.Posting{Event: ledger.FrontKeyed, Key: r.Row, Ref: r.Ref,
+	if r.Message.Key != "" && r.Kind == core.KindForward {
+		c.Books.Post(ledger.Posting{Event: ledger.FrontKeyed, Key: r.LedgerKey, Ref: r.LedgerRef,
 			Units: int64(xxhash.Sum64String(r.Message.Key))})
 	}
 	kept := false
 	s.OnSettled(func(f front.Fate) {
-		end := ledger.Posting{Key: r.Row, Ref: r.Ref}
+		end := ledger.Posting{Key: r.LedgerKey, Ref: r.LedgerRef}
 		switch {
 		case kept:
 			end = taken
@@ -148,24 +148,24 @@
 	})
 	if s.Refuse() { // it came too late into a drain; nobody has heard of it
 		kept = true
-		r.Answer(core.Answer{Verdict: core.Refused})
+		r.Answer(core.Answer{Result: core.ResultRejected})
 		return
 	}
-	ticket, err := c.Planner.Take(r)
+	ticket, err := c.Planner.Submit(r)
 	if errors.Is(err, core.ErrBusy) { // nobody has heard of it
 		kept = true
-		r.Answer(core.Answer{Verdict: core.Refused, RetryAfter: c.busyAdvice()})
+		r.Answer(core.Answer{Result: core.ResultRejected, RetryAfter: c.busyAdvice()})
 		return
 	} else if err != nil {
 		kept = true
-		r.Answer(core.Answer{Verdict: core.Failed})
+		r.Answer(core.Answer{Result: core.ResultFailed})
 		return
 	}
 	s.OnGone(func() {
-		ended(core.Failed, false)
-		c.Planner.Leave(ticket)
+		ended(core.ResultFailed, false)
+		c.Planner.Cancel(ticket)
 	})
-	s.OnHurry(func() { c.Planner.Hurry(ticket) })
+	s.OnHurry(func() { c.Planner.Expedite(ticket) })
 }
 
 // busyAdvice is when a client that was refused because the gateway is busy should come again: scattered, so that not all of
@@ -175,38 +175,38 @@
 	return most/2 + rand.N(most/2+1)
 }
 
-var verdicts = [...]ops.Verdict{core.Served: ops.Success, core.Refused: ops.Overload, core.Failed: ops.Error}
+var verdicts = [...]ops.Verdict{core.ResultServed: ops.Success, core.ResultRejected: ops.Overload, core.ResultFailed: ops.Error}
 
 // count has a req counted as open, and gives back what counts its end, once: answered, or left by its client, which
 // may happen at once.
-func (c *Commands) count(r *core.Req) func(v core.Verdict, answered bool) {
+func (c *Commands) count(r *core.Request) func(v core.Result, answered bool) {
 	f := c.Figures
 	if f == nil {
-		return func(core.Verdict, bool) {}
+		return func(core.Result, bool) {}
 	}
 	f.Open(1)
 	var once atomic.Bool
-	return func(v core.Verdict, answered bool) {
+	return func(v core.Result, answered bool) {
 		if !once.CompareAndSwap(false, true) {
 			return
 		}
 		f.Open(-1)
-		if answered && r.Kind == core.Book {
-			f.Ended(r.Named, verdicts[v])
+		if answered && r.Kind == core.KindForward {
+			f.Ended(r.ClassName, verdicts[v])
 		}
 	}
 }
 
-var ends = [...]ledger.Event{core.Served: ledger.FrontServed, core.Refused: ledger.FrontRefused,
-	core.Failed: ledger.FrontFailed}
+var ends = [...]ledger.Event{core.ResultServed: ledger.FrontServed, core.ResultRejected: ledger.FrontRefused,
+	core.ResultFailed: ledger.FrontFailed}
 
 var errWords = errors.New("wrong number of arguments")
 
-func (c *Commands) decode(cmd resp.Command, query bool) (*core.Req, error) {
+func (c *Commands) decode(cmd resp.Command, query bool) (*core.Request, error) {
 	if len(cmd) != 4 && len(cmd) != 5 {
 		return nil, errWords
 	}
-	r := &core.Req{}
+	r := &core.Request{}
 	var err error
 	if r.Customer, err = Customer(cmd[1]); err != nil {
 		return nil, err
@@ -226,8 +226,8 @@
 	if !known || e.Class < 0 {
 		return nil, fmt.Errorf("c: no class %.32q", class)
 	}
-	r.Class, r.Named, r.Query = e.Class, e.Name, e.Effect == dw.Idempotent
-	if query != r.Query {
+	r.Class, r.ClassName, r.IdempotentQuery = e.Class, e.Name, e.Effect == dw.Idempotent
+	if query != r.IdempotentQuery {
 		return nil, fmt.Errorf("c: class %q is for the other command", class)
 	} else if e.Effect == dw.IdempotentByKey && r.Message.Key == "" {
 		return nil, errors.New("k: missing")
@@ -248,7 +248,7 @@
 }
 
 // Arguments reads the list of names and values into r, and returns the class's name, which may be empty.
-func (c *Commands) Arguments(text []byte, r *core.Req) (class string, err error) {
+func (c *Commands) Arguments(text []byte, r *core.Request) (class string, err error) {
 	class, plan, err := list(text, r)
 	if err != nil {
 		return "", err
@@ -262,19 +262,19 @@
 		return "", fmt.Errorf("units: not above 0 and up to %v", set.MaxUnits)
 	case r.Spread > set.Instances:
 		return "", fmt.Errorf("spread: over %d", set.Instances)
-	case r.First >= set.Instances:
+	case r.FirstGateway >= set.Instances:
 		return "", fmt.Errorf("first: not below %d", set.Instances)
 	}
 	return class, nil
 }
 
 // Route reads of a list what a forwarder needs: the customer's set, the deadline, and the names for its books.
-func Route(text []byte, r *core.Req) (class, plan string, err error) { return list(text, r) }
+func Route(text []byte, r *core.Request) (class, plan string, err error) { return list(text, r) }
 
 // list reads a list of names and values; names that are not known are passed over.
-func list(text []byte, r *core.Req) (class, plan string, err error) {
+func list(text []byte, r *core.Request) (class, plan string, err error) {
 	n := 0.0
-	r.Units, r.Spread, r.First = 1, 0, -1
+	r.Units, r.Spread, r.FirstGateway = 1, 0, -1
 	for pair := range bytes.SplitSeq(text, []byte(",")) {
 		name, value, _ := bytes.Cut(pair, []byte("="))
 		v := string(value)
@@ -293,7 +293,7 @@
 			if n, err = number("d", v, 0, longestWait.Seconds()*1e3); err != nil {
 				return "", "", err
 			}
-			r.Wait = time.Duration(n * 1e6)
+			r.Timeout = time.Duration(n * 1e6)
 		case "units":
 			if r.Units, err = number("units", v, 0, 1e6); err != nil {
 				return "", "", err
@@ -303,17 +303,17 @@
 				return "", "", err
 			}
 		case "first":
-			if r.First, err = whole("first", v, 0, 1e6); err != nil {
+			if r.FirstGateway, err = whole("first", v, 0, 1e6); err != nil {
 				return "", "", err
 			}
 		}
 	}
 	switch {
-	case r.Wait <= 0:
+	case r.Timeout <= 0:
 		return "", "", errors.New("d: missing")
 	case r.Spread == 0:
 		return "", "", errors.New("spread: missing")
-	case r.First < 0:
+	case r.FirstGateway < 0:
 		return "", "", errors.New("first: missing")
 	}
 	return class, plan, nil
@@ -339,10 +339,10 @@
 
 // AppendAnswer appends the answer to a req.
 func AppendAnswer(b []byte, a core.Answer) []byte {
-	switch a.Verdict {
-	case core.Served:
+	switch a.Result {
+	case core.ResultServed:
 		return resp.AppendBulk(b, a.Value)
-	case core.Refused:
+	case core.ResultRejected:
 		if a.RetryAfter <= 0 {
 			return resp.AppendFailure(b, "BUSY")
 		}
--- a/internal/ledger/desk/planted_test.go
+++ b/internal/ledger/desk/planted_test.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Tallies(planner.Tallies)
+	d.Tallies(planner.ReadTallies)
 	commands := &limits.Commands{Commands: &platform.Commands{Planner: planner, Books: plant, Settings: set,
 		Names: settings.Names{Classes: o.Names.Classes, Plans: o.Names.Plans}}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -119,12 +119,12 @@
 	all.Go(func() { d.Run(work) })
 	taking, stopTaking := context.WithCancel(work)
 	fronts.Go(func() { server.Serve(taking) })
-	list := core.Listing{}
+	list := core.EndpointUpdate{}
 	for i, b := range backends.Nodes {
 		list.List.Servers = append(list.List.Servers, dw.Endpoint{ID: dw.ServerID(i + 1)})
 		list.Addrs = append(list.Addrs, b.Addr())
 	}
-	if err := planner.Listed(list); err != nil {
+	if err := planner.UpdateEndpoints(list); err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -20,7 +20,7 @@
 	m.ListRead(105, 470_000, 23*time.Millisecond)
 	m.ListApplied(106, 107*time.Millisecond)
 	m.ListApplied(108, 24*time.Millisecond)
-	for q := range core.Queues {
+	for q := range core.QueueCount {
 		m.Waited(q, time.Duration(201+int(q))*time.Millisecond)
 	}
 	m.ListBroke("too_long")
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -35,8 +35,8 @@
 
 // Metrics are the measurements of one process.
 type Metrics struct {
-	waits       [core.Queues]prometheus.Observer
-	longest     [core.Queues]atomic.Int64 // ns, since the start of the process
+	waits       [core.QueueCount]prometheus.Observer
+	longest     [core.QueueCount]atomic.Int64 // ns, since the start of the process
 	ages        [stages]prometheus.Observer
 	versions    [stages]atomic.Int64
 	lastAge     [stages]atomic.Int64 // ns
@@ -153,7 +153,7 @@
 		field("list_age_"+name+"_ms", time.Duration(m.lastAge[s].Load()).Milliseconds())
 		field("list_age_"+name+"_max_ms", time.Duration(m.oldest[s].Load()).Milliseconds())
 	}
-	for q := range core.Queues {
+	for q := range core.QueueCount {
 		field("wait_"+q.String()+"_max_ms", time.Duration(m.longest[q].Load()).Milliseconds())
 	}
 	return b
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -22,8 +22,8 @@
 	m.ListApplied(6, 30*time.Millisecond)
 	m.ListApplied(7, 25*time.Millisecond)
 	m.ListBroke("too_long")
-	m.Waited(core.QueueNews, 3*time.Millisecond)
-	m.Waited(core.QueueNews, time.Millisecond)
+	m.Waited(core.QueueEndpoints, 3*time.Millisecond)
+	m.Waited(core.QueueEndpoints, time.Millisecond)
 	m.Answered(ledger.PlanRefusedQuota)
 	m.Answered(ledger.FrontTaken) // none of the planner's
 	m.Retried(dw.OutcomeNotSent)
