--- a/cmd/dewhitch/fleet.go
+++ b/cmd/dewhitch/fleet.go
@@ -38,8 +38,8 @@
 	if z := g.n.Settings.Zone; z < len(g.n.Names.Zones) {
 		own = g.n.Names.Zones[z]
 	}
-	g.acts, g.heard = make(chan agent.Acts, 1), make(chan struct{})
-	follow := func(a agent.Acts) {
+	g.acts, g.heard = make(chan agent.Decisions, 1), make(chan struct{})
+	follow := func(a agent.Decisions) {
 		select {
 		case <-g.acts: // older ones that were not taken yet
 		default:
@@ -47,11 +47,11 @@
 		g.acts <- a
 	}
 	cold := ramp.Config{Start: g.n.Settings.StartCapacity, Span: time.Duration(g.n.Settings.SlowStartSpan)}
-	judge := zone.Standard
-	judge.MostOut = g.f.MostZones
-	a, err := agent.Open(agent.Options{Work: work.Standard, Follow: follow, Drain: g.state.DrainItself, Quiet: g.quiet, Zones: judge, Cold: cold, Voters: g.f.Voters, Dir: g.f.Dir, Lease: g.f.Lease, Status: g.f.Status, Log: g.log,
+	judge := zone.Defaults
+	judge.MaxEvacuated = g.f.MostZones
+	a, err := agent.Open(agent.Options{Maintenance: work.Defaults, OnDecisions: follow, Drain: g.state.DrainItself, Quiesced: g.quiet, Zones: judge, SlowStart: cold, Voters: g.f.Voters, Dir: g.f.Dir, Lease: g.f.Lease, Status: g.f.Status, Log: g.log,
 		Gossip: gossip.Options{Fleet: g.f.Name, Name: g.n.Name, Listen: g.f.Listen, Peers: g.f.Peers, Seeds: g.f.Seeds,
-			Keyring: g.f.Keyring, About: gossip.About{Zone: own, Region: g.f.Region, Number: g.n.Settings.Self, Version: version,
+			Keyring: g.f.Keyring, Metadata: gossip.Metadata{Zone: own, Region: g.f.Region, Number: g.n.Settings.Self, Version: version,
 				Role: "gateway"}}})
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
@@ -65,7 +65,7 @@
 func (g *gateway) findMembers(ctx context.Context) error {
 	r := g.f.Registry
 	return find.Run(ctx, find.Options{Servers: r.Servers, Path: r.Path, Session: r.Session, Name: g.n.Name, Address: g.f.Listen,
-		Log: g.log}, g.fleet.Found)
+		Log: g.log}, g.fleet.AddCandidates)
 }
 
 // quiet tells whether the gateway has sent its clients away, and answered all that it took.
@@ -77,7 +77,7 @@
 	zones []string
 }
 
-func (w *watcher) RequestReceived() { w.agent.Tally().Asked() }
+func (w *watcher) RequestReceived() { w.agent.Tally().RequestReceived() }
 
 func (w *watcher) EndpointsChanged(entries []dw.Endpoint) {
 	var servers []ramp.Server
@@ -86,17 +86,17 @@
 			servers = append(servers, ramp.Server{ID: uint32(e.ID), Zone: w.zones[e.Zone], Since: int64(e.StartedAt) / 1e6})
 		}
 	}
-	w.agent.Listed(servers)
+	w.agent.EndpointsChanged(servers)
 }
 
 func (w *watcher) AttemptStarted(f core.AttemptID, server dw.ServerID, zone int) {
 	if zone < len(w.zones) {
-		w.agent.Tally().Began(agent.Ref{Req: string(f.RequestID), Attempt: f.Number}, w.zones[zone], uint32(server))
+		w.agent.Tally().AttemptStarted(agent.AttemptID{Request: string(f.RequestID), Attempt: f.Number}, w.zones[zone], uint32(server))
 	}
 }
 
 func (w *watcher) AttemptEnded(f core.AttemptID, e core.AttemptResult) {
-	w.agent.Tally().Ended(agent.Ref{Req: string(f.RequestID), Attempt: f.Number}, outcomes[e.Outcome], uint32(e.Load.Queue), uint32(e.Load.Inflight))
+	w.agent.Tally().AttemptEnded(agent.AttemptID{Request: string(f.RequestID), Attempt: f.Number}, outcomes[e.Outcome], uint32(e.Load.Queue), uint32(e.Load.Inflight))
 }
 
 // followFleet has the planner use servers as the fleet says. With an old view the last plan holds, and cold servers get nothing.
@@ -107,17 +107,17 @@
 		case <-ctx.Done():
 			return nil
 		case a := <-g.acts:
-			v := zone.Verdicts{}
+			v := zone.Statuses{}
 			if _, err := a.Plan.Section(zone.Section, &v); err != nil {
 				g.log.Error("the fleet's verdicts can't be read: the last ones hold", zap.Error(err))
 				continue
 			}
 			f := core.FleetPlan{Zones: uses(v, g.n.Names.Zones, g.n.Settings.Zone, g.n.Name, g.planner.Instant(time.Now())), Active: true,
 				SlowStartRates: map[dw.ServerID]float64{}, InMaintenance: map[dw.ServerID]bool{}}
-			for id, rate := range a.Feed.Rates {
+			for id, rate := range a.SlowStart.Rates {
 				f.SlowStartRates[dw.ServerID(id)] = rate
 			}
-			for name := range a.Away {
+			for name := range a.Withdrawn {
 				if id, ok := g.decoder.Lookup(name); ok {
 					f.InMaintenance[id] = true
 				}
@@ -125,14 +125,14 @@
 			if err := g.planner.ApplyFleetPlan(f); err != nil {
 				return nil
 			}
-			g.fleet.Applied(a.Away)
+			g.fleet.Applied(a.Withdrawn)
 			heard.Do(func() { close(g.heard) })
 		}
 	}
 }
 
 // uses is what verdicts say to one gateway. A start in its future, by a leader whose clock is ahead, is taken for now.
-func uses(v zone.Verdicts, zones []string, own int, name string, now dw.Instant) map[int]core.ZoneUse {
+func uses(v zone.Statuses, zones []string, own int, name string, now dw.Instant) map[int]core.ZoneUse {
 	from := ""
 	if own < len(zones) {
 		from = zones[own]
@@ -149,7 +149,7 @@
 			uses[i] = core.ZoneUse{StartedAt: since}
 		case w.State == zone.Probing && slices.Contains(w.Probers, name):
 			uses[i] = core.ZoneUse{StartedAt: since, HealthCheck: dw.HealthCheckIdempotent}
-			if w.Any {
+			if w.AnyRequest {
 				uses[i] = core.ZoneUse{StartedAt: since, HealthCheck: dw.HealthCheckAny}
 			}
 		default:
@@ -160,9 +160,9 @@
 }
 
 // outcomes are the module's as the fleet counts them. What was withdrawn, or never left, shows nothing of a server.
-var outcomes = [dw.OutcomeCount]agent.Outcome{dw.OutcomeOK: agent.Served, dw.OutcomeError: agent.Failed, dw.OutcomeRejected: agent.Turned,
-	dw.OutcomeTimeout: agent.Silent, dw.OutcomeConnectFailed: agent.Refused, dw.OutcomeReset: agent.Failed,
-	dw.OutcomeCancelled: agent.Nothing, dw.OutcomeNotSent: agent.Nothing}
+var outcomes = [dw.OutcomeCount]agent.Outcome{dw.OutcomeOK: agent.Served, dw.OutcomeError: agent.Failed, dw.OutcomeRejected: agent.Rejected,
+	dw.OutcomeTimeout: agent.TimedOut, dw.OutcomeConnectFailed: agent.ConnectFailed, dw.OutcomeReset: agent.Failed,
+	dw.OutcomeCancelled: agent.NoOutcome, dw.OutcomeNotSent: agent.NoOutcome}
 
 // fleetCmd speaks to a member through its operators' listener.
 type fleetCmd struct {
@@ -239,7 +239,7 @@
 	fmt.Printf("fleet %s, as %s sees it; plan %v, %s; leader %s, heard %d ms ago; folder: %s\n", v.Fleet, v.Name, v.Epoch, quorum, v.Leader,
 		v.LeaderAge, v.Folder)
 	if v.Frozen != nil {
-		fmt.Printf("frozen by %s since %s: %s\n", v.Frozen.By, time.UnixMilli(v.Frozen.At).Format(time.RFC3339), v.Frozen.Why)
+		fmt.Printf("frozen by %s since %s: %s\n", v.Frozen.By, time.UnixMilli(v.Frozen.At).Format(time.RFC3339), v.Frozen.Reason)
 	}
 	if len(v.Unacknowledged) > 0 {
 		fmt.Println("have not acknowledged the plan:", strings.Join(v.Unacknowledged, ", "))
@@ -296,7 +296,7 @@
 }
 
 func (z fleetZones) Run() error {
-	v := zone.Verdicts{}
+	v := zone.Statuses{}
 	if done, err := cli.Members.read("/fleet/zones", z.JSON, &v); done || err != nil {
 		return err
 	}
@@ -311,8 +311,8 @@
 		if by == "" {
 			by = "the fleet"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%s\n", key, state, time.UnixMilli(w.Since).Format(time.RFC3339), w.Fails,
-			strings.Join(w.Probers, " "), by, w.Why)
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%s\n", key, state, time.UnixMilli(w.Since).Format(time.RFC3339), w.FailedProbes,
+			strings.Join(w.Probers, " "), by, w.Reason)
 	}
 	return t.Flush()
 }
--- a/cmd/dewhitch/gateway.go
+++ b/cmd/dewhitch/gateway.go
@@ -69,9 +69,9 @@
 	patience        time.Duration // for discovery's first list
 
 	// The fleet.
-	fleet *agent.Agent    // nil: none
-	acts  chan agent.Acts // the newest, for who follows them
-	heard chan struct{}   // closed once a plan is acted on; nil: there is no fleet
+	fleet *agent.Agent         // nil: none
+	acts  chan agent.Decisions // the newest, for who follows them
+	heard chan struct{}        // closed once a plan is acted on; nil: there is no fleet
 
 	// Operators.
 	operated *operated
--- a/cmd/dewhitch/uses_test.go
+++ b/cmd/dewhitch/uses_test.go
@@ -11,7 +11,7 @@
 
 func TestUsesOfVerdicts(t *testing.T) {
 	zones := []string{"hall-a", "hall-b", "hall-c"}
-	v := zone.Verdicts{"hall-b": {State: zone.Probing, Probers: []string{"n1"}, Since: 5}, "hall-a>hall-c": {State: zone.Out},
+	v := zone.Statuses{"hall-b": {State: zone.Probing, Probers: []string{"n1"}, Since: 5}, "hall-a>hall-c": {State: zone.Evacuated},
 		"hall-c": {Hold: true, State: zone.Returning}}
 	since := core.FromUnixMS(5)
 	for _, c := range []struct {
--- a/cmd/dewhitch/work.go
+++ b/cmd/dewhitch/work.go
@@ -67,9 +67,9 @@
 	if len(p.Machines) == 0 {
 		p.Machines = slices.Sorted(maps.Keys(servers))
 	}
-	cfg := work.Standard
-	cfg.Cold = p.Cold
-	a, err := work.Simulate(cfg, servers, work.Call{By: "plan", Why: "plan", Key: "plan", Kind: work.Restart, ForMS: p.For.Milliseconds(),
+	cfg := work.Defaults
+	cfg.SlowStart = p.Cold
+	a, err := work.Simulate(cfg, servers, work.Command{By: "plan", Reason: "plan", Key: "plan", Kind: work.Restart, ForMS: p.For.Milliseconds(),
 		Machines: p.Machines}, p.Load, p.Start)
 	if err != nil {
 		return err
@@ -83,7 +83,7 @@
 	for _, s := range a.Stuck {
 		fmt.Println("never:", s)
 	}
-	fmt.Printf("over after %v; %d out at once at most; %.2f of what all servers can do is left at the least\n", a.Took, a.Most, a.Spare)
+	fmt.Printf("over after %v; %d out at once at most; %.2f of what all servers can do is left at the least\n", a.Elapsed, a.MaxOut, a.Spare)
 	return nil
 }
 
@@ -119,14 +119,14 @@
 }
 
 func (l workList) Run() error {
-	var b work.Book
+	var b work.Schedule
 	if done, err := cli.Members.read("/fleet/work", l.JSON, &b); done || err != nil {
 		return err
 	}
 	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "request\tmachine\tstate\tsince\tuntil\tby\tnote")
 	for _, r := range b.Requests {
-		fmt.Fprintf(t, "%d\t%s, %s\t%s\t%s\t\t%s\t%s\n", r.ID, r.Kind, r.Why, r.State, at(r.Asked), r.By, r.Note)
+		fmt.Fprintf(t, "%d\t%s, %s\t%s\t%s\t\t%s\t%s\n", r.ID, r.Kind, r.Reason, r.State, at(r.RequestedAt), r.By, r.Note)
 		for _, m := range r.Machines {
 			fmt.Fprintf(t, "\t%s\t%s\t%s\t%s\t\t%s\n", m.Name, m.State, at(m.Since), at(m.Until), m.Note)
 		}
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -27,25 +27,25 @@
 
 // Options say how a process takes part in a fleet.
 type Options struct {
-	Gossip gossip.Options // without what the agent sets
-	Voters []string
-	Dir    string // where a voter keeps its log; empty: it is forgotten with the process
-	Lease  time.Duration
-	Status time.Duration
-	Log    *zap.Logger
-	Work   work.Config   // work.Standard, or with what operators have of their own; without the cold time
-	Zones  zone.Config   // zone.Standard, or with what operators have of their own
-	Cold   ramp.Config   // the settings' words on cold servers, without the lease
-	Quiet  func() bool   // it has sent its clients away, and none is left
-	Drain  func(on bool) // this gateway should send its clients away, or not any more; it may not block
-	Follow func(Acts)    // what is acted on from now on; it may not block
-}
-
-// Acts is what a member acts on.
-type Acts struct {
-	Plan fleet.Plan
-	Away map[string]uint64 // machines that nothing new may be sent to, with their turn
-	Feed ramp.Feed         // of cold servers; empty where its lease is over
+	Gossip      gossip.Options // without what the agent sets
+	Voters      []string
+	Dir         string // where a voter keeps its log; empty: it is forgotten with the process
+	Lease       time.Duration
+	Status      time.Duration
+	Log         *zap.Logger
+	Maintenance work.Config     // work.Standard, or with what operators have of their own; without the cold time
+	Zones       zone.Config     // zone.Standard, or with what operators have of their own
+	SlowStart   ramp.Config     // the settings' words on cold servers, without the lease
+	Quiesced    func() bool     // it has sent its clients away, and none is left
+	Drain       func(on bool)   // this gateway should send its clients away, or not any more; it may not block
+	OnDecisions func(Decisions) // what is acted on from now on; it may not block
+}
+
+// Decisions is what a member acts on.
+type Decisions struct {
+	Plan      fleet.Plan
+	Withdrawn map[string]uint64 // machines that nothing new may be sent to, with their turn
+	SlowStart ramp.Grant        // of cold servers; empty where its lease is over
 }
 
 const (
@@ -74,11 +74,11 @@
 	ended       chan struct{}
 	hush        func() // ends the gossip; of Run
 	tally       *Tally
-	judge       *zone.Judge
-	feeder      *ramp.Feeder
-	order       *work.Order
+	judge       *zone.Detector
+	feeder      *ramp.Allocator
+	order       *work.Scheduler
 	applied     atomic.Pointer[map[string]uint64] // the machines that nothing new is sent to any more
-	own         zone.Own
+	own         zone.SelfMonitor
 	drained     bool                          // by itself
 	turn        int                           // its place among the gateways of its zone
 	left        bool                          // the fleet has left its zone
@@ -92,14 +92,14 @@
 
 // saveEnd is how a save ended.
 type saveEnd struct {
-	persist fleet.Persist
+	persist fleet.StorageUpdate
 	err     error
 	took    time.Duration
 }
 
 // store keeps what a voter may not forget.
 type store interface {
-	Save(fleet.Persist) error
+	Save(fleet.StorageUpdate) error
 	Close() error
 }
 
@@ -115,21 +115,21 @@
 func Open(o Options) (*Agent, error) {
 	a := &Agent{o: o, began: time.Now(), inbox: make(chan []byte, inbox), members: make(chan change, inbox),
 		calls: make(chan func(), calls), ended: make(chan struct{}), saves: make(chan saveEnd, 1), tally: newTally(time.Now), judge: zone.New(o.Zones)}
-	o.Cold.Lease = o.Lease
-	a.feeder = ramp.New(o.Cold)
-	o.Work.Cold = o.Cold.Span
-	a.order = work.New(o.Work)
+	o.SlowStart.Lease = o.Lease
+	a.feeder = ramp.New(o.SlowStart)
+	o.Maintenance.SlowStart = o.SlowStart.Span
+	a.order = work.New(o.Maintenance)
 	g := o.Gossip
-	c := fleet.Config{Fleet: g.Fleet, Name: g.Name, Zone: g.About.Zone, Region: g.About.Region, Voters: o.Voters,
-		Started: a.began.UnixNano(), Life: random(), Seed: random(), Tick: tick, Status: o.Status, Lease: o.Lease,
-		Deciders: map[string]fleet.Decider{}, Observe: a.observe, Lead: a.lead, Feed: a.feed}
-	for verb, d := range fleet.Freezing() {
-		c.Deciders[verb] = d
+	c := fleet.Config{Fleet: g.Fleet, Name: g.Name, Zone: g.Metadata.Zone, Region: g.Metadata.Region, Voters: o.Voters,
+		StartedAt: a.began.UnixNano(), Incarnation: random(), Seed: random(), Tick: tick, Status: o.Status, Lease: o.Lease,
+		Commands: map[string]fleet.CommandHandler{}, Observe: a.observe, LeaderTick: a.lead, GrantFor: a.feed}
+	for verb, d := range fleet.FreezeCommands() {
+		c.Commands[verb] = d
 	}
-	for _, more := range []map[string]fleet.Decider{zone.ByHand(), work.Deciders()} {
-		maps.Copy(c.Deciders, more)
+	for _, more := range []map[string]fleet.CommandHandler{zone.Commands(), work.Commands()} {
+		maps.Copy(c.Commands, more)
 	}
-	var saved *fleet.Saved
+	var saved *fleet.VoterState
 	if o.Dir != "" && slices.Contains(o.Voters, g.Name) {
 		kept, found, err := vault.Open(o.Dir)
 		if err != nil {
@@ -142,8 +142,8 @@
 		a.close()
 		return nil, err
 	}
-	a.node.Reports(a.tally.report)
-	a.node.Acknowledges(a.acknowledged)
+	a.node.SetReporter(a.tally.report)
+	a.node.SetAcknowledged(a.acknowledged)
 	g.Log = o.Log
 	g.Receive = func(b []byte) {
 		select {
@@ -163,7 +163,7 @@
 		return nil, err
 	}
 	for _, name := range o.Voters { // asked for their word from the first on, whether gossip has heard of them or not
-		a.node.Member(name, false)
+		a.node.SetAlive(name, false)
 	}
 	return a, nil
 }
@@ -183,8 +183,8 @@
 	return binary.BigEndian.Uint64(b[:]) >> 1
 }
 
-// Found tells where members may be; a hint.
-func (a *Agent) Found(at map[string]string) { a.gossip.Found(at) }
+// AddCandidates tells where members may be; a hint.
+func (a *Agent) AddCandidates(at map[string]string) { a.gossip.AddCandidates(at) }
 
 // Tally is where what this process sees of servers is counted.
 func (a *Agent) Tally() *Tally { return a.tally }
@@ -215,7 +215,7 @@
 	defer t.Stop()
 	for {
 		now, _ := a.now()
-		t.Reset(max(least, a.node.Next()-now))
+		t.Reset(max(least, a.node.NextTick()-now))
 		select {
 		case <-ctx.Done():
 			return nil
@@ -224,39 +224,39 @@
 			a.stand(now)
 		case b := <-a.inbox:
 			now, unix := a.now()
-			a.node.Heard(now, unix, b)
+			a.node.Step(now, unix, b)
 		case c := <-a.members:
-			a.node.Member(c.name, c.alive)
+			a.node.SetAlive(c.name, c.alive)
 		case f := <-a.calls:
 			f()
 		case s := <-a.saves:
 			a.saved(s)
 		}
 		now, _ = a.now()
-		a.feeder.Leads(now, a.node.Reign())
+		a.feeder.SetLeaderTerm(now, a.node.LeaderTerm())
 		a.drive()
 	}
 }
 
 // observe has the judge see what a member reports.
 func (a *Agent) observe(now time.Duration, from fleet.Peer, delta fleet.Report) {
-	a.judge.Seen(now, from.Name, from.Status.Zone, from.Status.Region, delta)
-	a.feeder.Seen(now, from.Name, from.Status.Acts, delta)
+	a.judge.Observe(now, from.Name, from.Status.Zone, from.Status.Region, delta)
+	a.feeder.Observe(now, from.Name, from.Status.GrantSeq, delta)
 	for id, c := range delta.Servers {
-		a.order.Seen(now, Machine(id), c.Served, c.Refused+c.Failed, c.Silent, c.Late)
+		a.order.Observe(now, Machine(id), c.Served, c.ConnectFailed+c.Failed, c.TimedOut, c.AnsweredLate)
 	}
 	if from.Name == a.o.Gossip.Name {
 		good, bad := uint64(0), uint64(0)
 		for _, c := range delta.Zones {
-			good, bad = good+c.Served+c.Late, bad+c.Refused+c.Silent+c.Failed
+			good, bad = good+c.Served+c.AnsweredLate, bad+c.ConnectFailed+c.TimedOut+c.Failed
 		}
-		a.own.Seen(now, good, bad)
+		a.own.Observe(now, good, bad)
 	}
 }
 
 // stand has this gateway send its clients away where it is itself cut off, and take them again.
 func (a *Agent) stand(now time.Duration) {
-	drained := a.own.Drained(now, a.left, a.node.Fresh(), a.turn)
+	drained := a.own.ShouldDrain(now, a.left, a.node.Fresh(), a.turn)
 	if a.out != a.wasOut {
 		a.wasOut = a.out
 		a.drain(a.out || drained)
@@ -268,7 +268,7 @@
 	if drained { // when it comes back
 		a.turn = 0
 		for _, m := range a.gossip.Members() {
-			if m.Zone == a.o.Gossip.About.Zone && m.Name < a.o.Gossip.Name {
+			if m.Zone == a.o.Gossip.Metadata.Zone && m.Name < a.o.Gossip.Name {
 				a.turn++
 			}
 		}
@@ -297,7 +297,7 @@
 	busy, quiet := a.tally.busy(), map[string]uint64{}
 	for name, turn := range *p {
 		id, server := serverOf(name)
-		if server && !busy[id] || !server && name != a.o.Gossip.Name || name == a.o.Gossip.Name && a.o.Quiet != nil && a.o.Quiet() {
+		if server && !busy[id] || !server && name != a.o.Gossip.Name || name == a.o.Gossip.Name && a.o.Quiesced != nil && a.o.Quiesced() {
 			quiet[name] = turn
 		}
 	}
@@ -314,8 +314,8 @@
 	return uint32(id), ok && err == nil && Machine(uint32(id)) == name
 }
 
-// Listed tells of the servers that are listed and ready, at each change. It does not block.
-func (a *Agent) Listed(servers []ramp.Server) { a.servers.Store(&servers) }
+// EndpointsChanged tells of the servers that are listed and ready, at each change. It does not block.
+func (a *Agent) EndpointsChanged(servers []ramp.Server) { a.servers.Store(&servers) }
 
 func (a *Agent) listed() []ramp.Server {
 	if p := a.servers.Load(); p != nil {
@@ -338,19 +338,19 @@
 
 // round has the feeder reckon anew, by the plan and the list.
 func (a *Agent) round(now time.Duration) bool {
-	p, v := a.node.Plan(), zone.Verdicts{}
+	p, v := a.node.Plan(), zone.Statuses{}
 	if _, err := p.Section(zone.Section, &v); err != nil {
 		return false
 	}
 	servers := slices.Clone(a.listed())
 	for i, s := range servers {
 		if w, ok := v[s.Zone]; ok && !w.Hold {
-			s.Use, s.Since = ramp.None, max(s.Since, w.Since)
+			s.Use, s.Since = ramp.UseNever, max(s.Since, w.Since)
 			switch w.State {
 			case zone.Returning:
-				s.Use = ramp.All
+				s.Use = ramp.UseFully
 			case zone.Probing:
-				s.Use = ramp.Probe
+				s.Use = ramp.UseForHealthChecks
 			}
 			servers[i] = s
 		}
@@ -362,8 +362,8 @@
 	type way struct{ from, to string }
 	known := map[way]func(gateway string) bool{}
 	_, unix := a.now()
-	return a.feeder.Round(now, unix, servers, func(gateway string, server uint32) bool {
-		home, _ := a.judge.Home(gateway)
+	return a.feeder.Allocate(now, unix, servers, func(gateway string, server uint32) bool {
+		home, _ := a.judge.ZoneOf(gateway)
 		k := way{home, zones[server]}
 		may := known[k]
 		if may == nil {
@@ -383,7 +383,7 @@
 	if _, frozen := p.Frozen(); frozen {
 		return
 	}
-	v := zone.Verdicts{}
+	v := zone.Statuses{}
 	if _, err := p.Section(zone.Section, &v); err != nil {
 		return
 	}
@@ -391,19 +391,19 @@
 	for _, s := range a.listed() {
 		starts[s.Zone] = max(starts[s.Zone], s.Since)
 	}
-	a.judge.Starts(starts)
-	next, moved := a.judge.Judge(now, unix, v, func(name string) bool {
+	a.judge.SetServerStarts(starts)
+	next, moved := a.judge.Evaluate(now, unix, v, func(name string) bool {
 		q, ok := n.Peer(name)
-		return name == a.o.Gossip.Name || ok && now-q.Heard < a.o.Lease
+		return name == a.o.Gossip.Name || ok && now-q.LastStatusAt < a.o.Lease
 	})
-	if moved && n.Settle(zone.Set(next)) {
+	if moved && n.Propose(zone.Set(next)) {
 		for key, w := range next {
 			if old, ok := v[key]; !ok || old.State != w.State {
 				state := string(w.State)
-				if w.State == zone.Out && old.State == zone.Probing {
+				if w.State == zone.Evacuated && old.State == zone.Probing {
 					state = "is not well yet"
 				}
-				a.o.Log.Info("fleet: zone "+key+" "+state, zap.String("why", w.Why), zap.Int("fails", w.Fails),
+				a.o.Log.Info("fleet: zone "+key+" "+state, zap.String("why", w.Reason), zap.Int("fails", w.FailedProbes),
 					zap.Strings("probers", w.Probers), zap.Stringer("on_epoch", p.Epoch))
 			}
 		}
@@ -428,12 +428,12 @@
 }
 
 // works has the leader step the work on machines on.
-func (a *Agent) works(now time.Duration, unix int64, n *fleet.Node, p fleet.Plan, v zone.Verdicts) {
+func (a *Agent) works(now time.Duration, unix int64, n *fleet.Node, p fleet.Plan, v zone.Statuses) {
 	b, err := work.Read(&p)
 	if err != nil {
 		return
 	}
-	f := work.Facts{Servers: a.machines(), Members: map[string]work.Member{}, Turned: a.judge.Turned(), Rate: a.feeder.Demand()}
+	f := work.Observations{Servers: a.machines(), Members: map[string]work.Member{}, RejectedShare: a.judge.RejectedShare(), Rate: a.feeder.Demand()}
 	for key, w := range v {
 		if !strings.Contains(key, ">") && !w.Hold {
 			f.ZonesOut = append(f.ZonesOut, key)
@@ -445,13 +445,13 @@
 		left[m.Name] = m.State == "left"
 	}
 	for _, q := range n.Peers() {
-		f.Members[q.Name] = work.Member{Left: left[q.Name], Heard: q.Known && now-q.Heard < a.o.Lease, Fresh: q.Status.Fresh,
-			Away: q.Status.Away, Zone: q.Status.Zone, Voter: slices.Contains(a.o.Voters, q.Name), Life: q.Started}
+		f.Members[q.Name] = work.Member{Left: left[q.Name], Reachable: q.HasStatus && now-q.LastStatusAt < a.o.Lease, Fresh: q.Status.Fresh,
+			Withdrawn: q.Status.Withdrawn, Zone: q.Status.Zone, Voter: slices.Contains(a.o.Voters, q.Name), Incarnation: q.StartedAt}
 	}
-	f.Members[a.o.Gossip.Name] = work.Member{Heard: true, Fresh: true, Away: a.acknowledged(), Zone: a.o.Gossip.About.Zone,
-		Voter: slices.Contains(a.o.Voters, a.o.Gossip.Name), Leads: true, Life: a.began.UnixNano()}
+	f.Members[a.o.Gossip.Name] = work.Member{Reachable: true, Fresh: true, Withdrawn: a.acknowledged(), Zone: a.o.Gossip.Metadata.Zone,
+		Voter: slices.Contains(a.o.Voters, a.o.Gossip.Name), Leader: true, Incarnation: a.began.UnixNano()}
 	next, moved := a.order.Step(now, unix, b, f)
-	if !moved || !n.Settle(work.Set(next)) {
+	if !moved || !n.Propose(work.Set(next)) {
 		return
 	}
 	old := map[string]work.State{}
@@ -473,7 +473,7 @@
 // drive has kept what has to be, and sends and says what the node has ready.
 func (a *Agent) drive() {
 	a.persist()
-	sends, said := a.node.Take()
+	sends, said := a.node.TakeOutput()
 	for _, s := range sends {
 		a.gossip.Send(s.To, s.Data)
 	}
@@ -488,7 +488,7 @@
 // persist has kept what the node wants kept.
 func (a *Agent) persist() {
 	for {
-		p, some := a.node.Persist()
+		p, some := a.node.PendingStorage()
 		if !some {
 			return
 		}
@@ -496,14 +496,14 @@
 			a.save(p)
 			return
 		}
-		a.node.Kept()
+		a.node.Persisted()
 	}
 }
 
 // save begins to write something to the disk, unless a save is under way or has failed just now. Danger: a disk may take seconds to
 // sync, and a member that waited for it would hear of no plan, answer no status, and lose its lease or the lead. Only what the node
 // says as a voter waits.
-func (a *Agent) save(p fleet.Persist) {
+func (a *Agent) save(p fleet.StorageUpdate) {
 	if a.saving || !a.ailing.IsZero() && time.Since(a.ailing) < tick {
 		return
 	}
@@ -534,40 +534,40 @@
 		a.o.Log.Info("the fleet's folder can be written to again")
 	}
 	// The node may have gone on from another state meanwhile, which has to be kept in its turn.
-	if p, some := a.node.Persist(); some && p.Same(s.persist) {
-		a.node.Kept()
+	if p, some := a.node.PendingStorage(); some && p.Equal(s.persist) {
+		a.node.Persisted()
 	}
 }
 
 func (a *Agent) say(e fleet.Event) {
 	p := a.node.Plan()
 	switch e.Kind {
-	case fleet.Fenced, fleet.Trouble:
+	case fleet.Fenced, fleet.Fault:
 		a.o.Log.Warn("fleet: "+e.Text, zap.Stringer("epoch", p.Epoch))
-	case fleet.FeedChanged: // several times a second while something is fed
+	case fleet.GrantChanged: // several times a second while something is fed
 	case fleet.PlanChanged:
 		a.o.Log.Info("fleet: "+e.Text, zap.Stringer("epoch", e.Plan.Epoch), zap.String("digest", fmt.Sprintf("%016x", e.Plan.Digest())))
 	default:
 		a.o.Log.Info("fleet: "+e.Text, zap.Stringer("epoch", p.Epoch))
 	}
 	if e.Kind == fleet.PlanChanged {
-		v := zone.Verdicts{}
+		v := zone.Statuses{}
 		_, err := p.Section(zone.Section, &v)
-		w, ok := v[a.o.Gossip.About.Zone]
+		w, ok := v[a.o.Gossip.Metadata.Zone]
 		a.left = err == nil && ok && !w.Hold && w.State != zone.Returning
 		if b, err := work.Read(&p); err == nil {
-			_, a.out = b.Away()[a.o.Gossip.Name]
+			_, a.out = b.Withdrawn()[a.o.Gossip.Name]
 		}
 	}
-	if a.o.Follow != nil && (e.Kind == fleet.PlanChanged || e.Kind == fleet.FeedChanged || e.Kind == fleet.Fenced) {
-		acts := Acts{Plan: p}
+	if a.o.OnDecisions != nil && (e.Kind == fleet.PlanChanged || e.Kind == fleet.GrantChanged || e.Kind == fleet.Fenced) {
+		acts := Decisions{Plan: p}
 		if b, err := work.Read(&p); err == nil {
-			acts.Away = b.Away()
+			acts.Withdrawn = b.Withdrawn()
 		}
-		if b, live := a.node.Feed(); live && len(b) > 0 {
-			acts.Feed, _ = ramp.Read(b)
+		if b, live := a.node.Grant(); live && len(b) > 0 {
+			acts.SlowStart, _ = ramp.Read(b)
 		}
-		a.o.Follow(acts)
+		a.o.OnDecisions(acts)
 	}
 }
 
@@ -587,8 +587,8 @@
 	}
 }
 
-// Ask has something settled, and waits for it: the epoch in which it is, or why it is not.
-func (a *Agent) Ask(ctx context.Context, verb string, args []byte) (fleet.Epoch, error) {
+// Submit has something settled, and waits for it: the epoch in which it is, or why it is not.
+func (a *Agent) Submit(ctx context.Context, verb string, args []byte) (fleet.Epoch, error) {
 	type end struct {
 		epoch fleet.Epoch
 		err   error
@@ -596,7 +596,7 @@
 	ends := make(chan end, 1)
 	if err := a.call(func() {
 		now, unix := a.now()
-		a.node.Ask(now, unix, verb, args, func(e fleet.Epoch, err error) { ends <- end{e, err} })
+		a.node.Submit(now, unix, verb, args, func(e fleet.Epoch, err error) { ends <- end{e, err} })
 	}); err != nil {
 		return fleet.Epoch{}, err
 	}
@@ -622,18 +622,18 @@
 
 // Status is what operators are shown.
 type Status struct {
-	Name           string         `json:"name"`
-	Fleet          string         `json:"fleet"`
-	Leader         string         `json:"leader"`
-	LeaderAge      int64          `json:"leader_ms"` // since there was word of it
-	Quorum         bool           `json:"quorum"`    // the view is fresh: a leader with a quorum has said so within the lease
-	Epoch          fleet.Epoch    `json:"epoch"`
-	Sections       []string       `json:"sections"`
-	Frozen         *fleet.Mark    `json:"frozen,omitempty"`
-	Unacknowledged []string       `json:"unacknowledged"`
-	Members        []MemberStatus `json:"members"`
-	PassedOver     uint64         `json:"passed_over"` // messages and reports that could not be used
-	Folder         string         `json:"folder"`      // kept, halted, or none
+	Name           string              `json:"name"`
+	Fleet          string              `json:"fleet"`
+	Leader         string              `json:"leader"`
+	LeaderAge      int64               `json:"leader_ms"` // since there was word of it
+	Quorum         bool                `json:"quorum"`    // the view is fresh: a leader with a quorum has said so within the lease
+	Epoch          fleet.Epoch         `json:"epoch"`
+	Sections       []string            `json:"sections"`
+	Frozen         *fleet.OperatorMark `json:"frozen,omitempty"`
+	Unacknowledged []string            `json:"unacknowledged"`
+	Members        []MemberStatus      `json:"members"`
+	PassedOver     uint64              `json:"passed_over"` // messages and reports that could not be used
+	Folder         string              `json:"folder"`      // kept, halted, or none
 }
 
 // Status tells how things stand.
@@ -642,7 +642,7 @@
 		p, self := a.node.Plan(), a.node.Self()
 		leader, ago := a.node.Leader()
 		s = Status{Name: a.o.Gossip.Name, Fleet: a.o.Gossip.Fleet, Leader: leader, LeaderAge: ago.Milliseconds(), Quorum: self.Fresh,
-			Epoch: p.Epoch, Unacknowledged: a.node.Unacknowledged(p.Epoch), PassedOver: a.node.Drops(), Folder: "none"}
+			Epoch: p.Epoch, Unacknowledged: a.node.Unacknowledged(p.Epoch), PassedOver: a.node.Dropped(), Folder: "none"}
 		if a.vault != nil {
 			if s.Folder = "kept"; !a.ailing.IsZero() {
 				s.Folder = "halted"
@@ -662,8 +662,8 @@
 		}
 		for _, m := range a.gossip.Members() {
 			v := MemberStatus{Member: m, Age: -1, Voter: slices.Contains(a.o.Voters, m.Name)}
-			if p, ok := peers[m.Name]; ok && p.Known {
-				v.Epoch, v.Incarnation, v.Age, v.Fresh = p.Status.Epoch, p.Started, (now - p.Heard).Milliseconds(), p.Status.Fresh
+			if p, ok := peers[m.Name]; ok && p.HasStatus {
+				v.Epoch, v.Incarnation, v.Age, v.Fresh = p.Status.Epoch, p.StartedAt, (now - p.LastStatusAt).Milliseconds(), p.Status.Fresh
 			}
 			if m.Name == s.Name {
 				v.Epoch, v.Incarnation, v.Age, v.Fresh = p.Epoch, a.began.UnixNano(), 0, self.Fresh
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -53,9 +53,9 @@
 	}
 	for i := range n {
 		name := fmt.Sprintf("g%d", i)
-		o := Options{Zones: zone.Standard, Voters: voters, Lease: 2 * time.Second, Status: 200 * time.Millisecond, Log: zap.NewNop(),
+		o := Options{Zones: zone.Defaults, Voters: voters, Lease: 2 * time.Second, Status: 200 * time.Millisecond, Log: zap.NewNop(),
 			Gossip: gossip.Options{Fleet: "test", Name: name, Listen: peers[name], Peers: peers, Seeds: []string{"g0"},
-				About: gossip.About{Zone: "a", Role: "gateway"}}}
+				Metadata: gossip.Metadata{Zone: "a", Role: "gateway"}}}
 		if dirs {
 			o.Dir = filepath.Join(t.TempDir(), name)
 		}
@@ -69,7 +69,7 @@
 		if reg != nil {
 			running.Go(func() {
 				_ = find.Run(ctx, find.Options{Servers: []string{reg.Addr()}, Path: "/members/test", Session: 4 * time.Second, Name: name,
-					Address: o.Gossip.Listen, Log: zap.NewNop()}, a.Found)
+					Address: o.Gossip.Listen, Log: zap.NewNop()}, a.AddCandidates)
 			})
 		}
 		f(a)
@@ -190,7 +190,7 @@
 	for _, a := range all {
 		until(t, "the freeze", func() bool {
 			s, _ := a.Status()
-			return s.Frozen != nil && s.Frozen.Why == "so"
+			return s.Frozen != nil && s.Frozen.Reason == "so"
 		})
 	}
 	until(t, "everybody's acknowledgement", func() bool {
@@ -213,7 +213,7 @@
 	defer ended(t)
 	all, stop := start(t, 1, true)
 	fresh(t, all)
-	if _, err := all[0].Ask(t.Context(), "freeze", fleet.Words("me", "so")); err != nil {
+	if _, err := all[0].Submit(t.Context(), "freeze", fleet.EncodeNote("me", "so")); err != nil {
 		t.Fatal(err)
 	}
 	o := all[0].o
@@ -244,7 +244,7 @@
 	if _, err := Open(o); err == nil {
 		t.Error("a garbled folder is taken")
 	}
-	if _, err := again.Ask(t.Context(), "thaw", nil); !errors.Is(err, ErrEnded) {
+	if _, err := again.Submit(t.Context(), "thaw", nil); !errors.Is(err, ErrEnded) {
 		t.Errorf("a member that has ended: %v", err)
 	}
 }
--- a/internal/fleet/agent/golden_fleet_test.go
+++ b/internal/fleet/agent/golden_fleet_test.go
@@ -25,11 +25,11 @@
 
 // TestGoldenStatus freezes the page of the fleet that operators and the command read.
 func TestGoldenStatus(t *testing.T) {
-	full := Status{Name: "g1", Fleet: "north-fleet", Leader: "g2", LeaderAge: 11, Quorum: true, Epoch: fleet.Epoch{Founding: 12, Number: 13},
-		Sections: []string{"freeze", "voters"}, Frozen: &fleet.Mark{By: "alice", Why: "night", At: 1700000000014},
+	full := Status{Name: "g1", Fleet: "north-fleet", Leader: "g2", LeaderAge: 11, Quorum: true, Epoch: fleet.Epoch{Generation: 12, Index: 13},
+		Sections: []string{"freeze", "voters"}, Frozen: &fleet.OperatorMark{By: "alice", Reason: "night", At: 1700000000014},
 		Unacknowledged: []string{"g3"}, Members: []MemberStatus{{Member: gossip.Member{Name: "g4", State: "alive", Address: "127.0.0.4:7004",
-			About: gossip.About{Zone: "hall-a", Region: "north", Number: 15, Version: "1.2.3", Role: "gateway"}},
-			Epoch: fleet.Epoch{Founding: 16, Number: 17}, Incarnation: 1700000000000000018, Age: 19, Fresh: true, Voter: true}},
+			Metadata: gossip.Metadata{Zone: "hall-a", Region: "north", Number: 15, Version: "1.2.3", Role: "gateway"}},
+			Epoch: fleet.Epoch{Generation: 16, Index: 17}, Incarnation: 1700000000000000018, Age: 19, Fresh: true, Voter: true}},
 		PassedOver: 20, Folder: "kept"}
 	golden.Filled(t, full)
 	for name, s := range map[string]Status{"status.json": full, "status-least.json": {}} {
@@ -92,7 +92,7 @@
 		})
 		return err == nil && roster["g0"] != 0
 	})
-	all[0].Listed([]ramp.Server{{ID: 0x0a0b0c0d, Zone: "hall-a", Since: 1700000000021}})
+	all[0].EndpointsChanged([]ramp.Server{{ID: 0x0a0b0c0d, Zone: "hall-a", Since: 1700000000021}})
 	mux := http.NewServeMux()
 	all[0].Pages(mux)
 	server := httptest.NewServer(mux)
--- a/internal/fleet/agent/show.go
+++ b/internal/fleet/agent/show.go
@@ -48,7 +48,7 @@
 		})
 	}
 	settled("zones", func(p *fleet.Plan) (any, error) {
-		v := zone.Verdicts{}
+		v := zone.Statuses{}
 		_, err := p.Section(zone.Section, &v)
 		return v, err
 	})
@@ -57,9 +57,9 @@
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(a.machines())
 	})
-	said := func(f url.Values) ([]byte, error) { return fleet.Words(f.Get("by"), f.Get("why")), nil }
+	said := func(f url.Values) ([]byte, error) { return fleet.EncodeNote(f.Get("by"), f.Get("why")), nil }
 	ofZone := func(f url.Values) ([]byte, error) {
-		c := zone.Call{By: f.Get("by"), Why: f.Get("why"), Zone: f.Get("zone")}
+		c := zone.Command{By: f.Get("by"), Reason: f.Get("why"), Zone: f.Get("zone")}
 		var err error
 		if s := f.Get("for_ms"); s != "" {
 			if c.ForMS, err = strconv.ParseInt(s, 10, 64); err != nil {
@@ -74,7 +74,7 @@
 		return c.Encode(), nil
 	}
 	verbs := map[string]func(url.Values) ([]byte, error){"freeze": said, "thaw": said, "leave": ofZone, "return": ofZone}
-	for verb := range work.Deciders() {
+	for verb := range work.Commands() {
 		verbs[verb] = ofWork
 	}
 	for verb, read := range verbs {
@@ -96,7 +96,7 @@
 
 // ofWork reads a call about work on machines.
 func ofWork(f url.Values) ([]byte, error) {
-	c := work.Call{By: f.Get("by"), Why: f.Get("why"), Key: f.Get("key"), Kind: work.Kind(f.Get("kind")), Machines: f["machine"]}
+	c := work.Command{By: f.Get("by"), Reason: f.Get("why"), Key: f.Get("key"), Kind: work.Kind(f.Get("kind")), Machines: f["machine"]}
 	for key, to := range map[string]*int64{"for_ms": &c.ForMS, "not_before": &c.NotBefore} {
 		if text := f.Get(key); text != "" {
 			n, err := strconv.ParseInt(text, 10, 64)
@@ -120,7 +120,7 @@
 
 // settle has something settled and answers with YES and the epoch, or NO and why.
 func (a *Agent) settle(w http.ResponseWriter, r *http.Request, verb string, args []byte) {
-	epoch, err := a.Ask(r.Context(), verb, args)
+	epoch, err := a.Submit(r.Context(), verb, args)
 	switch {
 	case err == nil:
 		fmt.Fprintf(w, "YES %v\n", epoch)
@@ -178,8 +178,8 @@
 	}
 	flag(quorum, s.Quorum)
 	flag(halted, s.Folder == "halted")
-	gauge(founding, float64(s.Epoch.Founding))
-	gauge(epoch, float64(s.Epoch.Number))
+	gauge(founding, float64(s.Epoch.Generation))
+	gauge(epoch, float64(s.Epoch.Index))
 	gauge(waiting, float64(len(s.Unacknowledged)))
 	ch <- prometheus.MustNewConstMetric(passed, prometheus.CounterValue, float64(s.PassedOver))
 	ch <- prometheus.MustNewConstMetric(sent, prometheus.CounterValue, float64(a.gossip.Sent()))
--- a/internal/fleet/agent/slow_disk_test.go
+++ b/internal/fleet/agent/slow_disk_test.go
@@ -15,7 +15,7 @@
 	votes atomic.Bool   // the log's entries have come: it was taken in
 }
 
-func (s *stuckStore) Save(p fleet.Persist) error {
+func (s *stuckStore) Save(p fleet.StorageUpdate) error {
 	<-s.disk
 	defer func() { s.disk <- struct{}{} }()
 	if len(p.Entries) > 0 {
@@ -57,7 +57,7 @@
 		}
 	}
 	defer release()
-	epoch, err := all[0].Ask(t.Context(), "freeze", fleet.Words("me", "so"))
+	epoch, err := all[0].Submit(t.Context(), "freeze", fleet.EncodeNote("me", "so"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/fleet/agent/tally.go
+++ b/internal/fleet/agent/tally.go
@@ -15,16 +15,16 @@
 // The outcomes.
 const (
 	Served Outcome = iota
-	Refused
-	Silent
+	ConnectFailed
+	TimedOut
 	Failed
-	Turned
-	Nothing // it was withdrawn, or never left
+	Rejected
+	NoOutcome // it was withdrawn, or never left
 )
 
-// Ref names a fetch that is out.
-type Ref struct {
-	Req     string
+// AttemptID names a fetch that is out.
+type AttemptID struct {
+	Request string
 	Attempt int
 }
 
@@ -34,10 +34,10 @@
 type Tally struct {
 	mu      sync.Mutex
 	now     func() time.Time
-	zones   map[string]fleet.Count
+	zones   map[string]fleet.AttemptCounts
 	servers map[uint32]*server
 	changed []uint32 // in the order in which they first changed since they were told
-	open    map[Ref]*open
+	open    map[AttemptID]*open
 	asked   uint64  // reqs that were taken in
 	usual   float64 // seconds that a served fetch takes, smoothed
 }
@@ -50,12 +50,12 @@
 }
 
 type server struct {
-	fleet.Server
+	fleet.ServerReport
 	waits bool // it is among the changed
 }
 
 const (
-	mostKept  = fleet.MostSeen // servers
+	mostKept  = fleet.MaxObservedServers // servers
 	mostOpen  = 1 << 16
 	leastMark = 120 * time.Millisecond // before a fetch is late, at least
 	markTimes = 2.5                    // what fetches usually take
@@ -63,18 +63,18 @@
 )
 
 func newTally(now func() time.Time) *Tally {
-	return &Tally{now: now, zones: map[string]fleet.Count{}, servers: map[uint32]*server{}, open: map[Ref]*open{}}
+	return &Tally{now: now, zones: map[string]fleet.AttemptCounts{}, servers: map[uint32]*server{}, open: map[AttemptID]*open{}}
 }
 
-// Asked counts a req that was taken in.
-func (t *Tally) Asked() {
+// RequestReceived counts a req that was taken in.
+func (t *Tally) RequestReceived() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.asked++
 }
 
-// Began counts a fetch that is out.
-func (t *Tally) Began(f Ref, zone string, id uint32) {
+// AttemptStarted counts a fetch that is out.
+func (t *Tally) AttemptStarted(f AttemptID, zone string, id uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.open) < mostOpen {
@@ -82,8 +82,8 @@
 	}
 }
 
-// Ended counts what became of it; queue and inflight as the server last told.
-func (t *Tally) Ended(f Ref, o Outcome, queue, inflight uint32) {
+// AttemptEnded counts what became of it; queue and inflight as the server last told.
+func (t *Tally) AttemptEnded(f AttemptID, o Outcome, queue, inflight uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	v := t.open[f]
@@ -92,38 +92,38 @@
 	}
 	delete(t.open, f)
 	took := t.now().Sub(v.began)
-	if o == Served || o == Turned {
+	if o == Served || o == Rejected {
 		if s := t.servers[v.id]; s != nil {
 			s.Queue, s.InFlight = queue, inflight
 		}
 	}
 	if v.late && o == Served { // how slow a zone is shows in those most of all
-		t.add(v.zone, v.id, fleet.Count{Late: 1, Micros: uint64(took.Microseconds())})
+		t.add(v.zone, v.id, fleet.AttemptCounts{AnsweredLate: 1, LatencyMicros: uint64(took.Microseconds())})
 	}
-	if v.late || o == Nothing {
+	if v.late || o == NoOutcome {
 		return
 	}
-	one := fleet.Count{Tries: 1}
+	one := fleet.AttemptCounts{Attempts: 1}
 	switch o {
 	case Served:
-		one.Served, one.Micros = 1, uint64(took.Microseconds())
+		one.Served, one.LatencyMicros = 1, uint64(took.Microseconds())
 		if t.usual == 0 {
 			t.usual = took.Seconds()
 		}
 		t.usual += smooth * (took.Seconds() - t.usual)
-	case Refused:
-		one.Refused = 1
-	case Silent:
-		one.Silent = 1
+	case ConnectFailed:
+		one.ConnectFailed = 1
+	case TimedOut:
+		one.TimedOut = 1
 	case Failed:
 		one.Failed = 1
-	case Turned:
-		one.Turned = 1
+	case Rejected:
+		one.Rejected = 1
 	}
 	t.add(v.zone, v.id, one)
 }
 
-func (t *Tally) add(zone string, id uint32, c fleet.Count) {
+func (t *Tally) add(zone string, id uint32, c fleet.AttemptCounts) {
 	z := t.zones[zone]
 	z.Add(c)
 	t.zones[zone] = z
@@ -137,7 +137,7 @@
 		t.servers[id] = s
 	}
 	s.Zone = zone
-	s.Count.Add(c)
+	s.AttemptCounts.Add(c)
 	if !s.waits {
 		s.waits = true
 		t.changed = append(t.changed, id)
@@ -168,22 +168,22 @@
 	for _, v := range t.open {
 		if !v.late && now.Sub(v.began) > mark {
 			v.late = true
-			t.add(v.zone, v.id, fleet.Count{Tries: 1, Silent: 1})
+			t.add(v.zone, v.id, fleet.AttemptCounts{Attempts: 1, TimedOut: 1})
 		}
 	}
 	if len(t.zones) == 0 && t.asked == 0 {
 		return nil
 	}
-	r := &fleet.Report{Zones: maps.Clone(t.zones), Asked: t.asked}
+	r := &fleet.Report{Zones: maps.Clone(t.zones), Requests: t.asked}
 	if !whole {
 		return r
 	}
-	r.Servers = map[uint32]fleet.Server{}
-	n := min(len(t.changed), fleet.MostServers)
+	r.Servers = map[uint32]fleet.ServerReport{}
+	n := min(len(t.changed), fleet.MaxReportedServers)
 	for _, id := range t.changed[:n] {
 		s := t.servers[id]
 		s.waits = false
-		r.Servers[id] = s.Server
+		r.Servers[id] = s.ServerReport
 	}
 	t.changed = slices.Delete(t.changed, 0, n)
 	return r
--- a/internal/fleet/evidence_test.go
+++ b/internal/fleet/evidence_test.go
@@ -8,17 +8,17 @@
 	var s seen
 	counted := map[uint32]uint64{}
 	for round := range rounds {
-		for first := 0; first < servers; first += MostServers {
-			r := &Report{Zones: map[string]Count{"a": {}}, Servers: map[uint32]Server{}}
-			for id := first; id < min(first+MostServers, servers); id++ {
-				r.Servers[uint32(id)] = Server{Zone: "a", Count: Count{Tries: uint64(round + 1)}}
+		for first := 0; first < servers; first += MaxReportedServers {
+			r := &Report{Zones: map[string]AttemptCounts{"a": {}}, Servers: map[uint32]ServerReport{}}
+			for id := first; id < min(first+MaxReportedServers, servers); id++ {
+				r.Servers[uint32(id)] = ServerReport{Zone: "a", AttemptCounts: AttemptCounts{Attempts: uint64(round + 1)}}
 			}
 			delta, err := s.take(r)
 			if err != nil {
 				t.Fatal(err)
 			}
 			for id, v := range delta.Servers {
-				counted[id] += v.Count.Tries
+				counted[id] += v.AttemptCounts.Attempts
 			}
 		}
 	}
--- a/internal/fleet/founding.go
+++ b/internal/fleet/founding.go
@@ -13,7 +13,7 @@
 		return n.self(), n.saved != nil && n.whole == nil
 	}
 	p := n.peers[name]
-	if p == nil || !p.Known || n.now-p.Heard > freshStatus || p.Status.Identity == 0 {
+	if p == nil || !p.HasStatus || n.now-p.LastStatusAt > freshStatus || p.Status.Identity == 0 {
 		return Status{}, false
 	}
 	return p.Status, true
@@ -24,13 +24,13 @@
 // it holds are there under the identities of then. It gives the newest founding that anybody has promised or holds.
 func (n *Node) dead() (newest uint64, yes bool) {
 	there, all := map[uint64]bool{}, []Status{}
-	newest = n.plan.Epoch.Founding
+	newest = n.plan.Epoch.Generation
 	for _, name := range n.cfg.Voters {
 		s, ok := n.freshVoter(name)
 		if !ok {
 			return 0, false
 		}
-		newest = max(newest, s.Promised, s.Founding, s.Epoch.Founding)
+		newest = max(newest, s.Promised, s.Generation, s.Epoch.Generation)
 		there[s.Identity] = true
 		all = append(all, s)
 	}
@@ -45,7 +45,7 @@
 	}
 	held := false
 	for _, s := range all {
-		if held = held || s.Founding != 0; len(s.In) > 0 && quorum(s.In) && quorum(s.Out) {
+		if held = held || s.Generation != 0; len(s.Voters) > 0 && quorum(s.Voters) && quorum(s.OutgoingVoters) {
 			return 0, false
 		}
 	}
@@ -96,7 +96,7 @@
 	n.after = append(n.after, func() {
 		_ = n.voter.rn.Campaign() // alone, it waits for nobody
 		n.voter.pump()
-		n.say(Founded, "a log is founded: %d, on plan %v", number, newest.Epoch)
+		n.say(GenerationStarted, "a log is founded: %d, on plan %v", number, newest.Epoch)
 	})
 }
 
@@ -120,17 +120,17 @@
 		}
 		return
 	}
-	if from != n.cfg.Voters[0] || f.Number < n.saved.Promised || n.saved.Founding >= f.Number {
+	if from != n.cfg.Voters[0] || f.Number < n.saved.Promised || n.saved.Generation >= f.Number {
 		return
 	}
 	promise := func() {
 		n.send(from, envelope{Found: &founding{Number: f.Number, Promise: true, Plan: &n.plan}})
 	}
-	if f.Number == n.saved.Promised && n.saved.Founding == 0 {
+	if f.Number == n.saved.Promised && n.saved.Generation == 0 {
 		promise() // it was, and the answer may have been lost
 		return
 	}
-	if n.saved.Founding != 0 { // a voter with a log in hand looks for itself
+	if n.saved.Generation != 0 { // a voter with a log in hand looks for itself
 		if _, dead := n.dead(); !dead {
 			return
 		}
@@ -158,7 +158,7 @@
 			continue
 		}
 		names[s.Identity] = name
-		if slices.Contains(in, s.Identity) || s.Founding != 0 && s.Founding != v.founding || s.Promised > v.founding {
+		if slices.Contains(in, s.Identity) || s.Generation != 0 && s.Generation != v.founding || s.Promised > v.founding {
 			continue
 		}
 		var out []uint64
@@ -168,7 +168,7 @@
 			}
 		}
 		if v.reshape(out, []uint64{s.Identity}) == nil {
-			n.say(Reshaped, "%s votes as %x, in place of %d others of its name", name, s.Identity, len(out))
+			n.say(VotersChanged, "%s votes as %x, in place of %d others of its name", name, s.Identity, len(out))
 		}
 		n.collect()
 		return
@@ -187,12 +187,12 @@
 			}
 		}
 		if v.reshape(out, nil) == nil {
-			n.say(Reshaped, "%d voters that nobody is any more are out", len(out))
+			n.say(VotersChanged, "%d voters that nobody is any more are out", len(out))
 		}
 		n.collect()
 		return
 	}
 	if len(now) == len(in) && !maps.Equal(now, v.plan.voters()) {
-		n.Settle(map[string]cbor.RawMessage{sectionVoters: encode(now)})
+		n.Propose(map[string]cbor.RawMessage{sectionVoters: encode(now)})
 	}
 }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -14,14 +14,14 @@
 )
 
 var (
-	goldenCount  = Count{Tries: 101, Served: 11, Refused: 12, Silent: 13, Failed: 14, Turned: 15, Micros: 16, Late: 7}
-	goldenServer = Server{Count: Count{Tries: 201, Served: 21, Refused: 22, Silent: 23, Failed: 24, Turned: 25, Micros: 26, Late: 8},
+	goldenCount  = AttemptCounts{Attempts: 101, Served: 11, ConnectFailed: 12, TimedOut: 13, Failed: 14, Rejected: 15, LatencyMicros: 16, AnsweredLate: 7}
+	goldenServer = ServerReport{AttemptCounts: AttemptCounts{Attempts: 201, Served: 21, ConnectFailed: 22, TimedOut: 23, Failed: 24, Rejected: 25, LatencyMicros: 26, AnsweredLate: 8},
 		Zone: "hall-c", Queue: 31, InFlight: 32}
-	goldenReport = Report{Zones: map[string]Count{"hall-b": goldenCount}, Servers: map[uint32]Server{41: goldenServer}, Asked: 42}
-	goldenStatus = Status{Zone: "hall-a", Region: "north", Epoch: Epoch{1001, 1002}, Fresh: true, Leader: "g1", Identity: 51, Founding: 52,
-		Promised: 53, Term: 54, Report: &goldenReport, In: []uint64{61, 62}, Out: []uint64{63}, Acts: 55, Away: map[string]uint64{"s-00000001": 64}}
+	goldenReport = Report{Zones: map[string]AttemptCounts{"hall-b": goldenCount}, Servers: map[uint32]ServerReport{41: goldenServer}, Requests: 42}
+	goldenStatus = Status{Zone: "hall-a", Region: "north", Epoch: Epoch{1001, 1002}, Fresh: true, Leader: "g1", Identity: 51, Generation: 52,
+		Promised: 53, Term: 54, Report: &goldenReport, Voters: []uint64{61, 62}, OutgoingVoters: []uint64{63}, GrantSeq: 55, Withdrawn: map[string]uint64{"s-00000001": 64}}
 	goldenPlan = Plan{Epoch: Epoch{2001, 2002}, Sections: map[string]cbor.RawMessage{"zones": {0x82, 1, 2}}}
-	goldenMark = Mark{By: "alice", Why: "night", At: 1700000000123}
+	goldenMark = OperatorMark{By: "alice", Reason: "night", At: 1700000000123}
 )
 
 // TestGoldenMessages freezes the messages that members send one another, one of each kind; decode of another version reads them.
@@ -77,10 +77,10 @@
 	goldenCBOR(t, "plan.cbor", goldenPlan, cbor.Unmarshal)
 	goldenCBOR(t, "voters.cbor", map[string]uint64{"g3": 1<<63 + 9}, cbor.Unmarshal)
 	goldenCBOR(t, "mark.cbor", goldenMark, cbor.Unmarshal)
-	goldenCBOR(t, "said.cbor", Said{By: "bob", Why: "day"}, decoder.Unmarshal)
-	golden.Compare(t, "said.cbor", Words("bob", "day"))
-	var s Said
-	if err := s.Read(golden.Read(t, "said.cbor")); err != nil || s != (Said{"bob", "day"}) {
+	goldenCBOR(t, "said.cbor", OperatorNote{By: "bob", Reason: "day"}, decoder.Unmarshal)
+	golden.Compare(t, "said.cbor", EncodeNote("bob", "day"))
+	var s OperatorNote
+	if err := s.Read(golden.Read(t, "said.cbor")); err != nil || s != (OperatorNote{"bob", "day"}) {
 		t.Errorf("%+v, %v", s, err)
 	}
 	if got := encode(change{Set: map[string]cbor.RawMessage{"freeze": nil}}); !slices.Contains([]byte(got), null) {
@@ -100,14 +100,14 @@
 	if got := p.Digest(); got != goldenDigest {
 		t.Errorf("digest: %#x", got)
 	}
-	if got := slices.Sorted(maps.Keys(Freezing())); !slices.Equal(got, []string{"freeze", "thaw"}) {
+	if got := slices.Sorted(maps.Keys(FreezeCommands())); !slices.Equal(got, []string{"freeze", "thaw"}) {
 		t.Error("calls:", got)
 	}
-	set, err := Freezing()["freeze"](&Plan{}, golden.Read(t, "said.cbor"), 1700000000123)
-	if err != nil || !reflect.DeepEqual(set, map[string]cbor.RawMessage{"freeze": encode(Mark{"bob", "day", 1700000000123})}) {
+	set, err := FreezeCommands()["freeze"](&Plan{}, golden.Read(t, "said.cbor"), 1700000000123)
+	if err != nil || !reflect.DeepEqual(set, map[string]cbor.RawMessage{"freeze": encode(OperatorMark{"bob", "day", 1700000000123})}) {
 		t.Errorf("freeze: %v, %v", set, err)
 	}
-	set, err = Freezing()["thaw"](&p, golden.Read(t, "said.cbor"), 1)
+	set, err = FreezeCommands()["thaw"](&p, golden.Read(t, "said.cbor"), 1)
 	if err != nil || !reflect.DeepEqual(set, map[string]cbor.RawMessage{"freeze": nil}) {
 		t.Errorf("thaw: %v, %v", set, err)
 	}
@@ -121,7 +121,7 @@
 	if err := v.restore(s.Snapshot); err != nil || !reflect.DeepEqual(v.plan, goldenPlan) || v.applied != 1 {
 		t.Errorf("%+v, %v", v.plan, err)
 	}
-	if s.Identity != 21 || s.Founding != 22 || s.Promised != 22 || s.Hard.GetTerm() != 1 || s.Hard.GetCommit() != 1 {
+	if s.Identity != 21 || s.Generation != 22 || s.Promised != 22 || s.HardState.GetTerm() != 1 || s.HardState.GetCommit() != 1 {
 		t.Errorf("%+v", s)
 	}
 }
@@ -129,12 +129,12 @@
 // TestGoldenJSON freezes what operators are shown of this package's types, and the epoch as text.
 func TestGoldenJSON(t *testing.T) {
 	type page struct {
-		Epoch  Epoch  `json:"epoch"`
-		Mark   Mark   `json:"mark"`
-		Said   Said   `json:"said"`
-		Report Report `json:"report"`
+		Epoch  Epoch        `json:"epoch"`
+		Mark   OperatorMark `json:"mark"`
+		Said   OperatorNote `json:"said"`
+		Report Report       `json:"report"`
 	}
-	v := page{Epoch{1234567890123, 45}, goldenMark, Said{"bob", "day"}, goldenReport}
+	v := page{Epoch{1234567890123, 45}, goldenMark, OperatorNote{"bob", "day"}, goldenReport}
 	golden.Filled(t, v)
 	text, err := json.MarshalIndent(v, "", "  ")
 	if err != nil {
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -10,16 +10,16 @@
 	"dewhitch/internal/golden"
 )
 
-var goldenAbout = About{Zone: "hall-a", Region: "north", Number: 3, Version: "1.2.3", Role: "gateway"}
+var goldenAbout = Metadata{Zone: "hall-a", Region: "north", Number: 3, Version: "1.2.3", Role: "gateway"}
 
 // TestGoldenAbout freezes what members say of themselves in the library's gossip, and what other members read of it. Packets
 // and streams are the library's own.
 func TestGoldenAbout(t *testing.T) {
-	for name, about := range map[string]About{"about": goldenAbout, "about-least": {}} {
+	for name, about := range map[string]Metadata{"about": goldenAbout, "about-least": {}} {
 		if name == "about" {
 			golden.Filled(t, about)
 		}
-		g := &Gossip{o: Options{About: about, Changed: func(string, string) {}}, known: map[string]Member{}}
+		g := &Gossip{o: Options{Metadata: about, Changed: func(string, string) {}}, known: map[string]Member{}}
 		golden.Compare(t, name+".cbor", (&delegate{g}).NodeMeta(memberlist.MetaMaxSize))
 		n := &memberlist.Node{Name: "g3", Addr: net.IPv4(127, 0, 0, 3), Port: 7003, Meta: golden.Read(t, name+".cbor")}
 		(&delegate{g}).NotifyJoin(n)
@@ -40,7 +40,7 @@
 
 // TestGoldenMember freezes a member as operators are shown it.
 func TestGoldenMember(t *testing.T) {
-	m := Member{Name: "g3", State: "suspect", Address: "127.0.0.3:7003", About: goldenAbout}
+	m := Member{Name: "g3", State: "suspect", Address: "127.0.0.3:7003", Metadata: goldenAbout}
 	golden.Filled(t, m)
 	text, err := json.MarshalIndent(m, "", "  ")
 	if err != nil {
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -22,20 +22,20 @@
 
 // Options say how to take part.
 type Options struct {
-	Fleet   string
-	Name    string
-	Listen  string            // host:port, for TCP and UDP
-	Peers   map[string]string // by name, the address under which this process reaches a member; others as they say themselves
-	Seeds   []string          // NAME/HOST:PORT, or the name of a peer
-	Keyring string            // a file with a key a line, in base64, the first to write with; empty: loopback only
-	About   About
-	Receive func([]byte)             // a message of a member; it may not block, nor keep the bytes
-	Changed func(name, state string) // a member came, or went; it may not block
-	Log     *zap.Logger
+	Fleet    string
+	Name     string
+	Listen   string            // host:port, for TCP and UDP
+	Peers    map[string]string // by name, the address under which this process reaches a member; others as they say themselves
+	Seeds    []string          // NAME/HOST:PORT, or the name of a peer
+	Keyring  string            // a file with a key a line, in base64, the first to write with; empty: loopback only
+	Metadata Metadata
+	Receive  func([]byte)             // a message of a member; it may not block, nor keep the bytes
+	Changed  func(name, state string) // a member came, or went; it may not block
+	Log      *zap.Logger
 }
 
-// About is what members say of themselves once.
-type About struct {
+// Metadata is what members say of themselves once.
+type Metadata struct {
 	Zone    string `cbor:"1,keyasint" json:"zone"`
 	Region  string `cbor:"2,keyasint,omitempty" json:"region,omitempty"`
 	Number  int    `cbor:"3,keyasint" json:"number"`
@@ -45,10 +45,10 @@
 
 // Member is one as gossip has it.
 type Member struct {
-	Name    string `json:"name"`
-	State   string `json:"state"` // alive, suspect, gone, left
-	Address string `json:"address"`
-	About   `json:"about"`
+	Name     string `json:"name"`
+	State    string `json:"state"` // alive, suspect, gone, left
+	Address  string `json:"address"`
+	Metadata `json:"about"`
 }
 
 const (
@@ -142,7 +142,7 @@
 type delegate struct{ g *Gossip }
 
 func (d *delegate) NodeMeta(limit int) []byte {
-	b, err := cbor.Marshal(d.g.o.About)
+	b, err := cbor.Marshal(d.g.o.Metadata)
 	if err != nil || len(b) > limit {
 		return nil
 	}
@@ -164,8 +164,8 @@
 
 func (g *Gossip) note(n *memberlist.Node, state string) {
 	m := Member{Name: n.Name, State: state, Address: n.Address()}
-	if cbor.Unmarshal(n.Meta, &m.About) != nil {
-		m.About = About{}
+	if cbor.Unmarshal(n.Meta, &m.Metadata) != nil {
+		m.Metadata = Metadata{}
 	}
 	g.mu.Lock()
 	g.known[n.Name] = m
@@ -221,9 +221,9 @@
 	return memberlist.Address{Addr: m.Address, Name: name}, ok
 }
 
-// Found tells, by name, where members may be. It is a hint and no more: who is not named is not taken for gone, as a
+// AddCandidates tells, by name, where members may be. It is a hint and no more: who is not named is not taken for gone, as a
 // registry that lost its sessions names nobody.
-func (g *Gossip) Found(at map[string]string) {
+func (g *Gossip) AddCandidates(at map[string]string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.found = map[string]string{}
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -19,32 +19,32 @@
 type Config struct {
 	Fleet, Name, Zone, Region string
 	Voters                    []string // by name, all members alike; the first founds
-	Started                   int64    // of this process, Unix ns
-	Life                      uint64   // a random number
+	StartedAt                 int64    // of this process, Unix ns
+	Incarnation               uint64   // a random number
 	Seed                      uint64
 	Tick                      time.Duration // of the log's clock
 	Status                    time.Duration // between two statuses, at least
 	Lease                     time.Duration
-	Deciders                  map[string]Decider
+	Commands                  map[string]CommandHandler
 	Observe                   func(now time.Duration, from Peer, delta Report) // of each report; may be nil
-	Lead                      func(now time.Duration, unix int64, n *Node)     // called on the leader now and then; may be nil
-	// Feed is what the leader gives a member with its answer to a status, itself among them; may be nil.
-	Feed func(now time.Duration, to Peer, seq uint64) []byte
+	LeaderTick                func(now time.Duration, unix int64, n *Node)     // called on the leader now and then; may be nil
+	// GrantFor is what the leader gives a member with its answer to a status, itself among them; may be nil.
+	GrantFor func(now time.Duration, to Peer, seq uint64) []byte
 }
 
-// Decider turns what an operator asks for into sections of the next plan: none if the plan says so already. It is called
+// CommandHandler turns what an operator asks for into sections of the next plan: none if the plan says so already. It is called
 // on the leader, and may be called again for the same ask by the next leader: it has to come to the same.
-type Decider func(p *Plan, args []byte, unix int64) (map[string]cbor.RawMessage, error)
+type CommandHandler func(p *Plan, args []byte, unix int64) (map[string]cbor.RawMessage, error)
 
 // Peer is a member as another one knows it.
 type Peer struct {
 	Name         string
 	Alive        bool          // as gossip has it
-	Heard        time.Duration // when its last status came
-	Known        bool          // one has
+	LastStatusAt time.Duration // when its last status came
+	HasStatus    bool          // one has
 	Status       Status
-	Started      int64
-	Life         uint64
+	StartedAt    int64
+	Incarnation  uint64
 	seq          uint64
 	seen         seen
 	lastPlanSent time.Duration
@@ -78,8 +78,8 @@
 	started bool
 	lastLog time.Duration // of the log's last tick
 	voter   *voter        // nil: this member is none
-	saved   *Saved        // identity, founding and promise of the voter
-	whole   *Saved        // has to be kept, before anything else
+	saved   *VoterState   // identity, founding and promise of the voter
+	whole   *VoterState   // has to be kept, before anything else
 	after   []func()      // once it is
 
 	plan       Plan // that it acts on: the newest it knows
@@ -120,7 +120,7 @@
 	report func(whole bool) *Report
 	away   func() map[string]uint64
 	own    seen
-	sends  []Send
+	sends  []Message
 	events []Event
 	drops  uint64
 }
@@ -138,8 +138,8 @@
 }
 
 // New makes a member. saved is what a voter kept; nil: nothing. A voter without it draws a new identity.
-func New(cfg Config, saved *Saved) (*Node, error) {
-	n := &Node{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Life)), peers: map[string]*Peer{}, results: map[string]told{},
+func New(cfg Config, saved *VoterState) (*Node, error) {
+	n := &Node{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation)), peers: map[string]*Peer{}, results: map[string]told{},
 		asks: map[string]*asked{}, promises: map[string]*Plan{}}
 	if !slices.Contains(cfg.Voters, cfg.Name) {
 		return n, nil
@@ -148,53 +148,53 @@
 		n.blank(0)
 		return n, nil
 	}
-	n.saved = &Saved{Identity: saved.Identity, Founding: saved.Founding, Promised: saved.Promised}
+	n.saved = &VoterState{Identity: saved.Identity, Generation: saved.Generation, Promised: saved.Promised}
 	var err error
 	if n.voter, err = newVoter(saved, n.rng); err != nil {
 		return nil, err
 	}
-	if saved.Founding != 0 {
+	if saved.Generation != 0 {
 		n.see(n.voter.plan, "")
 	}
 	return n, nil
 }
 
-// Reports has each status carry what f tells: of zones, and of servers too where it is whole.
-func (n *Node) Reports(f func(whole bool) *Report) { n.report = f }
+// SetReporter has each status carry what f tells: of zones, and of servers too where it is whole.
+func (n *Node) SetReporter(f func(whole bool) *Report) { n.report = f }
 
-// Acknowledges has each status carry the machines that f tells: nothing is sent there.
-func (n *Node) Acknowledges(f func() map[string]uint64) { n.away = f }
+// SetAcknowledged has each status carry the machines that f tells: nothing is sent there.
+func (n *Node) SetAcknowledged(f func() map[string]uint64) { n.away = f }
 
 // blank makes the voter one that has never voted, under a new identity.
 func (n *Node) blank(promised uint64) {
-	n.saved = &Saved{Identity: n.rng.Uint64()>>1 | 1, Promised: promised}
+	n.saved = &VoterState{Identity: n.rng.Uint64()>>1 | 1, Promised: promised}
 	n.adopt(n.saved)
 }
 
 // adopt has the voter go on from a state, which has to be kept first.
-func (n *Node) adopt(s *Saved) {
+func (n *Node) adopt(s *VoterState) {
 	v, err := newVoter(s, n.rng)
 	if err != nil {
 		panic("fleet: " + err.Error()) // a state of our own making
 	}
-	n.saved = &Saved{Identity: s.Identity, Founding: s.Founding, Promised: s.Promised}
+	n.saved = &VoterState{Identity: s.Identity, Generation: s.Generation, Promised: s.Promised}
 	n.voter, n.whole, n.after = v, s, nil
 	n.inflight, n.queue = "", nil
 }
 
-// Persist is what has to be on the disk before anything that follows from it is said; false: nothing. Kept tells that it is.
-func (n *Node) Persist() (Persist, bool) {
+// PendingStorage is what has to be on the disk before anything that follows from it is said; false: nothing. Kept tells that it is.
+func (n *Node) PendingStorage() (StorageUpdate, bool) {
 	if n.whole != nil {
-		return Persist{Whole: n.whole}, true
+		return StorageUpdate{Replacement: n.whole}, true
 	}
 	if n.voter != nil && !n.voter.persist.empty() && n.voter.pending != nil {
 		return n.voter.persist, true
 	}
-	return Persist{}, false
+	return StorageUpdate{}, false
 }
 
-// Kept tells that what Persist gave last is on the disk.
-func (n *Node) Kept() {
+// Persisted tells that what Persist gave last is on the disk.
+func (n *Node) Persisted() {
 	if n.whole != nil {
 		after := n.after
 		n.whole, n.after = nil, nil
@@ -207,8 +207,8 @@
 	n.collect()
 }
 
-// Take gives what is to be sent and said.
-func (n *Node) Take() (sends []Send, events []Event) {
+// TakeOutput gives what is to be sent and said.
+func (n *Node) TakeOutput() (sends []Message, events []Event) {
 	sends, events = n.sends, n.events
 	n.sends, n.events = nil, nil
 	return sends, events
@@ -223,8 +223,8 @@
 		return
 	}
 	n.seq++
-	e.Version, e.Fleet, e.From, e.Started, e.Life, e.Seq = wireVersion, n.cfg.Fleet, n.cfg.Name, n.cfg.Started, n.cfg.Life, n.seq
-	n.sends = append(n.sends, Send{to, encode(e)})
+	e.Version, e.Fleet, e.From, e.Started, e.Life, e.Seq = wireVersion, n.cfg.Fleet, n.cfg.Name, n.cfg.StartedAt, n.cfg.Incarnation, n.seq
+	n.sends = append(n.sends, Message{to, encode(e)})
 }
 
 // at moves time on: the log lives through the ticks that passed, and a stalled process through as many as make a leader
@@ -252,8 +252,8 @@
 		n.found()
 		if n.Leads() {
 			n.reshape()
-			if n.cfg.Lead != nil {
-				n.cfg.Lead(n.now, n.unix, n)
+			if n.cfg.LeaderTick != nil {
+				n.cfg.LeaderTick(n.now, n.unix, n)
 			}
 		}
 	}
@@ -267,7 +267,7 @@
 		n.status()
 	}
 	if n.acts > 0 && n.now >= n.feedUntil && !n.lapsed {
-		n.events = append(n.events, Event{At: n.now, Kind: FeedChanged})
+		n.events = append(n.events, Event{At: n.now, Kind: GrantChanged})
 	}
 	n.lapsed = n.now >= n.feedUntil
 	if fresh := n.Fresh(); fresh != n.wasFresh {
@@ -280,8 +280,8 @@
 	}
 }
 
-// Next is when Tick should be called at the latest.
-func (n *Node) Next() time.Duration {
+// NextTick is when Tick should be called at the latest.
+func (n *Node) NextTick() time.Duration {
 	next := n.nextStatus
 	if n.voter != nil {
 		next = min(next, n.lastLog+n.cfg.Tick)
@@ -292,8 +292,8 @@
 	return next
 }
 
-// Member tells of a member as gossip has it.
-func (n *Node) Member(name string, alive bool) {
+// SetAlive tells of a member as gossip has it.
+func (n *Node) SetAlive(name string, alive bool) {
 	if name == n.cfg.Name {
 		return
 	}
@@ -317,7 +317,7 @@
 func (n *Node) status() {
 	s := n.self()
 	if n.away != nil {
-		s.Away = n.away()
+		s.Withdrawn = n.away()
 	}
 	n.statuses++
 	// The leader hears each; the other voters a third of them, unless there is no leader.
@@ -332,7 +332,7 @@
 	}
 	n.seq++ // of this status, whoever it goes to: they are alike
 	n.sentAt[n.seq%ring].seq, n.sentAt[n.seq%ring].at = n.seq, n.now
-	e := envelope{Version: wireVersion, Fleet: n.cfg.Fleet, From: n.cfg.Name, Started: n.cfg.Started, Life: n.cfg.Life, Seq: n.seq,
+	e := envelope{Version: wireVersion, Fleet: n.cfg.Fleet, From: n.cfg.Name, Started: n.cfg.StartedAt, Life: n.cfg.Incarnation, Seq: n.seq,
 		Status: &s}
 	b := encode(e)
 	if n.fenced {
@@ -343,21 +343,21 @@
 	}
 	for _, v := range n.cfg.Voters {
 		if v != n.cfg.Name && n.peers[v] != nil && (all || v == n.leader) {
-			n.sends = append(n.sends, Send{v, b})
+			n.sends = append(n.sends, Message{v, b})
 		}
 	}
 	if all && len(n.names) > 0 { // whatever gossip thinks of it
 		if other := n.names[n.rng.IntN(len(n.names))]; !slices.Contains(n.cfg.Voters, other) {
-			n.sends = append(n.sends, Send{other, b})
+			n.sends = append(n.sends, Message{other, b})
 		}
 	}
 }
 
 func (n *Node) self() Status {
-	s := Status{Zone: n.cfg.Zone, Region: n.cfg.Region, Epoch: n.plan.Epoch, Fresh: n.Fresh(), Leader: n.leader, Acts: n.acts}
+	s := Status{Zone: n.cfg.Zone, Region: n.cfg.Region, Epoch: n.plan.Epoch, Fresh: n.Fresh(), Leader: n.leader, GrantSeq: n.acts}
 	if n.saved != nil && n.whole == nil {
-		s.Identity, s.Founding, s.Promised, s.Term = n.saved.Identity, n.saved.Founding, n.saved.Promised, n.voter.term
-		s.In, s.Out = n.voter.conf.GetVoters(), n.voter.conf.GetVotersOutgoing()
+		s.Identity, s.Generation, s.Promised, s.Term = n.saved.Identity, n.saved.Generation, n.saved.Promised, n.voter.term
+		s.Voters, s.OutgoingVoters = n.voter.conf.GetVoters(), n.voter.conf.GetVotersOutgoing()
 	}
 	return s
 }
@@ -372,16 +372,16 @@
 		n.voter.rn.BasicStatus().RaftState == raft.StateLeader
 }
 
-// Reign numbers the time in which this member leads: another one each time; 0: it does not.
-func (n *Node) Reign() uint64 {
+// LeaderTerm numbers the time in which this member leads: another one each time; 0: it does not.
+func (n *Node) LeaderTerm() uint64 {
 	if !n.Leads() {
 		return 0
 	}
 	return n.voter.term
 }
 
-// Heard takes a message of another member.
-func (n *Node) Heard(now time.Duration, unix int64, b []byte) {
+// Step takes a message of another member.
+func (n *Node) Step(now time.Duration, unix int64, b []byte) {
 	n.at(now, unix)
 	e, err := decode(n.cfg.Fleet, b)
 	if err != nil {
@@ -400,13 +400,13 @@
 		return
 	}
 	switch {
-	case e.Started < p.Started || e.Started == p.Started && e.Life < p.Life:
+	case e.Started < p.StartedAt || e.Started == p.StartedAt && e.Life < p.Incarnation:
 		// Of a life that is over, or goes on beside a later one: under one name gossip keeps one address, so that the two may
 		// never hear each other.
-		n.send(e.From, envelope{Later: &life{p.Started, p.Life}})
+		n.send(e.From, envelope{Later: &life{p.StartedAt, p.Incarnation}})
 		return
-	case e.Started != p.Started || e.Life != p.Life:
-		*p = Peer{Name: p.Name, Alive: p.Alive, Started: e.Started, Life: e.Life}
+	case e.Started != p.StartedAt || e.Life != p.Incarnation:
+		*p = Peer{Name: p.Name, Alive: p.Alive, StartedAt: e.Started, Incarnation: e.Life}
 	}
 	if n.fenced {
 		return
@@ -437,7 +437,7 @@
 
 // namesake hears a process of the same name: the one that began later has it.
 func (n *Node) namesake(o life) {
-	if o.Started < n.cfg.Started || o.Started == n.cfg.Started && o.Life <= n.cfg.Life || n.fenced {
+	if o.Started < n.cfg.StartedAt || o.Started == n.cfg.StartedAt && o.Life <= n.cfg.Incarnation || n.fenced {
 		return
 	}
 	n.fenced = true
@@ -448,12 +448,12 @@
 	if e.Seq <= p.seq {
 		return // late, or doubled
 	}
-	p.seq, p.Status, p.Heard, p.Known = e.Seq, *e.Status, n.now, true
+	p.seq, p.Status, p.LastStatusAt, p.HasStatus = e.Seq, *e.Status, n.now, true
 	if r := e.Status.Report; r != nil {
 		delta, err := p.seen.take(r)
 		if err != nil {
 			n.drops++
-			n.say(Trouble, "%s: %v", p.Name, err)
+			n.say(Fault, "%s: %v", p.Name, err)
 		} else if n.cfg.Observe != nil {
 			n.cfg.Observe(n.now, *p, delta)
 		}
@@ -474,10 +474,10 @@
 }
 
 func (n *Node) feeds(to Peer, seq uint64) []byte {
-	if n.cfg.Feed == nil {
+	if n.cfg.GrantFor == nil {
 		return nil
 	}
-	return n.cfg.Feed(n.now, to, seq)
+	return n.cfg.GrantFor(n.now, to, seq)
 }
 
 // fed takes what the leader gave for a status that was sent at a time.
@@ -488,12 +488,12 @@
 	changed := !bytes.Equal(feed, n.feed) || n.now >= n.feedUntil
 	n.feed, n.acts, n.feedUntil = feed, seq, sent+n.cfg.Lease
 	if changed {
-		n.events = append(n.events, Event{At: n.now, Kind: FeedChanged})
+		n.events = append(n.events, Event{At: n.now, Kind: GrantChanged})
 	}
 }
 
-// Feed is what this member may do by the leader's word, until its lease is over; false: it has none.
-func (n *Node) Feed() ([]byte, bool) {
+// Grant is what this member may do by the leader's word, until its lease is over; false: it has none.
+func (n *Node) Grant() ([]byte, bool) {
 	return n.feed, n.acts > 0 && n.now < n.feedUntil && !n.fenced
 }
 
@@ -554,12 +554,12 @@
 	if n.voter == nil || n.whole != nil || m.To != n.saved.Identity || m.Founding < n.saved.Promised {
 		return
 	}
-	if n.saved.Founding == 0 { // blank: a leader takes it in
-		s := &Saved{Identity: n.saved.Identity, Founding: m.Founding, Promised: m.Founding}
+	if n.saved.Generation == 0 { // blank: a leader takes it in
+		s := &VoterState{Identity: n.saved.Identity, Generation: m.Founding, Promised: m.Founding}
 		n.adopt(s)
 		return // the leader says it again
 	}
-	if m.Founding != n.saved.Founding {
+	if m.Founding != n.saved.Generation {
 		return
 	}
 	var r raftpb.Message
@@ -615,7 +615,7 @@
 // nameOf finds the member with an identity in the log.
 func (n *Node) nameOf(identity uint64) string {
 	for _, name := range n.cfg.Voters {
-		if p := n.peers[name]; p != nil && p.Known && p.Status.Identity == identity {
+		if p := n.peers[name]; p != nil && p.HasStatus && p.Status.Identity == identity {
 			return name
 		}
 	}
@@ -654,15 +654,15 @@
 // Self is this member's own status.
 func (n *Node) Self() Status { return n.self() }
 
-// Drops is how many messages and reports it passed over as unreadable, absurd or foreign.
-func (n *Node) Drops() uint64 { return n.drops }
+// Dropped is how many messages and reports it passed over as unreadable, absurd or foreign.
+func (n *Node) Dropped() uint64 { return n.drops }
 
 // Unacknowledged names the members, gossip's living ones, that have not said that they act on an epoch, or whose word is
 // older than the lease.
 func (n *Node) Unacknowledged(e Epoch) (names []string) {
 	for _, name := range n.names {
 		p := n.peers[name]
-		if p.Alive && (!p.Known || p.Status.Epoch.Less(e) || n.now-p.Heard > n.cfg.Lease) {
+		if p.Alive && (!p.HasStatus || p.Status.Epoch.Less(e) || n.now-p.LastStatusAt > n.cfg.Lease) {
 			names = append(names, name)
 		}
 	}
@@ -676,15 +676,15 @@
 	errVerb     = errors.New("fleet: no such verb")
 )
 
-// Ask wants something settled; done is called once, by a later call of Tick or Heard.
-func (n *Node) Ask(now time.Duration, unix int64, verb string, args []byte, done func(Epoch, error)) {
+// Submit wants something settled; done is called once, by a later call of Tick or Heard.
+func (n *Node) Submit(now time.Duration, unix int64, verb string, args []byte, done func(Epoch, error)) {
 	n.at(now, unix)
 	if len(n.asks) >= mostAsks {
 		done(Epoch{}, ErrBusy)
 		return
 	}
 	n.numbers++
-	a := ask{ID: fmt.Sprintf("%s/%x/%d", n.cfg.Name, n.cfg.Life, n.numbers), Verb: verb, Args: args}
+	a := ask{ID: fmt.Sprintf("%s/%x/%d", n.cfg.Name, n.cfg.Incarnation, n.numbers), Verb: verb, Args: args}
 	n.asks[a.ID] = &asked{ask: a, until: n.now + askTime, next: n.now, done: done}
 	n.askOn()
 	n.work()
@@ -722,19 +722,19 @@
 	n.queue = append(n.queue, queued{ask: a, from: from})
 }
 
-// Settle has the leader settle sections of its own accord, on the plan as it stands; why goes to the log. It tells whether
+// Propose has the leader settle sections of its own accord, on the plan as it stands; why goes to the log. It tells whether
 // the change was proposed: one at a time is.
-func (n *Node) Settle(set map[string]cbor.RawMessage) bool {
+func (n *Node) Propose(set map[string]cbor.RawMessage) bool {
 	if !n.Leads() || n.inflight != "" || len(n.queue) > 0 {
 		return false
 	}
 	n.numbers++
 	n.asker = ""
-	n.propose(change{Base: n.voter.plan.Epoch, Set: set, ID: fmt.Sprintf("%s/%x/%d", n.cfg.Name, n.cfg.Life, n.numbers)})
+	n.proposeChange(change{Base: n.voter.plan.Epoch, Set: set, ID: fmt.Sprintf("%s/%x/%d", n.cfg.Name, n.cfg.Incarnation, n.numbers)})
 	return n.inflight != ""
 }
 
-func (n *Node) propose(c change) {
+func (n *Node) proposeChange(c change) {
 	n.inflight, n.proposed = c.ID, n.now
 	if n.voter.propose(c) != nil {
 		n.inflight = ""
@@ -754,7 +754,7 @@
 	for n.inflight == "" && len(n.queue) > 0 {
 		q := n.queue[0]
 		n.queue = n.queue[1:]
-		decide := n.cfg.Deciders[q.ask.Verb]
+		decide := n.cfg.Commands[q.ask.Verb]
 		err := errVerb
 		var set map[string]cbor.RawMessage
 		if decide != nil {
@@ -767,7 +767,7 @@
 			n.result(told{ID: q.ask.ID, Epoch: n.voter.plan.Epoch}, q.from)
 		default:
 			n.asker = q.from
-			n.propose(change{Base: n.voter.plan.Epoch, Set: set, ID: q.ask.ID})
+			n.proposeChange(change{Base: n.voter.plan.Epoch, Set: set, ID: q.ask.ID})
 		}
 	}
 }
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -164,7 +164,7 @@
 			t.Fatal("a second after the partition's end they act on different plans")
 		}
 	}
-	if m, ok := small[1].n.plan.Frozen(); !ok || m.Why != "large" {
+	if m, ok := small[1].n.plan.Frozen(); !ok || m.Reason != "large" {
 		t.Errorf("the plan says %+v", m)
 	}
 }
@@ -173,37 +173,37 @@
 	s := settledSim(t, 4, 3)
 	m := s.members[3]
 	later := m.cfg
-	later.Started++
+	later.StartedAt++
 	n, err := New(later, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.Member("m00", true)
+	n.SetAlive("m00", true)
 	n.Tick(s.now, s.unix())
 	n.Tick(s.now+simStatus, s.unix())
-	sends, _ := n.Take()
+	sends, _ := n.TakeOutput()
 	if len(sends) == 0 {
 		t.Fatal("it says nothing")
 	}
-	m.n.Heard(s.now, s.unix(), sends[0].Data)
-	if _, said := m.n.Take(); len(said) != 1 || said[0].Kind != Fenced || m.n.Fresh() {
+	m.n.Step(s.now, s.unix(), sends[0].Data)
+	if _, said := m.n.TakeOutput(); len(said) != 1 || said[0].Kind != Fenced || m.n.Fresh() {
 		t.Errorf("said %+v, fresh %v", said, m.n.Fresh())
 	}
 	// The two may never hear each other: then others tell the earlier one.
 	other := s.members[2]
-	other.n.Heard(s.now, s.unix(), sends[0].Data)
-	other.n.Take()
-	other.n.Heard(s.now, s.unix(), encode(envelope{Version: wireVersion, Fleet: "test", From: m.cfg.Name, Started: m.cfg.Started,
-		Life: m.cfg.Life, Seq: 1 << 20, Status: &Status{}}))
-	told, _ := other.n.Take()
+	other.n.Step(s.now, s.unix(), sends[0].Data)
+	other.n.TakeOutput()
+	other.n.Step(s.now, s.unix(), encode(envelope{Version: wireVersion, Fleet: "test", From: m.cfg.Name, Started: m.cfg.StartedAt,
+		Life: m.cfg.Incarnation, Seq: 1 << 20, Status: &Status{}}))
+	told, _ := other.n.TakeOutput()
 	if len(told) != 1 || told[0].To != m.cfg.Name {
 		t.Fatalf("told %+v", told)
 	}
-	if e, err := decode("test", told[0].Data); err != nil || e.Later == nil || e.Later.Started != later.Started {
+	if e, err := decode("test", told[0].Data); err != nil || e.Later == nil || e.Later.Started != later.StartedAt {
 		t.Errorf("%+v, %v", e, err)
 	}
 	m.n.Tick(s.now+time.Second, s.unix())
-	if sends, _ := m.n.Take(); len(sends) > 0 {
+	if sends, _ := m.n.TakeOutput(); len(sends) > 0 {
 		t.Error("it goes on talking")
 	}
 }
@@ -216,7 +216,7 @@
 		change(&e)
 		return encode(e)
 	}
-	absurd := map[string]Count{"a": {Tries: 1, Served: 2}}
+	absurd := map[string]AttemptCounts{"a": {Attempts: 1, Served: 2}}
 	for name, b := range map[string][]byte{
 		"garbled":        []byte("\xff\x00garbled"),
 		"empty":          {},
@@ -224,19 +224,19 @@
 		"newer version":  from(func(e *envelope) { e.Version = 2 }),
 		"nobody":         from(func(e *envelope) { e.From = "" }),
 		"absurd numbers": from(func(e *envelope) { e.Status = &Status{Report: &Report{Zones: absurd}} }),
-		"endless":        make([]byte, MostMessage+1),
+		"endless":        make([]byte, MaxMessage+1),
 	} {
-		before := m.Drops()
-		m.Heard(s.now, s.unix(), b)
-		if m.Drops() != before+1 {
-			t.Errorf("%s: %d passed over", name, m.Drops()-before)
+		before := m.Dropped()
+		m.Step(s.now, s.unix(), b)
+		if m.Dropped() != before+1 {
+			t.Errorf("%s: %d passed over", name, m.Dropped()-before)
 		}
-		m.Take()
+		m.TakeOutput()
 	}
 	status := from(func(e *envelope) { e.Seq, e.Status = 5, &Status{Epoch: Epoch{1, 1}} })
-	m.Heard(s.now, s.unix(), status)
-	m.Heard(s.now, s.unix(), from(func(e *envelope) { e.Seq, e.Status = 5, &Status{Epoch: Epoch{1, 2}} })) // doubled: the same number
-	m.Heard(s.now, s.unix(), from(func(e *envelope) { e.Started, e.Seq, e.Status = 8, 7, &Status{Epoch: Epoch{1, 3}} }))
+	m.Step(s.now, s.unix(), status)
+	m.Step(s.now, s.unix(), from(func(e *envelope) { e.Seq, e.Status = 5, &Status{Epoch: Epoch{1, 2}} })) // doubled: the same number
+	m.Step(s.now, s.unix(), from(func(e *envelope) { e.Started, e.Seq, e.Status = 8, 7, &Status{Epoch: Epoch{1, 3}} }))
 	if p := m.peers["m09"]; p.Status.Epoch != (Epoch{1, 1}) {
 		t.Errorf("a doubled status, or one of an earlier life, counts: %v", p.Status.Epoch)
 	}
@@ -246,26 +246,26 @@
 func TestReportsAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s seen
-		sum, now := Count{}, Count{}
+		sum, now := AttemptCounts{}, AttemptCounts{}
 		for range rapid.IntRange(1, 30).Draw(t, "reports") {
-			now.Add(Count{Tries: uint64(rapid.IntRange(0, 5).Draw(t, "tries")), Micros: 7})
+			now.Add(AttemptCounts{Attempts: uint64(rapid.IntRange(0, 5).Draw(t, "tries")), LatencyMicros: 7})
 			if rapid.Bool().Draw(t, "lost") {
 				continue
 			}
 			for range rapid.IntRange(1, 2).Draw(t, "times") {
-				d, err := s.take(&Report{Zones: map[string]Count{"a": now}})
+				d, err := s.take(&Report{Zones: map[string]AttemptCounts{"a": now}})
 				if err != nil {
 					t.Fatal(err)
 				}
 				sum.Add(d.Zones["a"])
 			}
 		}
-		if d, err := s.take(&Report{Zones: map[string]Count{"a": now}}); err != nil {
+		if d, err := s.take(&Report{Zones: map[string]AttemptCounts{"a": now}}); err != nil {
 			t.Fatal(err)
 		} else {
 			sum.Add(d.Zones["a"])
 		}
-		if sum.Tries != now.Tries {
+		if sum.Attempts != now.Attempts {
 			t.Fatalf("%+v of %+v", sum, now)
 		}
 	})
@@ -310,10 +310,10 @@
 		asked := s.now
 		known := func() bool {
 			for _, m := range s.members {
-				if m.n.plan.Epoch != s.newest || s.newest.Number < 3 {
+				if m.n.plan.Epoch != s.newest || s.newest.Index < 3 {
 					return false
 				}
-				if f, ok := m.n.plan.Frozen(); !ok || f.Why != "known everywhere" {
+				if f, ok := m.n.plan.Frozen(); !ok || f.Reason != "known everywhere" {
 					return false
 				}
 			}
@@ -341,9 +341,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		n.Heard(0, 0, b)
-		n.Kept()
-		n.Heard(time.Second, 1, b)
+		n.Step(0, 0, b)
+		n.Persisted()
+		n.Step(time.Second, 1, b)
 		n.Tick(2*time.Second, 2)
 	})
 }
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -17,17 +17,17 @@
 
 // Epoch orders plans: the founding of the log that settled one, and its place in that log.
 type Epoch struct {
-	Founding uint64 `cbor:"1,keyasint"`
-	Number   uint64 `cbor:"2,keyasint"`
+	Generation uint64 `cbor:"1,keyasint"`
+	Index      uint64 `cbor:"2,keyasint"`
 }
 
 // Less tells whether e comes before o.
 func (e Epoch) Less(o Epoch) bool {
-	return e.Founding < o.Founding || e.Founding == o.Founding && e.Number < o.Number
+	return e.Generation < o.Generation || e.Generation == o.Generation && e.Index < o.Index
 }
 
 // String is the epoch as people read it.
-func (e Epoch) String() string { return fmt.Sprintf("%d.%d", e.Founding, e.Number) }
+func (e Epoch) String() string { return fmt.Sprintf("%d.%d", e.Generation, e.Index) }
 
 // MarshalText implements encoding.TextMarshaler.
 func (e Epoch) MarshalText() ([]byte, error) { return []byte(e.String()), nil }
@@ -38,10 +38,10 @@
 	if !ok {
 		return fmt.Errorf("fleet: %q is no epoch", b)
 	}
-	if e.Founding, err = strconv.ParseUint(founding, 10, 64); err != nil {
+	if e.Generation, err = strconv.ParseUint(founding, 10, 64); err != nil {
 		return err
 	}
-	e.Number, err = strconv.ParseUint(number, 10, 64)
+	e.Index, err = strconv.ParseUint(number, 10, 64)
 	return err
 }
 
@@ -122,11 +122,11 @@
 	return next, nil
 }
 
-// Mark is what an operator said, and when.
-type Mark struct {
-	By  string `cbor:"1,keyasint" json:"by"`
-	Why string `cbor:"2,keyasint" json:"why"`
-	At  int64  `cbor:"3,keyasint" json:"at"` // Unix ms, by the leader's clock
+// OperatorMark is what an operator said, and when.
+type OperatorMark struct {
+	By     string `cbor:"1,keyasint" json:"by"`
+	Reason string `cbor:"2,keyasint" json:"why"`
+	At     int64  `cbor:"3,keyasint" json:"at"` // Unix ms, by the leader's clock
 }
 
 // The sections of this package.
@@ -136,7 +136,7 @@
 )
 
 // Frozen is the operators' mark that nothing is to be settled of itself.
-func (p *Plan) Frozen() (m Mark, ok bool) {
+func (p *Plan) Frozen() (m OperatorMark, ok bool) {
 	ok, err := p.Section(SectionFreeze, &m)
 	return m, ok && err == nil
 }
--- a/internal/fleet/ramp/ramp.go
+++ b/internal/fleet/ramp/ramp.go
@@ -26,9 +26,9 @@
 
 // The uses.
 const (
-	All   Use = iota // every gateway that Eligible allows
-	Probe            // the probers alone, and little
-	None             // nobody: its zone is out
+	UseFully           Use = iota // every gateway that Eligible allows
+	UseForHealthChecks            // the probers alone, and little
+	UseNever                      // nobody: its zone is out
 )
 
 // Config are the settings' words on cold servers.
@@ -38,14 +38,14 @@
 	Lease time.Duration
 }
 
-// Feed is what one gateway may send to fed servers, in fetches a second. It goes with the leader's answers to statuses. A
+// Grant is what one gateway may send to fed servers, in fetches a second. It goes with the leader's answers to statuses. A
 // cold server that is not named gets nothing.
-type Feed struct {
+type Grant struct {
 	Rates map[uint32]float64 `cbor:"1,keyasint,omitempty"`
 }
 
 // Encode is a feed on the wire.
-func (f Feed) Encode() []byte {
+func (f Grant) Encode() []byte {
 	b, err := cbor.Marshal(f)
 	if err != nil {
 		panic("ramp: " + err.Error()) // of plain types
@@ -54,13 +54,13 @@
 }
 
 // Read reads a feed, and refuses one with absurd numbers.
-func Read(b []byte) (f Feed, ok bool) {
+func Read(b []byte) (f Grant, ok bool) {
 	if cbor.Unmarshal(b, &f) != nil || len(f.Rates) > mostFed {
-		return Feed{}, false
+		return Grant{}, false
 	}
 	for _, r := range f.Rates {
 		if !(r >= 0 && r < 1e6) {
-			return Feed{}, false
+			return Grant{}, false
 		}
 	}
 	return f, true
@@ -111,8 +111,8 @@
 	held   float64 // what may still be spent of what was given; too much rather than too little
 }
 
-// Feeder is the leader's part. Every voter's is fed with evidence, so that the next leader knows the demand.
-type Feeder struct {
+// Allocator is the leader's part. Every voter's is fed with evidence, so that the next leader knows the demand.
+type Allocator struct {
 	cfg     Config
 	began   time.Duration // when this process began to lead
 	reign   uint64        // in which it does; 0: it does not
@@ -124,12 +124,12 @@
 }
 
 // New makes one that knows nobody.
-func New(cfg Config) *Feeder {
-	return &Feeder{cfg: cfg, members: map[string]*member{}, health: map[uint32]*health{},
+func New(cfg Config) *Allocator {
+	return &Allocator{cfg: cfg, members: map[string]*member{}, health: map[uint32]*health{},
 		round: map[uint32]*round{}}
 }
 
-func (f *Feeder) member(name string) *member {
+func (f *Allocator) member(name string) *member {
 	m := f.members[name]
 	if m == nil {
 		m = &member{}
@@ -138,14 +138,14 @@
 	return m
 }
 
-// Seen takes what a gateway saw since it last told, and the status whose answer it acts on.
-func (f *Feeder) Seen(now time.Duration, gateway string, acts uint64, delta fleet.Report) {
+// Observe takes what a gateway saw since it last told, and the status whose answer it acts on.
+func (f *Allocator) Observe(now time.Duration, gateway string, acts uint64, delta fleet.Report) {
 	m := f.member(gateway)
 	tries := uint64(0)
 	for _, c := range delta.Zones {
-		tries += c.Tries
+		tries += c.Attempts
 		if c.Served > 0 {
-			took := float64(c.Micros) / float64(c.Served)
+			took := float64(c.LatencyMicros) / float64(c.Served)
 			if f.mean == 0 {
 				f.mean = took
 			}
@@ -154,7 +154,7 @@
 	}
 	if took := (now - m.heard).Seconds(); m.heard > 0 && took > 0 {
 		part := 1 - math.Exp(-took/demandOver)
-		m.demand += part * ((float64(tries)+float64(delta.Asked))/2/took - m.demand)
+		m.demand += part * ((float64(tries)+float64(delta.Requests))/2/took - m.demand)
 	}
 	m.heard = now
 	for len(m.grants) > 0 && (m.grants[0].until <= now || m.grants[0].seq < acts) {
@@ -166,14 +166,14 @@
 			continue // it is not fed
 		}
 		h.good += s.Served
-		h.bad += s.Refused + s.Silent + s.Failed + s.Turned
-		h.micros += s.Micros
+		h.bad += s.ConnectFailed + s.TimedOut + s.Failed + s.Rejected
+		h.micros += s.LatencyMicros
 	}
 }
 
-// Leads tells whether this process leads, and in which reign: 0: it does not. What was given in another reign may still be
+// SetLeaderTerm tells whether this process leads, and in which reign: 0: it does not. What was given in another reign may still be
 // spent for a while. Danger: a process that was stopped may lead again without having noticed that it did not.
-func (f *Feeder) Leads(now time.Duration, reign uint64) {
+func (f *Allocator) SetLeaderTerm(now time.Duration, reign uint64) {
 	if reign != f.reign && reign != 0 {
 		f.began = now
 		for _, m := range f.members {
@@ -184,7 +184,7 @@
 }
 
 // Demand is how many fetches a second all gateways have to send.
-func (f *Feeder) Demand() (sum float64) {
+func (f *Allocator) Demand() (sum float64) {
 	for _, m := range f.members {
 		sum += m.demand
 	}
@@ -192,7 +192,7 @@
 }
 
 // warmth is the least share of its capacity that a server has reached.
-func (f *Feeder) warmth(unix int64, s Server) float64 {
+func (f *Allocator) warmth(unix int64, s Server) float64 {
 	age := time.Duration(unix-s.Since) * time.Millisecond
 	if s.Since <= 0 || age >= f.cfg.Span {
 		return 1
@@ -201,14 +201,14 @@
 }
 
 // Budgets is what each server that is fed may be sent by all together, in fetches a second.
-func (f *Feeder) Budgets(now time.Duration, unix int64, servers []Server) map[uint32]float64 {
+func (f *Allocator) Budgets(now time.Duration, unix int64, servers []Server) map[uint32]float64 {
 	budgets := map[uint32]float64{}
 	used, demand, probed := 0, 0.0, map[string]int{}
 	for _, s := range servers {
 		switch s.Use {
-		case All:
+		case UseFully:
 			used++
-		case Probe:
+		case UseForHealthChecks:
 			probed[s.Zone]++
 		}
 	}
@@ -222,10 +222,10 @@
 	full := demand / float64(max(1, used))
 	for _, s := range servers {
 		warm := f.warmth(unix, s)
-		if s.Use == None || s.Use == All && warm >= 1 || len(budgets) >= mostFed {
+		if s.Use == UseNever || s.Use == UseFully && warm >= 1 || len(budgets) >= mostFed {
 			continue
 		}
-		if s.Use == Probe {
+		if s.Use == UseForHealthChecks {
 			budgets[s.ID] = min(warm*max(full, 1), probeRate/float64(probed[s.Zone]))
 			continue
 		}
@@ -236,7 +236,7 @@
 }
 
 // part steps a server's budget down when the last second speaks against it, and up again.
-func (f *Feeder) part(now time.Duration, id uint32, warm float64) float64 {
+func (f *Allocator) part(now time.Duration, id uint32, warm float64) float64 {
 	h := f.health[id]
 	if h == nil {
 		h = &health{part: 1, stepped: now}
@@ -256,9 +256,9 @@
 	return h.part
 }
 
-// Round reckons anew what servers may be sent, several times a second; may tells who may send to one at all. It tells
+// Allocate reckons anew what servers may be sent, several times a second; may tells who may send to one at all. It tells
 // whether any is fed. Danger: reckoned at each grant, the leader's cost would grow with the square of the fleet.
-func (f *Feeder) Round(now time.Duration, unix int64, servers []Server, may func(gateway string, server uint32) bool) bool {
+func (f *Allocator) Allocate(now time.Duration, unix int64, servers []Server, may func(gateway string, server uint32) bool) bool {
 	f.may, f.round = may, map[uint32]*round{}
 	for id, budget := range f.Budgets(now, unix, servers) {
 		r := &round{budget: budget}
@@ -277,9 +277,9 @@
 //
 // Danger: what was given to others, and may still be spent, is taken off first: shares that shift must never add up to more
 // than the budget, and a gateway that is lost or stalled keeps its share until its lease is over.
-func (f *Feeder) Grant(now time.Duration, gateway string, seq uint64) Feed {
+func (f *Allocator) Grant(now time.Duration, gateway string, seq uint64) Grant {
 	m := f.member(gateway)
-	feed := Feed{Rates: map[uint32]float64{}}
+	feed := Grant{Rates: map[uint32]float64{}}
 	if f.reign != 0 && now-f.began >= time.Duration(silence*float64(f.cfg.Lease)) {
 		for id, r := range f.round {
 			if !f.may(gateway, id) {
--- a/internal/fleet/ramp/ramp_test.go
+++ b/internal/fleet/ramp/ramp_test.go
@@ -26,7 +26,7 @@
 	asked   float64 // since it began
 	seq     uint64
 	acts    uint64
-	feed    Feed
+	feed    Grant
 	until   time.Duration
 	stalled time.Duration // until then
 	deaf    time.Duration // until then it hears nothing, and is heard
@@ -38,7 +38,7 @@
 	from, to int
 	seq      uint64
 	acts     uint64
-	feed     *Feed
+	feed     *Grant
 	asked    uint64
 }
 
@@ -47,7 +47,7 @@
 	rng             *rand.Rand
 	now             time.Duration
 	all             []*gateway
-	feeders         []*Feeder
+	feeders         []*Allocator
 	leader          int // -1: none
 	old             int // one that still believes it leads, until oldTill
 	oldTill         time.Duration
@@ -103,7 +103,7 @@
 	w.unix += step.Milliseconds()
 	for i, f := range w.feeders {
 		if w.all[i].stalled <= w.now {
-			f.Leads(w.now, w.reigns(i))
+			f.SetLeaderTerm(w.now, w.reigns(i))
 		}
 	}
 	for _, g := range w.all {
@@ -165,7 +165,7 @@
 	}
 	n := m.asked - w.counts[[2]int{m.to, m.from}] // counters, of which the node takes the difference
 	w.counts[[2]int{m.to, m.from}] = m.asked
-	f.Seen(w.now, from.name, m.acts, fleet.Report{Zones: map[string]fleet.Count{"a": {Tries: n, Served: n}}, Asked: n})
+	f.Observe(w.now, from.name, m.acts, fleet.Report{Zones: map[string]fleet.AttemptCounts{"a": {Attempts: n, Served: n}}, Requests: n})
 	if w.reigns(m.to) == 0 {
 		return
 	}
@@ -175,7 +175,7 @@
 	}
 	if w.now-w.rounds[m.to] >= 200*time.Millisecond {
 		w.rounds[m.to] = w.now
-		f.Round(w.now, w.unix, w.servers, everyone)
+		f.Allocate(w.now, w.unix, w.servers, everyone)
 	}
 	feed := f.Grant(w.now, from.name, m.seq)
 	w.send(msg{sent: m.sent, from: m.to, to: m.from, seq: m.seq, feed: &feed})
@@ -259,20 +259,20 @@
 	f := New(cold)
 	servers := []Server{{ID: 1, Zone: "a", Since: 1_000_000}, {ID: 2, Zone: "a"}}
 	now, unix := 10*time.Second, int64(1_000_000)
-	f.Leads(0, 1)
-	f.Seen(now-200*time.Millisecond, "g", 0, fleet.Report{})
-	seen := func(c fleet.Count) float64 {
+	f.SetLeaderTerm(0, 1)
+	f.Observe(now-200*time.Millisecond, "g", 0, fleet.Report{})
+	seen := func(c fleet.AttemptCounts) float64 {
 		now += time.Second + 10*time.Millisecond
-		f.Seen(now, "g", 0, fleet.Report{Asked: 50, Zones: map[string]fleet.Count{"a": {Tries: 50, Served: 50, Micros: 50 * 60_000}},
-			Servers: map[uint32]fleet.Server{1: {Count: c}}})
+		f.Observe(now, "g", 0, fleet.Report{Requests: 50, Zones: map[string]fleet.AttemptCounts{"a": {Attempts: 50, Served: 50, LatencyMicros: 50 * 60_000}},
+			Servers: map[uint32]fleet.ServerReport{1: {AttemptCounts: c}}})
 		return f.Budgets(now, unix, servers)[1] / f.warmth(unix, servers[0]) / (f.members["g"].demand / 2)
 	}
-	well := fleet.Count{Tries: 10, Served: 10, Micros: 10 * 200_000}
+	well := fleet.AttemptCounts{Attempts: 10, Served: 10, LatencyMicros: 10 * 200_000}
 	if part := seen(well); part != 1 {
 		t.Fatalf("well: %.2f of what its warmth allows", part)
 	}
-	first := seen(fleet.Count{Tries: 10, Served: 5, Silent: 5, Micros: 5 * 200_000})
-	second := seen(fleet.Count{Tries: 10, Served: 10, Micros: 10 * 3_000_000})
+	first := seen(fleet.AttemptCounts{Attempts: 10, Served: 5, TimedOut: 5, LatencyMicros: 5 * 200_000})
+	second := seen(fleet.AttemptCounts{Attempts: 10, Served: 10, LatencyMicros: 10 * 3_000_000})
 	if first > 0.51 || second > 0.26 {
 		t.Errorf("ill, then slow: %.2f, %.2f", first, second)
 	}
@@ -285,10 +285,10 @@
 }
 
 func TestReadRefusesAbsurd(t *testing.T) {
-	if f, ok := Read(Feed{map[uint32]float64{3: 1.5}}.Encode()); !ok || f.Rates[3] != 1.5 {
+	if f, ok := Read(Grant{map[uint32]float64{3: 1.5}}.Encode()); !ok || f.Rates[3] != 1.5 {
 		t.Error("a feed is not read")
 	}
-	for _, b := range [][]byte{{0xff}, Feed{map[uint32]float64{3: -1}}.Encode(), Feed{map[uint32]float64{3: 1e9}}.Encode()} {
+	for _, b := range [][]byte{{0xff}, Grant{map[uint32]float64{3: -1}}.Encode(), Grant{map[uint32]float64{3: 1e9}}.Encode()} {
 		if _, ok := Read(b); ok {
 			t.Errorf("%x is read", b)
 		}
--- a/internal/fleet/sim_test.go
+++ b/internal/fleet/sim_test.go
@@ -50,7 +50,7 @@
 	at     int
 	cfg    Config
 	n      *Node
-	disk   *Saved
+	disk   *VoterState
 	full   bool // the disk takes nothing
 	dead   bool
 	stall  time.Duration // until then
@@ -95,7 +95,7 @@
 	}
 	for i := range members {
 		m := &member{at: i, cfg: Config{Fleet: "test", Name: fmt.Sprintf("m%02d", i), Zone: string(rune('a' + i%3)), Voters: s.voters,
-			Seed: seed + uint64(i), Tick: simTick, Status: simStatus, Lease: simLease, Deciders: map[string]Decider{"freeze": freeze}}}
+			Seed: seed + uint64(i), Tick: simTick, Status: simStatus, Lease: simLease, Commands: map[string]CommandHandler{"freeze": freeze}}}
 		s.members = append(s.members, m)
 	}
 	for _, m := range s.members {
@@ -106,7 +106,7 @@
 
 // freeze is a decider that always changes something.
 func freeze(p *Plan, args []byte, unix int64) (map[string]cbor.RawMessage, error) {
-	return map[string]cbor.RawMessage{SectionFreeze: encode(Mark{Why: string(args), At: unix})}, nil
+	return map[string]cbor.RawMessage{SectionFreeze: encode(OperatorMark{Reason: string(args), At: unix})}, nil
 }
 
 func (s *sim) after(d time.Duration, do func()) {
@@ -117,11 +117,11 @@
 // start begins a life of a member, with its folder or without.
 func (s *sim) start(m *member, keep bool) {
 	s.lives++
-	m.cfg.Started, m.cfg.Life = s.lives, s.rng.Uint64()
+	m.cfg.StartedAt, m.cfg.Incarnation = s.lives, s.rng.Uint64()
 	saved := m.disk
 	if !keep {
 		if saved != nil && s.forget {
-			saved = &Saved{Identity: m.disk.Identity, Founding: m.disk.Founding, Promised: m.disk.Promised}
+			saved = &VoterState{Identity: m.disk.Identity, Generation: m.disk.Generation, Promised: m.disk.Promised}
 		} else {
 			saved = nil
 		}
@@ -134,20 +134,20 @@
 	m.n, m.dead, m.full, m.stall, m.inbox, m.epoch = n, false, false, 0, nil, Epoch{}
 	for _, o := range s.members {
 		if o != m {
-			n.Member(o.cfg.Name, true)
+			n.SetAlive(o.cfg.Name, true)
 		}
 	}
-	life := m.cfg.Life
+	life := m.cfg.Incarnation
 	var tick func()
 	tick = func() {
-		if m.dead || m.cfg.Life != life {
+		if m.dead || m.cfg.Incarnation != life {
 			return
 		}
 		if s.now >= m.stall {
 			inbox := m.inbox
 			m.inbox = nil
 			for _, b := range inbox { // what lay in the sockets of a process that wakes, before its timers
-				m.n.Heard(s.now, s.unix(), b)
+				m.n.Step(s.now, s.unix(), b)
 				s.drive(m)
 			}
 			m.n.Tick(s.now, s.unix())
@@ -163,14 +163,14 @@
 // drive keeps, sends and checks what a member has ready.
 func (s *sim) drive(m *member) {
 	for {
-		p, some := m.n.Persist()
+		p, some := m.n.PendingStorage()
 		if !some || m.full {
 			break
 		}
 		m.keep(p)
-		m.n.Kept()
+		m.n.Persisted()
 	}
-	sends, said := m.n.Take()
+	sends, said := m.n.TakeOutput()
 	for _, e := range said {
 		if e.Kind == PlanChanged {
 			s.saw(m, *e.Plan)
@@ -204,20 +204,20 @@
 			m.inbox = append(m.inbox, b)
 		}
 	default:
-		m.n.Heard(s.now, s.unix(), b)
+		m.n.Step(s.now, s.unix(), b)
 		s.drive(m)
 	}
 }
 
 // keep is the disk.
-func (m *member) keep(p Persist) {
-	if p.Whole != nil {
-		m.disk = p.Whole
+func (m *member) keep(p StorageUpdate) {
+	if p.Replacement != nil {
+		m.disk = p.Replacement
 		return
 	}
 	d := *m.disk
-	if p.Hard != nil {
-		d.Hard = proto.Clone(p.Hard).(*raftpb.HardState)
+	if p.HardState != nil {
+		d.HardState = proto.Clone(p.HardState).(*raftpb.HardState)
 	}
 	if p.Snapshot != nil {
 		d.Snapshot = p.Snapshot
@@ -243,10 +243,10 @@
 		s.t.Fatalf("%v: %s has another plan of epoch %v", s.now, m.cfg.Name, p.Epoch)
 	} else if !ok {
 		s.plans[p.Epoch], s.settled[p.Epoch] = b, s.now
-		if p.Epoch.Founding < s.commits {
+		if p.Epoch.Generation < s.commits {
 			s.t.Fatalf("%v: %v was settled after something of founding %d", s.now, p.Epoch, s.commits)
 		}
-		s.commits = max(s.commits, p.Epoch.Founding)
+		s.commits = max(s.commits, p.Epoch.Generation)
 		if s.newest.Less(p.Epoch) {
 			s.newest = p.Epoch
 		}
@@ -296,7 +296,7 @@
 		return
 	}
 	began := s.now
-	m.n.Ask(s.now, s.unix(), "freeze", []byte(what), func(e Epoch, err error) {
+	m.n.Submit(s.now, s.unix(), "freeze", []byte(what), func(e Epoch, err error) {
 		if err != nil {
 			m.told = append(m.told, err)
 			return
--- a/internal/fleet/vault/golden_test.go
+++ b/internal/fleet/vault/golden_test.go
@@ -20,10 +20,10 @@
 )
 
 // goldenSaved has every field set, and those of the log's own messages that this program uses.
-func goldenSaved() *fleet.Saved {
+func goldenSaved() *fleet.VoterState {
 	kind := raftpb.EntryConfChangeV2
-	return &fleet.Saved{Identity: 1<<63 + 11, Founding: 1700000000012, Promised: 1700000000013,
-		Hard: &raftpb.HardState{Term: proto.Uint64(21), Vote: proto.Uint64(22), Commit: proto.Uint64(24)},
+	return &fleet.VoterState{Identity: 1<<63 + 11, Generation: 1700000000012, Promised: 1700000000013,
+		HardState: &raftpb.HardState{Term: proto.Uint64(21), Vote: proto.Uint64(22), Commit: proto.Uint64(24)},
 		Snapshot: &raftpb.Snapshot{Data: []byte{0xa1, 1, 2}, Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(23), Term: proto.Uint64(20),
 			ConfState: &raftpb.ConfState{Voters: []uint64{31, 32}, VotersOutgoing: []uint64{33}, AutoLeave: proto.Bool(true)}}},
 		Entries: []*raftpb.Entry{{Index: proto.Uint64(24), Term: proto.Uint64(21), Data: []byte{0xa1, 3, 4}},
@@ -31,14 +31,14 @@
 }
 
 // same fails the test unless what was read is goldenSaved.
-func same(t *testing.T, got *fleet.Saved, err error) {
+func same(t *testing.T, got *fleet.VoterState, err error) {
 	t.Helper()
 	want := goldenSaved()
 	if err != nil || got == nil {
 		t.Fatalf("%+v, %v", got, err)
 	}
-	if got.Identity != want.Identity || got.Founding != want.Founding || got.Promised != want.Promised ||
-		!proto.Equal(got.Hard, want.Hard) || !proto.Equal(got.Snapshot, want.Snapshot) ||
+	if got.Identity != want.Identity || got.Generation != want.Generation || got.Promised != want.Promised ||
+		!proto.Equal(got.HardState, want.HardState) || !proto.Equal(got.Snapshot, want.Snapshot) ||
 		!slices.EqualFunc(got.Entries, want.Entries, func(a, b *raftpb.Entry) bool { return proto.Equal(a, b) }) {
 		t.Errorf("read %+v, want %+v", got, want)
 	}
@@ -71,10 +71,10 @@
 func TestGoldenStore(t *testing.T) {
 	s := goldenSaved()
 	blank := *s
-	blank.Hard, blank.Snapshot, blank.Entries = nil, nil, nil
-	for name, saves := range map[string][]fleet.Persist{
-		"whole": {{Whole: s}},
-		"parts": {{Whole: &blank}, {Snapshot: s.Snapshot}, {Hard: s.Hard, Entries: s.Entries[:1]}, {Entries: s.Entries[1:]}},
+	blank.HardState, blank.Snapshot, blank.Entries = nil, nil, nil
+	for name, saves := range map[string][]fleet.StorageUpdate{
+		"whole": {{Replacement: s}},
+		"parts": {{Replacement: &blank}, {Snapshot: s.Snapshot}, {HardState: s.HardState, Entries: s.Entries[:1]}, {Entries: s.Entries[1:]}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
--- a/internal/fleet/vault/vault.go
+++ b/internal/fleet/vault/vault.go
@@ -32,25 +32,25 @@
 	keyHard, keySnapshot                  = []byte("hard"), []byte("snapshot")
 )
 
-// Vault is an open folder.
-type Vault struct{ db *bbolt.DB }
+// Store is an open folder.
+type Store struct{ db *bbolt.DB }
 
-// ErrHeld says that another process has the folder.
-var ErrHeld = errors.New("vault: another process has the folder")
+// ErrLocked says that another process has the folder.
+var ErrLocked = errors.New("vault: another process has the folder")
 
 // Open opens a folder, and reads what is kept there; nil: nothing is.
-func Open(dir string) (*Vault, *fleet.Saved, error) {
+func Open(dir string) (*Store, *fleet.VoterState, error) {
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return nil, nil, err
 	}
 	db, err := bbolt.Open(filepath.Join(dir, file), 0o640, &bbolt.Options{Timeout: lockTime})
 	if errors.Is(err, bbolterrors.ErrTimeout) {
-		err = ErrHeld
+		err = ErrLocked
 	}
 	if err != nil {
 		return nil, nil, err
 	}
-	v := &Vault{db}
+	v := &Store{db}
 	s, err := v.read()
 	if err != nil {
 		db.Close()
@@ -60,7 +60,7 @@
 }
 
 // Close gives the folder back.
-func (v *Vault) Close() error { return v.db.Close() }
+func (v *Store) Close() error { return v.db.Close() }
 
 func number(b []byte) uint64 {
 	if len(b) != 8 {
@@ -71,20 +71,20 @@
 
 func key(n uint64) []byte { return binary.BigEndian.AppendUint64(nil, n) }
 
-func (v *Vault) read() (s *fleet.Saved, err error) {
+func (v *Store) read() (s *fleet.VoterState, err error) {
 	err = v.db.View(func(tx *bbolt.Tx) error {
 		b := tx.Bucket(bucketVoter)
 		if b == nil {
 			return nil
 		}
-		s = &fleet.Saved{Identity: number(b.Get(keyIdentity)), Founding: number(b.Get(keyFounding)),
+		s = &fleet.VoterState{Identity: number(b.Get(keyIdentity)), Generation: number(b.Get(keyFounding)),
 			Promised: number(b.Get(keyPromised))}
 		if s.Identity == 0 {
 			return errors.New("it has no identity")
 		}
 		if text := b.Get(keyHard); text != nil {
-			s.Hard = &raftpb.HardState{}
-			if err := proto.Unmarshal(text, s.Hard); err != nil {
+			s.HardState = &raftpb.HardState{}
+			if err := proto.Unmarshal(text, s.HardState); err != nil {
 				return err
 			}
 		}
@@ -111,16 +111,16 @@
 }
 
 // Save has on the disk what a voter wants kept, all or nothing of it.
-func (v *Vault) Save(p fleet.Persist) error {
+func (v *Store) Save(p fleet.StorageUpdate) error {
 	return v.db.Update(func(tx *bbolt.Tx) error {
-		if p.Whole != nil {
-			return whole(tx, p.Whole)
+		if p.Replacement != nil {
+			return whole(tx, p.Replacement)
 		}
-		return part(tx, p.Hard, p.Snapshot, p.Entries)
+		return part(tx, p.HardState, p.Snapshot, p.Entries)
 	})
 }
 
-func whole(tx *bbolt.Tx, s *fleet.Saved) error {
+func whole(tx *bbolt.Tx, s *fleet.VoterState) error {
 	for _, name := range [][]byte{bucketVoter, bucketLog} {
 		if err := tx.DeleteBucket(name); err != nil && !errors.Is(err, bbolterrors.ErrBucketNotFound) {
 			return err
@@ -133,12 +133,12 @@
 	for _, v := range []struct {
 		key []byte
 		n   uint64
-	}{{keyIdentity, s.Identity}, {keyFounding, s.Founding}, {keyPromised, s.Promised}} {
+	}{{keyIdentity, s.Identity}, {keyFounding, s.Generation}, {keyPromised, s.Promised}} {
 		if err := b.Put(v.key, key(v.n)); err != nil {
 			return err
 		}
 	}
-	return part(tx, s.Hard, s.Snapshot, s.Entries)
+	return part(tx, s.HardState, s.Snapshot, s.Entries)
 }
 
 func part(tx *bbolt.Tx, hard *raftpb.HardState, snapshot *raftpb.Snapshot, entries []*raftpb.Entry) error {
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -18,31 +18,31 @@
 	keepEntries    = 256 // behind which the log is compacted
 )
 
-// Saved is what a voter needs after a restart; what a folder holds. All of it belongs to one identity and one founding.
-type Saved struct {
-	Identity uint64
-	Founding uint64 // 0: blank
-	Promised uint64 // no older founding is heard
-	Hard     *raftpb.HardState
-	Snapshot *raftpb.Snapshot // nil: none
-	Entries  []*raftpb.Entry  // behind the snapshot
+// VoterState is what a voter needs after a restart; what a folder holds. All of it belongs to one identity and one founding.
+type VoterState struct {
+	Identity   uint64
+	Generation uint64 // 0: blank
+	Promised   uint64 // no older founding is heard
+	HardState  *raftpb.HardState
+	Snapshot   *raftpb.Snapshot // nil: none
+	Entries    []*raftpb.Entry  // behind the snapshot
 }
 
-// Persist is what has to be on the disk before anything that follows from it is said.
-type Persist struct {
-	Whole    *Saved // if not nil, it replaces all that was kept
-	Hard     *raftpb.HardState
-	Snapshot *raftpb.Snapshot // replaces all entries up to it
-	Entries  []*raftpb.Entry  // replace those of the same index and behind
+// StorageUpdate is what has to be on the disk before anything that follows from it is said.
+type StorageUpdate struct {
+	Replacement *VoterState // if not nil, it replaces all that was kept
+	HardState   *raftpb.HardState
+	Snapshot    *raftpb.Snapshot // replaces all entries up to it
+	Entries     []*raftpb.Entry  // replace those of the same index and behind
 }
 
-// Same reports whether both are what Persist gave for one state, and not for two.
-func (p Persist) Same(o Persist) bool {
-	return p.Whole == o.Whole && p.Hard == o.Hard && p.Snapshot == o.Snapshot && slices.Equal(p.Entries, o.Entries)
+// Equal reports whether both are what Persist gave for one state, and not for two.
+func (p StorageUpdate) Equal(o StorageUpdate) bool {
+	return p.Replacement == o.Replacement && p.HardState == o.HardState && p.Snapshot == o.Snapshot && slices.Equal(p.Entries, o.Entries)
 }
 
-func (p *Persist) empty() bool {
-	return p.Whole == nil && p.Hard == nil && p.Snapshot == nil && len(p.Entries) == 0
+func (p *StorageUpdate) empty() bool {
+	return p.Replacement == nil && p.HardState == nil && p.Snapshot == nil && len(p.Entries) == 0
 }
 
 // voter is one voter's part of a log: raft's own code between a store in memory and a store on a disk, with elections of
@@ -62,8 +62,8 @@
 	leading            bool
 	ready              bool // it leads, and has applied an entry of its own term: all that was committed before
 
-	pending   *raft.Ready // waits for what it needs to be kept
-	persist   Persist     // what that is
+	pending   *raft.Ready   // waits for what it needs to be kept
+	persist   StorageUpdate // what that is
 	sends     []*raftpb.Message
 	committed []settled
 }
@@ -92,17 +92,17 @@
 func (quiet) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
 
 // founded is the state of a log that begins with one voter and a plan.
-func founded(identity, founding uint64, p Plan) *Saved {
-	return &Saved{Identity: identity, Founding: founding, Promised: founding,
-		Hard: &raftpb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)},
+func founded(identity, founding uint64, p Plan) *VoterState {
+	return &VoterState{Identity: identity, Generation: founding, Promised: founding,
+		HardState: &raftpb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)},
 		Snapshot: &raftpb.Snapshot{Data: encode(p), Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1),
 			ConfState: &raftpb.ConfState{Voters: []uint64{identity}}}}}
 }
 
 // newVoter goes on from what was saved.
-func newVoter(s *Saved, rng *rand.Rand) (*voter, error) {
-	v := &voter{identity: s.Identity, founding: s.Founding, store: raft.NewMemoryStorage(), rng: rng, conf: &raftpb.ConfState{}}
-	v.plan.Epoch = Epoch{Founding: s.Founding}
+func newVoter(s *VoterState, rng *rand.Rand) (*voter, error) {
+	v := &voter{identity: s.Identity, founding: s.Generation, store: raft.NewMemoryStorage(), rng: rng, conf: &raftpb.ConfState{}}
+	v.plan.Epoch = Epoch{Generation: s.Generation}
 	if s.Snapshot != nil {
 		if err := v.store.ApplySnapshot(s.Snapshot); err != nil {
 			return nil, err
@@ -111,11 +111,11 @@
 			return nil, err
 		}
 	}
-	if s.Hard != nil {
-		if err := v.store.SetHardState(s.Hard); err != nil {
+	if s.HardState != nil {
+		if err := v.store.SetHardState(s.HardState); err != nil {
 			return nil, err
 		}
-		v.term, v.vote = s.Hard.GetTerm(), s.Hard.GetVote()
+		v.term, v.vote = s.HardState.GetTerm(), s.HardState.GetVote()
 	}
 	if err := v.store.Append(s.Entries); err != nil {
 		return nil, err
@@ -204,7 +204,7 @@
 			v.lead, v.leading = rd.SoftState.Lead, rd.SoftState.RaftState == raft.StateLeader
 			v.ready = v.ready && v.leading
 		}
-		v.persist.Hard, v.persist.Entries = rd.HardState, rd.Entries
+		v.persist.HardState, v.persist.Entries = rd.HardState, rd.Entries
 		if !raft.IsEmptySnap(rd.Snapshot) {
 			v.persist.Snapshot = rd.Snapshot
 		}
@@ -220,7 +220,7 @@
 	if rd == nil {
 		return
 	}
-	v.persist = Persist{}
+	v.persist = StorageUpdate{}
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		if err := v.store.ApplySnapshot(rd.Snapshot); err == nil {
 			if err := v.restore(rd.Snapshot); err != nil {
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -16,25 +16,25 @@
 // mostVoters bounds the voters of a log, with some that nobody is any more.
 const mostVoters = 32
 
-// MostMessage bounds a message: a plan, and what goes round it.
-const MostMessage = mostPlan + 64<<10
+// MaxMessage bounds a message: a plan, and what goes round it.
+const MaxMessage = mostPlan + 64<<10
 
 // Status is what a member says of itself several times a second.
 type Status struct {
-	Zone     string            `cbor:"1,keyasint"`
-	Region   string            `cbor:"2,keyasint,omitempty"`
-	Epoch    Epoch             `cbor:"3,keyasint"` // that it acts on
-	Fresh    bool              `cbor:"4,keyasint,omitempty"`
-	Leader   string            `cbor:"5,keyasint,omitempty"` // whom it takes for the leader
-	Identity uint64            `cbor:"6,keyasint,omitempty"` // in the log, of a voter
-	Founding uint64            `cbor:"7,keyasint,omitempty"` // of the log that it holds; 0: none
-	Promised uint64            `cbor:"8,keyasint,omitempty"`
-	Term     uint64            `cbor:"9,keyasint,omitempty"`
-	Report   *Report           `cbor:"10,keyasint,omitempty"`
-	In       []uint64          `cbor:"11,keyasint,omitempty"` // identities that vote in the log that it holds
-	Out      []uint64          `cbor:"12,keyasint,omitempty"` // and those that did before a change which is under way
-	Acts     uint64            `cbor:"13,keyasint,omitempty"` // the status of its whose answer it acts on
-	Away     map[string]uint64 `cbor:"14,keyasint,omitempty"` // machines that it sends nothing to, and has nothing open to, with their turn
+	Zone           string            `cbor:"1,keyasint"`
+	Region         string            `cbor:"2,keyasint,omitempty"`
+	Epoch          Epoch             `cbor:"3,keyasint"` // that it acts on
+	Fresh          bool              `cbor:"4,keyasint,omitempty"`
+	Leader         string            `cbor:"5,keyasint,omitempty"` // whom it takes for the leader
+	Identity       uint64            `cbor:"6,keyasint,omitempty"` // in the log, of a voter
+	Generation     uint64            `cbor:"7,keyasint,omitempty"` // of the log that it holds; 0: none
+	Promised       uint64            `cbor:"8,keyasint,omitempty"`
+	Term           uint64            `cbor:"9,keyasint,omitempty"`
+	Report         *Report           `cbor:"10,keyasint,omitempty"`
+	Voters         []uint64          `cbor:"11,keyasint,omitempty"` // identities that vote in the log that it holds
+	OutgoingVoters []uint64          `cbor:"12,keyasint,omitempty"` // and those that did before a change which is under way
+	GrantSeq       uint64            `cbor:"13,keyasint,omitempty"` // the status of its whose answer it acts on
+	Withdrawn      map[string]uint64 `cbor:"14,keyasint,omitempty"` // machines that it sends nothing to, and has nothing open to, with their turn
 }
 
 // grant is the leader's answer to a status: what it says was true at some time after the status was sent.
@@ -107,7 +107,7 @@
 var errForeign = errors.New("fleet: a message of another fleet or version")
 
 func decode(fleet string, b []byte) (*envelope, error) {
-	if len(b) > MostMessage {
+	if len(b) > MaxMessage {
 		return nil, errors.New("fleet: a message beyond the bound")
 	}
 	var e envelope
@@ -121,14 +121,14 @@
 		return nil, errors.New("fleet: a message of nobody")
 	}
 	if e.Status != nil && (len(e.Status.Zone) > mostName || len(e.Status.Region) > mostName || len(e.Status.Leader) > mostName ||
-		len(e.Status.In) > mostVoters || len(e.Status.Away) > mostAway || len(e.Status.Out) > mostVoters) {
+		len(e.Status.Voters) > mostVoters || len(e.Status.Withdrawn) > mostAway || len(e.Status.OutgoingVoters) > mostVoters) {
 		return nil, errAbsurd
 	}
 	return &e, nil
 }
 
-// Send is a message to a member.
-type Send struct {
+// Message is a message to a member.
+type Message struct {
 	To   string
 	Data []byte
 }
@@ -149,10 +149,10 @@
 	PlanChanged EventKind = iota
 	LeaderChanged
 	FreshChanged
-	FeedChanged
-	Founded
+	GrantChanged
+	GenerationStarted
 	Promised
 	Fenced // another process has this name, and began later: this one says and hears nothing more
-	Reshaped
-	Trouble
+	VotersChanged
+	Fault
 )
--- a/internal/fleet/work/ahead.go
+++ b/internal/fleet/work/ahead.go
@@ -7,17 +7,17 @@
 	"time"
 )
 
-// Ahead is what work on machines will come to, by the same code that orders it.
-type Ahead struct {
-	Turns []AheadTurn   `json:"turns"`
-	Took  time.Duration `json:"took"`
-	Spare float64       `json:"spare"` // of what all servers can do, the least that is left beside the load
-	Most  int           `json:"most_out"`
-	Stuck []string      `json:"stuck,omitempty"` // machines that never get their turn, with what keeps them
+// Forecast is what work on machines will come to, by the same code that orders it.
+type Forecast struct {
+	Turns   []ForecastStep `json:"turns"`
+	Elapsed time.Duration  `json:"took"`
+	Spare   float64        `json:"spare"` // of what all servers can do, the least that is left beside the load
+	MaxOut  int            `json:"most_out"`
+	Stuck   []string       `json:"stuck,omitempty"` // machines that never get their turn, with what keeps them
 }
 
-// AheadTurn is one machine's.
-type AheadTurn struct {
+// ForecastStep is one machine's.
+type ForecastStep struct {
 	Name string        `json:"name"`
 	Free time.Duration `json:"free"` // after the beginning
 	Done time.Duration `json:"done"`
@@ -32,19 +32,19 @@
 
 // Simulate plays a request on a fleet in which nothing else goes wrong: each machine is worked on for as long as the request allows.
 // load is of what all servers can do, start the share of that which a cold one has.
-func Simulate(cfg Config, servers map[string]Server, c Call, load, start float64) (a Ahead, err error) {
-	o, b := New(cfg), Book{Roster: map[string]int64{}}
+func Simulate(cfg Config, servers map[string]Server, c Command, load, start float64) (a Forecast, err error) {
+	o, b := New(cfg), Schedule{Roster: map[string]int64{}}
 	servers = maps.Clone(servers)
 	began := int64(1)
 	for _, s := range servers {
 		began = max(began, s.Since)
 	}
-	began += cfg.Cold.Milliseconds() // all are warm
+	began += cfg.SlowStart.Milliseconds() // all are warm
 	if err := request(&b, c, began); err != nil {
 		return a, err
 	}
 	spell := time.Duration(c.ForMS) * time.Millisecond
-	free, a := map[string]time.Duration{}, Ahead{Spare: 1}
+	free, a := map[string]time.Duration{}, Forecast{Spare: 1}
 	acked := map[string]uint64{}
 	for now := time.Duration(0); now < aheadMost; now += aheadStep {
 		unix := began + now.Milliseconds()
@@ -70,39 +70,39 @@
 				}
 			case Back:
 				if now%aheadProof == 0 {
-					o.Seen(now, m.Name, 2, 0, 0, 0)
+					o.Observe(now, m.Name, 2, 0, 0, 0)
 				}
 			case Done:
 				if f, ok := free[m.Name]; ok {
-					a.Turns = append(a.Turns, AheadTurn{m.Name, f, now})
+					a.Turns = append(a.Turns, ForecastStep{m.Name, f, now})
 					delete(free, m.Name)
 				}
 			}
 		}
-		away := b.Away()
+		away := b.Withdrawn()
 		for name, s := range servers {
 			if _, gone := away[name]; gone {
 				out++
 				continue
 			}
 			part := 1.0
-			if age := time.Duration(unix-s.Since) * time.Millisecond; s.Since > 0 && age < cfg.Cold {
-				part = start + (1-start)*age.Seconds()/cfg.Cold.Seconds()
+			if age := time.Duration(unix-s.Since) * time.Millisecond; s.Since > 0 && age < cfg.SlowStart {
+				part = start + (1-start)*age.Seconds()/cfg.SlowStart.Seconds()
 			}
 			can += part
 		}
-		a.Most, a.Spare = max(a.Most, out), min(a.Spare, can/float64(len(servers))-load)
+		a.MaxOut, a.Spare = max(a.MaxOut, out), min(a.Spare, can/float64(len(servers))-load)
 		if r.ended() {
-			a.Took = now
+			a.Elapsed = now
 			return a, nil
 		}
 		if !slices.ContainsFunc(r.Machines, func(m Machine) bool { return m.State != Waiting && m.State != Done && m.State != Cancelled }) && now > time.Minute {
 			if last := a.Turns; len(last) == 0 || now-last[len(last)-1].Done > time.Minute {
-				a.Took = now
+				a.Elapsed = now
 				break // nothing moves any more
 			}
 		}
-		f := Facts{Servers: servers, Members: map[string]Member{"g": {Heard: true, Fresh: true, Away: maps.Clone(acked)}}, Rate: load * float64(len(servers))}
+		f := Observations{Servers: servers, Members: map[string]Member{"g": {Reachable: true, Fresh: true, Withdrawn: maps.Clone(acked)}}, Rate: load * float64(len(servers))}
 		b, _ = o.Step(now, unix, b, f)
 	}
 	for _, m := range b.Requests[0].Machines {
--- a/internal/fleet/work/ahead_test.go
+++ b/internal/fleet/work/ahead_test.go
@@ -19,19 +19,19 @@
 
 // What is told ahead is what the order's code does: all machines once, no more out than may be, and what can't go is said.
 func TestSimulate(t *testing.T) {
-	cfg := Standard
+	cfg := Defaults
 	servers := fleetOf(3, 4)
-	c := Call{By: "ann", Why: "release", Key: "k", Kind: Restart, ForMS: 60_000, Machines: names(servers)}
+	c := Command{By: "ann", Reason: "release", Key: "k", Kind: Restart, ForMS: 60_000, Machines: names(servers)}
 	a, err := Simulate(cfg, servers, c, 0.7, 0.22)
-	if err != nil || len(a.Turns) != 12 || a.Most > 2 || len(a.Stuck) > 0 || a.Spare > 0.3 || a.Spare < 0 {
+	if err != nil || len(a.Turns) != 12 || a.MaxOut > 2 || len(a.Stuck) > 0 || a.Spare > 0.3 || a.Spare < 0 {
 		t.Errorf("%+v %v", a, err)
 	}
-	t.Logf("12 servers, a minute each, load 0.7: %v, %d out at most, %.2f to spare", a.Took, a.Most, a.Spare)
-	if a, err = Simulate(cfg, fleetOf(1, 1), Call{By: "ann", Why: "x", Key: "k", Kind: Restart, ForMS: 60_000, Machines: []string{"s-a0"}}, 0.2, 0.22); err != nil ||
+	t.Logf("12 servers, a minute each, load 0.7: %v, %d out at most, %.2f to spare", a.Elapsed, a.MaxOut, a.Spare)
+	if a, err = Simulate(cfg, fleetOf(1, 1), Command{By: "ann", Reason: "x", Key: "k", Kind: Restart, ForMS: 60_000, Machines: []string{"s-a0"}}, 0.2, 0.22); err != nil ||
 		len(a.Turns) != 0 || len(a.Stuck) != 1 {
 		t.Errorf("the last server: %+v %v", a, err)
 	}
-	if _, err = Simulate(cfg, servers, Call{By: "ann", Why: "x", Key: "k", Kind: Restart, Machines: []string{"s-a0"}}, 0.2, 0.22); err == nil {
+	if _, err = Simulate(cfg, servers, Command{By: "ann", Reason: "x", Key: "k", Kind: Restart, Machines: []string{"s-a0"}}, 0.2, 0.22); err == nil {
 		t.Error("a request that is refused is simulated")
 	}
 }
@@ -40,13 +40,13 @@
 func TestLargeEvening(t *testing.T) {
 	servers := fleetOf(12, 17)
 	all := names(servers)
-	c := Call{By: "ann", Why: "release", Key: "k", Kind: Restart, ForMS: 120_000, Machines: all[:82]}
+	c := Command{By: "ann", Reason: "release", Key: "k", Kind: Restart, ForMS: 120_000, Machines: all[:82]}
 	began := time.Now()
-	a, err := Simulate(Standard, servers, c, 0.7, 0.22)
-	if err != nil || len(a.Turns) != 82 || a.Took > time.Hour {
-		t.Fatalf("%d turns within %v, stuck %v, %v", len(a.Turns), a.Took, a.Stuck, err)
+	a, err := Simulate(Defaults, servers, c, 0.7, 0.22)
+	if err != nil || len(a.Turns) != 82 || a.Elapsed > time.Hour {
+		t.Fatalf("%d turns within %v, stuck %v, %v", len(a.Turns), a.Elapsed, a.Stuck, err)
 	}
-	t.Logf("82 of 204 servers, two minutes each, load 0.7: %v, %d out at most, %.3f to spare; %v to reckon", a.Took, a.Most, a.Spare,
+	t.Logf("82 of 204 servers, two minutes each, load 0.7: %v, %d out at most, %.3f to spare; %v to reckon", a.Elapsed, a.MaxOut, a.Spare,
 		time.Since(began).Round(time.Millisecond))
 }
 
@@ -62,7 +62,7 @@
 				machines = append(machines, m)
 			}
 		}
-		if w.call(request, Call{Key: fmt.Sprint("r", asked), Kind: Restart, ForMS: 60_000, Machines: machines}) == nil {
+		if w.call(request, Command{Key: fmt.Sprint("r", asked), Kind: Restart, ForMS: 60_000, Machines: machines}) == nil {
 			asked++
 		}
 		w.run(time.Duration(w.rng.IntN(4000)) * time.Millisecond)
@@ -71,7 +71,7 @@
 	look := func() {
 		for _, r := range w.b.Requests {
 			if _, ok := first[r.Key]; !ok && slices.ContainsFunc(r.Machines, func(m Machine) bool { return m.Turn > 0 }) {
-				first[r.Key] = time.Duration(w.unix()-r.Asked) * time.Millisecond
+				first[r.Key] = time.Duration(w.unix()-r.RequestedAt) * time.Millisecond
 			}
 		}
 	}
--- a/internal/fleet/work/book.go
+++ b/internal/fleet/work/book.go
@@ -55,23 +55,23 @@
 
 // Request is what somebody asked for.
 type Request struct {
-	ID        uint64    `cbor:"1,keyasint" json:"id"`
-	Key       string    `cbor:"2,keyasint" json:"key"`
-	By        string    `cbor:"3,keyasint" json:"by"`
-	Why       string    `cbor:"4,keyasint" json:"why"`
-	Kind      Kind      `cbor:"5,keyasint" json:"kind"`
-	ForMS     int64     `cbor:"6,keyasint" json:"for_ms"` // how long a machine may be free
-	NotBefore int64     `cbor:"7,keyasint,omitempty" json:"not_before,omitempty"`
-	After     uint64    `cbor:"8,keyasint,omitempty" json:"after,omitempty"` // another request, that has to have ended
-	Asked     int64     `cbor:"9,keyasint" json:"asked"`
-	State     State     `cbor:"10,keyasint,omitempty" json:"state,omitempty"`
-	Note      string    `cbor:"11,keyasint,omitempty" json:"note,omitempty"`
-	Passed    int       `cbor:"12,keyasint,omitempty" json:"passed,omitempty"` // by younger ones
-	Machines  []Machine `cbor:"13,keyasint" json:"machines"`
+	ID          uint64    `cbor:"1,keyasint" json:"id"`
+	Key         string    `cbor:"2,keyasint" json:"key"`
+	By          string    `cbor:"3,keyasint" json:"by"`
+	Reason      string    `cbor:"4,keyasint" json:"why"`
+	Kind        Kind      `cbor:"5,keyasint" json:"kind"`
+	ForMS       int64     `cbor:"6,keyasint" json:"for_ms"` // how long a machine may be free
+	NotBefore   int64     `cbor:"7,keyasint,omitempty" json:"not_before,omitempty"`
+	After       uint64    `cbor:"8,keyasint,omitempty" json:"after,omitempty"` // another request, that has to have ended
+	RequestedAt int64     `cbor:"9,keyasint" json:"asked"`
+	State       State     `cbor:"10,keyasint,omitempty" json:"state,omitempty"`
+	Note        string    `cbor:"11,keyasint,omitempty" json:"note,omitempty"`
+	Passed      int       `cbor:"12,keyasint,omitempty" json:"passed,omitempty"` // by younger ones
+	Machines    []Machine `cbor:"13,keyasint" json:"machines"`
 }
 
-// Book is the section.
-type Book struct {
+// Schedule is the section.
+type Schedule struct {
 	Next     uint64           `cbor:"1,keyasint" json:"next"`
 	Turns    uint64           `cbor:"2,keyasint" json:"turns"`
 	Requests []Request        `cbor:"3,keyasint" json:"requests"`
@@ -100,7 +100,7 @@
 }()
 
 // Set is the book as a section of the plan.
-func Set(b Book) map[string]cbor.RawMessage {
+func Set(b Schedule) map[string]cbor.RawMessage {
 	raw, err := sorted.Marshal(b)
 	if err != nil {
 		panic("work: " + err.Error()) // of plain types
@@ -109,13 +109,13 @@
 }
 
 // Read reads the book of a plan.
-func Read(p *fleet.Plan) (b Book, err error) {
+func Read(p *fleet.Plan) (b Schedule, err error) {
 	_, err = p.Section(Section, &b)
 	return b, err
 }
 
 // clone copies what a change may touch.
-func (b Book) clone() Book {
+func (b Schedule) clone() Schedule {
 	b.Requests, b.Roster, b.Off = slices.Clone(b.Requests), maps.Clone(b.Roster), slices.Clone(b.Off)
 	for i := range b.Requests {
 		b.Requests[i].Machines = slices.Clone(b.Requests[i].Machines)
@@ -126,8 +126,8 @@
 // ended tells whether a request is over.
 func (r *Request) ended() bool { return r.State == Done || r.State == Cancelled }
 
-// Away are the machines that nothing new may be sent to, with the number of their turn; those that are off have none.
-func (b Book) Away() map[string]uint64 {
+// Withdrawn are the machines that nothing new may be sent to, with the number of their turn; those that are off have none.
+func (b Schedule) Withdrawn() map[string]uint64 {
 	away := map[string]uint64{}
 	for _, name := range b.Off {
 		away[name] = 0
@@ -142,10 +142,10 @@
 	return away
 }
 
-// Call is what an operator says.
-type Call struct {
+// Command is what an operator says.
+type Command struct {
 	By        string   `cbor:"1,keyasint"`
-	Why       string   `cbor:"2,keyasint"`
+	Reason    string   `cbor:"2,keyasint"`
 	Key       string   `cbor:"3,keyasint,omitempty"`
 	Kind      Kind     `cbor:"4,keyasint,omitempty"`
 	ForMS     int64    `cbor:"5,keyasint,omitempty"`
@@ -156,7 +156,7 @@
 }
 
 // Encode is a call as the arguments of an ask.
-func (c Call) Encode() []byte {
+func (c Command) Encode() []byte {
 	b, err := cbor.Marshal(c)
 	if err != nil {
 		panic("work: " + err.Error())
@@ -164,9 +164,9 @@
 	return b
 }
 
-func (c *Call) check() error {
+func (c *Command) check() error {
 	switch {
-	case c.By == "" || c.Why == "" || len(c.By) > mostText || len(c.Why) > mostText:
+	case c.By == "" || c.Reason == "" || len(c.By) > mostText || len(c.Reason) > mostText:
 		return errors.New("work: who asks, and why, in up to 512 bytes each")
 	case len(c.Machines) > mostMachines:
 		return fmt.Errorf("work: %d machines, %d at most", len(c.Machines), mostMachines)
@@ -179,11 +179,11 @@
 	return nil
 }
 
-// Deciders are the operators' calls.
-func Deciders() map[string]fleet.Decider {
-	with := func(f func(b *Book, c Call, unix int64) error) fleet.Decider {
+// Commands are the operators' calls.
+func Commands() map[string]fleet.CommandHandler {
+	with := func(f func(b *Schedule, c Command, unix int64) error) fleet.CommandHandler {
 		return func(p *fleet.Plan, args []byte, unix int64) (map[string]cbor.RawMessage, error) {
-			var c Call
+			var c Command
 			if err := cbor.Unmarshal(args, &c); err != nil {
 				return nil, err
 			}
@@ -204,12 +204,12 @@
 			return Set(next), nil
 		}
 	}
-	return map[string]fleet.Decider{"work-request": with(request), "work-cancel": with(cancel), "work-done": with(done),
+	return map[string]fleet.CommandHandler{"work-request": with(request), "work-cancel": with(cancel), "work-done": with(done),
 		"work-hold": with(hold), "work-resume": with(resume), "work-gone": with(gone)}
 }
 
 // request adds a request. The same key again is the same request, however often it comes and by whomever it is passed on.
-func request(b *Book, c Call, unix int64) error {
+func request(b *Schedule, c Command, unix int64) error {
 	if len(c.Machines) == 0 {
 		return errors.New("work: no machines")
 	}
@@ -249,7 +249,7 @@
 		return fmt.Errorf("work: no request %d to come after", c.After)
 	}
 	b.Next++
-	r := Request{ID: b.Next, Key: c.Key, By: c.By, Why: c.Why, Kind: c.Kind, ForMS: c.ForMS, NotBefore: c.NotBefore, After: c.After, Asked: unix}
+	r := Request{ID: b.Next, Key: c.Key, By: c.By, Reason: c.Reason, Kind: c.Kind, ForMS: c.ForMS, NotBefore: c.NotBefore, After: c.After, RequestedAt: unix}
 	for _, m := range c.Machines {
 		r.Machines = append(r.Machines, Machine{Name: m, Since: unix})
 		b.Off = slices.DeleteFunc(b.Off, func(o string) bool { return o == m })
@@ -258,7 +258,7 @@
 	return nil
 }
 
-func (b *Book) find(id uint64) *Request {
+func (b *Schedule) find(id uint64) *Request {
 	for i := range b.Requests {
 		if b.Requests[i].ID == id {
 			return &b.Requests[i]
@@ -268,7 +268,7 @@
 }
 
 // open finds a request that has not ended.
-func (b *Book) open(id uint64) (*Request, error) {
+func (b *Schedule) open(id uint64) (*Request, error) {
 	r := b.find(id)
 	if r == nil {
 		return nil, fmt.Errorf("work: no request %d", id)
@@ -280,7 +280,7 @@
 }
 
 // cancel ends what has not begun. Danger: a machine that is free may be in pieces; only who works on it can say that it is done.
-func cancel(b *Book, c Call, unix int64) error {
+func cancel(b *Schedule, c Command, unix int64) error {
 	r, err := b.open(c.ID)
 	if err != nil {
 		return err
@@ -290,13 +290,13 @@
 			m.State, m.Since, m.Note = Cancelled, unix, "cancelled by "+c.By
 		}
 	}
-	r.Note = "cancelled by " + c.By + ": " + c.Why
+	r.Note = "cancelled by " + c.By + ": " + c.Reason
 	r.settle()
 	return nil
 }
 
 // done says that the work on machines is done: all that are free or held of the request, or those that are named.
-func done(b *Book, c Call, unix int64) error {
+func done(b *Schedule, c Command, unix int64) error {
 	r, err := b.open(c.ID)
 	if err != nil {
 		return err
@@ -323,7 +323,7 @@
 }
 
 // over has a machine's work be done: it comes back, or not, by the kind.
-func (b *Book) over(r *Request, m *Machine, unix int64, note string) {
+func (b *Schedule) over(r *Request, m *Machine, unix int64, note string) {
 	m.State, m.Since, m.Until, m.Note = Back, unix, 0, note
 	if r.Kind != Restart {
 		m.State = Done
@@ -334,17 +334,17 @@
 	}
 }
 
-func hold(b *Book, c Call, _ int64) error {
+func hold(b *Schedule, c Command, _ int64) error {
 	r, err := b.open(c.ID)
 	if err != nil {
 		return err
 	}
-	r.State, r.Note = Held, "held by "+c.By+": "+c.Why
+	r.State, r.Note = Held, "held by "+c.By+": "+c.Reason
 	return nil
 }
 
 // resume has a request go on: what was held of it waits again, or comes back if it had its turn.
-func resume(b *Book, c Call, unix int64) error {
+func resume(b *Schedule, c Command, unix int64) error {
 	r, err := b.open(c.ID)
 	if err != nil {
 		return err
@@ -357,12 +357,12 @@
 			}
 		}
 	}
-	r.State, r.Note = Waiting, "resumed by "+c.By+": "+c.Why
+	r.State, r.Note = Waiting, "resumed by "+c.By+": "+c.Reason
 	return nil
 }
 
 // gone says that gateways are over, whose end nobody heard: they are not waited for any more.
-func gone(b *Book, c Call, _ int64) error {
+func gone(b *Schedule, c Command, _ int64) error {
 	if len(c.Machines) == 0 {
 		return errors.New("work: no gateway named")
 	}
--- a/internal/fleet/work/golden_test.go
+++ b/internal/fleet/work/golden_test.go
@@ -16,8 +16,8 @@
 
 // goldenBook has every field set, and each state and kind once at least; its second request has the fields that may be left out
 // left out.
-var goldenBook = Book{Next: 9, Turns: 8, Requests: []Request{
-	{ID: 1, Key: "k1", By: "alice", Why: "kernel", Kind: Restart, ForMS: 300000, NotBefore: 1700000000011, After: 2, Asked: 1700000000012,
+var goldenBook = Schedule{Next: 9, Turns: 8, Requests: []Request{
+	{ID: 1, Key: "k1", By: "alice", Reason: "kernel", Kind: Restart, ForMS: 300000, NotBefore: 1700000000011, After: 2, RequestedAt: 1700000000012,
 		State: Held, Note: "look", Passed: 3, Machines: []Machine{
 			{Name: "s-00000001", State: Announced, Since: 21, Until: 22, Turn: 23, Note: "n1", Life: 24},
 			{Name: "s-00000002", State: Free, Since: 31, Until: 32, Turn: 33, Note: "n2", Life: 34},
@@ -25,9 +25,9 @@
 			{Name: "s-00000004", State: Held, Since: 51, Until: 52, Turn: 53, Note: "n4", Life: 54},
 			{Name: "s-00000005", State: Done, Since: 61, Until: 62, Turn: 63, Note: "n5", Life: 64},
 			{Name: "s-00000006", State: Cancelled, Since: 71, Until: 72, Turn: 73, Note: "n6", Life: 74}}},
-	{ID: 2, Key: "k2", By: "bob", Why: "disk", Kind: Replace, ForMS: 1, Asked: 2, Machines: []Machine{{Name: "s-00000007"}}},
-	{ID: 3, Key: "k3", By: "carol", Why: "rack", Kind: Off, ForMS: 3, Asked: 4, State: Done, Machines: []Machine{{Name: "g7", State: Done}}},
-	{ID: 4, Key: "k4", By: "dan", Why: "none", Kind: Off, ForMS: 5, Asked: 6, State: Cancelled, Machines: []Machine{{Name: "g8", State: Cancelled}}},
+	{ID: 2, Key: "k2", By: "bob", Reason: "disk", Kind: Replace, ForMS: 1, RequestedAt: 2, Machines: []Machine{{Name: "s-00000007"}}},
+	{ID: 3, Key: "k3", By: "carol", Reason: "rack", Kind: Off, ForMS: 3, RequestedAt: 4, State: Done, Machines: []Machine{{Name: "g7", State: Done}}},
+	{ID: 4, Key: "k4", By: "dan", Reason: "none", Kind: Off, ForMS: 5, RequestedAt: 6, State: Cancelled, Machines: []Machine{{Name: "g8", State: Cancelled}}},
 }, Roster: map[string]int64{"g1": 81, "g2": 82, "gateway-3": 83}, Off: []string{"s-00000009", "s-00000008"}}
 
 // TestGoldenBook freezes the section of the plan that voters store and members read, and the page of it that operators read.
@@ -38,7 +38,7 @@
 	first := goldenBook
 	first.Requests = first.Requests[:1]
 	golden.Filled(t, first)
-	for name, b := range map[string]Book{"book": goldenBook, "book-least": {}} {
+	for name, b := range map[string]Schedule{"book": goldenBook, "book-least": {}} {
 		golden.Compare(t, name+".cbor", Set(b)["work"])
 		p := fleet.Plan{Sections: map[string]cbor.RawMessage{"work": golden.Read(t, name+".cbor")}}
 		if got, err := Read(&p); err != nil || !reflect.DeepEqual(got, b) {
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 		golden.Compare(t, name+".json", text)
-		var got Book
+		var got Schedule
 		if err := json.Unmarshal(golden.Read(t, name+".json"), &got); err != nil || !reflect.DeepEqual(got, b) {
 			t.Errorf("%s: read as %+v, %v", name, got, err)
 		}
@@ -79,26 +79,26 @@
 
 // TestGoldenCalls freezes the arguments of operators' calls, which the leader reads, their names, and what a request becomes.
 func TestGoldenCalls(t *testing.T) {
-	for name, c := range map[string]Call{
-		"call": {By: "alice", Why: "kernel", Key: "k1", Kind: Restart, ForMS: 300000, NotBefore: 1700000000011, After: 12,
+	for name, c := range map[string]Command{
+		"call": {By: "alice", Reason: "kernel", Key: "k1", Kind: Restart, ForMS: 300000, NotBefore: 1700000000011, After: 12,
 			Machines: []string{"s-00000001", "s-00000002"}, ID: 13},
-		"call-request": {By: "bob", Why: "disk", Key: "k2", Kind: Replace, ForMS: 7, NotBefore: 8, Machines: []string{"s-00000003"}},
-		"call-least":   {By: "carol", Why: "rack"},
+		"call-request": {By: "bob", Reason: "disk", Key: "k2", Kind: Replace, ForMS: 7, NotBefore: 8, Machines: []string{"s-00000003"}},
+		"call-least":   {By: "carol", Reason: "rack"},
 	} {
 		if name == "call" {
 			golden.Filled(t, c)
 		}
 		golden.Compare(t, name+".cbor", c.Encode())
-		var got Call
+		var got Command
 		if err := cbor.Unmarshal(golden.Read(t, name+".cbor"), &got); err != nil || !reflect.DeepEqual(got, c) {
 			t.Errorf("%s: read as %+v, %v", name, got, err)
 		}
 	}
-	if got := slices.Sorted(maps.Keys(Deciders())); !slices.Equal(got, []string{"work-cancel", "work-done", "work-gone", "work-hold",
+	if got := slices.Sorted(maps.Keys(Commands())); !slices.Equal(got, []string{"work-cancel", "work-done", "work-gone", "work-hold",
 		"work-request", "work-resume"}) {
 		t.Error("calls:", got)
 	}
-	set, err := Deciders()["work-request"](&fleet.Plan{}, golden.Read(t, "call-request.cbor"), 1700000000021)
+	set, err := Commands()["work-request"](&fleet.Plan{}, golden.Read(t, "call-request.cbor"), 1700000000021)
 	if err != nil || len(set) != 1 {
 		t.Fatal(set, err)
 	}
@@ -108,11 +108,11 @@
 // TestGoldenAhead freezes what work plan --json prints, and the page of the servers that it is made from, which the command reads.
 func TestGoldenAhead(t *testing.T) {
 	type page struct {
-		Ahead   Ahead             `json:"ahead"`
+		Ahead   Forecast          `json:"ahead"`
 		Servers map[string]Server `json:"servers"`
 	}
-	v := page{Ahead{Turns: []AheadTurn{{Name: "s-00000001", Free: time.Second, Done: 2 * time.Second}}, Took: 3 * time.Second, Spare: 0.375,
-		Most: 4, Stuck: []string{"s-00000002: waits"}}, map[string]Server{"s-00000001": {Zone: "hall-a", Ready: true, Since: 1700000000031}}}
+	v := page{Forecast{Turns: []ForecastStep{{Name: "s-00000001", Free: time.Second, Done: 2 * time.Second}}, Elapsed: 3 * time.Second, Spare: 0.375,
+		MaxOut: 4, Stuck: []string{"s-00000002: waits"}}, map[string]Server{"s-00000001": {Zone: "hall-a", Ready: true, Since: 1700000000031}}}
 	golden.Filled(t, v)
 	for name, v := range map[string]page{"ahead": v, "ahead-least": {}} {
 		text, err := json.MarshalIndent(v, "", "  ")
--- a/internal/fleet/work/order.go
+++ b/internal/fleet/work/order.go
@@ -17,23 +17,23 @@
 
 // Member is a gateway, as the leader knows it.
 type Member struct {
-	Left  bool // of its own will: it sends nothing any more
-	Heard bool // of late
-	Fresh bool // it says that its view is
-	Zone  string
-	Voter bool
-	Leads bool
-	Life  int64             // when its process began
-	Away  map[string]uint64 // machines that its planner sends nothing new to, with their turn, and nothing is open to
+	Left        bool // of its own will: it sends nothing any more
+	Reachable   bool // of late
+	Fresh       bool // it says that its view is
+	Zone        string
+	Voter       bool
+	Leader      bool
+	Incarnation int64             // when its process began
+	Withdrawn   map[string]uint64 // machines that its planner sends nothing new to, with their turn, and nothing is open to
 }
 
-// Facts are what the leader sees of the fleet.
-type Facts struct {
-	Servers  map[string]Server
-	Members  map[string]Member // all that it ever heard of
-	ZonesOut []string          // that are left, probed or returned to
-	Turned   bool              // servers turn reqs away
-	Rate     float64           // fetches a second, of all gateways
+// Observations are what the leader sees of the fleet.
+type Observations struct {
+	Servers       map[string]Server
+	Members       map[string]Member // all that it ever heard of
+	ZonesOut      []string          // that are left, probed or returned to
+	RejectedShare bool              // servers turn reqs away
+	Rate          float64           // fetches a second, of all gateways
 }
 
 // Config bounds what may be out together.
@@ -42,15 +42,15 @@
 	Gateways  float64       // of the gateways, one of a zone at a time; one at least, if one stays
 	MostShare float64       // of all servers
 	Apart     [][2]string   // pairs that may not be out together
-	Cold      time.Duration // until a server that began is warm
+	SlowStart time.Duration // until a server that began is warm
 	Proof     time.Duration // that one which is back has to serve well after that
 	Patience  time.Duration // for one that is back to prove itself
 	Passes    int           // by younger requests, before all wait
 	Step      float64       // of what servers were seen to bear, how much more the next turn may bring them
 }
 
-// Standard are the values that gateways use.
-var Standard = Config{ZoneShare: 0.34, Gateways: 0.2, MostShare: 0.2, Cold: 13 * time.Second, Proof: 3 * time.Second, Patience: 90 * time.Second,
+// Defaults are the values that gateways use.
+var Defaults = Config{ZoneShare: 0.34, Gateways: 0.2, MostShare: 0.2, SlowStart: 13 * time.Second, Proof: 3 * time.Second, Patience: 90 * time.Second,
 	Passes: 8, Step: 1.5}
 
 const (
@@ -63,8 +63,8 @@
 	minute     = time.Minute
 )
 
-// Order steps the book on. Every voter's sees the same evidence, so that the next leader goes on.
-type Order struct {
+// Scheduler steps the book on. Every voter's sees the same evidence, so that the next leader goes on.
+type Scheduler struct {
 	cfg    Config
 	health map[string][]seen
 	bears  []bore // by minute
@@ -83,11 +83,11 @@
 }
 
 // New makes one.
-func New(cfg Config) *Order { return &Order{cfg: cfg, health: map[string][]seen{}} }
+func New(cfg Config) *Scheduler { return &Scheduler{cfg: cfg, health: map[string][]seen{}} }
 
-// Seen takes what some gateway's fetches to a server came to: served, ill, silent for longer than others take, and served
+// Observe takes what some gateway's fetches to a server came to: served, ill, silent for longer than others take, and served
 // after that.
-func (o *Order) Seen(now time.Duration, server string, good, bad, silent, late uint64) {
+func (o *Scheduler) Observe(now time.Duration, server string, good, bad, silent, late uint64) {
 	if good+bad+silent+late == 0 {
 		return
 	}
@@ -102,7 +102,7 @@
 }
 
 // of is what came of fetches to a server since a time, within healthFor.
-func (o *Order) of(server string, now, since time.Duration) (good, bad uint64) {
+func (o *Scheduler) of(server string, now, since time.Duration) (good, bad uint64) {
 	silent, late := uint64(0), uint64(0)
 	for _, s := range o.health[server] {
 		if s.at < since {
@@ -118,7 +118,7 @@
 }
 
 // Bore remembers what servers bear, and forgets what is older than an hour.
-func (o *Order) Bore(now time.Duration, each float64, well bool) {
+func (o *Scheduler) Bore(now time.Duration, each float64, well bool) {
 	if well {
 		if n := len(o.bears); n == 0 || now-o.bears[n-1].at >= minute {
 			o.bears = append(o.bears, bore{at: now})
@@ -131,7 +131,7 @@
 	}
 }
 
-func (o *Order) most() (rate float64) {
+func (o *Scheduler) most() (rate float64) {
 	for _, b := range o.bears {
 		rate = max(rate, b.rate)
 	}
@@ -140,23 +140,23 @@
 
 // step is one judgement.
 type step struct {
-	*Order
-	b       *Book
-	f       Facts
+	*Scheduler
+	b       *Schedule
+	f       Observations
 	now     time.Duration
 	unix    int64
 	trouble string
 }
 
 // Step says what should hold, given what does.
-func (o *Order) Step(now time.Duration, unix int64, b Book, f Facts) (next Book, moved bool) {
+func (o *Scheduler) Step(now time.Duration, unix int64, b Schedule, f Observations) (next Schedule, moved bool) {
 	if !b.busy() && !b.strange(f) {
-		s := &step{Order: o, b: &b, f: f, now: now, unix: unix}
+		s := &step{Scheduler: o, b: &b, f: f, now: now, unix: unix}
 		s.sees()
 		return b, false
 	}
 	next = b.clone()
-	s := &step{Order: o, b: &next, f: f, now: now, unix: unix}
+	s := &step{Scheduler: o, b: &next, f: f, now: now, unix: unix}
 	s.roster()
 	s.sees()
 	for i := range next.Requests {
@@ -180,14 +180,14 @@
 }
 
 // busy tells whether any request is open.
-func (b *Book) busy() bool {
+func (b *Schedule) busy() bool {
 	return slices.ContainsFunc(b.Requests, func(r Request) bool { return !r.ended() })
 }
 
 // strange tells whether the roster is not that of the members.
-func (b *Book) strange(f Facts) bool {
+func (b *Schedule) strange(f Observations) bool {
 	for name, m := range f.Members {
-		if _, known := b.Roster[name]; known == m.Left && (known || m.Heard) {
+		if _, known := b.Roster[name]; known == m.Left && (known || m.Reachable) {
 			return true
 		}
 	}
@@ -195,7 +195,7 @@
 }
 
 // silent is the book without its notes.
-func (b Book) silent() Book {
+func (b Schedule) silent() Schedule {
 	b = b.clone()
 	for i := range b.Requests {
 		b.Requests[i].Note = ""
@@ -214,7 +214,7 @@
 		switch {
 		case m.Left && known:
 			delete(s.b.Roster, name)
-		case !m.Left && !known && m.Heard:
+		case !m.Left && !known && m.Reachable:
 			if s.b.Roster == nil {
 				s.b.Roster = map[string]int64{}
 			}
@@ -226,17 +226,17 @@
 // sees finds what speaks against any turn now, and learns what servers bear.
 func (s *step) sees() {
 	used := 0
-	away := s.b.Away()
+	away := s.b.Withdrawn()
 	for name, v := range s.f.Servers {
 		if _, out := away[name]; v.Ready && !out && !slices.Contains(s.f.ZonesOut, v.Zone) {
 			used++
 		}
 	}
-	s.Bore(s.now, s.f.Rate/float64(max(1, used)), !s.f.Turned && len(s.f.ZonesOut) == 0)
+	s.Bore(s.now, s.f.Rate/float64(max(1, used)), !s.f.RejectedShare && len(s.f.ZonesOut) == 0)
 	switch {
 	case len(s.f.ZonesOut) > 0:
 		s.trouble = "zone " + strings.Join(s.f.ZonesOut, ", ") + " is out or returning"
-	case s.f.Turned:
+	case s.f.RejectedShare:
 		s.trouble = "servers turn reqs away"
 	}
 }
@@ -269,13 +269,13 @@
 // lack names the gateways that have not acknowledged a turn: all of them, or the one that has it.
 func (s *step) lack(m *Machine) (names []string) {
 	if g, ok := s.gateway(m.Name); ok {
-		if turn, quiet := g.Away[m.Name]; (!quiet || turn != m.Turn) && !g.Left {
+		if turn, quiet := g.Withdrawn[m.Name]; (!quiet || turn != m.Turn) && !g.Left {
 			return []string{m.Name + ", to have no clients"}
 		}
 		return nil
 	}
 	for _, name := range slices.Sorted(maps.Keys(s.b.Roster)) {
-		if turn, ok := s.f.Members[name].Away[m.Name]; !ok || turn != m.Turn {
+		if turn, ok := s.f.Members[name].Withdrawn[m.Name]; !ok || turn != m.Turn {
 			names = append(names, name)
 		}
 	}
@@ -293,7 +293,7 @@
 func (s *step) proof(m *Machine, age time.Duration) {
 	if g, ok := s.gateway(m.Name); ok {
 		switch {
-		case g.Heard && g.Fresh && g.Life != m.Life && age >= s.cfg.Proof:
+		case g.Reachable && g.Fresh && g.Incarnation != m.Life && age >= s.cfg.Proof:
 			m.State, m.Since, m.Note = Done, s.unix, ""
 		case age > s.cfg.Patience:
 			m.State, m.Since, m.Note = Held, s.unix, "no new process of it is in the fleet: look at it, then resume"
@@ -306,7 +306,7 @@
 	v, listed := s.f.Servers[m.Name]
 	since := s.now - min(healthFor, age)
 	good, bad := s.of(m.Name, s.now, since)
-	warm := listed && (v.Since <= 0 || time.Duration(s.unix-v.Since)*time.Millisecond >= s.cfg.Cold)
+	warm := listed && (v.Since <= 0 || time.Duration(s.unix-v.Since)*time.Millisecond >= s.cfg.SlowStart)
 	switch {
 	case !listed || !v.Ready:
 		if m.Note = "is not listed as ready"; age > s.cfg.Patience {
@@ -352,7 +352,7 @@
 			waits = append(waits, r)
 		}
 	}
-	slices.SortStableFunc(waits, func(a, b *Request) int { return int(a.Asked - b.Asked) })
+	slices.SortStableFunc(waits, func(a, b *Request) int { return int(a.RequestedAt - b.RequestedAt) })
 	var passed []*Request
 	for _, r := range waits {
 		note := s.trouble
@@ -381,7 +381,7 @@
 		}
 		m := &r.Machines[next]
 		s.b.Turns++
-		m.State, m.Since, m.Turn, m.Note, m.Life = Announced, s.unix, s.b.Turns, "", s.f.Members[m.Name].Life
+		m.State, m.Since, m.Turn, m.Note, m.Life = Announced, s.unix, s.b.Turns, "", s.f.Members[m.Name].Incarnation
 		return
 	}
 }
@@ -410,7 +410,7 @@
 	}
 	out, all, outThere, allThere, used := 0, 0, 0, 0, 0
 	gone := map[string]bool{}
-	for name := range s.b.Away() {
+	for name := range s.b.Withdrawn() {
 		gone[name] = true
 	}
 	for _, r := range s.b.Requests {
@@ -425,7 +425,7 @@
 		if o.Zone == v.Zone {
 			allThere++
 		}
-		if gone[name] || !o.Ready || o.Since > 0 && time.Duration(s.unix-o.Since)*time.Millisecond < s.cfg.Cold {
+		if gone[name] || !o.Ready || o.Since > 0 && time.Duration(s.unix-o.Since)*time.Millisecond < s.cfg.SlowStart {
 			if out++; o.Zone == v.Zone {
 				outThere++
 			}
@@ -457,13 +457,13 @@
 // boundOf says the same of a gateway: one of a zone at a time, voters last, and the leader at the very end, so that there is one
 // change of leader and always a quorum.
 func (s *step) boundOf(m *Machine, g Member) string {
-	if !g.Heard || !g.Fresh {
+	if !g.Reachable || !g.Fresh {
 		return "is not in the fleet, or its view is old"
 	}
 	all, out, others := 0, 0, 0
 	for name := range s.b.Roster {
 		o := s.f.Members[name]
-		if all++; o.Voter && !(o.Heard && o.Fresh) {
+		if all++; o.Voter && !(o.Reachable && o.Fresh) {
 			return "voter " + name + " is not there"
 		}
 	}
@@ -481,7 +481,7 @@
 				if v.Voter && g.Voter {
 					return "voter " + o.Name + " is out"
 				}
-			case o.State == Waiting && r.State == Waiting && !v.Leads && (!v.Voter || g.Leads):
+			case o.State == Waiting && r.State == Waiting && !v.Leader && (!v.Voter || g.Leader):
 				others++ // they go first
 			}
 		}
@@ -491,7 +491,7 @@
 		return "is the last gateway"
 	case out+1 > max(1, int(s.cfg.Gateways*float64(all))):
 		return fmt.Sprintf("%d of %d gateways are out", out, all)
-	case (g.Voter || g.Leads) && others > 0:
+	case (g.Voter || g.Leader) && others > 0:
 		return fmt.Sprintf("votes, or leads: after %d others", others)
 	}
 	return ""
--- a/internal/fleet/work/work_test.go
+++ b/internal/fleet/work/work_test.go
@@ -26,9 +26,9 @@
 type world struct {
 	t        fataler
 	rng      *rand.Rand
-	o        *Order
+	o        *Scheduler
 	now      time.Duration
-	b        Book
+	b        Schedule
 	servers  map[string]Server
 	gateways map[string]*gateway
 	zonesOut []string
@@ -45,7 +45,7 @@
 type fataler interface{ Fatalf(string, ...any) }
 
 func newWorld(t fataler, seed uint64, gateways, zones, servers int) *world {
-	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 5)), o: New(Standard), servers: map[string]Server{}, gateways: map[string]*gateway{},
+	w := &world{t: t, rng: rand.New(rand.NewPCG(seed, 5)), o: New(Defaults), servers: map[string]Server{}, gateways: map[string]*gateway{},
 		rate: 100, work: 5 * time.Second, ill: map[string]bool{}}
 	for i := range gateways {
 		w.gateways[fmt.Sprint("g", i)] = &gateway{away: map[string]uint64{}, told: map[string]uint64{}, open: map[string]time.Duration{}}
@@ -61,8 +61,8 @@
 
 func (w *world) unix() int64 { return 1_700_000_000_000 + w.now.Milliseconds() }
 
-func (w *world) call(f func(*Book, Call, int64) error, c Call) error {
-	c.By, c.Why = "ann", "release"
+func (w *world) call(f func(*Schedule, Command, int64) error, c Command) error {
+	c.By, c.Reason = "ann", "release"
 	next := w.b.clone()
 	if err := f(&next, c, w.unix()); err != nil {
 		return err
@@ -72,7 +72,7 @@
 }
 
 func (w *world) ask(key string, kind Kind, machines ...string) {
-	if err := w.call(request, Call{Key: key, Kind: kind, ForMS: 60_000, Machines: machines}); err != nil {
+	if err := w.call(request, Command{Key: key, Kind: kind, ForMS: 60_000, Machines: machines}); err != nil {
 		w.t.Fatalf("%s: %v", key, err)
 	}
 }
@@ -104,13 +104,13 @@
 			}
 			g.open[to] = w.now + time.Duration(w.rng.IntN(800))*time.Millisecond
 			if w.ill[to] {
-				w.o.Seen(w.now, to, 0, 1, 0, 0)
+				w.o.Observe(w.now, to, 0, 1, 0, 0)
 			} else {
-				w.o.Seen(w.now, to, 1, 0, 0, 0)
+				w.o.Observe(w.now, to, 1, 0, 0, 0)
 			}
 		}
 		if w.rng.IntN(3) > 0 { // a plan reaches it, and is applied
-			g.away = w.b.Away()
+			g.away = w.b.Withdrawn()
 		}
 		g.told = map[string]uint64{}
 		for to, turn := range g.away {
@@ -119,9 +119,9 @@
 			}
 		}
 	}
-	f := Facts{Servers: w.servers, Members: map[string]Member{}, ZonesOut: w.zonesOut, Turned: w.turned, Rate: w.rate}
+	f := Observations{Servers: w.servers, Members: map[string]Member{}, ZonesOut: w.zonesOut, RejectedShare: w.turned, Rate: w.rate}
 	for name, g := range w.gateways {
-		f.Members[name] = Member{Heard: g.stalled <= w.now, Away: g.told}
+		f.Members[name] = Member{Reachable: g.stalled <= w.now, Withdrawn: g.told}
 	}
 	var moved bool
 	if w.b, moved = w.o.Step(w.now, w.unix(), w.b, f); moved {
@@ -150,7 +150,7 @@
 				s := w.servers[m.Name]
 				s.Since = w.unix()
 				w.servers[m.Name] = s
-				if err := w.call(done, Call{ID: r.ID, Machines: []string{m.Name}}); err != nil {
+				if err := w.call(done, Command{ID: r.ID, Machines: []string{m.Name}}); err != nil {
 					w.t.Fatalf("done: %v", err)
 				}
 			}
@@ -191,14 +191,14 @@
 
 // All gateways through a restart: one at a time, voters last, and the leader at the very end.
 func TestAllGatewaysThroughARestart(t *testing.T) {
-	o, b, f := New(Standard), Book{}, Facts{Members: map[string]Member{}, Servers: map[string]Server{"s-a0": {Zone: "a", Ready: true}}}
+	o, b, f := New(Defaults), Schedule{}, Observations{Members: map[string]Member{}, Servers: map[string]Server{"s-a0": {Zone: "a", Ready: true}}}
 	var all []string
 	for i := range 6 {
 		name := fmt.Sprint("g", i)
 		all = append(all, name)
-		f.Members[name] = Member{Heard: true, Fresh: true, Zone: string(rune('a' + i%3)), Voter: i < 3, Leads: i == 1, Life: 1}
+		f.Members[name] = Member{Reachable: true, Fresh: true, Zone: string(rune('a' + i%3)), Voter: i < 3, Leader: i == 1, Incarnation: 1}
 	}
-	c := Call{By: "ann", Why: "release", Key: "k", Kind: Restart, ForMS: 60_000, Machines: all}
+	c := Command{By: "ann", Reason: "release", Key: "k", Kind: Restart, ForMS: 60_000, Machines: all}
 	if err := request(&b, c, 0); err != nil {
 		t.Fatal(err)
 	}
@@ -210,15 +210,15 @@
 			g := f.Members[m.Name]
 			switch m.State {
 			case Announced:
-				g.Away = map[string]uint64{m.Name: m.Turn} // it has no clients
+				g.Withdrawn = map[string]uint64{m.Name: m.Turn} // it has no clients
 				out++
 			case Free:
-				if g.Life == 1 {
+				if g.Incarnation == 1 {
 					order = append(order, m.Name)
 				}
-				g = Member{Heard: true, Fresh: true, Zone: g.Zone, Voter: g.Voter, Leads: g.Leads, Life: 2, Away: g.Away}
+				g = Member{Reachable: true, Fresh: true, Zone: g.Zone, Voter: g.Voter, Leader: g.Leader, Incarnation: 2, Withdrawn: g.Withdrawn}
 				f.Members[m.Name] = g
-				if err := done(&b, Call{ID: 1, Machines: []string{m.Name}}, 1_700_000_000_000+now.Milliseconds()); err != nil {
+				if err := done(&b, Command{ID: 1, Machines: []string{m.Name}}, 1_700_000_000_000+now.Milliseconds()); err != nil {
 					t.Fatal(err)
 				}
 				out++
@@ -256,7 +256,7 @@
 	if m := w.b.Requests[1].Machines[0]; m.State != Announced {
 		t.Fatalf("%+v", m)
 	}
-	if err := w.call(gone, Call{Machines: []string{"g2"}}); err != nil {
+	if err := w.call(gone, Command{Machines: []string{"g2"}}); err != nil {
 		t.Fatal(err)
 	}
 	delete(w.gateways, "g2")
@@ -295,12 +295,12 @@
 	if r.State != Held || r.Machines[0].State != Held || !strings.Contains(r.Machines[0].Note, "ill on its return") {
 		t.Fatalf("%+v", r)
 	}
-	before := w.b.Away()
+	before := w.b.Withdrawn()
 	if _, away := before["s-a1"]; !away {
 		t.Error("the machine that failed is used")
 	}
 	w.ill["s-a1"] = false
-	if err := w.call(resume, Call{ID: r.ID}); err != nil {
+	if err := w.call(resume, Command{ID: r.ID}); err != nil {
 		t.Fatal(err)
 	}
 	if !w.until(5*time.Minute) || w.b.Requests[0].State != Done {
@@ -330,13 +330,13 @@
 // A cold server whose answers come late is not ill, and one that never answers is.
 func TestLateIsNotIll(t *testing.T) {
 	for _, never := range []bool{false, true} {
-		o := New(Standard)
+		o := New(Defaults)
 		for now := time.Duration(0); now < 4*time.Second; now += tick {
 			late := uint64(1)
 			if now < 2*tick || never {
 				late = 0
 			}
-			o.Seen(now, "s", 0, 0, 1, late)
+			o.Observe(now, "s", 0, 0, 1, late)
 		}
 		if good, bad := o.of("s", 4*time.Second, 0); never != (bad >= 3) || never != (good == 0) {
 			t.Errorf("never answers: %v: %d good, %d bad", never, good, bad)
@@ -351,7 +351,7 @@
 	if len(w.b.Requests) != 1 {
 		t.Fatalf("%+v", w.b.Requests)
 	}
-	for what, c := range map[string]Call{"another's machine": {Key: "x", Kind: Restart, ForMS: 1, Machines: []string{"s-a1"}},
+	for what, c := range map[string]Command{"another's machine": {Key: "x", Kind: Restart, ForMS: 1, Machines: []string{"s-a1"}},
 		"a key of something else": {Key: "k", Kind: Off, ForMS: 1, Machines: []string{"s-a2"}}, "no kind": {Key: "x", ForMS: 1, Machines: []string{"s-a2"}},
 		"no time": {Key: "x", Kind: Off, Machines: []string{"s-a2"}}, "none": {Key: "x", Kind: Off, ForMS: 1},
 		"after none": {Key: "x", Kind: Off, ForMS: 1, After: 77, Machines: []string{"s-a2"}}} {
@@ -359,22 +359,22 @@
 			t.Errorf("%s is taken", what)
 		}
 	}
-	if err := w.call(done, Call{ID: 1, Machines: []string{"s-a1"}}); err == nil {
+	if err := w.call(done, Command{ID: 1, Machines: []string{"s-a1"}}); err == nil {
 		t.Error("done before it is free")
 	}
 	w.run(3 * time.Second)
 	if w.b.Requests[0].Machines[0].State != Free {
 		t.Fatalf("%+v", w.b.Requests[0])
 	}
-	if err := w.call(cancel, Call{ID: 1}); err != nil || w.b.Requests[0].Machines[0].State != Free {
+	if err := w.call(cancel, Command{ID: 1}); err != nil || w.b.Requests[0].Machines[0].State != Free {
 		t.Errorf("a free machine is cancelled: %+v %v", w.b.Requests[0], err)
 	}
 	w.ask("gone", Off, "s-b1")
 	w.until(2 * time.Minute)
-	if _, away := w.b.Away()["s-b1"]; !away || w.b.Requests[1].State != Done {
+	if _, away := w.b.Withdrawn()["s-b1"]; !away || w.b.Requests[1].State != Done {
 		t.Errorf("off, and used again: %+v", w.b.Requests[1])
 	}
-	if err := w.call(cancel, Call{ID: 9}); err == nil {
+	if err := w.call(cancel, Command{ID: 9}); err == nil {
 		t.Error("cancels what is not there")
 	}
 }
@@ -404,10 +404,10 @@
 						machines = append(machines, m)
 					}
 				}
-				_ = w.call(request, Call{Key: fmt.Sprint(w.now), Kind: Restart, ForMS: int64(1000 + w.rng.IntN(20_000)), Machines: machines})
+				_ = w.call(request, Command{Key: fmt.Sprint(w.now), Kind: Restart, ForMS: int64(1000 + w.rng.IntN(20_000)), Machines: machines})
 			case 6:
 				if n := len(w.b.Requests); n > 0 {
-					_ = w.call(cancel, Call{ID: w.b.Requests[w.rng.IntN(n)].ID})
+					_ = w.call(cancel, Command{ID: w.b.Requests[w.rng.IntN(n)].ID})
 				}
 			case 7:
 				w.ill[all[w.rng.IntN(len(all))]] = w.rng.IntN(2) == 0
@@ -415,7 +415,7 @@
 				w.forgets = w.rng.IntN(3) == 0
 			}
 			w.run(time.Duration(200+w.rng.IntN(3000)) * time.Millisecond)
-			if most := max(1, int(Standard.MostShare*float64(len(all)))); w.most > most {
+			if most := max(1, int(Defaults.MostShare*float64(len(all)))); w.most > most {
 				t.Fatalf("%d out at once, %d at most", w.most, most)
 			}
 		}
@@ -423,7 +423,7 @@
 		clear(w.ill)
 		for i := range w.b.Requests {
 			if r := &w.b.Requests[i]; r.State == Held {
-				_ = w.call(resume, Call{ID: r.ID})
+				_ = w.call(resume, Command{ID: r.ID})
 			}
 		}
 		if !w.until(4 * time.Hour) {
--- a/internal/fleet/zone/golden_test.go
+++ b/internal/fleet/zone/golden_test.go
@@ -14,21 +14,21 @@
 	"dewhitch/internal/golden"
 )
 
-var goldenVerdicts = Verdicts{"hall-a>hall-b": {State: Probing, Since: 1700000000001, Fails: 2, Why: "ill", Probers: []string{"g1", "g2"},
-	By: "alice", Until: 1700000000003, Hold: true, Probes: 4, Partial: true, Any: true}}
+var goldenVerdicts = Statuses{"hall-a>hall-b": {State: Probing, Since: 1700000000001, FailedProbes: 2, Reason: "ill", Probers: []string{"g1", "g2"},
+	By: "alice", Until: 1700000000003, Hold: true, Probes: 4, Partial: true, AnyRequest: true}}
 
 // TestGoldenVerdicts freezes the section of the plan that voters store and members read, and the page of it that operators read.
 func TestGoldenVerdicts(t *testing.T) {
 	if Section != "zones" {
 		t.Error("section:", Section)
 	}
-	for name, v := range map[string]Verdicts{"verdicts": goldenVerdicts, "verdicts-least": {"hall-b": {State: Out}}} {
+	for name, v := range map[string]Statuses{"verdicts": goldenVerdicts, "verdicts-least": {"hall-b": {State: Evacuated}}} {
 		if name == "verdicts" {
 			golden.Filled(t, v)
 		}
 		golden.Compare(t, name+".cbor", Set(v)["zones"])
 		p := fleet.Plan{Sections: map[string]cbor.RawMessage{"zones": golden.Read(t, name+".cbor")}}
-		got := Verdicts{}
+		got := Statuses{}
 		if _, err := p.Section(Section, &got); err != nil || !reflect.DeepEqual(got, v) {
 			t.Errorf("%s: read as %+v, %v", name, got, err)
 		}
@@ -37,7 +37,7 @@
 			t.Fatal(err)
 		}
 		golden.Compare(t, name+".json", text)
-		got = Verdicts{}
+		got = Statuses{}
 		if err := json.Unmarshal(golden.Read(t, name+".json"), &got); err != nil || !reflect.DeepEqual(got, v) {
 			t.Errorf("%s: read as %+v, %v", name, got, err)
 		}
@@ -46,7 +46,7 @@
 
 // TestGoldenStates freezes the states as the plan and operators have them.
 func TestGoldenStates(t *testing.T) {
-	for state, want := range map[State]string{Out: "out", Probing: "probing", Returning: "returning"} {
+	for state, want := range map[State]string{Evacuated: "out", Probing: "probing", Returning: "returning"} {
 		if string(state) != want {
 			t.Errorf("%s, want %s", state, want)
 		}
@@ -55,9 +55,9 @@
 
 // TestGoldenCalls freezes the arguments of operators' calls, which the leader reads, their names, and what each settles.
 func TestGoldenCalls(t *testing.T) {
-	for name, c := range map[string]Call{
-		"call":       {By: "alice", Why: "power", Zone: "hall-b", ForMS: 1800000, Hold: true},
-		"call-least": {By: "bob", Why: "day", Zone: "hall-c"},
+	for name, c := range map[string]Command{
+		"call":       {By: "alice", Reason: "power", Zone: "hall-b", ForMS: 1800000, Hold: true},
+		"call-least": {By: "bob", Reason: "day", Zone: "hall-c"},
 	} {
 		if name == "call" {
 			golden.Filled(t, c)
@@ -67,11 +67,11 @@
 			t.Errorf("%s: read as %+v, %v", name, got, err)
 		}
 	}
-	if got := slices.Sorted(maps.Keys(ByHand())); !slices.Equal(got, []string{"leave", "return"}) {
+	if got := slices.Sorted(maps.Keys(Commands())); !slices.Equal(got, []string{"leave", "return"}) {
 		t.Error("calls:", got)
 	}
 	for verb, file := range map[string]string{"leave": "settled-leave.cbor", "return": "settled-return.cbor"} {
-		set, err := ByHand()[verb](&fleet.Plan{}, golden.Read(t, "call.cbor"), 1700000000005)
+		set, err := Commands()[verb](&fleet.Plan{}, golden.Read(t, "call.cbor"), 1700000000005)
 		if err != nil || len(set) != 1 {
 			t.Fatalf("%s: %v, %v", verb, set, err)
 		}
--- a/internal/fleet/zone/hand.go
+++ b/internal/fleet/zone/hand.go
@@ -11,7 +11,7 @@
 )
 
 // Set is the verdicts as a section of the plan.
-func Set(v Verdicts) map[string]cbor.RawMessage {
+func Set(v Statuses) map[string]cbor.RawMessage {
 	b, err := cbor.Marshal(v)
 	if err != nil {
 		panic("zone: " + err.Error()) // of plain types
@@ -19,17 +19,17 @@
 	return map[string]cbor.RawMessage{Section: b}
 }
 
-// Call is what an operator says of a zone.
-type Call struct {
-	By    string `cbor:"1,keyasint"`
-	Why   string `cbor:"2,keyasint"`
-	Zone  string `cbor:"3,keyasint"`
-	ForMS int64  `cbor:"4,keyasint,omitempty"` // how long to stay away; 0: until return
-	Hold  bool   `cbor:"5,keyasint,omitempty"` // with return: the fleet does not leave it of itself
+// Command is what an operator says of a zone.
+type Command struct {
+	By     string `cbor:"1,keyasint"`
+	Reason string `cbor:"2,keyasint"`
+	Zone   string `cbor:"3,keyasint"`
+	ForMS  int64  `cbor:"4,keyasint,omitempty"` // how long to stay away; 0: until return
+	Hold   bool   `cbor:"5,keyasint,omitempty"` // with return: the fleet does not leave it of itself
 }
 
 // Encode is a call as the arguments of an ask.
-func (c Call) Encode() []byte {
+func (c Command) Encode() []byte {
 	b, err := cbor.Marshal(c)
 	if err != nil {
 		panic("zone: " + err.Error())
@@ -44,11 +44,11 @@
 
 var errCall = errors.New("zone: which zone, who asks, and why, in up to 512 bytes each")
 
-func read(args []byte) (c Call, err error) {
+func read(args []byte) (c Command, err error) {
 	if err := cbor.Unmarshal(args, &c); err != nil {
 		return c, err
 	}
-	if c.By == "" || c.Why == "" || c.Zone == "" || len(c.By) > mostWords || len(c.Why) > mostWords || len(c.Zone) > 64 {
+	if c.By == "" || c.Reason == "" || c.Zone == "" || len(c.By) > mostWords || len(c.Reason) > mostWords || len(c.Zone) > 64 {
 		return c, errCall
 	}
 	if c.ForMS < 0 || c.ForMS > mostFor {
@@ -57,15 +57,15 @@
 	return c, nil
 }
 
-// ByHand are the operators' calls: leave and return.
-func ByHand() map[string]fleet.Decider {
-	with := func(f func(c Call, old Verdict, had bool, unix int64) (Verdict, bool, error)) fleet.Decider {
+// Commands are the operators' calls: leave and return.
+func Commands() map[string]fleet.CommandHandler {
+	with := func(f func(c Command, old Status, had bool, unix int64) (Status, bool, error)) fleet.CommandHandler {
 		return func(p *fleet.Plan, args []byte, unix int64) (map[string]cbor.RawMessage, error) {
 			c, err := read(args)
 			if err != nil {
 				return nil, err
 			}
-			v := Verdicts{}
+			v := Statuses{}
 			if _, err := p.Section(Section, &v); err != nil {
 				return nil, err
 			}
@@ -86,33 +86,33 @@
 			return Set(next), nil
 		}
 	}
-	return map[string]fleet.Decider{
-		"leave": with(func(c Call, old Verdict, had bool, unix int64) (Verdict, bool, error) {
-			if had && old.State == Out && old.By == c.By && old.Why == c.Why {
+	return map[string]fleet.CommandHandler{
+		"leave": with(func(c Command, old Status, had bool, unix int64) (Status, bool, error) {
+			if had && old.State == Evacuated && old.By == c.By && old.Reason == c.Reason {
 				return old, true, nil
 			}
-			w := Verdict{State: Out, Since: unix, By: c.By, Why: c.Why}
+			w := Status{State: Evacuated, Since: unix, By: c.By, Reason: c.Reason}
 			if c.ForMS > 0 {
 				w.Until = unix + c.ForMS
 			}
 			return w, true, nil
 		}),
-		"return": with(func(c Call, old Verdict, had bool, unix int64) (Verdict, bool, error) {
+		"return": with(func(c Command, old Status, had bool, unix int64) (Status, bool, error) {
 			if c.Hold {
-				if had && old.Hold && old.By == c.By && old.Why == c.Why {
+				if had && old.Hold && old.By == c.By && old.Reason == c.Reason {
 					return old, true, nil
 				}
-				return Verdict{State: Returning, Since: unix, By: c.By, Why: c.Why, Hold: true}, true, nil
+				return Status{State: Returning, Since: unix, By: c.By, Reason: c.Reason, Hold: true}, true, nil
 			}
 			switch {
 			case had && old.Hold:
-				return Verdict{}, false, nil
+				return Status{}, false, nil
 			case !had:
-				return Verdict{}, false, fmt.Errorf("zone: %q is not out", c.Zone)
+				return Status{}, false, fmt.Errorf("zone: %q is not out", c.Zone)
 			case old.State == Returning:
 				return old, true, nil
 			}
-			return Verdict{State: Returning, Since: unix, Fails: old.Fails, By: c.By, Why: c.Why}, true, nil
+			return Status{State: Returning, Since: unix, FailedProbes: old.FailedProbes, By: c.By, Reason: c.Reason}, true, nil
 		}),
 	}
 }
--- a/internal/fleet/zone/large_test.go
+++ b/internal/fleet/zone/large_test.go
@@ -22,7 +22,7 @@
 		}
 		w.bad = ill("b")
 		before, began, real := w.sent["b"], w.now, time.Now()
-		for w.v["b"].State != Out && w.now < began+10*time.Second {
+		for w.v["b"].State != Evacuated && w.now < began+10*time.Second {
 			w.run(200 * time.Millisecond)
 		}
 		left := w.now - began
--- a/internal/fleet/zone/zone.go
+++ b/internal/fleet/zone/zone.go
@@ -22,34 +22,34 @@
 
 // The states.
 const (
-	Out       State = "out"       // nothing new is sent there
+	Evacuated State = "out"       // nothing new is sent there
 	Probing   State = "probing"   // the probers alone send there
 	Returning State = "returning" // all do, as to servers that began at Since
 )
 
-// Verdict is what is settled of a zone's servers, for all gateways or for those of one zone.
-type Verdict struct {
-	State   State    `cbor:"1,keyasint" json:"state"`
-	Since   int64    `cbor:"2,keyasint" json:"since"` // of this state, Unix ms by the leader's clock
-	Fails   int      `cbor:"3,keyasint" json:"fails"` // returns that failed, one after the other
-	Why     string   `cbor:"4,keyasint" json:"why"`
-	Probers []string `cbor:"5,keyasint,omitempty" json:"probers,omitempty"`
-	By      string   `cbor:"6,keyasint,omitempty" json:"by,omitempty"`       // an operator; empty: the fleet itself
-	Until   int64    `cbor:"7,keyasint,omitempty" json:"until,omitempty"`    // of an operator's leave, Unix ms; 0: until return
-	Hold    bool     `cbor:"8,keyasint,omitempty" json:"hold,omitempty"`     // an operator's: not left by the fleet
-	Probes  int      `cbor:"9,keyasint,omitempty" json:"probes,omitempty"`   // that failed since the zone was left, or returned to last
-	Partial bool     `cbor:"11,keyasint,omitempty" json:"partial,omitempty"` // it served some when it was left: better than nothing
-	Any     bool     `cbor:"10,keyasint,omitempty" json:"any,omitempty"`     // probes take any class: no other came to the prober
+// Status is what is settled of a zone's servers, for all gateways or for those of one zone.
+type Status struct {
+	State        State    `cbor:"1,keyasint" json:"state"`
+	Since        int64    `cbor:"2,keyasint" json:"since"` // of this state, Unix ms by the leader's clock
+	FailedProbes int      `cbor:"3,keyasint" json:"fails"` // returns that failed, one after the other
+	Reason       string   `cbor:"4,keyasint" json:"why"`
+	Probers      []string `cbor:"5,keyasint,omitempty" json:"probers,omitempty"`
+	By           string   `cbor:"6,keyasint,omitempty" json:"by,omitempty"`       // an operator; empty: the fleet itself
+	Until        int64    `cbor:"7,keyasint,omitempty" json:"until,omitempty"`    // of an operator's leave, Unix ms; 0: until return
+	Hold         bool     `cbor:"8,keyasint,omitempty" json:"hold,omitempty"`     // an operator's: not left by the fleet
+	Probes       int      `cbor:"9,keyasint,omitempty" json:"probes,omitempty"`   // that failed since the zone was left, or returned to last
+	Partial      bool     `cbor:"11,keyasint,omitempty" json:"partial,omitempty"` // it served some when it was left: better than nothing
+	AnyRequest   bool     `cbor:"10,keyasint,omitempty" json:"any,omitempty"`     // probes take any class: no other came to the prober
 }
 
-// Verdicts are all that is settled, by the zone of the servers, or "FROM>TO" for the gateways of one zone alone.
-type Verdicts map[string]Verdict
+// Statuses are all that is settled, by the zone of the servers, or "FROM>TO" for the gateways of one zone alone.
+type Statuses map[string]Status
 
 // Section is where the plan has them.
 const Section = "zones"
 
 // For is what holds for the gateways of a zone, of the servers of another. What is settled for all goes first.
-func (v Verdicts) For(from, to string) (Verdict, bool) {
+func (v Statuses) For(from, to string) (Status, bool) {
 	if w, ok := v[to]; ok {
 		return w, !w.Hold // an operator's hold is for the ways there as well
 	}
@@ -59,16 +59,16 @@
 
 // Config bounds what the judge may say.
 type Config struct {
-	Windows   []time.Duration // of the evidence, the shortest first; any one that is clear is enough
-	MostOut   int             // zones that may be out at once; 0: a third of them, one at least where there are two
-	Again     time.Duration   // between leaving and the first probe
-	MostAgain time.Duration   // the same after probes and returns that failed
-	Ramp      time.Duration   // of a return
-	Patience  time.Duration   // of a probe, for evidence
+	Windows      []time.Duration // of the evidence, the shortest first; any one that is clear is enough
+	MaxEvacuated int             // zones that may be out at once; 0: a third of them, one at least where there are two
+	Again        time.Duration   // between leaving and the first probe
+	MostAgain    time.Duration   // the same after probes and returns that failed
+	Ramp         time.Duration   // of a return
+	Patience     time.Duration   // of a probe, for evidence
 }
 
-// Standard are the values that gateways use.
-var Standard = Config{Windows: []time.Duration{300 * time.Millisecond, 600 * time.Millisecond, 1200 * time.Millisecond,
+// Defaults are the values that gateways use.
+var Defaults = Config{Windows: []time.Duration{300 * time.Millisecond, 600 * time.Millisecond, 1200 * time.Millisecond,
 	2400 * time.Millisecond}, Again: 3 * time.Second, MostAgain: 60 * time.Second, Ramp: 13 * time.Second,
 	Patience: 8 * time.Second}
 
@@ -111,9 +111,9 @@
 	took      float64 // seconds that those took together
 }
 
-// Judge holds the evidence of a few seconds. Only the leader's is asked, but every voter's is fed, so that the next leader
+// Detector holds the evidence of a few seconds. Only the leader's is asked, but every voter's is fed, so that the next leader
 // has it.
-type Judge struct {
+type Detector struct {
 	cfg     Config
 	homes   map[string]string // zone of each gateway that ever told
 	regions map[string]string // of the zones of gateways that name one
@@ -137,13 +137,13 @@
 }
 
 // New makes a judge without evidence.
-func New(cfg Config) *Judge {
-	return &Judge{cfg: cfg, homes: map[string]string{}, heard: map[string]time.Duration{}, seen: map[way][]sample{},
+func New(cfg Config) *Detector {
+	return &Detector{cfg: cfg, homes: map[string]string{}, heard: map[string]time.Duration{}, seen: map[way][]sample{},
 		zones: map[string]bool{}, usual: map[way]*usual{}, regions: map[string]string{}, cold: map[string]bool{}}
 }
 
-// Seen takes what a gateway saw since it last told.
-func (j *Judge) Seen(now time.Duration, gateway, home, region string, delta fleet.Report) {
+// Observe takes what a gateway saw since it last told.
+func (j *Detector) Observe(now time.Duration, gateway, home, region string, delta fleet.Report) {
 	j.homes[gateway], j.heard[gateway] = home, now
 	j.zones[home] = true
 	if region != "" {
@@ -151,8 +151,8 @@
 	}
 	for z, c := range delta.Zones {
 		j.zones[z] = true
-		bad := c.Refused + c.Silent + c.Failed
-		if bad == 0 && c.Served == 0 && c.Late == 0 && c.Turned == 0 {
+		bad := c.ConnectFailed + c.TimedOut + c.Failed
+		if bad == 0 && c.Served == 0 && c.AnsweredLate == 0 && c.Rejected == 0 {
 			continue
 		}
 		w := way{gateway, z}
@@ -162,9 +162,9 @@
 			list = append(list, sample{at: at})
 		}
 		s := &list[len(list)-1]
-		s.good, s.bad, s.late = s.good+c.Served, s.bad+bad, s.late+c.Late
-		s.turned += c.Turned
-		s.answered, s.took = s.answered+c.Served+c.Late, s.took+float64(c.Micros)/1e6
+		s.good, s.bad, s.late = s.good+c.Served, s.bad+bad, s.late+c.AnsweredLate
+		s.turned += c.Rejected
+		s.answered, s.took = s.answered+c.Served+c.AnsweredLate, s.took+float64(c.LatencyMicros)/1e6
 		for len(list) > 0 && now-list[0].at > j.cfg.Patience {
 			list = list[1:]
 		}
@@ -174,7 +174,7 @@
 
 // gather forgets the gateways that have told nothing for long, and lists the others. Danger: with a look at all of them for
 // each report, and for each pair of zones, the leader's cost grows with the square of the fleet.
-func (j *Judge) gather(now time.Duration) {
+func (j *Detector) gather(now time.Duration) {
 	j.all, j.at = nil, map[string][]string{}
 	gone := map[string]bool{}
 	for _, g := range slices.Sorted(maps.Keys(j.homes)) {
@@ -194,7 +194,7 @@
 
 // learn follows how long fetches usually take from one zone to another: quickly while that changes little, so that a zone's
 // hours are no trouble of its; slowly where it has changed much, so that what lasts becomes usual.
-func (j *Judge) learn(now time.Duration, v Verdicts, zones []string) {
+func (j *Detector) learn(now time.Duration, v Statuses, zones []string) {
 	for from, here := range j.at {
 		for _, to := range zones {
 			w := way{from, to}
@@ -230,12 +230,12 @@
 	}
 }
 
-// Starts tells when the last of a zone's servers began, Unix ms. Servers that began after their zone was left are the best
+// SetServerStarts tells when the last of a zone's servers began, Unix ms. Servers that began after their zone was left are the best
 // reason to look at it: whatever it was may be over.
-func (j *Judge) Starts(starts map[string]int64) { j.starts = starts }
+func (j *Detector) SetServerStarts(starts map[string]int64) { j.starts = starts }
 
-// Home is the zone of a gateway that told of late.
-func (j *Judge) Home(gateway string) (zone string, ok bool) {
+// ZoneOf is the zone of a gateway that told of late.
+func (j *Detector) ZoneOf(gateway string) (zone string, ok bool) {
 	zone, ok = j.homes[gateway]
 	return zone, ok
 }
@@ -249,7 +249,7 @@
 }
 
 // One whose answers take so many times as long as usual is as good as ill.
-func (j *Judge) sum(zone string, since time.Duration, times float64, who []string) (s sum) {
+func (j *Detector) sum(zone string, since time.Duration, times float64, who []string) (s sum) {
 	cold := j.cold[zone]
 	for _, g := range who {
 		good, bad, late, answered, took := uint64(0), uint64(0), uint64(0), uint64(0), 0.0
@@ -284,7 +284,7 @@
 
 // ill tells whether some gateways see a zone ill, in one of the windows, by what they saw since a time. In a short one what
 // was well before the trouble is soon past; in a long one thin traffic adds up.
-func (j *Judge) ill(zone string, now, since time.Duration, who []string) (s sum, from time.Duration, bad bool) {
+func (j *Detector) ill(zone string, now, since time.Duration, who []string) (s sum, from time.Duration, bad bool) {
 	n := len(who)
 	for _, w := range j.cfg.Windows {
 		from = max(now-w, since)
@@ -309,7 +309,7 @@
 func (s sum) partial() bool { return s.slow > 0 || 2*s.good >= s.bad }
 
 // full tells whether the zones that some gateways send to turn reqs away.
-func (j *Judge) full(zones []string, v Verdicts, from string, now time.Duration, who []string) (rest sum, full bool) {
+func (j *Detector) full(zones []string, v Statuses, from string, now time.Duration, who []string) (rest sum, full bool) {
 	for _, z := range zones {
 		if w, ok := v.For(from, z); ok && w.State != Returning {
 			continue
@@ -320,8 +320,8 @@
 	return rest, rest.turned >= fullNeeds && float64(rest.turned) >= fullShare*float64(rest.turned+rest.good)
 }
 
-// Turned tells whether servers turn reqs away, as of the last judgement.
-func (j *Judge) Turned() bool {
+// RejectedShare tells whether servers turn reqs away, as of the last judgement.
+func (j *Detector) RejectedShare() bool {
 	_, full := j.full(slices.Sorted(maps.Keys(j.zones)), nil, "", j.now, j.all)
 	return full
 }
@@ -334,11 +334,11 @@
 	return text
 }
 
-// Judge says what should hold, given what does. moved: it differs.
-func (j *Judge) Judge(now time.Duration, unix int64, v Verdicts, alive func(gateway string) bool) (next Verdicts, moved bool) {
+// Evaluate says what should hold, given what does. moved: it differs.
+func (j *Detector) Evaluate(now time.Duration, unix int64, v Statuses, alive func(gateway string) bool) (next Statuses, moved bool) {
 	next = maps.Clone(v)
 	if next == nil {
-		next = Verdicts{}
+		next = Statuses{}
 	}
 	zones := slices.Sorted(maps.Keys(j.zones))
 	j.gather(now)
@@ -351,7 +351,7 @@
 	j.leave(now, unix, next, zones)
 	for _, from := range zones { // what is left for all may have been the last that the ways from a zone had left it
 		if left(next, from, zones) == len(zones) {
-			maps.DeleteFunc(next, func(key string, _ Verdict) bool { f, _ := split(key); return f == from })
+			maps.DeleteFunc(next, func(key string, _ Status) bool { f, _ := split(key); return f == from })
 		}
 	}
 	if moved = !maps.EqualFunc(v, next, equal); moved {
@@ -360,8 +360,8 @@
 	return next, moved
 }
 
-func equal(a, b Verdict) bool {
-	return a.State == b.State && a.Since == b.Since && a.Fails == b.Fails && a.Probes == b.Probes && a.Any == b.Any && a.Partial == b.Partial && a.Why == b.Why && a.By == b.By && a.Until == b.Until &&
+func equal(a, b Status) bool {
+	return a.State == b.State && a.Since == b.Since && a.FailedProbes == b.FailedProbes && a.Probes == b.Probes && a.AnyRequest == b.AnyRequest && a.Partial == b.Partial && a.Reason == b.Reason && a.By == b.By && a.Until == b.Until &&
 		a.Hold == b.Hold && slices.Equal(a.Probers, b.Probers)
 }
 
@@ -374,7 +374,7 @@
 }
 
 // settle moves on what is out, probed or returning.
-func (j *Judge) settle(now time.Duration, unix int64, next Verdicts, zones []string, alive func(string) bool) {
+func (j *Detector) settle(now time.Duration, unix int64, next Statuses, zones []string, alive func(string) bool) {
 	for _, key := range slices.Sorted(maps.Keys(next)) {
 		v := next[key]
 		if v.Hold {
@@ -390,42 +390,42 @@
 		if v.Partial && v.By == "" {
 			// Danger: a zone that is slow still serves; with the others full, staying away from it refuses what it could do.
 			if rest, full := j.full(zones, next, from, now, here); full && v.State != Returning {
-				next[key] = Verdict{State: Returning, Since: unix, Fails: v.Fails, Partial: true,
-					Why: fmt.Sprintf("the rest can't bear it: %d of %d turned away", rest.turned, rest.turned+rest.good)}
+				next[key] = Status{State: Returning, Since: unix, FailedProbes: v.FailedProbes, Partial: true,
+					Reason: fmt.Sprintf("the rest can't bear it: %d of %d turned away", rest.turned, rest.turned+rest.good)}
 				continue
 			} else if full {
 				continue
 			}
 		}
 		switch v.State {
-		case Out:
+		case Evacuated:
 			switch {
 			case v.By != "" && (v.Until == 0 || unix < v.Until):
 			case v.By == "" && age < j.wait(key, v) && !(j.starts[zone] > v.Since && age >= anew):
 			default:
-				if p := j.probers(zone, here, alive, v.Fails+v.Probes); len(p) > 0 {
-					next[key] = Verdict{State: Probing, Since: unix, Fails: v.Fails, Probes: v.Probes, Why: v.Why, Probers: p, Partial: v.Partial}
+				if p := j.probers(zone, here, alive, v.FailedProbes+v.Probes); len(p) > 0 {
+					next[key] = Status{State: Probing, Since: unix, FailedProbes: v.FailedProbes, Probes: v.Probes, Reason: v.Reason, Probers: p, Partial: v.Partial}
 				}
 			}
 		case Probing:
 			s := j.sum(zone, since+bucket, slowTimes, v.Probers)
 			switch {
 			case s.good >= wellNeeds && s.good >= 4*s.bad, age > j.cfg.Patience && s.good > 0 && s.bad == 0:
-				next[key] = Verdict{State: Returning, Since: unix, Fails: v.Fails, Partial: v.Partial, Why: "a probe: " + s.String()}
+				next[key] = Status{State: Returning, Since: unix, FailedProbes: v.FailedProbes, Partial: v.Partial, Reason: "a probe: " + s.String()}
 			case s.bad >= 2:
-				next[key] = Verdict{State: Out, Since: unix, Fails: v.Fails, Probes: v.Probes + 1, Why: "a probe: " + s.String(), Partial: v.Partial}
+				next[key] = Status{State: Evacuated, Since: unix, FailedProbes: v.FailedProbes, Probes: v.Probes + 1, Reason: "a probe: " + s.String(), Partial: v.Partial}
 			case age > j.cfg.Patience || !slices.ContainsFunc(v.Probers, alive):
 				if p := j.probers(zone, here, alive, int(unix/1000)); len(p) > 0 { // they see too little, or are gone
 					// Danger: where nothing may be repeated, a zone that is probed by what may be would never be seen again.
-					next[key] = Verdict{State: Probing, Since: unix, Fails: v.Fails, Probes: v.Probes, Why: v.Why, Probers: p,
-						Any: v.Any || age > j.cfg.Patience, Partial: v.Partial}
+					next[key] = Status{State: Probing, Since: unix, FailedProbes: v.FailedProbes, Probes: v.Probes, Reason: v.Reason, Probers: p,
+						AnyRequest: v.AnyRequest || age > j.cfg.Patience, Partial: v.Partial}
 				}
 			}
 		case Returning:
 			s, _, bad := j.ill(zone, now, since+bucket, here)
 			switch {
 			case bad:
-				next[key] = Verdict{State: Out, Since: unix, Fails: v.Fails + 1, Why: "ill on its return: " + s.String(), Partial: s.partial()}
+				next[key] = Status{State: Evacuated, Since: unix, FailedProbes: v.FailedProbes + 1, Reason: "ill on its return: " + s.String(), Partial: s.partial()}
 			case age > 2*j.cfg.Ramp:
 				delete(next, key)
 			}
@@ -436,14 +436,14 @@
 // wait is how long a zone is left alone before it is probed. A probe that failed cost two fetches, a return many: so it
 // grows by half after the one, and threefold after the other; jittered, so that zones that were lost together are not
 // looked at together.
-func (j *Judge) wait(key string, v Verdict) time.Duration {
-	again := float64(j.cfg.Again) * math.Pow(3, float64(min(v.Fails, 6))) * math.Pow(1.5, float64(min(v.Probes, 12)))
+func (j *Detector) wait(key string, v Status) time.Duration {
+	again := float64(j.cfg.Again) * math.Pow(3, float64(min(v.FailedProbes, 6))) * math.Pow(1.5, float64(min(v.Probes, 12)))
 	jitter := float64(xxhash.Sum64String(fmt.Sprint(key, v.Since))%1000) / 1000 // the same, whoever asks
 	return time.Duration(min(float64(j.cfg.MostAgain), again) * (1 + 0.2*jitter))
 }
 
 // probers chooses one gateway to look, in turns: one of the zone itself if it has any, as that has the shortest way.
-func (j *Judge) probers(zone string, here []string, alive func(string) bool, turn int) []string {
+func (j *Detector) probers(zone string, here []string, alive func(string) bool, turn int) []string {
 	var all []string
 	for _, g := range here {
 		if alive(g) {
@@ -467,7 +467,7 @@
 }
 
 // left counts the zones that the gateways of one do not all send to.
-func left(v Verdicts, from string, zones []string) (n int) {
+func left(v Statuses, from string, zones []string) (n int) {
 	for _, to := range zones {
 		if w, ok := v.For(from, to); ok && w.State != Returning {
 			n++
@@ -477,7 +477,7 @@
 }
 
 // together tells whether a zone's region is lost as one, of which all zones are, and that are half of all at most.
-func (j *Judge) together(zone string, zones []string, lost func(string) bool) bool {
+func (j *Detector) together(zone string, zones []string, lost func(string) bool) bool {
 	region, same := j.regions[zone], 0
 	for _, o := range zones {
 		if region != "" && j.regions[o] == region {
@@ -490,8 +490,8 @@
 }
 
 // leave finds zones that are ill, for all or for the gateways of one zone.
-func (j *Judge) leave(now time.Duration, unix int64, next Verdicts, zones []string) {
-	most := j.cfg.MostOut
+func (j *Detector) leave(now time.Duration, unix int64, next Statuses, zones []string) {
+	most := j.cfg.MaxEvacuated
 	if most == 0 {
 		most = max(len(zones)/3, min(1, len(zones)-1))
 	}
@@ -506,7 +506,10 @@
 		}
 	}
 	for _, z := range slices.Sorted(maps.Keys(ill)) {
-		lost := func(o string) bool { _, bad := ill[o]; return bad || next[o].State == Out || next[o].State == Probing }
+		lost := func(o string) bool {
+			_, bad := ill[o]
+			return bad || next[o].State == Evacuated || next[o].State == Probing
+		}
 		if out >= most && !(out < len(zones)/2 && j.together(z, zones, lost)) {
 			continue // the best of the bad is used
 		}
@@ -516,8 +519,8 @@
 		if _, full := j.full(zones, next, "", now, j.all); full && ill[z].partial() {
 			continue // it bears what the others can't
 		}
-		next[z] = Verdict{State: Out, Since: unix, Why: ill[z].String(), Partial: ill[z].partial()}
-		maps.DeleteFunc(next, func(key string, _ Verdict) bool { from, to := split(key); return from != "" && to == z })
+		next[z] = Status{State: Evacuated, Since: unix, Reason: ill[z].String(), Partial: ill[z].partial()}
+		maps.DeleteFunc(next, func(key string, _ Status) bool { from, to := split(key); return from != "" && to == z })
 		out++
 	}
 	// The way from one zone to another, where others see that the servers there are well.
@@ -535,7 +538,7 @@
 			}
 			others := j.sum(to, since, slowTimes, slices.DeleteFunc(slices.Clone(j.all), func(g string) bool { return j.homes[g] == from }))
 			if float64(s.bad) >= illWay*float64(s.bad+s.good) && others.good > 2*others.bad && j.restIsWell(zones, next, from, since, here, s, func(z string) bool { return z == to }) {
-				next[from+">"+to] = Verdict{State: Out, Since: unix, Partial: s.partial(), Why: "the way from " + from + ": " + s.String()}
+				next[from+">"+to] = Status{State: Evacuated, Since: unix, Partial: s.partial(), Reason: "the way from " + from + ": " + s.String()}
 				gone++
 			}
 		}
@@ -546,7 +549,7 @@
 //
 // Danger: where all zones are ill it is something that they share, and to leave one would help nobody and load the others;
 // so they have to be well, and not only a little less ill.
-func (j *Judge) restIsWell(zones []string, v Verdicts, from string, since time.Duration, who []string,
+func (j *Detector) restIsWell(zones []string, v Statuses, from string, since time.Duration, who []string,
 	ill sum, but func(zone string) bool) bool {
 	times := restTimes // of a zone that answers nothing, the load that moved makes the others slow
 	if ill.slow == 0 {
--- a/internal/fleet/zone/zone_test.go
+++ b/internal/fleet/zone/zone_test.go
@@ -15,7 +15,7 @@
 
 // world plays gateways that report what they see of zones, on a virtual clock.
 type world struct {
-	j        *Judge
+	j        *Detector
 	rng      *rand.Rand
 	now      time.Duration
 	zones    []string
@@ -27,13 +27,13 @@
 	slow     func(zone string) float64          // times as long as usual
 	turned   func(zone string) float64          // share that servers turn away
 	dead     map[string]bool
-	v        Verdicts
+	v        Statuses
 	leaves   int
 	sent     map[string]int // to each zone
 }
 
 func newWorld(seed uint64, zones, each int, rate float64) *world {
-	w := &world{j: New(Standard), rng: rand.New(rand.NewPCG(seed, 1)), rate: rate, home: map[string]string{}, v: Verdicts{},
+	w := &world{j: New(Defaults), rng: rand.New(rand.NewPCG(seed, 1)), rate: rate, home: map[string]string{}, v: Statuses{},
 		bad: func(string, string) float64 { return 0 }, slow: func(string) float64 { return 1 },
 		turned: func(string) float64 { return 0 }, dead: map[string]bool{}, sent: map[string]int{}}
 	for z := range zones {
@@ -56,33 +56,33 @@
 			if w.dead[g] {
 				continue
 			}
-			delta := fleet.Report{Zones: map[string]fleet.Count{}}
+			delta := fleet.Report{Zones: map[string]fleet.AttemptCounts{}}
 			for _, z := range w.zones {
 				n := w.rate / 5
-				if v, ok := w.v.For(w.home[g], z); ok && (v.State == Out || v.State == Probing && !slices.Contains(v.Probers, g)) {
+				if v, ok := w.v.For(w.home[g], z); ok && (v.State == Evacuated || v.State == Probing && !slices.Contains(v.Probers, g)) {
 					continue
 				}
-				var c fleet.Count
+				var c fleet.AttemptCounts
 				for ; n > 0 && w.rng.Float64() < n; n-- {
-					c.Tries++
+					c.Attempts++
 					w.sent[z]++
 					if w.rng.Float64() < w.turned(z) {
-						c.Turned++
+						c.Rejected++
 					} else if w.rng.Float64() < w.bad(g, z) {
-						c.Silent++
+						c.TimedOut++
 					} else {
 						c.Served++
-						c.Micros += uint64(60_000 * w.slow(z) * w.rng.ExpFloat64())
+						c.LatencyMicros += uint64(60_000 * w.slow(z) * w.rng.ExpFloat64())
 					}
 				}
 				delta.Zones[z] = c
 			}
-			w.j.Seen(w.now, g, w.home[g], w.region[w.home[g]], delta)
+			w.j.Observe(w.now, g, w.home[g], w.region[w.home[g]], delta)
 		}
-		next, moved := w.j.Judge(w.now, w.unix(), w.v, func(g string) bool { return !w.dead[g] })
+		next, moved := w.j.Evaluate(w.now, w.unix(), w.v, func(g string) bool { return !w.dead[g] })
 		if moved {
 			for key, v := range next {
-				if old, ok := w.v[key]; v.State == Out && (!ok || old.State == Returning) { // a probe that failed leaves nothing
+				if old, ok := w.v[key]; v.State == Evacuated && (!ok || old.State == Returning) { // a probe that failed leaves nothing
 					w.leaves++
 				}
 			}
@@ -109,7 +109,7 @@
 		w.run(10 * time.Second)
 		w.bad = ill("b")
 		w.run(2 * time.Second)
-		if v := w.v["b"]; v.State != Out || len(w.v) != 1 {
+		if v := w.v["b"]; v.State != Evacuated || len(w.v) != 1 {
 			t.Fatalf("%d gateways: after 2 s: %+v", len(w.gateways), w.v)
 		}
 		before := w.sent["b"]
@@ -162,7 +162,7 @@
 		return 0
 	}
 	w.run(3 * time.Second)
-	if w.v["a>b"].State != Out || w.v["b>a"].State != Out || len(w.v) != 2 {
+	if w.v["a>b"].State != Evacuated || w.v["b>a"].State != Evacuated || len(w.v) != 2 {
 		t.Fatalf("%+v", w.v)
 	}
 	if _, ok := w.v.For("c", "b"); ok {
@@ -245,7 +245,7 @@
 	w.run(10 * time.Second)
 	w.bad = ill("b")
 	w.run(20 * time.Second)
-	if v := w.v["b"]; v.State != Out && v.State != Probing {
+	if v := w.v["b"]; v.State != Evacuated && v.State != Probing {
 		t.Fatalf("%+v", w.v)
 	}
 	w.bad, w.slow = ill(""), func(z string) float64 {
@@ -254,7 +254,7 @@
 		}
 		return 1
 	}
-	w.j.Starts(map[string]int64{"b": w.unix()})
+	w.j.SetServerStarts(map[string]int64{"b": w.unix()})
 	w.run(5 * time.Second)
 	if v := w.v["b"]; v.State != Returning {
 		t.Errorf("5 s after its servers began: %+v", v)
@@ -341,12 +341,12 @@
 		silent bool
 		full   time.Duration // of the trouble, when the others are full
 		want   State
-	}{{false, 0, ""}, {false, 5 * time.Second, Returning}, {true, 0, Out}, {true, 5 * time.Second, Out}} {
+	}{{false, 0, ""}, {false, 5 * time.Second, Returning}, {true, 0, Evacuated}, {true, 5 * time.Second, Evacuated}} {
 		w := newWorld(10, 3, 2, 24)
 		w.run(30 * time.Second)
 		full := func() {
 			w.turned = func(z string) float64 {
-				if z == "b" && w.v["b"].State == Out {
+				if z == "b" && w.v["b"].State == Evacuated {
 					return 0
 				}
 				return 0.2
@@ -368,7 +368,7 @@
 		}
 		w.run(2500 * time.Millisecond)
 		if c.full > 0 {
-			if v := w.v["b"]; v.State != Out {
+			if v := w.v["b"]; v.State != Evacuated {
 				t.Fatalf("%+v: not left: %+v", c, v)
 			}
 			full()
@@ -387,7 +387,7 @@
 		want int
 	}{{"bc", 2}, {"bd", 1}, {"bcd", 2}, {"b", 1}} {
 		w := newWorld(12, 6, 2, 20)
-		w.j.cfg.MostOut = 1
+		w.j.cfg.MaxEvacuated = 1
 		w.region = map[string]string{"a": "north", "b": "south", "c": "south", "d": "west", "e": "west", "f": "north"}
 		w.run(10 * time.Second)
 		w.bad = func(_, z string) float64 {
