--- a/cmd/dewhitch/books.go
+++ b/cmd/dewhitch/books.go
@@ -13,7 +13,7 @@
 	"dewhitch/internal/forward"
 	"dewhitch/internal/front/platform"
 	"dewhitch/internal/ledger"
-	"dewhitch/internal/ledger/desk"
+	"dewhitch/internal/ledger/recorder"
 	"dewhitch/internal/ledger/store"
 	"dewhitch/internal/operator"
 )
@@ -30,15 +30,15 @@
 // keeping is the ledger of a running program: the desk, its store and the operators' listener, each perhaps off.
 type keeping struct {
 	books books
-	desk  *desk.Desk   // nil: no books are kept
-	store *store.Store // nil: they are kept in memory alone
+	desk  *recorder.Recorder // nil: no books are kept
+	store *store.Store       // nil: they are kept in memory alone
 	stop  context.CancelFunc
 	done  sync.WaitGroup
 }
 
 // keepBooks opens the books as the operators' file says. A folder that can't be used is no reason not to serve.
 func keepBooks(o *config.Operations, node, role string, names ledger.Names, log *zap.Logger) (*keeping, error) {
-	k := &keeping{books: desk.Nobody{}, stop: func() {}}
+	k := &keeping{books: recorder.Discard{}, stop: func() {}}
 	if !o.Ledger.Enabled {
 		return k, nil
 	}
@@ -60,13 +60,13 @@
 			}
 		}
 	}
-	options := desk.Options{Limits: limits, Names: names, Patience: bookPatience, Audit: o.Ledger.Audit,
+	options := recorder.Options{Limits: limits, Names: names, Patience: bookPatience, Audit: o.Ledger.Audit,
 		Statement: o.Ledger.Statement, AlarmFile: o.Ledger.AlarmFile, Log: log}
 	if k.store != nil {
-		k.desk = desk.New(l, known, k.store, options)
+		k.desk = recorder.New(l, known, k.store, options)
 		k.desk.State() // the repair is on the disk before anything new is booked
 	} else {
-		k.desk = desk.New(ledger.New(limits, false), known, nil, options)
+		k.desk = recorder.New(ledger.New(limits, false), known, nil, options)
 	}
 	k.books = k.desk
 	ctx, stop := context.WithCancel(context.Background())
--- a/cmd/dewhitch/fleet.go
+++ b/cmd/dewhitch/fleet.go
@@ -22,11 +22,11 @@
 	"dewhitch/internal/config"
 	"dewhitch/internal/core"
 	"dewhitch/internal/fleet/agent"
-	"dewhitch/internal/fleet/find"
+	"dewhitch/internal/fleet/evacuation"
 	"dewhitch/internal/fleet/gossip"
-	"dewhitch/internal/fleet/ramp"
-	"dewhitch/internal/fleet/work"
-	"dewhitch/internal/fleet/zone"
+	"dewhitch/internal/fleet/maintenance"
+	"dewhitch/internal/fleet/memberregistry"
+	"dewhitch/internal/fleet/slowstart"
 )
 
 // openFleet takes part in a fleet, where a file says so.
@@ -46,10 +46,10 @@
 		}
 		g.acts <- a
 	}
-	cold := ramp.Config{Start: g.n.Settings.StartCapacity, Span: time.Duration(g.n.Settings.SlowStartSpan)}
-	judge := zone.Defaults
+	cold := slowstart.Config{Start: g.n.Settings.StartCapacity, Span: time.Duration(g.n.Settings.SlowStartSpan)}
+	judge := evacuation.Defaults
 	judge.MaxEvacuated = g.f.MostZones
-	a, err := agent.Open(agent.Options{Maintenance: work.Defaults, OnDecisions: follow, Drain: g.state.DrainItself, Quiesced: g.quiet, Zones: judge, SlowStart: cold, Voters: g.f.Voters, Dir: g.f.Dir, Lease: g.f.Lease, Status: g.f.Status, Log: g.log,
+	a, err := agent.Open(agent.Options{Maintenance: maintenance.Defaults, OnDecisions: follow, Drain: g.state.DrainItself, Quiesced: g.quiet, Zones: judge, SlowStart: cold, Voters: g.f.Voters, Dir: g.f.Dir, Lease: g.f.Lease, Status: g.f.Status, Log: g.log,
 		Gossip: gossip.Options{Fleet: g.f.Name, Name: g.n.Name, Listen: g.f.Listen, Peers: g.f.Peers, Seeds: g.f.Seeds,
 			Keyring: g.f.Keyring, Metadata: gossip.Metadata{Zone: own, Region: g.f.Region, Number: g.n.Settings.Self, Version: version,
 				Role: "gateway"}}})
@@ -64,7 +64,7 @@
 // findMembers has members find one another by the registry, where the fleet's file names one.
 func (g *gateway) findMembers(ctx context.Context) error {
 	r := g.f.Registry
-	return find.Run(ctx, find.Options{Servers: r.Servers, Path: r.Path, Session: r.Session, Name: g.n.Name, Address: g.f.Listen,
+	return memberregistry.Run(ctx, memberregistry.Options{Servers: r.Servers, Path: r.Path, Session: r.Session, Name: g.n.Name, Address: g.f.Listen,
 		Log: g.log}, g.fleet.AddCandidates)
 }
 
@@ -80,10 +80,10 @@
 func (w *watcher) RequestReceived() { w.agent.Tally().RequestReceived() }
 
 func (w *watcher) EndpointsChanged(entries []dw.Endpoint) {
-	var servers []ramp.Server
+	var servers []slowstart.Server
 	for _, e := range entries {
 		if e.State == dw.Ready && e.Zone < len(w.zones) {
-			servers = append(servers, ramp.Server{ID: uint32(e.ID), Zone: w.zones[e.Zone], Since: int64(e.StartedAt) / 1e6})
+			servers = append(servers, slowstart.Server{ID: uint32(e.ID), Zone: w.zones[e.Zone], Since: int64(e.StartedAt) / 1e6})
 		}
 	}
 	w.agent.EndpointsChanged(servers)
@@ -107,8 +107,8 @@
 		case <-ctx.Done():
 			return nil
 		case a := <-g.acts:
-			v := zone.Statuses{}
-			if _, err := a.Plan.Section(zone.Section, &v); err != nil {
+			v := evacuation.Statuses{}
+			if _, err := a.Plan.Section(evacuation.Section, &v); err != nil {
 				g.log.Error("the fleet's verdicts can't be read: the last ones hold", zap.Error(err))
 				continue
 			}
@@ -132,7 +132,7 @@
 }
 
 // uses is what verdicts say to one gateway. A start in its future, by a leader whose clock is ahead, is taken for now.
-func uses(v zone.Statuses, zones []string, own int, name string, now dw.Instant) map[int]core.ZoneUse {
+func uses(v evacuation.Statuses, zones []string, own int, name string, now dw.Instant) map[int]core.ZoneUse {
 	from := ""
 	if own < len(zones) {
 		from = zones[own]
@@ -145,9 +145,9 @@
 		}
 		since := min(now, core.FromUnixMS(w.Since))
 		switch {
-		case w.State == zone.Returning:
+		case w.State == evacuation.Returning:
 			uses[i] = core.ZoneUse{StartedAt: since}
-		case w.State == zone.Probing && slices.Contains(w.Probers, name):
+		case w.State == evacuation.Probing && slices.Contains(w.Probers, name):
 			uses[i] = core.ZoneUse{StartedAt: since, HealthCheck: dw.HealthCheckIdempotent}
 			if w.AnyRequest {
 				uses[i] = core.ZoneUse{StartedAt: since, HealthCheck: dw.HealthCheckAny}
@@ -296,7 +296,7 @@
 }
 
 func (z fleetZones) Run() error {
-	v := zone.Statuses{}
+	v := evacuation.Statuses{}
 	if done, err := cli.Members.read("/fleet/zones", z.JSON, &v); done || err != nil {
 		return err
 	}
--- a/cmd/dewhitch/gateway.go
+++ b/cmd/dewhitch/gateway.go
@@ -15,6 +15,7 @@
 	dw "dewhitch"
 	"dewhitch/internal/admin"
 	"dewhitch/internal/backend"
+	"dewhitch/internal/classtable"
 	"dewhitch/internal/config"
 	"dewhitch/internal/core"
 	"dewhitch/internal/counter"
@@ -28,7 +29,6 @@
 	"dewhitch/internal/ledger/statement"
 	"dewhitch/internal/ops"
 	"dewhitch/internal/registry"
-	"dewhitch/internal/retune"
 	"dewhitch/internal/shutdown"
 	"dewhitch/internal/telemetry"
 )
@@ -103,7 +103,7 @@
 
 // openFigures opens the books and the counts.
 func (g *gateway) openFigures() (err error) {
-	g.classes, g.n.Settings.Classes = retune.Spared(g.n.Names.Classes, g.n.Settings.Classes)
+	g.classes, g.n.Settings.Classes = classtable.Spared(g.n.Names.Classes, g.n.Settings.Classes)
 	names := ledger.Names{Plans: g.n.Names.Plans, Classes: g.classes}
 	g.state, g.figures, g.metrics = &ops.State{}, &ops.Figures{}, telemetry.New()
 	g.figures.Classes(g.n.Names.Classes)
--- a/cmd/dewhitch/uses_test.go
+++ b/cmd/dewhitch/uses_test.go
@@ -6,13 +6,13 @@
 
 	dw "dewhitch"
 	"dewhitch/internal/core"
-	"dewhitch/internal/fleet/zone"
+	"dewhitch/internal/fleet/evacuation"
 )
 
 func TestUsesOfVerdicts(t *testing.T) {
 	zones := []string{"hall-a", "hall-b", "hall-c"}
-	v := zone.Statuses{"hall-b": {State: zone.Probing, Probers: []string{"n1"}, Since: 5}, "hall-a>hall-c": {State: zone.Evacuated},
-		"hall-c": {Hold: true, State: zone.Returning}}
+	v := evacuation.Statuses{"hall-b": {State: evacuation.Probing, Probers: []string{"n1"}, Since: 5}, "hall-a>hall-c": {State: evacuation.Evacuated},
+		"hall-c": {Hold: true, State: evacuation.Returning}}
 	since := core.FromUnixMS(5)
 	for _, c := range []struct {
 		own  int
--- a/cmd/dewhitch/warm.go
+++ b/cmd/dewhitch/warm.go
@@ -12,7 +12,7 @@
 	"dewhitch/internal/core"
 	"dewhitch/internal/ops"
 	"dewhitch/internal/snapshot"
-	"dewhitch/internal/warm"
+	"dewhitch/internal/warmstart"
 )
 
 // warmth takes over what the process before this one had learnt, and keeps what this one learns for the next. A folder
@@ -48,7 +48,7 @@
 	if found.Image != nil {
 		learnt, dropped, err := snapshot.Fit(found.Image, &k.image)
 		if err == nil {
-			if age = time.Since(p.Time(learnt.At)); warm.Trust(age.Seconds()) == 0 {
+			if age = time.Since(p.Time(learnt.At)); warmstart.Trust(age.Seconds()) == 0 {
 				err = fmt.Errorf("%s old", age)
 			}
 		}
--- a/cmd/dewhitch/work.go
+++ b/cmd/dewhitch/work.go
@@ -13,7 +13,7 @@
 
 	"github.com/alecthomas/kong"
 
-	"dewhitch/internal/fleet/work"
+	"dewhitch/internal/fleet/maintenance"
 )
 
 // workCmd is about machines out for work.
@@ -60,16 +60,16 @@
 }
 
 func (p workPlan) Run() error {
-	servers := map[string]work.Server{}
+	servers := map[string]maintenance.Server{}
 	if _, err := cli.Members.read("/fleet/servers", false, &servers); err != nil {
 		return err
 	}
 	if len(p.Machines) == 0 {
 		p.Machines = slices.Sorted(maps.Keys(servers))
 	}
-	cfg := work.Defaults
+	cfg := maintenance.Defaults
 	cfg.SlowStart = p.Cold
-	a, err := work.Simulate(cfg, servers, work.Command{By: "plan", Reason: "plan", Key: "plan", Kind: work.Restart, ForMS: p.For.Milliseconds(),
+	a, err := maintenance.Simulate(cfg, servers, maintenance.Command{By: "plan", Reason: "plan", Key: "plan", Kind: maintenance.Restart, ForMS: p.For.Milliseconds(),
 		Machines: p.Machines}, p.Load, p.Start)
 	if err != nil {
 		return err
@@ -119,7 +119,7 @@
 }
 
 func (l workList) Run() error {
-	var b work.Schedule
+	var b maintenance.Schedule
 	if done, err := cli.Members.read("/fleet/work", l.JSON, &b); done || err != nil {
 		return err
 	}
--- a/counting.go
+++ b/counting.go
@@ -96,7 +96,7 @@
 func (c *customer) phase() Instant { return Instant(uint64(c.id) % uint64(c.window)) }
 
 // mayCall paces the calls to the counter, which all gateways share.
-func (g *Gateway) mayCall() bool { return g.calls.Ready(int64(g.now)) }
+func (g *Gateway) mayCall() bool { return g.calls.Allow(int64(g.now)) }
 
 // count makes a call that adds the tally of c to the counter.
 func (g *Gateway) count(c *customer) {
@@ -110,7 +110,7 @@
 	c.asking, c.asks = c.asks, nil
 	c.lastPush, c.period = g.now, g.now+Instant(c.window)/pushesAWindow
 	g.names[name] = c
-	g.calls.Called()
+	g.calls.Spend()
 	g.acts = append(g.acts, CounterAdd{Name: name, Customer: c.id, Add: c.adding, TTL: min(maxWindow, 2*c.window)})
 }
 
@@ -136,7 +136,7 @@
 			g.queue(c, false)
 		}
 	}
-	g.calls.Answered(e.Outcome == OutcomeOK, seconds(e.Latency))
+	g.calls.Observe(e.Outcome == OutcomeOK, seconds(e.Latency))
 	g.release(c, e.Outcome == OutcomeOK)
 	if len(c.asks) > 0 {
 		g.queue(c, true)
--- a/gateway.go
+++ b/gateway.go
@@ -8,7 +8,7 @@
 	"slices"
 	"strconv"
 
-	"dewhitch/internal/pace"
+	"dewhitch/internal/ratelimit"
 )
 
 // The tuned values. Each is relative to something the settings tell.
@@ -78,7 +78,7 @@
 	pushes                    []*customer // those with something to push or to ask
 	started                   bool
 	startAt                   Instant
-	calls                     *pace.Pacer // of the counter, which all gateways share
+	calls                     *ratelimit.Limiter // of the counter, which all gateways share
 	names                     map[string]*customer
 	budget                    float64
 	latency                   float64 // smoothed, over all servers
@@ -103,7 +103,7 @@
 		names: map[string]*customer{}, suspects: map[*server]bool{}, outs: make([]int, len(s.Classes)),
 		outAt: make([]Instant, len(s.Classes)), cut: map[int]float64{}, minAim: s.Classes[0].Objective,
 		budget: retryBurst,
-		worth:  max(s.Classes[0].Weight, minPoints), calls: pace.New(seconds(s.CounterTimeout), s.Instances)}
+		worth:  max(s.Classes[0].Weight, minPoints), calls: ratelimit.New(seconds(s.CounterTimeout), s.Instances)}
 	for _, c := range s.Classes {
 		g.sizes, g.sized = append(g.sizes, 1), append(g.sized, sizeGuess)
 		g.minAim = min(g.minAim, c.Objective)
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -14,18 +14,18 @@
 // "Exponential Backoff And Jitter", 2015).
 type Backoff struct {
 	First time.Duration // bound of the first wait
-	Most  time.Duration // of the last
+	Max   time.Duration // of the last
 	// The same where the service said that it is overloaded: there are more callers than it bears.
-	BusyFirst, Busy time.Duration
-	Rand            *rand.Rand
-	bound           time.Duration
+	BusyFirst, BusyMax time.Duration
+	Rand               *rand.Rand
+	bound              time.Duration
 }
 
 // Next is the next wait, after a failure; busy: the service answered, and turned the call away.
 func (b *Backoff) Next(busy bool) time.Duration {
-	first, most := b.First, b.Most
+	first, most := b.First, b.Max
 	if busy {
-		first, most = max(first, b.BusyFirst), b.Busy
+		first, most = max(first, b.BusyFirst), b.BusyMax
 	}
 	b.bound = min(most, max(first, 2*b.bound))
 	return time.Duration(b.Rand.Int64N(int64(b.bound) + 1))
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -14,7 +14,7 @@
 	var due [callers]time.Duration
 	var all [callers]Backoff
 	for i := range all {
-		all[i] = Backoff{First: 100 * time.Millisecond, BusyFirst: 2 * time.Second, Busy: 8 * time.Second,
+		all[i] = Backoff{First: 100 * time.Millisecond, BusyFirst: 2 * time.Second, BusyMax: 8 * time.Second,
 			Rand: rand.New(rand.NewPCG(1, uint64(i)))}
 	}
 	var served []time.Duration
@@ -47,7 +47,7 @@
 }
 
 func TestBounds(t *testing.T) {
-	b := Backoff{First: 100, Most: 400, BusyFirst: 100, Busy: 1000, Rand: rand.New(rand.NewPCG(1, 1))}
+	b := Backoff{First: 100, Max: 400, BusyFirst: 100, BusyMax: 1000, Rand: rand.New(rand.NewPCG(1, 1))}
 	longest := func(busy bool) (most time.Duration) {
 		for range 1000 {
 			most = max(most, b.Next(busy))
--- a/internal/retune/retune.go
+++ b/internal/classtable/retune.go
@@ -1,10 +1,10 @@
-// Package retune owns the table of class names that the fronts read reqs by: which of the module's classes a name's
+// Package classtable owns the table of class names that the fronts read reqs by: which of the module's classes a name's
 // reqs go under, as settings are read anew while the gateway runs. It does no I/O and reads no clock.
 //
 // The module keeps the classes of its start, as its quota state, what it knows of servers and its open reqs depend on
 // them. A class that later settings name goes under one of those whose rules are at least as strict as its own, so that
 // no rule of the new class is broken by following the old one.
-package retune
+package classtable
 
 import (
 	"math"
--- a/internal/retune/retune_test.go
+++ b/internal/classtable/retune_test.go
@@ -1,4 +1,4 @@
-package retune
+package classtable
 
 import (
 	"fmt"
--- a/internal/counter/counter.go
+++ b/internal/counter/counter.go
@@ -17,9 +17,9 @@
 
 	dw "dewhitch"
 	"dewhitch/internal/core"
+	"dewhitch/internal/dynaddr"
 	"dewhitch/internal/http1"
 	"dewhitch/internal/ledger"
-	"dewhitch/internal/moving"
 )
 
 const (
@@ -42,7 +42,7 @@
 	log   *zap.Logger
 	books Books
 	lines [lines]line
-	where *moving.Address
+	where *dynaddr.Address
 }
 
 // line is one connection at a time and the calls that go over it.
@@ -88,7 +88,7 @@
 
 // New makes a client; Run makes it work.
 func New(addr string, limit, dial time.Duration, b Books, log *zap.Logger) *Client {
-	c := &Client{where: moving.At(addr), limit: limit, dial: dial, log: log, books: b}
+	c := &Client{where: dynaddr.New(addr), limit: limit, dial: dial, log: log, books: b}
 	for i := range c.lines {
 		c.lines[i].calls = make(chan *call, queued)
 	}
@@ -148,7 +148,7 @@
 			case first = <-l.calls:
 			}
 		}
-		addr, moved := c.where.Now()
+		addr, moved := c.where.Current()
 		conn, err := (&net.Dialer{Timeout: c.dial}).DialContext(ctx, "tcp", addr)
 		if err != nil {
 			select {
--- a/internal/counter/counter_test.go
+++ b/internal/counter/counter_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	dw "dewhitch"
-	"dewhitch/internal/ledger/desk"
+	"dewhitch/internal/ledger/recorder"
 )
 
 // scripted is a connection whose reads are told beforehand.
@@ -33,7 +33,7 @@
 func TestYoungCallOnAnIdleLine(t *testing.T) {
 	out := make(chan *call, 1)
 	var outcome atomic.Int32
-	k := &call{books: desk.Nobody{}, timer: time.NewTimer(time.Hour), at: time.Now(), done: func(o dw.Outcome, _ float64) { outcome.Store(int32(o) + 1) }}
+	k := &call{books: recorder.Discard{}, timer: time.NewTimer(time.Hour), at: time.Now(), done: func(o dw.Outcome, _ float64) { outcome.Store(int32(o) + 1) }}
 	k.state.Store(written)
 	read(&scripted{reads: []func() (string, error){
 		func() (string, error) { out <- k; return "", os.ErrDeadlineExceeded },
--- a/internal/counter/golden_test.go
+++ b/internal/counter/golden_test.go
@@ -16,7 +16,7 @@
 	"dewhitch/internal/core"
 	"dewhitch/internal/golden"
 	"dewhitch/internal/http1"
-	"dewhitch/internal/ledger/desk"
+	"dewhitch/internal/ledger/recorder"
 	"dewhitch/internal/standin"
 )
 
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	c := New(l.Addr(), 20*time.Second, 20*time.Second, desk.Nobody{}, zap.NewNop())
+	c := New(l.Addr(), 20*time.Second, 20*time.Second, recorder.Discard{}, zap.NewNop())
 	ctx, stop := context.WithCancel(context.Background())
 	over := make(chan error)
 	go func() { over <- c.Run(ctx) }()
--- a/internal/discovery/discovery.go
+++ b/internal/discovery/discovery.go
@@ -13,7 +13,7 @@
 
 	"dewhitch/internal/backoff"
 	"dewhitch/internal/core"
-	"dewhitch/internal/moving"
+	"dewhitch/internal/dynaddr"
 )
 
 const (
@@ -51,14 +51,14 @@
 	older    time.Time     // when the first of a row of older lists came; zero: the last was none
 	again    backoff.Backoff
 	now      func() time.Time
-	where    *moving.Address
+	where    *dynaddr.Address
 }
 
 // New makes a client; listed is called for each message, in order. The seed scatters when it asks again.
 func New(addr string, d *Decoder, listed func(core.EndpointUpdate) error, seed uint64, log *zap.Logger) *Client {
-	return &Client{First: make(chan struct{}), where: moving.At(addr), decoder: d, view: newView(d), listed: listed, log: log, monitor: noMonitor{},
+	return &Client{First: make(chan struct{}), where: dynaddr.New(addr), decoder: d, view: newView(d), listed: listed, log: log, monitor: noMonitor{},
 		patience: answerTime, silence: silence, now: time.Now,
-		again: backoff.Backoff{First: backoffFrom, Most: backoffTo, Busy: backoffTo, Rand: rand.New(rand.NewPCG(seed, 2))}}
+		again: backoff.Backoff{First: backoffFrom, Max: backoffTo, BusyMax: backoffTo, Rand: rand.New(rand.NewPCG(seed, 2))}}
 }
 
 // Shared says that one discovery service serves all of so many gateways, each of which asks it on its own, and whether the
@@ -73,7 +73,7 @@
 	span := min(time.Duration(gateways)*askEvery, mostScatter)
 	d.have, d.revision, d.patience = have, revision, lineTime
 	d.scatter = time.Duration(d.again.Rand.Int64N(int64(span)))
-	d.again.BusyFirst, d.again.Busy = span/2, max(backoffTo, 2*span)
+	d.again.BusyFirst, d.again.BusyMax = span/2, max(backoffTo, 2*span)
 }
 
 // Move has the list read at another address from now on, all of it: what the old one had is a past of its own.
@@ -87,7 +87,7 @@
 	case <-time.After(d.scatter):
 	}
 	for ctx.Err() == nil {
-		addr, moved := d.where.Now()
+		addr, moved := d.where.Current()
 		if at != "" && addr != at {
 			d.again.Reset()
 			// Danger: revisions of two agents need not match, and a watch since the old one's would miss changes, or
--- a/internal/discovery/orders_test.go
+++ b/internal/discovery/orders_test.go
@@ -121,7 +121,7 @@
 		b.told <- l
 		return nil
 	}, 1, zap.NewNop())
-	b.again.First, b.again.Most = time.Millisecond, time.Millisecond
+	b.again.First, b.again.Max = time.Millisecond, time.Millisecond
 	t.Cleanup(l.Close)
 	return b
 }
@@ -201,7 +201,7 @@
 			t.Parallel()
 			b := newBed(t, c.answers...)
 			b.silence, b.patience = time.Second, time.Second // the bed answers at once or not at all
-			b.again.BusyFirst, b.again.Busy = time.Millisecond, time.Millisecond
+			b.again.BusyFirst, b.again.BusyMax = time.Millisecond, time.Millisecond
 			b.follow(t, c.told...)
 			b.mu.Lock()
 			defer b.mu.Unlock()
@@ -257,7 +257,7 @@
 	old := b.listed
 	b.listed = func(l core.EndpointUpdate) error {
 		if l.List.Version == 41 {
-			addr, _ := next.where.Now()
+			addr, _ := next.where.Current()
 			b.Move(addr)
 		}
 		return old(l)
--- a/internal/moving/moving.go
+++ b/internal/dynaddr/moving.go
@@ -1,5 +1,5 @@
-// Package moving has the address of a service that operators may move while others use it.
-package moving
+// Package dynaddr has the address of a service that operators may move while others use it.
+package dynaddr
 
 import "sync"
 
@@ -10,8 +10,8 @@
 	moved chan struct{} // closed by Move
 }
 
-// At is an address that has not moved yet.
-func At(addr string) *Address { return &Address{addr: addr, moved: make(chan struct{})} }
+// New is an address that has not moved yet.
+func New(addr string) *Address { return &Address{addr: addr, moved: make(chan struct{})} }
 
 // Move has all who ask from now on go to another address, and tells those who have asked.
 func (a *Address) Move(addr string) {
@@ -22,8 +22,8 @@
 	a.moved = make(chan struct{})
 }
 
-// Now is the address, and what is closed once it is another.
-func (a *Address) Now() (addr string, moved <-chan struct{}) {
+// Current is the address, and what is closed once it is another.
+func (a *Address) Current() (addr string, moved <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return a.addr, a.moved
--- a/internal/moving/moving_test.go
+++ b/internal/dynaddr/moving_test.go
@@ -1,17 +1,17 @@
-package moving
+package dynaddr
 
 import "testing"
 
 // Each move is told once to whoever asked before it, and to nobody who asked after.
 func TestMove(t *testing.T) {
-	a := At("one")
-	addr, first := a.Now()
+	a := New("one")
+	addr, first := a.Current()
 	if addr != "one" {
 		t.Fatal(addr)
 	}
 	a.Move("two")
 	<-first
-	addr, second := a.Now()
+	addr, second := a.Current()
 	if addr != "two" {
 		t.Fatal(addr)
 	}
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -18,11 +18,11 @@
 	"go.uber.org/zap"
 
 	"dewhitch/internal/fleet"
+	"dewhitch/internal/fleet/evacuation"
 	"dewhitch/internal/fleet/gossip"
-	"dewhitch/internal/fleet/ramp"
-	"dewhitch/internal/fleet/vault"
-	"dewhitch/internal/fleet/work"
-	"dewhitch/internal/fleet/zone"
+	"dewhitch/internal/fleet/maintenance"
+	"dewhitch/internal/fleet/slowstart"
+	"dewhitch/internal/fleet/voterstore"
 )
 
 // Options say how a process takes part in a fleet.
@@ -33,19 +33,19 @@
 	Lease       time.Duration
 	Status      time.Duration
 	Log         *zap.Logger
-	Maintenance work.Config     // work.Standard, or with what operators have of their own; without the cold time
-	Zones       zone.Config     // zone.Standard, or with what operators have of their own
-	SlowStart   ramp.Config     // the settings' words on cold servers, without the lease
-	Quiesced    func() bool     // it has sent its clients away, and none is left
-	Drain       func(on bool)   // this gateway should send its clients away, or not any more; it may not block
-	OnDecisions func(Decisions) // what is acted on from now on; it may not block
+	Maintenance maintenance.Config // work.Standard, or with what operators have of their own; without the cold time
+	Zones       evacuation.Config  // zone.Standard, or with what operators have of their own
+	SlowStart   slowstart.Config   // the settings' words on cold servers, without the lease
+	Quiesced    func() bool        // it has sent its clients away, and none is left
+	Drain       func(on bool)      // this gateway should send its clients away, or not any more; it may not block
+	OnDecisions func(Decisions)    // what is acted on from now on; it may not block
 }
 
 // Decisions is what a member acts on.
 type Decisions struct {
 	Plan      fleet.Plan
 	Withdrawn map[string]uint64 // machines that nothing new may be sent to, with their turn
-	SlowStart ramp.Grant        // of cold servers; empty where its lease is over
+	SlowStart slowstart.Grant   // of cold servers; empty where its lease is over
 }
 
 const (
@@ -74,19 +74,19 @@
 	ended       chan struct{}
 	hush        func() // ends the gossip; of Run
 	tally       *Tally
-	judge       *zone.Detector
-	feeder      *ramp.Allocator
-	order       *work.Scheduler
+	judge       *evacuation.Detector
+	feeder      *slowstart.Allocator
+	order       *maintenance.Scheduler
 	applied     atomic.Pointer[map[string]uint64] // the machines that nothing new is sent to any more
-	own         zone.SelfMonitor
-	drained     bool                          // by itself
-	turn        int                           // its place among the gateways of its zone
-	left        bool                          // the fleet has left its zone
-	out, wasOut bool                          // it has its own turn of work
-	rounds      time.Duration                 // when the feeder reckons next
-	fed         bool                          // it feeds any server
-	servers     atomic.Pointer[[]ramp.Server] // the list, as this process has it
-	ailing      time.Time                     // since then the folder could not be written to; zero: it can
+	own         evacuation.SelfMonitor
+	drained     bool                               // by itself
+	turn        int                                // its place among the gateways of its zone
+	left        bool                               // the fleet has left its zone
+	out, wasOut bool                               // it has its own turn of work
+	rounds      time.Duration                      // when the feeder reckons next
+	fed         bool                               // it feeds any server
+	servers     atomic.Pointer[[]slowstart.Server] // the list, as this process has it
+	ailing      time.Time                          // since then the folder could not be written to; zero: it can
 	said        time.Time
 }
 
@@ -114,11 +114,11 @@
 // Open opens a member; Run runs it.
 func Open(o Options) (*Agent, error) {
 	a := &Agent{o: o, began: time.Now(), inbox: make(chan []byte, inbox), members: make(chan change, inbox),
-		calls: make(chan func(), calls), ended: make(chan struct{}), saves: make(chan saveEnd, 1), tally: newTally(time.Now), judge: zone.New(o.Zones)}
+		calls: make(chan func(), calls), ended: make(chan struct{}), saves: make(chan saveEnd, 1), tally: newTally(time.Now), judge: evacuation.New(o.Zones)}
 	o.SlowStart.Lease = o.Lease
-	a.feeder = ramp.New(o.SlowStart)
+	a.feeder = slowstart.New(o.SlowStart)
 	o.Maintenance.SlowStart = o.SlowStart.Span
-	a.order = work.New(o.Maintenance)
+	a.order = maintenance.New(o.Maintenance)
 	g := o.Gossip
 	c := fleet.Config{Fleet: g.Fleet, Name: g.Name, Zone: g.Metadata.Zone, Region: g.Metadata.Region, Voters: o.Voters,
 		StartedAt: a.began.UnixNano(), Incarnation: random(), Seed: random(), Tick: tick, Status: o.Status, Lease: o.Lease,
@@ -126,12 +126,12 @@
 	for verb, d := range fleet.FreezeCommands() {
 		c.Commands[verb] = d
 	}
-	for _, more := range []map[string]fleet.CommandHandler{zone.Commands(), work.Commands()} {
+	for _, more := range []map[string]fleet.CommandHandler{evacuation.Commands(), maintenance.Commands()} {
 		maps.Copy(c.Commands, more)
 	}
 	var saved *fleet.VoterState
 	if o.Dir != "" && slices.Contains(o.Voters, g.Name) {
-		kept, found, err := vault.Open(o.Dir)
+		kept, found, err := voterstore.Open(o.Dir)
 		if err != nil {
 			return nil, err
 		}
@@ -315,9 +315,9 @@
 }
 
 // EndpointsChanged tells of the servers that are listed and ready, at each change. It does not block.
-func (a *Agent) EndpointsChanged(servers []ramp.Server) { a.servers.Store(&servers) }
+func (a *Agent) EndpointsChanged(servers []slowstart.Server) { a.servers.Store(&servers) }
 
-func (a *Agent) listed() []ramp.Server {
+func (a *Agent) listed() []slowstart.Server {
 	if p := a.servers.Load(); p != nil {
 		return *p
 	}
@@ -338,19 +338,19 @@
 
 // round has the feeder reckon anew, by the plan and the list.
 func (a *Agent) round(now time.Duration) bool {
-	p, v := a.node.Plan(), zone.Statuses{}
-	if _, err := p.Section(zone.Section, &v); err != nil {
+	p, v := a.node.Plan(), evacuation.Statuses{}
+	if _, err := p.Section(evacuation.Section, &v); err != nil {
 		return false
 	}
 	servers := slices.Clone(a.listed())
 	for i, s := range servers {
 		if w, ok := v[s.Zone]; ok && !w.Hold {
-			s.Use, s.Since = ramp.UseNever, max(s.Since, w.Since)
+			s.Use, s.Since = slowstart.UseNever, max(s.Since, w.Since)
 			switch w.State {
-			case zone.Returning:
-				s.Use = ramp.UseFully
-			case zone.Probing:
-				s.Use = ramp.UseForHealthChecks
+			case evacuation.Returning:
+				s.Use = slowstart.UseFully
+			case evacuation.Probing:
+				s.Use = slowstart.UseForHealthChecks
 			}
 			servers[i] = s
 		}
@@ -369,7 +369,7 @@
 		if may == nil {
 			w, ok := v.For(k.from, k.to)
 			may = func(gateway string) bool {
-				return !ok || w.State == zone.Returning || w.State == zone.Probing && slices.Contains(w.Probers, gateway)
+				return !ok || w.State == evacuation.Returning || w.State == evacuation.Probing && slices.Contains(w.Probers, gateway)
 			}
 			known[k] = may
 		}
@@ -383,8 +383,8 @@
 	if _, frozen := p.Frozen(); frozen {
 		return
 	}
-	v := zone.Statuses{}
-	if _, err := p.Section(zone.Section, &v); err != nil {
+	v := evacuation.Statuses{}
+	if _, err := p.Section(evacuation.Section, &v); err != nil {
 		return
 	}
 	starts := map[string]int64{}
@@ -396,11 +396,11 @@
 		q, ok := n.Peer(name)
 		return name == a.o.Gossip.Name || ok && now-q.LastStatusAt < a.o.Lease
 	})
-	if moved && n.Propose(zone.Set(next)) {
+	if moved && n.Propose(evacuation.Set(next)) {
 		for key, w := range next {
 			if old, ok := v[key]; !ok || old.State != w.State {
 				state := string(w.State)
-				if w.State == zone.Evacuated && old.State == zone.Probing {
+				if w.State == evacuation.Evacuated && old.State == evacuation.Probing {
 					state = "is not well yet"
 				}
 				a.o.Log.Info("fleet: zone "+key+" "+state, zap.String("why", w.Reason), zap.Int("fails", w.FailedProbes),
@@ -419,21 +419,21 @@
 }
 
 // machines are the servers of the list, as this process has it.
-func (a *Agent) machines() map[string]work.Server {
-	all := map[string]work.Server{}
+func (a *Agent) machines() map[string]maintenance.Server {
+	all := map[string]maintenance.Server{}
 	for _, s := range a.listed() {
-		all[Machine(s.ID)] = work.Server{Zone: s.Zone, Ready: true, Since: s.Since}
+		all[Machine(s.ID)] = maintenance.Server{Zone: s.Zone, Ready: true, Since: s.Since}
 	}
 	return all
 }
 
 // works has the leader step the work on machines on.
-func (a *Agent) works(now time.Duration, unix int64, n *fleet.Node, p fleet.Plan, v zone.Statuses) {
-	b, err := work.Read(&p)
+func (a *Agent) works(now time.Duration, unix int64, n *fleet.Node, p fleet.Plan, v evacuation.Statuses) {
+	b, err := maintenance.Read(&p)
 	if err != nil {
 		return
 	}
-	f := work.Observations{Servers: a.machines(), Members: map[string]work.Member{}, RejectedShare: a.judge.RejectedShare(), Rate: a.feeder.Demand()}
+	f := maintenance.Observations{Servers: a.machines(), Members: map[string]maintenance.Member{}, RejectedShare: a.judge.RejectedShare(), Rate: a.feeder.Demand()}
 	for key, w := range v {
 		if !strings.Contains(key, ">") && !w.Hold {
 			f.ZonesOut = append(f.ZonesOut, key)
@@ -445,16 +445,16 @@
 		left[m.Name] = m.State == "left"
 	}
 	for _, q := range n.Peers() {
-		f.Members[q.Name] = work.Member{Left: left[q.Name], Reachable: q.HasStatus && now-q.LastStatusAt < a.o.Lease, Fresh: q.Status.Fresh,
+		f.Members[q.Name] = maintenance.Member{Left: left[q.Name], Reachable: q.HasStatus && now-q.LastStatusAt < a.o.Lease, Fresh: q.Status.Fresh,
 			Withdrawn: q.Status.Withdrawn, Zone: q.Status.Zone, Voter: slices.Contains(a.o.Voters, q.Name), Incarnation: q.StartedAt}
 	}
-	f.Members[a.o.Gossip.Name] = work.Member{Reachable: true, Fresh: true, Withdrawn: a.acknowledged(), Zone: a.o.Gossip.Metadata.Zone,
+	f.Members[a.o.Gossip.Name] = maintenance.Member{Reachable: true, Fresh: true, Withdrawn: a.acknowledged(), Zone: a.o.Gossip.Metadata.Zone,
 		Voter: slices.Contains(a.o.Voters, a.o.Gossip.Name), Leader: true, Incarnation: a.began.UnixNano()}
 	next, moved := a.order.Step(now, unix, b, f)
-	if !moved || !n.Propose(work.Set(next)) {
+	if !moved || !n.Propose(maintenance.Set(next)) {
 		return
 	}
-	old := map[string]work.State{}
+	old := map[string]maintenance.State{}
 	for _, r := range b.Requests {
 		for _, m := range r.Machines {
 			old[fmt.Sprint(r.ID, m.Name)] = m.State
@@ -551,21 +551,21 @@
 		a.o.Log.Info("fleet: "+e.Text, zap.Stringer("epoch", p.Epoch))
 	}
 	if e.Kind == fleet.PlanChanged {
-		v := zone.Statuses{}
-		_, err := p.Section(zone.Section, &v)
+		v := evacuation.Statuses{}
+		_, err := p.Section(evacuation.Section, &v)
 		w, ok := v[a.o.Gossip.Metadata.Zone]
-		a.left = err == nil && ok && !w.Hold && w.State != zone.Returning
-		if b, err := work.Read(&p); err == nil {
+		a.left = err == nil && ok && !w.Hold && w.State != evacuation.Returning
+		if b, err := maintenance.Read(&p); err == nil {
 			_, a.out = b.Withdrawn()[a.o.Gossip.Name]
 		}
 	}
 	if a.o.OnDecisions != nil && (e.Kind == fleet.PlanChanged || e.Kind == fleet.GrantChanged || e.Kind == fleet.Fenced) {
 		acts := Decisions{Plan: p}
-		if b, err := work.Read(&p); err == nil {
+		if b, err := maintenance.Read(&p); err == nil {
 			acts.Withdrawn = b.Withdrawn()
 		}
 		if b, live := a.node.Grant(); live && len(b) > 0 {
-			acts.SlowStart, _ = ramp.Read(b)
+			acts.SlowStart, _ = slowstart.Read(b)
 		}
 		a.o.OnDecisions(acts)
 	}
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -19,9 +19,9 @@
 	"go.uber.org/zap"
 
 	"dewhitch/internal/fleet"
-	"dewhitch/internal/fleet/find"
+	"dewhitch/internal/fleet/evacuation"
 	"dewhitch/internal/fleet/gossip"
-	"dewhitch/internal/fleet/zone"
+	"dewhitch/internal/fleet/memberregistry"
 	"dewhitch/internal/standin"
 	"dewhitch/internal/standin/zookeeper"
 )
@@ -53,7 +53,7 @@
 	}
 	for i := range n {
 		name := fmt.Sprintf("g%d", i)
-		o := Options{Zones: zone.Defaults, Voters: voters, Lease: 2 * time.Second, Status: 200 * time.Millisecond, Log: zap.NewNop(),
+		o := Options{Zones: evacuation.Defaults, Voters: voters, Lease: 2 * time.Second, Status: 200 * time.Millisecond, Log: zap.NewNop(),
 			Gossip: gossip.Options{Fleet: "test", Name: name, Listen: peers[name], Peers: peers, Seeds: []string{"g0"},
 				Metadata: gossip.Metadata{Zone: "a", Role: "gateway"}}}
 		if dirs {
@@ -68,7 +68,7 @@
 		}
 		if reg != nil {
 			running.Go(func() {
-				_ = find.Run(ctx, find.Options{Servers: []string{reg.Addr()}, Path: "/members/test", Session: 4 * time.Second, Name: name,
+				_ = memberregistry.Run(ctx, memberregistry.Options{Servers: []string{reg.Addr()}, Path: "/members/test", Session: 4 * time.Second, Name: name,
 					Address: o.Gossip.Listen, Log: zap.NewNop()}, a.AddCandidates)
 			})
 		}
--- a/internal/fleet/agent/golden_fleet_test.go
+++ b/internal/fleet/agent/golden_fleet_test.go
@@ -18,8 +18,8 @@
 
 	"dewhitch/internal/fleet"
 	"dewhitch/internal/fleet/gossip"
-	"dewhitch/internal/fleet/ramp"
-	"dewhitch/internal/fleet/work"
+	"dewhitch/internal/fleet/maintenance"
+	"dewhitch/internal/fleet/slowstart"
 	"dewhitch/internal/golden"
 )
 
@@ -87,12 +87,12 @@
 		var roster map[string]int64
 		err := all[0].call(func() {
 			p := all[0].node.Plan()
-			b, _ := work.Read(&p)
+			b, _ := maintenance.Read(&p)
 			roster = b.Roster
 		})
 		return err == nil && roster["g0"] != 0
 	})
-	all[0].EndpointsChanged([]ramp.Server{{ID: 0x0a0b0c0d, Zone: "hall-a", Since: 1700000000021}})
+	all[0].EndpointsChanged([]slowstart.Server{{ID: 0x0a0b0c0d, Zone: "hall-a", Since: 1700000000021}})
 	mux := http.NewServeMux()
 	all[0].Pages(mux)
 	server := httptest.NewServer(mux)
--- a/internal/fleet/agent/show.go
+++ b/internal/fleet/agent/show.go
@@ -11,8 +11,8 @@
 	"github.com/prometheus/client_golang/prometheus"
 
 	"dewhitch/internal/fleet"
-	"dewhitch/internal/fleet/work"
-	"dewhitch/internal/fleet/zone"
+	"dewhitch/internal/fleet/evacuation"
+	"dewhitch/internal/fleet/maintenance"
 )
 
 const mostForm = 64 << 10
@@ -48,18 +48,18 @@
 		})
 	}
 	settled("zones", func(p *fleet.Plan) (any, error) {
-		v := zone.Statuses{}
-		_, err := p.Section(zone.Section, &v)
+		v := evacuation.Statuses{}
+		_, err := p.Section(evacuation.Section, &v)
 		return v, err
 	})
-	settled("work", func(p *fleet.Plan) (any, error) { return work.Read(p) })
+	settled("work", func(p *fleet.Plan) (any, error) { return maintenance.Read(p) })
 	mux.HandleFunc("GET /fleet/servers", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
 		_ = json.NewEncoder(w).Encode(a.machines())
 	})
 	said := func(f url.Values) ([]byte, error) { return fleet.EncodeNote(f.Get("by"), f.Get("why")), nil }
 	ofZone := func(f url.Values) ([]byte, error) {
-		c := zone.Command{By: f.Get("by"), Reason: f.Get("why"), Zone: f.Get("zone")}
+		c := evacuation.Command{By: f.Get("by"), Reason: f.Get("why"), Zone: f.Get("zone")}
 		var err error
 		if s := f.Get("for_ms"); s != "" {
 			if c.ForMS, err = strconv.ParseInt(s, 10, 64); err != nil {
@@ -74,7 +74,7 @@
 		return c.Encode(), nil
 	}
 	verbs := map[string]func(url.Values) ([]byte, error){"freeze": said, "thaw": said, "leave": ofZone, "return": ofZone}
-	for verb := range work.Commands() {
+	for verb := range maintenance.Commands() {
 		verbs[verb] = ofWork
 	}
 	for verb, read := range verbs {
@@ -96,7 +96,7 @@
 
 // ofWork reads a call about work on machines.
 func ofWork(f url.Values) ([]byte, error) {
-	c := work.Command{By: f.Get("by"), Reason: f.Get("why"), Key: f.Get("key"), Kind: work.Kind(f.Get("kind")), Machines: f["machine"]}
+	c := maintenance.Command{By: f.Get("by"), Reason: f.Get("why"), Key: f.Get("key"), Kind: maintenance.Kind(f.Get("kind")), Machines: f["machine"]}
 	for key, to := range map[string]*int64{"for_ms": &c.ForMS, "not_before": &c.NotBefore} {
 		if text := f.Get(key); text != "" {
 			n, err := strconv.ParseInt(text, 10, 64)
--- a/internal/fleet/zone/zone.go
+++ b/internal/fleet/evacuation/zone.go
@@ -1,7 +1,7 @@
-// Package zone judges zones by what all gateways of a fleet see of them, and says who should leave which one, who may look
+// Package evacuation judges zones by what all gateways of a fleet see of them, and says who should leave which one, who may look
 // whether it is well again, and when all return. It is pure: whoever owns a Judge hands it reports and the time, and has the
 // fleet settle what it says. docs/design/zone.md has the rules and the ways not taken.
-package zone
+package evacuation
 
 import (
 	"cmp"
--- a/internal/fleet/zone/zone_test.go
+++ b/internal/fleet/evacuation/zone_test.go
@@ -1,4 +1,4 @@
-package zone
+package evacuation
 
 import (
 	"fmt"
--- a/internal/fleet/work/book.go
+++ b/internal/fleet/maintenance/book.go
@@ -1,7 +1,7 @@
-// Package work settles which machines are out for work, in which order, and who has acknowledged that. It is pure: requests
+// Package maintenance settles which machines are out for work, in which order, and who has acknowledged that. It is pure: requests
 // are a section of the plan, operators' calls change it by deciders, and the leader steps it on by what it sees of the fleet.
 // docs/design/work.md has the turn, the bounds and the ways not taken.
-package work
+package maintenance
 
 import (
 	"errors"
--- a/internal/fleet/work/order.go
+++ b/internal/fleet/maintenance/order.go
@@ -1,4 +1,4 @@
-package work
+package maintenance
 
 import (
 	"fmt"
--- a/internal/fleet/find/find.go
+++ b/internal/fleet/memberregistry/find.go
@@ -1,6 +1,6 @@
-// Package find has the members of a fleet find one another by ephemeral nodes in a registry: it keeps a node for this one
+// Package memberregistry has the members of a fleet find one another by ephemeral nodes in a registry: it keeps a node for this one
 // and tells of the others'. It owns its session with the registry.
-package find
+package memberregistry
 
 import (
 	"context"
--- a/internal/fleet/find/golden_test.go
+++ b/internal/fleet/memberregistry/golden_test.go
@@ -1,4 +1,4 @@
-package find
+package memberregistry
 
 import (
 	"context"
--- a/internal/fleet/ramp/golden_test.go
+++ b/internal/fleet/slowstart/golden_test.go
@@ -1,4 +1,4 @@
-package ramp
+package slowstart
 
 import (
 	"reflect"
--- a/internal/fleet/ramp/ramp.go
+++ b/internal/fleet/slowstart/ramp.go
@@ -1,7 +1,7 @@
-// Package ramp shares out, over all gateways of a fleet, what each server that has just begun, or whose zone is returned to,
+// Package slowstart shares out, over all gateways of a fleet, what each server that has just begun, or whose zone is returned to,
 // may be sent: one budget a server, shared by what each gateway has to send, and given on lease. It is pure: the leader's
 // agent hands it time, reports and the list. docs/design/return.md has the rules and the ways not taken.
-package ramp
+package slowstart
 
 import (
 	"maps"
--- a/internal/fleet/vault/golden_test.go
+++ b/internal/fleet/voterstore/golden_test.go
@@ -1,4 +1,4 @@
-package vault
+package voterstore
 
 import (
 	"bufio"
--- a/internal/fleet/vault/vault.go
+++ b/internal/fleet/voterstore/vault.go
@@ -1,7 +1,7 @@
-// Package vault keeps what a voter may not forget in a folder: its identity, the log, and what it has promised. It owns
+// Package voterstore keeps what a voter may not forget in a folder: its identity, the log, and what it has promised. It owns
 // one file of an embedded store; whoever has it open keeps others out. docs/design/fleet.md tells why a voter without it
 // is another voter.
-package vault
+package voterstore
 
 import (
 	"encoding/binary"
--- a/internal/forward/giveup_test.go
+++ b/internal/forward/giveup_test.go
@@ -12,7 +12,7 @@
 	"go.uber.org/zap"
 
 	"dewhitch/internal/front"
-	"dewhitch/internal/ledger/desk"
+	"dewhitch/internal/ledger/recorder"
 	"dewhitch/internal/standin"
 )
 
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	server := &front.Server{Listener: l, Log: zap.NewNop(), Bounds: front.NewBounds(64 << 20), Sessions: 1,
-		Open: func() front.Commands { return New(planners, 1, desk.Nobody{}, zap.NewNop()) }}
+		Open: func() front.Commands { return New(planners, 1, recorder.Discard{}, zap.NewNop()) }}
 	ctx, stop := context.WithCancel(t.Context())
 	over := make(chan struct{})
 	go func() {
--- a/internal/forward/golden_test.go
+++ b/internal/forward/golden_test.go
@@ -14,7 +14,7 @@
 	"dewhitch"
 	"dewhitch/internal/front"
 	"dewhitch/internal/golden"
-	"dewhitch/internal/ledger/desk"
+	"dewhitch/internal/ledger/recorder"
 	"dewhitch/internal/standin"
 )
 
@@ -85,7 +85,7 @@
 		t.Fatal(err)
 	}
 	server := &front.Server{Listener: l, Log: zap.NewNop(), Bounds: front.NewBounds(64 << 20), Sessions: 1,
-		Open: func() front.Commands { return New(planners, 1, desk.Nobody{}, zap.NewNop()) }}
+		Open: func() front.Commands { return New(planners, 1, recorder.Discard{}, zap.NewNop()) }}
 	ctx, stop := context.WithCancel(t.Context())
 	over := make(chan struct{})
 	go func() {
--- a/internal/front/limits/golden_test.go
+++ b/internal/front/limits/golden_test.go
@@ -19,13 +19,13 @@
 	"dewhitch/internal/front"
 	"dewhitch/internal/front/platform"
 	"dewhitch/internal/golden"
-	"dewhitch/internal/ledger/desk"
+	"dewhitch/internal/ledger/recorder"
 	"dewhitch/internal/resp"
 	"dewhitch/internal/standin"
 )
 
 func goldenCommands() *Commands {
-	return &Commands{&platform.Commands{Books: desk.Nobody{}, Names: settings.Names{Plans: []string{"wide", "slim", "open"}},
+	return &Commands{&platform.Commands{Books: recorder.Discard{}, Names: settings.Names{Plans: []string{"wide", "slim", "open"}},
 		Settings: dw.Settings{Instances: 9, MaxUnits: 40, Plans: []dw.Plan{{Rate: 5, Burst: 10}, {Rate: 6, Burst: 20.5}, {MaxInFlight: 3}}}}}
 }
 
--- a/internal/front/platform/golden_test.go
+++ b/internal/front/platform/golden_test.go
@@ -19,14 +19,14 @@
 	"dewhitch/internal/core"
 	"dewhitch/internal/front"
 	"dewhitch/internal/golden"
-	"dewhitch/internal/ledger/desk"
+	"dewhitch/internal/ledger/recorder"
 	"dewhitch/internal/ops"
 	"dewhitch/internal/resp"
 	"dewhitch/internal/standin"
 )
 
 func goldenCommands() *Commands {
-	return &Commands{Books: desk.Nobody{}, Names: settings.Names{Classes: []string{"quote", "order", "charge"}, Plans: []string{"wide", "slim"}},
+	return &Commands{Books: recorder.Discard{}, Names: settings.Names{Classes: []string{"quote", "order", "charge"}, Plans: []string{"wide", "slim"}},
 		Settings: dw.Settings{Instances: 9, MaxUnits: 40, Classes: []dw.Class{{Idempotency: dw.Idempotent, Objective: 1, Deadline: 1},
 			{Idempotency: dw.IdempotentByKey, Objective: 1, Deadline: 1}, {Idempotency: dw.NotIdempotent, Objective: 1, Deadline: 1}}}}
 }
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -16,13 +16,13 @@
 	"github.com/cespare/xxhash/v2"
 
 	dw "dewhitch"
+	"dewhitch/internal/classtable"
 	"dewhitch/internal/config/settings"
 	"dewhitch/internal/core"
 	"dewhitch/internal/front"
 	"dewhitch/internal/ledger"
 	"dewhitch/internal/ops"
 	"dewhitch/internal/resp"
-	"dewhitch/internal/retune"
 )
 
 const (
@@ -39,22 +39,22 @@
 	Figures  *ops.Figures // counts for operators; nil: none
 	State    *ops.State   // whether PING says yes, as it does but when drained; nil: always
 
-	table atomic.Pointer[retune.Table] // the class names that reqs come by; those of Settings until Retune
+	table atomic.Pointer[classtable.Table] // the class names that reqs come by; those of Settings until Retune
 }
 
 // Classes is the table of class names in force.
-func (c *Commands) Classes() retune.Table {
+func (c *Commands) Classes() classtable.Table {
 	if t := c.table.Load(); t != nil {
 		return *t
 	}
-	t := retune.Start(c.Names.Classes, c.Settings.Classes)
+	t := classtable.Start(c.Names.Classes, c.Settings.Classes)
 	c.table.CompareAndSwap(nil, &t)
 	return *c.table.Load()
 }
 
 // Retune has reqs from now on come by the classes of settings read anew; reqs that were taken keep their class. One
 // goroutine at a time may call it.
-func (c *Commands) Retune(names []string, classes []dw.Class) retune.Table {
+func (c *Commands) Retune(names []string, classes []dw.Class) classtable.Table {
 	t := c.Classes().Retune(c.Settings.Classes, names, classes)
 	c.table.Store(&t)
 	return t
--- a/internal/ledger/desk/bench_test.go
+++ b/internal/ledger/recorder/bench_test.go
@@ -1,11 +1,11 @@
-package desk_test
+package recorder_test
 
 import (
 	"testing"
 	"time"
 
 	"dewhitch/internal/ledger"
-	"dewhitch/internal/ledger/desk"
+	"dewhitch/internal/ledger/recorder"
 	"dewhitch/internal/ledger/store"
 
 	"go.uber.org/zap"
@@ -15,10 +15,10 @@
 func BenchmarkReq(b *testing.B) {
 	for _, mode := range []string{"memory", "disk"} {
 		b.Run(mode, func(b *testing.B) {
-			o := desk.Options{Limits: ledger.Limits{Rows: 20000, Open: 65536, Flight: 4096}, Patience: time.Second,
+			o := recorder.Options{Limits: ledger.Limits{Rows: 20000, Open: 65536, Flight: 4096}, Patience: time.Second,
 				Names: ledger.Names{Plans: []string{"basic"}, Classes: []string{"space-query"}}, Log: zap.NewNop()}
 			l := ledger.New(o.Limits, mode == "disk")
-			var k desk.Keeper
+			var k recorder.Keeper
 			if mode == "disk" {
 				s, kept, _, _, err := store.Open(store.Options{Dir: b.TempDir(), Node: "n0", SegmentBytes: 4 << 20, Segments: 8,
 					Records: 1 << 20, Limits: o.Limits, Log: o.Log})
@@ -28,7 +28,7 @@
 				defer s.Close()
 				k, l = s, kept
 			}
-			d := desk.New(l, ledger.Names{}, k, o)
+			d := recorder.New(l, ledger.Names{}, k, o)
 			d.State()
 			events := []ledger.Event{ledger.FrontTaken, ledger.PlanTaken, ledger.UnitsDrawn, ledger.PlanSent, ledger.FetchBegan,
 				ledger.FetchOK, ledger.PlanHeard, ledger.PlanServed, ledger.FrontServed}
--- a/internal/ledger/desk/desk.go
+++ b/internal/ledger/recorder/desk.go
@@ -1,9 +1,9 @@
-// Package desk is where the parts of a running gateway post to the ledger: it numbers reqs, keeps the names of plans and
+// Package recorder is where the parts of a running gateway post to the ledger: it numbers reqs, keeps the names of plans and
 // classes, puts the time on postings, audits the books every second, and raises and clears alarms. It owns the one
 // ledger.Ledger of the process. What is posted is kept at once, under a lock that is held for that alone, and booked a
 // moment later, many postings at a time. It decides nothing on reqs, and
 // nothing that it does can refuse or delay one beyond that lock.
-package desk
+package recorder
 
 import (
 	"context"
@@ -23,20 +23,20 @@
 	"dewhitch/internal/ledger"
 )
 
-// Nobody is what posts go to where no books are kept.
-type Nobody struct{}
+// Discard is what posts go to where no books are kept.
+type Discard struct{}
 
 // Ref implements the owners' interfaces: 0 is no req's.
-func (Nobody) Ref() uint64 { return 0 }
+func (Discard) Ref() uint64 { return 0 }
 
 // Post implements the owners' interfaces.
-func (Nobody) Post(ledger.Posting) {}
+func (Discard) Post(ledger.Posting) {}
 
 // RowByName implements the owners' interfaces.
-func (Nobody) RowByName(uint64, string, string) ledger.Key { return ledger.Key{} }
+func (Discard) RowByName(uint64, string, string) ledger.Key { return ledger.Key{} }
 
 // Row implements the owners' interfaces.
-func (Nobody) Row(uint64, int, int) ledger.Key { return ledger.Key{} }
+func (Discard) Row(uint64, int, int) ledger.Key { return ledger.Key{} }
 
 // Keeper makes the books last. Append and Mark are called under the desk's lock, and must neither block nor fail; the
 // others are called by Run alone.
@@ -73,8 +73,8 @@
 	maxName   = 64    // bytes of one
 )
 
-// Desk keeps one gateway's books.
-type Desk struct {
+// Recorder keeps one gateway's books.
+type Recorder struct {
 	o Options
 	// The time of the start, and what has passed since by the monotonic clock: a system's clock that steps must not make
 	// a req look overdue, or one that is overdue look young.
@@ -116,8 +116,8 @@
 
 // New makes a desk for books that may hold something already, with the names that the numbers in them stand for. The
 // keeper may be nil.
-func New(l *ledger.Ledger, known ledger.Names, k Keeper, o Options) *Desk {
-	d := &Desk{o: o, start: time.Now(), l: l, keeper: k, full: make(chan struct{}, 1), names: known, alarms: map[alarmKey]bool{}, read: map[ledger.Key]bool{}}
+func New(l *ledger.Ledger, known ledger.Names, k Keeper, o Options) *Recorder {
+	d := &Recorder{o: o, start: time.Now(), l: l, keeper: k, full: make(chan struct{}, 1), names: known, alarms: map[alarmKey]bool{}, read: map[ledger.Key]bool{}}
 	for i, names := range [2][]string{known.Plans, known.Classes} {
 		d.byName[i] = map[string]int16{}
 		for n, s := range names {
@@ -134,7 +134,7 @@
 }
 
 // intern numbers a name. Danger: at a forwarder names are what clients write, and they become labels and columns.
-func (d *Desk) intern(which int, names *[]string, s string) int16 {
+func (d *Recorder) intern(which int, names *[]string, s string) int16 {
 	if s == "" || len(s) > maxName || !utf8.ValidString(s) || strings.ContainsFunc(s, unicode.IsControl) {
 		s = Overflow
 	}
@@ -154,11 +154,11 @@
 }
 
 // Ref numbers a req or a call.
-func (d *Desk) Ref() uint64 { return d.refs.Add(1) }
+func (d *Recorder) Ref() uint64 { return d.refs.Add(1) }
 
 // Row is the key of a haulier's reqs of a plan and class, by their places in the settings; a class below 0 is one of the
 // ledger's own.
-func (d *Desk) Row(customer uint64, plan, class int) ledger.Key {
+func (d *Recorder) Row(customer uint64, plan, class int) ledger.Key {
 	k := ledger.Key{Customer: customer, Plan: d.plans[plan], Class: int16(class)}
 	if class >= 0 {
 		k.Class = d.class[class]
@@ -167,7 +167,7 @@
 }
 
 // RowByName is the same for those who do not have the settings.
-func (d *Desk) RowByName(customer uint64, plan, class string) ledger.Key {
+func (d *Recorder) RowByName(customer uint64, plan, class string) ledger.Key {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return ledger.Key{Customer: customer, Plan: d.intern(0, &d.names.Plans, plan),
@@ -175,7 +175,7 @@
 }
 
 // Post books one posting, at the present.
-func (d *Desk) Post(p ledger.Posting) {
+func (d *Recorder) Post(p ledger.Posting) {
 	now := int64(0)
 	if timed[p.Event] {
 		now = d.time()
@@ -202,20 +202,20 @@
 }
 
 // bookNow books what waits.
-func (d *Desk) bookNow() {
+func (d *Recorder) bookNow() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.book(nil)
 }
 
-func (d *Desk) time() int64 { return d.start.UnixNano() + int64(time.Since(d.start)) }
+func (d *Recorder) time() int64 { return d.start.UnixNano() + int64(time.Since(d.start)) }
 
 // timed are the events whose time is of use: they open something, or end a req.
 var timed = [ledger.Events]bool{ledger.FrontTaken: true, ledger.FrontServed: true, ledger.FrontRefused: true,
 	ledger.FrontFailed: true, ledger.FrontGone: true, ledger.FrontCut: true, ledger.FrontKept: true, ledger.UnitsTold: true}
 
 // book books what waits; mark, if any, is called where the next posting begins anew. The lock mu is held.
-func (d *Desk) book(mark func()) {
+func (d *Recorder) book(mark func()) {
 	d.posting.Lock()
 	waiting := d.queue
 	d.queue = d.empty[:0]
@@ -233,19 +233,19 @@
 
 // Release lets go of the keeper, after Run has ended: what is posted later, as by a fetch that nobody waits for, is kept
 // nowhere. The keeper may then be closed.
-func (d *Desk) Release() {
+func (d *Recorder) Release() {
 	d.posting.Lock()
 	defer d.posting.Unlock()
 	d.keeper = nil
 }
 
 // Tallies tells how the decision module's tallies are read: f is to be called where nothing is drawn meanwhile.
-func (d *Desk) Tallies(visit func(f func(tally func(uint64) (float64, bool))) error) {
+func (d *Recorder) Tallies(visit func(f func(tally func(uint64) (float64, bool))) error) {
 	d.tallies.Store(&visit)
 }
 
 // Run audits and states until the context ends, and then once more.
-func (d *Desk) Run(ctx context.Context) error {
+func (d *Recorder) Run(ctx context.Context) error {
 	audit := time.NewTicker(d.o.Audit)
 	defer audit.Stop()
 	var state <-chan time.Time
@@ -273,7 +273,7 @@
 }
 
 // State closes a period and makes it last.
-func (d *Desk) State() {
+func (d *Recorder) State() {
 	if d.keeper == nil {
 		return
 	}
@@ -288,7 +288,7 @@
 }
 
 // askTallies has the accounts compared with the module's tallies, on the planner.
-func (d *Desk) askTallies() {
+func (d *Recorder) askTallies() {
 	visit := d.tallies.Load()
 	if visit == nil {
 		return
@@ -311,7 +311,7 @@
 }
 
 // Audit checks the books, raises what is new and clears what is over.
-func (d *Desk) Audit(all bool) {
+func (d *Recorder) Audit(all bool) {
 	d.mu.Lock()
 	d.book(nil)
 	watched := make([]ledger.Key, 0, len(d.alarms))
@@ -373,7 +373,7 @@
 	Flight  []string  `json:"last_postings,omitempty"`
 }
 
-func (d *Desk) alarm(m ledger.Mismatch) alarm {
+func (d *Recorder) alarm(m ledger.Mismatch) alarm {
 	a := alarm{At: time.Now(), Check: m.Check, Haulier: "all"}
 	if !m.All {
 		a.Haulier = ledger.HaulierText(m.Key.Customer)
@@ -391,7 +391,7 @@
 }
 
 // file appends an alarm to the operators' file, which is opened each time: they may take it away.
-func (d *Desk) file(a alarm) {
+func (d *Recorder) file(a alarm) {
 	if d.o.AlarmFile == "" {
 		return
 	}
@@ -423,7 +423,7 @@
 }
 
 // Report adds up the rows by plan and class, over all hauliers.
-func (d *Desk) Report() Report {
+func (d *Recorder) Report() Report {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.book(nil)
--- a/internal/ledger/desk/golden_test.go
+++ b/internal/ledger/recorder/golden_test.go
@@ -1,4 +1,4 @@
-package desk
+package recorder
 
 import (
 	"bytes"
--- a/internal/ledger/desk/names_test.go
+++ b/internal/ledger/recorder/names_test.go
@@ -1,4 +1,4 @@
-package desk_test
+package recorder_test
 
 import (
 	"context"
@@ -11,13 +11,13 @@
 	"go.uber.org/zap"
 
 	"dewhitch/internal/ledger"
-	"dewhitch/internal/ledger/desk"
+	"dewhitch/internal/ledger/recorder"
 )
 
 // What clients call their plans and classes is bounded in number and length, and can stand in a label.
 func TestNamesOfClients(t *testing.T) {
 	limits := ledger.Limits{Rows: 1000, Open: 100, Flight: 100}
-	d := desk.New(ledger.New(limits, false), ledger.Names{}, nil, desk.Options{Limits: limits, Log: zap.NewNop()})
+	d := recorder.New(ledger.New(limits, false), ledger.Names{}, nil, recorder.Options{Limits: limits, Log: zap.NewNop()})
 	name := func(plan, class string) string {
 		k := d.RowByName(7, plan, class)
 		n := d.Report().Names
@@ -27,7 +27,7 @@
 		t.Error(got)
 	}
 	for _, bad := range []string{"", "\xff\xfe", "a\nb", strings.Repeat("x", 65)} {
-		if got := name(bad, bad); got != desk.Overflow+"/"+desk.Overflow {
+		if got := name(bad, bad); got != recorder.Overflow+"/"+recorder.Overflow {
 			t.Errorf("%q is called %q", bad, got)
 		}
 	}
@@ -37,7 +37,7 @@
 	if n := len(d.Report().Names.Plans); n > 202 {
 		t.Errorf("%d plans", n)
 	}
-	if got := name("p999", "booking"); got != desk.Overflow+"/booking" {
+	if got := name("p999", "booking"); got != recorder.Overflow+"/booking" {
 		t.Error(got)
 	}
 }
@@ -46,7 +46,7 @@
 func TestRelease(t *testing.T) {
 	limits := ledger.Limits{Rows: 16, Open: 16, Flight: 16}
 	k := &counting{}
-	d := desk.New(ledger.New(limits, true), ledger.Names{}, k, desk.Options{Limits: limits, Log: zap.NewNop()})
+	d := recorder.New(ledger.New(limits, true), ledger.Names{}, k, recorder.Options{Limits: limits, Log: zap.NewNop()})
 	d.Post(ledger.Posting{Event: ledger.FrontTaken, Ref: 1})
 	d.Release()
 	d.Post(ledger.Posting{Event: ledger.FrontServed, Ref: 1})
@@ -66,7 +66,7 @@
 // fills it books it. It must not wait for itself.
 func TestForgottenWithAFullQueue(t *testing.T) {
 	limits := ledger.Limits{Rows: 16, Open: 16, Flight: 16}
-	d := desk.New(ledger.New(limits, false), ledger.Names{}, nil, desk.Options{Limits: limits, Audit: time.Millisecond,
+	d := recorder.New(ledger.New(limits, false), ledger.Names{}, nil, recorder.Options{Limits: limits, Audit: time.Millisecond,
 		Patience: time.Hour, Log: zap.NewNop()})
 	d.Post(ledger.Posting{Event: ledger.UnitsDrawn, Key: ledger.Account(7), Units: 5e6})
 	full := sync.OnceFunc(func() {
--- a/internal/ledger/desk/planted_test.go
+++ b/internal/ledger/recorder/planted_test.go
@@ -1,4 +1,4 @@
-package desk_test
+package recorder_test
 
 import (
 	"context"
@@ -27,7 +27,7 @@
 	"dewhitch/internal/front/limits"
 	"dewhitch/internal/front/platform"
 	"dewhitch/internal/ledger"
-	"dewhitch/internal/ledger/desk"
+	"dewhitch/internal/ledger/recorder"
 	"dewhitch/internal/standin"
 )
 
@@ -35,7 +35,7 @@
 
 // crooked stands between an owner and the desk, and falsifies one posting on one haulier.
 type crooked struct {
-	*desk.Desk
+	*recorder.Recorder
 	event   ledger.Event
 	haulier uint64
 	how     string // lost, doubled, wrong units
@@ -45,32 +45,32 @@
 
 func (c *crooked) Post(p ledger.Posting) {
 	if p.Event != c.event || p.Key.Customer != c.haulier || !c.done.CompareAndSwap(false, true) {
-		c.Desk.Post(p)
+		c.Recorder.Post(p)
 		return
 	}
 	c.at.Store(time.Now().UnixNano())
 	switch c.how {
 	case "doubled":
-		c.Desk.Post(p)
-		c.Desk.Post(p)
+		c.Recorder.Post(p)
+		c.Recorder.Post(p)
 	case "wrong units":
 		p.Units += 1e6
-		c.Desk.Post(p)
+		c.Recorder.Post(p)
 	}
 }
 
 // gateway is the parts of a gateway in one process, with a desk whose owners may be crooked.
 type gateway struct {
 	addr string
-	desk *desk.Desk
+	desk *recorder.Recorder
 	logs *observer.ObservedLogs
 }
 
-func start(t *testing.T, o desk.Options, plant *crooked) *gateway {
+func start(t *testing.T, o recorder.Options, plant *crooked) *gateway {
 	return startAt(t, o, plant, standin.Always(standin.Step{}))
 }
 
-func startAt(t *testing.T, o desk.Options, plant *crooked, script standin.Script) *gateway {
+func startAt(t *testing.T, o recorder.Options, plant *crooked, script standin.Script) *gateway {
 	t.Helper()
 	backends, err := standin.NewBackends(2, false, script)
 	if err != nil {
@@ -85,11 +85,11 @@
 	o.Names = ledger.Names{Plans: []string{"basic", "fleet"}, Classes: []string{"space-query", "booking"}}
 	o.Limits = ledger.Limits{Rows: 1000, Open: 1000, Flight: 1000}
 	o.Patience = 5 * time.Second
-	d := desk.New(ledger.New(o.Limits, false), ledger.Names{}, nil, o)
+	d := recorder.New(ledger.New(o.Limits, false), ledger.Names{}, nil, o)
 	if plant == nil {
 		plant = &crooked{}
 	}
-	plant.Desk = d
+	plant.Recorder = d
 
 	set := dw.Settings{Instances: 1, Zones: 1, Tick: 4e6, Counter: true, CounterTimeout: 1e9, MaxUnits: 4, MaxAttempts: 6,
 		MayCancel: true, MaxRetryAfter: 5e8, ConnectTimeout: 1e9, DrainGrace: 5e8, StartCapacity: 0.2,
@@ -173,10 +173,10 @@
 
 // With nothing planted there is no alarm, whatever the moment of an audit.
 func TestHonest(t *testing.T) {
-	g := start(t, desk.Options{Audit: 5 * time.Millisecond}, nil)
+	g := start(t, recorder.Options{Audit: 5 * time.Millisecond}, nil)
 	g.work(t, 8)
 	// The front books what became of an answer once that is written, which its client may see first.
-	g.eventually(t, "the last answers", func(r desk.Report) bool { return r.Open == 0 })
+	g.eventually(t, "the last answers", func(r recorder.Report) bool { return r.Open == 0 })
 	g.desk.Audit(true)
 	if a := g.alarms(); len(a) > 0 {
 		t.Fatalf("%v", a[0].ContextMap())
@@ -188,7 +188,7 @@
 }
 
 // eventually waits for the books to say something.
-func (g *gateway) eventually(t *testing.T, what string, ok func(desk.Report) bool) {
+func (g *gateway) eventually(t *testing.T, what string, ok func(recorder.Report) bool) {
 	t.Helper()
 	for began := time.Now(); !ok(g.desk.Report()); time.Sleep(10 * time.Millisecond) {
 		if time.Since(began) > 20*time.Second {
@@ -205,7 +205,7 @@
 // A session ends with all that it may have open, at backends that never answer: each req is gone, each fetch cancelled
 // and heard of, and nothing stays open.
 func TestSessionEndsWithManyOpen(t *testing.T) {
-	g := startAt(t, desk.Options{Audit: 5 * time.Millisecond}, nil, standin.Always(standin.Step{Deed: standin.Stall}))
+	g := startAt(t, recorder.Options{Audit: 5 * time.Millisecond}, nil, standin.Always(standin.Step{Deed: standin.Stall}))
 	c, err := standin.Dial(g.addr, 10*time.Second)
 	if err != nil {
 		t.Fatal(err)
@@ -217,12 +217,12 @@
 			t.Fatal(err)
 		}
 	}
-	answered := func(r desk.Report) uint64 { return r.Total.N[ledger.FrontRefused] }
-	g.eventually(t, "open", func(r desk.Report) bool {
+	answered := func(r recorder.Report) uint64 { return r.Total.N[ledger.FrontRefused] }
+	g.eventually(t, "open", func(r recorder.Report) bool {
 		return r.Total.N[ledger.FrontTaken] == many && r.Total.N[ledger.PlanTaken] == many
 	})
 	c.Close()
-	g.eventually(t, "ended", func(r desk.Report) bool {
+	g.eventually(t, "ended", func(r recorder.Report) bool {
 		return r.Open == 0 && r.Total.N[ledger.FrontGone]+r.Total.N[ledger.FrontCut]+answered(r) == many &&
 			r.Total.N[ledger.FrontGone] > 0 && r.Total.N[ledger.FetchBegan] == r.Total.FetchesEnded()
 	})
@@ -231,7 +231,7 @@
 // A client asks for more than it reads, until the gateway ends it: what was written whole is served, the rest is cut or
 // gone, and no audit on the way finds anything.
 func TestClientReadsNothing(t *testing.T) {
-	g := start(t, desk.Options{Audit: 20 * time.Millisecond}, nil)
+	g := start(t, recorder.Options{Audit: 20 * time.Millisecond}, nil)
 	c, err := standin.Dial(g.addr, 10*time.Second)
 	if err != nil {
 		t.Fatal(err)
@@ -245,7 +245,7 @@
 			}
 		}
 	}()
-	g.eventually(t, "ended", func(r desk.Report) bool {
+	g.eventually(t, "ended", func(r recorder.Report) bool {
 		n := &r.Total.N
 		return r.Open == 0 && n[ledger.FrontCut] > 0 && n[ledger.FrontServed] > 0 && n[ledger.FrontTaken] == r.Total.Ended()
 	})
@@ -275,7 +275,7 @@
 			t.Parallel()
 			file := filepath.Join(t.TempDir(), "alarms.jsonl")
 			plant := &crooked{event: c.event, haulier: 3, how: c.how}
-			g := start(t, desk.Options{Audit: time.Second, AlarmFile: file}, plant)
+			g := start(t, recorder.Options{Audit: time.Second, AlarmFile: file}, plant)
 			g.work(t, 2)
 			if !plant.done.Load() {
 				t.Fatal("nothing was planted")
@@ -319,7 +319,7 @@
 
 // An alarm that is over is said to be: here one on what the module's tally holds, which the next account sets right.
 func TestCleared(t *testing.T) {
-	g := start(t, desk.Options{Audit: 20 * time.Millisecond}, nil)
+	g := start(t, recorder.Options{Audit: 20 * time.Millisecond}, nil)
 	g.work(t, 1)
 	p := ledger.Posting{Event: ledger.FrontTaken, Key: g.desk.Row(9, 0, 0), Ref: g.desk.Ref(), Units: 1e6}
 	g.desk.Post(p)
--- a/internal/operator/golden_ledger_test.go
+++ b/internal/operator/golden_ledger_test.go
@@ -10,20 +10,20 @@
 
 	"dewhitch/internal/golden"
 	"dewhitch/internal/ledger"
-	"dewhitch/internal/ledger/desk"
+	"dewhitch/internal/ledger/recorder"
 )
 
 // fixed is a report with all fields.
 type fixed struct{}
 
-func (fixed) Report() desk.Report {
+func (fixed) Report() recorder.Report {
 	figures := func(from uint64) (c ledger.Counts) {
 		for e := ledger.None + 1; e < ledger.Events; e++ {
 			c.Set(e, from+uint64(e), -int64(from)*1e5-int64(e))
 		}
 		return c
 	}
-	return desk.Report{Names: ledger.Names{Plans: []string{"basic", "fleet"}, Classes: []string{"space-query", "booking"}},
+	return recorder.Report{Names: ledger.Names{Plans: []string{"basic", "fleet"}, Classes: []string{"space-query", "booking"}},
 		Lines: []ledger.Line{{Key: ledger.Key{Customer: ledger.Others, Plan: 1, Class: 1}, Counts: figures(100)},
 			{Key: ledger.Key{Customer: ledger.Others, Plan: 0, Class: ledger.ClassQuery}, Counts: figures(200)},
 			{Key: ledger.Key{Customer: ledger.Others, Plan: 0, Class: ledger.ClassAdjust}},
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -9,13 +9,13 @@
 
 	"dewhitch/internal/golden"
 	"dewhitch/internal/ledger"
-	"dewhitch/internal/ledger/desk"
+	"dewhitch/internal/ledger/recorder"
 )
 
 // books gives a report that does not change.
-type books desk.Report
+type books recorder.Report
 
-func (b books) Report() desk.Report { return desk.Report(b) }
+func (b books) Report() recorder.Report { return recorder.Report(b) }
 
 // counts has a value of its own at each event, from a first one on.
 func counts(first uint64) (c ledger.Counts) {
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -16,7 +16,7 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 
 	"dewhitch/internal/ledger"
-	"dewhitch/internal/ledger/desk"
+	"dewhitch/internal/ledger/recorder"
 	"dewhitch/internal/ledger/statement"
 )
 
@@ -27,7 +27,7 @@
 )
 
 // Source gives a report on the books.
-type Source interface{ Report() desk.Report }
+type Source interface{ Report() recorder.Report }
 
 // Part is what one part of the program shows: its pages, and its metrics.
 type Part interface {
--- a/internal/pace/pace.go
+++ b/internal/ratelimit/pace.go
@@ -1,7 +1,7 @@
-// Package pace says when a caller of a shared service may call it, where the callers can't talk to each other and
+// Package ratelimit says when a caller of a shared service may call it, where the callers can't talk to each other and
 // none knows what the service bears: each goes by how its own calls were answered. It owns the pace of one caller.
 // It never calls anything, waits or reads a clock, and it is not safe for concurrent use.
-package pace
+package ratelimit
 
 // Shares of the time-out, and factors of the pace; five good answers make up for three bad ones.
 const (
@@ -17,8 +17,8 @@
 	forget  = 1000.0 // answers, after which the quickest of them is forgotten
 )
 
-// Pacer is the pace of one caller. Times are in seconds, instants in nanoseconds on a clock of the caller's.
-type Pacer struct {
+// Limiter is the pace of one caller. Times are in seconds, instants in nanoseconds on a clock of the caller's.
+type Limiter struct {
 	timeout, callers float64
 	rate, quickest   float64 // calls a second; the quickest answer of late
 	bore             float64 // calls a second that were answered well; an outage says nothing against it
@@ -28,24 +28,24 @@
 }
 
 // New starts slowly: one call for each time-out, in seconds. A service that sets none still has a thousandth of one.
-func New(timeout float64, callers int) *Pacer {
-	return &Pacer{timeout: timeout, callers: float64(callers), rate: 1 / max(1e-3, timeout), quickest: timeout}
+func New(timeout float64, callers int) *Limiter {
+	return &Limiter{timeout: timeout, callers: float64(callers), rate: 1 / max(1e-3, timeout), quickest: timeout}
 }
 
-// Ready tells that a call may be made now. Up to a time-out's worth of calls is saved up.
-func (p *Pacer) Ready(now int64) bool {
+// Allow tells that a call may be made now. Up to a time-out's worth of calls is saved up.
+func (p *Limiter) Allow(now int64) bool {
 	p.stock = min(max(1, p.rate*p.timeout), p.stock+p.rate*float64(now-p.at)/1e9)
 	p.at = now
 	return p.stock >= 1
 }
 
-// Called takes a call off what may be made; one that could not wait may be made before its turn.
-func (p *Pacer) Called() { p.stock-- }
+// Spend takes a call off what may be made; one that could not wait may be made before its turn.
+func (p *Limiter) Spend() { p.stock-- }
 
-// Answered learns from the end of a call. Danger: the way to the service alone may take long, and is no line at it;
+// Observe learns from the end of a call. Danger: the way to the service alone may take long, and is no line at it;
 // so what counts is how much slower than the quickest an answer was. Danger: after an outage the pace is least, and so are
 // the answers that would raise it: by up alone it took longer to come back than the outage had lasted.
-func (p *Pacer) Answered(ok bool, latency float64) {
+func (p *Limiter) Observe(ok bool, latency float64) {
 	p.lost++
 	if ok {
 		p.quickest = min(p.quickest+p.quickest/forget, latency)
@@ -67,12 +67,12 @@
 	}
 }
 
-// Learnt is what the pacer has found out, for the process that replaces its own.
-func (p *Pacer) Learnt() (rate, quickest float64) { return p.rate, p.quickest }
+// Export is what the pacer has found out, for the process that replaces its own.
+func (p *Limiter) Export() (rate, quickest float64) { return p.rate, p.quickest }
 
 // Resume starts from what another one had learnt, inside the bounds that hold here. Danger: what it saved up is not taken
 // over, as that one may be at work still and make those calls itself.
-func (p *Pacer) Resume(rate, quickest float64) {
+func (p *Limiter) Resume(rate, quickest float64) {
 	if rate > 0 && quickest > 0 { // not so for what is no number
 		p.rate = min(most/p.timeout, max(rate, 1/(backoff*p.timeout)))
 		p.quickest = min(p.timeout, quickest)
--- a/internal/pace/pace_test.go
+++ b/internal/ratelimit/pace_test.go
@@ -1,4 +1,4 @@
-package pace
+package ratelimit
 
 import (
 	"math/rand/v2"
@@ -10,13 +10,13 @@
 func play(callers int, timeout, capacity float64, seconds int, away [2]int) (calls, late []int) {
 	const step = 0.001
 	rng := rand.New(rand.NewPCG(1, 2))
-	all := make([]*Pacer, callers)
+	all := make([]*Limiter, callers)
 	for i := range all {
 		all[i] = New(timeout, callers)
 	}
 	calls, late = make([]int, seconds), make([]int, seconds)
 	type answer struct {
-		p       *Pacer
+		p       *Limiter
 		latency float64
 	}
 	due := map[int][]answer{}
@@ -24,14 +24,14 @@
 	for tick := range seconds * 1000 {
 		now := float64(tick) * step
 		for _, a := range due[tick] {
-			a.p.Answered(a.latency <= timeout, a.latency)
+			a.p.Observe(a.latency <= timeout, a.latency)
 		}
 		delete(due, tick)
 		for _, i := range rng.Perm(callers) {
-			if !all[i].Ready(int64(now * 1e9)) {
+			if !all[i].Allow(int64(now * 1e9)) {
 				continue
 			}
-			all[i].Called()
+			all[i].Spend()
 			free = max(free, now) + 1/capacity
 			latency := free - now + 0.004
 			if int(now) >= away[0] && int(now) < away[1] {
--- a/internal/warm/warm.go
+++ b/internal/warmstart/warm.go
@@ -1,5 +1,5 @@
-// Package warm says how far a process believes what the process before it had learnt. It is pure: no I/O, no clock.
-package warm
+// Package warmstart says how far a process believes what the process before it had learnt. It is pure: no I/O, no clock.
+package warmstart
 
 import "math"
 
--- a/state.go
+++ b/state.go
@@ -1,7 +1,7 @@
 package dewhitch
 
 import (
-	"dewhitch/internal/warm"
+	"dewhitch/internal/warmstart"
 )
 
 // This file gives the module's state out as plain values, and takes them in at the start of another process. It decides
@@ -75,7 +75,7 @@
 // of them cost the caller more than their replacement gains. Accounts that stand as new ones would are left out.
 func (g *Gateway) Export(s *State, most int) {
 	g.leak()
-	rate, quickest := g.calls.Learnt()
+	rate, quickest := g.calls.Export()
 	*s = State{At: g.now, SentAttempts: g.sent, EndpointRequests: g.wanted, ThrottleRequests: g.tried, ThrottleAccepts: g.good, RetryBudget: g.budget,
 		Latency: g.latency, IdleLatency: g.idle, MeanWeight: g.worth, Measured: g.measured, CounterCallRate: rate, CounterMinLatency: quickest,
 		ClassSizes: append(s.ClassSizes[:0], g.sizes...), ZoneFailureShare: s.ZoneFailureShare[:0], Servers: s.Servers[:0], Customers: s.Customers[:0]}
@@ -123,7 +123,7 @@
 // and customers it took; 0 and 0 if s is too old. The values must be numbers, and of this gateway's settings.
 func (g *Gateway) Import(now Instant, s *State) (servers, customers int) {
 	age := seconds(now - s.At)
-	trust := warm.Trust(age)
+	trust := warmstart.Trust(age)
 	if trust == 0 || g.started {
 		return 0, 0
 	}
@@ -151,7 +151,7 @@
 	g.list(EndpointList{Kind: ListDelta, Servers: entries})
 	for _, e := range s.Servers {
 		v := g.byID[e.ID]
-		v.latency = warm.Latency(e.Latency, g.latency, trust)
+		v.latency = warmstart.Latency(e.Latency, g.latency, trust)
 		v.measured, v.answered = e.Measured, e.Answered
 		v.budget = bucket{level: min(1, e.SlowStartBudget), at: max(e.SlowStartBudgetAt, s.At)}
 		for k, d := range e.Failures[:min(len(e.Failures), len(v.verdicts))] {
@@ -162,7 +162,7 @@
 		}
 	}
 	for i := range s.Customers {
-		if e := &s.Customers[i]; warm.Quota(age, seconds(e.Window)) {
+		if e := &s.Customers[i]; warmstart.Quota(age, seconds(e.Window)) {
 			customers += g.account(e)
 		}
 	}
