--- /dev/null
+++ b/cmd/drill/golden_test.go
@@ -0,0 +1,37 @@
+package main
+
+import (
+	"fmt"
+	"testing"
+
+	"github.com/alecthomas/kong"
+
+	"dewhitch/internal/golden"
+)
+
+// The names of all commands, arguments and flags, with defaults and the words that a flag takes. Operators and their scripts write
+// them. What the help says of each is not a part of the form.
+func TestGoldenCommandLine(t *testing.T) {
+	k, err := kong.New(&cli, kong.Name("drill"))
+	if err != nil {
+		t.Fatal(err)
+	}
+	golden.Compare(t, "commands.txt", appendNode(nil, k.Model.Node, k.Model.Name))
+}
+
+func appendNode(b []byte, n *kong.Node, path string) []byte {
+	b = append(append(b, path...), '\n')
+	for _, a := range n.Positional {
+		b = fmt.Appendf(b, "\t%s required=%v %v\n", a.Summary(), a.Required, a.Target.Type())
+	}
+	for _, f := range n.Flags {
+		b = fmt.Appendf(b, "\t--%s short=%q default=%q enum=%q required=%v %v\n", f.Name, f.Short, f.Default, f.Enum, f.Required, f.Target.Type())
+	}
+	if n.DefaultCmd != nil {
+		b = fmt.Appendf(b, "\tby default %s\n", n.DefaultCmd.Name)
+	}
+	for _, c := range n.Children {
+		b = appendNode(b, c, path+" "+c.Name)
+	}
+	return b
+}
