--- a/cmd/dewhitch/golden_fleet_test.go
+++ b/cmd/dewhitch/golden_fleet_test.go
@@ -18,8 +18,8 @@
 // goldenPages are the pages of a member by their paths: those that its own package has frozen.
 var goldenPages = map[string]string{
 	"/fleet":         "../../../../internal/fleet/agent/testdata/golden/status.json",
-	"/fleet/zones":   "../../../../internal/fleet/zone/testdata/golden/verdicts.json",
-	"/fleet/work":    "../../../../internal/fleet/work/testdata/golden/book.json",
+	"/fleet/zones":   "../../../../internal/fleet/evacuation/testdata/golden/verdicts.json",
+	"/fleet/work":    "../../../../internal/fleet/maintenance/testdata/golden/book.json",
 	"/fleet/servers": "servers.json",
 }
 
