--- a/cmd/dewhitch/fleet.go
+++ b/cmd/dewhitch/fleet.go
@@ -48,7 +48,7 @@
 	}
 	cold := slowstart.Config{Start: g.n.Settings.StartCapacity, Span: time.Duration(g.n.Settings.SlowStartSpan)}
 	judge := evacuation.Defaults
-	judge.MaxEvacuated = g.f.MostZones
+	judge.MaxEvacuated = g.f.MaxEvacuatedZones
 	a, err := agent.Open(agent.Options{Maintenance: maintenance.Defaults, OnDecisions: follow, Drain: g.state.DrainItself, Quiesced: g.quiet, Zones: judge, SlowStart: cold, Voters: g.f.Voters, Dir: g.f.Dir, Lease: g.f.Lease, Status: g.f.Status, Log: g.log,
 		Gossip: gossip.Options{Fleet: g.f.Name, Name: g.n.Name, Listen: g.f.Listen, Peers: g.f.Peers, Seeds: g.f.Seeds,
 			Keyring: g.f.Keyring, Metadata: gossip.Metadata{Zone: own, Region: g.f.Region, Number: g.n.Settings.Self, Version: version,
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -35,8 +35,10 @@
 	defaultCores    = 1.0
 	defaultMemoryMB = 192
 	defaultSockets  = 1024
-	leastMemoryMB   = 32
-	leastSockets    = 64
+	minMemoryMB     = 32
+	minSockets      = 64
+
+	firstDescriptor = 3 // behind the standard streams
 )
 
 // file mirrors the node's JSON.
@@ -56,11 +58,17 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// fault is an error that names its key.
-func fault(key, format string, a ...any) error {
-	return fmt.Errorf("configuration: %s: %s", key, fmt.Sprintf(format, a...))
+// Error is a fault of the configuration. Key is where it stands: a key, an environment variable, or a file and its line.
+type Error struct {
+	Key, Problem string
 }
 
+// Error implements error.
+func (e *Error) Error() string { return "configuration: " + e.Key + ": " + e.Problem }
+
+// fault makes the error of a key.
+func fault(key, format string, a ...any) error { return &Error{key, fmt.Sprintf(format, a...)} }
+
 // LoadNode reads the environment through getenv, and the file that it names.
 func LoadNode(getenv func(string) string) (*Node, error) {
 	return loadNode(getenv, false)
@@ -72,7 +80,7 @@
 	return loadNode(getenv, true)
 }
 
-func loadNode(getenv func(string) string, again bool) (*Node, error) {
+func loadNode(getenv func(string) string, reload bool) (*Node, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
 		return nil, fault("NODE_CONFIG", "not set")
@@ -81,10 +89,10 @@
 	if err != nil {
 		return nil, fault("NODE_CONFIG", "%v", err)
 	}
-	return parseNode(text, getenv, again)
+	return parseNode(text, getenv, reload)
 }
 
-func parseNode(text []byte, getenv func(string) string, again bool) (*Node, error) {
+func parseNode(text []byte, getenv func(string) string, reload bool) (*Node, error) {
 	var f file
 	if err := json.Unmarshal(text, &f); err != nil {
 		var wrong *json.UnmarshalTypeError
@@ -95,25 +103,10 @@
 	}
 	n := &Node{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Counter: f.Counter, Admin: f.Admin, Cores: f.Limits.Cores,
 		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Known: f.Known}
-	for _, v := range []struct {
-		to  *string
-		env string
-	}{{&n.Name, "NODE_NAME"}, {&n.Listen, "NODE_LISTEN"}, {&n.Discovery, "NODE_DISCOVERY"}, {&n.Admin, "NODE_ADMIN"}} {
-		// The environment is nearer than the file, but for what the file has changed since the start.
-		if s := getenv(v.env); s != "" && !(again && v.to == &n.Discovery && *v.to != "") {
-			*v.to = s
-		}
+	if err := n.readEnvironment(getenv, reload); err != nil {
+		return nil, err
 	}
 	var err error
-	if fd := getenv("NODE_FD"); fd != "" {
-		// Danger: descriptors 0 to 2 are the standard streams; taking one for a listener would end the log.
-		if n.Inherited, err = strconv.Atoi(fd); err != nil || n.Inherited < 3 {
-			return nil, fault("NODE_FD", "%q is not a descriptor above 2", fd)
-		}
-	}
-	if n.Scratch = getenv("TMPDIR"); n.Scratch == "" {
-		n.Scratch = os.TempDir()
-	}
 	if n.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
 		return nil, fault("seed", "%q is not a number of up to 16 hex digits", f.Seed)
 	}
@@ -132,6 +125,30 @@
 	return n, nil
 }
 
+// readEnvironment takes what the environment says, which goes before the file. At a reload the file's discovery address goes
+// before the environment's, which is still that of the start.
+func (n *Node) readEnvironment(getenv func(string) string, reload bool) (err error) {
+	for _, v := range []struct {
+		to       *string
+		variable string
+	}{{&n.Name, "NODE_NAME"}, {&n.Listen, "NODE_LISTEN"}, {&n.Discovery, "NODE_DISCOVERY"}, {&n.Admin, "NODE_ADMIN"}} {
+		fileWins := reload && v.to == &n.Discovery && *v.to != ""
+		if s := getenv(v.variable); s != "" && !fileWins {
+			*v.to = s
+		}
+	}
+	if fd := getenv("NODE_FD"); fd != "" {
+		// Descriptors 0 to 2 are the standard streams; taking one for a listener would end the log.
+		if n.Inherited, err = strconv.Atoi(fd); err != nil || n.Inherited < firstDescriptor {
+			return fault("NODE_FD", "%q is not a descriptor above 2", fd)
+		}
+	}
+	if n.Scratch = getenv("TMPDIR"); n.Scratch == "" {
+		n.Scratch = os.TempDir()
+	}
+	return nil
+}
+
 func (n *Node) check() error {
 	if n.Name == "" {
 		return fault("name (NODE_NAME)", "missing")
@@ -156,14 +173,15 @@
 	switch {
 	case n.Cores < 0:
 		return fault("limits.cores", "%v is below 0", n.Cores)
-	case n.MemoryMB < leastMemoryMB:
-		return fault("limits.memory_mb", "%d; it needs %d at least", n.MemoryMB, leastMemoryMB)
-	case n.Sockets < leastSockets:
-		return fault("limits.sockets", "%d; it needs %d at least", n.Sockets, leastSockets)
+	case n.MemoryMB < minMemoryMB:
+		return fault("limits.memory_mb", "%d; it needs %d at least", n.MemoryMB, minMemoryMB)
+	case n.Sockets < minSockets:
+		return fault("limits.sockets", "%d; it needs %d at least", n.Sockets, minSockets)
 	}
 	return nil
 }
 
+// or returns v, or the default where it is left out.
 func or[T int | float64](v, standard T) T {
 	if v == 0 {
 		return standard
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -19,7 +19,7 @@
 	Keyring, Dir         string
 	Lease, Status        time.Duration
 	Peers                map[string]string
-	MostZones            int      // that the fleet may have out at once of its own accord; 0: a third
+	MaxEvacuatedZones    int      // that the fleet may have out at once of its own accord; 0: a third
 	Registry             Registry // where members are found; without servers they are found by seeds alone
 }
 
@@ -35,46 +35,53 @@
 	return parseFleet(path, text)
 }
 
-func parseFleet(path string, text []byte) (*Fleet, error) {
-	if err := checkFile(path, text, "fleet.schema.json", deploy.FleetSchema); err != nil {
-		return nil, err
-	}
-	var f struct {
-		Fleet struct {
-			Name, Listen, Region string
-			Voters, Seeds        []string
-			Keyring, Dir         string
-			LeaseMS              int `toml:"lease_ms"`
-			StatusMS             int `toml:"status_ms"`
-			MostZones            int `toml:"most_zones_out"`
-			Registry             registryFile
-		}
-		Peers map[string]string
-	}
-	f.Fleet.LeaseMS, f.Fleet.StatusMS = 2000, 200
-	f.Fleet.Registry.Path = defaultMembers
-	if err := toml.Unmarshal(text, &f); err != nil { // the schema has seen to that
-		return nil, fault(path, "%v", err)
+// fleetFile mirrors the fleet's file.
+type fleetFile struct {
+	Fleet struct {
+		Name     string
+		Listen   string
+		Region   string
+		Voters   []string
+		Seeds    []string
+		Keyring  string
+		Dir      string
+		LeaseMS  int `toml:"lease_ms"`
+		StatusMS int `toml:"status_ms"`
+		MaxZones int `toml:"most_zones_out"`
+		Registry registryFile
 	}
+	Peers map[string]string
+}
+
+// The defaults of a fleet's file, in milliseconds.
+const (
+	defaultLeaseMS  = 2000
+	defaultStatusMS = 200
+
+	minStatusesPerLease = 4 // as a status or its answer may be lost
+)
+
+// check names the first key that no fleet could work with.
+func (f *fleetFile) check() error {
 	l := &f.Fleet
 	if l.Name == "" {
-		return nil, fault("fleet", "missing")
+		return fault("fleet", "missing")
 	}
 	if err := address("fleet.listen", l.Listen); err != nil {
-		return nil, err
+		return err
 	}
 	if len(l.Voters)%2 == 0 {
-		return nil, fault("fleet.voters", "%d; an odd number, as an even one bears no more losses than one less", len(l.Voters))
+		return fault("fleet.voters", "%d; an odd number, as an even one bears no more losses than one less", len(l.Voters))
 	}
 	for _, s := range l.Seeds {
 		name, addr, full := strings.Cut(s, "/")
 		if !full {
 			if addr = f.Peers[name]; addr == "" {
-				return nil, fault("fleet.seeds", "%q is neither NAME/HOST:PORT nor a name of [peers]", s)
+				return fault("fleet.seeds", "%q is neither NAME/HOST:PORT nor a name of [peers]", s)
 			}
 		}
 		if err := address("fleet.seeds", addr); err != nil {
-			return nil, err
+			return err
 		}
 	}
 	names := []string{}
@@ -84,17 +91,34 @@
 	slices.Sort(names) // of two faults, the same one is said each time
 	for _, name := range names {
 		if err := address("peers."+name, f.Peers[name]); err != nil {
-			return nil, err
+			return err
 		}
 	}
-	if l.LeaseMS < 4*l.StatusMS {
-		return nil, fault("fleet.lease_ms", "%d; at least four times status_ms, as a status or its answer may be lost", l.LeaseMS)
+	if l.LeaseMS < minStatusesPerLease*l.StatusMS {
+		return fault("fleet.lease_ms", "%d; at least four times status_ms, as a status or its answer may be lost", l.LeaseMS)
+	}
+	return nil
+}
+
+func parseFleet(path string, text []byte) (*Fleet, error) {
+	if err := checkFile(path, text, "fleet.schema.json", deploy.FleetSchema); err != nil {
+		return nil, err
+	}
+	var f fleetFile
+	f.Fleet.LeaseMS, f.Fleet.StatusMS = defaultLeaseMS, defaultStatusMS
+	f.Fleet.Registry.Path = defaultMembers
+	if err := toml.Unmarshal(text, &f); err != nil { // the schema has seen to that
+		return nil, fault(path, "%v", err)
+	}
+	l := &f.Fleet
+	if err := f.check(); err != nil {
+		return nil, err
 	}
 	reg, err := l.Registry.read("fleet.registry")
 	if err != nil {
 		return nil, err
 	}
 	reg.Path += "/" + url.PathEscape(l.Name)
-	return &Fleet{MostZones: l.MostZones, Registry: reg, Name: l.Name, Listen: l.Listen, Region: l.Region, Voters: l.Voters, Seeds: l.Seeds, Keyring: l.Keyring, Dir: l.Dir,
+	return &Fleet{MaxEvacuatedZones: l.MaxZones, Registry: reg, Name: l.Name, Listen: l.Listen, Region: l.Region, Voters: l.Voters, Seeds: l.Seeds, Keyring: l.Keyring, Dir: l.Dir,
 		Lease: time.Duration(l.LeaseMS) * time.Millisecond, Status: time.Duration(l.StatusMS) * time.Millisecond, Peers: f.Peers}, nil
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -99,7 +99,7 @@
 	}
 	if want := (Fleet{Name: "golden", Listen: "10.0.0.1:4001", Region: "north", Voters: []string{"n0", "n1", "n2"},
 		Seeds: []string{"n0/10.0.0.2:4002", "n1"}, Keyring: "keys", Dir: "votes", Lease: 4003 * time.Millisecond, Status: 404 * time.Millisecond,
-		Peers: map[string]string{"n1": "10.0.0.5:4009", "n2": "10.0.0.6:4010"}, MostZones: 5,
+		Peers: map[string]string{"n1": "10.0.0.5:4009", "n2": "10.0.0.6:4010"}, MaxEvacuatedZones: 5,
 		Registry: Registry{Servers: []string{"10.0.0.3:4006", "10.0.0.4:4007"}, Path: "/golden/members/golden",
 			Session: 4008 * time.Millisecond}}); !reflect.DeepEqual(*got, want) {
 		t.Errorf("\n got %+v\nwant %+v", *got, want)
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -108,10 +108,10 @@
 		return fault("registry.servers", "missing; a forwarder finds the planners there")
 	case l.Forward.Gateways < 1:
 		return fault("forward.gateways", "%d; it needs 1 at least", l.Forward.Gateways)
-	case l.Forward.MemoryMB < leastMemoryMB:
-		return fault("forward.memory_mb", "%d; it needs %d at least", l.Forward.MemoryMB, leastMemoryMB)
-	case l.Forward.Sockets < leastSockets:
-		return fault("forward.sockets", "%d; it needs %d at least", l.Forward.Sockets, leastSockets)
+	case l.Forward.MemoryMB < minMemoryMB:
+		return fault("forward.memory_mb", "%d; it needs %d at least", l.Forward.MemoryMB, minMemoryMB)
+	case l.Forward.Sockets < minSockets:
+		return fault("forward.sockets", "%d; it needs %d at least", l.Forward.Sockets, minSockets)
 	}
 	return nil
 }
--- a/internal/config/operations.go
+++ b/internal/config/operations.go
@@ -140,23 +140,28 @@
 	if err != nil {
 		return fault(name, "%v", err)
 	}
-	var wrong *jsonschema.ValidationError
-	if err := schema.Validate(value); errors.As(err, &wrong) {
-		for len(wrong.Causes) > 0 {
-			wrong = wrong.Causes[0]
-		}
-		key := strings.Join(wrong.InstanceLocation, ".")
-		words := wrong.ErrorKind.LocalizedString(message.NewPrinter(language.English))
-		if _, unknown, ok := strings.Cut(words, "additional properties '"); ok { // the key is the one that is too many
-			unknown, _, _ = strings.Cut(unknown, "'")
-			key = strings.TrimPrefix(key+"."+unknown, ".")
-			words = "there is no such key"
-		}
-		return fault(fmt.Sprintf("%s:%d", path, lineOf(text, key)), "%s: %s", key, words)
+	var invalid *jsonschema.ValidationError
+	if err := schema.Validate(value); errors.As(err, &invalid) {
+		return schemaFault(path, text, invalid)
 	}
 	return nil
 }
 
+// schemaFault is the error of the first key that does not fit the schema, with its line.
+func schemaFault(path string, text []byte, invalid *jsonschema.ValidationError) error {
+	for len(invalid.Causes) > 0 {
+		invalid = invalid.Causes[0]
+	}
+	key := strings.Join(invalid.InstanceLocation, ".")
+	problem := invalid.ErrorKind.LocalizedString(message.NewPrinter(language.English))
+	if _, unknown, ok := strings.Cut(problem, "additional properties '"); ok { // the key is the one that is too many
+		unknown, _, _ = strings.Cut(unknown, "'")
+		key = strings.TrimPrefix(key+"."+unknown, ".")
+		problem = "there is no such key"
+	}
+	return fault(fmt.Sprintf("%s:%d", path, lineOf(text, key)), "%s: %s", key, problem)
+}
+
 // lineOf finds the line of a key such as ledger.rows, or of its table; 1 if it is written in a form of its own.
 func lineOf(text []byte, key string) int {
 	table, found := "", 1
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -1,4 +1,5 @@
-// Package settings reads the settings object, which the simulator and a real gateway's configuration share.
+// Package settings reads the settings object, which the simulator and a real gateway's configuration share. It is the one place
+// where the object's keys are mapped to the module's terms.
 package settings
 
 import (
@@ -9,115 +10,136 @@
 	dw "dewhitch"
 )
 
-// object mirrors the settings object; keys not listed are skipped.
-type object struct {
-	Az    int
-	Areas []string
-	Caps  struct {
-		ConnIdle, ConnectTimeout, MaxRetryAfter                    int64
-		MayCancel, ParallelTries, PeerMessages, Probes, RetryAfter bool
-		TryLimit                                                   int
-	}
-	Contracts []struct {
-		Name                                                                            string
-		BeyondEarns, CapRate, Depth, HardBurst, OverrunCost, Pays, QuotaRate, Tolerance float64
-		Open                                                                            int
-	}
-	FamilyInfo struct {
-		CountFee              float64
-		CountLimit, UsePeriod int64
-		Counter, TruedUp      bool
-		UnitsTop              float64
-	}
-	Feedback struct {
-		Fields []string
-		Source string
-	}
-	Kinds          []string
-	MembershipMode string
-	MyNumber       int
-	NInstances     int
-	RequestClasses []struct {
-		Aim, Deadline, DedupWindow    int64
-		AimStretch, LateWorth, Points float64
-		Effect, Group, Name           string
-		Streaming                     bool
-	}
-	Rules struct {
-		AnswerSlack, AskWithin, Cold, Fall, StopSendingWithin int64
-		FallMultiple, StartCapacity                           float64
-	}
-	Tariffs struct{ CrossZone, LateFail, Probe, Waste float64 }
-	Tick    int64
-	Weights string
-}
-
-func word[T any](key, s string, m map[string]T) (T, error) {
-	v, ok := m[s]
-	if !ok {
-		return v, fmt.Errorf("%s: unknown word %q", key, s)
-	}
-	return v, nil
-}
-
 // Names are the names in the settings, which the module does without, and what connections need to know.
 type Names struct {
 	Zones, Kinds, Classes, Plans []string
 	ConnIdle                     time.Duration // a backend closes a connection that was idle for so long
 }
 
-// Decode reads the settings object.
-func Decode(text []byte) (s dw.Settings, w Names, err error) {
-	var c object
-	if err := json.Unmarshal(text, &c); err != nil {
-		return s, w, err
+// The values of the keys that take a word. An empty one is a key that is left out.
+var (
+	listModes     = map[string]bool{"": false, "pushed": false, "on_request": true}
+	reportSources = map[string]dw.ReportSource{"": dw.ReportsNone, "none": dw.ReportsNone, "answers": dw.ReportsInAnswers,
+		"probe": dw.ReportsInProbes}
+	idempotencies = map[string]dw.Idempotency{"safe": dw.Idempotent, "keyed": dw.IdempotentByKey, "unsafe": dw.NotIdempotent}
+	dedupScopes   = map[string]dw.DedupScope{"": dw.DedupAll, "all": dw.DedupAll, "zone": dw.DedupZone, "cell": dw.DedupCell}
+)
+
+// UnknownValueError is a key whose value is none of those that it takes.
+type UnknownValueError struct {
+	Key, Value string
+}
+
+// Error implements error.
+func (e *UnknownValueError) Error() string { return fmt.Sprintf("%s: unknown word %q", e.Key, e.Value) }
+
+// lookup finds the value of a key that takes a word.
+func lookup[T any](key, value string, values map[string]T) (T, error) {
+	v, known := values[value]
+	if !known {
+		return v, &UnknownValueError{key, value}
+	}
+	return v, nil
+}
+
+// Decode reads the settings object. It does not check what the module can work with: see dewhitch.Settings.Check.
+func Decode(text []byte) (dw.Settings, Names, error) {
+	var o object
+	if err := json.Unmarshal(text, &o); err != nil {
+		return dw.Settings{}, Names{}, err
+	}
+	names := Names{Zones: o.Areas, Kinds: o.Kinds, ConnIdle: time.Duration(o.Caps.ConnIdle)}
+	s := o.scalars()
+	var err error
+	if s.ListOnRequest, err = lookup("MembershipMode", o.MembershipMode, listModes); err != nil {
+		return s, names, err
 	}
-	w = Names{Zones: c.Areas, Kinds: c.Kinds, ConnIdle: time.Duration(c.Caps.ConnIdle)}
-	s = dw.Settings{Instances: c.NInstances, Self: c.MyNumber, Zones: len(c.Areas), Zone: c.Az, Tick: dw.Span(c.Tick),
-		Counter: c.FamilyInfo.Counter, CounterTimeout: dw.Span(c.FamilyInfo.CountLimit),
-		CounterFee: c.FamilyInfo.CountFee, MeterPeriod: dw.Span(c.FamilyInfo.UsePeriod),
-		MaxUnits: c.FamilyInfo.UnitsTop, UnitsCorrected: c.FamilyInfo.TruedUp,
-		MaxAttempts: c.Caps.TryLimit, ParallelAttempts: c.Caps.ParallelTries, MayCancel: c.Caps.MayCancel,
-		MayProbe: c.Caps.Probes, MayMessagePeers: c.Caps.PeerMessages, ConnectTimeout: dw.Span(c.Caps.ConnectTimeout),
-		RatingsDiffer: c.Weights != "none" && c.Weights != "",
-		AnswerSlack:   dw.Span(c.Rules.AnswerSlack), DrainGrace: dw.Span(c.Rules.StopSendingWithin),
-		PollWithin: dw.Span(c.Rules.AskWithin), SlowStartSpan: dw.Span(c.Rules.Cold), OverloadSpan: dw.Span(c.Rules.Fall),
-		StartCapacity: c.Rules.StartCapacity, OverloadMultiple: c.Rules.FallMultiple,
-		CrossZonePrice: c.Tariffs.CrossZone, WastePrice: c.Tariffs.Waste, ProbePrice: c.Tariffs.Probe,
-		LatePrice: c.Tariffs.LateFail}
-	if c.Caps.RetryAfter {
-		s.MaxRetryAfter = dw.Span(c.Caps.MaxRetryAfter)
+	if s.Reports, err = lookup("Feedback.Source", o.Feedback.Source, reportSources); err != nil {
+		return s, names, err
 	}
-	if s.ListOnRequest, err = word("MembershipMode", c.MembershipMode,
-		map[string]bool{"": false, "pushed": false, "on_request": true}); err != nil {
-		return s, w, err
+	for _, field := range o.Feedback.Fields {
+		s.ReportFields |= dw.LoadField(field)
 	}
-	if s.Reports, err = word("Feedback.Source", c.Feedback.Source, map[string]dw.ReportSource{"": dw.ReportsNone,
-		"none": dw.ReportsNone, "answers": dw.ReportsInAnswers, "probe": dw.ReportsInProbes}); err != nil {
-		return s, w, err
+	o.plans(&s, &names)
+	err = o.classes(&s, &names)
+	return s, names, err
+}
+
+// scalars are the settings of one value each.
+func (o *object) scalars() dw.Settings {
+	s := dw.Settings{
+		Instances:        o.NInstances,
+		Self:             o.MyNumber,
+		Zones:            len(o.Areas),
+		Zone:             o.Az,
+		Tick:             dw.Span(o.Tick),
+		Counter:          o.FamilyInfo.Counter,
+		CounterTimeout:   dw.Span(o.FamilyInfo.CountLimit),
+		CounterFee:       o.FamilyInfo.CountFee,
+		MeterPeriod:      dw.Span(o.FamilyInfo.UsePeriod),
+		MaxUnits:         o.FamilyInfo.UnitsTop,
+		UnitsCorrected:   o.FamilyInfo.TruedUp,
+		MaxAttempts:      o.Caps.TryLimit,
+		ParallelAttempts: o.Caps.ParallelTries,
+		MayCancel:        o.Caps.MayCancel,
+		MayProbe:         o.Caps.Probes,
+		MayMessagePeers:  o.Caps.PeerMessages,
+		ConnectTimeout:   dw.Span(o.Caps.ConnectTimeout),
+		RatingsDiffer:    o.Weights != "none" && o.Weights != "",
+		AnswerSlack:      dw.Span(o.Rules.AnswerSlack),
+		DrainGrace:       dw.Span(o.Rules.StopSendingWithin),
+		PollWithin:       dw.Span(o.Rules.AskWithin),
+		SlowStartSpan:    dw.Span(o.Rules.Cold),
+		OverloadSpan:     dw.Span(o.Rules.Fall),
+		StartCapacity:    o.Rules.StartCapacity,
+		OverloadMultiple: o.Rules.FallMultiple,
+		CrossZonePrice:   o.Tariffs.CrossZone,
+		WastePrice:       o.Tariffs.Waste,
+		ProbePrice:       o.Tariffs.Probe,
+		LatePrice:        o.Tariffs.LateFail,
 	}
-	for _, name := range c.Feedback.Fields {
-		s.ReportFields |= dw.LoadField(name)
+	if o.Caps.RetryAfter {
+		s.MaxRetryAfter = dw.Span(o.Caps.MaxRetryAfter)
 	}
-	for _, p := range c.Contracts {
-		w.Plans = append(w.Plans, p.Name)
-		s.Plans = append(s.Plans, dw.Plan{Rate: p.QuotaRate, Burst: p.Depth, MaxInFlight: p.Open, CeilingRate: p.CapRate,
-			CeilingBurst: p.HardBurst, Tolerance: p.Tolerance, WeightFactor: p.Pays, OverQuotaValue: p.BeyondEarns,
-			OverQuotaCost: p.OverrunCost})
+	return s
+}
+
+func (o *object) plans(s *dw.Settings, names *Names) {
+	for _, c := range o.Contracts {
+		names.Plans = append(names.Plans, c.Name)
+		s.Plans = append(s.Plans, dw.Plan{
+			Rate:           c.QuotaRate,
+			Burst:          c.Depth,
+			MaxInFlight:    c.Open,
+			CeilingRate:    c.CapRate,
+			CeilingBurst:   c.HardBurst,
+			Tolerance:      c.Tolerance,
+			WeightFactor:   c.Pays,
+			OverQuotaValue: c.BeyondEarns,
+			OverQuotaCost:  c.OverrunCost,
+		})
 	}
-	for _, p := range c.RequestClasses {
-		w.Classes = append(w.Classes, p.Name)
-		k := dw.Class{Objective: dw.Span(p.Aim), ObjectiveStretch: p.AimStretch, Deadline: dw.Span(p.Deadline),
-			LateWeight: p.LateWorth, Weight: p.Points, DedupWindow: dw.Span(p.DedupWindow), Streaming: p.Streaming}
-		if k.Idempotency, err = word("RequestClasses.Effect", p.Effect,
-			map[string]dw.Idempotency{"safe": dw.Idempotent, "keyed": dw.IdempotentByKey, "unsafe": dw.NotIdempotent}); err != nil {
-			return s, w, err
+}
+
+func (o *object) classes(s *dw.Settings, names *Names) (err error) {
+	for _, c := range o.RequestClasses {
+		names.Classes = append(names.Classes, c.Name)
+		class := dw.Class{
+			Objective:        dw.Span(c.Aim),
+			ObjectiveStretch: c.AimStretch,
+			Deadline:         dw.Span(c.Deadline),
+			LateWeight:       c.LateWorth,
+			Weight:           c.Points,
+			DedupWindow:      dw.Span(c.DedupWindow),
+			Streaming:        c.Streaming,
+		}
+		if class.Idempotency, err = lookup("RequestClasses.Effect", c.Effect, idempotencies); err != nil {
+			return err
 		}
-		if k.DedupScope, err = word("RequestClasses.Group", p.Group, map[string]dw.DedupScope{"": dw.DedupAll,
-			"all": dw.DedupAll, "zone": dw.DedupZone, "cell": dw.DedupCell}); err != nil {
-			return s, w, err
+		if class.DedupScope, err = lookup("RequestClasses.Group", c.Group, dedupScopes); err != nil {
+			return err
 		}
-		s.Classes = append(s.Classes, k)
+		s.Classes = append(s.Classes, class)
 	}
-	return s, w, nil
+	return nil
 }
