--- /dev/null
+++ b/internal/ledger/counts.go
@@ -0,0 +1,92 @@
+package ledger
+
+// Counts are the figures of a row.
+type Counts struct {
+	N [Events]uint64
+	U [sums]int64 // in millionths
+}
+
+// Units are those that came with an event.
+func (c *Counts) Units(e Event) int64 {
+	if u := kinds[e].units; u >= 0 {
+		return c.U[u]
+	}
+	return 0
+}
+
+// Book adds one posting.
+func (c *Counts) Book(e Event, units int64) {
+	c.N[e]++
+	if u := kinds[e].units; u >= 0 {
+		c.U[u] += units
+	}
+}
+
+// Add adds other figures to these.
+func (c *Counts) Add(o *Counts) {
+	for e, n := range o.N {
+		c.N[e] += n
+	}
+	for u, v := range o.U {
+		c.U[u] += v
+	}
+}
+
+// Less is what these figures are beyond earlier ones.
+func (c *Counts) Less(o *Counts) (d Counts) {
+	for e, n := range c.N {
+		d.N[e] = n - o.N[e]
+	}
+	for u, v := range c.U {
+		d.U[u] = v - o.U[u]
+	}
+	return d
+}
+
+// Set gives one figure a value, for readers of files.
+func (c *Counts) Set(e Event, n uint64, units int64) {
+	c.N[e] = n
+	if u := kinds[e].units; u >= 0 {
+		c.U[u] = units
+	}
+}
+
+// Zero says that nothing was ever counted.
+func (c *Counts) Zero() bool { return *c == Counts{} }
+
+// Refused adds up the planner's refusals.
+func (c *Counts) Refused() (n uint64) {
+	for e := PlanRefusedQuota; e <= PlanRefusedUnusable; e++ {
+		n += c.N[e]
+	}
+	return n
+}
+
+// Failed adds up the planner's failures.
+func (c *Counts) Failed() uint64 {
+	return c.N[PlanFailedGaveUp] + c.N[PlanFailedOpen] + c.N[PlanFailedUnread]
+}
+
+// FetchesEnded adds up the fetches that have ended, in whatever way.
+func (c *Counts) FetchesEnded() (n uint64) {
+	for e := FetchOK; e <= FetchCutoff; e++ {
+		n += c.N[e]
+	}
+	return n
+}
+
+// Ended adds up how reqs ended by the front's book, whatever became of them.
+func (c *Counts) Ended() uint64 {
+	return c.N[FrontServed] + c.N[FrontRefused] + c.FrontFailures()
+}
+
+// FrontFailures adds up what ended as neither served nor refused by the front's book.
+func (c *Counts) FrontFailures() uint64 {
+	return c.N[FrontFailed] + c.N[FrontGone] + c.N[FrontCut] + c.N[FrontKept] + c.N[FrontCutoff]
+}
+
+// Pending is what the tally of an account must hold, by the units' book.
+func (c *Counts) Pending() int64 {
+	return c.Units(UnitsDrawn) - c.Units(UnitsTold) + c.Units(UnitsReturned) - c.Units(UnitsForgotten) -
+		c.Units(UnitsCutoff)
+}
--- /dev/null
+++ b/internal/ledger/statement.go
@@ -0,0 +1,100 @@
+package ledger
+
+import (
+	"cmp"
+	"slices"
+)
+
+// Statement is what has come since the one before: the deltas by row, in the order of their keys, and, for a store, the
+// figures of the rows that have changed.
+type Statement struct {
+	Deltas []Line
+	Rows   []Kept
+	Tries  []Try  // that have ended, in that order
+	Open   []Open // what is open, in the order of the Refs
+}
+
+// Open is an entry of the table, as a store keeps it.
+type Open struct {
+	Ref uint64 `json:"Ref"`
+	Entry
+}
+
+// Kept is a row as a store keeps it.
+type Kept struct {
+	Key  Key
+	Gone bool // it was rolled up
+	Counts
+	Lost [4]uint64 // answers that were decided and did not reach the client: served, refused, failed, other
+}
+
+// Statement closes a period.
+func (l *Ledger) Statement() Statement {
+	l.last = nil
+	s := Statement{Deltas: l.evicted, Tries: l.tries}
+	for _, k := range l.gone { // one that has come again follows below
+		s.Rows = append(s.Rows, Kept{Key: k, Gone: true})
+	}
+	l.evicted, l.gone, l.tries = nil, nil, nil
+	for _, r := range l.unkept {
+		if !r.unkept || l.rows[r.key] != r {
+			continue
+		}
+		r.unkept = false
+		delta := r.counts
+		if r.stated == nil {
+			r.stated = &Counts{}
+		} else {
+			delta = r.counts.Less(r.stated)
+		}
+		*r.stated = r.counts
+		if !delta.Zero() {
+			s.Deltas = append(s.Deltas, Line{r.key, delta})
+		}
+		s.Rows = append(s.Rows, r.kept())
+	}
+	l.unkept = l.unkept[:0]
+	for ref, e := range l.table {
+		s.Open = append(s.Open, Open{ref, *e})
+	}
+	slices.SortFunc(s.Open, func(a, b Open) int { return cmp.Compare(a.Ref, b.Ref) })
+	slices.SortFunc(s.Deltas, func(a, b Line) int { return a.Key.compare(b.Key) })
+	return s
+}
+
+func (r *row) kept() Kept {
+	k := Kept{Key: r.key, Counts: r.counts}
+	copy(k.Lost[:], r.lost[served:])
+	return k
+}
+
+// Restore puts a row back that a store kept, all of it stated. It is for books that are still empty.
+func (l *Ledger) Restore(k Kept) {
+	r := l.row(k.Key)
+	r.counts = k.Counts
+	copy(r.lost[served:], k.Lost[:])
+	stated := k.Counts
+	r.stated = &stated
+	l.total.Add(&k.Counts)
+}
+
+// RestoreOpen puts an entry back that a store kept; its row was restored before.
+func (l *Ledger) RestoreOpen(o Open) {
+	e := o.Entry
+	l.table[o.Ref] = &e
+	e.row = l.row(e.Key)
+	e.row.open++
+}
+
+const maxTries = 1 << 16 // that are held between two statements
+
+func (l *Ledger) tried(t Try) {
+	if !l.stating {
+		return
+	}
+	if len(l.tries) >= maxTries {
+		l.TriesLost++
+		return
+	}
+	l.tries = append(l.tries, t)
+}
