--- a/internal/ledger/store/read.go
+++ b/internal/ledger/store/read.go
@@ -180,11 +180,11 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	l, n, notes, err := replay(dir, ledger.Limits{Rows: 1 << 30, Open: 1 << 30, Flight: 1 << 12}, m, c, false)
+	l, log, err := replay(dir, ledger.Limits{Rows: 1 << 30, Open: 1 << 30, Flight: 1 << 12}, m, c, false)
 	if err != nil {
 		return nil, err
 	}
-	return &View{m.Node, m.Role, m.Life, m.Names, l, n, notes, m.First, m.Seq}, nil
+	return &View{m.Node, m.Role, m.Life, m.Names, l, log.postings, log.notes, m.First, m.Seq}, nil
 }
 
 // Records hands the records for export behind a number on, in their order.
--- /dev/null
+++ b/internal/ledger/store/recovery.go
@@ -0,0 +1,158 @@
+package store
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"os"
+	"path/filepath"
+	"time"
+
+	"dewhitch/internal/ledger"
+	"dewhitch/internal/ledger/statement"
+)
+
+// recover makes the ledger of what the folder holds.
+func (s *Store) recover() (*ledger.Ledger, *Recovered, error) {
+	found := &Recovered{}
+	m, held, err := load(filepath.Join(s.o.Dir, dbName))
+	if errors.Is(err, errCorrupt) {
+		note := fmt.Sprintf("%s: %v; the figures before this start were set aside", dbName, err)
+		if err := s.aside(); err != nil {
+			return nil, nil, err
+		}
+		found.Notes = append(found.Notes, note)
+		m, held, err = meta{}, content{}, nil
+	}
+	if err != nil {
+		return nil, nil, err
+	}
+	l, log, err := replay(s.o.Dir, s.o.Limits, m, held, true)
+	if err != nil {
+		return nil, nil, err
+	}
+	found.Replayed, found.Notes = log.postings, append(found.Notes, log.notes...)
+	before := l.Total()
+	cut := l.CutOff(time.Now().UnixNano())
+	after := l.Total()
+	found.Cut, found.Reqs = len(cut), after.N[ledger.FrontCutoff]-before.N[ledger.FrontCutoff]
+	s.meta = m
+	s.meta.Version, s.meta.Node, s.meta.Role = version, s.o.Node, s.o.Role
+	s.meta.Life++
+	found.Life = s.meta.Life
+	numbers, err := segments(s.o.Dir)
+	if err != nil {
+		return nil, nil, err
+	}
+	for _, n := range numbers { // they are covered by the next statement
+		s.old = append(s.old, &segment{number: n, path: segmentPath(s.o.Dir, n)})
+		s.next = max(s.next, n)
+	}
+	s.next = max(s.next, m.Segment) + 1
+	now := time.Now()
+	life := statement.Record{Kind: statement.Life, From: now, To: now,
+		Note: fmt.Sprintf("%d postings replayed, %d reqs cut off by a crash", found.Replayed, found.Reqs)}
+	s.pend = newPending()
+	s.pend.notes = []statement.Record{life}
+	for _, note := range found.Notes {
+		s.pend.notes = append(s.pend.notes, statement.Record{Kind: statement.Gap, From: now, To: now, Note: note})
+	}
+	// From here on the log begins anew, and what it holds counts once the repair is on the disk. A crash before that
+	// finds all as it was, and repairs it again.
+	s.broken.Store(true)
+	return l, found, nil
+}
+
+// aside renames what can't be trusted, so that nobody counts on it and nobody has lost it.
+func (s *Store) aside() error {
+	suffix := fmt.Sprintf(".bad-%d", time.Now().UnixNano())
+	numbers, err := segments(s.o.Dir)
+	if err != nil {
+		return err
+	}
+	for _, n := range numbers {
+		if err := os.Rename(segmentPath(s.o.Dir, n), segmentPath(s.o.Dir, n)+suffix); err != nil {
+			return err
+		}
+	}
+	return os.Rename(filepath.Join(s.o.Dir, dbName), filepath.Join(s.o.Dir, dbName)+suffix)
+}
+
+// replayed is what the log held beyond the rows of the store.
+type replayed struct {
+	postings int
+	notes    []string // what could not be trusted, or was not kept
+}
+
+// replay makes a ledger of what the store holds and of the log behind it. It stops at the first record that is not complete: what
+// stands behind a break is never counted on.
+func replay(dir string, limits ledger.Limits, m meta, held content, stating bool) (*ledger.Ledger, replayed, error) {
+	l := ledger.New(limits, stating)
+	for _, k := range held.rows {
+		l.Restore(k)
+	}
+	for _, o := range held.open {
+		l.RestoreOpen(o)
+	}
+	var found replayed
+	numbers, err := segments(dir)
+	if err != nil {
+		return nil, found, err
+	}
+	at, broken := m.At, false
+	for i, number := range numbers {
+		if number < m.Segment {
+			continue
+		}
+		if number != m.Segment {
+			at = 0
+		}
+		path := segmentPath(dir, number)
+		if broken {
+			if behind := postingsIn(path, number); behind > 0 {
+				found.notes = append(found.notes, fmt.Sprintf("%s: %d records behind the break were not trusted", path, behind))
+			}
+			continue
+		}
+		s, err := readSegment(path, number, at, m.Statements, l.Post)
+		found.postings += max(0, s.read-at)
+		if err != nil && !errors.Is(err, errHead) {
+			return nil, found, err
+		}
+		// The log goes on in a next segment only when this one is full. After a crash of the machine its last pages may be
+		// missing, and those of the next be there; and a reader beside a gateway at work may have read this one before it was
+		// full, and the next after that. Postings between the two would be lost, and figures not add up.
+		broken = !s.full
+		note := breakOf(path, s, err)
+		if note == "" {
+			continue
+		}
+		broken = true
+		// A head that was being written when the process ended is no loss: nothing was in the file.
+		if !errors.Is(err, errHead) || i < len(numbers)-1 {
+			found.notes = append(found.notes, note)
+		}
+	}
+	return l, found, nil
+}
+
+// postingsIn counts the records of a segment that is not counted on; 0 if it can't be read.
+func postingsIn(path string, number uint64) (n int) {
+	if _, err := readSegment(path, number, 0, math.MaxUint64, func(ledger.Posting) { n++ }); err != nil {
+		return 0
+	}
+	return n
+}
+
+// breakOf says why the log is not followed beyond a segment; empty: it is.
+func breakOf(path string, s scanned, err error) string {
+	switch {
+	case err != nil:
+		return fmt.Sprintf("%s: %v", path, err)
+	case s.gap:
+		return path + ": the disk took no more for a while; what came then was not kept"
+	case s.behind > 0:
+		return fmt.Sprintf("%s: record %d is torn; %d records behind it were not trusted", path, s.read, s.behind)
+	}
+	return ""
+}
--- /dev/null
+++ b/internal/ledger/store/write.go
@@ -0,0 +1,150 @@
+package store
+
+import (
+	"encoding/binary"
+	"encoding/json"
+	"fmt"
+	"path/filepath"
+	"time"
+
+	"go.etcd.io/bbolt"
+
+	"dewhitch/internal/ledger"
+	"dewhitch/internal/ledger/statement"
+)
+
+var (
+	bucketMeta    = []byte("meta")
+	bucketRows    = []byte("rows")
+	bucketRecords = []byte("records")
+	keyMeta       = []byte("meta")
+	keyOpen       = []byte("open")
+)
+
+// write puts a statement into the embedded store, all of it or nothing.
+func (s *Store) write(p *pending, names ledger.Names) (meta, error) {
+	db, err := open(filepath.Join(s.o.Dir, dbName), &bbolt.Options{Timeout: s.o.Wait, NoSync: !s.o.Sync})
+	if err != nil {
+		return meta{}, err
+	}
+	defer db.Close()
+	var m meta
+	err = guard(func() error {
+		return db.Update(func(tx *bbolt.Tx) error {
+			w := writer{tx: tx, meta: s.meta, maxRecords: s.o.Records}
+			err := w.statement(p, names)
+			m = w.meta
+			return err
+		})
+	})
+	return m, err
+}
+
+// writer writes one statement in one transaction.
+type writer struct {
+	tx         *bbolt.Tx
+	meta       meta
+	maxRecords int // for export, that are kept
+}
+
+func (w *writer) statement(p *pending, names ledger.Names) error {
+	for _, name := range [][]byte{bucketMeta, bucketRows, bucketRecords} {
+		if _, err := w.tx.CreateBucketIfNotExists(name); err != nil {
+			return err
+		}
+	}
+	m := &w.meta
+	m.Statements++
+	from := m.Stated
+	if from.IsZero() {
+		from = p.to
+	}
+	m.Names, m.Segment, m.At, m.Stated = names, p.segment, p.at, p.to
+	w.tx.Bucket(bucketRecords).FillPercent = 1 // they come in their order
+	for _, write := range []func() error{
+		func() error { return w.rows(p) },
+		func() error { return w.putJSON(keyOpen, p.open) },
+		func() error { return w.records(p, names, from) },
+		w.dropOldRecords,
+	} {
+		if err := write(); err != nil {
+			return err
+		}
+	}
+	return w.putJSON(keyMeta, m)
+}
+
+// rows writes the rows that have changed, and deletes those that were rolled up.
+func (w *writer) rows(p *pending) (err error) {
+	rows := w.tx.Bucket(bucketRows)
+	for _, k := range sortedKeys(p.rows) {
+		row := p.rows[k]
+		if row.Gone {
+			err = rows.Delete(rowKey(k))
+		} else {
+			err = rows.Put(rowKey(k), encodeRow(row))
+		}
+		if err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// records writes the records for export: notes, figures by row, and tries at requests with an idempotency key.
+func (w *writer) records(p *pending, names ledger.Names, from time.Time) error {
+	for _, r := range p.notes {
+		if err := w.record(r); err != nil {
+			return err
+		}
+	}
+	for _, k := range sortedKeys(p.deltas) {
+		r := statement.Record{Kind: statement.Figures, From: from, To: p.to, Haulier: ledger.HaulierText(k.Customer),
+			Plan: names.Plan(k.Plan), Class: names.Class(k.Class), Figures: p.deltas[k]}
+		if err := w.record(r); err != nil {
+			return err
+		}
+	}
+	for _, t := range p.tries {
+		r := statement.Record{Kind: statement.Try, From: time.Unix(0, t.Taken).UTC(), To: time.Unix(0, t.Ended).UTC(),
+			Haulier: ledger.HaulierText(t.Key.Customer), Plan: names.Plan(t.Key.Plan), Class: names.Class(t.Key.Class),
+			Key: fmt.Sprintf("%016x", t.Hash), End: t.End.String()}
+		if err := w.record(r); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// record numbers a record, links it to the chain of those before, and writes it.
+func (w *writer) record(r statement.Record) error {
+	m := &w.meta
+	m.Seq++
+	r.Seq, r.Node, r.Role, r.Life = m.Seq, m.Node, m.Role, m.Life
+	line := r.Seal(nil, m.Chain) // the store keeps it until the end of the transaction
+	m.Chain = r.Chain
+	return w.tx.Bucket(bucketRecords).Put(recordKey(m.Seq), line)
+}
+
+// dropOldRecords deletes the oldest records beyond those that are kept.
+func (w *writer) dropOldRecords() error {
+	m := &w.meta
+	m.First = max(1, m.First)
+	for ; m.Seq-m.First >= uint64(w.maxRecords); m.First++ {
+		if err := w.tx.Bucket(bucketRecords).Delete(recordKey(m.First)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
+
+// putJSON writes a value with its checksum.
+func (w *writer) putJSON(key []byte, v any) error {
+	text, err := json.Marshal(v)
+	if err != nil {
+		return err
+	}
+	return w.tx.Bucket(bucketMeta).Put(key, seal(text))
+}
+
+func recordKey(seq uint64) []byte { return binary.BigEndian.AppendUint64(nil, seq) }
