--- a/internal/ledger/key.go
+++ b/internal/ledger/key.go
@@ -5,7 +5,7 @@
 )
 
 // Key names a row: what one haulier asked for, under one plan and class. The numbers of plans and classes are the
-// desk's (it knows their names).
+// recorder's (it knows their names).
 type Key struct {
 	Customer uint64 `json:"Customer"`
 	Plan     int16  `json:"Plan"`
--- /dev/null
+++ b/internal/ledger/recorder/alarms.go
@@ -0,0 +1,66 @@
+package recorder
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"time"
+
+	"go.uber.org/zap"
+
+	"dewhitch/internal/ledger"
+)
+
+type alarmKey struct {
+	key   ledger.Key
+	all   bool
+	check string
+}
+
+// alarm is what operators are told.
+type alarm struct {
+	At      time.Time `json:"at"`
+	State   string    `json:"state"`
+	Check   string    `json:"check"`
+	Haulier string    `json:"haulier"`
+	Plan    string    `json:"plan,omitempty"`
+	Class   string    `json:"class,omitempty"`
+	Books   []string  `json:"books,omitempty"`
+	Figures []int64   `json:"figures,omitempty"`
+	Flight  []string  `json:"last_postings,omitempty"`
+}
+
+func (rec *Recorder) alarm(m ledger.Mismatch) alarm {
+	a := alarm{At: time.Now(), Check: m.Check, Haulier: "all"}
+	if !m.All {
+		a.Haulier = ledger.HaulierText(m.Key.Customer)
+		a.Plan, a.Class = rec.names.Plan(m.Key.Plan), rec.names.Class(m.Key.Class)
+		for _, p := range rec.ledger.Flight(m.Key, alarmPostings) {
+			a.Flight = append(a.Flight, fmt.Sprintf("%s %s ref=%d units=%g",
+				time.Unix(0, p.At).UTC().Format("15:04:05.000000"), p.Event, p.Ref, float64(p.Units)/1e6))
+		}
+	}
+	if m.Left != m.Right {
+		a.Books = []string{m.Books[0].String(), m.Books[1].String()}
+		a.Figures = []int64{int64(m.Left), int64(m.Right)}
+	}
+	return a
+}
+
+// file appends an alarm to the operators' file, which is opened each time: they may take it away.
+func (rec *Recorder) file(a alarm) {
+	if rec.options.AlarmFile == "" {
+		return
+	}
+	text, err := json.Marshal(a)
+	if err == nil {
+		var f *os.File
+		if f, err = os.OpenFile(rec.options.AlarmFile, os.O_APPEND|os.O_CREATE|os.O_WRONLY, 0o640); err == nil {
+			_, err = f.Write(append(text, '\n'))
+			f.Close()
+		}
+	}
+	if err != nil {
+		rec.options.Log.Warn("an alarm is in the log alone", zap.Error(err))
+	}
+}
--- a/internal/ledger/store/commit.go
+++ b/internal/ledger/store/commit.go
@@ -24,7 +24,7 @@
 	return &pending{rows: map[ledger.Key]ledger.Kept{}, deltas: map[ledger.Key]*ledger.Counts{}}
 }
 
-// Mark implements desk.Keeper.
+// Mark implements recorder.Keeper.
 func (s *Store) Mark() {
 	if s.pend == nil {
 		s.pend = newPending()
@@ -54,7 +54,7 @@
 	}
 }
 
-// Cut implements desk.Keeper.
+// Cut implements recorder.Keeper.
 func (s *Store) Cut(st ledger.Statement) {
 	p := s.pend
 	for _, k := range st.Rows {
@@ -70,7 +70,7 @@
 	p.tries = append(p.tries, st.Tries...)
 }
 
-// Commit implements desk.Keeper.
+// Commit implements recorder.Keeper.
 func (s *Store) Commit(names ledger.Names) error {
 	p := s.pend
 	m, err := s.write(p, names)
--- a/internal/ledger/store/log.go
+++ b/internal/ledger/store/log.go
@@ -63,7 +63,7 @@
 	return os.Remove(seg.path)
 }
 
-// Append implements desk.Keeper.
+// Append implements recorder.Keeper.
 func (s *Store) Append(p ledger.Posting) {
 	if !s.kept.Load() || s.broken.Load() {
 		s.lost++
--- a/internal/ledger/store/store.go
+++ b/internal/ledger/store/store.go
@@ -65,13 +65,13 @@
 	Stated     time.Time    `json:"stated"`
 }
 
-// Store implements desk.Keeper.
+// Store implements recorder.Keeper.
 type Store struct {
 	o    Options
 	lock *os.File
 	meta meta
 
-	// Under the desk's lock, and in Run.
+	// Under the recorder's lock, and in Run.
 	cur  *segment
 	kept atomic.Bool
 	lost uint64 // postings that are in no log
--- a/internal/ledger/store/store_test.go
+++ b/internal/ledger/store/store_test.go
@@ -29,7 +29,7 @@
 		Limits: ledger.Limits{Rows: 1000, Open: 1000, Flight: 64}, Log: zap.NewNop(), Wait: 50 * time.Millisecond}
 }
 
-// books are a ledger and its store, as a desk holds them.
+// books are a ledger and its store, as a recorder holds them.
 type books struct {
 	t *testing.T
 	*Store
