--- a/internal/counter/golden_test.go
+++ b/internal/counter/golden_test.go
@@ -68,11 +68,7 @@
 
 // The answers that the counter gives. The gateway reads them: each line is one answer, with \r\n for a line's end.
 func TestGoldenAnswers(t *testing.T) {
-	want := []struct {
-		outcome dw.Outcome
-		total   float64
-		again   bool
-	}{
+	want := []answer{
 		{dw.OutcomeOK, 38.5, true},
 		{dw.OutcomeOK, -1.25, false},
 		{dw.OutcomeOK, 7, true},
@@ -89,8 +85,8 @@
 	}
 	for i, line := range lines {
 		r := bufio.NewReaderSize(strings.NewReader(strings.ReplaceAll(line, `\r\n`, "\r\n")), http1.MaxLine+2)
-		if o, total, again := one(r); o != want[i].outcome || total != want[i].total || again != want[i].again {
-			t.Errorf("%s: got %v, %v, %v, want %+v", line, o, total, again, want[i])
+		if got := readAnswer(r); got != want[i] {
+			t.Errorf("%s: got %+v, want %+v", line, got, want[i])
 		}
 	}
 }
