--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/client_test.go
@@ -15,23 +15,23 @@
 	"dewhitch/internal/standin"
 )
 
-// Discovery that all gateways ask is asked for what changed, not for all of the list, and again when it was too busy.
-// One of a gateway's own is asked for the list at once.
-func TestFirstQuestion(t *testing.T) {
-	const whole, since = "/api/targets", "/api/targets?follow=1&since=41"
+// A discovery service that gateways share is requests to watch, not polled, and again after it rejected that. One of a gateway's
+// own is polled at once.
+func TestFirstRequest(t *testing.T) {
+	const poll, watch = "/api/targets", "/api/targets?follow=1&since=41"
 	for _, shared := range []bool{false, true} {
-		asked := make(chan string, 8)
-		refuse := make(chan struct{}, 1)
-		refuse <- struct{}{}
+		requests := make(chan string, 8)
+		reject := make(chan struct{}, 1)
+		reject <- struct{}{}
 		l, err := standin.Listen("", func(conn net.Conn) {
 			for r := bufio.NewReader(conn); ; {
 				q, err := http.ReadRequest(r)
 				if err != nil {
 					return
 				}
-				asked <- q.URL.String()
+				requests <- q.URL.String()
 				select {
-				case <-refuse:
+				case <-reject:
 					fmt.Fprint(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 					continue
 				default:
@@ -48,25 +48,25 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		told := make(chan int64, 8)
+		versions := make(chan int64, 8)
 		d := New(l.Addr(), NewDecoder(Names{}), func(l core.EndpointUpdate) error {
-			told <- l.List.Version
+			versions <- l.List.Version
 			return nil
 		}, 1, zap.NewNop())
-		want := []string{whole, whole, "/api/targets?follow=1&since=42"}
+		want := []string{poll, poll, "/api/targets?follow=1&since=42"}
 		if shared {
 			d.Shared(true, 41, 3)
-			want = []string{since, since}
+			want = []string{watch, watch}
 		}
 		ctx, cancel := context.WithCancel(context.Background())
 		ended := make(chan error, 1)
 		go func() { ended <- d.Run(ctx) }()
 		for i, w := range want {
-			if got := <-asked; got != w {
-				t.Errorf("shared %v: question %d is %s, want %s", shared, i+1, got, w)
+			if got := <-requests; got != w {
+				t.Errorf("shared %v: request %d is %s, want %s", shared, i+1, got, w)
 			}
 		}
-		for v := int64(0); v != 43; v = <-told {
+		for v := int64(0); v != 43; v = <-versions {
 		}
 		cancel()
 		if err := <-ended; err != nil {
@@ -76,16 +76,17 @@
 	}
 }
 
-// However many gateways share a discovery, each asks, and asks again, before what it misses counts as told.
-func TestScatterIsBounded(t *testing.T) {
-	const countsAsTold = 6 * time.Second
+// However many gateways share a discovery service, each sends its request, and its next after a rejection, before the changes that
+// it misses count as delivered.
+func TestInitialDelayIsBounded(t *testing.T) {
+	const countsAsDelivered = 6 * time.Second
 	for _, gateways := range []int{1, 3, 80, 900} {
 		for seed := range uint64(50) {
 			d := New("127.0.0.1:1", NewDecoder(Names{}), nil, seed, zap.NewNop())
 			d.Shared(true, 41, gateways)
-			if d.scatter > countsAsTold-answerTime || d.again.BusyFirst > countsAsTold-answerTime {
-				t.Fatalf("seed %d, %d gateways: the first question after %v, the next %v after a refusal", seed, gateways, d.scatter,
-					d.again.BusyFirst)
+			if d.initialDelay > countsAsDelivered-pollTimeout || d.backoff.BusyFirst > countsAsDelivered-pollTimeout {
+				t.Fatalf("seed %d, %d gateways: the first request after %v, the next %v after a rejection", seed, gateways, d.initialDelay,
+					d.backoff.BusyFirst)
 			}
 		}
 	}
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -5,7 +5,7 @@
 	"errors"
 	"fmt"
 	"io"
-	"strconv"
+	"sync"
 
 	"github.com/go-json-experiment/json/jsontext"
 
@@ -13,24 +13,67 @@
 	"dewhitch/internal/core"
 )
 
-// Message is one message of discovery's, decoded.
+// Message is one message of discovery's, decoded: a list, or a change of it.
 type Message struct {
 	Revision int64
-	Complete bool // it names every server; what it leaves out is gone
+	Complete bool // it names every server; one that it leaves out is removed
 	Members  []Member
 }
 
 // Member is a server as a message has it.
 type Member struct {
-	ServerName string // the id, as discovery words it
-	Addr       string
-	Entry      dw.Endpoint // its Since is Unix time
+	ServerName string      // the id, as discovery words it
+	Addr       string      // as host:port; empty: removed
+	Entry      dw.Endpoint // its StartedAt is Unix time
 }
 
-// phases are the states of servers by discovery's names for them.
-var phases = map[string]dw.EndpointState{"up": dw.Ready, "draining": dw.Draining, "removed": dw.Removed}
+// endpointStates are the states of servers by discovery's names for them.
+var endpointStates = map[string]dw.EndpointState{"up": dw.Ready, "draining": dw.Draining, "removed": dw.Removed}
+
+// Names are the settings' words for zones and kinds, in their order.
+type Names struct{ Zones, Kinds []string }
+
+// Decoder turns discovery's messages into the module's terms, and assigns numbers to servers. It is safe for concurrent use:
+// operators look ids up while the client decodes.
+type Decoder struct {
+	mu        sync.Mutex // guards all of it
+	zones     nameIndex
+	kinds     nameIndex
+	ids       map[string]dw.ServerID // by the id as discovery words it
+	servers   map[dw.ServerID]serverName
+	lastCount int       // members of the last message
+	raw       rawMember // buffers of the member that is being decoded
+}
+
+// NewDecoder makes a decoder.
+func NewDecoder(n Names) *Decoder {
+	return &Decoder{
+		zones:   newNameIndex(n.Zones),
+		kinds:   newNameIndex(n.Kinds),
+		ids:     map[string]dw.ServerID{},
+		servers: map[dw.ServerID]serverName{},
+	}
+}
 
-// Decode reads one message. It is an error, and nothing of it is kept, if any member of it can't be used.
+// Known decodes the list that the configuration holds, which may be out of date, or missing.
+func (d *Decoder) Known(text []byte) (core.EndpointUpdate, error) {
+	out := core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListCached}}
+	if len(text) == 0 {
+		return out, nil
+	}
+	m, err := d.Decode(text)
+	if err != nil {
+		return out, err
+	}
+	out.List.Version = m.Revision
+	for _, s := range m.Members {
+		appendMember(&out, s)
+	}
+	return out, nil
+}
+
+// Decode reads one message. It is an error if any member can't be used, as a list with a part missing would remove servers;
+// nothing of the message is returned then.
 func (d *Decoder) Decode(text []byte) (Message, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -54,169 +97,81 @@
 		return Message{}, err
 	}
 	if _, err := r.ReadToken(); !errors.Is(err, io.EOF) {
-		return Message{}, errors.New("more follows the list")
+		return Message{}, errTrailing
 	}
 	return m, nil
 }
 
 // members reads the array of servers; the lock is held.
 func (d *Decoder) members(r *jsonReader) ([]Member, error) {
-	all := make([]Member, 0, d.last)
+	all := make([]Member, 0, d.lastCount)
 	err := r.array(func() error {
 		m, err := d.member(r)
 		all = append(all, m)
 		return err
 	})
-	d.last = len(all)
+	d.lastCount = len(all)
 	return all, err
 }
 
 // member reads one server; the lock is held.
-func (d *Decoder) member(r *jsonReader) (m Member, err error) {
-	var upSinceMS int64
-	f := &d.fields
-	f.id, f.addr, f.phase = f.id[:0], f.addr[:0], f.phase[:0]
-	err = r.object(func(key string) (err error) {
-		switch key {
-		case "id":
-			f.id, err = r.text(f.id[:0])
-		case "host_port":
-			f.addr, err = r.text(f.addr[:0])
-		case "phase":
-			f.phase, err = r.text(f.phase[:0])
-		case "locality":
-			f.place, err = r.text(f.place[:0])
-			m.Entry.Zone = d.zones.place(f.place)
-		case "flavor":
-			f.place, err = r.text(f.place[:0])
-			m.Entry.Kind = d.kinds.place(f.place)
-		case "cell":
-			var cell int64
-			cell, err = r.integer()
-			m.Entry.Cell = int(cell)
-		case "size":
-			m.Entry.Rating, err = r.number()
-		case "up_since_ms":
-			upSinceMS, err = r.integer()
-		default:
-			err = r.SkipValue()
-		}
-		return err
-	})
-	if err != nil {
-		return m, err
+func (d *Decoder) member(r *jsonReader) (Member, error) {
+	raw := &d.raw
+	raw.reset()
+	if err := r.object(func(key string) error { return d.readField(r, key, raw) }); err != nil {
+		return Member{}, err
 	}
-	state, known := phases[string(f.phase)]
-	if len(f.id) == 0 || !known || len(f.addr) == 0 && state != dw.Removed {
-		return m, fmt.Errorf("members: id %q has host_port %q, phase %q", f.id, f.addr, f.phase)
+	state, known := endpointStates[string(raw.phase)]
+	if len(raw.id) == 0 || !known || len(raw.addr) == 0 && state != dw.Removed {
+		return Member{}, fmt.Errorf("members: id %q has host_port %q, phase %q", raw.id, raw.addr, raw.phase)
 	}
-	m.Entry.State, m.Entry.StartedAt = state, core.FromUnixMS(upSinceMS)
-	m.ServerName, m.Entry.ID = d.intern(f.id)
-	m.Addr = d.address(m.Entry.ID, f.addr)
+	m := Member{Entry: raw.entry}
+	m.Entry.State = state
+	m.Entry.StartedAt = core.FromUnixMS(raw.upSinceMS)
+	m.ServerName, m.Entry.ID = d.assignID(raw.id)
+	m.Addr = d.internAddr(m.Entry.ID, raw.addr)
 	return m, nil
 }
 
-// fields are buffers for the texts of one member, which are used again for the next.
-type fields struct{ id, addr, phase, place []byte }
-
-// jsonReader reads values of the kinds that a list has. Null stands for a value that is left out.
-type jsonReader struct{ *jsontext.Decoder }
-
-// object reads an object, and calls field with the reader at the value of each key.
-func (r *jsonReader) object(field func(key string) error) error {
-	return r.each('{', func() error {
-		key, err := r.ReadValue()
-		if err != nil {
-			return err
-		}
-		name := key[1 : len(key)-1]
-		if bytes.IndexByte(name, '\\') >= 0 {
-			if name, err = jsontext.AppendUnquote(nil, key); err != nil {
-				return err
-			}
-		}
-		return field(string(name))
-	})
+// rawMember is a member as its fields have been read. Its buffers are reused, so that nothing is allocated for servers that
+// are known.
+type rawMember struct {
+	id, addr, phase []byte
+	name            []byte // of the zone or kind that is being read
+	entry           dw.Endpoint
+	upSinceMS       int64 // Unix time in milliseconds
 }
 
-// array reads an array, and calls item with the reader at each value.
-func (r *jsonReader) array(item func() error) error { return r.each('[', item) }
+// reset empties it, and keeps the buffers.
+func (m *rawMember) reset() {
+	*m = rawMember{id: m.id[:0], addr: m.addr[:0], phase: m.phase[:0], name: m.name[:0]}
+}
 
-// each reads an object or array, and calls next while there is more in it.
-func (r *jsonReader) each(open jsontext.Kind, next func() error) error {
-	begin, err := r.ReadToken()
-	if err != nil {
-		return err
-	}
-	switch begin.Kind() {
-	case 'n':
-		return nil
-	case open:
+// readField reads the value of one key of a server into raw; the lock is held.
+func (d *Decoder) readField(r *jsonReader, key string, raw *rawMember) (err error) {
+	switch key {
+	case "id":
+		raw.id, err = r.text(raw.id[:0])
+	case "host_port":
+		raw.addr, err = r.text(raw.addr[:0])
+	case "phase":
+		raw.phase, err = r.text(raw.phase[:0])
+	case "locality":
+		raw.name, err = r.text(raw.name[:0])
+		raw.entry.Zone = d.zones.index(raw.name)
+	case "flavor":
+		raw.name, err = r.text(raw.name[:0])
+		raw.entry.Kind = d.kinds.index(raw.name)
+	case "cell":
+		var cell int64
+		cell, err = r.integer()
+		raw.entry.Cell = int(cell)
+	case "size":
+		raw.entry.Rating, err = r.number()
+	case "up_since_ms":
+		raw.upSinceMS, err = r.integer()
 	default:
-		return r.unlike(open.String(), begin.Kind())
-	}
-	for kind := r.PeekKind(); kind != '}' && kind != ']'; kind = r.PeekKind() {
-		if err := next(); err != nil {
-			return err
-		}
+		err = r.SkipValue()
 	}
-	_, err = r.ReadToken()
 	return err
 }
-
-func (r *jsonReader) unlike(want string, got jsontext.Kind) error {
-	return fmt.Errorf("%s: %s does not belong here, but %s", r.StackPointer(), got, want)
-}
-
-// scalar reads a value of a kind; null gives none.
-func (r *jsonReader) scalar(kinds string) (jsontext.Value, error) {
-	v, err := r.ReadValue()
-	if err != nil || v.Kind() == 'n' {
-		return nil, err
-	}
-	if !bytes.ContainsRune([]byte(kinds), rune(v.Kind())) {
-		return nil, r.unlike(jsontext.Kind(kinds[0]).String(), v.Kind())
-	}
-	return v, nil
-}
-
-// text appends a string's text to b.
-func (r *jsonReader) text(b []byte) ([]byte, error) {
-	v, err := r.scalar(`"`)
-	if err != nil || v == nil {
-		return b, err
-	}
-	if plain := v[1 : len(v)-1]; bytes.IndexByte(plain, '\\') < 0 {
-		return append(b, plain...), nil
-	}
-	return jsontext.AppendUnquote(b, v)
-}
-
-func (r *jsonReader) integer() (int64, error) {
-	v, err := r.scalar("0")
-	if err != nil || v == nil {
-		return 0, err
-	}
-	n, err := strconv.ParseInt(string(v), 10, 64)
-	if err != nil {
-		return 0, fmt.Errorf("%s: %w", r.StackPointer(), err)
-	}
-	return n, nil
-}
-
-func (r *jsonReader) number() (float64, error) {
-	v, err := r.scalar("0")
-	if err != nil || v == nil {
-		return 0, err
-	}
-	n, err := strconv.ParseFloat(string(v), 64)
-	if err != nil {
-		return 0, fmt.Errorf("%s: %w", r.StackPointer(), err)
-	}
-	return n, nil
-}
-
-func (r *jsonReader) boolean() (bool, error) {
-	v, err := r.scalar("tf")
-	return v != nil && v.Kind() == 't', err
-}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -18,9 +18,9 @@
 func TestGoldenBreakReasons(t *testing.T) {
 	var words strings.Builder
 	for _, err := range []error{statusError(503), context.Canceled, net.ErrClosed, &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded},
-		os.ErrDeadlineExceeded, errOlder, errTooLong, errTooSlow, errEnded, errCut, io.EOF, io.ErrUnexpectedEOF, http1.ErrProtocol,
+		os.ErrDeadlineExceeded, errStale, errTooLong, errTooSlow, errEnded, errTruncated, io.EOF, io.ErrUnexpectedEOF, http1.ErrProtocol,
 		&net.OpError{Op: "read", Err: errors.New("broken")}, errors.New("no JSON")} {
-		fmt.Fprintln(&words, reason(err))
+		fmt.Fprintln(&words, breakReason(err))
 	}
 	golden.Compare(t, "break_reasons", []byte(words.String()))
 }
--- a/internal/discovery/golden_wire_test.go
+++ b/internal/discovery/golden_wire_test.go
@@ -18,7 +18,7 @@
 	"dewhitch/internal/standin"
 )
 
-// The list of servers with each of its keys, each phase, and a zone and a kind by whole names and by their parts behind a dash. The
+// The list of servers with each of its keys, each phase, and a zone and a kind by complete names and by their parts behind a dash. The
 // discovery service writes it; the gateway reads it, and its configuration holds one in the same form.
 func TestGoldenList(t *testing.T) {
 	names := Names{Zones: []string{"lake-a", "lake-b", "lake-c"}, Kinds: []string{"size-small", "size-large"}}
@@ -47,9 +47,9 @@
 	}
 }
 
-// The questions that a discovery service is asked: for all of the list, and for what changed since a revision. It reads their bytes.
-func TestGoldenQuestions(t *testing.T) {
-	asked := make(chan []byte, 2)
+// The requests to a discovery service: a poll, and a watch from a revision. It reads their bytes.
+func TestGoldenRequests(t *testing.T) {
+	requests := make(chan []byte, 2)
 	l, err := standin.Listen("", func(c net.Conn) {
 		for _, answer := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 45\r\n\r\n" + `{"revision":42,"complete":true, "members":[]}`,
 			"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"} {
@@ -59,7 +59,7 @@
 					return
 				}
 			}
-			asked <- b
+			requests <- b
 			fmt.Fprint(c, answer)
 		}
 	})
@@ -68,19 +68,19 @@
 	}
 	defer l.Close()
 	d := New(l.Addr(), NewDecoder(Names{}), func(core.EndpointUpdate) error { return nil }, 1, zap.NewNop())
-	if _, err := d.follow(context.Background(), l.Addr()); err == nil || err.Error() != "status 503" {
+	if _, err := d.sync(context.Background(), l.Addr()); err == nil || err.Error() != "status 503" {
 		t.Error(err)
 	}
-	text := append(<-asked, <-asked...)
+	text := append(<-requests, <-requests...)
 	golden.Compare(t, "questions.txt", bytes.ReplaceAll(text, []byte(l.Addr()), []byte("HOST:PORT")))
 }
 
 // The reasons for which the list broke off, which are a label of the metrics. Operators read them.
 func TestGoldenReasons(t *testing.T) {
 	var b strings.Builder
-	for _, err := range []error{statusError(503), net.ErrClosed, &net.OpError{Op: "dial", Err: io.EOF}, errOlder, errTooLong, errTooSlow, errEnded, errCut,
+	for _, err := range []error{statusError(503), net.ErrClosed, &net.OpError{Op: "dial", Err: io.EOF}, errStale, errTooLong, errTooSlow, errEnded, errTruncated,
 		&net.OpError{Op: "read", Err: io.ErrNoProgress}, io.ErrNoProgress} {
-		fmt.Fprintln(&b, reason(err))
+		fmt.Fprintln(&b, breakReason(err))
 	}
 	golden.Compare(t, "reasons.txt", []byte(b.String()))
 }
--- a/internal/discovery/long_list_test.go
+++ b/internal/discovery/long_list_test.go
@@ -15,8 +15,8 @@
 	"dewhitch/internal/standin"
 )
 
-// longList is a message that names so many servers, of which those at every fourth place have the phase.
-func longList(revision, servers int, complete bool, phase string, between string) string {
+// longMessage is a message that names so many servers, of which those at every fourth place have the phase.
+func longMessage(revision, servers int, complete bool, phase string, between string) string {
 	var members []string
 	for i := range servers {
 		at := "up"
@@ -31,8 +31,8 @@
 		strings.Join(members, ","+between))
 }
 
-// A change reaches the planner whatever the number of servers and the form in which it is told: all of the list or what changed,
-// in the watch or in answer to a question, on a line or indented, in one piece or in small ones.
+// A change reaches the planner whatever the number of servers and its form: the complete list or a delta,
+// in the watch or in answer to a poll, on a line or indented, in one piece or in small ones.
 func TestLongListsAreRead(t *testing.T) {
 	inPieces := func(text string) []string {
 		var all []string
@@ -44,31 +44,31 @@
 	}
 	for _, servers := range []int{200, 1_860, 1_880, 3_200, 12_800} {
 		for form, between := range map[string]string{"on a line": "", "indented": "\n                "} {
-			first := whole(longList(41, servers, true, "up", between))
-			all, some := longList(42, servers, true, "draining", between), longList(42, servers, false, "draining", between)
-			for how, answers := range map[string][]answer{
+			first := complete(longMessage(41, servers, true, "up", between))
+			all, some := longMessage(42, servers, true, "draining", between), longMessage(42, servers, false, "draining", between)
+			for how, answers := range map[string][]answerFunc{
 				"all in the watch":             {first, watch(silent, all+"\n")},
 				"all in the watch, in pieces":  {first, watch(silent, append(inPieces(all), "\n")...)},
 				"what changed":                 {first, watch(silent, some+"\n")},
 				"what changed, in pieces":      {first, watch(silent, append(inPieces(some), "\n")...)},
 				"the watch ends, then all":     {first, watch(ends), watch(silent, "\n", all+"\n")},
 				"the watch ends within all":    {first, watch(closes, all[:len(all)/2]), watch(silent, all+"\n")},
-				"unreadable, then all again":   {first, watch(silent, "nonsense\n"), whole(all)},
-				"again of no length, by a cut": {first, watch(silent, "nonsense\n"), endless(all, closes)},
+				"unreadable, then all again":   {first, watch(silent, "nonsense\n"), complete(all)},
+				"again of no length, by a cut": {first, watch(silent, "nonsense\n"), unbounded(all, closes)},
 			} {
 				t.Run(fmt.Sprintf("%d/%s/%s", servers, form, how), func(t *testing.T) {
 					t.Parallel()
 					b := newBed(t, answers...)
-					b.silence, b.patience = patience, patience
-					b.follow(t, "41 up", "42 draining")
+					b.watchTimeout, b.pollTimeout = testTimeout, testTimeout
+					b.expectUpdates(t, "41 up", "42 draining")
 				})
 			}
 		}
 	}
 }
 
-// What can't be used is not asked for again in the same way: a change, then the whole list, then a change.
-func TestTheNextQuestionIsAnother(t *testing.T) {
+// A request whose answer can't be used is followed by one of the other kind: a watch, then a poll, then a watch.
+func TestUnusableAnswerIsNotRequestedAgain(t *testing.T) {
 	tooLong := func(c *net.TCPConn) bool {
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\n\r\n{")
 		for space := make([]byte, 64<<10); ; {
@@ -78,13 +78,13 @@
 		}
 	}
 	const all, since = "/api/targets", "/api/targets?follow=1&since=41"
-	b := newBed(t, whole(message(41, true, "up")), tooLong, tooLong, watch(silent, message(42, false, "draining")+"\n"))
-	b.silence, b.patience = patience, patience
-	b.follow(t, "41 up", "42 draining")
+	b := newBed(t, complete(message(41, true, "up")), tooLong, tooLong, watch(silent, message(42, false, "draining")+"\n"))
+	b.watchTimeout, b.pollTimeout = testTimeout, testTimeout
+	b.expectUpdates(t, "41 up", "42 draining")
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if got := strings.Join(b.asked, " "); got != strings.Join([]string{all, since, all, since}, " ") {
-		t.Errorf("asked %s", got)
+	if got := strings.Join(b.requests, " "); got != strings.Join([]string{all, since, all, since}, " ") {
+		t.Errorf("requests %s", got)
 	}
 }
 
@@ -92,7 +92,7 @@
 // these would take hours.
 func TestCostOfALongListIsLinear(t *testing.T) {
 	const servers = 60_000
-	text := longList(1, servers, true, "up", "")
+	text := longMessage(1, servers, true, "up", "")
 	m := &messageReader{r: &steps{[]byte(text), 1}}
 	got, err := m.next()
 	if err != nil || string(got) != text {
@@ -106,7 +106,7 @@
 
 // The planner's list, by the changes that a view gives, is always what the messages say, in random orders of them; and the
 // decoder knows of no others.
-func TestViewHoldsWhatMessagesSay(t *testing.T) {
+func TestViewMatchesMessages(t *testing.T) {
 	const seed, worlds, messages, ids = 42, 300, 60, 12
 	for world := range worlds {
 		rng := rand.New(rand.NewPCG(seed, uint64(world)))
@@ -117,19 +117,19 @@
 			m := randomMessage(rng, d, int64(n+1), ids)
 			var l core.EndpointUpdate
 			if older := rng.IntN(6) == 0; older {
-				l = v.forbids(m, int64(n))
+				l = v.applyRestrictions(m, int64(n))
 				m.Complete = false
 				m.Members = notReady(m.Members)
 			} else {
-				l = v.change(m)
+				l = v.apply(m)
 			}
-			say(truth, m)
-			hear(planner, l)
+			applyMessage(truth, m)
+			applyUpdate(planner, l)
 			if !maps.Equal(truth, planner) {
-				t.Fatalf("seed %d, world %d, message %d: the planner holds %v, and was told %v", seed, world, n, planner, truth)
+				t.Fatalf("seed %d, world %d, message %d: the planner holds %v, and the messages say %v", seed, world, n, planner, truth)
 			}
-			if m.Complete && len(d.numbers) != len(truth) {
-				t.Fatalf("seed %d, world %d, message %d: %d ids for %d servers", seed, world, n, len(d.numbers), len(truth))
+			if m.Complete && len(d.ids) != len(truth) {
+				t.Fatalf("seed %d, world %d, message %d: %d ids for %d servers", seed, world, n, len(d.ids), len(truth))
 			}
 		}
 	}
@@ -165,8 +165,8 @@
 	return out
 }
 
-// say takes a message into a list as its sender means it.
-func say(list map[dw.ServerID]Member, m Message) {
+// applyMessage takes a message into a list as its sender means it.
+func applyMessage(list map[dw.ServerID]Member, m Message) {
 	if m.Complete {
 		clear(list)
 	}
@@ -177,8 +177,8 @@
 	}
 }
 
-// hear takes a listing into a list as the planner does.
-func hear(list map[dw.ServerID]Member, l core.EndpointUpdate) {
+// applyUpdate takes a listing into a list as the planner does.
+func applyUpdate(list map[dw.ServerID]Member, l core.EndpointUpdate) {
 	if l.List.Kind != dw.ListDelta {
 		clear(list)
 	}
@@ -213,7 +213,7 @@
 		if !json.Valid(text) {
 			t.Fatalf("%q is no JSON, and was taken for %+v", text, m)
 		}
-		if json.Unmarshal(text, &same) != nil || !plain(text) {
+		if json.Unmarshal(text, &same) != nil || !unambiguous(text) {
 			return // the library is stricter in ranges, and laxer in the case of keys, and takes the last of two
 		}
 		var ids, want []string
@@ -229,8 +229,8 @@
 	})
 }
 
-// plain tells whether no key stands twice or in another case, as far as letters tell.
-func plain(text []byte) bool {
+// unambiguous tells whether no key stands twice or in another case, as far as letters tell.
+func unambiguous(text []byte) bool {
 	s := string(text)
 	return s == strings.ToLower(s) && strings.Count(s, `"revision"`) <= 1 && strings.Count(s, `"complete"`) <= 1 &&
 		strings.Count(s, `"members"`) <= 1 && strings.Count(s, `"id"`) == strings.Count(s, `"phase"`) && !strings.Contains(s, `\`)
