--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -1,11 +1,8 @@
 package backend
 
-// One attempt: from waiting for a connection to its one outcome, which tells truly whether it may have run.
-
 import (
 	"context"
 	"errors"
-	"os"
 	"time"
 
 	"go.uber.org/zap"
@@ -13,180 +10,117 @@
 	dw "dewhitch"
 	"dewhitch/internal/core"
 	"dewhitch/internal/ledger"
-	"dewhitch/internal/resp"
-	"dewhitch/internal/sockets"
 )
 
-// wholeTime is the time from the first byte of an answer to its last: a backend writes it at once.
-const wholeTime = 250 * time.Millisecond
-
-type key struct {
-	req     dw.RequestID
-	attempt int
-}
-
-// fetch is one attempt, on its way from waiting to begun or to withdrawn: all that would have it not sent, and what sends
-// it, meet in Pools.mu.
-type fetch struct {
-	core.Attempt
-	pool   *pool
-	state  state
-	began  func(core.Stream)
-	done   func(core.AttemptResult)
-	entry  ledger.Posting  // of its end; its event is None once that is posted
-	ctx    context.Context // ends when the module gives the fetch up
-	cancel context.CancelFunc
-}
-
-// state is how far a fetch has come; only waiting is ever left.
-type state int
+// The errors for which an attempt is not begun.
+var (
+	errNoDescriptor = errors.New("backend: no descriptor is free")
+	errTooLate      = errors.New("backend: the connection came up too late")
+	errClientLeft   = errors.New("backend: the client has left")
+	// errNotAllowed says that a backend is draining or removed, by an update that the planner had not applied when it
+	// started the attempt.
+	errNotAllowed = errors.New("backend: no new work may go to this backend")
+)
 
+// The states of an attempt, guarded by Pools.mu. It moves once at most:
+//
+//	waiting -> begun:     begin, by the attempt's goroutine
+//	waiting -> withdrawn: Cancel, Retract, Withdraw and Forget, and begin if it refuses
+//
+// A connection belongs to the pool until acquire, then to the attempt's goroutine, which gives it back by release or
+// discard once the exchange is over; a value that is streamed is read by its consumer meanwhile.
 const (
-	waiting   state = iota // for a connection: nothing is written
-	begun                  // its command is being written, or was
-	withdrawn              // nothing was written, nor will be
+	attemptWaiting   attemptState = iota // for a connection: nothing is written
+	attemptBegun                         // its command is being written, or was
+	attemptWithdrawn                     // nothing was written, nor will be
 )
 
-// book posts how a fetch ended, once.
-func (p *Pools) book(f *fetch, o dw.Outcome) {
-	if f.entry.Event != ledger.None {
-		f.entry.Event = ends[o]
-		p.books.Post(f.entry)
-		f.entry.Event = ledger.None
-	}
-}
+type attemptState int
 
-var ends = [dw.OutcomeCount]ledger.Event{dw.OutcomeOK: ledger.FetchOK, dw.OutcomeError: ledger.FetchError,
-	dw.OutcomeRejected: ledger.FetchRejected, dw.OutcomeTimeout: ledger.FetchTimeout,
-	dw.OutcomeConnectFailed: ledger.FetchConnectFailed, dw.OutcomeReset: ledger.FetchReset,
-	dw.OutcomeCancelled: ledger.FetchCancelled, dw.OutcomeNotSent: ledger.FetchNotSent}
+// attemptKey identifies an attempt: the one of that number at a request.
+type attemptKey struct {
+	request dw.RequestID
+	number  int
+}
 
-// tidy forgets a pool that nothing needs; the lock is held.
-func (p *Pools) tidy(l *pool) {
-	if len(l.out) == 0 && len(l.idle) == 0 && p.pools[l.Backend] == l {
-		delete(p.pools, l.Backend)
-	}
+// attempt is one attempt at a request, from Start to its result.
+type attempt struct {
+	core.Attempt
+	pool    *pool
+	state   attemptState
+	began   func(core.Stream)
+	posting ledger.Posting  // of its end; its event is None once that is posted
+	ctx     context.Context // ends at the deadline, and when the planner gives the attempt up
+	cancel  context.CancelFunc
 }
 
-// end gives a fetch up: one that waits is never sent. The lock is held.
-func (f *fetch) end() {
-	if f.state == waiting {
-		f.state = withdrawn
+func (a *attempt) key() attemptKey { return attemptKey{a.RequestID, a.Number} }
+
+// giveUp ends an attempt: if it has not begun, it never will. The lock is held.
+func (a *attempt) giveUp() {
+	if a.state == attemptWaiting {
+		a.state = attemptWithdrawn
 	}
-	f.cancel()
+	a.cancel()
 }
 
-// begin tells whether a fetch may be written, from now on. Danger: a connection may come up long after the fetch was
-// asked for: when its client has left, when its backend drains, or when a repeat is one no longer. And the news of the first two
-// may still wait for who asked for the fetch.
-func (p *Pools) begin(f *fetch) error {
+// begin decides whether an attempt may be written, now that its connection is up. That may be long after the planner started
+// it, and what forbids it may still be queued for the planner: so the state, the deadline, the client and the backend are
+// checked here, under the lock that every withdrawal takes.
+func (p *Pools) begin(a *attempt) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	switch {
-	case f.state != waiting || f.ctx.Err() != nil, !f.StartBy.IsZero() && !p.now().Before(f.StartBy):
-		return errLate
-	case f.Request.ClientLeft():
-		f.state = withdrawn
-		return errLeft
-	case p.Allowed != nil && !p.Allowed(f.Backend):
-		f.state = withdrawn
-		return errForbidden
+	case a.state != attemptWaiting || a.ctx.Err() != nil:
+		return errTooLate
+	case !a.StartBy.IsZero() && !p.now().Before(a.StartBy):
+		return errTooLate
+	case a.Request.ClientLeft():
+		a.state = attemptWithdrawn
+		return errClientLeft
+	case p.Allowed != nil && !p.Allowed(a.Backend):
+		a.state = attemptWithdrawn
+		return errNotAllowed
 	}
-	f.state = begun
-	p.logBegun(f)
+	a.state = attemptBegun
+	p.logBegun(a)
 	return nil
 }
 
 // logBegun logs the moment before the first byte of a command is written.
-func (p *Pools) logBegun(f *fetch) {
+func (p *Pools) logBegun(a *attempt) {
 	if p.Log == nil {
 		return
 	}
 	if e := p.Log.Check(zap.DebugLevel, "an attempt begins"); e != nil {
-		e.Write(zap.String("request", f.Request.Message.Name), zap.Int("attempt", f.Number), zap.String("address", f.Backend.Addr))
+		e.Write(zap.String("request", a.Request.Message.Name), zap.Int("attempt", a.Number), zap.String("address", a.Backend.Addr))
 	}
 }
 
-// run carries out one fetch and tells how it ended.
-func (p *Pools) run(f *fetch) core.AttemptResult {
-	c, err := p.take(f)
+// run carries out one attempt, on a goroutine of its own.
+func (p *Pools) run(a *attempt) core.AttemptResult {
+	c, err := p.acquire(a)
 	if err == nil {
-		if err = p.begin(f); err != nil {
-			p.put(c) // it is good, and new
+		err = p.begin(a)
+		if err != nil {
+			p.release(c) // nothing was written on it
 		}
 	}
 	if err != nil {
-		// No fault of the backend's; blamed, every backend would be avoided for what this machine lacks.
-		ours := errors.Is(err, errFull) || errors.Is(err, errLeft) || errors.Is(err, errForbidden) || sockets.DialClass(err) == sockets.Shortage
-		if ours || errors.Is(f.ctx.Err(), context.Canceled) {
-			return core.AttemptResult{Outcome: dw.OutcomeNotSent}
-		}
-		return core.AttemptResult{Outcome: dw.OutcomeConnectFailed}
+		return core.AttemptResult{Outcome: unsentOutcome(a.ctx, err)}
 	}
-	// From here on the connection is the fetch's own: when time is up or the fetch is given up, its reads and
-	// writes fail, and it is closed, which tells the backend.
-	unhook := context.AfterFunc(f.ctx, func() { c.SetDeadline(time.Unix(1, 0)) })
-	end, clean := p.exchange(f, c, unhook)
-	if (unhook() || !end.FirstByteAt.IsZero()) && clean {
-		p.put(c)
+	// When time is up or the attempt is given up, the reads and writes of the connection fail, and it is closed, which
+	// tells the backend.
+	unhook := context.AfterFunc(a.ctx, func() { c.SetDeadline(expired) })
+	result, reusable := p.exchange(a, c, unhook)
+	streamed := !result.FirstByteAt.IsZero() // then the stream has taken the hook off
+	if (unhook() || streamed) && reusable {
+		p.release(c)
 	} else {
-		p.drop(c)
+		p.discard(c)
 	}
-	return end
+	return result
 }
 
-// exchange writes the command and reads the answer; clean means that the connection may be used again. A value that is
-// streamed is no longer the fetch's to end: unhook takes its time and its cancelling off the connection.
-func (p *Pools) exchange(f *fetch, c *conn, unhook func() bool) (end core.AttemptResult, clean bool) {
-	command := p.command(f)
-	if n, _ := c.Write(command); n < len(command) {
-		// Not written whole, whatever the reason: the backend never begins it.
-		if errors.Is(f.ctx.Err(), context.Canceled) {
-			return core.AttemptResult{Outcome: dw.OutcomeNotSent}, false
-		}
-		return core.AttemptResult{Outcome: dw.OutcomeConnectFailed}, false
-	}
-	if p.Dispatched != nil {
-		p.Dispatched(f.Request.ClassName)
-	}
-	// An answer that begins and is not whole soon is spoilt, though the connection may stay open for good.
-	_, err := c.r.Peek()
-	if err == nil {
-		c.SetReadDeadline(time.Now().Add(wholeTime))
-		if f.ctx.Err() != nil { // the hook may have run before
-			c.SetReadDeadline(time.Unix(1, 0))
-		}
-	}
-	var v resp.Value
-	large := 0
-	if err == nil {
-		if v, large, err = c.r.ReadAnswer(); err == nil && large > 0 && v.Len == parts {
-			if unhook() {
-				return p.stream(f, c, v, large)
-			}
-			err = os.ErrDeadlineExceeded // its time ran out before its value began
-		}
-	}
-	end, whole := outcome(v, err == nil)
-	switch {
-	case err == nil || end.Outcome == dw.OutcomeOK:
-		return end, whole && c.r.Buffered() == 0
-	case errors.Is(f.ctx.Err(), context.Canceled):
-		end.Outcome = dw.OutcomeCancelled
-	case f.ctx.Err() != nil:
-		end.Outcome = dw.OutcomeTimeout
-	case errors.Is(err, resp.ErrProtocol) || errors.Is(err, os.ErrDeadlineExceeded):
-		end.Outcome = dw.OutcomeError
-	default:
-		end.Outcome = dw.OutcomeReset
-	}
-	return end, false
-}
-
-var (
-	errFull = errors.New("backend: no descriptor is free")
-	errLate = errors.New("backend: the connection came up too late")
-	errLeft = errors.New("backend: the client has gone")
-	// errForbidden says that a backend drains or has gone by news that whoever asked for the fetch had not heard.
-	errForbidden = errors.New("backend: nothing new may go there")
-)
+// expired is a deadline that makes reads and writes fail at once.
+var expired = time.Unix(1, 0)
--- a/internal/backend/leaving_test.go
+++ b/internal/backend/client_left_test.go
@@ -16,12 +16,12 @@
 
 func (noCounter) Add(core.CounterCall, func(dw.Outcome, float64)) {}
 
-type noRefs struct{ noBooks }
+type noRefs struct{ noRecorder }
 
 func (noRefs) Ref() uint64 { return 0 }
 
 // planner is one that runs on these pools, and knows their backend.
-func (b *bed) planner(set dw.Settings) *core.Planner {
+func (b *testBed) planner(set dw.Settings) *core.Planner {
 	b.t.Helper()
 	p, err := core.NewPlanner(set, 1, core.NewClock(), b.Pools, noCounter{}, noRefs{}, zap.NewNop())
 	if err != nil {
@@ -37,7 +37,7 @@
 		stop()
 		<-over
 	})
-	list := core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListFull, Version: 1, Servers: []dw.Endpoint{{ID: b.to.ID}}}, Addrs: []string{b.to.Addr}}
+	list := core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListFull, Version: 1, Servers: []dw.Endpoint{{ID: b.backend.ID}}}, Addrs: []string{b.backend.Addr}}
 	if err := p.UpdateEndpoints(list); err != nil {
 		b.t.Fatal(err)
 	}
@@ -49,47 +49,47 @@
 		Classes: []dw.Class{{Objective: 10e9, Deadline: 20e9, Weight: 1, Idempotency: e, DedupWindow: 10e9}}, Plans: []dw.Plan{{Rate: 100, Burst: 100, WeightFactor: 1}}}
 }
 
-func (b *bed) req(answer func(core.Answer)) *core.Request {
-	return &core.Request{ReceivedAt: time.Now(), ClassName: "booking", Customer: 7, Timeout: patience, Units: 1, Spread: 1,
+func (b *testBed) request(answer func(core.Answer)) *core.Request {
+	return &core.Request{ReceivedAt: time.Now(), ClassName: "booking", Customer: 7, Timeout: testTimeout, Units: 1, Spread: 1,
 		Message: core.Message{Name: "n", Key: "k"}, Answer: answer}
 }
 
-// A client leaves while its req waits for a connection: when that comes up nothing is sent on it, whether or not the
+// A client leaves while its request waits for a connection: when that comes up nothing is sent on it, whether or not the
 // settings allow attempts to be cancelled.
 func TestClientLeavesWhileItsConnectionComesUp(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		b := newBed(t, standin.Always(standin.Step{}))
 		p := b.planner(settings(cancel, dw.Idempotent))
-		ticket, err := p.Submit(b.req(func(a core.Answer) { t.Errorf("an answer for nobody: %+v", a) }))
+		ticket, err := p.Submit(b.request(func(a core.Answer) { t.Errorf("an answer for nobody: %+v", a) }))
 		if err != nil {
 			t.Fatal(err)
 		}
 		<-b.dialled
 		p.Cancel(ticket)
 		asked := make(chan struct{})
-		p.ReadTallies(func(func(uint64) (float64, bool)) { close(asked) }) // and the planner has heard
+		p.ReadTallies(func(func(uint64) (float64, bool)) { close(asked) }) // the planner has taken the cancellation in
 		<-asked
-		b.up <- struct{}{}
-		b.settled()
+		b.connect <- struct{}{}
+		b.waitUntilEnded()
 		if n := len(b.node.Seen()); n != 0 {
-			t.Errorf("cancelling allowed: %v: %d commands were sent for a client that had gone", cancel, n)
+			t.Errorf("cancelling allowed: %v: %d commands were sent for a client that had left", cancel, n)
 		}
-		b.given()
+		b.expectNothingLeft()
 	}
 }
 
-// settled waits until no fetch is out.
-func (b *bed) settled() {
+// waitUntilEnded waits until no attempt is in flight.
+func (b *testBed) waitUntilEnded() {
 	b.t.Helper()
-	for end := time.Now().Add(patience); ; time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		b.mu.Lock()
-		n := len(b.fetches)
+		n := len(b.attempts)
 		b.mu.Unlock()
 		if n == 0 {
 			return
 		}
 		if time.Now().After(end) {
-			b.t.Fatalf("%d fetches do not end", n)
+			b.t.Fatalf("%d attempts do not end", n)
 		}
 	}
 }
@@ -104,19 +104,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := b.req(func(core.Answer) {})
+	r := b.request(func(core.Answer) {})
 	ticket, err := p.Submit(r) // the planner itself never runs
 	if err != nil {
 		t.Fatal(err)
 	}
 	end := make(chan core.AttemptResult, 1)
-	b.Start(core.Attempt{RequestID: "a", Backend: b.to, Deadline: time.Now().Add(patience), Request: r}, nil, func(e core.AttemptResult) { end <- e })
+	b.Start(core.Attempt{RequestID: "a", Backend: b.backend, Deadline: time.Now().Add(testTimeout), Request: r}, nil, func(e core.AttemptResult) { end <- e })
 	<-b.dialled
 	p.Cancel(ticket)
-	b.up <- struct{}{}
-	b.ended(end, dw.OutcomeNotSent)
+	b.connect <- struct{}{}
+	b.expectOutcome(end, dw.OutcomeNotSent)
 	if n := len(b.node.Seen()); n != 0 {
-		t.Errorf("%d commands were sent for a client that had gone", n)
+		t.Errorf("%d commands were sent for a client that had left", n)
 	}
-	b.given()
+	b.expectNothingLeft()
 }
--- a/internal/backend/connections.go
+++ b/internal/backend/connections.go
@@ -1,13 +1,9 @@
 package backend
 
-// The connections to the backends: opened within a budget of descriptors, kept at rest, looked at before they are used again.
-
 import (
 	"container/list"
-	"context"
 	"errors"
 	"net"
-	"slices"
 	"syscall"
 	"time"
 
@@ -17,203 +13,132 @@
 )
 
 const (
-	idleShare  = 0.8 // of the time after which a backend closes an idle connection: none is used after that
-	readBuffer = 4 << 10
-	sweepEvery = time.Second           // connections that are idle for too long are closed so often
-	rest       = 20 * time.Millisecond // before a connection is used again: what comes behind an answer, some ms late, shows by then
+	readBufferSize        = 4 << 10 // bytes
+	shortageRetryInterval = 5 * time.Millisecond
 )
 
-// pool has the connections to one backend. It guards against a mix-up: an address may come back under a new id, and
-// what was learnt of, or is connected to, the backend that has gone is not for the new one.
+// pool has the connections to one backend, by id and address: an address may come back under another id, and connections to
+// the backend that was removed are not for the new one. Pools.mu guards it.
 type pool struct {
 	core.Backend
-	idle []*conn             // the last used at the end
-	out  map[*fetch]struct{} // fetches that have not ended
-	gone bool                // nothing is kept for another fetch
+	idle      []*conn               // the last used at the end
+	attempts  map[*attempt]struct{} // that have not ended
+	forgotten bool                  // connections are closed after the attempts that are in flight
 }
 
-// conn is one connection; it carries one fetch at a time, as an answer would wait behind a slow one before it.
+// conn is one connection. It carries one attempt at a time, as answers come in the order of the commands.
 type conn struct {
 	*net.TCPConn
-	pool  *pool
-	r     *resp.Reader
-	since time.Time     // idle since
-	place *list.Element // among all that are idle
-	raw   syscall.RawConn
+	pool        *pool
+	r           *resp.Reader
+	raw         syscall.RawConn
+	idleSince   time.Time
+	idleElement *list.Element // in Pools.idle
 }
 
-// Run closes connections that are idle for too long, until the context ends: a backend closes them too, and what it
-// has closed still takes a descriptor here.
-func (p *Pools) Run(ctx context.Context) error {
-	tick := time.NewTicker(sweepEvery)
-	defer tick.Stop()
-	for {
-		select {
-		case <-ctx.Done():
-			return nil
-		case now := <-tick.C:
-			p.sweep(now.Add(-p.idleTime()))
-		}
-	}
-}
-
-// sweep closes what has been idle since before then.
-func (p *Pools) sweep(then time.Time) {
-	var old []*conn
-	p.mu.Lock()
-	for e := p.idle.Front(); e != nil && e.Value.(*conn).since.Before(then); e = p.idle.Front() {
-		old = append(old, p.unrest(e.Value.(*conn)))
-	}
-	p.mu.Unlock()
-	for _, c := range old {
-		p.retire(c)
-	}
-}
-
-func (p *Pools) idleTime() time.Duration {
-	return time.Duration(idleShare * float64(p.limits.Idle))
-}
-
-// shortageWait is the time between two dials while this machine lacks something.
-const shortageWait = 5 * time.Millisecond
-
-// connect dials a fetch's backend. What this machine lacks it may have in a moment, so that a dial is tried again, for as long
-// as a connection may take to come up; nothing was sent by any.
-func (p *Pools) connect(f *fetch) (net.Conn, error) {
-	for until := p.now().Add(p.limits.Connect); ; {
-		c, err := p.dial(f.ctx, f.Backend.Addr, f.StartBy)
-		if sockets.DialClass(err) != sockets.Shortage || !p.now().Before(until) {
-			return c, err
-		}
-		select {
-		case <-time.After(shortageWait):
-		case <-f.ctx.Done():
-			return nil, err
-		}
-	}
-}
-
-// take finds an idle connection that is still good, or opens one within the descriptor budget.
-func (p *Pools) take(f *fetch) (*conn, error) {
-	l := f.pool
+// acquire gives an attempt an idle connection that is still good, or opens one within the descriptor budget.
+func (p *Pools) acquire(a *attempt) (*conn, error) {
 	for {
 		now := p.now()
 		p.mu.Lock()
-		c := p.rested(l, now)
+		c := p.takeRested(a.pool, now)
 		if c == nil {
 			break
 		}
 		p.mu.Unlock()
-		// The backend may have closed it meanwhile: a command written to it would be lost as a reset. And what has
-		// come on it since its last answer is no answer to the next command.
-		if now.Sub(c.since) < p.idleTime() && c.quiet() {
+		// The backend may have closed it meanwhile: a command written to it would be lost as a reset. And what has come
+		// since its last answer is no answer to the next command.
+		if now.Sub(c.idleSince) < p.maxIdleTime() && c.nothingReceived() {
 			return c, nil
 		}
-		p.retire(c)
+		p.closeIdle(c)
 	}
-	var spare *conn
-	if p.open >= p.limits.Conns { // the longest idle of another backend makes room
-		if spare = p.oldest(); spare == nil {
-			p.mu.Unlock()
-			return nil, errFull
-		}
-	}
-	p.open++
+	evicted, err := p.reserve()
 	p.mu.Unlock()
-	if spare != nil {
-		p.retire(spare)
+	if err != nil {
+		return nil, err
 	}
-	n, err := p.connect(f)
+	if evicted != nil {
+		p.closeIdle(evicted)
+	}
+	return p.open(a)
+}
+
+// reserve takes a descriptor of the budget for a new connection. If there is none, the connection that has been idle longest
+// is evicted, to whichever backend it goes; the caller closes it. The lock is held.
+func (p *Pools) reserve() (evicted *conn, err error) {
+	if p.openCount >= p.limits.Conns {
+		evicted = p.takeOldest()
+		if evicted == nil {
+			return nil, errNoDescriptor
+		}
+	}
+	p.openCount++
+	return evicted, nil
+}
+
+// open opens a connection for an attempt, with a descriptor that was reserved, and gives that back on an error.
+func (p *Pools) open(a *attempt) (*conn, error) {
+	n, err := p.connect(a)
 	if err != nil {
-		p.closed()
+		p.unreserve()
 		return nil, err
 	}
-	c := &conn{TCPConn: n.(*net.TCPConn), pool: l, r: resp.NewReader(n, readBuffer)}
+	c := &conn{TCPConn: n.(*net.TCPConn), pool: a.pool, r: resp.NewReader(n, readBufferSize)}
 	if err = c.resetOnClose(); err == nil {
 		c.raw, err = c.SyscallConn()
 	}
 	if err != nil {
-		p.drop(c)
+		p.discard(c)
 		return nil, err
 	}
 	return c, nil
 }
 
-// rested takes the last used connection of a pool that has rested; the lock is held.
-func (p *Pools) rested(l *pool, now time.Time) *conn {
-	for _, c := range slices.Backward(l.idle) {
-		if now.Sub(c.since) >= rest {
-			return p.unrest(c)
+// connect dials an attempt's backend. A dial that fails for a shortage of this machine is repeated, for as long as a
+// connection may take to come up: the shortage may be over in a moment, and nothing was sent.
+func (p *Pools) connect(a *attempt) (net.Conn, error) {
+	until := p.now().Add(p.limits.Connect)
+	for {
+		c, err := p.dial(a.ctx, a.Backend.Addr, a.StartBy)
+		if sockets.DialClass(err) != sockets.Shortage || !p.now().Before(until) {
+			return c, err
+		}
+		select {
+		case <-time.After(shortageRetryInterval):
+		case <-a.ctx.Done():
+			return nil, err
 		}
 	}
-	return nil
-}
-
-// unrest takes an idle connection out of its pool; the lock is held.
-func (p *Pools) unrest(c *conn) *conn {
-	l := c.pool
-	at := slices.Index(l.idle, c)
-	l.idle = slices.Delete(l.idle, at, at+1)
-	p.idle.Remove(c.place)
-	p.tidy(l)
-	return c
 }
 
-// oldest takes the connection that has been idle longest out of its pool; the lock is held.
-func (p *Pools) oldest() *conn {
-	if e := p.idle.Front(); e != nil {
-		return p.unrest(e.Value.(*conn))
-	}
-	return nil
+// discard closes a connection with a reset and gives its descriptor back.
+func (p *Pools) discard(c *conn) {
+	c.Close()
+	p.unreserve()
 }
 
-// put gives a connection back to its pool, if that still has a backend.
-func (p *Pools) put(c *conn) {
-	c.SetDeadline(time.Time{}) // of the fetch that is over
-	c.since = p.now()
+// unreserve gives a descriptor back to the budget.
+func (p *Pools) unreserve() {
 	p.mu.Lock()
-	kept := !c.pool.gone
-	if kept {
-		c.pool.idle = append(c.pool.idle, c)
-		c.place = p.idle.PushBack(c)
-	}
+	p.openCount--
 	p.mu.Unlock()
-	if !kept {
-		p.retire(c)
-	}
-}
-
-// drop closes a connection with a reset and gives its descriptor back.
-func (p *Pools) drop(c *conn) {
-	c.Close()
-	p.closed()
-}
-
-// retire closes a connection that is at rest, as everything written on it was answered, and gives its descriptor back.
-func (p *Pools) retire(c *conn) {
-	c.SetLinger(-1)
-	p.drop(c)
 }
 
 // resetOnClose has a close of the connection, or the end of this process, discard what the kernel has not delivered yet, and reset
-// the connection. Otherwise the kernel goes on sending a command after its attempt was given up: behind a partition or a server
-// that is stuck it would run late, for a client that has its answer or has gone, or as a repeat that nobody remembers.
+// the connection. Otherwise the kernel goes on sending a command after its attempt was given up: behind a partition or a
+// server that hangs it would run late, for a client that has its answer or has left, or as a duplicate after the window for
+// them has ended.
 func (c *conn) resetOnClose() error { return c.SetLinger(0) }
 
-func (p *Pools) closed() {
-	p.mu.Lock()
-	p.open--
-	p.mu.Unlock()
-}
-
-// quiet tells that nothing has come on an idle connection, its end included.
-func (c *conn) quiet() bool {
-	ok := false
+// nothingReceived reports whether nothing has come on an idle connection, its end included.
+func (c *conn) nothingReceived() bool {
+	nothing := false
 	err := c.raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		ok = errors.Is(err, syscall.EAGAIN)
+		nothing = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && ok
+	return err == nil && nothing
 }
--- a/internal/backend/shortage_test.go
+++ b/internal/backend/dial_test.go
@@ -13,14 +13,14 @@
 	"dewhitch/internal/standin"
 )
 
-// failing has dials fail so often before they succeed, as the net package words it; the count of dials is given back.
-func (b *bed) failing(call string, errno syscall.Errno, times int64) (dials *atomic.Int64) {
+// failDials has dials fail so often before they succeed, as the net package words it; the count of dials is given back.
+func (b *testBed) failDials(call string, errno syscall.Errno, times int64) (dials *atomic.Int64) {
 	dials = &atomic.Int64{}
 	b.dial = func(context.Context, string, time.Time) (net.Conn, error) {
 		if dials.Add(1) <= times {
 			return nil, &net.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError(call, errno)}
 		}
-		return net.Dial("tcp", b.to.Addr)
+		return net.Dial("tcp", b.backend.Addr)
 	}
 	return dials
 }
@@ -55,29 +55,29 @@
 			if c.times == forGood {
 				b.limits.Connect = 50 * time.Millisecond
 			}
-			dials := b.failing(c.call, c.errno, c.times)
-			_, end := b.fetch(time.Time{})
-			b.ended(end, c.want)
+			dials := b.failDials(c.call, c.errno, c.times)
+			_, end := b.start(time.Time{})
+			b.expectOutcome(end, c.want)
 			if n := dials.Load(); (n > 1) != c.tries {
 				t.Errorf("%d dials", n)
 			}
-			b.given()
+			b.expectNothingLeft()
 		})
 	}
 }
 
-// A fetch whose client leaves while this machine lacks something is withdrawn: nothing is sent once it has it.
+// An attempt whose client leaves while this machine lacks something is withdrawn: nothing is sent once it has it.
 func TestClientLeavesDuringAShortage(t *testing.T) {
 	b := newBed(t, standin.Always(standin.Step{}))
-	dials := b.failing("socket", syscall.EMFILE, 1<<40)
-	id, end := b.fetch(time.Time{})
+	dials := b.failDials("socket", syscall.EMFILE, 1<<40)
+	id, end := b.start(time.Time{})
 	for dials.Load() == 0 {
 		time.Sleep(time.Millisecond)
 	}
 	b.Cancel(id, 0)
-	b.ended(end, dw.OutcomeNotSent)
+	b.expectOutcome(end, dw.OutcomeNotSent)
 	if n := len(b.node.Seen()); n != 0 {
 		t.Errorf("%d commands came to the backend", n)
 	}
-	b.given()
+	b.expectNothingLeft()
 }
--- a/internal/backend/golden_test.go
+++ b/internal/backend/golden_test.go
@@ -17,11 +17,11 @@
 // The commands that servers are sent. Servers read the words, and each name of the list of names and values. The clock is a fixed one.
 func TestGoldenCommands(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := New(Names{Plans: []string{"wide", "slim"}}, Limits{}, noBooks{})
+		p := New(Names{Plans: []string{"wide", "slim"}}, Limits{}, noRecorder{})
 		var b []byte
 		for _, c := range []struct {
-			left time.Duration
-			req  *core.Request
+			left    time.Duration
+			request *core.Request
 		}{
 			{1500 * time.Millisecond, &core.Request{ClassName: "order", Plan: 1, Customer: 0x1b4d65521, Units: 2.5, Spread: 3, FirstGateway: 4, Repeat: true,
 				Message: core.Message{Name: "name-1", Key: "key-1", Body: []byte("body\r\n1")}}},
@@ -29,7 +29,7 @@
 			{-time.Second, &core.Request{ClassName: "charge", Customer: 0xfedcba9876543210, Units: 1e6, Spread: 5, FirstGateway: 6,
 				Message: core.Message{Name: "name-3", Body: []byte{}}}},
 		} {
-			b = append(b, p.command(&fetch{Attempt: core.Attempt{Deadline: time.Now().Add(c.left), Request: c.req}})...)
+			b = append(b, p.command(&attempt{Attempt: core.Attempt{Deadline: time.Now().Add(c.left), Request: c.request}})...)
 		}
 		golden.Compare(t, "commands.txt", b)
 	})
@@ -41,8 +41,8 @@
 	full := dw.Load{Has: dw.HasInflight | dw.HasQueue | dw.HasUtil | dw.HasLatency | dw.HasRate | dw.HasErrors,
 		Inflight: 1.5, Queue: 2.5, Util: 0.5, LatencyMS: 3.25, Rate: 4.5, Errors: 0.25}
 	want := []struct {
-		end   core.AttemptResult
-		whole bool
+		result   core.AttemptResult
+		reusable bool
 	}{
 		{core.AttemptResult{Outcome: dw.OutcomeOK, Value: []byte("value-1"), Load: full}, true},
 		{core.AttemptResult{Outcome: dw.OutcomeOK, Value: []byte("value-2"), Load: dw.Load{Has: dw.HasQueue, Queue: 7}}, true},
@@ -64,8 +64,8 @@
 		if err != nil {
 			t.Fatal(line, err)
 		}
-		if end, whole := outcome(v, true); whole != want[i].whole || !reflect.DeepEqual(end, want[i].end) {
-			t.Errorf("%s\n got %+v, %v\nwant %+v, %v", line, end, whole, want[i].end, want[i].whole)
+		if result, reusable := decodeAnswer(v, true); reusable != want[i].reusable || !reflect.DeepEqual(result, want[i].result) {
+			t.Errorf("%s\n got %+v, %v\nwant %+v, %v", line, result, reusable, want[i].result, want[i].reusable)
 		}
 	}
 }
--- a/internal/backend/rest_test.go
+++ b/internal/backend/idle_test.go
@@ -14,7 +14,7 @@
 )
 
 // A backend may give a second answer some milliseconds after the first. A connection that is used again by then would give
-// it to the next req, which it was not made for.
+// it to the next request, which it was not made for.
 func TestSecondAnswerComesLate(t *testing.T) {
 	l, err := standin.Listen("", func(c net.Conn) {
 		r := bufio.NewReader(c)
@@ -33,8 +33,8 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	b := &bed{Pools: New(Names{Plans: []string{"basic"}}, Limits{Conns: 8, Idle: time.Minute, Connect: patience}, noBooks{}),
-		t: t, to: core.Backend{ID: 1, Addr: l.Addr()}}
+	b := &testBed{Pools: New(Names{Plans: []string{"basic"}}, Limits{Conns: 8, Idle: time.Minute, Connect: testTimeout}, noRecorder{}),
+		t: t, backend: core.Backend{ID: 1, Addr: l.Addr()}}
 	var mu sync.Mutex
 	now := time.Unix(1000, 0)
 	b.now = func() time.Time {
@@ -43,7 +43,7 @@
 		return now
 	}
 	for range 5 {
-		id, end := b.fetch(time.Time{})
+		id, end := b.start(time.Time{})
 		if e := <-end; e.Outcome != dw.OutcomeOK || string(e.Value) != string(id) {
 			t.Errorf("%s was given %q, outcome %d", id, e.Value, e.Outcome)
 		}
@@ -51,5 +51,5 @@
 		now = now.Add(19 * time.Millisecond / 5) // all five within 19 ms
 		mu.Unlock()
 	}
-	b.given()
+	b.expectNothingLeft()
 }
--- a/internal/backend/giveup_test.go
+++ b/internal/backend/reset_test.go
@@ -21,7 +21,7 @@
 		cancel bool
 		want   dw.Outcome
 	}{
-		"withdrawn": {patience, true, dw.OutcomeCancelled},
+		"withdrawn": {testTimeout, true, dw.OutcomeCancelled},
 		"timed out": {300 * time.Millisecond, false, dw.OutcomeTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -30,7 +30,7 @@
 				t.Fatal(err)
 			}
 			defer server.Close()
-			p := New(Names{Plans: []string{"basic"}}, Limits{Conns: 8, Idle: time.Minute, Connect: patience}, noBooks{})
+			p := New(Names{Plans: []string{"basic"}}, Limits{Conns: 8, Idle: time.Minute, Connect: testTimeout}, noRecorder{})
 			written := make(chan struct{})
 			p.Dispatched = func(string) { close(written) }
 			ended := make(chan core.AttemptResult, 1)
@@ -47,7 +47,7 @@
 			if e := <-ended; e.Outcome != end.want {
 				t.Errorf("outcome %v, want %v", e.Outcome, end.want)
 			}
-			conn.SetReadDeadline(time.Now().Add(patience))
+			conn.SetReadDeadline(time.Now().Add(testTimeout))
 			got, err := io.ReadAll(conn)
 			if bytes.HasSuffix(got, []byte("x\r\n")) {
 				t.Errorf("the server was sent all %d bytes of a command that was given up before, and then %v", len(got), err)
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -11,22 +11,25 @@
 	"dewhitch/internal/resp"
 )
 
-// silence is how long a backend may send nothing in the midst of a value.
-const silence = 5 * time.Second
+// streamIdleTimeout is how long a backend may send nothing within a value.
+const streamIdleTimeout = 5 * time.Second
 
-// stream is a value on its way through: whoever has it reads the backend's connection, until it is closed.
+// errStreamClosed says that the consumer closed a stream before its end.
+var errStreamClosed = errors.New("backend: the stream was closed")
+
+// stream is a large value that is passed on as it comes, and implements core.Stream. From its making until it is closed, its
+// consumer reads the backend's connection; the attempt's goroutine waits for closed.
 type stream struct {
 	c    *conn
-	size int
+	size int // bytes of the value
 
-	mu   sync.Mutex
-	left int
-	err  error // why there is no more of it
-	over chan struct{}
-	once sync.Once
-}
+	mu        sync.Mutex // guards remaining and err
+	remaining int        // bytes that were not read yet
+	err       error      // why no more of it can be read; nil: more can, or all was read
 
-var errClosed = errors.New("backend: the value is not wanted any more")
+	closed    chan struct{}
+	closeOnce sync.Once
+}
 
 // Size implements core.Stream.
 func (s *stream) Size() int { return s.size }
@@ -34,22 +37,24 @@
 // Read implements core.Stream. Only one goroutine may read.
 func (s *stream) Read(b []byte) (int, error) {
 	s.mu.Lock()
-	left, err := s.left, s.err
-	if left > 0 && err == nil {
-		s.c.SetReadDeadline(time.Now().Add(silence)) // under the lock: Close sets one that stays
+	remaining, err := s.remaining, s.err
+	if remaining > 0 && err == nil {
+		s.c.SetReadDeadline(time.Now().Add(streamIdleTimeout)) // under the lock: the deadline that Close sets stays
 	}
 	s.mu.Unlock()
 	if err != nil {
 		return 0, err
 	}
-	if left == 0 {
+	if remaining == 0 {
 		return 0, io.EOF
 	}
-	n, err := s.c.r.Read(b[:min(len(b), left)])
+	n, err := s.c.r.Read(b[:min(len(b), remaining)])
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.left -= n; err != nil && s.err == nil {
-		if s.err = err; errors.Is(err, io.EOF) {
+	s.remaining -= n
+	if err != nil && s.err == nil {
+		s.err = err
+		if errors.Is(err, io.EOF) {
 			s.err = io.ErrUnexpectedEOF
 		}
 	}
@@ -62,34 +67,34 @@
 // Close implements core.Stream.
 func (s *stream) Close() {
 	s.mu.Lock()
-	if s.err == nil && s.left > 0 {
-		s.err = errClosed
-		s.c.SetReadDeadline(time.Unix(1, 0)) // a read that waits ends
+	if s.err == nil && s.remaining > 0 {
+		s.err = errStreamClosed
+		s.c.SetReadDeadline(expired) // a pending Read ends
 	}
 	s.mu.Unlock()
-	s.once.Do(func() { close(s.over) })
+	s.closeOnce.Do(func() { close(s.closed) })
 }
 
-// stream has a large value passed on, and reads what stands behind it.
-func (p *Pools) stream(f *fetch, c *conn, v resp.Value, size int) (core.AttemptResult, bool) {
-	s := &stream{c: c, size: size, left: size, over: make(chan struct{})}
-	end := core.AttemptResult{Outcome: dw.OutcomeOK, FirstByteAt: time.Now()}
-	p.book(f, dw.OutcomeOK) // before the req is: whatever becomes of the value, it was a good fetch's
-	f.began(s)
-	<-s.over
+// stream passes a large value on, waits until its consumer has closed it, and reads what follows it in the answer.
+func (p *Pools) stream(a *attempt, c *conn, v resp.Value, size int) (result core.AttemptResult, reusable bool) {
+	s := &stream{c: c, size: size, remaining: size, closed: make(chan struct{})}
+	result = core.AttemptResult{Outcome: dw.OutcomeOK, FirstByteAt: time.Now()}
+	p.postEnd(a, dw.OutcomeOK) // before the request's end is: whatever becomes of the value, the attempt ran
+	a.began(s)
+	<-s.closed
 	s.mu.Lock()
-	left, err := s.left, s.err
+	remaining, err := s.remaining, s.err
 	s.mu.Unlock()
-	if left > 0 {
-		if !errors.Is(err, errClosed) { // a client that left is no fault of the backend's
-			end.Outcome = dw.OutcomeReset
+	if remaining > 0 {
+		if !errors.Is(err, errStreamClosed) { // a client that left is no fault of the backend's
+			result.Outcome = dw.OutcomeReset
 		}
-		return end, false
+		return result, false
 	}
-	c.SetReadDeadline(time.Now().Add(wholeTime))
-	if c.r.ReadRest(&v) != nil || len(v.Items) != parts {
-		return end, false // what can't be read behind the value takes nothing from it
+	c.SetReadDeadline(time.Now().Add(answerTimeout))
+	if c.r.ReadRest(&v) != nil || len(v.Items) != answerParts {
+		return result, false // what can't be read after the value takes nothing from it
 	}
-	end.Load = load(v.Items[2].Text)
-	return end, c.r.Buffered() == 0
+	result.Load = decodeLoad(v.Items[loadPart].Text)
+	return result, c.r.Buffered() == 0
 }
--- a/internal/backend/forbidden_test.go
+++ b/internal/backend/update_test.go
@@ -13,26 +13,26 @@
 	"dewhitch/internal/standin"
 )
 
-// listing is a whole list of one backend, in a state.
-func (b *bed) listing(version int64, state dw.EndpointState, addr string) core.EndpointUpdate {
+// update is a whole list of one backend, in a state.
+func (b *testBed) update(version int64, state dw.EndpointState, addr string) core.EndpointUpdate {
 	return core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListFull, Version: version,
-		Servers: []dw.Endpoint{{ID: b.to.ID, Rating: 1, State: state}}}, Addrs: []string{addr}, ReadAt: time.Now()}
+		Servers: []dw.Endpoint{{ID: b.backend.ID, Rating: 1, State: state}}}, Addrs: []string{addr}, ReadAt: time.Now()}
 }
 
-// The planner stands still, as it would on a loaded machine, when the list says that a backend drains, or is gone, or is another
+// The planner stands still, as it would on a loaded machine, when the list says that a backend drains, or is removed, or is another
 // at the same id: what waits for its connection is not written, though nobody has withdrawn it.
-func TestNewsIsInForceBeforeThePlannerHearsIt(t *testing.T) {
+func TestUpdateIsInForceBeforeThePlannerAppliesIt(t *testing.T) {
 	for name, c := range map[string]struct {
-		news func(b *bed) core.EndpointUpdate
-		want dw.Outcome
+		update func(b *testBed) core.EndpointUpdate
+		want   dw.Outcome
 	}{
-		"draining": {func(b *bed) core.EndpointUpdate { return b.listing(2, dw.Draining, b.to.Addr) }, dw.OutcomeNotSent},
-		"removed":  {func(b *bed) core.EndpointUpdate { return b.listing(2, dw.Removed, b.to.Addr) }, dw.OutcomeNotSent},
-		"left out": {func(*bed) core.EndpointUpdate {
+		"draining": {func(b *testBed) core.EndpointUpdate { return b.update(2, dw.Draining, b.backend.Addr) }, dw.OutcomeNotSent},
+		"removed":  {func(b *testBed) core.EndpointUpdate { return b.update(2, dw.Removed, b.backend.Addr) }, dw.OutcomeNotSent},
+		"left out": {func(*testBed) core.EndpointUpdate {
 			return core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListFull, Version: 2}}
 		}, dw.OutcomeNotSent},
-		"another address": {func(b *bed) core.EndpointUpdate { return b.listing(2, dw.Ready, "127.0.0.1:1") }, dw.OutcomeNotSent},
-		"as it was":       {func(b *bed) core.EndpointUpdate { return b.listing(2, dw.Ready, b.to.Addr) }, dw.OutcomeOK},
+		"another address": {func(b *testBed) core.EndpointUpdate { return b.update(2, dw.Ready, "127.0.0.1:1") }, dw.OutcomeNotSent},
+		"as it was":       {func(b *testBed) core.EndpointUpdate { return b.update(2, dw.Ready, b.backend.Addr) }, dw.OutcomeOK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBed(t, standin.Always(standin.Step{}))
@@ -41,28 +41,28 @@
 				t.Fatal(err)
 			}
 			b.Allowed = p.Serving().Allows // the planner itself never runs
-			if err := p.UpdateEndpoints(b.listing(1, dw.Ready, b.to.Addr)); err != nil {
+			if err := p.UpdateEndpoints(b.update(1, dw.Ready, b.backend.Addr)); err != nil {
 				t.Fatal(err)
 			}
-			_, end := b.fetch(time.Time{})
+			_, end := b.start(time.Time{})
 			<-b.dialled
-			if err := p.UpdateEndpoints(c.news(b)); err != nil {
+			if err := p.UpdateEndpoints(c.update(b)); err != nil {
 				t.Fatal(err)
 			}
-			b.up <- struct{}{}
-			b.ended(end, c.want)
+			b.connect <- struct{}{}
+			b.expectOutcome(end, c.want)
 			if sent, want := len(b.node.Seen()), map[bool]int{true: 1}[c.want == dw.OutcomeOK]; sent != want {
 				t.Errorf("%d commands came to the backend, want %d", sent, want)
 			}
-			b.given()
+			b.expectNothingLeft()
 		})
 	}
 }
 
-// News without end, of every size, does not keep the planner from answering.
-func TestNewsDoesNotStarveClients(t *testing.T) {
+// Updates without end, of every size, do not keep the planner from answering.
+func TestUpdatesDoNotStarveClients(t *testing.T) {
 	b := newBed(t, standin.Always(standin.Step{}))
-	close(b.up)
+	close(b.connect)
 	p := b.planner(settings(true, dw.Idempotent))
 	ctx, stop := context.WithCancel(t.Context())
 	over := make(chan struct{})
@@ -80,12 +80,12 @@
 		}
 	}()
 	answered := make(chan core.Answer, 1)
-	if _, err := p.Submit(b.req(func(a core.Answer) { answered <- a })); err != nil {
+	if _, err := p.Submit(b.request(func(a core.Answer) { answered <- a })); err != nil {
 		t.Fatal(err)
 	}
 	select {
 	case <-answered:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Error("no answer came")
 	}
 	stop()
