--- a/internal/dynaddr/dynaddr_test.go
+++ b/internal/dynaddr/dynaddr_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Each move is told once to whoever asked before it, and to nobody who asked after.
+// Each move notifies once whoever asked before it, and nobody who asked after.
 func TestMove(t *testing.T) {
 	a := New("one")
 	addr, first := a.Current()
@@ -17,9 +17,9 @@
 	}
 	select {
 	case <-second:
-		t.Error("a move is told to who asked after it")
+		t.Error("a move notifies who asked after it")
 	default:
 	}
-	a.Move("two") // to the same address: it is to be asked anew
+	a.Move("two") // to the same address: what is there may be another process
 	<-second
 }
--- a/internal/sockets/accept.go
+++ b/internal/sockets/accept.go
@@ -9,18 +9,19 @@
 	"go.uber.org/zap"
 )
 
-// ErrEnded is returned by Accept once its listener was closed, or the time of that is up.
+// ErrEnded is returned by Accept once its listener was closed, or the listener's deadline has passed.
 var ErrEnded = errors.New("sockets: the listener has ended")
 
 const (
-	shortageWait  = 10 * time.Millisecond // between two tries: at the end of a process there is little time for what is queued
-	shortageEvery = time.Second           // between two log lines
+	// shortageRetryInterval is short, as a process that shuts down has little time for the connections that are queued.
+	shortageRetryInterval = 10 * time.Millisecond
+	shortageLogInterval   = time.Second // between two log lines on a shortage
 )
 
-// Accept takes the next connection, of the kind that what names in the log. It repeats what can be repeated; its error is
-// ErrEnded, or that of a listener that can't be used any more.
+// Accept accepts the next connection; what names its kind in the log. It repeats what can be repeated, and blocks meanwhile. Its
+// error is ErrEnded, or wraps that of a listener that can't be used any more.
 func Accept(l net.Listener, log *zap.Logger, what string) (net.Conn, error) {
-	var told time.Time
+	var lastLogged time.Time
 	for {
 		conn, err := l.Accept()
 		switch AcceptClass(err) {
@@ -28,15 +29,15 @@
 			return conn, nil
 		case Ended:
 			return nil, ErrEnded
-		case Passing:
+		case Transient:
 		case Broken:
 			return nil, fmt.Errorf("%s could not be taken in: %w", what, err)
 		default:
-			if told.IsZero() || time.Since(told) >= shortageEvery {
-				told = time.Now()
+			if lastLogged.IsZero() || time.Since(lastLogged) >= shortageLogInterval {
+				lastLogged = time.Now()
 				log.Warn(what+" could not be taken in", zap.Error(err))
 			}
-			time.Sleep(shortageWait)
+			time.Sleep(shortageRetryInterval)
 		}
 	}
 }
--- a/internal/sockets/errors.go
+++ b/internal/sockets/errors.go
@@ -1,5 +1,5 @@
-// Package sockets sorts the errors of calls on sockets by what their callers can do about them, and accepts connections by
-// that. It owns no connection.
+// Package sockets classifies the errors of calls on sockets by what their callers can do about them, and accepts
+// connections by that. It owns no connection.
 package sockets
 
 import (
@@ -15,62 +15,61 @@
 
 // The classes.
 const (
-	None     Class = iota // there is no error
-	Ended                 // the caller's own side closed the socket, or its deadline passed
-	Passing               // the call can be repeated at once: what failed was one connection, or nothing
-	Shortage              // this machine lacks descriptors, memory or ports: the call can be repeated after a moment
-	Peer                  // the other side, or the way to it, failed
-	Broken                // the socket can't be used any more
+	None      Class = iota // there is no error
+	Ended                  // the caller's own side closed the socket, or its deadline passed
+	Transient              // the call can be repeated at once: what failed was one connection, or nothing
+	Shortage               // this machine lacks descriptors, memory or ports: the call can be repeated after a moment
+	Peer                   // the other side, or the way to it, failed
+	Broken                 // the socket can't be used any more
 )
 
 // String is the name of the class.
 func (c Class) String() string {
-	return [...]string{"none", "ended", "passing", "shortage", "peer", "broken"}[c]
+	return [...]string{"none", "ended", "transient", "shortage", "peer", "broken"}[c]
 }
 
-// passing are the errors of accept(2) that concern the one connection that was being accepted: Linux passes on errors that
+// transientAccept are the errors of accept(2) that concern the one connection that was being accepted: Linux returns errors that
 // are already pending on it.
-var passing = []syscall.Errno{syscall.EINTR, syscall.EAGAIN, syscall.ECONNABORTED, syscall.EPERM, syscall.EPROTO,
+var transientAccept = []syscall.Errno{syscall.EINTR, syscall.EAGAIN, syscall.ECONNABORTED, syscall.EPERM, syscall.EPROTO,
 	syscall.ENOPROTOOPT, syscall.ENETDOWN, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
 	syscall.ETIMEDOUT, syscall.ECONNRESET}
 
-// shortages are the errors of accept(2), socket(2) and connect(2) for want of something on this machine.
-var shortages = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL}
+// shortage are the errors of accept(2), socket(2) and connect(2) for want of something on this machine.
+var shortage = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL}
 
-// broken are the errors by which a socket can't be used any more, whatever is waited for.
+// broken are the errors after which a socket can't be used any more.
 var broken = []syscall.Errno{syscall.EBADF, syscall.EFAULT, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP}
 
-// AcceptClass is the class of an error of accept. One that is not known is a shortage: a listener that was good is tried
-// again.
+// AcceptClass is the class of an error of accept. An unknown one is a shortage: a listener that was good is tried again.
 func AcceptClass(err error) Class {
-	errno, c := inspect(err)
+	class, errno := classify(err)
 	switch {
-	case c != Peer:
-		return c
-	case slices.Contains(passing, errno):
-		return Passing
+	case class != Peer:
+		return class
+	case slices.Contains(transientAccept, errno):
+		return Transient
 	case slices.Contains(broken, errno):
 		return Broken
 	}
 	return Shortage
 }
 
-// DialClass is the class of an error of a dial. None of them leaves anything sent.
+// DialClass is the class of an error of a dial. Whatever the class, nothing was sent.
 func DialClass(err error) Class {
-	_, c := inspect(err)
-	return c
+	class, _ := classify(err)
+	return class
 }
 
-// inspect gives an error's number, if it has one, and the class that it has whatever the call.
-func inspect(err error) (errno syscall.Errno, c Class) {
+// classify gives the class that an error has whatever the call, and its number, if it has one.
+func classify(err error) (class Class, errno syscall.Errno) {
 	errors.As(err, &errno)
 	switch {
 	case err == nil:
-		return errno, None
+		return None, errno
 	case errors.Is(err, net.ErrClosed), errors.Is(err, os.ErrDeadlineExceeded):
-		return errno, Ended
-	case slices.Contains(shortages, errno):
-		return errno, Shortage
+		return Ended, errno
+	case slices.Contains(shortage, errno):
+		return Shortage, errno
 	}
-	return errno, Peer
+	return Peer, errno
 }
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -42,8 +42,8 @@
 	return errs
 }
 
-// Every error that accept(2) may give for a moment is passed over, and the connection behind it is taken in; a shortage
-// is told in the log once, not at each try.
+// Every transient error of accept(2) is passed over, and the connection behind it is accepted; a shortage
+// is logged once, not at each attempt.
 func TestAcceptGoesOn(t *testing.T) {
 	for errno, lines := range map[syscall.Errno]int{
 		syscall.ECONNABORTED: 0, syscall.EINTR: 0, syscall.EAGAIN: 0, syscall.EPERM: 0, syscall.EPROTO: 0, syscall.ENETDOWN: 0,
