--- /dev/null
+++ b/internal/http1/body.go
@@ -0,0 +1,125 @@
+package http1
+
+import (
+	"bufio"
+	"bytes"
+	"io"
+	"strconv"
+)
+
+// Body returns a reader of the body that follows a. It ends with io.EOF where the body does; a stream that ends before that
+// is io.ErrUnexpectedEOF.
+func Body(r *bufio.Reader, a Answer) io.Reader {
+	switch {
+	case a.Chunked:
+		return &chunkedBody{r: r}
+	case a.Length >= 0:
+		return &fixedBody{r: r, remaining: a.Length}
+	}
+	return r
+}
+
+// ReadBody reads a complete body, of MaxBody bytes at most.
+func ReadBody(r *bufio.Reader, a Answer) ([]byte, error) { return ReadBodyUpTo(r, a, MaxBody) }
+
+// ReadBodyUpTo reads a complete body, of limit bytes at most. A longer one is an error that wraps ErrProtocol; with any error, what
+// was read comes too.
+func ReadBodyUpTo(r *bufio.Reader, a Answer, limit int) ([]byte, error) {
+	if !a.Chunked && a.Length > limit {
+		return nil, protocolError("body too long")
+	}
+	text := bytes.NewBuffer(make([]byte, 0, min(MaxBody, max(0, a.Length))+bytes.MinRead))
+	_, err := text.ReadFrom(io.LimitReader(Body(r, a), int64(limit)+1))
+	if err == nil && text.Len() > limit {
+		err = protocolError("body too long")
+	}
+	return text.Bytes(), err
+}
+
+// fixedBody reads a body of a given length.
+type fixedBody struct {
+	r         io.Reader
+	remaining int // bytes
+}
+
+// Read implements io.Reader.
+func (b *fixedBody) Read(p []byte) (int, error) {
+	if b.remaining == 0 {
+		return 0, io.EOF
+	}
+	n, err := b.r.Read(p[:min(len(p), b.remaining)])
+	b.remaining -= n
+	if b.remaining > 0 {
+		err = unexpectedEOF(err)
+	}
+	return n, err
+}
+
+// chunkedBody reads a chunked body.
+type chunkedBody struct {
+	r         *bufio.Reader
+	remaining int  // bytes of the chunk that is being read
+	begun     bool // a chunk was read
+	ended     bool // the last chunk and the trailers were read
+}
+
+// Read implements io.Reader.
+func (b *chunkedBody) Read(p []byte) (int, error) {
+	if b.ended {
+		return 0, io.EOF
+	}
+	if b.remaining == 0 {
+		if err := b.nextChunk(); err != nil {
+			return 0, unexpectedEOF(err)
+		}
+		if b.ended {
+			return 0, io.EOF
+		}
+	}
+	n, err := b.r.Read(p[:min(len(p), b.remaining)])
+	b.remaining -= n
+	return n, unexpectedEOF(err)
+}
+
+// nextChunk reads the end of the chunk before, if there is one, and the size of the next; a size of 0 ends the body.
+func (b *chunkedBody) nextChunk() error {
+	if b.begun {
+		s, err := readLine(b.r)
+		if err != nil {
+			return err
+		}
+		if len(s) != 0 {
+			return protocolError("chunk runs on")
+		}
+	}
+	b.begun = true
+	s, err := readLine(b.r)
+	if err != nil {
+		return err
+	}
+	size, _, _ := bytes.Cut(s, []byte(";"))
+	n, err := strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 31)
+	if err != nil {
+		return protocolError("bad chunk size")
+	}
+	b.remaining = int(n)
+	if n > 0 {
+		return nil
+	}
+	return b.skipTrailers()
+}
+
+// skipTrailers reads the trailers after the last chunk.
+func (b *chunkedBody) skipTrailers() error {
+	for range MaxHeaders {
+		s, err := readLine(b.r)
+		if err != nil {
+			return err
+		}
+		if len(s) == 0 {
+			b.ended = true
+			return nil
+		}
+	}
+	return protocolError("too many trailers")
+}
--- /dev/null
+++ b/internal/resp/append.go
@@ -0,0 +1,73 @@
+package resp
+
+import (
+	"math"
+	"strconv"
+)
+
+// appendHead appends the line that begins a value of kind k: a length, or an integer.
+func appendHead(b []byte, k Kind, n int64) []byte {
+	return append(strconv.AppendInt(append(b, byte(k)), n, 10), '\r', '\n')
+}
+
+// AppendArray appends the head of an array of n items, which are to follow.
+func AppendArray(b []byte, n int) []byte { return appendHead(b, Array, int64(n)) }
+
+// AppendInt appends an integer.
+func AppendInt(b []byte, v int64) []byte { return appendHead(b, Integer, v) }
+
+// AppendBulkHead appends what stands before the n bytes of a bulk string; End stands after them.
+func AppendBulkHead(b []byte, n int) []byte { return appendHead(b, Bulk, int64(n)) }
+
+// End is the end of a bulk string.
+const End = "\r\n"
+
+// AppendBulk appends a bulk string.
+func AppendBulk[T string | []byte](b []byte, s T) []byte {
+	b = appendHead(b, Bulk, int64(len(s)))
+	return append(append(b, s...), '\r', '\n')
+}
+
+// AppendStatus appends a status line.
+func AppendStatus(b []byte, s string) []byte { return appendLine(b, Status, s) }
+
+// AppendFailure appends an error line, such as "BUSY 20" or "ERR failed".
+func AppendFailure(b []byte, s string) []byte { return appendLine(b, Failure, s) }
+
+// appendLine appends a line, cut off at MaxLine. Line ends in s become spaces: what a peer sent may stand in it.
+func appendLine(b []byte, k Kind, s string) []byte {
+	b = append(b, byte(k))
+	for i := range min(len(s), MaxLine-1) {
+		if c := s[i]; c == '\r' || c == '\n' {
+			b = append(b, ' ')
+		} else {
+			b = append(b, c)
+		}
+	}
+	return append(b, '\r', '\n')
+}
+
+// AppendNumber appends a decimal number, rounded to thousandths, as a bulk string, RESP2 having no other form for it. A
+// negative zero loses its sign, which is what adding 0 does.
+func AppendNumber(b []byte, v float64) []byte {
+	return AppendBulk(b, strconv.FormatFloat(math.Round(v*1e3)/1e3+0, 'f', -1, 64))
+}
+
+// AppendValue appends a value as it was read.
+func AppendValue(b []byte, v Value) []byte {
+	switch {
+	case v.Null:
+		return appendHead(b, v.Kind, -1)
+	case v.Kind == Array:
+		b = AppendArray(b, len(v.Items))
+		for _, item := range v.Items {
+			b = AppendValue(b, item)
+		}
+		return b
+	case v.Kind == Bulk:
+		return AppendBulk(b, v.Text)
+	case v.Kind == Integer && v.Text == nil:
+		return AppendInt(b, v.Int)
+	}
+	return appendLine(b, v.Kind, string(v.Text))
+}
--- /dev/null
+++ b/internal/resp/reader.go
@@ -0,0 +1,101 @@
+package resp
+
+import (
+	"bufio"
+	"bytes"
+	"errors"
+	"io"
+	"strconv"
+)
+
+// Reader reads commands or answers from a stream. It is not safe for concurrent use. An error of it wraps ErrProtocol, or is
+// that of the stream: io.EOF between two commands or answers, io.ErrUnexpectedEOF within one.
+type Reader struct{ b *bufio.Reader }
+
+// NewReader reads from r through a buffer of size bytes, or of one line if that is more.
+func NewReader(r io.Reader, size int) *Reader {
+	return &Reader{bufio.NewReaderSize(r, max(size, MaxLine+2))}
+}
+
+// Buffered is how many bytes have been read ahead.
+func (r *Reader) Buffered() int { return r.b.Buffered() }
+
+// Peek waits for the first byte of what comes next, and returns it without reading it.
+func (r *Reader) Peek() (byte, error) {
+	b, err := r.b.Peek(1)
+	if err != nil {
+		return 0, err
+	}
+	return b[0], nil
+}
+
+// Read reads what comes next as it is.
+func (r *Reader) Read(b []byte) (int, error) { return r.b.Read(b) }
+
+// line returns the next line without its end; it is valid until the next read.
+func (r *Reader) line() ([]byte, error) {
+	s, err := r.b.ReadSlice('\n')
+	if errors.Is(err, bufio.ErrBufferFull) || err == nil && len(s) > MaxLine+2 {
+		return nil, protocolError("line of over %d bytes", MaxLine)
+	}
+	if err != nil {
+		return nil, endError(err, len(s) > 0)
+	}
+	if len(s) < 2 || s[len(s)-2] != '\r' {
+		return nil, protocolError("line does not end in CR LF")
+	}
+	s = s[:len(s)-2]
+	if bytes.IndexByte(s, '\r') >= 0 { // a peer that it is forwarded to would end the line there
+		return nil, protocolError("CR within a line")
+	}
+	return s, nil
+}
+
+// bulk reads the n bytes of a bulk string and the line end after them. A length is easily announced, so memory is allocated for what has
+// come, doubling each time.
+func (r *Reader) bulk(n int) ([]byte, error) {
+	size := n + len(End)
+	b := make([]byte, min(size, firstAllocation))
+	for read := 0; ; {
+		if _, err := io.ReadFull(r.b, b[read:]); err != nil {
+			return nil, endError(err, true)
+		}
+		read = len(b)
+		if read == size {
+			break
+		}
+		b = append(b, make([]byte, min(read, size-read))...)
+	}
+	if b[n] != '\r' || b[n+1] != '\n' {
+		return nil, protocolError("bulk string does not end in CR LF")
+	}
+	return b[:n:n], nil
+}
+
+// endError tells the end of a stream within a command or answer from one between two.
+func endError(err error, within bool) error {
+	if within && errors.Is(err, io.EOF) {
+		return io.ErrUnexpectedEOF
+	}
+	return err
+}
+
+func parseInteger(s []byte) (int64, error) {
+	v, err := strconv.ParseInt(string(s), 10, 64)
+	if err != nil || len(s) > 0 && s[0] == '+' {
+		return 0, protocolError("bad number %.20q", s)
+	}
+	return v, nil
+}
+
+// parseLength parses a length of limit at most; -1 stands for null.
+func parseLength(s []byte, limit int64) (int, error) {
+	n, err := parseInteger(s)
+	if err != nil {
+		return 0, err
+	}
+	if n < -1 || n > limit {
+		return 0, protocolError("length %d, %d at most", n, limit)
+	}
+	return int(n), nil
+}
