--- a/internal/fleet/evacuation/hand_test.go
+++ b/internal/fleet/evacuation/command_test.go
@@ -1,12 +1,13 @@
 package evacuation
 
 import (
+	"errors"
 	"testing"
 
 	"dewhitch/internal/fleet"
 )
 
-func TestByHand(t *testing.T) {
+func TestCommands(t *testing.T) {
 	plan := fleet.Plan{}
 	call := func(verb string, c Command) (Statuses, error) {
 		set, err := Commands()[verb](&plan, c.Encode(), 1000)
@@ -22,9 +23,15 @@
 	for _, c := range []struct {
 		verb string
 		call Command
-	}{{"leave", Command{}}, {"leave", Command{Zone: "a", By: "me"}}, {"leave", Command{Zone: "a", By: "me", Reason: "so", ForMS: -1}},
-		{"leave", Command{Zone: "a", By: "me", Reason: "so", ForMS: mostFor + 1}}, {"return", Command{Zone: "a", By: "me", Reason: "so"}}} {
-		if v, err := call(c.verb, c.call); err == nil || len(v) != 0 {
+		want error
+	}{
+		{"leave", Command{}, ErrIncomplete},
+		{"leave", Command{Zone: "a", By: "me"}, ErrIncomplete},
+		{"leave", Command{Zone: "a", By: "me", Reason: "so", ForMS: -1}, ErrDuration},
+		{"leave", Command{Zone: "a", By: "me", Reason: "so", ForMS: maxForMS + 1}, ErrDuration},
+		{"return", Command{Zone: "a", By: "me", Reason: "so"}, ErrNotEvacuated},
+	} {
+		if v, err := call(c.verb, c.call); !errors.Is(err, c.want) || len(v) != 0 {
 			t.Errorf("%s %+v: %+v, %v", c.verb, c.call, v, err)
 		}
 	}
@@ -46,19 +53,19 @@
 	}
 }
 
-// What an operator left stays left until the time is up, and what is held is not left whatever is seen.
-func TestOperatorsWordCounts(t *testing.T) {
-	w := newWorld(8, 3, 2, 20)
-	w.v = Statuses{"a": {State: Evacuated, By: "me", Reason: "so", Since: w.unix(), Until: w.unix() + 20_000},
-		"b": {State: Returning, Hold: true, By: "me", Reason: "no", Since: w.unix()}}
-	w.bad = ill("b")
-	w.run(15 * 1e9)
-	if w.v["a"].State != Evacuated || !w.v["b"].Hold || len(w.v) != 2 {
-		t.Errorf("%+v", w.v)
+// An operator's evacuation lasts for its duration, and a zone on hold is not evacuated, whatever is observed.
+func TestOperatorsCommandTakesPrecedence(t *testing.T) {
+	sim := newSimulation(8, 3, 2, 20)
+	sim.statuses = Statuses{"a": {State: Evacuated, By: "me", Reason: "so", Since: sim.unix(), Until: sim.unix() + 20_000},
+		"b": {State: Returning, Hold: true, By: "me", Reason: "no", Since: sim.unix()}}
+	sim.failing = unhealthyZone("b")
+	sim.run(15 * 1e9)
+	if sim.statuses["a"].State != Evacuated || !sim.statuses["b"].Hold || len(sim.statuses) != 2 {
+		t.Errorf("%+v", sim.statuses)
 	}
-	w.bad = ill("")
-	w.run(60 * 1e9)
-	if _, out := w.v["a"]; out {
-		t.Errorf("its time is up: %+v", w.v)
+	sim.failing = unhealthyZone("")
+	sim.run(60 * 1e9)
+	if _, out := sim.statuses["a"]; out {
+		t.Errorf("its time is up: %+v", sim.statuses)
 	}
 }
--- a/internal/fleet/evacuation/golden_test.go
+++ b/internal/fleet/evacuation/golden_test.go
@@ -63,7 +63,7 @@
 			golden.Filled(t, c)
 		}
 		golden.Compare(t, name+".cbor", c.Encode())
-		if got, err := read(golden.Read(t, name+".cbor")); err != nil || got != c {
+		if got, err := decode(golden.Read(t, name+".cbor")); err != nil || got != c {
 			t.Errorf("%s: read as %+v, %v", name, got, err)
 		}
 	}
--- a/internal/fleet/evacuation/large_test.go
+++ b/internal/fleet/evacuation/large_test.go
@@ -8,40 +8,40 @@
 	"pgregory.net/rapid"
 )
 
-// Large fleets: how long until a zone is left, what went there, and what a judgement costs the leader.
+// Large fleets: the time to detection, what was sent to the zone until then, and what an evaluation costs the leader.
 func TestLargeFleets(t *testing.T) {
 	sizes := []int{24, 300}
 	if os.Getenv("LARGE") != "" {
 		sizes = append(sizes, 1000)
 	}
 	for _, n := range sizes {
-		w := newWorld(11, 12, n/12, 900/float64(n)/12) // 900 reqs a second over all
-		w.run(8 * time.Second)
-		if len(w.v) != 0 {
-			t.Fatalf("%d gateways: %+v before any trouble", n, w.v)
+		sim := newSimulation(11, 12, n/12, 900/float64(n)/12) // 900 requests a second over all
+		sim.run(8 * time.Second)
+		if len(sim.statuses) != 0 {
+			t.Fatalf("%d gateways: %+v before any fault", n, sim.statuses)
 		}
-		w.bad = ill("b")
-		before, began, real := w.sent["b"], w.now, time.Now()
-		for w.v["b"].State != Evacuated && w.now < began+10*time.Second {
-			w.run(200 * time.Millisecond)
+		sim.failing = unhealthyZone("b")
+		before, began, real := sim.sent["b"], sim.now, time.Now()
+		for sim.statuses["b"].State != Evacuated && sim.now < began+10*time.Second {
+			sim.run(200 * time.Millisecond)
 		}
-		left := w.now - began
+		left := sim.now - began
 		if left > 2*time.Second {
-			t.Errorf("%d gateways: left after %v", n, left)
+			t.Errorf("%d gateways: evacuated after %v", n, left)
 		}
-		w.run(5*time.Second - left)
-		t.Logf("%5d gateways in 12 zones, 900 reqs a second: left after %v, %d sent there in 5 s, %v a judgement", n, left, w.sent["b"]-before,
+		sim.run(5*time.Second - left)
+		t.Logf("%5d gateways in 12 zones, 900 requests a second: evacuated after %v, %d sent there in 5 s, %v an evaluation", n, left, sim.sent["b"]-before,
 			time.Since(real)/25)
 	}
 }
 
-// The random schedules at large size, by command: LARGE=1 go test ./internal/fleet/zone -run Schedules -rapid.checks=100
-func TestLargeSchedules(t *testing.T) {
+// The random faults at large size, by command: LARGE=1 go test ./internal/fleet/evacuation -run LargeRandomFaults -rapid.checks=100
+func TestLargeRandomFaults(t *testing.T) {
 	if os.Getenv("LARGE") == "" {
 		t.Skip("LARGE is not set")
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.SampledFrom([]int{300, 300, 300, 1000}).Draw(t, "gateways")
-		schedule(t, newWorld(rapid.Uint64().Draw(t, "seed"), 12, n/12, 900/float64(n)/12))
+		checkRandomFaults(t, newSimulation(rapid.Uint64().Draw(t, "seed"), 12, n/12, 900/float64(n)/12))
 	})
 }
