--- /dev/null
+++ b/internal/fleet/maintenance/command.go
@@ -0,0 +1,315 @@
+package maintenance
+
+import (
+	"errors"
+	"fmt"
+	"slices"
+	"strings"
+
+	"github.com/fxamacker/cbor/v2"
+
+	"dewhitch/internal/fleet"
+)
+
+// Command is what an operator orders. The arguments of a call are its encoding.
+type Command struct {
+	By        string   `cbor:"1,keyasint"` // the operator
+	Reason    string   `cbor:"2,keyasint"`
+	Key       string   `cbor:"3,keyasint,omitempty"` // idempotency key of a request
+	Kind      Kind     `cbor:"4,keyasint,omitempty"`
+	ForMS     int64    `cbor:"5,keyasint,omitempty"` // longest time that a machine is Free, ms
+	NotBefore int64    `cbor:"6,keyasint,omitempty"` // Unix ms
+	After     uint64   `cbor:"7,keyasint,omitempty"` // ID of a request that has to end first
+	Machines  []string `cbor:"8,keyasint,omitempty"` // by name
+	ID        uint64   `cbor:"9,keyasint,omitempty"` // of the request that the command is about
+}
+
+// Bounds of a command.
+const (
+	maxText  = 512              // bytes, of each text
+	maxName  = 64               // bytes, of a machine's name
+	maxForMS = 24 * 3600 * 1000 // ms
+)
+
+// Causes of a refused command, for errors.Is.
+var (
+	ErrInvalid  = errors.New("work: invalid command")
+	ErrUnknown  = errors.New("work: no such request or gateway")
+	ErrConflict = errors.New("work: conflict with another request")
+	ErrLimit    = errors.New("work: too many requests")
+	ErrState    = errors.New("work: not possible in this state")
+)
+
+// CommandError is a refused command. Its text is for operators; errors.Is matches the cause.
+type CommandError struct {
+	Cause error
+	Text  string
+}
+
+func (e *CommandError) Error() string { return e.Text }
+
+// Unwrap returns the cause.
+func (e *CommandError) Unwrap() error { return e.Cause }
+
+// reject returns a CommandError.
+func reject(cause error, format string, args ...any) error {
+	return &CommandError{Cause: cause, Text: fmt.Sprintf("work: "+format, args...)}
+}
+
+// Encode returns the command as the arguments of a call.
+func (c Command) Encode() []byte {
+	b, err := cbor.Marshal(c)
+	if err != nil {
+		panic("work: " + err.Error()) // Command has only types that can be encoded
+	}
+	return b
+}
+
+// check checks what all commands have in common.
+func (c *Command) check() error {
+	switch {
+	case c.By == "" || c.Reason == "" || len(c.By) > maxText || len(c.Reason) > maxText:
+		return reject(ErrInvalid, "who asks, and why, in up to 512 bytes each")
+	case len(c.Machines) > maxMachines:
+		return reject(ErrInvalid, "%d machines, %d at most", len(c.Machines), maxMachines)
+	}
+	for i, name := range c.Machines {
+		if name == "" || len(name) > maxName || strings.ContainsAny(name, " \t\r\n") || slices.Contains(c.Machines[:i], name) {
+			return reject(ErrInvalid, "%q is no machine, or is named twice", name)
+		}
+	}
+	return nil
+}
+
+// Commands returns the handlers of the operators' commands by name. The fleet calls them on the leader. Each refuses a command with a
+// *CommandError.
+func Commands() map[string]fleet.CommandHandler {
+	return map[string]fleet.CommandHandler{
+		"work-request": handler(submitRequest),
+		"work-cancel":  handler(cancelRequest),
+		"work-done":    handler(completeWork),
+		"work-hold":    handler(holdRequest),
+		"work-resume":  handler(resumeRequest),
+		"work-gone":    handler(removeGateways),
+	}
+}
+
+// handler applies a command to the section of the plan. It returns no section if the plan has it already.
+func handler(apply func(b *Schedule, c Command, unix int64) error) fleet.CommandHandler {
+	return func(p *fleet.Plan, args []byte, unix int64) (map[string]cbor.RawMessage, error) {
+		var c Command
+		if err := cbor.Unmarshal(args, &c); err != nil {
+			return nil, err
+		}
+		if err := c.check(); err != nil {
+			return nil, err
+		}
+		current, err := Read(p)
+		if err != nil {
+			return nil, err
+		}
+		next := current.clone()
+		if err := apply(&next, c, unix); err != nil {
+			return nil, err
+		}
+		if slices.Equal(current.encode(), next.encode()) {
+			return nil, nil
+		}
+		return Set(next), nil
+	}
+}
+
+// submitRequest adds a request. It is idempotent by the key: the same request again changes nothing, whichever gateway forwards it.
+func submitRequest(b *Schedule, c Command, unix int64) error {
+	if err := c.checkRequest(); err != nil {
+		return err
+	}
+	for i := range b.Requests {
+		if r := &b.Requests[i]; r.Key == c.Key {
+			if !r.matches(c) {
+				return reject(ErrConflict, "key %q is that of request %d, which asks for something else", c.Key, r.ID)
+			}
+			return nil
+		}
+		if err := b.Requests[i].conflict(c); err != nil {
+			return err
+		}
+	}
+	if open := b.countOpen(); open >= maxOpen {
+		return reject(ErrLimit, "%d requests are open", open)
+	}
+	if c.After != 0 && b.find(c.After) == nil {
+		return reject(ErrUnknown, "no request %d to come after", c.After)
+	}
+	b.add(c, unix)
+	return nil
+}
+
+// checkRequest checks the fields of a new request.
+func (c *Command) checkRequest() error {
+	switch {
+	case len(c.Machines) == 0:
+		return reject(ErrInvalid, "no machines")
+	case c.Kind != Restart && c.Kind != Replace && c.Kind != Off:
+		return reject(ErrInvalid, "kind %q; restart, replace or off", c.Kind)
+	case c.ForMS <= 0 || c.ForMS > maxForMS:
+		return reject(ErrInvalid, "for %d ms; more than none, and a day at most", c.ForMS)
+	case c.Key == "" || len(c.Key) > maxText:
+		return reject(ErrInvalid, "a key, in up to 512 bytes")
+	}
+	return nil
+}
+
+// matches tells whether a command with the request's key asks for the same.
+func (r *Request) matches(c Command) bool {
+	sameName := func(m Machine, name string) bool { return m.Name == name }
+	return r.Kind == c.Kind && r.ForMS == c.ForMS && slices.EqualFunc(r.Machines, c.Machines, sameName)
+}
+
+// conflict returns an error if a machine of a command is part of this request and has not ended there.
+func (r *Request) conflict(c Command) error {
+	if r.ended() {
+		return nil
+	}
+	for _, m := range r.Machines {
+		if !m.ended() && slices.Contains(c.Machines, m.Name) {
+			return reject(ErrConflict, "%s is asked for already, in request %d by %s", m.Name, r.ID, r.By)
+		}
+	}
+	return nil
+}
+
+// countOpen counts the requests that have not ended.
+func (b *Schedule) countOpen() (open int) {
+	for i := range b.Requests {
+		if !b.Requests[i].ended() {
+			open++
+		}
+	}
+	return open
+}
+
+// add appends a request. Its machines are no longer off for good.
+func (b *Schedule) add(c Command, unix int64) {
+	b.Next++
+	r := Request{
+		ID:          b.Next,
+		Key:         c.Key,
+		By:          c.By,
+		Reason:      c.Reason,
+		Kind:        c.Kind,
+		ForMS:       c.ForMS,
+		NotBefore:   c.NotBefore,
+		After:       c.After,
+		RequestedAt: unix,
+	}
+	for _, name := range c.Machines {
+		r.Machines = append(r.Machines, Machine{Name: name, Since: unix})
+		b.Off = slices.DeleteFunc(b.Off, func(off string) bool { return off == name })
+	}
+	b.Requests = append(b.Requests, r)
+}
+
+// findOpen returns a request that has not ended, or a CommandError.
+func (b *Schedule) findOpen(id uint64) (*Request, error) {
+	r := b.find(id)
+	if r == nil {
+		return nil, reject(ErrUnknown, "no request %d", id)
+	}
+	if r.ended() {
+		return nil, reject(ErrState, "request %d is %s", id, r.State)
+	}
+	return r, nil
+}
+
+// cancelRequest cancels the machines of a request whose maintenance has not begun. A machine that is free stays so: it may be in
+// pieces, and only the operator who works on it can complete it.
+func cancelRequest(b *Schedule, c Command, unix int64) error {
+	r, err := b.findOpen(c.ID)
+	if err != nil {
+		return err
+	}
+	for i := range r.Machines {
+		m := &r.Machines[i]
+		if m.State == Waiting || m.State == Announced || m.State == OnHold && m.Turn == 0 {
+			m.enter(Cancelled, unix, "cancelled by "+c.By)
+		}
+	}
+	r.Note = "cancelled by " + c.By + ": " + c.Reason
+	r.endWithMachines()
+	return nil
+}
+
+// completeWork ends the maintenance of machines: the named ones, or all of the request that are free or on hold after their turn.
+func completeWork(b *Schedule, c Command, unix int64) error {
+	r, err := b.findOpen(c.ID)
+	if err != nil {
+		return err
+	}
+	named := len(c.Machines) > 0
+	completed := false
+	for i := range r.Machines {
+		m := &r.Machines[i]
+		if named && !slices.Contains(c.Machines, m.Name) {
+			continue
+		}
+		switch {
+		case m.State == Free || m.onHoldAfterTurn():
+			b.endWork(r, m, unix, "done, says "+c.By)
+			completed = true
+		case named && m.State != Returned && m.State != Done:
+			return reject(ErrState, "%s of request %d is %s, not free", m.Name, r.ID, m.State)
+		}
+	}
+	if !completed && !named {
+		return reject(ErrState, "no machine of request %d is free", r.ID)
+	}
+	r.endWithMachines()
+	return nil
+}
+
+// holdRequest stops a request before its next turn, until resumeRequest.
+func holdRequest(b *Schedule, c Command, _ int64) error {
+	r, err := b.findOpen(c.ID)
+	if err != nil {
+		return err
+	}
+	r.State = OnHold
+	r.Note = "held by " + c.By + ": " + c.Reason
+	return nil
+}
+
+// resumeRequest ends a hold. A machine on hold waits again, or returns if its turn was announced.
+func resumeRequest(b *Schedule, c Command, unix int64) error {
+	r, err := b.findOpen(c.ID)
+	if err != nil {
+		return err
+	}
+	for i := range r.Machines {
+		m := &r.Machines[i]
+		if m.State != OnHold {
+			continue
+		}
+		m.enter(Waiting, unix, "resumed by "+c.By)
+		if m.Turn > 0 {
+			m.State = Returned
+		}
+	}
+	r.State = Waiting
+	r.Note = "resumed by " + c.By + ": " + c.Reason
+	return nil
+}
+
+// removeGateways removes gateways from the roster whose processes ended without leaving the fleet: no turn waits for them any more.
+func removeGateways(b *Schedule, c Command, _ int64) error {
+	if len(c.Machines) == 0 {
+		return reject(ErrInvalid, "no gateway named")
+	}
+	for _, name := range c.Machines {
+		if _, ok := b.Roster[name]; !ok {
+			return reject(ErrUnknown, "nobody waits for a gateway %q", name)
+		}
+		delete(b.Roster, name)
+	}
+	return nil
+}
--- /dev/null
+++ b/internal/fleet/maintenance/evidence.go
@@ -0,0 +1,83 @@
+package maintenance
+
+import "time"
+
+// Bounds of the evidence.
+const (
+	healthSpan = 4 * time.Second         // of samples that are kept of a server
+	lateAnswer = 1200 * time.Millisecond // that a server in slow start may take to answer
+	maxTracked = 1024                    // servers with samples
+	loadSpan   = time.Hour               // for which the highest load is remembered
+	loadBucket = time.Minute
+)
+
+// sample is what one load report says of a server, in attempts.
+type sample struct {
+	at     time.Duration
+	served uint64
+	failed uint64
+	silent uint64 // without an answer for longer than other attempts take
+	late   uint64 // silent in this report or an earlier one, and served after all
+}
+
+// load is the highest rate of a server in use in one loadBucket in which no server rejected any request.
+type load struct {
+	at   time.Duration // start of the bucket
+	rate float64       // attempts a second
+}
+
+// Observe adds the attempts of one gateway to a server since its last report: served, failed, silent (without an answer for longer than
+// others take) and late (served after they had been silent). now must not decrease.
+func (s *Scheduler) Observe(now time.Duration, server string, served, failed, silent, late uint64) {
+	if served+failed+silent+late == 0 {
+		return
+	}
+	list := append(s.health[server], sample{now, served, failed, silent, late})
+	for len(list) > 0 && now-list[0].at > healthSpan {
+		list = list[1:]
+	}
+	s.health[server] = list
+	if len(s.health) > maxTracked {
+		clear(s.health) // servers get new names all day; those in use are observed again at once
+	}
+}
+
+// healthSince adds up the attempts to a server since a time within healthSpan. A server in slow start answers later than others:
+// a silent attempt counts as failed only after lateAnswer, and not if it was served late.
+func (s *Scheduler) healthSince(server string, now, since time.Duration) (served, failed uint64) {
+	silent, late := uint64(0), uint64(0)
+	for _, v := range s.health[server] {
+		if v.at < since {
+			continue
+		}
+		served += v.served + v.late
+		failed += v.failed
+		late += v.late
+		if now-v.at >= lateAnswer {
+			silent += v.silent
+		}
+	}
+	return served, failed + silent - min(silent, late)
+}
+
+// recordLoad remembers the load of a server in use, in attempts a second, while the fleet is faultless.
+func (s *Scheduler) recordLoad(now time.Duration, rate float64, faultless bool) {
+	if faultless {
+		if n := len(s.loads); n == 0 || now-s.loads[n-1].at >= loadBucket {
+			s.loads = append(s.loads, load{at: now})
+		}
+		last := &s.loads[len(s.loads)-1]
+		last.rate = max(last.rate, rate)
+	}
+	for len(s.loads) > 0 && now-s.loads[0].at > loadSpan {
+		s.loads = s.loads[1:]
+	}
+}
+
+// maxLoad is the highest load that servers bore within loadSpan, in attempts a second of each.
+func (s *Scheduler) maxLoad() (rate float64) {
+	for _, l := range s.loads {
+		rate = max(rate, l.rate)
+	}
+	return rate
+}
--- a/internal/fleet/maintenance/ahead_test.go
+++ b/internal/fleet/maintenance/forecast_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-func fleetOf(zones, each int) map[string]Server {
+func serversIn(zones, each int) map[string]Server {
 	servers := map[string]Server{}
 	for z := range zones {
 		for i := range each {
@@ -17,17 +17,17 @@
 	return servers
 }
 
-// What is told ahead is what the order's code does: all machines once, no more out than may be, and what can't go is said.
+// A forecast is what the scheduler does: each machine has one turn, the bounds hold, and machines without a turn are named.
 func TestSimulate(t *testing.T) {
 	cfg := Defaults
-	servers := fleetOf(3, 4)
+	servers := serversIn(3, 4)
 	c := Command{By: "ann", Reason: "release", Key: "k", Kind: Restart, ForMS: 60_000, Machines: names(servers)}
 	a, err := Simulate(cfg, servers, c, 0.7, 0.22)
 	if err != nil || len(a.Turns) != 12 || a.MaxOut > 2 || len(a.Stuck) > 0 || a.Spare > 0.3 || a.Spare < 0 {
 		t.Errorf("%+v %v", a, err)
 	}
 	t.Logf("12 servers, a minute each, load 0.7: %v, %d out at most, %.2f to spare", a.Elapsed, a.MaxOut, a.Spare)
-	if a, err = Simulate(cfg, fleetOf(1, 1), Command{By: "ann", Reason: "x", Key: "k", Kind: Restart, ForMS: 60_000, Machines: []string{"s-a0"}}, 0.2, 0.22); err != nil ||
+	if a, err = Simulate(cfg, serversIn(1, 1), Command{By: "ann", Reason: "x", Key: "k", Kind: Restart, ForMS: 60_000, Machines: []string{"s-a0"}}, 0.2, 0.22); err != nil ||
 		len(a.Turns) != 0 || len(a.Stuck) != 1 {
 		t.Errorf("the last server: %+v %v", a, err)
 	}
@@ -37,8 +37,8 @@
 }
 
 // At large size: 200 servers in 12 zones, 40 % of them through work.
-func TestLargeEvening(t *testing.T) {
-	servers := fleetOf(12, 17)
+func TestLargeRestart(t *testing.T) {
+	servers := serversIn(12, 17)
 	all := names(servers)
 	c := Command{By: "ann", Reason: "release", Key: "k", Kind: Restart, ForMS: 120_000, Machines: all[:82]}
 	began := time.Now()
@@ -52,39 +52,39 @@
 
 // A hundred requests of mixed size: none starves, and the longest wait is not far from the mean.
 func TestFairness(t *testing.T) {
-	w := newWorld(t, 21, 30, 3, 20)
-	all := names(w.servers)
-	asked := 0
-	for asked < 100 {
+	sim := newSimulation(t, 21, 30, 3, 20)
+	all := names(sim.servers)
+	submitted := 0
+	for submitted < 100 {
 		var machines []string
-		for range 1 + w.rng.IntN(6)*w.rng.IntN(2) {
-			if m := all[w.rng.IntN(len(all))]; !slices.Contains(machines, m) {
+		for range 1 + sim.rng.IntN(6)*sim.rng.IntN(2) {
+			if m := all[sim.rng.IntN(len(all))]; !slices.Contains(machines, m) {
 				machines = append(machines, m)
 			}
 		}
-		if w.call(request, Command{Key: fmt.Sprint("r", asked), Kind: Restart, ForMS: 60_000, Machines: machines}) == nil {
-			asked++
+		if sim.call(submitRequest, Command{Key: fmt.Sprint("r", submitted), Kind: Restart, ForMS: 60_000, Machines: machines}) == nil {
+			submitted++
 		}
-		w.run(time.Duration(w.rng.IntN(4000)) * time.Millisecond)
+		sim.run(time.Duration(sim.rng.IntN(4000)) * time.Millisecond)
 	}
 	first := map[string]time.Duration{}
-	look := func() {
-		for _, r := range w.b.Requests {
+	recordTurns := func() {
+		for _, r := range sim.schedule.Requests {
 			if _, ok := first[r.Key]; !ok && slices.ContainsFunc(r.Machines, func(m Machine) bool { return m.Turn > 0 }) {
-				first[r.Key] = time.Duration(w.unix()-r.RequestedAt) * time.Millisecond
+				first[r.Key] = time.Duration(sim.unix()-r.RequestedAt) * time.Millisecond
 			}
 		}
 	}
-	for end := w.now + 4*time.Hour; w.now < end && slices.ContainsFunc(w.b.Requests, func(r Request) bool { return !r.ended() }); {
-		w.step()
-		look()
+	for end := sim.now + 4*time.Hour; sim.now < end && slices.ContainsFunc(sim.schedule.Requests, func(r Request) bool { return !r.ended() }); {
+		sim.step()
+		recordTurns()
 	}
 	longest, sum := time.Duration(0), time.Duration(0)
 	for _, d := range first {
 		longest, sum = max(longest, d), sum+d
 	}
 	mean := sum / time.Duration(max(1, len(first)))
-	for _, r := range w.b.Requests {
+	for _, r := range sim.schedule.Requests {
 		if r.State != Done {
 			t.Errorf("%+v", r)
 		}
@@ -92,5 +92,5 @@
 	if longest > 6*mean+time.Minute {
 		t.Errorf("the longest wait %v, the mean %v", longest, mean)
 	}
-	t.Logf("100 requests over 30 gateways: over after %v, first turns after %v in the mean, %v at worst", w.now, mean, longest)
+	t.Logf("100 requests over 30 gateways: over after %v, first turns after %v in the mean, %v at worst", sim.now, mean, longest)
 }
--- /dev/null
+++ b/internal/fleet/maintenance/simulation_test.go
@@ -0,0 +1,174 @@
+package maintenance
+
+import (
+	"fmt"
+	"maps"
+	"math/rand/v2"
+	"slices"
+	"time"
+)
+
+const tick = 200 * time.Millisecond
+
+// gateway applies plans late, or not at all while it is stalled; it keeps to the last plan that it applied.
+type gateway struct {
+	withdrawn    map[string]uint64 // applied
+	acknowledged map[string]uint64 // in its last report
+	stalled      time.Duration
+	open         map[string]time.Duration // last end of its attempts, by machine
+}
+
+// simulation is a fleet on a virtual clock: the leader steps the schedule, and gateways send to every machine that they do not know to be withdrawn.
+type simulation struct {
+	t         fataler
+	rng       *rand.Rand
+	scheduler *Scheduler
+	now       time.Duration
+	schedule  Schedule
+	servers   map[string]Server
+	gateways  map[string]*gateway
+	zonesOut  []string
+	rejecting bool
+	rate      float64
+	workTime  time.Duration // that the operator needs for a machine
+	neverDone bool          // the operator never completes the work
+	unhealthy map[string]bool
+	maxOut    int // machines that were out at once, at most
+	turns     int // machines that became free
+	changes   int
+}
+
+type fataler interface{ Fatalf(string, ...any) }
+
+func newSimulation(t fataler, seed uint64, gateways, zones, servers int) *simulation {
+	sim := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 5)), scheduler: New(Defaults), servers: map[string]Server{}, gateways: map[string]*gateway{},
+		rate: 100, workTime: 5 * time.Second, unhealthy: map[string]bool{}}
+	for i := range gateways {
+		sim.gateways[fmt.Sprint("g", i)] = &gateway{withdrawn: map[string]uint64{}, acknowledged: map[string]uint64{}, open: map[string]time.Duration{}}
+	}
+	for z := range zones {
+		for i := range servers {
+			sim.servers[fmt.Sprintf("s-%c%d", 'a'+z, i)] = Server{Zone: string(rune('a' + z)), Ready: true}
+		}
+	}
+	sim.run(2 * time.Second)
+	return sim
+}
+
+func (sim *simulation) unix() int64 { return 1_700_000_000_000 + sim.now.Milliseconds() }
+
+func (sim *simulation) call(f func(*Schedule, Command, int64) error, c Command) error {
+	c.By, c.Reason = "ann", "release"
+	next := sim.schedule.clone()
+	if err := f(&next, c, sim.unix()); err != nil {
+		return err
+	}
+	sim.schedule = next
+	return nil
+}
+
+func (sim *simulation) submit(key string, kind Kind, machines ...string) {
+	if err := sim.call(submitRequest, Command{Key: key, Kind: kind, ForMS: 60_000, Machines: machines}); err != nil {
+		sim.t.Fatalf("%s: %v", key, err)
+	}
+}
+
+// step is one tick: gateways send and report, the leader steps the schedule, and operators work on free machines.
+func (sim *simulation) step() {
+	sim.now += tick
+	free := map[string]bool{}
+	for _, r := range sim.schedule.Requests {
+		for _, m := range r.Machines {
+			if m.State == Free {
+				free[m.Name] = true
+			}
+		}
+	}
+	names := slices.Sorted(maps.Keys(sim.servers))
+	for _, name := range slices.Sorted(maps.Keys(sim.gateways)) {
+		g := sim.gateways[name]
+		if g.stalled > sim.now {
+			continue
+		}
+		for range 3 { // attempts, by the plan that it has applied
+			to := names[sim.rng.IntN(len(names))]
+			if _, withdrawn := g.withdrawn[to]; withdrawn || !sim.servers[to].Ready || slices.Contains(sim.schedule.Off, to) && sim.rng.IntN(2) == 0 {
+				continue
+			}
+			if free[to] {
+				sim.t.Fatalf("%v: %s sends to %s, which is free", sim.now, name, to)
+			}
+			g.open[to] = sim.now + time.Duration(sim.rng.IntN(800))*time.Millisecond
+			if sim.unhealthy[to] {
+				sim.scheduler.Observe(sim.now, to, 0, 1, 0, 0)
+			} else {
+				sim.scheduler.Observe(sim.now, to, 1, 0, 0, 0)
+			}
+		}
+		if sim.rng.IntN(3) > 0 { // a plan reaches it, and is applied
+			g.withdrawn = sim.schedule.Withdrawn()
+		}
+		g.acknowledged = map[string]uint64{}
+		for to, turn := range g.withdrawn {
+			if g.open[to] <= sim.now {
+				g.acknowledged[to] = turn
+			}
+		}
+	}
+	f := Observations{Servers: sim.servers, Members: map[string]Member{}, ZonesOut: sim.zonesOut, RejectedShare: sim.rejecting, Rate: sim.rate}
+	for name, g := range sim.gateways {
+		f.Members[name] = Member{Reachable: g.stalled <= sim.now, Withdrawn: g.acknowledged}
+	}
+	var moved bool
+	if sim.schedule, moved = sim.scheduler.Step(sim.now, sim.unix(), sim.schedule, f); moved {
+		sim.changes++
+	}
+	out := 0
+	for i := range sim.schedule.Requests {
+		r := &sim.schedule.Requests[i]
+		for j := range r.Machines {
+			m := &r.Machines[j]
+			if m.State == Announced || m.State == Free {
+				out++
+			}
+			if m.State != Free {
+				continue
+			}
+			if !free[m.Name] {
+				sim.turns++
+				for name, g := range sim.gateways {
+					if g.open[m.Name] > sim.now {
+						sim.t.Fatalf("%v: %s is free, and %s has an attempt open there", sim.now, m.Name, name)
+					}
+				}
+			}
+			if age := time.Duration(sim.unix()-m.Since) * time.Millisecond; age >= sim.workTime && !sim.neverDone {
+				s := sim.servers[m.Name]
+				s.Since = sim.unix()
+				sim.servers[m.Name] = s
+				if err := sim.call(completeWork, Command{ID: r.ID, Machines: []string{m.Name}}); err != nil {
+					sim.t.Fatalf("done: %v", err)
+				}
+			}
+		}
+	}
+	sim.maxOut = max(sim.maxOut, out)
+}
+
+func (sim *simulation) run(d time.Duration) {
+	for end := sim.now + d; sim.now < end; {
+		sim.step()
+	}
+}
+
+// runUntilEnded runs until all requests have ended or are held.
+func (sim *simulation) runUntilEnded(d time.Duration) bool {
+	for end := sim.now + d; sim.now < end; sim.step() {
+		if !slices.ContainsFunc(sim.schedule.Requests, func(r Request) bool { return !r.ended() && r.State != OnHold }) {
+			return true
+		}
+	}
+	return false
+}
+
+func names(servers map[string]Server) []string { return slices.Sorted(maps.Keys(servers)) }
