--- a/internal/fleet/slowstart/golden_test.go
+++ b/internal/fleet/slowstart/golden_test.go
@@ -7,8 +7,8 @@
 	"dewhitch/internal/golden"
 )
 
-// TestGoldenFeed freezes what the leader's answer gives a gateway to send to cold servers, and reads it as the gateway does.
-func TestGoldenFeed(t *testing.T) {
+// TestGoldenGrant freezes what the leader's answer gives a gateway to send to cold servers, and reads it as the gateway does.
+func TestGoldenGrant(t *testing.T) {
 	for name, f := range map[string]Grant{"feed": {Rates: map[uint32]float64{0x0a0b0c0d: 12.375}}, "feed-least": {}} {
 		if name == "feed" {
 			golden.Filled(t, f)
