--- a/internal/fleet/evidence.go
+++ b/internal/fleet/evidence.go
@@ -32,16 +32,16 @@
 
 // The bounds of a report; a member's datagram holds it whole.
 const (
-	mostName           = 64 // bytes, of a member or zone
-	mostZones          = 64
+	maxNameLength      = 64 // bytes, of a member or zone
+	maxZones           = 64
 	MaxReportedServers = 24
-	absurd             = 1 << 40 // no process lives to see so much
+	maxCounter         = 1 << 40 // no process lives to see so much
 )
 
-var errAbsurd = errors.New("fleet: a report with absurd numbers")
+var errInvalidReport = errors.New("fleet: a report with absurd numbers")
 
-func (c AttemptCounts) sane() bool {
-	return c.Attempts < absurd && c.LatencyMicros < absurd*1000 && c.Served <= c.Attempts && c.ConnectFailed <= c.Attempts && c.TimedOut <= c.Attempts &&
+func (c AttemptCounts) valid() bool {
+	return c.Attempts < maxCounter && c.LatencyMicros < maxCounter*1000 && c.Served <= c.Attempts && c.ConnectFailed <= c.Attempts && c.TimedOut <= c.Attempts &&
 		c.Failed <= c.Attempts && c.Rejected <= c.Attempts && c.AnsweredLate <= c.TimedOut
 }
 
@@ -67,48 +67,48 @@
 	c.AnsweredLate += o.AnsweredLate
 }
 
-// check refuses what no honest process could say.
-func (r *Report) check() error {
-	if len(r.Zones) > mostZones || len(r.Servers) > MaxReportedServers {
-		return errAbsurd
+// validate refuses what no honest process could say.
+func (r *Report) validate() error {
+	if len(r.Zones) > maxZones || len(r.Servers) > MaxReportedServers {
+		return errInvalidReport
 	}
 	for zone, c := range r.Zones {
-		if len(zone) > mostName || !c.sane() {
-			return errAbsurd
+		if len(zone) > maxNameLength || !c.valid() {
+			return errInvalidReport
 		}
 	}
 	for _, s := range r.Servers {
-		if len(s.Zone) > mostName || !s.sane() {
-			return errAbsurd
+		if len(s.Zone) > maxNameLength || !s.valid() {
+			return errInvalidReport
 		}
 	}
 	return nil
 }
 
-// seen is what is kept of a member's reports: the last counts, of which the next report's difference is taken.
-type seen struct {
-	zones   map[string]AttemptCounts
-	servers map[uint32]ServerReport
-	asked   uint64
+// reportBaseline is what is kept of a member's reports: the last counts, of which the next report's difference is taken.
+type reportBaseline struct {
+	zones    map[string]AttemptCounts
+	servers  map[uint32]ServerReport
+	requests uint64
 }
 
 // MaxObservedServers bounds the servers that are kept of one member: more than the largest fleet has. New ones come under new ids all
 // day, and then those that are still there are met anew.
 const MaxObservedServers = 4096
 
-// take gives what is new in a report against those before, and keeps it.
-func (s *seen) take(r *Report) (delta Report, err error) {
-	if err := r.check(); err != nil {
+// delta gives what is new in a report against those before, and keeps it.
+func (s *reportBaseline) delta(r *Report) (delta Report, err error) {
+	if err := r.validate(); err != nil {
 		return delta, err
 	}
-	if r.Requests < s.asked || r.Requests > absurd {
-		return Report{}, errAbsurd
+	if r.Requests < s.requests || r.Requests > maxCounter {
+		return Report{}, errInvalidReport
 	}
-	delta = Report{Zones: map[string]AttemptCounts{}, Servers: map[uint32]ServerReport{}, Requests: r.Requests - s.asked}
+	delta = Report{Zones: map[string]AttemptCounts{}, Servers: map[uint32]ServerReport{}, Requests: r.Requests - s.requests}
 	for zone, c := range r.Zones {
 		d, ok := c.since(s.zones[zone])
 		if !ok {
-			return Report{}, errAbsurd
+			return Report{}, errInvalidReport
 		}
 		if d.Attempts > 0 || d.AnsweredLate > 0 {
 			delta.Zones[zone] = d
@@ -125,7 +125,7 @@
 	if s.zones == nil || len(s.servers) > MaxObservedServers {
 		s.zones, s.servers = map[string]AttemptCounts{}, map[uint32]ServerReport{}
 	}
-	s.asked = r.Requests
+	s.requests = r.Requests
 	for zone, c := range r.Zones {
 		s.zones[zone] = c
 	}
--- a/internal/fleet/evidence_test.go
+++ b/internal/fleet/evidence_test.go
@@ -5,7 +5,7 @@
 // A member meets all servers of the largest fleet, again and again: of what it reports of each nothing is counted twice.
 func TestManyServersOfAMember(t *testing.T) {
 	const servers, rounds = 3200, 3
-	var s seen
+	var s reportBaseline
 	counted := map[uint32]uint64{}
 	for round := range rounds {
 		for first := 0; first < servers; first += MaxReportedServers {
@@ -13,7 +13,7 @@
 			for id := first; id < min(first+MaxReportedServers, servers); id++ {
 				r.Servers[uint32(id)] = ServerReport{Zone: "a", AttemptCounts: AttemptCounts{Attempts: uint64(round + 1)}}
 			}
-			delta, err := s.take(r)
+			delta, err := s.delta(r)
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/fleet/freeze.go
+++ b/internal/fleet/freeze.go
@@ -15,18 +15,18 @@
 // EncodeNote encodes what an operator said, as the arguments of an ask.
 func EncodeNote(by, why string) []byte { return encode(OperatorNote{by, why}) }
 
-const mostWords = 512 // bytes of what an operator says
+const maxNoteLength = 512 // bytes of what an operator says
 
-// ErrWho refuses a call of nobody.
-var ErrWho = errors.New("fleet: who asks, and why, in up to 512 bytes each")
+// ErrInvalidNote refuses a call of nobody.
+var ErrInvalidNote = errors.New("fleet: who asks, and why, in up to 512 bytes each")
 
 // Read reads what an operator said.
 func (s *OperatorNote) Read(args []byte) error {
 	if err := decoder.Unmarshal(args, s); err != nil {
 		return err
 	}
-	if s.By == "" || s.Reason == "" || len(s.By) > mostWords || len(s.Reason) > mostWords {
-		return ErrWho
+	if s.By == "" || s.Reason == "" || len(s.By) > maxNoteLength || len(s.Reason) > maxNoteLength {
+		return ErrInvalidNote
 	}
 	return nil
 }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -28,20 +28,20 @@
 func TestGoldenMessages(t *testing.T) {
 	for name, e := range map[string]envelope{
 		"status": {Status: &goldenStatus},
-		"grant":  {Grant: &grant{Seq: 71, Epoch: Epoch{72, 73}, Feed: []byte{7, 4}}},
+		"grant":  {Grant: &grant{Seq: 71, Epoch: Epoch{72, 73}, Payload: []byte{7, 4}}},
 		"plan":   {Plan: &goldenPlan},
-		"raft":   {Raft: &raftMessage{Founding: 81, To: 82, Message: []byte{8, 3}}},
-		"ask":    {Ask: &ask{ID: "g2/1/1", Verb: "freeze", Args: []byte{9, 1}}},
-		"told":   {Told: &told{ID: "g2/1/2", Fault: "no", Epoch: Epoch{92, 93}}},
-		"found":  {Found: &founding{Number: 94, Promise: true, Plan: &goldenPlan}},
-		"later":  {Later: &life{Started: 95, Life: 96}},
+		"raft":   {Raft: &raftMessage{Generation: 81, To: 82, Message: []byte{8, 3}}},
+		"ask":    {Command: &command{ID: "g2/1/1", Name: "freeze", Args: []byte{9, 1}}},
+		"told":   {CommandResult: &commandResult{ID: "g2/1/2", Error: "no", Epoch: Epoch{92, 93}}},
+		"found":  {Generation: &generationMessage{Generation: 94, Promise: true, Plan: &goldenPlan}},
+		"later":  {LaterIncarnation: &incarnation{StartedAt: 95, Number: 96}},
 		// What is left out of a message has a form as well.
 		"status-least": {Status: &Status{}},
 		"grant-least":  {Grant: &grant{}},
-		"told-least":   {Told: &told{}},
-		"found-least":  {Found: &founding{}},
+		"told-least":   {CommandResult: &commandResult{}},
+		"found-least":  {Generation: &generationMessage{}},
 	} {
-		e.Version, e.Fleet, e.From, e.Started, e.Life, e.Seq = wireVersion, "north-fleet", "g2", 1700000000000000001, 1<<63+5, 6
+		e.Version, e.Fleet, e.From, e.StartedAt, e.Incarnation, e.Seq = wireVersion, "north-fleet", "g2", 1700000000000000001, 1<<63+5, 6
 		v := reflect.ValueOf(e)
 		for i := range v.NumField() {
 			if f := v.Field(i); f.Kind() != reflect.Pointer {
@@ -73,7 +73,7 @@
 // sections and operators' words of this package.
 func TestGoldenLog(t *testing.T) {
 	goldenCBOR(t, "change.cbor", change{Base: Epoch{31, 32}, Set: map[string]cbor.RawMessage{"work": {0x81, 5}}, ID: "g1/a/7"}, cbor.Unmarshal)
-	goldenCBOR(t, "change-removes.cbor", change{Base: Epoch{33, 34}, Set: map[string]cbor.RawMessage{"freeze": {null}}, ID: "g1/a/8"}, cbor.Unmarshal)
+	goldenCBOR(t, "change-removes.cbor", change{Base: Epoch{33, 34}, Set: map[string]cbor.RawMessage{"freeze": {cborNull}}, ID: "g1/a/8"}, cbor.Unmarshal)
 	goldenCBOR(t, "plan.cbor", goldenPlan, cbor.Unmarshal)
 	goldenCBOR(t, "voters.cbor", map[string]uint64{"g3": 1<<63 + 9}, cbor.Unmarshal)
 	goldenCBOR(t, "mark.cbor", goldenMark, cbor.Unmarshal)
@@ -83,7 +83,7 @@
 	if err := s.Read(golden.Read(t, "said.cbor")); err != nil || s != (OperatorNote{"bob", "day"}) {
 		t.Errorf("%+v, %v", s, err)
 	}
-	if got := encode(change{Set: map[string]cbor.RawMessage{"freeze": nil}}); !slices.Contains([]byte(got), null) {
+	if got := encode(change{Set: map[string]cbor.RawMessage{"freeze": nil}}); !slices.Contains([]byte(got), cborNull) {
 		t.Errorf("a section that is removed: %x", got)
 	}
 }
@@ -115,10 +115,10 @@
 
 // TestGoldenFounded freezes the snapshot with which a log begins, as voters store and send it.
 func TestGoldenFounded(t *testing.T) {
-	s := founded(21, 22, goldenPlan)
+	s := newGenerationState(21, 22, goldenPlan)
 	golden.Compare(t, "plan.cbor", s.Snapshot.GetData())
 	var v voter
-	if err := v.restore(s.Snapshot); err != nil || !reflect.DeepEqual(v.plan, goldenPlan) || v.applied != 1 {
+	if err := v.restoreSnapshot(s.Snapshot); err != nil || !reflect.DeepEqual(v.plan, goldenPlan) || v.applied != 1 {
 		t.Errorf("%+v, %v", v.plan, err)
 	}
 	if s.Identity != 21 || s.Generation != 22 || s.Promised != 22 || s.HardState.GetTerm() != 1 || s.HardState.GetCommit() != 1 {
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -38,244 +38,244 @@
 
 // Peer is a member as another one knows it.
 type Peer struct {
-	Name         string
-	Alive        bool          // as gossip has it
-	LastStatusAt time.Duration // when its last status came
-	HasStatus    bool          // one has
-	Status       Status
-	StartedAt    int64
-	Incarnation  uint64
-	seq          uint64
-	seen         seen
-	lastPlanSent time.Duration
-	plannedEpoch Epoch
-	granted      time.Duration
+	Name          string
+	Alive         bool          // as gossip has it
+	LastStatusAt  time.Duration // when its last status came
+	HasStatus     bool          // one has
+	Status        Status
+	StartedAt     int64
+	Incarnation   uint64
+	statusSeq     uint64
+	reports       reportBaseline
+	sentPlanAt    time.Duration
+	sentPlanEpoch Epoch
+	lastGrantAt   time.Duration
 }
 
 const (
-	freshStatus = 1500 * time.Millisecond // a status as old says nothing of now
-	deadAfter   = 2 * time.Second         // without a leader, before a log may be taken for dead
-	houseEvery  = 200 * time.Millisecond
-	foundTime   = 3 * time.Second
-	askAgain    = 300 * time.Millisecond
-	askTime     = 8 * time.Second
-	mostAsks    = 256
-	mostPeers   = 4096
-	relayTo     = 3  // members, by whoever learns of a plan
-	pushTo      = 32 // members, by the leader
-	ring        = 64 // statuses whose times are kept
-	replan      = 400 * time.Millisecond
-	// grantsALease is how often a member's lease is renewed within it: a few may be lost.
-	grantsALease = 5
+	statusFreshFor       = 1500 * time.Millisecond // a status as old says nothing of now
+	leaderLossTimeout    = 2 * time.Second         // without a leader, before a log may be taken for dead
+	housekeepingInterval = 200 * time.Millisecond
+	generationTimeout    = 3 * time.Second
+	commandRetryInterval = 300 * time.Millisecond
+	commandTimeout       = 8 * time.Second
+	maxCommands          = 256
+	maxPeers             = 4096
+	relayFanout          = 3  // members, by whoever learns of a plan
+	leaderFanout         = 32 // members, by the leader
+	statusRingSize       = 64 // statuses whose times are kept
+	planResendInterval   = 400 * time.Millisecond
+	// grantsPerLease is how often a member's lease is renewed within it: a few may be lost.
+	grantsPerLease = 5
 )
 
 // Node is one member. None of its methods may be called at once with another.
 type Node struct {
-	cfg     Config
-	rng     *rand.Rand
-	now     time.Duration
-	unix    int64
-	started bool
-	lastLog time.Duration // of the log's last tick
-	voter   *voter        // nil: this member is none
-	saved   *VoterState   // identity, founding and promise of the voter
-	whole   *VoterState   // has to be kept, before anything else
-	after   []func()      // once it is
-
-	plan       Plan // that it acts on: the newest it knows
-	leader     string
-	leaderAt   time.Duration // when there last was word of one
-	freshUntil time.Duration
-	wasFresh   bool
-	fenced     bool
-	feed       []byte // that the leader gave last
-	acts       uint64 // the status that it came for
-	feedUntil  time.Duration
-	lapsed     bool // and that was said
-
-	seq      uint64
-	statuses uint64
-	sentAt   [ring]struct {
+	config           Config
+	rng              *rand.Rand
+	now              time.Duration
+	unixMS           int64
+	started          bool
+	lastLogTick      time.Duration // of the log's last tick
+	voter            *voter        // nil: this member is none
+	identity         *VoterState   // identity, founding and promise of the voter
+	replacement      *VoterState   // has to be kept, before anything else
+	afterReplacement []func()      // once it is
+
+	plan          Plan // that it acts on: the newest it knows
+	leader        string
+	leaderHeardAt time.Duration // when there last was word of one
+	freshUntil    time.Duration
+	wasFresh      bool
+	fenced        bool
+	grant         []byte // that the leader gave last
+	grantSeq      uint64 // the status that it came for
+	grantUntil    time.Duration
+	grantExpired  bool // and that was said
+
+	seq          uint64
+	statusCount  uint64
+	sentStatuses [statusRingSize]struct {
 		seq uint64
 		at  time.Duration
 	}
-	peers      map[string]*Peer
-	names      []string // of peers, sorted
-	nextStatus time.Duration
-	nextHouse  time.Duration
+	peers            map[string]*Peer
+	names            []string // of peers, sorted
+	nextStatus       time.Duration
+	nextHousekeeping time.Duration
 
-	founds   uint64 // the founding that it asks promises for; 0: none
-	foundAt  time.Duration
-	promises map[string]*Plan
+	startingGeneration  uint64 // the founding that it asks promises for; 0: none
+	generationStartedAt time.Duration
+	promises            map[string]*Plan
 
-	queue    []queued // asks at the leader
-	inflight string   // the id of the change that is proposed; empty: none
-	asker    string   // who asked for it
-	proposed time.Duration
-	results  map[string]told
-	order    []string // of results, oldest first
-	asks     map[string]*asked
-	numbers  uint64
+	queue             []queuedCommand // asks at the leader
+	proposalID        string          // the id of the change that is proposed; empty: none
+	proposalFrom      string          // who asked for it
+	proposedAt        time.Duration
+	results           map[string]commandResult
+	resultOrder       []string // of results, oldest first
+	submissions       map[string]*submission
+	lastCommandNumber uint64
 
-	report func(whole bool) *Report
-	away   func() map[string]uint64
-	own    seen
-	sends  []Message
-	events []Event
-	drops  uint64
+	reporter     func(whole bool) *Report
+	acknowledged func() map[string]uint64
+	ownReports   reportBaseline
+	outbox       []Message
+	events       []Event
+	dropped      uint64
 }
 
-type queued struct {
-	ask  ask
-	from string
+type queuedCommand struct {
+	command command
+	from    string
 }
 
-type asked struct {
-	ask   ask
-	until time.Duration
-	next  time.Duration
-	done  func(Epoch, error)
+type submission struct {
+	command  command
+	deadline time.Duration
+	nextSend time.Duration
+	done     func(Epoch, error)
 }
 
 // New makes a member. saved is what a voter kept; nil: nothing. A voter without it draws a new identity.
 func New(cfg Config, saved *VoterState) (*Node, error) {
-	n := &Node{cfg: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation)), peers: map[string]*Peer{}, results: map[string]told{},
-		asks: map[string]*asked{}, promises: map[string]*Plan{}}
+	n := &Node{config: cfg, rng: rand.New(rand.NewPCG(cfg.Seed, cfg.Incarnation)), peers: map[string]*Peer{}, results: map[string]commandResult{},
+		submissions: map[string]*submission{}, promises: map[string]*Plan{}}
 	if !slices.Contains(cfg.Voters, cfg.Name) {
 		return n, nil
 	}
 	if saved == nil {
-		n.blank(0)
+		n.resetVoter(0)
 		return n, nil
 	}
-	n.saved = &VoterState{Identity: saved.Identity, Generation: saved.Generation, Promised: saved.Promised}
+	n.identity = &VoterState{Identity: saved.Identity, Generation: saved.Generation, Promised: saved.Promised}
 	var err error
 	if n.voter, err = newVoter(saved, n.rng); err != nil {
 		return nil, err
 	}
 	if saved.Generation != 0 {
-		n.see(n.voter.plan, "")
+		n.adoptPlan(n.voter.plan, "")
 	}
 	return n, nil
 }
 
 // SetReporter has each status carry what f tells: of zones, and of servers too where it is whole.
-func (n *Node) SetReporter(f func(whole bool) *Report) { n.report = f }
+func (n *Node) SetReporter(f func(whole bool) *Report) { n.reporter = f }
 
 // SetAcknowledged has each status carry the machines that f tells: nothing is sent there.
-func (n *Node) SetAcknowledged(f func() map[string]uint64) { n.away = f }
+func (n *Node) SetAcknowledged(f func() map[string]uint64) { n.acknowledged = f }
 
-// blank makes the voter one that has never voted, under a new identity.
-func (n *Node) blank(promised uint64) {
-	n.saved = &VoterState{Identity: n.rng.Uint64()>>1 | 1, Promised: promised}
-	n.adopt(n.saved)
+// resetVoter makes the voter one that has never voted, under a new identity.
+func (n *Node) resetVoter(promised uint64) {
+	n.identity = &VoterState{Identity: n.rng.Uint64()>>1 | 1, Promised: promised}
+	n.restartVoter(n.identity)
 }
 
-// adopt has the voter go on from a state, which has to be kept first.
-func (n *Node) adopt(s *VoterState) {
+// restartVoter has the voter go on from a state, which has to be kept first.
+func (n *Node) restartVoter(s *VoterState) {
 	v, err := newVoter(s, n.rng)
 	if err != nil {
 		panic("fleet: " + err.Error()) // a state of our own making
 	}
-	n.saved = &VoterState{Identity: s.Identity, Generation: s.Generation, Promised: s.Promised}
-	n.voter, n.whole, n.after = v, s, nil
-	n.inflight, n.queue = "", nil
+	n.identity = &VoterState{Identity: s.Identity, Generation: s.Generation, Promised: s.Promised}
+	n.voter, n.replacement, n.afterReplacement = v, s, nil
+	n.proposalID, n.queue = "", nil
 }
 
 // PendingStorage is what has to be on the disk before anything that follows from it is said; false: nothing. Kept tells that it is.
 func (n *Node) PendingStorage() (StorageUpdate, bool) {
-	if n.whole != nil {
-		return StorageUpdate{Replacement: n.whole}, true
+	if n.replacement != nil {
+		return StorageUpdate{Replacement: n.replacement}, true
 	}
-	if n.voter != nil && !n.voter.persist.empty() && n.voter.pending != nil {
-		return n.voter.persist, true
+	if n.voter != nil && !n.voter.unpersisted.empty() && n.voter.pendingReady != nil {
+		return n.voter.unpersisted, true
 	}
 	return StorageUpdate{}, false
 }
 
 // Persisted tells that what Persist gave last is on the disk.
 func (n *Node) Persisted() {
-	if n.whole != nil {
-		after := n.after
-		n.whole, n.after = nil, nil
+	if n.replacement != nil {
+		after := n.afterReplacement
+		n.replacement, n.afterReplacement = nil, nil
 		for _, f := range after {
 			f()
 		}
 	} else if n.voter != nil {
-		n.voter.kept()
+		n.voter.persisted()
 	}
-	n.collect()
+	n.takeVoterOutput()
 }
 
 // TakeOutput gives what is to be sent and said.
 func (n *Node) TakeOutput() (sends []Message, events []Event) {
-	sends, events = n.sends, n.events
-	n.sends, n.events = nil, nil
+	sends, events = n.outbox, n.events
+	n.outbox, n.events = nil, nil
 	return sends, events
 }
 
-func (n *Node) say(kind EventKind, format string, a ...any) {
+func (n *Node) emit(kind EventKind, format string, a ...any) {
 	n.events = append(n.events, Event{At: n.now, Kind: kind, Text: fmt.Sprintf(format, a...)})
 }
 
 func (n *Node) send(to string, e envelope) {
-	if n.fenced || to == n.cfg.Name {
+	if n.fenced || to == n.config.Name {
 		return
 	}
 	n.seq++
-	e.Version, e.Fleet, e.From, e.Started, e.Life, e.Seq = wireVersion, n.cfg.Fleet, n.cfg.Name, n.cfg.StartedAt, n.cfg.Incarnation, n.seq
-	n.sends = append(n.sends, Message{to, encode(e)})
+	e.Version, e.Fleet, e.From, e.StartedAt, e.Incarnation, e.Seq = wireVersion, n.config.Fleet, n.config.Name, n.config.StartedAt, n.config.Incarnation, n.seq
+	n.outbox = append(n.outbox, Message{to, encode(e)})
 }
 
-// at moves time on: the log lives through the ticks that passed, and a stalled process through as many as make a leader
+// advance moves time on: the log lives through the ticks that passed, and a stalled process through as many as make a leader
 // step down before it says or hears anything.
-func (n *Node) at(now time.Duration, unix int64) {
-	n.now, n.unix = max(n.now, now), unix
+func (n *Node) advance(now time.Duration, unix int64) {
+	n.now, n.unixMS = max(n.now, now), unix
 	if !n.started {
-		n.started, n.lastLog, n.nextStatus, n.nextHouse = true, now, now, now+houseEvery
+		n.started, n.lastLogTick, n.nextStatus, n.nextHousekeeping = true, now, now, now+housekeepingInterval
 	}
-	ticks := int((n.now - n.lastLog) / n.cfg.Tick)
-	n.lastLog += time.Duration(ticks) * n.cfg.Tick
+	ticks := int((n.now - n.lastLogTick) / n.config.Tick)
+	n.lastLogTick += time.Duration(ticks) * n.config.Tick
 	for range min(ticks, 2*electionTicks+2) {
-		if n.voter != nil && n.whole == nil && !n.fenced {
+		if n.voter != nil && n.replacement == nil && !n.fenced {
 			n.voter.tick()
 		}
 	}
-	n.collect()
+	n.takeVoterOutput()
 }
 
 // Tick tells the time: now is monotonic, unix in milliseconds. It is to be called several times in a Status.
 func (n *Node) Tick(now time.Duration, unix int64) {
-	n.at(now, unix)
-	if n.now >= n.nextHouse {
-		n.nextHouse = n.now + houseEvery
-		n.found()
+	n.advance(now, unix)
+	if n.now >= n.nextHousekeeping {
+		n.nextHousekeeping = n.now + housekeepingInterval
+		n.startGeneration()
 		if n.Leads() {
-			n.reshape()
-			if n.cfg.LeaderTick != nil {
-				n.cfg.LeaderTick(n.now, n.unix, n)
+			n.reconfigureVoters()
+			if n.config.LeaderTick != nil {
+				n.config.LeaderTick(n.now, n.unixMS, n)
 			}
 		}
 	}
-	n.work()
-	n.askOn()
+	n.runCommands()
+	n.retrySubmissions()
 	if n.now >= n.nextStatus {
-		n.nextStatus = n.now + max(n.cfg.Status, time.Duration(len(n.peers))*time.Millisecond)
+		n.nextStatus = n.now + max(n.config.Status, time.Duration(len(n.peers))*time.Millisecond)
 		if n.voter != nil { // with a tick of the log that is due about then, as each time to wake up costs
-			n.nextStatus = n.lastLog + (n.nextStatus-n.lastLog+n.cfg.Tick/2)/n.cfg.Tick*n.cfg.Tick
+			n.nextStatus = n.lastLogTick + (n.nextStatus-n.lastLogTick+n.config.Tick/2)/n.config.Tick*n.config.Tick
 		}
-		n.status()
+		n.sendStatuses()
 	}
-	if n.acts > 0 && n.now >= n.feedUntil && !n.lapsed {
+	if n.grantSeq > 0 && n.now >= n.grantUntil && !n.grantExpired {
 		n.events = append(n.events, Event{At: n.now, Kind: GrantChanged})
 	}
-	n.lapsed = n.now >= n.feedUntil
+	n.grantExpired = n.now >= n.grantUntil
 	if fresh := n.Fresh(); fresh != n.wasFresh {
 		n.wasFresh = fresh
 		if fresh {
-			n.say(FreshChanged, "the view is fresh")
+			n.emit(FreshChanged, "the view is fresh")
 		} else {
-			n.say(FreshChanged, "the view is older than its lease; the last plan holds")
+			n.emit(FreshChanged, "the view is older than its lease; the last plan holds")
 		}
 	}
 }
@@ -284,17 +284,17 @@
 func (n *Node) NextTick() time.Duration {
 	next := n.nextStatus
 	if n.voter != nil {
-		next = min(next, n.lastLog+n.cfg.Tick)
+		next = min(next, n.lastLogTick+n.config.Tick)
 	}
-	for _, a := range n.asks {
-		next = min(next, a.next, a.until)
+	for _, a := range n.submissions {
+		next = min(next, a.nextSend, a.deadline)
 	}
 	return next
 }
 
 // SetAlive tells of a member as gossip has it.
 func (n *Node) SetAlive(name string, alive bool) {
-	if name == n.cfg.Name {
+	if name == n.config.Name {
 		return
 	}
 	if p := n.peer(name); p != nil {
@@ -304,7 +304,7 @@
 
 func (n *Node) peer(name string) *Peer {
 	p := n.peers[name]
-	if p == nil && len(n.peers) < mostPeers {
+	if p == nil && len(n.peers) < maxPeers {
 		p = &Peer{Name: name}
 		n.peers[name] = p
 		i, _ := slices.BinarySearch(n.names, name)
@@ -313,51 +313,51 @@
 	return p
 }
 
-// status tells the voters, and one other member.
-func (n *Node) status() {
-	s := n.self()
-	if n.away != nil {
-		s.Withdrawn = n.away()
+// sendStatuses tells the voters, and one other member.
+func (n *Node) sendStatuses() {
+	s := n.selfStatus()
+	if n.acknowledged != nil {
+		s.Withdrawn = n.acknowledged()
 	}
-	n.statuses++
+	n.statusCount++
 	// The leader hears each; the other voters a third of them, unless there is no leader.
-	all := n.statuses%3 == 0 || !n.Fresh()
-	if n.report != nil {
-		s.Report = n.report(all)                             // servers are the most of it, and no decision on them takes less than a second
-		if r := s.Report; r != nil && n.cfg.Observe != nil { // its own evidence counts as anybody's
-			if delta, err := n.own.take(r); err == nil {
-				n.cfg.Observe(n.now, Peer{Name: n.cfg.Name, Status: s}, delta)
+	all := n.statusCount%3 == 0 || !n.Fresh()
+	if n.reporter != nil {
+		s.Report = n.reporter(all)                              // servers are the most of it, and no decision on them takes less than a second
+		if r := s.Report; r != nil && n.config.Observe != nil { // its own evidence counts as anybody's
+			if delta, err := n.ownReports.delta(r); err == nil {
+				n.config.Observe(n.now, Peer{Name: n.config.Name, Status: s}, delta)
 			}
 		}
 	}
 	n.seq++ // of this status, whoever it goes to: they are alike
-	n.sentAt[n.seq%ring].seq, n.sentAt[n.seq%ring].at = n.seq, n.now
-	e := envelope{Version: wireVersion, Fleet: n.cfg.Fleet, From: n.cfg.Name, Started: n.cfg.StartedAt, Life: n.cfg.Incarnation, Seq: n.seq,
+	n.sentStatuses[n.seq%statusRingSize].seq, n.sentStatuses[n.seq%statusRingSize].at = n.seq, n.now
+	e := envelope{Version: wireVersion, Fleet: n.config.Fleet, From: n.config.Name, StartedAt: n.config.StartedAt, Incarnation: n.config.Incarnation, Seq: n.seq,
 		Status: &s}
 	b := encode(e)
 	if n.fenced {
 		return
 	}
 	if n.Leads() { // it answers itself
-		n.fed(n.feeds(Peer{Name: n.cfg.Name, Status: s}, n.seq), n.seq, n.now)
+		n.acceptGrant(n.grantFor(Peer{Name: n.config.Name, Status: s}, n.seq), n.seq, n.now)
 	}
-	for _, v := range n.cfg.Voters {
-		if v != n.cfg.Name && n.peers[v] != nil && (all || v == n.leader) {
-			n.sends = append(n.sends, Message{v, b})
+	for _, v := range n.config.Voters {
+		if v != n.config.Name && n.peers[v] != nil && (all || v == n.leader) {
+			n.outbox = append(n.outbox, Message{v, b})
 		}
 	}
 	if all && len(n.names) > 0 { // whatever gossip thinks of it
-		if other := n.names[n.rng.IntN(len(n.names))]; !slices.Contains(n.cfg.Voters, other) {
-			n.sends = append(n.sends, Message{other, b})
+		if other := n.names[n.rng.IntN(len(n.names))]; !slices.Contains(n.config.Voters, other) {
+			n.outbox = append(n.outbox, Message{other, b})
 		}
 	}
 }
 
-func (n *Node) self() Status {
-	s := Status{Zone: n.cfg.Zone, Region: n.cfg.Region, Epoch: n.plan.Epoch, Fresh: n.Fresh(), Leader: n.leader, GrantSeq: n.acts}
-	if n.saved != nil && n.whole == nil {
-		s.Identity, s.Generation, s.Promised, s.Term = n.saved.Identity, n.saved.Generation, n.saved.Promised, n.voter.term
-		s.Voters, s.OutgoingVoters = n.voter.conf.GetVoters(), n.voter.conf.GetVotersOutgoing()
+func (n *Node) selfStatus() Status {
+	s := Status{Zone: n.config.Zone, Region: n.config.Region, Epoch: n.plan.Epoch, Fresh: n.Fresh(), Leader: n.leader, GrantSeq: n.grantSeq}
+	if n.identity != nil && n.replacement == nil {
+		s.Identity, s.Generation, s.Promised, s.Term = n.identity.Identity, n.identity.Generation, n.identity.Promised, n.voter.term
+		s.Voters, s.OutgoingVoters = n.voter.confState.GetVoters(), n.voter.confState.GetVotersOutgoing()
 	}
 	return s
 }
@@ -368,8 +368,8 @@
 // Leads tells whether this member leads, and has all that was committed before.
 func (n *Node) Leads() bool {
 	// Danger: what raft hands out stands still while a disk does; whether it still leads has to be asked.
-	return !n.fenced && n.voter != nil && n.whole == nil && n.voter.ready &&
-		n.voter.rn.BasicStatus().RaftState == raft.StateLeader
+	return !n.fenced && n.voter != nil && n.replacement == nil && n.voter.leaderReady &&
+		n.voter.raftNode.BasicStatus().RaftState == raft.StateLeader
 }
 
 // LeaderTerm numbers the time in which this member leads: another one each time; 0: it does not.
@@ -382,111 +382,111 @@
 
 // Step takes a message of another member.
 func (n *Node) Step(now time.Duration, unix int64, b []byte) {
-	n.at(now, unix)
-	e, err := decode(n.cfg.Fleet, b)
+	n.advance(now, unix)
+	e, err := decode(n.config.Fleet, b)
 	if err != nil {
-		n.drops++
+		n.dropped++
 		return
 	}
-	if e.From == n.cfg.Name {
-		n.namesake(life{e.Started, e.Life})
+	if e.From == n.config.Name {
+		n.handleNamesake(incarnation{e.StartedAt, e.Incarnation})
 		return
 	}
-	if e.Later != nil {
-		n.namesake(*e.Later)
+	if e.LaterIncarnation != nil {
+		n.handleNamesake(*e.LaterIncarnation)
 	}
 	p := n.peer(e.From)
 	if p == nil {
 		return
 	}
 	switch {
-	case e.Started < p.StartedAt || e.Started == p.StartedAt && e.Life < p.Incarnation:
+	case e.StartedAt < p.StartedAt || e.StartedAt == p.StartedAt && e.Incarnation < p.Incarnation:
 		// Of a life that is over, or goes on beside a later one: under one name gossip keeps one address, so that the two may
 		// never hear each other.
-		n.send(e.From, envelope{Later: &life{p.StartedAt, p.Incarnation}})
+		n.send(e.From, envelope{LaterIncarnation: &incarnation{p.StartedAt, p.Incarnation}})
 		return
-	case e.Started != p.StartedAt || e.Life != p.Incarnation:
-		*p = Peer{Name: p.Name, Alive: p.Alive, StartedAt: e.Started, Incarnation: e.Life}
+	case e.StartedAt != p.StartedAt || e.Incarnation != p.Incarnation:
+		*p = Peer{Name: p.Name, Alive: p.Alive, StartedAt: e.StartedAt, Incarnation: e.Incarnation}
 	}
 	if n.fenced {
 		return
 	}
 	if e.Plan != nil {
-		n.see(*e.Plan, e.From)
+		n.adoptPlan(*e.Plan, e.From)
 	}
 	if e.Status != nil {
-		n.heardStatus(p, e)
+		n.handleStatus(p, e)
 	}
 	if e.Grant != nil {
-		n.heardGrant(e)
+		n.handleGrant(e)
 	}
 	if e.Raft != nil {
-		n.heardRaft(e.Raft)
+		n.handleRaft(e.Raft)
 	}
-	if e.Ask != nil {
-		n.heardAsk(*e.Ask, e.From)
+	if e.Command != nil {
+		n.enqueueCommand(*e.Command, e.From)
 	}
-	if e.Told != nil {
-		n.heardTold(*e.Told)
+	if e.CommandResult != nil {
+		n.handleCommandResult(*e.CommandResult)
 	}
-	if e.Found != nil {
-		n.heardFound(e.From, e.Found)
+	if e.Generation != nil {
+		n.handleGeneration(e.From, e.Generation)
 	}
-	n.collect()
+	n.takeVoterOutput()
 }
 
-// namesake hears a process of the same name: the one that began later has it.
-func (n *Node) namesake(o life) {
-	if o.Started < n.cfg.StartedAt || o.Started == n.cfg.StartedAt && o.Life <= n.cfg.Incarnation || n.fenced {
+// handleNamesake hears a process of the same name: the one that began later has it.
+func (n *Node) handleNamesake(o incarnation) {
+	if o.StartedAt < n.config.StartedAt || o.StartedAt == n.config.StartedAt && o.Number <= n.config.Incarnation || n.fenced {
 		return
 	}
 	n.fenced = true
-	n.say(Fenced, "another process is called %s and began later: this one says and hears nothing more in the fleet", n.cfg.Name)
+	n.emit(Fenced, "another process is called %s and began later: this one says and hears nothing more in the fleet", n.config.Name)
 }
 
-func (n *Node) heardStatus(p *Peer, e *envelope) {
-	if e.Seq <= p.seq {
+func (n *Node) handleStatus(p *Peer, e *envelope) {
+	if e.Seq <= p.statusSeq {
 		return // late, or doubled
 	}
-	p.seq, p.Status, p.LastStatusAt, p.HasStatus = e.Seq, *e.Status, n.now, true
+	p.statusSeq, p.Status, p.LastStatusAt, p.HasStatus = e.Seq, *e.Status, n.now, true
 	if r := e.Status.Report; r != nil {
-		delta, err := p.seen.take(r)
+		delta, err := p.reports.delta(r)
 		if err != nil {
-			n.drops++
-			n.say(Fault, "%s: %v", p.Name, err)
-		} else if n.cfg.Observe != nil {
-			n.cfg.Observe(n.now, *p, delta)
+			n.dropped++
+			n.emit(Fault, "%s: %v", p.Name, err)
+		} else if n.config.Observe != nil {
+			n.config.Observe(n.now, *p, delta)
 		}
 		p.Status.Report = nil
 	}
 	theirs := e.Status.Epoch
 	switch {
 	case theirs.Less(n.plan.Epoch):
-		n.tellPlan(p)
+		n.sendPlan(p)
 	case n.plan.Epoch.Less(theirs):
-		s := n.self()
+		s := n.selfStatus()
 		n.send(p.Name, envelope{Status: &s}) // they will tell
 	}
-	if n.Leads() && (!e.Status.Fresh || n.now-p.granted >= n.cfg.Lease/grantsALease) {
-		p.granted = n.now
-		n.send(p.Name, envelope{Grant: &grant{e.Seq, n.plan.Epoch, n.feeds(*p, e.Seq)}})
+	if n.Leads() && (!e.Status.Fresh || n.now-p.lastGrantAt >= n.config.Lease/grantsPerLease) {
+		p.lastGrantAt = n.now
+		n.send(p.Name, envelope{Grant: &grant{e.Seq, n.plan.Epoch, n.grantFor(*p, e.Seq)}})
 	}
 }
 
-func (n *Node) feeds(to Peer, seq uint64) []byte {
-	if n.cfg.GrantFor == nil {
+func (n *Node) grantFor(to Peer, seq uint64) []byte {
+	if n.config.GrantFor == nil {
 		return nil
 	}
-	return n.cfg.GrantFor(n.now, to, seq)
+	return n.config.GrantFor(n.now, to, seq)
 }
 
-// fed takes what the leader gave for a status that was sent at a time.
-func (n *Node) fed(feed []byte, seq uint64, sent time.Duration) {
-	if seq <= n.acts {
+// acceptGrant takes what the leader gave for a status that was sent at a time.
+func (n *Node) acceptGrant(feed []byte, seq uint64, sent time.Duration) {
+	if seq <= n.grantSeq {
 		return // late, or doubled
 	}
-	changed := !bytes.Equal(feed, n.feed) || n.now >= n.feedUntil
-	n.feed, n.acts, n.feedUntil = feed, seq, sent+n.cfg.Lease
+	changed := !bytes.Equal(feed, n.grant) || n.now >= n.grantUntil
+	n.grant, n.grantSeq, n.grantUntil = feed, seq, sent+n.config.Lease
 	if changed {
 		n.events = append(n.events, Event{At: n.now, Kind: GrantChanged})
 	}
@@ -494,48 +494,48 @@
 
 // Grant is what this member may do by the leader's word, until its lease is over; false: it has none.
 func (n *Node) Grant() ([]byte, bool) {
-	return n.feed, n.acts > 0 && n.now < n.feedUntil && !n.fenced
+	return n.grant, n.grantSeq > 0 && n.now < n.grantUntil && !n.fenced
 }
 
-// tellPlan sends a member the plan, unless it was sent just now.
-func (n *Node) tellPlan(p *Peer) {
-	if p.plannedEpoch == n.plan.Epoch && n.now-p.lastPlanSent < replan {
+// sendPlan sends a member the plan, unless it was sent just now.
+func (n *Node) sendPlan(p *Peer) {
+	if p.sentPlanEpoch == n.plan.Epoch && n.now-p.sentPlanAt < planResendInterval {
 		return
 	}
-	p.plannedEpoch, p.lastPlanSent = n.plan.Epoch, n.now
+	p.sentPlanEpoch, p.sentPlanAt = n.plan.Epoch, n.now
 	n.send(p.Name, envelope{Plan: &n.plan})
 }
 
-func (n *Node) heardGrant(e *envelope) {
-	sent := n.sentAt[e.Grant.Seq%ring]
+func (n *Node) handleGrant(e *envelope) {
+	sent := n.sentStatuses[e.Grant.Seq%statusRingSize]
 	if sent.seq != e.Grant.Seq || n.plan.Epoch.Less(e.Grant.Epoch) {
 		return // of a status long ago, or the plan that it speaks of is still to come
 	}
 	// Danger: from the time of sending, not of hearing: an answer may have been under way, or lain in a stalled process.
-	n.freshUntil = max(n.freshUntil, sent.at+n.cfg.Lease)
-	n.fed(e.Grant.Feed, e.Grant.Seq, sent.at)
-	n.lead(e.From)
+	n.freshUntil = max(n.freshUntil, sent.at+n.config.Lease)
+	n.acceptGrant(e.Grant.Payload, e.Grant.Seq, sent.at)
+	n.setLeader(e.From)
 }
 
-// lead takes a member for the leader.
-func (n *Node) lead(name string) {
-	n.leaderAt = n.now
+// setLeader takes a member for the leader.
+func (n *Node) setLeader(name string) {
+	n.leaderHeardAt = n.now
 	if n.leader != name {
 		n.leader = name
-		n.say(LeaderChanged, "%s leads", name)
+		n.emit(LeaderChanged, "%s leads", name)
 	}
 }
 
-// see takes a plan if it is newer, and passes it on.
-func (n *Node) see(p Plan, from string) {
-	if !n.plan.Epoch.Less(p.Epoch) || len(p.Sections) > mostSections || p.size() > mostPlan {
+// adoptPlan takes a plan if it is newer, and passes it on.
+func (n *Node) adoptPlan(p Plan, from string) {
+	if !n.plan.Epoch.Less(p.Epoch) || len(p.Sections) > maxSections || p.size() > maxPlanSize {
 		return
 	}
 	n.plan = p
 	n.events = append(n.events, Event{At: n.now, Kind: PlanChanged, Text: "plan " + p.Epoch.String(), Plan: &p})
-	many := relayTo
+	many := relayFanout
 	if from == "" && n.voter != nil && n.voter.leading {
-		many = pushTo
+		many = leaderFanout
 	}
 	for _, i := range n.rng.Perm(len(n.names)) {
 		q := n.peers[n.names[i]]
@@ -543,84 +543,84 @@
 			break
 		}
 		if q.Name != from && q.Alive && q.Status.Epoch.Less(p.Epoch) {
-			n.tellPlan(q)
+			n.sendPlan(q)
 			many--
 		}
 	}
 }
 
-// heardRaft takes a message of the log.
-func (n *Node) heardRaft(m *raftMessage) {
-	if n.voter == nil || n.whole != nil || m.To != n.saved.Identity || m.Founding < n.saved.Promised {
+// handleRaft takes a message of the log.
+func (n *Node) handleRaft(m *raftMessage) {
+	if n.voter == nil || n.replacement != nil || m.To != n.identity.Identity || m.Generation < n.identity.Promised {
 		return
 	}
-	if n.saved.Generation == 0 { // blank: a leader takes it in
-		s := &VoterState{Identity: n.saved.Identity, Generation: m.Founding, Promised: m.Founding}
-		n.adopt(s)
+	if n.identity.Generation == 0 { // blank: a leader takes it in
+		s := &VoterState{Identity: n.identity.Identity, Generation: m.Generation, Promised: m.Generation}
+		n.restartVoter(s)
 		return // the leader says it again
 	}
-	if m.Founding != n.saved.Generation {
+	if m.Generation != n.identity.Generation {
 		return
 	}
 	var r raftpb.Message
 	if proto.Unmarshal(m.Message, &r) != nil {
-		n.drops++
+		n.dropped++
 		return
 	}
 	n.voter.step(&r)
 }
 
-// collect takes what the log has ready: messages, what was settled, and who leads.
-func (n *Node) collect() {
+// takeVoterOutput takes what the log has ready: messages, what was settled, and who leads.
+func (n *Node) takeVoterOutput() {
 	v := n.voter
-	if v == nil || n.whole != nil {
+	if v == nil || n.replacement != nil {
 		return
 	}
-	for _, m := range v.sends {
+	for _, m := range v.messages {
 		b, err := proto.Marshal(m)
 		if err != nil {
 			continue
 		}
-		if name := n.nameOf(m.GetTo()); name != "" {
-			n.send(name, envelope{Raft: &raftMessage{v.founding, m.GetTo(), b}})
+		if name := n.memberWithIdentity(m.GetTo()); name != "" {
+			n.send(name, envelope{Raft: &raftMessage{v.generation, m.GetTo(), b}})
 		}
 		if m.GetType() == raftpb.MsgSnap {
-			v.rn.ReportSnapshot(m.GetTo(), raft.SnapshotFinish) // if it is lost, the follower's next answer says so
+			v.raftNode.ReportSnapshot(m.GetTo(), raft.SnapshotFinish) // if it is lost, the follower's next answer says so
 		}
 	}
-	v.sends = nil
+	v.messages = nil
 	// Danger: a voter that no leader takes in never calls an election, and takes one that is long gone for its leader. So
 	// word of it counts, and not what raft remembers.
 	if n.Leads() {
-		n.lead(n.cfg.Name)
-	} else if v.heard && v.lead != 0 && !v.leading {
-		if name := n.nameOf(v.lead); name != "" {
-			n.lead(name)
+		n.setLeader(n.config.Name)
+	} else if v.heardLeader && v.leader != 0 && !v.leading {
+		if name := n.memberWithIdentity(v.leader); name != "" {
+			n.setLeader(name)
 		}
 	}
-	v.heard = false
-	if v.founding != 0 {
-		n.see(v.plan, "")
+	v.heardLeader = false
+	if v.generation != 0 {
+		n.adoptPlan(v.plan, "")
 	}
 	settled := v.committed
 	v.committed = nil
 	for _, s := range settled {
-		n.settled(s)
+		n.finishProposal(s)
 	}
-	if n.inflight != "" && !v.leading {
-		n.inflight = ""
+	if n.proposalID != "" && !v.leading {
+		n.proposalID = ""
 	}
 }
 
-// nameOf finds the member with an identity in the log.
-func (n *Node) nameOf(identity uint64) string {
-	for _, name := range n.cfg.Voters {
+// memberWithIdentity finds the member with an identity in the log.
+func (n *Node) memberWithIdentity(identity uint64) string {
+	for _, name := range n.config.Voters {
 		if p := n.peers[name]; p != nil && p.HasStatus && p.Status.Identity == identity {
 			return name
 		}
 	}
 	for name, id := range n.plan.voters() {
-		if id == identity && name != n.cfg.Name {
+		if id == identity && name != n.config.Name {
 			return name
 		}
 	}
@@ -631,7 +631,7 @@
 func (n *Node) Plan() Plan { return n.plan }
 
 // Leader is whom this member takes for the leader, and how long ago there was word of it.
-func (n *Node) Leader() (name string, ago time.Duration) { return n.leader, n.now - n.leaderAt }
+func (n *Node) Leader() (name string, ago time.Duration) { return n.leader, n.now - n.leaderHeardAt }
 
 // Peers are the other members, by name.
 func (n *Node) Peers() []Peer {
@@ -652,17 +652,17 @@
 }
 
 // Self is this member's own status.
-func (n *Node) Self() Status { return n.self() }
+func (n *Node) Self() Status { return n.selfStatus() }
 
 // Dropped is how many messages and reports it passed over as unreadable, absurd or foreign.
-func (n *Node) Dropped() uint64 { return n.drops }
+func (n *Node) Dropped() uint64 { return n.dropped }
 
 // Unacknowledged names the members, gossip's living ones, that have not said that they act on an epoch, or whose word is
 // older than the lease.
 func (n *Node) Unacknowledged(e Epoch) (names []string) {
 	for _, name := range n.names {
 		p := n.peers[name]
-		if p.Alive && (!p.HasStatus || p.Status.Epoch.Less(e) || n.now-p.LastStatusAt > n.cfg.Lease) {
+		if p.Alive && (!p.HasStatus || p.Status.Epoch.Less(e) || n.now-p.LastStatusAt > n.config.Lease) {
 			names = append(names, name)
 		}
 	}
@@ -671,149 +671,149 @@
 
 // The ends of asks, beside what deciders say.
 var (
-	ErrNoQuorum = errors.New("fleet: nothing can be settled: no leader answered in time")
-	ErrBusy     = errors.New("fleet: too many wait to be settled")
-	errVerb     = errors.New("fleet: no such verb")
+	ErrNoQuorum       = errors.New("fleet: nothing can be settled: no leader answered in time")
+	ErrBusy           = errors.New("fleet: too many wait to be settled")
+	errUnknownCommand = errors.New("fleet: no such verb")
 )
 
 // Submit wants something settled; done is called once, by a later call of Tick or Heard.
 func (n *Node) Submit(now time.Duration, unix int64, verb string, args []byte, done func(Epoch, error)) {
-	n.at(now, unix)
-	if len(n.asks) >= mostAsks {
+	n.advance(now, unix)
+	if len(n.submissions) >= maxCommands {
 		done(Epoch{}, ErrBusy)
 		return
 	}
-	n.numbers++
-	a := ask{ID: fmt.Sprintf("%s/%x/%d", n.cfg.Name, n.cfg.Incarnation, n.numbers), Verb: verb, Args: args}
-	n.asks[a.ID] = &asked{ask: a, until: n.now + askTime, next: n.now, done: done}
-	n.askOn()
-	n.work()
+	n.lastCommandNumber++
+	a := command{ID: fmt.Sprintf("%s/%x/%d", n.config.Name, n.config.Incarnation, n.lastCommandNumber), Name: verb, Args: args}
+	n.submissions[a.ID] = &submission{command: a, deadline: n.now + commandTimeout, nextSend: n.now, done: done}
+	n.retrySubmissions()
+	n.runCommands()
 }
 
-// askOn tells the leader of what waits here, again and again, and gives up in time.
-func (n *Node) askOn() {
-	for _, id := range slices.Sorted(maps.Keys(n.asks)) {
-		a := n.asks[id]
+// retrySubmissions tells the leader of what waits here, again and again, and gives up in time.
+func (n *Node) retrySubmissions() {
+	for _, id := range slices.Sorted(maps.Keys(n.submissions)) {
+		a := n.submissions[id]
 		switch {
-		case n.now >= a.until:
-			delete(n.asks, id)
+		case n.now >= a.deadline:
+			delete(n.submissions, id)
 			a.done(Epoch{}, ErrNoQuorum)
-		case n.now < a.next:
+		case n.now < a.nextSend:
 		case n.Leads():
-			a.next = n.now + askAgain
-			n.heardAsk(a.ask, n.cfg.Name)
-		case n.leader != "" && n.leader != n.cfg.Name:
-			a.next = n.now + askAgain
-			n.send(n.leader, envelope{Ask: &a.ask})
+			a.nextSend = n.now + commandRetryInterval
+			n.enqueueCommand(a.command, n.config.Name)
+		case n.leader != "" && n.leader != n.config.Name:
+			a.nextSend = n.now + commandRetryInterval
+			n.send(n.leader, envelope{Command: &a.command})
 		}
 	}
 }
 
-// heardAsk takes an ask at the leader.
-func (n *Node) heardAsk(a ask, from string) {
+// enqueueCommand takes an ask at the leader.
+func (n *Node) enqueueCommand(a command, from string) {
 	if r, ok := n.results[a.ID]; ok {
-		n.answer(from, r)
+		n.sendResult(from, r)
 		return
 	}
-	if !n.Leads() || n.inflight == a.ID || len(n.queue) >= mostAsks ||
-		slices.ContainsFunc(n.queue, func(q queued) bool { return q.ask.ID == a.ID }) {
+	if !n.Leads() || n.proposalID == a.ID || len(n.queue) >= maxCommands ||
+		slices.ContainsFunc(n.queue, func(q queuedCommand) bool { return q.command.ID == a.ID }) {
 		return
 	}
-	n.queue = append(n.queue, queued{ask: a, from: from})
+	n.queue = append(n.queue, queuedCommand{command: a, from: from})
 }
 
 // Propose has the leader settle sections of its own accord, on the plan as it stands; why goes to the log. It tells whether
 // the change was proposed: one at a time is.
 func (n *Node) Propose(set map[string]cbor.RawMessage) bool {
-	if !n.Leads() || n.inflight != "" || len(n.queue) > 0 {
+	if !n.Leads() || n.proposalID != "" || len(n.queue) > 0 {
 		return false
 	}
-	n.numbers++
-	n.asker = ""
-	n.proposeChange(change{Base: n.voter.plan.Epoch, Set: set, ID: fmt.Sprintf("%s/%x/%d", n.cfg.Name, n.cfg.Incarnation, n.numbers)})
-	return n.inflight != ""
+	n.lastCommandNumber++
+	n.proposalFrom = ""
+	n.proposeChange(change{Base: n.voter.plan.Epoch, Set: set, ID: fmt.Sprintf("%s/%x/%d", n.config.Name, n.config.Incarnation, n.lastCommandNumber)})
+	return n.proposalID != ""
 }
 
 func (n *Node) proposeChange(c change) {
-	n.inflight, n.proposed = c.ID, n.now
-	if n.voter.propose(c) != nil {
-		n.inflight = ""
+	n.proposalID, n.proposedAt = c.ID, n.now
+	if n.voter.proposeChange(c) != nil {
+		n.proposalID = ""
 	}
-	n.collect()
+	n.takeVoterOutput()
 }
 
-// work has the leader settle what waits, one after the other: each on the plan that the one before made.
-func (n *Node) work() {
+// runCommands has the leader settle what waits, one after the other: each on the plan that the one before made.
+func (n *Node) runCommands() {
 	if !n.Leads() {
 		n.queue = nil // who asked asks again
 		return
 	}
-	if n.inflight != "" && n.now-n.proposed > askTime {
-		n.inflight = "" // dropped by the log; who asked asks again
+	if n.proposalID != "" && n.now-n.proposedAt > commandTimeout {
+		n.proposalID = "" // dropped by the log; who asked asks again
 	}
-	for n.inflight == "" && len(n.queue) > 0 {
+	for n.proposalID == "" && len(n.queue) > 0 {
 		q := n.queue[0]
 		n.queue = n.queue[1:]
-		decide := n.cfg.Commands[q.ask.Verb]
-		err := errVerb
+		decide := n.config.Commands[q.command.Name]
+		err := errUnknownCommand
 		var set map[string]cbor.RawMessage
 		if decide != nil {
-			set, err = decide(&n.voter.plan, q.ask.Args, n.unix)
+			set, err = decide(&n.voter.plan, q.command.Args, n.unixMS)
 		}
 		switch {
 		case err != nil:
-			n.result(told{ID: q.ask.ID, Fault: err.Error()}, q.from)
+			n.recordResult(commandResult{ID: q.command.ID, Error: err.Error()}, q.from)
 		case len(set) == 0:
-			n.result(told{ID: q.ask.ID, Epoch: n.voter.plan.Epoch}, q.from)
+			n.recordResult(commandResult{ID: q.command.ID, Epoch: n.voter.plan.Epoch}, q.from)
 		default:
-			n.asker = q.from
-			n.proposeChange(change{Base: n.voter.plan.Epoch, Set: set, ID: q.ask.ID})
+			n.proposalFrom = q.from
+			n.proposeChange(change{Base: n.voter.plan.Epoch, Set: set, ID: q.command.ID})
 		}
 	}
 }
 
-// settled hears of an entry of the log.
-func (n *Node) settled(s settled) {
-	if s.change.ID == "" || s.change.ID != n.inflight {
+// finishProposal hears of an entry of the log.
+func (n *Node) finishProposal(s committedChange) {
+	if s.change.ID == "" || s.change.ID != n.proposalID {
 		return
 	}
-	n.inflight = ""
-	r := told{ID: s.change.ID, Epoch: s.epoch}
+	n.proposalID = ""
+	r := commandResult{ID: s.change.ID, Epoch: s.epoch}
 	if s.err != nil {
-		r.Fault = s.err.Error()
+		r.Error = s.err.Error()
 	}
-	n.result(r, n.asker)
+	n.recordResult(r, n.proposalFrom)
 }
 
-func (n *Node) result(r told, from string) {
+func (n *Node) recordResult(r commandResult, from string) {
 	n.results[r.ID] = r
-	n.order = append(n.order, r.ID)
-	if len(n.order) > mostAsks {
-		delete(n.results, n.order[0])
-		n.order = n.order[1:]
+	n.resultOrder = append(n.resultOrder, r.ID)
+	if len(n.resultOrder) > maxCommands {
+		delete(n.results, n.resultOrder[0])
+		n.resultOrder = n.resultOrder[1:]
 	}
-	n.answer(from, r)
+	n.sendResult(from, r)
 }
 
-// answer tells who asked; if nobody knows who that was, it asks again.
-func (n *Node) answer(to string, r told) {
-	if to == n.cfg.Name || n.asks[r.ID] != nil {
-		n.heardTold(r)
+// sendResult tells who asked; if nobody knows who that was, it asks again.
+func (n *Node) sendResult(to string, r commandResult) {
+	if to == n.config.Name || n.submissions[r.ID] != nil {
+		n.handleCommandResult(r)
 		return
 	}
 	if to != "" {
-		n.send(to, envelope{Told: &r})
+		n.send(to, envelope{CommandResult: &r})
 	}
 }
 
-func (n *Node) heardTold(r told) {
-	a := n.asks[r.ID]
+func (n *Node) handleCommandResult(r commandResult) {
+	a := n.submissions[r.ID]
 	if a == nil {
 		return
 	}
-	delete(n.asks, r.ID)
-	if r.Fault != "" {
-		a.done(Epoch{}, errors.New(r.Fault))
+	delete(n.submissions, r.ID)
+	if r.Error != "" {
+		a.done(Epoch{}, errors.New(r.Error))
 		return
 	}
 	a.done(r.Epoch, nil)
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -10,15 +10,15 @@
 	"pgregory.net/rapid"
 )
 
-// found is what a sim says when a promise is broken.
-type found struct{ text string }
+// violation is what a sim says when a promise is broken.
+type violation struct{ text string }
 
-func (f *found) Fatalf(format string, a ...any) { f.text = fmt.Sprintf(format, a...); panic(f) }
-func (f *found) Logf(string, ...any)            {}
+func (f *violation) Fatalf(format string, a ...any) { f.text = fmt.Sprintf(format, a...); panic(f) }
+func (f *violation) Logf(string, ...any)            {}
 
-// breaks plays until a promise is broken, and says which.
-func breaks(play func(f *found)) (text string) {
-	f := &found{}
+// findViolation plays until a promise is broken, and says which.
+func findViolation(play func(f *violation)) (text string) {
+	f := &violation{}
 	defer func() {
 		if r := recover(); r != nil && r != any(f) {
 			panic(r)
@@ -32,10 +32,10 @@
 // A guard that is taken out on purpose is found: a voter that lost its folder and votes as if it had not.
 func TestPlantedForgetfulVoter(t *testing.T) {
 	for seed := range uint64(400) {
-		text := breaks(func(f *found) {
+		text := findViolation(func(f *violation) {
 			s := newSim(f, seed, 3, 3)
 			s.run(4 * time.Second)
-			s.forget = true
+			s.reuseIdentity = true
 			for i := range 30 { // one side settles; a voter forgets, and helps the other to settle
 				a := i % 3
 				s.heal()
@@ -43,7 +43,7 @@
 				for b := range 3 {
 					s.cut[[2]int{a, b}], s.cut[[2]int{b, a}] = a != b, a != b
 				}
-				s.ask(s.members[(a+1)%3], fmt.Sprint("p", i))
+				s.submit(s.members[(a+1)%3], fmt.Sprint("p", i))
 				s.run(1500 * time.Millisecond)
 				other := (a + 1 + int(seed)%2) % 3
 				s.start(s.members[other], false)
@@ -52,9 +52,9 @@
 				for b := range 3 {
 					s.cut[[2]int{left, b}], s.cut[[2]int{b, left}] = left != b, left != b
 				}
-				s.ask(s.members[a], fmt.Sprint("q", i))
+				s.submit(s.members[a], fmt.Sprint("q", i))
 				s.run(3 * time.Second)
-				s.ask(s.members[a], fmt.Sprint("r", i))
+				s.submit(s.members[a], fmt.Sprint("r", i))
 				s.run(time.Second)
 			}
 		})
@@ -67,11 +67,11 @@
 	t.Error("it is not found")
 }
 
-// settledSim is a fleet that has a leader and a plan.
-func settledSim(t *testing.T, members, voters int) *sim {
+// convergedSim is a fleet that has a leader and a plan.
+func convergedSim(t *testing.T, members, voters int) *sim {
 	s := newSim(t, 7, members, voters)
 	s.run(4 * time.Second)
-	s.ask(s.members[0], "first")
+	s.submit(s.members[0], "first")
 	s.run(time.Second)
 	if len(s.leaders()) != 1 || len(s.members[0].epochs) != 1 {
 		t.Fatalf("leaders %v, settled %v", s.leaders(), s.members[0].epochs)
@@ -81,7 +81,7 @@
 
 func (s *sim) leader() *member {
 	for _, m := range s.members {
-		if !m.dead && m.n.Leads() {
+		if !m.down && m.node.Leads() {
 			return m
 		}
 	}
@@ -90,10 +90,10 @@
 
 // What porcupine is told is judged: an ask that is settled under an older epoch than one that ended before it began is found.
 func TestPlantedOrder(t *testing.T) {
-	text := breaks(func(f *found) {
+	text := findViolation(func(f *violation) {
 		s := newSim(f, 1, 3, 3)
 		s.history = []porcupine.Operation{{Call: 0, Output: Epoch{1, 5}, Return: 10}, {Call: 20, Output: Epoch{1, 4}, Return: 30}}
-		s.linear()
+		s.checkOrder()
 	})
 	if text == "" {
 		t.Error("it is not found")
@@ -101,61 +101,61 @@
 }
 
 func TestLeaderStallsAndWakes(t *testing.T) {
-	s := settledSim(t, 6, 3)
+	s := convergedSim(t, 6, 3)
 	old := s.leader()
-	old.stall = s.now + 6*time.Second
+	old.stalledUntil = s.now + 6*time.Second
 	s.run(3 * time.Second)
 	if l := s.leaders(); len(l) != 2 { // the stalled one still thinks so
 		t.Fatalf("leaders %v", l)
 	}
 	for _, m := range s.members {
-		if m != old && !m.n.Leads() {
-			s.ask(m, "meanwhile")
+		if m != old && !m.node.Leads() {
+			s.submit(m, "meanwhile")
 			break
 		}
 	}
 	s.run(2900 * time.Millisecond)
-	if s.newest == old.n.plan.Epoch {
+	if s.newest == old.node.plan.Epoch {
 		t.Fatal("nothing was settled meanwhile")
 	}
 	s.run(200 * time.Millisecond) // it wakes, hears what lay in its sockets, and then the time
-	if old.n.Leads() {
+	if old.node.Leads() {
 		t.Error("it still leads")
 	}
 	s.run(time.Second)
-	if old.n.plan.Epoch != s.newest {
-		t.Errorf("it acts on %v of %v", old.n.plan.Epoch, s.newest)
+	if old.node.plan.Epoch != s.newest {
+		t.Errorf("it acts on %v of %v", old.node.plan.Epoch, s.newest)
 	}
 }
 
 func TestSmallSideSettlesNothing(t *testing.T) {
-	s := settledSim(t, 6, 3)
+	s := convergedSim(t, 6, 3)
 	small := []*member{s.leader(), s.members[5]}
 	for _, a := range small {
 		for _, b := range s.members {
 			if b != small[0] && b != small[1] {
-				s.cut[[2]int{a.at, b.at}], s.cut[[2]int{b.at, a.at}] = true, true
+				s.cut[[2]int{a.index, b.index}], s.cut[[2]int{b.index, a.index}] = true, true
 			}
 		}
 	}
 	s.run(1500 * time.Millisecond)
-	s.ask(small[0], "small")
+	s.submit(small[0], "small")
 	for _, m := range s.members[:5] {
 		if m != small[0] {
-			s.ask(m, "large")
+			s.submit(m, "large")
 			break
 		}
 	}
 	s.run(9 * time.Second)
-	if len(small[0].told) != 1 || small[0].n.Fresh() || small[1].n.Fresh() {
-		t.Errorf("the small side: told %v, fresh %v and %v", small[0].told, small[0].n.Fresh(), small[1].n.Fresh())
+	if len(small[0].failures) != 1 || small[0].node.Fresh() || small[1].node.Fresh() {
+		t.Errorf("the small side: told %v, fresh %v and %v", small[0].failures, small[0].node.Fresh(), small[1].node.Fresh())
 	}
 	s.heal()
 	healed := s.now
 	for s.run(10 * time.Millisecond); ; s.run(10 * time.Millisecond) {
 		same := true
 		for _, m := range s.members {
-			same = same && m.n.plan.Epoch == s.newest
+			same = same && m.node.plan.Epoch == s.newest
 		}
 		if same {
 			break
@@ -164,15 +164,15 @@
 			t.Fatal("a second after the partition's end they act on different plans")
 		}
 	}
-	if m, ok := small[1].n.plan.Frozen(); !ok || m.Reason != "large" {
+	if m, ok := small[1].node.plan.Frozen(); !ok || m.Reason != "large" {
 		t.Errorf("the plan says %+v", m)
 	}
 }
 
 func TestNamesakeIsFenced(t *testing.T) {
-	s := settledSim(t, 4, 3)
+	s := convergedSim(t, 4, 3)
 	m := s.members[3]
-	later := m.cfg
+	later := m.config
 	later.StartedAt++
 	n, err := New(later, nil)
 	if err != nil {
@@ -185,34 +185,34 @@
 	if len(sends) == 0 {
 		t.Fatal("it says nothing")
 	}
-	m.n.Step(s.now, s.unix(), sends[0].Data)
-	if _, said := m.n.TakeOutput(); len(said) != 1 || said[0].Kind != Fenced || m.n.Fresh() {
-		t.Errorf("said %+v, fresh %v", said, m.n.Fresh())
+	m.node.Step(s.now, s.unix(), sends[0].Data)
+	if _, said := m.node.TakeOutput(); len(said) != 1 || said[0].Kind != Fenced || m.node.Fresh() {
+		t.Errorf("said %+v, fresh %v", said, m.node.Fresh())
 	}
 	// The two may never hear each other: then others tell the earlier one.
 	other := s.members[2]
-	other.n.Step(s.now, s.unix(), sends[0].Data)
-	other.n.TakeOutput()
-	other.n.Step(s.now, s.unix(), encode(envelope{Version: wireVersion, Fleet: "test", From: m.cfg.Name, Started: m.cfg.StartedAt,
-		Life: m.cfg.Incarnation, Seq: 1 << 20, Status: &Status{}}))
-	told, _ := other.n.TakeOutput()
-	if len(told) != 1 || told[0].To != m.cfg.Name {
+	other.node.Step(s.now, s.unix(), sends[0].Data)
+	other.node.TakeOutput()
+	other.node.Step(s.now, s.unix(), encode(envelope{Version: wireVersion, Fleet: "test", From: m.config.Name, StartedAt: m.config.StartedAt,
+		Incarnation: m.config.Incarnation, Seq: 1 << 20, Status: &Status{}}))
+	told, _ := other.node.TakeOutput()
+	if len(told) != 1 || told[0].To != m.config.Name {
 		t.Fatalf("told %+v", told)
 	}
-	if e, err := decode("test", told[0].Data); err != nil || e.Later == nil || e.Later.Started != later.StartedAt {
+	if e, err := decode("test", told[0].Data); err != nil || e.LaterIncarnation == nil || e.LaterIncarnation.StartedAt != later.StartedAt {
 		t.Errorf("%+v, %v", e, err)
 	}
-	m.n.Tick(s.now+time.Second, s.unix())
-	if sends, _ := m.n.TakeOutput(); len(sends) > 0 {
+	m.node.Tick(s.now+time.Second, s.unix())
+	if sends, _ := m.node.TakeOutput(); len(sends) > 0 {
 		t.Error("it goes on talking")
 	}
 }
 
 func TestWhatIsPassedOver(t *testing.T) {
-	s := settledSim(t, 3, 3)
-	m := s.members[1].n
+	s := convergedSim(t, 3, 3)
+	m := s.members[1].node
 	from := func(change func(*envelope)) []byte {
-		e := envelope{Version: wireVersion, Fleet: "test", From: "m09", Started: 9, Life: 9, Seq: 1}
+		e := envelope{Version: wireVersion, Fleet: "test", From: "m09", StartedAt: 9, Incarnation: 9, Seq: 1}
 		change(&e)
 		return encode(e)
 	}
@@ -236,7 +236,7 @@
 	status := from(func(e *envelope) { e.Seq, e.Status = 5, &Status{Epoch: Epoch{1, 1}} })
 	m.Step(s.now, s.unix(), status)
 	m.Step(s.now, s.unix(), from(func(e *envelope) { e.Seq, e.Status = 5, &Status{Epoch: Epoch{1, 2}} })) // doubled: the same number
-	m.Step(s.now, s.unix(), from(func(e *envelope) { e.Started, e.Seq, e.Status = 8, 7, &Status{Epoch: Epoch{1, 3}} }))
+	m.Step(s.now, s.unix(), from(func(e *envelope) { e.StartedAt, e.Seq, e.Status = 8, 7, &Status{Epoch: Epoch{1, 3}} }))
 	if p := m.peers["m09"]; p.Status.Epoch != (Epoch{1, 1}) {
 		t.Errorf("a doubled status, or one of an earlier life, counts: %v", p.Status.Epoch)
 	}
@@ -245,7 +245,7 @@
 // What reports add up to is the same however they are lost, late and doubled.
 func TestReportsAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var s seen
+		var s reportBaseline
 		sum, now := AttemptCounts{}, AttemptCounts{}
 		for range rapid.IntRange(1, 30).Draw(t, "reports") {
 			now.Add(AttemptCounts{Attempts: uint64(rapid.IntRange(0, 5).Draw(t, "tries")), LatencyMicros: 7})
@@ -253,14 +253,14 @@
 				continue
 			}
 			for range rapid.IntRange(1, 2).Draw(t, "times") {
-				d, err := s.take(&Report{Zones: map[string]AttemptCounts{"a": now}})
+				d, err := s.delta(&Report{Zones: map[string]AttemptCounts{"a": now}})
 				if err != nil {
 					t.Fatal(err)
 				}
 				sum.Add(d.Zones["a"])
 			}
 		}
-		if d, err := s.take(&Report{Zones: map[string]AttemptCounts{"a": now}}); err != nil {
+		if d, err := s.delta(&Report{Zones: map[string]AttemptCounts{"a": now}}); err != nil {
 			t.Fatal(err)
 		} else {
 			sum.Add(d.Zones["a"])
@@ -272,15 +272,15 @@
 }
 
 func TestFullDiskHalts(t *testing.T) {
-	s := settledSim(t, 3, 3)
+	s := convergedSim(t, 3, 3)
 	old := s.leader()
-	old.full = true
-	s.ask(old, "on a full disk")
+	old.diskFull = true
+	s.submit(old, "on a full disk")
 	s.run(4 * time.Second)
 	if l := s.leader(); l == nil || l == old {
 		t.Fatalf("leaders %v", s.leaders())
 	}
-	s.settles()
+	s.checkConvergence()
 }
 
 // Bytes a member do not grow with the fleet, but for the voters, who hear all; and a change is soon known everywhere.
@@ -295,25 +295,25 @@
 		s.run(6 * time.Second)
 		before, voters := map[string]int{}, 0.0
 		for _, m := range s.members {
-			before[m.cfg.Name] = m.sent
+			before[m.config.Name] = m.sent
 		}
 		s.run(5 * time.Second)
 		for i, m := range s.members {
-			bytes := float64(m.sent-before[m.cfg.Name]) / 5
+			bytes := float64(m.sent-before[m.config.Name]) / 5
 			if i < 3 {
 				voters = max(voters, bytes)
 			} else {
 				each[members] += bytes / float64(members-3)
 			}
 		}
-		s.ask(s.leader(), "known everywhere")
+		s.submit(s.leader(), "known everywhere")
 		asked := s.now
 		known := func() bool {
 			for _, m := range s.members {
-				if m.n.plan.Epoch != s.newest || s.newest.Index < 3 {
+				if m.node.plan.Epoch != s.newest || s.newest.Index < 3 {
 					return false
 				}
-				if f, ok := m.n.plan.Frozen(); !ok || f.Reason != "known everywhere" {
+				if f, ok := m.node.plan.Frozen(); !ok || f.Reason != "known everywhere" {
 					return false
 				}
 			}
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -53,8 +53,8 @@
 
 // The bounds of a plan: it goes to every member, and waits in memory there.
 const (
-	mostSections = 16
-	mostPlan     = 256 << 10
+	maxSections = 16
+	maxPlanSize = 256 << 10
 )
 
 // Section reads a section into v; false: there is none.
@@ -94,30 +94,30 @@
 
 // The reasons for which a change is void.
 var (
-	errMoved = errors.New("fleet: the plan has moved on")
-	errLarge = errors.New("fleet: the plan would be too large")
+	errPlanChanged  = errors.New("fleet: the plan has moved on")
+	errPlanTooLarge = errors.New("fleet: the plan would be too large")
 )
 
-const null = 0xf6 // an empty section, as it is encoded
+const cborNull = 0xf6 // an empty section, as it is encoded
 
-// with is the plan after a change, under an epoch; all voters come to the same.
-func (p Plan) with(c change, e Epoch) (Plan, error) {
+// apply is the plan after a change, under an epoch; all voters come to the same.
+func (p Plan) apply(c change, e Epoch) (Plan, error) {
 	if c.Base != p.Epoch {
-		return p, errMoved
+		return p, errPlanChanged
 	}
 	next := Plan{Epoch: e, Sections: maps.Clone(p.Sections)}
 	if next.Sections == nil {
 		next.Sections = map[string]cbor.RawMessage{}
 	}
 	for name, s := range c.Set {
-		if len(s) == 0 || len(s) == 1 && s[0] == null {
+		if len(s) == 0 || len(s) == 1 && s[0] == cborNull {
 			delete(next.Sections, name)
 		} else {
 			next.Sections[name] = s
 		}
 	}
-	if len(next.Sections) > mostSections || next.size() > mostPlan {
-		return p, errLarge
+	if len(next.Sections) > maxSections || next.size() > maxPlanSize {
+		return p, errPlanTooLarge
 	}
 	return next, nil
 }
--- a/internal/fleet/sim_test.go
+++ b/internal/fleet/sim_test.go
@@ -20,25 +20,25 @@
 // sim plays members on one virtual clock over ways that lose, delay, double and cut. A member can be stalled, killed and
 // started again with or without its folder. It checks the promises at every step.
 type sim struct {
-	t       fataler
-	rng     *rand.Rand
-	now     time.Duration
-	order   int
-	queue   events
-	members []*member
-	voters  []string
-	loss    float64
-	delay   time.Duration
-	double  float64
-	cut     map[[2]int]bool // from, to
+	t           fataler
+	rng         *rand.Rand
+	now         time.Duration
+	eventCount  int
+	events      events
+	members     []*member
+	voters      []string
+	lossRate    float64
+	delay       time.Duration
+	duplication float64
+	cut         map[[2]int]bool // from, to
 
-	plans   map[Epoch][]byte
-	settled map[Epoch]time.Duration
-	newest  Epoch
-	commits uint64 // the newest founding in which a leader settled something
-	forget  bool   // planted: a voter that lost its folder votes under its old identity
-	lives   int64
-	history []porcupine.Operation
+	committedPlans   map[Epoch][]byte
+	committedAt      map[Epoch]time.Duration
+	newest           Epoch
+	newestGeneration uint64 // the newest founding in which a leader settled something
+	reuseIdentity    bool   // planted: a voter that lost its folder votes under its old identity
+	incarnations     int64
+	history          []porcupine.Operation
 }
 
 type fataler interface {
@@ -47,18 +47,18 @@
 }
 
 type member struct {
-	at     int
-	cfg    Config
-	n      *Node
-	disk   *VoterState
-	full   bool // the disk takes nothing
-	dead   bool
-	stall  time.Duration // until then
-	inbox  [][]byte      // while it is stalled
-	epoch  Epoch
-	told   []error
-	sent   int
-	epochs []Epoch // that asks were settled under
+	index        int
+	config       Config
+	node         *Node
+	disk         *VoterState
+	diskFull     bool // the disk takes nothing
+	down         bool
+	stalledUntil time.Duration // until then
+	inbox        [][]byte      // while it is stalled
+	epoch        Epoch
+	failures     []error
+	sent         int
+	epochs       []Epoch // that asks were settled under
 }
 
 type simEvent struct {
@@ -88,14 +88,14 @@
 )
 
 func newSim(t fataler, seed uint64, members, voters int) *sim {
-	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 9)), cut: map[[2]int]bool{}, plans: map[Epoch][]byte{},
-		settled: map[Epoch]time.Duration{}, delay: 5 * time.Millisecond}
+	s := &sim{t: t, rng: rand.New(rand.NewPCG(seed, 9)), cut: map[[2]int]bool{}, committedPlans: map[Epoch][]byte{},
+		committedAt: map[Epoch]time.Duration{}, delay: 5 * time.Millisecond}
 	for i := range voters {
 		s.voters = append(s.voters, fmt.Sprintf("m%02d", i))
 	}
 	for i := range members {
-		m := &member{at: i, cfg: Config{Fleet: "test", Name: fmt.Sprintf("m%02d", i), Zone: string(rune('a' + i%3)), Voters: s.voters,
-			Seed: seed + uint64(i), Tick: simTick, Status: simStatus, Lease: simLease, Commands: map[string]CommandHandler{"freeze": freeze}}}
+		m := &member{index: i, config: Config{Fleet: "test", Name: fmt.Sprintf("m%02d", i), Zone: string(rune('a' + i%3)), Voters: s.voters,
+			Seed: seed + uint64(i), Tick: simTick, Status: simStatus, Lease: simLease, Commands: map[string]CommandHandler{"freeze": freezeAlways}}}
 		s.members = append(s.members, m)
 	}
 	for _, m := range s.members {
@@ -104,53 +104,53 @@
 	return s
 }
 
-// freeze is a decider that always changes something.
-func freeze(p *Plan, args []byte, unix int64) (map[string]cbor.RawMessage, error) {
+// freezeAlways is a decider that always changes something.
+func freezeAlways(p *Plan, args []byte, unix int64) (map[string]cbor.RawMessage, error) {
 	return map[string]cbor.RawMessage{SectionFreeze: encode(OperatorMark{Reason: string(args), At: unix})}, nil
 }
 
 func (s *sim) after(d time.Duration, do func()) {
-	s.order++
-	heap.Push(&s.queue, simEvent{s.now + d, s.order, do})
+	s.eventCount++
+	heap.Push(&s.events, simEvent{s.now + d, s.eventCount, do})
 }
 
 // start begins a life of a member, with its folder or without.
 func (s *sim) start(m *member, keep bool) {
-	s.lives++
-	m.cfg.StartedAt, m.cfg.Incarnation = s.lives, s.rng.Uint64()
+	s.incarnations++
+	m.config.StartedAt, m.config.Incarnation = s.incarnations, s.rng.Uint64()
 	saved := m.disk
 	if !keep {
-		if saved != nil && s.forget {
+		if saved != nil && s.reuseIdentity {
 			saved = &VoterState{Identity: m.disk.Identity, Generation: m.disk.Generation, Promised: m.disk.Promised}
 		} else {
 			saved = nil
 		}
 		m.disk = saved
 	}
-	n, err := New(m.cfg, saved)
+	n, err := New(m.config, saved)
 	if err != nil {
-		s.t.Fatalf("%s: %v", m.cfg.Name, err)
+		s.t.Fatalf("%s: %v", m.config.Name, err)
 	}
-	m.n, m.dead, m.full, m.stall, m.inbox, m.epoch = n, false, false, 0, nil, Epoch{}
+	m.node, m.down, m.diskFull, m.stalledUntil, m.inbox, m.epoch = n, false, false, 0, nil, Epoch{}
 	for _, o := range s.members {
 		if o != m {
-			n.SetAlive(o.cfg.Name, true)
+			n.SetAlive(o.config.Name, true)
 		}
 	}
-	life := m.cfg.Incarnation
+	life := m.config.Incarnation
 	var tick func()
 	tick = func() {
-		if m.dead || m.cfg.Incarnation != life {
+		if m.down || m.config.Incarnation != life {
 			return
 		}
-		if s.now >= m.stall {
+		if s.now >= m.stalledUntil {
 			inbox := m.inbox
 			m.inbox = nil
 			for _, b := range inbox { // what lay in the sockets of a process that wakes, before its timers
-				m.n.Step(s.now, s.unix(), b)
+				m.node.Step(s.now, s.unix(), b)
 				s.drive(m)
 			}
-			m.n.Tick(s.now, s.unix())
+			m.node.Tick(s.now, s.unix())
 			s.drive(m)
 		}
 		s.after(simTick, tick)
@@ -163,54 +163,54 @@
 // drive keeps, sends and checks what a member has ready.
 func (s *sim) drive(m *member) {
 	for {
-		p, some := m.n.PendingStorage()
-		if !some || m.full {
+		p, some := m.node.PendingStorage()
+		if !some || m.diskFull {
 			break
 		}
-		m.keep(p)
-		m.n.Persisted()
+		m.persist(p)
+		m.node.Persisted()
 	}
-	sends, said := m.n.TakeOutput()
+	sends, said := m.node.TakeOutput()
 	for _, e := range said {
 		if e.Kind == PlanChanged {
-			s.saw(m, *e.Plan)
+			s.checkPlan(m, *e.Plan)
 		}
 	}
 	for _, x := range sends {
 		m.sent += len(x.Data)
-		to := slices.IndexFunc(s.members, func(o *member) bool { return o.cfg.Name == x.To })
+		to := slices.IndexFunc(s.members, func(o *member) bool { return o.config.Name == x.To })
 		if to < 0 {
-			s.t.Fatalf("%s sends to %q", m.cfg.Name, x.To)
+			s.t.Fatalf("%s sends to %q", m.config.Name, x.To)
 		}
 		many := 1
-		if s.rng.Float64() < s.double {
+		if s.rng.Float64() < s.duplication {
 			many = 2
 		}
 		for range many {
-			if s.cut[[2]int{m.at, to}] || s.rng.Float64() < s.loss {
+			if s.cut[[2]int{m.index, to}] || s.rng.Float64() < s.lossRate {
 				continue
 			}
 			s.after(time.Duration(s.rng.Int64N(int64(s.delay)+1)), func() { s.deliver(s.members[to], x.Data) })
 		}
 	}
-	s.check(m)
+	s.checkFreshness(m)
 }
 
 func (s *sim) deliver(m *member, b []byte) {
 	switch {
-	case m.dead:
-	case s.now < m.stall:
+	case m.down:
+	case s.now < m.stalledUntil:
 		if len(m.inbox) < 200 {
 			m.inbox = append(m.inbox, b)
 		}
 	default:
-		m.n.Step(s.now, s.unix(), b)
+		m.node.Step(s.now, s.unix(), b)
 		s.drive(m)
 	}
 }
 
-// keep is the disk.
-func (m *member) keep(p StorageUpdate) {
+// persist is the disk.
+func (m *member) persist(p StorageUpdate) {
 	if p.Replacement != nil {
 		m.disk = p.Replacement
 		return
@@ -236,23 +236,23 @@
 	m.disk = &d
 }
 
-// saw checks that no two plans have one epoch, and that nothing is settled in a founding after a newer one settled.
-func (s *sim) saw(m *member, p Plan) {
+// checkPlan checks that no two plans have one epoch, and that nothing is settled in a founding after a newer one settled.
+func (s *sim) checkPlan(m *member, p Plan) {
 	b := planBytes(p)
-	if old, ok := s.plans[p.Epoch]; ok && !bytes.Equal(old, b) {
-		s.t.Fatalf("%v: %s has another plan of epoch %v", s.now, m.cfg.Name, p.Epoch)
+	if old, ok := s.committedPlans[p.Epoch]; ok && !bytes.Equal(old, b) {
+		s.t.Fatalf("%v: %s has another plan of epoch %v", s.now, m.config.Name, p.Epoch)
 	} else if !ok {
-		s.plans[p.Epoch], s.settled[p.Epoch] = b, s.now
-		if p.Epoch.Generation < s.commits {
-			s.t.Fatalf("%v: %v was settled after something of founding %d", s.now, p.Epoch, s.commits)
+		s.committedPlans[p.Epoch], s.committedAt[p.Epoch] = b, s.now
+		if p.Epoch.Generation < s.newestGeneration {
+			s.t.Fatalf("%v: %v was settled after something of founding %d", s.now, p.Epoch, s.newestGeneration)
 		}
-		s.commits = max(s.commits, p.Epoch.Generation)
+		s.newestGeneration = max(s.newestGeneration, p.Epoch.Generation)
 		if s.newest.Less(p.Epoch) {
 			s.newest = p.Epoch
 		}
 	}
 	if p.Epoch.Less(m.epoch) {
-		s.t.Fatalf("%v: %s goes back from %v to %v", s.now, m.cfg.Name, m.epoch, p.Epoch)
+		s.t.Fatalf("%v: %s goes back from %v to %v", s.now, m.config.Name, m.epoch, p.Epoch)
 	}
 	m.epoch = p.Epoch
 }
@@ -265,16 +265,16 @@
 	return b
 }
 
-// check: a view that calls itself fresh misses nothing that was settled longer ago than its lease, and the time that a
+// checkFreshness: a view that calls itself fresh misses nothing that was settled longer ago than its lease, and the time that a
 // leader may not know that it is none any more.
-func (s *sim) check(m *member) {
-	if !m.n.Fresh() || s.newest == m.n.plan.Epoch {
+func (s *sim) checkFreshness(m *member) {
+	if !m.node.Fresh() || s.newest == m.node.plan.Epoch {
 		return
 	}
 	old := s.now - simLease - 2*electionTicks*simTick - 2*simTick
-	for e, at := range s.settled {
-		if at < old && m.n.plan.Epoch.Less(e) {
-			s.t.Fatalf("%v: %s calls %v fresh, and %v was settled at %v", s.now, m.cfg.Name, m.n.plan.Epoch, e, at)
+	for e, at := range s.committedAt {
+		if at < old && m.node.plan.Epoch.Less(e) {
+			s.t.Fatalf("%v: %s calls %v fresh, and %v was settled at %v", s.now, m.config.Name, m.node.plan.Epoch, e, at)
 		}
 	}
 }
@@ -282,27 +282,27 @@
 // run plays for a while.
 func (s *sim) run(d time.Duration) {
 	end := s.now + d
-	for len(s.queue) > 0 && s.queue[0].at <= end {
-		e := heap.Pop(&s.queue).(simEvent)
+	for len(s.events) > 0 && s.events[0].at <= end {
+		e := heap.Pop(&s.events).(simEvent)
 		s.now = e.at
 		e.do()
 	}
 	s.now = end
 }
 
-// ask has a member want something settled.
-func (s *sim) ask(m *member, what string) {
-	if m.dead || s.now < m.stall {
+// submit has a member want something settled.
+func (s *sim) submit(m *member, what string) {
+	if m.down || s.now < m.stalledUntil {
 		return
 	}
 	began := s.now
-	m.n.Submit(s.now, s.unix(), "freeze", []byte(what), func(e Epoch, err error) {
+	m.node.Submit(s.now, s.unix(), "freeze", []byte(what), func(e Epoch, err error) {
 		if err != nil {
-			m.told = append(m.told, err)
+			m.failures = append(m.failures, err)
 			return
 		}
 		m.epochs = append(m.epochs, e)
-		s.history = append(s.history, porcupine.Operation{ClientId: m.at, Input: what, Call: int64(began), Output: e, Return: int64(s.now)})
+		s.history = append(s.history, porcupine.Operation{ClientId: m.index, Input: what, Call: int64(began), Output: e, Return: int64(s.now)})
 	})
 	s.drive(m)
 }
@@ -310,63 +310,63 @@
 // heal makes all well again, and starts what is dead.
 func (s *sim) heal() {
 	clear(s.cut)
-	s.loss, s.double, s.delay = 0, 0, 5*time.Millisecond
+	s.lossRate, s.duplication, s.delay = 0, 0, 5*time.Millisecond
 	for _, m := range s.members {
-		m.full, m.stall = false, min(m.stall, s.now)
-		if m.dead {
+		m.diskFull, m.stalledUntil = false, min(m.stalledUntil, s.now)
+		if m.down {
 			s.start(m, true)
 		}
 	}
 }
 
 // settle checks that all come to one epoch under one leader, and that something can be settled.
-func (s *sim) settles() {
+func (s *sim) checkConvergence() {
 	s.heal()
 	s.run(10 * time.Second)
 	before := len(s.members[0].epochs)
-	s.ask(s.members[0], "last")
+	s.submit(s.members[0], "last")
 	s.run(2 * time.Second)
 	if len(s.members[0].epochs) != before+1 {
 		s.dump()
-		s.t.Fatalf("all is well, and nothing can be settled: %v; leaders %v", s.members[0].told, s.leaders())
+		s.t.Fatalf("all is well, and nothing can be settled: %v; leaders %v", s.members[0].failures, s.leaders())
 	}
 	if l := s.leaders(); len(l) != 1 {
 		s.t.Fatalf("leaders %v", l)
 	}
 	for _, m := range s.members {
-		if m.n.plan.Epoch != s.newest || !m.n.Fresh() {
-			s.t.Fatalf("%s acts on %v of %v, fresh %v", m.cfg.Name, m.n.plan.Epoch, s.newest, m.n.Fresh())
+		if m.node.plan.Epoch != s.newest || !m.node.Fresh() {
+			s.t.Fatalf("%s acts on %v of %v, fresh %v", m.config.Name, m.node.plan.Epoch, s.newest, m.node.Fresh())
 		}
 	}
 }
 
 func (s *sim) leaders() (names []string) {
 	for _, m := range s.members {
-		if !m.dead && m.n.Leads() {
-			names = append(names, m.cfg.Name)
+		if !m.down && m.node.Leads() {
+			names = append(names, m.config.Name)
 		}
 	}
 	return names
 }
 
-// schedule plays a random schedule of troubles.
-func schedule(t *rapid.T, s *sim) {
+// playSchedule plays a random schedule of troubles.
+func playSchedule(t *rapid.T, s *sim) {
 	for i := range rapid.IntRange(3, 12).Draw(t, "troubles") {
 		m := s.members[rapid.IntRange(0, len(s.members)-1).Draw(t, "member")]
 		switch rapid.SampledFrom([]string{"kill", "wipe", "stall", "part", "oneway", "lossy", "slow", "heal", "full", "ask", "all"}).Draw(t, "what") {
 		case "kill":
-			m.dead = true
+			m.down = true
 			s.after(time.Duration(rapid.IntRange(100, 4000).Draw(t, "back"))*time.Millisecond, func() {
-				if m.dead {
+				if m.down {
 					s.start(m, true)
 				}
 			})
 		case "wipe":
-			if !m.dead {
+			if !m.down {
 				s.start(m, false)
 			}
 		case "stall":
-			m.stall = s.now + time.Duration(rapid.IntRange(100, 6000).Draw(t, "stall"))*time.Millisecond
+			m.stalledUntil = s.now + time.Duration(rapid.IntRange(100, 6000).Draw(t, "stall"))*time.Millisecond
 		case "part":
 			side := rapid.Uint64().Draw(t, "side")
 			for a := range s.members {
@@ -376,13 +376,13 @@
 			}
 		case "oneway":
 			other := rapid.IntRange(0, len(s.members)-1).Draw(t, "other")
-			s.cut[[2]int{m.at, other}] = true
+			s.cut[[2]int{m.index, other}] = true
 		case "lossy":
-			s.loss, s.double = 0.3, 0.2
+			s.lossRate, s.duplication = 0.3, 0.2
 		case "slow":
 			s.delay = 300 * time.Millisecond
 		case "full":
-			m.full = true
+			m.diskFull = true
 		case "all":
 			keep := rapid.Bool().Draw(t, "keep")
 			for _, m := range s.members {
@@ -391,10 +391,10 @@
 		case "heal":
 			s.heal()
 		case "ask":
-			s.ask(m, fmt.Sprint("x", i))
+			s.submit(m, fmt.Sprint("x", i))
 		}
 		s.run(time.Duration(rapid.IntRange(10, 1500).Draw(t, "then")) * time.Millisecond)
-		s.ask(s.members[rapid.IntRange(0, len(s.members)-1).Draw(t, "asks")], fmt.Sprint("y", i))
+		s.submit(s.members[rapid.IntRange(0, len(s.members)-1).Draw(t, "asks")], fmt.Sprint("y", i))
 	}
 }
 
@@ -404,29 +404,29 @@
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(3, 7).Draw(t, "members"), 3)
 		s.run(4 * time.Second)
-		schedule(t, s)
-		s.settles()
-		s.linear()
+		playSchedule(t, s)
+		s.checkConvergence()
+		s.checkOrder()
 	})
 }
 
 // dump tells how each member stands.
 func (s *sim) dump() {
 	for _, m := range s.members {
-		n := m.n
-		s.t.Logf("%v %s: %v, leader %q %v ago, fresh %v, dead %v, fenced %v", s.now, n.cfg.Name, n.plan.Epoch, n.leader, n.now-n.leaderAt,
-			n.Fresh(), m.dead, n.fenced)
+		n := m.node
+		s.t.Logf("%v %s: %v, leader %q %v ago, fresh %v, dead %v, fenced %v", s.now, n.config.Name, n.plan.Epoch, n.leader, n.now-n.leaderHeardAt,
+			n.Fresh(), m.down, n.fenced)
 		if v := n.voter; v != nil {
 			s.t.Logf("  %x, founding %d, promised %d, conf %x/%x, lead %x, term %d, %v, founds %d, whole %v, pending %v", v.identity,
-				v.founding, n.saved.Promised, v.conf.GetVoters(), v.conf.GetVotersOutgoing(), v.lead, v.term,
-				v.rn.BasicStatus().RaftState, n.founds, n.whole != nil, v.pending != nil)
+				v.generation, n.identity.Promised, v.confState.GetVoters(), v.confState.GetVotersOutgoing(), v.leader, v.term,
+				v.raftNode.BasicStatus().RaftState, n.startingGeneration, n.replacement != nil, v.pendingReady != nil)
 		}
 	}
 }
 
-// ordered are histories of asks as porcupine judges them: each that is settled takes an epoch above all that were settled
+// epochOrderModel are histories of asks as porcupine judges them: each that is settled takes an epoch above all that were settled
 // before it began.
-var ordered = porcupine.Model{
+var epochOrderModel = porcupine.Model{
 	Init: func() any { return Epoch{} },
 	Step: func(state, _, output any) (bool, any) {
 		e := output.(Epoch)
@@ -434,9 +434,9 @@
 	},
 }
 
-// linear checks the asks of a schedule. One that was told of no quorum may or may not have been settled, and is left out.
-func (s *sim) linear() {
-	if !porcupine.CheckOperations(ordered, s.history) {
+// checkOrder checks the asks of a schedule. One that was told of no quorum may or may not have been settled, and is left out.
+func (s *sim) checkOrder() {
+	if !porcupine.CheckOperations(epochOrderModel, s.history) {
 		s.t.Fatalf("asks were settled in no order: %+v", s.history)
 	}
 }
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -10,14 +10,14 @@
 // wireVersion is that of messages; others are not understood, and passed over.
 const wireVersion = 1
 
-// mostAway bounds the machines that a status names.
-const mostAway = 256
+// maxWithdrawn bounds the machines that a status names.
+const maxWithdrawn = 256
 
-// mostVoters bounds the voters of a log, with some that nobody is any more.
-const mostVoters = 32
+// maxVoters bounds the voters of a log, with some that nobody is any more.
+const maxVoters = 32
 
 // MaxMessage bounds a message: a plan, and what goes round it.
-const MaxMessage = mostPlan + 64<<10
+const MaxMessage = maxPlanSize + 64<<10
 
 // Status is what a member says of itself several times a second.
 type Status struct {
@@ -39,61 +39,61 @@
 
 // grant is the leader's answer to a status: what it says was true at some time after the status was sent.
 type grant struct {
-	Seq   uint64 `cbor:"1,keyasint"`
-	Epoch Epoch  `cbor:"2,keyasint"`
-	Feed  []byte `cbor:"3,keyasint,omitempty"` // what the member may do for a lease; opaque here
+	Seq     uint64 `cbor:"1,keyasint"`
+	Epoch   Epoch  `cbor:"2,keyasint"`
+	Payload []byte `cbor:"3,keyasint,omitempty"` // what the member may do for a lease; opaque here
 }
 
-// ask is what an operator wants settled.
-type ask struct {
+// command is what an operator wants settled.
+type command struct {
 	ID   string `cbor:"1,keyasint"`
-	Verb string `cbor:"2,keyasint"`
+	Name string `cbor:"2,keyasint"`
 	Args []byte `cbor:"3,keyasint"`
 }
 
-// told is what became of an ask.
-type told struct {
+// commandResult is what became of an ask.
+type commandResult struct {
 	ID    string `cbor:"1,keyasint"`
-	Fault string `cbor:"2,keyasint,omitempty"`
+	Error string `cbor:"2,keyasint,omitempty"`
 	Epoch Epoch  `cbor:"3,keyasint"`
 }
 
 // raftMessage is one of the log's.
 type raftMessage struct {
-	Founding uint64 `cbor:"1,keyasint"`
-	To       uint64 `cbor:"2,keyasint"`
-	Message  []byte `cbor:"3,keyasint"`
+	Generation uint64 `cbor:"1,keyasint"`
+	To         uint64 `cbor:"2,keyasint"`
+	Message    []byte `cbor:"3,keyasint"`
 }
 
-// founding asks for a promise, or gives it.
-type founding struct {
-	Number  uint64 `cbor:"1,keyasint"`
-	Promise bool   `cbor:"2,keyasint,omitempty"`
-	Plan    *Plan  `cbor:"3,keyasint,omitempty"` // the newest that whoever promises knows
+// generationMessage asks for a promise, or gives it.
+type generationMessage struct {
+	Generation uint64 `cbor:"1,keyasint"`
+	Promise    bool   `cbor:"2,keyasint,omitempty"`
+	Plan       *Plan  `cbor:"3,keyasint,omitempty"` // the newest that whoever promises knows
 }
 
-// life tells a process that another one has its name, and began later.
-type life struct {
-	Started int64  `cbor:"1,keyasint"`
-	Life    uint64 `cbor:"2,keyasint"`
+// incarnation tells a process that another one has its name, and began later.
+type incarnation struct {
+	StartedAt int64  `cbor:"1,keyasint"`
+	Number    uint64 `cbor:"2,keyasint"`
 }
 
 // envelope is one message between members.
 type envelope struct {
-	Version int          `cbor:"1,keyasint"`
-	Fleet   string       `cbor:"2,keyasint"`
-	From    string       `cbor:"3,keyasint"`
-	Started int64        `cbor:"4,keyasint"` // of the sender's life, Unix ns: of two lives the later one counts
-	Life    uint64       `cbor:"5,keyasint"` // a random number, where they began at once
-	Seq     uint64       `cbor:"6,keyasint"`
-	Status  *Status      `cbor:"7,keyasint,omitempty"`
-	Grant   *grant       `cbor:"8,keyasint,omitempty"`
-	Plan    *Plan        `cbor:"9,keyasint,omitempty"`
-	Raft    *raftMessage `cbor:"10,keyasint,omitempty"`
-	Ask     *ask         `cbor:"11,keyasint,omitempty"`
-	Told    *told        `cbor:"12,keyasint,omitempty"`
-	Found   *founding    `cbor:"13,keyasint,omitempty"`
-	Later   *life        `cbor:"14,keyasint,omitempty"`
+	Version          int                `cbor:"1,keyasint"`
+	Fleet            string             `cbor:"2,keyasint"`
+	From             string             `cbor:"3,keyasint"`
+	StartedAt        int64              `cbor:"4,keyasint"` // of the sender's life, Unix ns: of two lives the later one counts
+	Incarnation      uint64             `cbor:"5,keyasint"` // a random number, where they began at once
+	Seq              uint64             `cbor:"6,keyasint"`
+	Status           *Status            `cbor:"7,keyasint,omitempty"`
+	Grant            *grant             `cbor:"8,keyasint,omitempty"`
+	Plan             *Plan              `cbor:"9,keyasint,omitempty"`
+	Raft             *raftMessage       `cbor:"10,keyasint,omitempty"`
+	Command          *command           `cbor:"11,keyasint,omitempty"`
+	CommandResult    *commandResult     `cbor:"12,keyasint,omitempty"`
+	Generation       *generationMessage `cbor:"13,keyasint,omitempty"`
+	LaterIncarnation *incarnation       `cbor:"14,keyasint,omitempty"`
 }
 
 var decoder = func() cbor.DecMode {
@@ -104,7 +104,7 @@
 	return m
 }()
 
-var errForeign = errors.New("fleet: a message of another fleet or version")
+var errForeignMessage = errors.New("fleet: a message of another fleet or version")
 
 func decode(fleet string, b []byte) (*envelope, error) {
 	if len(b) > MaxMessage {
@@ -115,14 +115,14 @@
 		return nil, err
 	}
 	if e.Version != wireVersion || e.Fleet != fleet {
-		return nil, errForeign
+		return nil, errForeignMessage
 	}
-	if e.From == "" || len(e.From) > mostName {
+	if e.From == "" || len(e.From) > maxNameLength {
 		return nil, errors.New("fleet: a message of nobody")
 	}
-	if e.Status != nil && (len(e.Status.Zone) > mostName || len(e.Status.Region) > mostName || len(e.Status.Leader) > mostName ||
-		len(e.Status.Voters) > mostVoters || len(e.Status.Withdrawn) > mostAway || len(e.Status.OutgoingVoters) > mostVoters) {
-		return nil, errAbsurd
+	if e.Status != nil && (len(e.Status.Zone) > maxNameLength || len(e.Status.Region) > maxNameLength || len(e.Status.Leader) > maxNameLength ||
+		len(e.Status.Voters) > maxVoters || len(e.Status.Withdrawn) > maxWithdrawn || len(e.Status.OutgoingVoters) > maxVoters) {
+		return nil, errInvalidReport
 	}
 	return &e, nil
 }
