--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -237,7 +237,7 @@
 	m.Step(s.now, s.unix(), status)
 	m.Step(s.now, s.unix(), from(func(e *envelope) { e.Seq, e.Status = 5, &Status{Epoch: Epoch{1, 2}} })) // doubled: the same number
 	m.Step(s.now, s.unix(), from(func(e *envelope) { e.StartedAt, e.Seq, e.Status = 8, 7, &Status{Epoch: Epoch{1, 3}} }))
-	if p := m.peers["m09"]; p.Status.Epoch != (Epoch{1, 1}) {
+	if p := m.peers.byName["m09"]; p.Status.Epoch != (Epoch{1, 1}) {
 		t.Errorf("a doubled status, or one of an earlier life, counts: %v", p.Status.Epoch)
 	}
 }
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -1,6 +1,3 @@
-// Package fleet is what gateways know of one another and settle together: the members and what they see, the plan that
-// a quorum of voters commits, and how all learn it. It is pure: it does no I/O and reads no clock; whoever owns a Node
-// hands it time, messages and members, and carries out what it asks for. docs/design/fleet.md has the promises.
 package fleet
 
 import (
@@ -8,56 +5,38 @@
 	"fmt"
 	"maps"
 	"slices"
-	"strconv"
-	"strings"
 
 	"github.com/cespare/xxhash/v2"
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Epoch orders plans: the founding of the log that settled one, and its place in that log.
-type Epoch struct {
-	Generation uint64 `cbor:"1,keyasint"`
-	Index      uint64 `cbor:"2,keyasint"`
-}
-
-// Less tells whether e comes before o.
-func (e Epoch) Less(o Epoch) bool {
-	return e.Generation < o.Generation || e.Generation == o.Generation && e.Index < o.Index
-}
+// Bounds of a plan, as it goes to every member and is kept in memory there.
+const (
+	maxSections = 16
+	maxPlanSize = 256 << 10 // bytes of names and sections
+)
 
-// String is the epoch as people read it.
-func (e Epoch) String() string { return fmt.Sprintf("%d.%d", e.Generation, e.Index) }
+// The plan's sections that this package defines.
+const (
+	sectionVoters = "voters" // map[string]uint64: identities in the log, by member
+	SectionFreeze = "freeze" // OperatorMark: while it is there the leader changes nothing of its own accord
+)
 
-// MarshalText implements encoding.TextMarshaler.
-func (e Epoch) MarshalText() ([]byte, error) { return []byte(e.String()), nil }
+const cborNull = 0xf6 // a removed section, as a change encodes it
 
-// UnmarshalText implements encoding.TextUnmarshaler.
-func (e *Epoch) UnmarshalText(b []byte) (err error) {
-	founding, number, ok := strings.Cut(string(b), ".")
-	if !ok {
-		return fmt.Errorf("fleet: %q is no epoch", b)
-	}
-	if e.Generation, err = strconv.ParseUint(founding, 10, 64); err != nil {
-		return err
-	}
-	e.Index, err = strconv.ParseUint(number, 10, 64)
-	return err
-}
+// Reasons for which a committed change has no effect.
+var (
+	errPlanChanged  = errors.New("fleet: the plan has moved on")
+	errPlanTooLarge = errors.New("fleet: the plan would be too large")
+)
 
-// Plan is what the fleet has settled: sections by name, which the log does not look into.
+// Plan is what the fleet has agreed on: CBOR sections by name, opaque to the log.
 type Plan struct {
 	Epoch    Epoch                      `cbor:"1,keyasint"`
 	Sections map[string]cbor.RawMessage `cbor:"2,keyasint"`
 }
 
-// The bounds of a plan: it goes to every member, and waits in memory there.
-const (
-	maxSections = 16
-	maxPlanSize = 256 << 10
-)
-
-// Section reads a section into v; false: there is none.
+// Section decodes a section into v; false: the plan has none of that name.
 func (p *Plan) Section(name string, v any) (bool, error) {
 	raw, ok := p.Sections[name]
 	if !ok {
@@ -66,7 +45,7 @@
 	return true, cbor.Unmarshal(raw, v)
 }
 
-// Digest is a number by which two members can tell that their plans are the same.
+// Digest is a hash of epoch and sections, equal at two members if their plans are.
 func (p *Plan) Digest() uint64 {
 	h := xxhash.New()
 	fmt.Fprintln(h, p.Epoch)
@@ -77,30 +56,33 @@
 	return h.Sum64()
 }
 
-// size in bytes, near enough.
-func (p *Plan) size() (n int) {
+// withinBounds tells whether a plan may be adopted.
+func (p *Plan) withinBounds() bool {
+	size := 0
 	for name, s := range p.Sections {
-		n += len(name) + len(s)
+		size += len(name) + len(s)
+	}
+	return len(p.Sections) <= maxSections && size <= maxPlanSize
+}
+
+// voters are the voters' identities in the log, by member.
+func (p *Plan) voters() map[string]uint64 {
+	v := map[string]uint64{}
+	if _, err := p.Section(sectionVoters, &v); err != nil {
+		return nil
 	}
-	return n
+	return v
 }
 
-// change is an entry of the log: on a plan of epoch Base, set these sections; an empty one removes a section.
+// change is an entry of the log: a compare-and-set of sections on the plan of epoch Base.
 type change struct {
 	Base Epoch                      `cbor:"1,keyasint"`
-	Set  map[string]cbor.RawMessage `cbor:"2,keyasint"`
-	ID   string                     `cbor:"3,keyasint"` // of the ask that it answers, or empty
+	Set  map[string]cbor.RawMessage `cbor:"2,keyasint"` // an empty section is removed
+	ID   string                     `cbor:"3,keyasint"` // of the command, or the leader's own
 }
 
-// The reasons for which a change is void.
-var (
-	errPlanChanged  = errors.New("fleet: the plan has moved on")
-	errPlanTooLarge = errors.New("fleet: the plan would be too large")
-)
-
-const cborNull = 0xf6 // an empty section, as it is encoded
-
-// apply is the plan after a change, under an epoch; all voters come to the same.
+// apply returns the plan after a change, under epoch e; with an error the plan is unchanged. It must stay deterministic: every voter,
+// of whatever version, applies each entry itself.
 func (p Plan) apply(c change, e Epoch) (Plan, error) {
 	if c.Base != p.Epoch {
 		return p, errPlanChanged
@@ -116,44 +98,8 @@
 			next.Sections[name] = s
 		}
 	}
-	if len(next.Sections) > maxSections || next.size() > maxPlanSize {
+	if !next.withinBounds() {
 		return p, errPlanTooLarge
 	}
 	return next, nil
 }
-
-// OperatorMark is what an operator said, and when.
-type OperatorMark struct {
-	By     string `cbor:"1,keyasint" json:"by"`
-	Reason string `cbor:"2,keyasint" json:"why"`
-	At     int64  `cbor:"3,keyasint" json:"at"` // Unix ms, by the leader's clock
-}
-
-// The sections of this package.
-const (
-	sectionVoters = "voters" // map[string]uint64: identities in the log, by name
-	SectionFreeze = "freeze" // Mark: nothing is settled of itself while it stands
-)
-
-// Frozen is the operators' mark that nothing is to be settled of itself.
-func (p *Plan) Frozen() (m OperatorMark, ok bool) {
-	ok, err := p.Section(SectionFreeze, &m)
-	return m, ok && err == nil
-}
-
-// voters are the identities that the plan has, by name.
-func (p *Plan) voters() map[string]uint64 {
-	v := map[string]uint64{}
-	if _, err := p.Section(sectionVoters, &v); err != nil {
-		return nil
-	}
-	return v
-}
-
-func encode(v any) cbor.RawMessage {
-	b, err := cbor.Marshal(v)
-	if err != nil {
-		panic("fleet: " + err.Error()) // types of this package, all of which can be
-	}
-	return b
-}
--- /dev/null
+++ b/internal/fleet/report.go
@@ -0,0 +1,101 @@
+package fleet
+
+import "errors"
+
+// Bounds of a report, so that it fits one datagram.
+const (
+	maxNameLength      = 64 // bytes, of a member, zone or region
+	maxZones           = 64
+	MaxReportedServers = 24
+	maxCounter         = 1 << 40 // attempts; no process lives to count so many
+)
+
+var errInvalidReport = errors.New("fleet: a report with absurd numbers")
+
+// AttemptCounts are a member's counters of attempts to a zone or a server since its process started. They never decrease.
+type AttemptCounts struct {
+	Attempts      uint64 `cbor:"1,keyasint" json:"tries"`                    // that ended, or are overdue
+	Served        uint64 `cbor:"2,keyasint" json:"served"`                   // of these, answered with success
+	ConnectFailed uint64 `cbor:"3,keyasint" json:"refused"`                  // could not connect
+	TimedOut      uint64 `cbor:"4,keyasint" json:"silent"`                   // no answer in time
+	Failed        uint64 `cbor:"5,keyasint" json:"failed"`                   // errors and resets
+	Rejected      uint64 `cbor:"6,keyasint" json:"turned"`                   // the server's queue was full
+	LatencyMicros uint64 `cbor:"7,keyasint" json:"micros"`                   // total, of those in Served and AnsweredLate
+	AnsweredLate  uint64 `cbor:"8,keyasint,omitempty" json:"late,omitempty"` // served after they were counted in TimedOut
+}
+
+// ServerReport is what a member saw of one server, and the load that the server last reported to it.
+type ServerReport struct {
+	AttemptCounts `cbor:"1,keyasint"`
+	Zone          string `cbor:"2,keyasint" json:"zone"`
+	Queue         uint32 `cbor:"3,keyasint" json:"queue"`
+	InFlight      uint32 `cbor:"4,keyasint" json:"in_flight"`
+}
+
+// Report is what a member reports with its status. It carries counters since the start of its process, not differences, so that
+// late, duplicate and lost reports change nothing.
+type Report struct {
+	Zones    map[string]AttemptCounts `cbor:"1,keyasint" json:"zones,omitempty"`
+	Servers  map[uint32]ServerReport  `cbor:"2,keyasint" json:"servers,omitempty"` // that changed, up to MaxReportedServers in turns
+	Requests uint64                   `cbor:"3,keyasint" json:"asked,omitempty"`   // received from clients, forwarded or not
+}
+
+// Add adds o to c.
+func (c *AttemptCounts) Add(o AttemptCounts) {
+	c.Attempts += o.Attempts
+	c.Served += o.Served
+	c.ConnectFailed += o.ConnectFailed
+	c.TimedOut += o.TimedOut
+	c.Failed += o.Failed
+	c.Rejected += o.Rejected
+	c.LatencyMicros += o.LatencyMicros
+	c.AnsweredLate += o.AnsweredLate
+}
+
+// valid tells whether an honest process can have counted this.
+func (c AttemptCounts) valid() bool {
+	return c.Attempts < maxCounter &&
+		c.LatencyMicros < maxCounter*1000 &&
+		c.Served <= c.Attempts &&
+		c.ConnectFailed <= c.Attempts &&
+		c.TimedOut <= c.Attempts &&
+		c.Failed <= c.Attempts &&
+		c.Rejected <= c.Attempts &&
+		c.AnsweredLate <= c.TimedOut
+}
+
+// since returns what was counted after o by the same process; false: a counter decreased.
+func (c AttemptCounts) since(o AttemptCounts) (AttemptCounts, bool) {
+	if c.Attempts < o.Attempts || c.Served < o.Served || c.ConnectFailed < o.ConnectFailed || c.TimedOut < o.TimedOut ||
+		c.Failed < o.Failed || c.Rejected < o.Rejected || c.LatencyMicros < o.LatencyMicros || c.AnsweredLate < o.AnsweredLate {
+		return AttemptCounts{}, false
+	}
+	return AttemptCounts{
+		Attempts:      c.Attempts - o.Attempts,
+		Served:        c.Served - o.Served,
+		ConnectFailed: c.ConnectFailed - o.ConnectFailed,
+		TimedOut:      c.TimedOut - o.TimedOut,
+		Failed:        c.Failed - o.Failed,
+		Rejected:      c.Rejected - o.Rejected,
+		LatencyMicros: c.LatencyMicros - o.LatencyMicros,
+		AnsweredLate:  c.AnsweredLate - o.AnsweredLate,
+	}, true
+}
+
+// validate rejects a report that no honest process can send.
+func (r *Report) validate() error {
+	if len(r.Zones) > maxZones || len(r.Servers) > MaxReportedServers {
+		return errInvalidReport
+	}
+	for zone, c := range r.Zones {
+		if len(zone) > maxNameLength || !c.valid() {
+			return errInvalidReport
+		}
+	}
+	for _, s := range r.Servers {
+		if len(s.Zone) > maxNameLength || !s.valid() {
+			return errInvalidReport
+		}
+	}
+	return nil
+}
--- a/internal/fleet/sim_test.go
+++ b/internal/fleet/sim_test.go
@@ -7,14 +7,12 @@
 	"maps"
 	"math/rand/v2"
 	"slices"
-	"testing"
 	"time"
 
 	"github.com/anishathalye/porcupine"
 	"github.com/fxamacker/cbor/v2"
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
-	"pgregory.net/rapid"
 )
 
 // sim plays members on one virtual clock over ways that lose, delay, double and cut. A member can be stalled, killed and
@@ -349,67 +347,6 @@
 	return names
 }
 
-// playSchedule plays a random schedule of troubles.
-func playSchedule(t *rapid.T, s *sim) {
-	for i := range rapid.IntRange(3, 12).Draw(t, "troubles") {
-		m := s.members[rapid.IntRange(0, len(s.members)-1).Draw(t, "member")]
-		switch rapid.SampledFrom([]string{"kill", "wipe", "stall", "part", "oneway", "lossy", "slow", "heal", "full", "ask", "all"}).Draw(t, "what") {
-		case "kill":
-			m.down = true
-			s.after(time.Duration(rapid.IntRange(100, 4000).Draw(t, "back"))*time.Millisecond, func() {
-				if m.down {
-					s.start(m, true)
-				}
-			})
-		case "wipe":
-			if !m.down {
-				s.start(m, false)
-			}
-		case "stall":
-			m.stalledUntil = s.now + time.Duration(rapid.IntRange(100, 6000).Draw(t, "stall"))*time.Millisecond
-		case "part":
-			side := rapid.Uint64().Draw(t, "side")
-			for a := range s.members {
-				for b := range s.members {
-					s.cut[[2]int{a, b}] = side>>a&1 != side>>b&1
-				}
-			}
-		case "oneway":
-			other := rapid.IntRange(0, len(s.members)-1).Draw(t, "other")
-			s.cut[[2]int{m.index, other}] = true
-		case "lossy":
-			s.lossRate, s.duplication = 0.3, 0.2
-		case "slow":
-			s.delay = 300 * time.Millisecond
-		case "full":
-			m.diskFull = true
-		case "all":
-			keep := rapid.Bool().Draw(t, "keep")
-			for _, m := range s.members {
-				s.start(m, keep)
-			}
-		case "heal":
-			s.heal()
-		case "ask":
-			s.submit(m, fmt.Sprint("x", i))
-		}
-		s.run(time.Duration(rapid.IntRange(10, 1500).Draw(t, "then")) * time.Millisecond)
-		s.submit(s.members[rapid.IntRange(0, len(s.members)-1).Draw(t, "asks")], fmt.Sprint("y", i))
-	}
-}
-
-// No two plans of one epoch, no epoch that goes back, no founding beside another, and no lie about what is fresh, in random
-// schedules; and in the end, when all is well, all act on one plan. -rapid.checks=10000 for the long form.
-func TestSchedules(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		s := newSim(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(3, 7).Draw(t, "members"), 3)
-		s.run(4 * time.Second)
-		playSchedule(t, s)
-		s.checkConvergence()
-		s.checkOrder()
-	})
-}
-
 // dump tells how each member stands.
 func (s *sim) dump() {
 	for _, m := range s.members {
@@ -419,7 +356,7 @@
 		if v := n.voter; v != nil {
 			s.t.Logf("  %x, founding %d, promised %d, conf %x/%x, lead %x, term %d, %v, founds %d, whole %v, pending %v", v.identity,
 				v.generation, n.identity.Promised, v.confState.GetVoters(), v.confState.GetVotersOutgoing(), v.leader, v.term,
-				v.raftNode.BasicStatus().RaftState, n.startingGeneration, n.replacement != nil, v.pendingReady != nil)
+				v.raftNode.BasicStatus().RaftState, n.generationStart.number, n.replacement != nil, v.pendingReady != nil)
 		}
 	}
 }
--- /dev/null
+++ b/internal/fleet/status.go
@@ -0,0 +1,136 @@
+package fleet
+
+import (
+	"slices"
+	"time"
+)
+
+const (
+	statusPerPeer    = time.Millisecond // added to the status interval per peer, to bound what a voter receives
+	fullStatusPeriod = 3                // every third status goes to all voters, with servers
+)
+
+// Self returns this member's own status, without report and withdrawn machines.
+func (n *Node) Self() Status {
+	s := Status{
+		Zone:     n.config.Zone,
+		Region:   n.config.Region,
+		Epoch:    n.plan.Epoch,
+		Fresh:    n.Fresh(),
+		Leader:   n.leader,
+		GrantSeq: n.lease.grantSeq,
+	}
+	if n.identity != nil && n.replacement == nil {
+		s.Identity = n.identity.Identity
+		s.Generation = n.identity.Generation
+		s.Promised = n.identity.Promised
+		s.Term = n.voter.term
+		s.Voters = n.voter.confState.GetVoters()
+		s.OutgoingVoters = n.voter.confState.GetVotersOutgoing()
+	}
+	return s
+}
+
+// statusDueAfter is when the status after one at now is due. A voter's coincides with a tick of the log, to save a wakeup.
+func (n *Node) statusDueAfter(now time.Duration) time.Duration {
+	next := now + max(n.config.Status, time.Duration(len(n.peers.byName))*statusPerPeer)
+	if n.voter != nil {
+		tick := n.config.Tick
+		next = n.lastLogTick + (next-n.lastLogTick+tick/2)/tick*tick
+	}
+	return next
+}
+
+// sendStatuses sends this member's status to the leader. Every third one, and each while the view is not fresh, goes to all voters
+// and one other member, and reports servers too: they are most of its bytes, and no decision on them takes less than a second.
+func (n *Node) sendStatuses() {
+	status := n.Self()
+	if n.acknowledged != nil {
+		status.Withdrawn = n.acknowledged()
+	}
+	n.statusCount++
+	full := n.statusCount%fullStatusPeriod == 0 || !n.Fresh()
+	if n.reporter != nil {
+		status.Report = n.reporter(full)
+		n.observeOwn(status)
+	}
+	e := envelope{Status: &status}
+	n.stamp(&e)
+	n.lease.statusSent(n.seq, n.now)
+	b := encode(e)
+	if n.fenced {
+		return
+	}
+	if n.Leads() { // it answers itself
+		n.acceptGrant(n.grantFor(Peer{Name: n.config.Name, Status: status}, n.seq), n.seq, n.now)
+	}
+	for _, name := range n.statusReceivers(full) {
+		n.outbox = append(n.outbox, Message{name, b})
+	}
+}
+
+// observeOwn passes this member's own report on like a peer's.
+func (n *Node) observeOwn(status Status) {
+	if status.Report == nil || n.config.Observe == nil {
+		return
+	}
+	if delta, err := n.ownReports.delta(status.Report); err == nil {
+		n.config.Observe(n.now, Peer{Name: n.config.Name, Status: status}, delta)
+	}
+}
+
+// statusReceivers chooses to whom a status goes: the leader, or for a full one all known voters and one other member at random,
+// whatever gossip says of it, so that two halves of the fleet meet again as soon as any link works.
+func (n *Node) statusReceivers(full bool) (names []string) {
+	for _, v := range n.config.Voters {
+		if v != n.config.Name && n.peers.byName[v] != nil && (full || v == n.leader) {
+			names = append(names, v)
+		}
+	}
+	if full && len(n.peers.names) > 0 {
+		other := n.peers.names[n.rng.IntN(len(n.peers.names))]
+		if !slices.Contains(n.config.Voters, other) {
+			names = append(names, other)
+		}
+	}
+	return names
+}
+
+// handleStatus records a peer's status, and answers with what it lacks: a newer plan, and by the leader a grant.
+func (n *Node) handleStatus(p *Peer, e *envelope) {
+	if e.Seq <= p.statusSeq {
+		return // late, or duplicate
+	}
+	p.statusSeq = e.Seq
+	p.Status = *e.Status
+	p.LastStatusAt = n.now
+	p.HasStatus = true
+	n.observeReport(p)
+	switch {
+	case e.Status.Epoch.Less(n.plan.Epoch):
+		n.sendPlan(p)
+	case n.plan.Epoch.Less(e.Status.Epoch):
+		s := n.Self()
+		n.send(p.Name, envelope{Status: &s}) // to which it answers with its plan
+	}
+	if n.grantDue(p) {
+		p.lastGrantAt = n.now
+		n.send(p.Name, envelope{Grant: &grant{e.Seq, n.plan.Epoch, n.grantFor(*p, e.Seq)}})
+	}
+}
+
+// observeReport takes the report out of a peer's status, and passes on what it adds to those before.
+func (n *Node) observeReport(p *Peer) {
+	r := p.Status.Report
+	if r == nil {
+		return
+	}
+	delta, err := p.reports.delta(r)
+	if err != nil {
+		n.dropped++
+		n.emit(Fault, "%s: %v", p.Name, err)
+	} else if n.config.Observe != nil {
+		n.config.Observe(n.now, *p, delta)
+	}
+	p.Status.Report = nil
+}
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -3,127 +3,93 @@
 import (
 	"fmt"
 	"math/rand/v2"
-	"slices"
 
-	"github.com/fxamacker/cbor/v2"
 	"go.etcd.io/raft/v3"
 	"go.etcd.io/raft/v3/raftpb"
 	"google.golang.org/protobuf/proto"
 )
 
-// The log's clock, in ticks.
+// The log's clock, in ticks of Config.Tick.
 const (
-	electionTicks     = 6
-	heartbeatTicks    = 2
-	compactionReserve = 256 // behind which the log is compacted
+	electionTicks  = 6 // minimum election timeout; the maximum is twice that
+	heartbeatTicks = 2
 )
 
-// VoterState is what a voter needs after a restart; what a folder holds. All of it belongs to one identity and one founding.
-type VoterState struct {
-	Identity   uint64
-	Generation uint64 // 0: blank
-	Promised   uint64 // no older founding is heard
-	HardState  *raftpb.HardState
-	Snapshot   *raftpb.Snapshot // nil: none
-	Entries    []*raftpb.Entry  // behind the snapshot
-}
-
-// StorageUpdate is what has to be on the disk before anything that follows from it is said.
-type StorageUpdate struct {
-	Replacement *VoterState // if not nil, it replaces all that was kept
-	HardState   *raftpb.HardState
-	Snapshot    *raftpb.Snapshot // replaces all entries up to it
-	Entries     []*raftpb.Entry  // replace those of the same index and behind
-}
-
-// Equal reports whether both are what Persist gave for one state, and not for two.
-func (p StorageUpdate) Equal(o StorageUpdate) bool {
-	return p.Replacement == o.Replacement && p.HardState == o.HardState && p.Snapshot == o.Snapshot && slices.Equal(p.Entries, o.Entries)
-}
-
-func (p *StorageUpdate) empty() bool {
-	return p.Replacement == nil && p.HardState == nil && p.Snapshot == nil && len(p.Entries) == 0
-}
+// Bounds of raft's messages and log.
+const (
+	maxRaftMessageSize   = 64 << 10 // bytes of entries in one message
+	maxInflightMessages  = 64       // to one follower
+	maxUncommittedBytes  = 1 << 20
+	compactionReserve    = 256 // entries kept behind the applied one, for followers that lag
+	compactionHysteresis = 2 * compactionReserve
+)
 
-// voter is one voter's part of a log: raft's own code between a store in memory and a store on a disk, with elections of
-// its own, as raft draws its time-outs from a source that nobody can seed.
+// voter is one voter of a log: raft's RawNode over storage in memory, which the owner of the Node copies to stable storage.
+//
+// raft draws its randomized election timeouts from a source that can't be seeded. So a follower ticks without firing
+// (TickQuiesced), and the voter starts elections itself, by a countdown drawn from rng.
 type voter struct {
-	identity, generation uint64
-	raftNode             *raft.RawNode
-	store                *raft.MemoryStorage
-	rng                  *rand.Rand
-	plan                 Plan // applied
-	applied              uint64
-	confState            *raftpb.ConfState
-	ticksToElection      int // ticks until it calls an election
-	term, vote           uint64
-	leader               uint64
-	heardLeader          bool // the leader, since that was asked last
-	leading              bool
-	leaderReady          bool // it leads, and has applied an entry of its own term: all that was committed before
-
-	pendingReady *raft.Ready   // waits for what it needs to be kept
-	unpersisted  StorageUpdate // what that is
+	identity        uint64
+	generation      uint64
+	raftNode        *raft.RawNode
+	store           *raft.MemoryStorage
+	rng             *rand.Rand
+	ticksToElection int
+
+	// Applied state: it changes with committed entries and snapshots only.
+	plan      Plan
+	applied   uint64 // index
+	confState *raftpb.ConfState
+
+	term        uint64 // persisted
+	vote        uint64 // persisted
+	leader      uint64 // identity, by raft; 0: none
+	heardLeader bool   // a leader's message of the present term came since the Node last asked
+	leading     bool
+	leaderReady bool // leading, and an entry of the present term is applied: with it all that was committed before
+
+	pendingReady *raft.Ready   // waits until unpersisted is on stable storage
+	unpersisted  StorageUpdate // what pendingReady needs there, and snapshots that may go along
 	messages     []*raftpb.Message
 	committed    []committedChange
 }
 
-// committedChange is one entry that was applied.
+// committedChange is an applied entry that changes the plan, or failed to.
 type committedChange struct {
 	change change
 	err    error
-	epoch  Epoch
+	epoch  Epoch // of the plan after it
 }
 
-// discardLogger keeps raft's own lines out of the log: what matters is said by whoever owns the node.
-type discardLogger struct{}
-
-func (discardLogger) Debug(...any)              {}
-func (discardLogger) Debugf(string, ...any)     {}
-func (discardLogger) Error(...any)              {}
-func (discardLogger) Errorf(string, ...any)     {}
-func (discardLogger) Info(...any)               {}
-func (discardLogger) Infof(string, ...any)      {}
-func (discardLogger) Warning(...any)            {}
-func (discardLogger) Warningf(string, ...any)   {}
-func (discardLogger) Fatal(v ...any)            { panic(fmt.Sprint(v...)) }
-func (discardLogger) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
-func (discardLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
-func (discardLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
-
-// newGenerationState is the state of a log that begins with one voter and a plan.
-func newGenerationState(identity, founding uint64, p Plan) *VoterState {
-	return &VoterState{Identity: identity, Generation: founding, Promised: founding,
-		HardState: &raftpb.HardState{Term: proto.Uint64(1), Vote: proto.Uint64(0), Commit: proto.Uint64(1)},
-		Snapshot: &raftpb.Snapshot{Data: encode(p), Metadata: &raftpb.SnapshotMetadata{Index: proto.Uint64(1), Term: proto.Uint64(1),
-			ConfState: &raftpb.ConfState{Voters: []uint64{identity}}}}}
-}
-
-// newVoter goes on from what was saved.
+// newVoter returns a voter that goes on from a stored state.
 func newVoter(s *VoterState, rng *rand.Rand) (*voter, error) {
-	v := &voter{identity: s.Identity, generation: s.Generation, store: raft.NewMemoryStorage(), rng: rng, confState: &raftpb.ConfState{}}
-	v.plan.Epoch = Epoch{Generation: s.Generation}
-	if s.Snapshot != nil {
-		if err := v.store.ApplySnapshot(s.Snapshot); err != nil {
-			return nil, err
-		}
-		if err := v.restoreSnapshot(s.Snapshot); err != nil {
-			return nil, err
-		}
-	}
-	if s.HardState != nil {
-		if err := v.store.SetHardState(s.HardState); err != nil {
-			return nil, err
-		}
-		v.term, v.vote = s.HardState.GetTerm(), s.HardState.GetVote()
+	v := &voter{
+		identity:   s.Identity,
+		generation: s.Generation,
+		store:      raft.NewMemoryStorage(),
+		rng:        rng,
+		confState:  &raftpb.ConfState{},
 	}
-	if err := v.store.Append(s.Entries); err != nil {
+	v.plan.Epoch = Epoch{Generation: s.Generation}
+	if err := v.load(s); err != nil {
 		return nil, err
 	}
 	var err error
-	v.raftNode, err = raft.NewRawNode(&raft.Config{ID: s.Identity, ElectionTick: electionTicks, HeartbeatTick: heartbeatTicks,
-		Storage: v.store, Applied: v.applied, MaxSizePerMsg: 64 << 10, MaxInflightMsgs: 64, MaxUncommittedEntriesSize: 1 << 20,
-		CheckQuorum: true, PreVote: true, DisableProposalForwarding: true, StepDownOnRemoval: true, Logger: discardLogger{}})
+	v.raftNode, err = raft.NewRawNode(&raft.Config{
+		ID:                        s.Identity,
+		ElectionTick:              electionTicks,
+		HeartbeatTick:             heartbeatTicks,
+		Storage:                   v.store,
+		Applied:                   v.applied,
+		MaxSizePerMsg:             maxRaftMessageSize,
+		MaxInflightMsgs:           maxInflightMessages,
+		MaxUncommittedEntriesSize: maxUncommittedBytes,
+		CheckQuorum:               true, // a leader without a quorum steps down; leases depend on it
+		PreVote:                   true, // a voter behind a one-way link raises no terms
+		DisableProposalForwarding: true,
+		StepDownOnRemoval:         true,
+		Logger:                    discardLogger{},
+	})
 	if err != nil {
 		return nil, err
 	}
@@ -131,16 +97,27 @@
 	return v, nil
 }
 
-func (v *voter) restoreSnapshot(s *raftpb.Snapshot) error {
-	var p Plan
-	if err := cbor.Unmarshal(s.GetData(), &p); err != nil {
-		return fmt.Errorf("fleet: the plan in a snapshot: %w", err)
+// load fills the storage in memory from a stored state.
+func (v *voter) load(s *VoterState) error {
+	if s.Snapshot != nil {
+		if err := v.store.ApplySnapshot(s.Snapshot); err != nil {
+			return err
+		}
+		if err := v.restoreSnapshot(s.Snapshot); err != nil {
+			return err
+		}
+	}
+	if s.HardState != nil {
+		if err := v.store.SetHardState(s.HardState); err != nil {
+			return err
+		}
+		v.term = s.HardState.GetTerm()
+		v.vote = s.HardState.GetVote()
 	}
-	v.plan, v.applied, v.confState = p, s.GetMetadata().GetIndex(), s.GetMetadata().GetConfState()
-	return nil
+	return v.store.Append(s.Entries)
 }
 
-// resetElectionTimer puts its next election off.
+// resetElectionTimer draws the next election timeout, between one and two times electionTicks.
 func (v *voter) resetElectionTimer() { v.ticksToElection = electionTicks + v.rng.IntN(electionTicks) }
 
 // tick is one tick of the log's clock.
@@ -150,15 +127,15 @@
 		v.processReady()
 		return
 	}
-	v.raftNode.TickQuiesced() // it counts the time since it heard the leader, and calls no election
+	v.raftNode.TickQuiesced() // counts the time since the leader was heard, and starts no election
 	if v.ticksToElection--; v.ticksToElection <= 0 {
 		v.resetElectionTimer()
-		_ = v.raftNode.Campaign()
+		_ = v.raftNode.Campaign() // an error: it may not vote now
 	}
 	v.processReady()
 }
 
-// step hears a message of another voter.
+// step handles a message of another voter.
 func (v *voter) step(m *raftpb.Message) {
 	switch m.GetType() {
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
@@ -168,129 +145,51 @@
 		}
 	case raftpb.MsgHup, raftpb.MsgBeat, raftpb.MsgProp, raftpb.MsgCheckQuorum, raftpb.MsgUnreachable, raftpb.MsgSnapStatus,
 		raftpb.MsgStorageAppend, raftpb.MsgStorageAppendResp, raftpb.MsgStorageApply, raftpb.MsgStorageApplyResp:
-		return // what a voter says to itself alone
+		return // local messages of raft; no honest voter sends them
 	}
-	_ = v.raftNode.Step(m)
+	_ = v.raftNode.Step(m) // what raft rejects is ignored like a lost message
 	v.processReady()
 }
 
-// proposeChange asks for a change; only the leader's is taken.
+// proposeChange proposes a change of the plan; an error: this voter does not lead, or too much is uncommitted.
 func (v *voter) proposeChange(c change) error {
 	err := v.raftNode.Propose(encode(c))
 	v.processReady()
 	return err
 }
 
-// proposeVoters takes voters in and out.
-func (v *voter) proposeVoters(out, in []uint64) error {
+// proposeVoters proposes to remove and add voters in one joint change.
+func (v *voter) proposeVoters(remove, add []uint64) error {
 	c := &raftpb.ConfChangeV2{}
-	for _, id := range out {
-		c.Changes = append(c.Changes, &raftpb.ConfChangeSingle{Type: raftpb.ConfChangeRemoveNode.Enum(), NodeId: proto.Uint64(id)})
-	}
-	for _, id := range in {
-		c.Changes = append(c.Changes, &raftpb.ConfChangeSingle{Type: raftpb.ConfChangeAddNode.Enum(), NodeId: proto.Uint64(id)})
+	for _, id := range remove {
+		c.Changes = append(c.Changes, &raftpb.ConfChangeSingle{
+			Type:   raftpb.ConfChangeRemoveNode.Enum(),
+			NodeId: proto.Uint64(id),
+		})
+	}
+	for _, id := range add {
+		c.Changes = append(c.Changes, &raftpb.ConfChangeSingle{
+			Type:   raftpb.ConfChangeAddNode.Enum(),
+			NodeId: proto.Uint64(id),
+		})
 	}
 	err := v.raftNode.ProposeConfChange(c)
 	v.processReady()
 	return err
 }
 
-// processReady takes what raft has ready; what has to be kept first waits for kept.
-func (v *voter) processReady() {
-	for v.pendingReady == nil && v.raftNode.HasReady() {
-		rd := v.raftNode.Ready()
-		v.pendingReady = &rd
-		if rd.SoftState != nil {
-			v.leader, v.leading = rd.SoftState.Lead, rd.SoftState.RaftState == raft.StateLeader
-			v.leaderReady = v.leaderReady && v.leading
-		}
-		v.unpersisted.HardState, v.unpersisted.Entries = rd.HardState, rd.Entries
-		if !raft.IsEmptySnap(rd.Snapshot) {
-			v.unpersisted.Snapshot = rd.Snapshot
-		}
-		if v.unpersisted.empty() {
-			v.persisted()
-		}
-	}
-}
-
-// persisted tells that what was to be persisted is: what follows from it may be said and done.
-func (v *voter) persisted() {
-	rd := v.pendingReady
-	if rd == nil {
-		return
-	}
-	v.unpersisted = StorageUpdate{}
-	if !raft.IsEmptySnap(rd.Snapshot) {
-		if err := v.store.ApplySnapshot(rd.Snapshot); err == nil {
-			if err := v.restoreSnapshot(rd.Snapshot); err != nil {
-				panic(err.Error()) // the leader committed it
-			}
-		}
-	}
-	if rd.HardState != nil {
-		_ = v.store.SetHardState(rd.HardState)
-		if vote := rd.HardState.GetVote(); vote != v.vote && vote != 0 {
-			v.resetElectionTimer() // it has given its vote, and waits for what becomes of it
-		}
-		v.term, v.vote = rd.HardState.GetTerm(), rd.HardState.GetVote()
-	}
-	if err := v.store.Append(rd.Entries); err != nil {
-		panic("fleet: " + err.Error()) // raft hands them over in their order
-	}
-	v.messages = append(v.messages, rd.Messages...)
-	for _, e := range rd.CommittedEntries {
-		v.apply(e)
-	}
-	v.pendingReady = nil
-	v.raftNode.Advance(*rd)
-	v.compact()
-	v.processReady()
-}
-
-func (v *voter) apply(e *raftpb.Entry) {
-	v.applied = e.GetIndex()
-	v.leaderReady = v.leading && e.GetTerm() == v.term
-	switch e.GetType() {
-	case raftpb.EntryConfChangeV2:
-		var c raftpb.ConfChangeV2
-		v.applyConfChange(&c, proto.Unmarshal(e.Data, &c))
-	case raftpb.EntryConfChange:
-		var c raftpb.ConfChange
-		v.applyConfChange(&c, proto.Unmarshal(e.Data, &c))
-	default:
-		var c change
-		if len(e.Data) == 0 || cbor.Unmarshal(e.Data, &c) != nil {
-			return // a leader's first entry; a change is the leader's own, and can be read
-		}
-		next, err := v.plan.apply(c, Epoch{v.generation, e.GetIndex()})
-		v.plan = next
-		v.committed = append(v.committed, committedChange{c, err, next.Epoch})
-	}
-}
-
-// applyConfChange applies a change of the voters, unless it could not be read.
-func (v *voter) applyConfChange(c raftpb.ConfChangeI, err error) {
-	if err == nil {
-		v.confState = v.raftNode.ApplyConfChange(c)
-		v.createSnapshot()
-	}
-}
-
-// createSnapshot has what a voter that is far behind gets be of now. A new voter takes none that does not name it, so each change
-// of the voters makes one.
-func (v *voter) createSnapshot() {
-	if s, err := v.store.CreateSnapshot(v.applied, v.confState, encode(v.plan)); err == nil {
-		v.unpersisted.Snapshot = s // with the next that is kept; until then the disk has the entries
-	}
-}
+// discardLogger drops raft's log lines: what matters to operators is an Event.
+type discardLogger struct{}
 
-// compact drops entries that are long applied.
-func (v *voter) compact() {
-	first, err := v.store.FirstIndex()
-	if err != nil || v.applied < first+2*compactionReserve {
-		return
-	}
-	v.createSnapshot()
-	_ = v.store.Compact(v.applied - compactionReserve)
-}
+func (discardLogger) Debug(...any)              {}
+func (discardLogger) Debugf(string, ...any)     {}
+func (discardLogger) Error(...any)              {}
+func (discardLogger) Errorf(string, ...any)     {}
+func (discardLogger) Info(...any)               {}
+func (discardLogger) Infof(string, ...any)      {}
+func (discardLogger) Warning(...any)            {}
+func (discardLogger) Warningf(string, ...any)   {}
+func (discardLogger) Fatal(v ...any)            { panic(fmt.Sprint(v...)) }
+func (discardLogger) Fatalf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
+func (discardLogger) Panic(v ...any)            { panic(fmt.Sprint(v...)) }
+func (discardLogger) Panicf(f string, v ...any) { panic(fmt.Sprintf(f, v...)) }
