--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -70,7 +70,7 @@
 }
 
 // TestGoldenLog freezes the entry of the log, which voters store and send; the plan, which snapshots and members have; and the
-// sections and operators' words of this package.
+// sections and operators' notes of this package.
 func TestGoldenLog(t *testing.T) {
 	goldenCBOR(t, "change.cbor", change{Base: Epoch{31, 32}, Set: map[string]cbor.RawMessage{"work": {0x81, 5}}, ID: "g1/a/7"}, cbor.Unmarshal)
 	goldenCBOR(t, "change-removes.cbor", change{Base: Epoch{33, 34}, Set: map[string]cbor.RawMessage{"freeze": {cborNull}}, ID: "g1/a/8"}, cbor.Unmarshal)
@@ -88,7 +88,7 @@
 	}
 }
 
-// TestGoldenSections freezes the names of the sections, the calls, and the digest of a plan, and reads each section by its name.
+// TestGoldenSections freezes the names of the sections, the commands, and the digest of a plan, and reads each section by its name.
 func TestGoldenSections(t *testing.T) {
 	p := Plan{Epoch: Epoch{11, 12}, Sections: map[string]cbor.RawMessage{"voters": golden.Read(t, "voters.cbor"), "freeze": golden.Read(t, "mark.cbor")}}
 	if m, ok := p.Frozen(); !ok || m != goldenMark {
@@ -101,7 +101,7 @@
 		t.Errorf("digest: %#x", got)
 	}
 	if got := slices.Sorted(maps.Keys(FreezeCommands())); !slices.Equal(got, []string{"freeze", "thaw"}) {
-		t.Error("calls:", got)
+		t.Error("commands:", got)
 	}
 	set, err := FreezeCommands()["freeze"](&Plan{}, golden.Read(t, "said.cbor"), 1700000000123)
 	if err != nil || !reflect.DeepEqual(set, map[string]cbor.RawMessage{"freeze": encode(OperatorMark{"bob", "day", 1700000000123})}) {
@@ -113,8 +113,8 @@
 	}
 }
 
-// TestGoldenFounded freezes the snapshot with which a log begins, as voters store and send it.
-func TestGoldenFounded(t *testing.T) {
+// TestGoldenNewGeneration freezes the snapshot with which a log begins, as voters store and send it.
+func TestGoldenNewGeneration(t *testing.T) {
 	s := newGenerationState(21, 22, goldenPlan)
 	golden.Compare(t, "plan.cbor", s.Snapshot.GetData())
 	var v voter
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -10,13 +10,13 @@
 	"pgregory.net/rapid"
 )
 
-// violation is what a sim says when a promise is broken.
+// violation is an invariant that a sim found violated; it stands in for the test.
 type violation struct{ text string }
 
 func (f *violation) Fatalf(format string, a ...any) { f.text = fmt.Sprintf(format, a...); panic(f) }
 func (f *violation) Logf(string, ...any)            {}
 
-// findViolation plays until a promise is broken, and says which.
+// findViolation runs play until an invariant is violated, and returns which; empty: none was.
 func findViolation(play func(f *violation)) (text string) {
 	f := &violation{}
 	defer func() {
@@ -29,14 +29,14 @@
 	return ""
 }
 
-// A guard that is taken out on purpose is found: a voter that lost its folder and votes as if it had not.
-func TestPlantedForgetfulVoter(t *testing.T) {
+// The checks find a planted fault: a voter that lost its storage and votes under its old identity.
+func TestPlantedReusedIdentityIsFound(t *testing.T) {
 	for seed := range uint64(400) {
 		text := findViolation(func(f *violation) {
 			s := newSim(f, seed, 3, 3)
 			s.run(4 * time.Second)
 			s.reuseIdentity = true
-			for i := range 30 { // one side settles; a voter forgets, and helps the other to settle
+			for i := range 30 { // one side commits; a voter loses its storage, and helps the other side commit
 				a := i % 3
 				s.heal()
 				s.run(1500 * time.Millisecond)
@@ -59,12 +59,12 @@
 			}
 		})
 		if strings.Contains(text, "another plan of epoch") || strings.Contains(text, "goes back") || strings.Contains(text, "fresh") ||
-			strings.Contains(text, "founding") {
+			strings.Contains(text, "after a plan of generation") {
 			t.Logf("seed %d: %s", seed, text)
 			return
 		}
 	}
-	t.Error("it is not found")
+	t.Error("the fault is not found")
 }
 
 // convergedSim is a fleet that has a leader and a plan.
@@ -74,7 +74,7 @@
 	s.submit(s.members[0], "first")
 	s.run(time.Second)
 	if len(s.leaders()) != 1 || len(s.members[0].epochs) != 1 {
-		t.Fatalf("leaders %v, settled %v", s.leaders(), s.members[0].epochs)
+		t.Fatalf("leaders %v, epochs %v", s.leaders(), s.members[0].epochs)
 	}
 	return s
 }
@@ -88,24 +88,24 @@
 	return nil
 }
 
-// What porcupine is told is judged: an ask that is settled under an older epoch than one that ended before it began is found.
-func TestPlantedOrder(t *testing.T) {
+// The checks find a command that took effect under an older epoch than one that ended before it was submitted.
+func TestPlantedOrderIsFound(t *testing.T) {
 	text := findViolation(func(f *violation) {
 		s := newSim(f, 1, 3, 3)
 		s.history = []porcupine.Operation{{Call: 0, Output: Epoch{1, 5}, Return: 10}, {Call: 20, Output: Epoch{1, 4}, Return: 30}}
 		s.checkOrder()
 	})
 	if text == "" {
-		t.Error("it is not found")
+		t.Error("the fault is not found")
 	}
 }
 
-func TestLeaderStallsAndWakes(t *testing.T) {
+func TestStalledLeaderStepsDown(t *testing.T) {
 	s := convergedSim(t, 6, 3)
 	old := s.leader()
 	old.stalledUntil = s.now + 6*time.Second
 	s.run(3 * time.Second)
-	if l := s.leaders(); len(l) != 2 { // the stalled one still thinks so
+	if l := s.leaders(); len(l) != 2 { // the stalled one does not know better yet
 		t.Fatalf("leaders %v", l)
 	}
 	for _, m := range s.members {
@@ -116,9 +116,9 @@
 	}
 	s.run(2900 * time.Millisecond)
 	if s.newest == old.node.plan.Epoch {
-		t.Fatal("nothing was settled meanwhile")
+		t.Fatal("nothing was committed meanwhile")
 	}
-	s.run(200 * time.Millisecond) // it wakes, hears what lay in its sockets, and then the time
+	s.run(200 * time.Millisecond) // it wakes, reads its sockets, and then its timers fire
 	if old.node.Leads() {
 		t.Error("it still leads")
 	}
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestSmallSideSettlesNothing(t *testing.T) {
+func TestMinorityCommitsNothing(t *testing.T) {
 	s := convergedSim(t, 6, 3)
 	small := []*member{s.leader(), s.members[5]}
 	for _, a := range small {
@@ -148,7 +148,7 @@
 	}
 	s.run(9 * time.Second)
 	if len(small[0].failures) != 1 || small[0].node.Fresh() || small[1].node.Fresh() {
-		t.Errorf("the small side: told %v, fresh %v and %v", small[0].failures, small[0].node.Fresh(), small[1].node.Fresh())
+		t.Errorf("the minority: failures %v, fresh %v and %v", small[0].failures, small[0].node.Fresh(), small[1].node.Fresh())
 	}
 	s.heal()
 	healed := s.now
@@ -169,7 +169,7 @@
 	}
 }
 
-func TestNamesakeIsFenced(t *testing.T) {
+func TestEarlierNamesakeIsFenced(t *testing.T) {
 	s := convergedSim(t, 4, 3)
 	m := s.members[3]
 	later := m.config
@@ -183,13 +183,13 @@
 	n.Tick(s.now+simStatus, s.unix())
 	sends, _ := n.TakeOutput()
 	if len(sends) == 0 {
-		t.Fatal("it says nothing")
+		t.Fatal("it sends nothing")
 	}
 	m.node.Step(s.now, s.unix(), sends[0].Data)
 	if _, said := m.node.TakeOutput(); len(said) != 1 || said[0].Kind != Fenced || m.node.Fresh() {
-		t.Errorf("said %+v, fresh %v", said, m.node.Fresh())
+		t.Errorf("events %+v, fresh %v", said, m.node.Fresh())
 	}
-	// The two may never hear each other: then others tell the earlier one.
+	// The two may never reach each other: then other members inform the earlier one.
 	other := s.members[2]
 	other.node.Step(s.now, s.unix(), sends[0].Data)
 	other.node.TakeOutput()
@@ -204,11 +204,11 @@
 	}
 	m.node.Tick(s.now+time.Second, s.unix())
 	if sends, _ := m.node.TakeOutput(); len(sends) > 0 {
-		t.Error("it goes on talking")
+		t.Error("it sends on")
 	}
 }
 
-func TestWhatIsPassedOver(t *testing.T) {
+func TestUnusableMessagesAreDropped(t *testing.T) {
 	s := convergedSim(t, 3, 3)
 	m := s.members[1].node
 	from := func(change func(*envelope)) []byte {
@@ -229,21 +229,21 @@
 		before := m.Dropped()
 		m.Step(s.now, s.unix(), b)
 		if m.Dropped() != before+1 {
-			t.Errorf("%s: %d passed over", name, m.Dropped()-before)
+			t.Errorf("%s: %d dropped", name, m.Dropped()-before)
 		}
 		m.TakeOutput()
 	}
 	status := from(func(e *envelope) { e.Seq, e.Status = 5, &Status{Epoch: Epoch{1, 1}} })
 	m.Step(s.now, s.unix(), status)
-	m.Step(s.now, s.unix(), from(func(e *envelope) { e.Seq, e.Status = 5, &Status{Epoch: Epoch{1, 2}} })) // doubled: the same number
+	m.Step(s.now, s.unix(), from(func(e *envelope) { e.Seq, e.Status = 5, &Status{Epoch: Epoch{1, 2}} })) // duplicate: the same number
 	m.Step(s.now, s.unix(), from(func(e *envelope) { e.StartedAt, e.Seq, e.Status = 8, 7, &Status{Epoch: Epoch{1, 3}} }))
 	if p := m.peers.byName["m09"]; p.Status.Epoch != (Epoch{1, 1}) {
-		t.Errorf("a doubled status, or one of an earlier life, counts: %v", p.Status.Epoch)
+		t.Errorf("a duplicate status, or one of an earlier process, counts: %v", p.Status.Epoch)
 	}
 }
 
-// What reports add up to is the same however they are lost, late and doubled.
-func TestReportsAddUp(t *testing.T) {
+// The differences of reports add up to the counters, however reports are lost, late and duplicated.
+func TestReportDeltasAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var s reportBaseline
 		sum, now := AttemptCounts{}, AttemptCounts{}
@@ -271,7 +271,7 @@
 	})
 }
 
-func TestFullDiskHalts(t *testing.T) {
+func TestFullDiskHaltsTheVoter(t *testing.T) {
 	s := convergedSim(t, 3, 3)
 	old := s.leader()
 	old.diskFull = true
@@ -283,7 +283,7 @@
 	s.checkConvergence()
 }
 
-// Bytes a member do not grow with the fleet, but for the voters, who hear all; and a change is soon known everywhere.
+// Bytes per member do not grow with the fleet, except at voters, which receive every status; and a change reaches all members soon.
 func TestLargeFleets(t *testing.T) {
 	each := map[int]float64{}
 	sizes := []int{30, 300, 1000}
@@ -329,7 +329,7 @@
 		}
 	}
 	if each[sizes[len(sizes)-1]] > 1.3*each[30] {
-		t.Errorf("it grows with the fleet: %v", each)
+		t.Errorf("bytes per member grow with the fleet: %v", each)
 	}
 }
 
--- a/internal/fleet/report_test.go
+++ b/internal/fleet/report_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A member meets all servers of the largest fleet, again and again: of what it reports of each nothing is counted twice.
-func TestManyServersOfAMember(t *testing.T) {
+// Reports that cycle through all servers of the largest fleet count no attempt twice.
+func TestReportsOfManyServers(t *testing.T) {
 	const servers, rounds = 3200, 3
 	var s reportBaseline
 	counted := map[uint32]uint64{}
--- a/internal/fleet/schedule_test.go
+++ b/internal/fleet/schedule_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-// playSchedule plays a random schedule of troubles.
+// playSchedule injects random faults.
 func playSchedule(t *rapid.T, s *sim) {
 	for i := range rapid.IntRange(3, 12).Draw(t, "troubles") {
 		m := s.members[rapid.IntRange(0, len(s.members)-1).Draw(t, "member")]
@@ -57,8 +57,8 @@
 	}
 }
 
-// No two plans of one epoch, no epoch that goes back, no founding beside another, and no lie about what is fresh, in random
-// schedules; and in the end, when all is well, all act on one plan. -rapid.checks=10000 for the long form.
+// In random schedules no two plans share an epoch, no member goes back, no two generations commit side by side, no stale view is fresh;
+// and once all is healed, all members act on one plan. -rapid.checks=10000 for the long form.
 func TestSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(3, 7).Draw(t, "members"), 3)
--- a/internal/fleet/sim_test.go
+++ b/internal/fleet/sim_test.go
@@ -15,8 +15,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// sim plays members on one virtual clock over ways that lose, delay, double and cut. A member can be stalled, killed and
-// started again with or without its folder. It checks the promises at every step.
+// sim runs members on one virtual clock, over links that lose, delay, duplicate and are cut. Members can be stalled, killed, and
+// restarted with or without their storage. It checks the fleet's invariants at each step.
 type sim struct {
 	t           fataler
 	rng         *rand.Rand
@@ -33,8 +33,8 @@
 	committedPlans   map[Epoch][]byte
 	committedAt      map[Epoch]time.Duration
 	newest           Epoch
-	newestGeneration uint64 // the newest founding in which a leader settled something
-	reuseIdentity    bool   // planted: a voter that lost its folder votes under its old identity
+	newestGeneration uint64 // in which a plan was committed
+	reuseIdentity    bool   // planted fault: a voter that lost its storage keeps its identity
 	incarnations     int64
 	history          []porcupine.Operation
 }
@@ -49,14 +49,14 @@
 	config       Config
 	node         *Node
 	disk         *VoterState
-	diskFull     bool // the disk takes nothing
+	diskFull     bool // writes don't complete
 	down         bool
-	stalledUntil time.Duration // until then
-	inbox        [][]byte      // while it is stalled
+	stalledUntil time.Duration
+	inbox        [][]byte      // of a stalled process
 	epoch        Epoch
 	failures     []error
 	sent         int
-	epochs       []Epoch // that asks were settled under
+	epochs       []Epoch // in which its commands took effect
 }
 
 type simEvent struct {
@@ -102,7 +102,7 @@
 	return s
 }
 
-// freezeAlways is a decider that always changes something.
+// freezeAlways is a command handler that always changes the plan.
 func freezeAlways(p *Plan, args []byte, unix int64) (map[string]cbor.RawMessage, error) {
 	return map[string]cbor.RawMessage{SectionFreeze: encode(OperatorMark{Reason: string(args), At: unix})}, nil
 }
@@ -112,7 +112,7 @@
 	heap.Push(&s.events, simEvent{s.now + d, s.eventCount, do})
 }
 
-// start begins a life of a member, with its folder or without.
+// start starts a new process of a member, with its storage or without.
 func (s *sim) start(m *member, keep bool) {
 	s.incarnations++
 	m.config.StartedAt, m.config.Incarnation = s.incarnations, s.rng.Uint64()
@@ -135,16 +135,16 @@
 			n.SetAlive(o.config.Name, true)
 		}
 	}
-	life := m.config.Incarnation
+	process := m.config.Incarnation
 	var tick func()
 	tick = func() {
-		if m.down || m.config.Incarnation != life {
+		if m.down || m.config.Incarnation != process {
 			return
 		}
 		if s.now >= m.stalledUntil {
 			inbox := m.inbox
 			m.inbox = nil
-			for _, b := range inbox { // what lay in the sockets of a process that wakes, before its timers
+			for _, b := range inbox { // a process that wakes reads its sockets before its timers fire
 				m.node.Step(s.now, s.unix(), b)
 				s.drive(m)
 			}
@@ -158,33 +158,33 @@
 
 func (s *sim) unix() int64 { return 1_700_000_000_000 + int64(s.now/time.Millisecond) }
 
-// drive keeps, sends and checks what a member has ready.
+// drive stores and sends what a member has ready, and checks it.
 func (s *sim) drive(m *member) {
 	for {
-		p, some := m.node.PendingStorage()
-		if !some || m.diskFull {
+		update, pending := m.node.PendingStorage()
+		if !pending || m.diskFull {
 			break
 		}
-		m.persist(p)
+		m.persist(update)
 		m.node.Persisted()
 	}
-	sends, said := m.node.TakeOutput()
-	for _, e := range said {
+	messages, events := m.node.TakeOutput()
+	for _, e := range events {
 		if e.Kind == PlanChanged {
 			s.checkPlan(m, *e.Plan)
 		}
 	}
-	for _, x := range sends {
+	for _, x := range messages {
 		m.sent += len(x.Data)
 		to := slices.IndexFunc(s.members, func(o *member) bool { return o.config.Name == x.To })
 		if to < 0 {
 			s.t.Fatalf("%s sends to %q", m.config.Name, x.To)
 		}
-		many := 1
+		copies := 1
 		if s.rng.Float64() < s.duplication {
-			many = 2
+			copies = 2
 		}
-		for range many {
+		for range copies {
 			if s.cut[[2]int{m.index, to}] || s.rng.Float64() < s.lossRate {
 				continue
 			}
@@ -207,7 +207,7 @@
 	}
 }
 
-// persist is the disk.
+// persist applies a write to the member's disk.
 func (m *member) persist(p StorageUpdate) {
 	if p.Replacement != nil {
 		m.disk = p.Replacement
@@ -234,7 +234,7 @@
 	m.disk = &d
 }
 
-// checkPlan checks that no two plans have one epoch, and that nothing is settled in a founding after a newer one settled.
+// checkPlan checks that one epoch has one plan, that a generation commits nothing after a newer one did, and that no member goes back.
 func (s *sim) checkPlan(m *member, p Plan) {
 	b := planBytes(p)
 	if old, ok := s.committedPlans[p.Epoch]; ok && !bytes.Equal(old, b) {
@@ -242,7 +242,7 @@
 	} else if !ok {
 		s.committedPlans[p.Epoch], s.committedAt[p.Epoch] = b, s.now
 		if p.Epoch.Generation < s.newestGeneration {
-			s.t.Fatalf("%v: %v was settled after something of founding %d", s.now, p.Epoch, s.newestGeneration)
+			s.t.Fatalf("%v: %v was committed after a plan of generation %d", s.now, p.Epoch, s.newestGeneration)
 		}
 		s.newestGeneration = max(s.newestGeneration, p.Epoch.Generation)
 		if s.newest.Less(p.Epoch) {
@@ -263,8 +263,8 @@
 	return b
 }
 
-// checkFreshness: a view that calls itself fresh misses nothing that was settled longer ago than its lease, and the time that a
-// leader may not know that it is none any more.
+// checkFreshness checks that a fresh view lacks no plan that was committed longer ago than the lease plus the time within which a
+// leader without a quorum steps down.
 func (s *sim) checkFreshness(m *member) {
 	if !m.node.Fresh() || s.newest == m.node.plan.Epoch {
 		return
@@ -272,12 +272,12 @@
 	old := s.now - simLease - 2*electionTicks*simTick - 2*simTick
 	for e, at := range s.committedAt {
 		if at < old && m.node.plan.Epoch.Less(e) {
-			s.t.Fatalf("%v: %s calls %v fresh, and %v was settled at %v", s.now, m.config.Name, m.node.plan.Epoch, e, at)
+			s.t.Fatalf("%v: %s calls %v fresh, and %v was committed at %v", s.now, m.config.Name, m.node.plan.Epoch, e, at)
 		}
 	}
 }
 
-// run plays for a while.
+// run runs the members for a time.
 func (s *sim) run(d time.Duration) {
 	end := s.now + d
 	for len(s.events) > 0 && s.events[0].at <= end {
@@ -288,24 +288,24 @@
 	s.now = end
 }
 
-// submit has a member want something settled.
+// submit submits a command at a member.
 func (s *sim) submit(m *member, what string) {
 	if m.down || s.now < m.stalledUntil {
 		return
 	}
-	began := s.now
+	submitted := s.now
 	m.node.Submit(s.now, s.unix(), "freeze", []byte(what), func(e Epoch, err error) {
 		if err != nil {
 			m.failures = append(m.failures, err)
 			return
 		}
 		m.epochs = append(m.epochs, e)
-		s.history = append(s.history, porcupine.Operation{ClientId: m.index, Input: what, Call: int64(began), Output: e, Return: int64(s.now)})
+		s.history = append(s.history, porcupine.Operation{ClientId: m.index, Input: what, Call: int64(submitted), Output: e, Return: int64(s.now)})
 	})
 	s.drive(m)
 }
 
-// heal makes all well again, and starts what is dead.
+// heal repairs links, disks and stalls, and restarts members that are down.
 func (s *sim) heal() {
 	clear(s.cut)
 	s.lossRate, s.duplication, s.delay = 0, 0, 5*time.Millisecond
@@ -317,7 +317,7 @@
 	}
 }
 
-// settle checks that all come to one epoch under one leader, and that something can be settled.
+// checkConvergence heals everything and checks that all members reach one epoch under one leader, and that a command takes effect.
 func (s *sim) checkConvergence() {
 	s.heal()
 	s.run(10 * time.Second)
@@ -326,7 +326,7 @@
 	s.run(2 * time.Second)
 	if len(s.members[0].epochs) != before+1 {
 		s.dump()
-		s.t.Fatalf("all is well, and nothing can be settled: %v; leaders %v", s.members[0].failures, s.leaders())
+		s.t.Fatalf("nothing can be committed on healthy links: %v; leaders %v", s.members[0].failures, s.leaders())
 	}
 	if l := s.leaders(); len(l) != 1 {
 		s.t.Fatalf("leaders %v", l)
@@ -347,22 +347,22 @@
 	return names
 }
 
-// dump tells how each member stands.
+// dump logs the state of each member.
 func (s *sim) dump() {
 	for _, m := range s.members {
 		n := m.node
-		s.t.Logf("%v %s: %v, leader %q %v ago, fresh %v, dead %v, fenced %v", s.now, n.config.Name, n.plan.Epoch, n.leader, n.now-n.leaderHeardAt,
+		s.t.Logf("%v %s: %v, leader %q %v ago, fresh %v, down %v, fenced %v", s.now, n.config.Name, n.plan.Epoch, n.leader, n.now-n.leaderHeardAt,
 			n.Fresh(), m.down, n.fenced)
 		if v := n.voter; v != nil {
-			s.t.Logf("  %x, founding %d, promised %d, conf %x/%x, lead %x, term %d, %v, founds %d, whole %v, pending %v", v.identity,
+			s.t.Logf("  %x, generation %d, promised %d, conf %x/%x, lead %x, term %d, %v, starting generation %d, replacement %v, pending %v", v.identity,
 				v.generation, n.identity.Promised, v.confState.GetVoters(), v.confState.GetVotersOutgoing(), v.leader, v.term,
 				v.raftNode.BasicStatus().RaftState, n.generationStart.number, n.replacement != nil, v.pendingReady != nil)
 		}
 	}
 }
 
-// epochOrderModel are histories of asks as porcupine judges them: each that is settled takes an epoch above all that were settled
-// before it began.
+// epochOrderModel is the specification of commands for porcupine: each takes effect in an epoch above those of all commands that
+// ended before it was submitted.
 var epochOrderModel = porcupine.Model{
 	Init: func() any { return Epoch{} },
 	Step: func(state, _, output any) (bool, any) {
@@ -371,9 +371,9 @@
 	},
 }
 
-// checkOrder checks the asks of a schedule. One that was told of no quorum may or may not have been settled, and is left out.
+// checkOrder checks the commands of a schedule. One that ended with ErrNoQuorum may or may not have taken effect, and is left out.
 func (s *sim) checkOrder() {
 	if !porcupine.CheckOperations(epochOrderModel, s.history) {
-		s.t.Fatalf("asks were settled in no order: %+v", s.history)
+		s.t.Fatalf("commands took effect in no order: %+v", s.history)
 	}
 }
