--- /dev/null
+++ b/internal/core/actions.go
@@ -0,0 +1,68 @@
+package core
+
+import (
+	"container/heap"
+	"fmt"
+	"time"
+
+	"go.uber.org/zap"
+
+	dw "dewhitch"
+	"dewhitch/internal/ledger"
+)
+
+// Ledger events by the module's reasons.
+var (
+	rejectionEvents = map[dw.Reason]ledger.Event{
+		dw.ReasonInvalid:   ledger.PlanRefusedUnusable,
+		dw.ReasonQuota:     ledger.PlanRefusedQuota,
+		dw.ReasonCeiling:   ledger.PlanRefusedCeiling,
+		dw.ReasonOverload:  ledger.PlanRefusedServers,
+		dw.ReasonExhausted: ledger.PlanRefusedGaveUp,
+	}
+	failureEvents = map[dw.Reason]ledger.Event{
+		dw.ReasonExhausted:     ledger.PlanFailedGaveUp,
+		dw.ReasonCounterUnread: ledger.PlanFailedUnread,
+	}
+)
+
+// carryOut carries out one action of the module; now is when the module was asked.
+func (p *Planner) carryOut(now time.Time, action dw.Action) {
+	switch a := action.(type) {
+	case dw.StartAttempt:
+		p.startAttempt(now, a)
+	case dw.CancelAttempt:
+		p.backends.Cancel(a.Request, a.Attempt)
+	case dw.Reject:
+		p.reject(a)
+	case dw.Fail:
+		p.fail(a)
+	case dw.LimitAnswer:
+		p.answer(a.Request, ledger.PlanServed, Answer{Limit: &a})
+	case dw.AdjustAnswer:
+		p.answer(a.Request, ledger.PlanServed, Answer{Units: a.Units})
+	case dw.TallyChanged:
+		p.recordTally(a)
+	case dw.SetTimer:
+		heap.Push(&p.timers, a)
+	case dw.CounterAdd:
+		p.addToCounter(now, a)
+	case dw.SubscribeEndpoints: // discovery is subscribed at all times
+	default:
+		p.log.Error("no such action on this platform", zap.String("action", fmt.Sprintf("%T", a)))
+	}
+}
+
+func (p *Planner) reject(a dw.Reject) {
+	p.answer(a.Request, rejectionEvents[a.Reason], Answer{Result: ResultRejected, RetryAfter: time.Duration(a.RetryAfter)})
+}
+
+func (p *Planner) fail(a dw.Fail) {
+	p.answer(a.Request, failureEvents[a.Reason], Answer{Result: ResultFailed})
+}
+
+// recordTally posts units that the module has added to a customer's tally, or taken off.
+func (p *Planner) recordTally(a dw.TallyChanged) {
+	p.recorder.Post(ledger.Posting{Event: ledger.UnitsDrawn, Key: ledger.Account(uint64(a.Customer)),
+		Units: ledger.MicroUnits(a.Units)})
+}
--- a/internal/core/inbox.go
+++ b/internal/core/inbox.go
@@ -6,52 +6,61 @@
 	"time"
 )
 
-// The bounds of what waits for the planner, by queue. Whoever posts beyond them waits; a client's session reads no more
-// meanwhile. A request with a body of 64 KiB takes as much, so that arrivals take 16 MB at most.
+// Capacities of the inbox's queues, in messages. Whoever posts to a full queue waits; a client's session reads nothing
+// meanwhile.
 const (
-	newsSize    = 16
-	controlSize = 8
-	outcomeSize = 512
-	arrivalSize = 256
+	endpointsQueueSize = 16
+	controlQueueSize   = 8
+	outcomeQueueSize   = 512
+	arrivalQueueSize   = 256 // 16 MiB at most, with bodies of 64 KiB
 )
 
-// arrivalPatience is how long a request waits for room in its queue before it is refused: a gateway that is asked for more
-// than it can decide on says so early, and cheaply.
+// arrivalPatience is how long a request waits for capacity in its queue before it is rejected: an overloaded gateway
+// rejects early, at little cost.
 const arrivalPatience = 100 * time.Millisecond
 
-// ErrStopped says that the planner takes nothing any more.
+// ErrStopped says that Run has returned: the planner handles no message any more.
 var ErrStopped = errors.New("core: the planner has stopped")
 
-// ErrBusy says that the planner has more to decide on than it can in time.
+// ErrBusy says that a request was not submitted, as its queue stayed full for arrivalPatience.
 var ErrBusy = errors.New("core: the planner is busy")
 
-// message is something that happened, told to the planner.
-type message interface {
+// inboxMessage is an event for the planner. It is posted by any goroutine, unless its type says otherwise, and handled on
+// the planner's; messages of one queue are handled in the order in which they were posted.
+type inboxMessage interface {
 	handle(*Planner)
 	queue() Queue
 }
 
 // posted is a message that waits for the planner.
 type posted struct {
-	message
-	at time.Time // since when
+	inboxMessage
+	postedAt time.Time
 }
 
-// inbox holds what waits for the planner. Its queues are taken from in their order: news and control before what clients
-// asked for, and the ends of attempts before new requests, as they give an answer, and free what the attempt held.
+// inbox holds the messages that wait for the planner, in queues of strict priority, highest first: endpoint updates and
+// control go before clients' work; ends of attempts go before new requests, as they answer a client and release what the
+// attempt held.
 type inbox struct {
 	queues [QueueCount]chan posted
-	stop   chan struct{} // closed when the planner ends: nobody may wait for it then
+	stop   chan struct{} // closed when Run returns: nobody may wait for the planner then
 }
 
 func newInbox() inbox {
-	return inbox{stop: make(chan struct{}), queues: [QueueCount]chan posted{QueueEndpoints: make(chan posted, newsSize),
-		QueueControl: make(chan posted, controlSize), QueueOutcome: make(chan posted, outcomeSize),
-		QueueArrival: make(chan posted, arrivalSize)}}
+	return inbox{
+		queues: [QueueCount]chan posted{
+			QueueEndpoints: make(chan posted, endpointsQueueSize),
+			QueueControl:   make(chan posted, controlQueueSize),
+			QueueOutcome:   make(chan posted, outcomeQueueSize),
+			QueueArrival:   make(chan posted, arrivalQueueSize),
+		},
+		stop: make(chan struct{}),
+	}
 }
 
-// post hands over a message, and waits while its queue is full.
-func (b *inbox) post(m message) error {
+// post hands over a message, and waits while its queue is full. It fails with ErrStopped only. It is never called on the
+// planner's goroutine, which would wait for itself.
+func (b *inbox) post(m inboxMessage) error {
 	select {
 	case b.queues[m.queue()] <- posted{m, time.Now()}:
 		return nil
@@ -60,28 +69,42 @@
 	}
 }
 
-// postWithin does the same, but waits for so long at most.
-func (b *inbox) postWithin(m message, patience time.Duration) error {
+// postWithin is post that fails with ErrBusy if the queue stays full for so long.
+func (b *inbox) postWithin(m inboxMessage, patience time.Duration) error {
 	p := posted{m, time.Now()}
 	select {
 	case b.queues[m.queue()] <- p:
 		return nil
 	default:
 	}
-	late := time.NewTimer(patience)
-	defer late.Stop()
+	expired := time.NewTimer(patience)
+	defer expired.Stop()
 	select {
 	case b.queues[m.queue()] <- p:
 		return nil
-	case <-late.C:
+	case <-expired.C:
 		return ErrBusy
 	case <-b.stop:
 		return ErrStopped
 	}
 }
 
-// ready takes the message that is to be handled next, if one waits.
-func (b *inbox) ready() (posted, bool) {
+// call posts a message and waits until its handler sends on done, which must have a buffer of one. It fails with the
+// handler's error, or with ErrStopped.
+func (b *inbox) call(m inboxMessage, done <-chan error) error {
+	if err := b.post(m); err != nil {
+		return err
+	}
+	select {
+	case err := <-done:
+		return err
+	case <-b.stop:
+		return ErrStopped
+	}
+}
+
+// poll takes the first message of the highest queue that has one.
+func (b *inbox) poll() (posted, bool) {
 	for _, q := range b.queues {
 		select {
 		case m := <-q:
@@ -92,9 +115,10 @@
 	return posted{}, false
 }
 
-// next takes the message that is to be handled next, and waits for one until wake or the end of the context.
+// next takes the message that is to be handled next. If there is none it waits for one, until wake or the end of the
+// context, which give false.
 func (b *inbox) next(ctx context.Context, wake <-chan time.Time) (m posted, ok bool) {
-	if m, ok = b.ready(); ok {
+	if m, ok = b.poll(); ok {
 		return m, true
 	}
 	select {
--- a/internal/core/order_test.go
+++ b/internal/core/inbox_test.go
@@ -13,40 +13,40 @@
 	"dewhitch/internal/ledger"
 )
 
-// recorder stands in for the backends, the counter, the books and the monitor of a planner, and keeps what it is told.
-type recorder struct {
+// fakeWorld stands in for the backends, the counter, the ledger and the monitor of a planner, and records what it is notified of.
+type fakeWorld struct {
 	mu     sync.Mutex
 	starts []Backend
 	events []string
 }
 
-func (r *recorder) note(format string, a ...any) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.events = append(r.events, fmt.Sprintf(format, a...))
+func (w *fakeWorld) note(format string, a ...any) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.events = append(w.events, fmt.Sprintf(format, a...))
 }
 
-func (r *recorder) Start(f Attempt, _ func(Stream), _ func(AttemptResult)) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.starts = append(r.starts, f.Backend)
+func (w *fakeWorld) Start(a Attempt, _ func(Stream), _ func(AttemptResult)) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.starts = append(w.starts, a.Backend)
 }
-func (r *recorder) Cancel(dw.RequestID, int)                   {}
-func (r *recorder) Retract(dw.RequestID, int)                  {}
-func (r *recorder) Withdraw(Backend)                           {}
-func (r *recorder) Forget(Backend)                             {}
-func (r *recorder) Add(CounterCall, func(dw.Outcome, float64)) {}
-func (r *recorder) Ref() uint64                                { return 0 }
-func (r *recorder) Post(ledger.Posting)                        {}
-func (r *recorder) Waited(q Queue, _ time.Duration)            { r.note("%v", q) }
-func (r *recorder) ListApplied(v int64, _ time.Duration)       { r.note("list %d", v) }
-func (r *recorder) Answered(ledger.Event)                      {}
-func (r *recorder) Retried(dw.Outcome)                         {}
+func (w *fakeWorld) Cancel(dw.RequestID, int)                   {}
+func (w *fakeWorld) Retract(dw.RequestID, int)                  {}
+func (w *fakeWorld) Withdraw(Backend)                           {}
+func (w *fakeWorld) Forget(Backend)                             {}
+func (w *fakeWorld) Add(CounterCall, func(dw.Outcome, float64)) {}
+func (w *fakeWorld) Ref() uint64                                { return 0 }
+func (w *fakeWorld) Post(ledger.Posting)                        {}
+func (w *fakeWorld) Waited(q Queue, _ time.Duration)            { w.note("%v", q) }
+func (w *fakeWorld) ListApplied(v int64, _ time.Duration)       { w.note("list %d", v) }
+func (w *fakeWorld) Answered(ledger.Event)                      {}
+func (w *fakeWorld) Retried(dw.Outcome)                         {}
 
-// busyPlanner is a planner that stands still in the answer to a first request until it is released.
+// busyPlanner is a planner whose goroutine is blocked in the answer to a first request until release.
 type busyPlanner struct {
 	*Planner
-	*recorder
+	*fakeWorld
 	release func()
 }
 
@@ -58,27 +58,28 @@
 
 func newBusyPlanner(t *testing.T, servers int) *busyPlanner {
 	t.Helper()
-	r := &recorder{}
-	p, err := NewPlanner(testSettings(), 1, NewClock(), r, r, r, zap.NewNop())
+	w := &fakeWorld{}
+	p, err := NewPlanner(testSettings(), 1, NewClock(), w, w, w, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	p.SetMonitor(r)
+	p.SetMonitor(w)
 	listing(1, servers, func(int) dw.EndpointState { return dw.Ready }).handle(p)
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	running.Go(func() { p.Run(ctx) })
-	standing, released := make(chan struct{}), make(chan struct{})
+	blocked := make(chan struct{})
+	released := make(chan struct{})
 	if _, err := p.Submit(&Request{Kind: KindForward, Class: -1, ReceivedAt: time.Now(), Timeout: time.Minute, Units: 1, Spread: 1, Message: Message{Name: "first"},
 		Answer: func(Answer) {
-			close(standing)
+			close(blocked)
 			<-released
 		}}); err != nil {
 		t.Fatal(err)
 	}
-	<-standing
+	<-blocked
 	var once sync.Once
-	b := &busyPlanner{p, r, func() { once.Do(func() { close(released) }) }}
+	b := &busyPlanner{p, w, func() { once.Do(func() { close(released) }) }}
 	t.Cleanup(func() {
 		b.release()
 		cancel()
@@ -87,7 +88,7 @@
 	return b
 }
 
-// listing is a whole list of servers in the states given.
+// listing is a full list of servers in the given states.
 func listing(version int64, servers int, state func(int) dw.EndpointState) EndpointUpdate {
 	l := EndpointUpdate{List: dw.EndpointList{Kind: dw.ListFull, Version: version}, ReadAt: time.Now()}
 	for i := range servers {
@@ -102,16 +103,16 @@
 	return &Request{Kind: KindForward, ReceivedAt: time.Now(), Timeout: time.Minute, Units: 1, Spread: 1, Message: Message{Name: name}, Answer: answer}
 }
 
-// The planner is held up while clients ask for more than its inbox holds, and servers begin to drain: it hears of that before
-// it decides on any of the requests, and none goes to a server that drains.
-func TestNewsGoesBeforeClientWork(t *testing.T) {
-	const servers, asked = 40, arrivalSize + 50
+// The planner is blocked while clients submit more requests than its inbox takes, and servers start to drain: it handles the
+// endpoint update before any of the requests, and no attempt goes to a draining server.
+func TestEndpointUpdatesPrecedeArrivals(t *testing.T) {
+	const servers, submitted = 40, arrivalQueueSize + 50
 	p := newBusyPlanner(t, servers)
 	var clients sync.WaitGroup
-	for i := range asked {
+	for i := range submitted {
 		clients.Go(func() { p.Submit(request(fmt.Sprint("r", i), func(Answer) {})) })
 	}
-	for p.waiting() < arrivalSize { // the rest waits for room
+	for p.waiting() < arrivalQueueSize { // the rest waits for capacity
 		time.Sleep(time.Millisecond)
 	}
 	draining := func(i int) dw.EndpointState {
@@ -128,11 +129,11 @@
 	for p.waiting() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	p.recorder.mu.Lock()
-	defer p.recorder.mu.Unlock()
-	for _, b := range p.recorder.starts {
+	p.fakeWorld.mu.Lock()
+	defer p.fakeWorld.mu.Unlock()
+	for _, b := range p.fakeWorld.starts {
 		if b.ID != servers {
-			t.Fatalf("%d attempts, one of them at server %d, which drains; order of events: %.300q", len(p.recorder.starts), b.ID, p.events)
+			t.Fatalf("%d attempts, one of them at server %d, which is draining; order of events: %.300q", len(p.fakeWorld.starts), b.ID, p.events)
 		}
 	}
 }
--- a/internal/core/planner.go
+++ b/internal/core/planner.go
@@ -1,7 +1,13 @@
+// Package core runs the decision module of a gateway. The module (package dewhitch) is a pure state machine: the Planner
+// feeds it events, carries out the actions that it returns, and owns its timers. The package knows no wire protocol: the
+// fronts submit a Request, and what the planner needs of the world it reaches through Backends, Counter and Recorder.
+//
+// A request runs through submit.go (submission, cancellation, its one answer), actions.go (the module's actions) and
+// attempts.go (attempts at backends). endpoints.go holds the endpoint list, with the overlay of exclusions, maintenance
+// and slow start.
 package core
 
 import (
-	"container/heap"
 	"context"
 	"fmt"
 	"sync/atomic"
@@ -10,186 +16,113 @@
 	"go.uber.org/zap"
 
 	dw "dewhitch"
-	"dewhitch/internal/ledger"
 )
 
-// timersAtOnce bounds the timers that are told of before the planner looks at its inbox again: news may not wait behind
-// the deadlines of many requests.
-const timersAtOnce = 32
-
-// Clock is the planner's time: Unix time, read once at the start and monotonic from there on.
-//
-// It guards against two faults. Gateways name the counter's windows by their time, so clocks that began
-// anywhere else would have every gateway count alone. And an instant that moved with the system's clock would
-// make the same start of a backend look like a new one.
-type Clock struct{ start time.Time }
-
-// NewClock starts a clock.
-func NewClock() Clock { return Clock{time.Now()} }
-
-// Instant is t on this clock.
-func (c Clock) Instant(t time.Time) dw.Instant {
-	return dw.Instant(c.start.UnixNano() + int64(t.Sub(c.start)))
-}
-
-// Time is the other way round.
-func (c Clock) Time(i dw.Instant) time.Time {
-	return c.start.Add(time.Duration(int64(i) - c.start.UnixNano()))
-}
-
-// FromUnixMS turns Unix time in milliseconds into an instant; 0 stays 0: long ago.
-func FromUnixMS(ms int64) dw.Instant { return dw.Instant(max(0, ms) * 1e6) }
-
-// Planner owns one Gateway of the module, its timers and its clock. All of its state belongs to the goroutine
-// of Run; others reach it through its inbox.
+// Planner owns one Gateway of the decision module, its timers and its clock. All of its state belongs to the goroutine of
+// Run, except what is marked as atomic; other goroutines reach it by messages through its inbox. The setters (SetFigures,
+// SetMonitor, SetWatcher, OnExcluded) and ImportState are called before Run only.
 type Planner struct {
 	Clock
-	gate     *dw.Gateway
+	inbox
+
+	gateway  *dw.Gateway
 	backends Backends
 	counter  Counter
-	books    Recorder
-	monitor  Monitor
+	recorder Recorder
+	monitor  Monitor // never nil
+	figures  Figures // nil: none
+	watcher  Watcher // nil: none
 	log      *zap.Logger
 
-	inbox
-	timers timers
-	reqs   map[dw.RequestID]*taken
-	open   map[string]bool // by the clients' names, the bookings among reqs
-	routes map[dw.ServerID]Backend
-	lastID uint64
-	acts   []dw.Action
-
-	serving    Serving
-	listed     map[dw.ServerID]dw.Endpoint
-	known      map[dw.ServerID]bool // ever listed, up to mostKnown
-	excluded   map[dw.ServerID]bool
-	version    int64      // of the list
-	counts     dw.Instant // when the figures are told next
-	figures    Figures
-	excludedTo func([]dw.ServerID)
-	watcher    Watcher     // nil: nobody asks
-	fleet      FleetPlan   // as told last
-	told       toldEntries // of the listed, as the module was told
-	fewWarm    bool
-	coldSpan   dw.Span
-	starts     startTimes
-	most       atomic.Int64 // fetches a req may have, as settings read anew say; 0: as the module's settings say
-}
-
-// take handles a message that has waited.
-func (p *Planner) take(m posted) {
-	p.monitor.Waited(m.queue(), time.Since(m.at))
-	m.handle(p)
+	timers  timers
+	actions []dw.Action // the buffer of the module's actions, reused; nil while they are carried out
+
+	// Requests.
+	requests      map[dw.RequestID]*requestState
+	openNames     map[string]bool // the client's names of the requests of KindForward among requests
+	lastRequestID uint64
+	maxAttempts   atomic.Int64 // attempts of a request submitted from now on; 0: as the module's settings say
+
+	// Endpoints.
+	serving           Serving
+	backendByID       map[dw.ServerID]Backend     // the listed servers with their addresses
+	listed            map[dw.ServerID]dw.Endpoint // as discovery lists them, with resolved start times
+	notified          notifiedEndpoints           // the listed, as the module was last notified of them
+	listVersion       int64
+	startTimes        startTimes
+	slowStartSpan     dw.Span // a server is warming up for so long after its start
+	majorityWarmingUp bool    // by the last evaluation of isMajorityWarmingUp
+	fleetPlan         FleetPlan
+
+	// Exclusions by operators.
+	everListed        map[dw.ServerID]bool // up to maxRememberedServers
+	excluded          map[dw.ServerID]bool
+	onExcluded        func([]dw.ServerID) // nil: none
+	nextTargetsReport dw.Instant
 }
 
-// NewPlanner makes a planner that knows no backends yet.
-func NewPlanner(s dw.Settings, seed uint64, c Clock, b Backends, n Counter, k Recorder, log *zap.Logger) (*Planner, error) {
-	g, err := dw.New(s, seed)
+// NewPlanner makes a planner with an empty endpoint list. The seed is that of the module's random numbers. It fails if the
+// module refuses the settings.
+func NewPlanner(s dw.Settings, seed uint64, c Clock, b Backends, n Counter, r Recorder, log *zap.Logger) (*Planner, error) {
+	gateway, err := dw.New(s, seed)
 	if err != nil {
 		return nil, fmt.Errorf("settings: %w", err)
 	}
-	return &Planner{Clock: c, gate: g, backends: b, counter: n, books: k, monitor: noMonitor{}, log: log,
-		inbox: newInbox(), reqs: map[dw.RequestID]*taken{}, open: map[string]bool{}, routes: map[dw.ServerID]Backend{},
-		listed: map[dw.ServerID]dw.Endpoint{}, known: map[dw.ServerID]bool{},
-		excluded: map[dw.ServerID]bool{}, told: toldEntries{entries: map[dw.ServerID]dw.Endpoint{}}, coldSpan: s.SlowStartSpan, starts: newStartTimes()}, nil
+	return &Planner{
+		Clock:         c,
+		inbox:         newInbox(),
+		gateway:       gateway,
+		backends:      b,
+		counter:       n,
+		recorder:      r,
+		monitor:       noMonitor{},
+		log:           log,
+		requests:      map[dw.RequestID]*requestState{},
+		openNames:     map[string]bool{},
+		backendByID:   map[dw.ServerID]Backend{},
+		listed:        map[dw.ServerID]dw.Endpoint{},
+		notified:      notifiedEndpoints{entries: map[dw.ServerID]dw.Endpoint{}},
+		startTimes:    newStartTimes(),
+		slowStartSpan: s.SlowStartSpan,
+		everListed:    map[dw.ServerID]bool{},
+		excluded:      map[dw.ServerID]bool{},
+	}, nil
 }
 
-// SetMaxAttempts bounds the fetches of reqs taken from now on, below what the module's settings allow.
-func (p *Planner) SetMaxAttempts(n int) { p.most.Store(int64(n)) }
-
-// SetFigures has the planner tell f what operators read of it.
-func (p *Planner) SetFigures(f Figures) { p.figures = f }
-
-// call hands the planner a message and waits until it is done.
-func (p *Planner) call(m message, done <-chan error) error {
-	if err := p.post(m); err != nil {
-		return err
-	}
-	select {
-	case err := <-done:
-		return err
-	case <-p.stop:
-		return ErrStopped
-	}
-}
+// SetMaxAttempts bounds the attempts of requests submitted from now on, below what the module's settings allow; 0 is no
+// further bound. It is safe for any goroutine.
+func (p *Planner) SetMaxAttempts(attempts int) { p.maxAttempts.Store(int64(attempts)) }
 
-// Run works until the context ends.
+// Run handles timers and messages until the context ends; it is called once. Afterwards every post to the planner returns
+// ErrStopped.
 func (p *Planner) Run(ctx context.Context) error {
 	defer close(p.stop)
 	wake := time.NewTimer(time.Hour)
 	defer wake.Stop()
 	for ctx.Err() == nil {
-		p.fire()
+		now := p.Instant(time.Now())
+		p.reportPeriodically(now)
+		p.fireTimers(now)
 		if len(p.timers) > 0 {
 			wake.Reset(time.Until(p.Time(p.timers[0].At)))
 		}
 		if m, ok := p.next(ctx, wake.C); ok {
-			p.take(m)
+			p.monitor.Waited(m.queue(), time.Since(m.postedAt))
+			m.handle(p)
 		}
 	}
 	return nil
 }
 
-// fire tells the module of the timers that are due.
-func (p *Planner) fire() {
-	now := p.Instant(time.Now())
-	if now >= p.counts {
-		if p.fleet.Active { // what was cold may be warm by now
-			p.retell()
-		}
-		p.counted()
-	}
-	for n := 0; n < timersAtOnce && len(p.timers) > 0 && p.timers[0].At <= now; n++ {
-		t := heap.Pop(&p.timers).(dw.SetTimer)
-		p.tell(dw.TimerFired{ID: t.ID})
-	}
-}
-
-// tell hands an event to the module and carries out what it decides.
-func (p *Planner) tell(e dw.Event) {
+// step feeds the module one event and carries out the actions that it returns, in their order. An action may cause a
+// further step before step returns.
+func (p *Planner) step(e dw.Event) {
 	now := time.Now()
-	acts := p.gate.Handle(p.Instant(now), e, p.acts[:0])
-	p.acts = nil // an action may lead to an event of its own
-	for _, a := range acts {
-		switch a := a.(type) {
-		case dw.StartAttempt:
-			p.send(now, a)
-		case dw.CancelAttempt:
-			p.backends.Cancel(a.Request, a.Attempt)
-		case dw.Reject:
-			p.answer(a.Request, refusals[a.Reason], Answer{Result: ResultRejected, RetryAfter: time.Duration(a.RetryAfter)})
-		case dw.Fail:
-			p.answer(a.Request, failures[a.Reason], Answer{Result: ResultFailed})
-		case dw.LimitAnswer:
-			p.answer(a.Request, ledger.PlanServed, Answer{Limit: &a})
-		case dw.AdjustAnswer:
-			p.answer(a.Request, ledger.PlanServed, Answer{Units: a.Units})
-		case dw.TallyChanged:
-			p.books.Post(ledger.Posting{Event: ledger.UnitsDrawn, Key: ledger.Account(uint64(a.Customer)),
-				Units: ledger.MicroUnits(a.Units)})
-		case dw.SetTimer:
-			heap.Push(&p.timers, a)
-		case dw.CounterAdd:
-			p.count(now, a)
-		case dw.SubscribeEndpoints: // discovery is subscribed at all times
-		default:
-			p.log.Error("no such action on this platform", zap.String("action", fmt.Sprintf("%T", a)))
-		}
+	actions := p.gateway.Handle(p.Instant(now), e, p.actions[:0])
+	p.actions = nil // a nested step needs a buffer of its own
+	for _, a := range actions {
+		p.carryOut(now, a)
 	}
-	clear(acts)
-	p.acts = acts
-}
-
-// timers is a heap, the soonest first.
-type timers []dw.SetTimer
-
-func (t timers) Len() int           { return len(t) }
-func (t timers) Less(i, j int) bool { return t[i].At < t[j].At }
-func (t timers) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *timers) Push(x any)        { *t = append(*t, x.(dw.SetTimer)) }
-func (t *timers) Pop() any {
-	old := *t
-	last := old[len(old)-1]
-	*t = old[:len(old)-1]
-	return last
+	clear(actions)
+	p.actions = actions
 }
