--- a/cmd/dewhitch/forward.go
+++ b/cmd/dewhitch/forward.go
@@ -6,8 +6,6 @@
 	"math"
 	"net"
 	"os"
-	"os/signal"
-	"syscall"
 	"time"
 
 	"go.uber.org/zap"
@@ -24,6 +22,7 @@
 	"dewhitch/internal/telemetry"
 )
 
+// forwardCmd runs a forwarder: a process that forwards clients' commands to the gateways in the registry.
 type forwardCmd struct{}
 
 func (forwardCmd) Run() error {
@@ -43,72 +42,132 @@
 	if err != nil {
 		return err
 	}
-	keep, err := keepBooks(o, "forwarder at "+l.Forward.Listen, statement.Forwarder, ledger.Names{}, log)
+	f, err := openForwarder(l, o, log)
+	if err != nil {
+		return err
+	}
+	defer f.close()
+	return f.run(terminationSignals(), hangUpSignals())
+}
+
+// forwarder is a running forwarder process.
+type forwarder struct {
+	limits           *config.Limits
+	log              *zap.Logger
+	ledger           *ledgerProcess
+	operatorListener service // nil: none
+	registry         *registry.Registry
+	planners         *forward.Planners
+	server           *front.Server
+}
+
+// openForwarder opens all parts; nothing runs yet but the ledger.
+func openForwarder(l *config.Limits, o *config.Operations, log *zap.Logger) (*forwarder, error) {
+	f := &forwarder{limits: l, log: log, planners: &forward.Planners{}}
+	if err := f.open(o); err != nil {
+		f.close()
+		return nil, err
+	}
+	return f, nil
+}
+
+func (f *forwarder) open(o *config.Operations) (err error) {
+	f.ledger, err = startLedger(o, "forwarder at "+f.limits.Forward.Listen, statement.Forwarder, ledger.Names{}, f.log)
 	if err != nil {
 		return err
 	}
-	defer keep.close()
 	metrics := telemetry.New()
-	show, err := shown(o, append(keep.shows(), metrics), log)
+	f.operatorListener, err = operatorListener(o, append(f.ledger.operatorParts(), metrics), f.log)
 	if err != nil {
 		return err
 	}
-	listener, err := net.Listen("tcp", l.Forward.Listen)
+	listener, err := net.Listen("tcp", f.limits.Forward.Listen)
 	if err != nil {
 		return fmt.Errorf("configuration: forward.listen: %w", err)
 	}
-	reg, err := registry.Open(l.Registry.Servers, l.Registry.Path, l.Registry.Session, log)
+	f.registry, err = registry.Open(f.limits.Registry.Servers, f.limits.Registry.Path, f.limits.Registry.Session, f.log)
 	if err != nil {
 		return fmt.Errorf("configuration: registry.servers: %w", err)
 	}
-	defer reg.Close()
+	f.server = &front.Server{Listener: listener, Log: f.log, Monitor: metrics,
+		Bounds: front.NewBounds(f.limits.Forward.MemoryMB << 20), Open: f.newSession}
+	return nil
+}
 
-	work, stopWork := context.WithCancel(context.Background())
-	defer stopWork()
-	group, work := errgroup.WithContext(work)
-	if show != nil {
-		group.Go(func() error { return show(work) })
+// close closes the registry's session, and ends the ledger after all that posts to it has ended.
+func (f *forwarder) close() {
+	if f.registry != nil {
+		f.registry.Close()
 	}
-	planners := &forward.Planners{}
-	group.Go(func() error {
-		return reg.Watch(work, func(m map[int]string) {
-			planners.Set(m)
-			log.Info("planners", zap.Any("by_gateway", m))
-		})
-	})
-	taking, stopTaking := context.WithCancel(work)
-	server := &front.Server{Listener: listener, Log: log, Monitor: metrics, Bounds: front.NewBounds(l.Forward.MemoryMB << 20),
-		Open: func() front.Commands {
-			return sessions.New(forward.New(planners, l.Forward.Gateways, keep.books, log), version)
-		}}
+	if f.ledger != nil {
+		f.ledger.close()
+	}
+}
+
+// newSession is what serves the commands of one client session.
+func (f *forwarder) newSession() front.Commands {
+	return sessions.New(forward.New(f.planners, f.limits.Forward.Gateways, f.ledger.recorder, f.log), version)
+}
+
+// run runs all parts until a signal ends them: first new sessions are no longer accepted, and after the last session has
+// ended, all else ends.
+func (f *forwarder) run(terminate, hangUp <-chan os.Signal) error {
+	serving, stopServing := context.WithCancel(context.Background())
+	defer stopServing()
+	group, serving := errgroup.WithContext(serving)
+	accepting, stopAccepting := context.WithCancel(serving)
+
+	if f.operatorListener != nil {
+		group.Go(func() error { return f.operatorListener(serving) })
+	}
+	group.Go(func() error { return f.followRegistry(serving) })
 	group.Go(func() error {
-		defer stopWork()
-		// A session holds its own connection and one to each planner that it needs.
-		return serveAll(taking, []*front.Server{server}, max(1, (l.Forward.Sockets-spare)/(1+l.Forward.Gateways)), 0)
+		defer stopServing()
+		return serveSessions(accepting, []*front.Server{f.server}, f.maxSessions(), 0)
 	})
 	group.Go(func() error {
-		defer stopTaking()
-		await(work, signals(), log, func(signalled time.Time) shutdown.Plan {
-			// What its planners' classes allow is not known here, and the longest that counts is no promise to clients.
-			plan := shutdown.New(signalled, math.MaxInt64)
-			server.CloseBy(plan.CloseBy)
-			planners.End(plan.AnswerBy)
-			return plan
-		})
+		defer stopAccepting()
+		awaitShutdown(serving, terminate, f.log, f.shutDown)
 		return nil
 	})
-	hangUp := make(chan os.Signal, 1) // operators send it to all; unhandled, it would end the program
-	signal.Notify(hangUp, syscall.SIGHUP)
 	group.Go(func() error {
-		for {
-			select {
-			case <-work.Done():
-				return nil
-			case <-hangUp:
-				log.Info("a forwarder finds the planners in the registry; the limits file needs a restart")
-			}
-		}
+		f.ignoreHangUps(serving, hangUp)
+		return nil
 	})
-	log.Info("forwarding", zap.String("listen", l.Forward.Listen))
+	f.log.Info("forwarding", zap.String("listen", f.limits.Forward.Listen))
 	return group.Wait()
 }
+
+// followRegistry takes the gateways' addresses from the registry until the context ends.
+func (f *forwarder) followRegistry(ctx context.Context) error {
+	return f.registry.Watch(ctx, func(addresses map[int]string) {
+		f.planners.Set(addresses)
+		f.log.Info("planners", zap.Any("by_gateway", addresses))
+	})
+}
+
+// maxSessions is how many client sessions the descriptors allow: each needs its own connection, and one to each gateway.
+func (f *forwarder) maxSessions() int {
+	return max(1, (f.limits.Forward.Sockets-reservedSockets)/(1+f.limits.Forward.Gateways))
+}
+
+// shutDown starts the graceful shutdown. The deadlines of the gateways' classes are not known here, so it is planned for the
+// longest that the platform allows.
+func (f *forwarder) shutDown(signalledAt time.Time) shutdown.Plan {
+	plan := shutdown.New(signalledAt, math.MaxInt64)
+	f.server.CloseBy(plan.CloseBy)
+	f.planners.End(plan.AnswerBy)
+	return plan
+}
+
+// ignoreHangUps logs that a reload changes nothing here, until the context ends.
+func (f *forwarder) ignoreHangUps(ctx context.Context, hangUp <-chan os.Signal) {
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-hangUp:
+			f.log.Info("a forwarder finds the planners in the registry; the limits file needs a restart")
+		}
+	}
+}
--- a/cmd/dewhitch/golden_test.go
+++ b/cmd/dewhitch/golden_test.go
@@ -109,16 +109,16 @@
 // TestGoldenCalls keeps what a gateway that has just started answers to the operators' calls: the fields of its figures,
 // and what it says of a server that was never listed. Operators' scripts read it.
 func TestGoldenCalls(t *testing.T) {
-	o := &operated{state: &ops.State{}, figures: &ops.Figures{}, metrics: telemetry.New(),
+	calls := &adminCalls{state: &ops.State{}, figures: &ops.Figures{}, metrics: telemetry.New(),
 		decoder: discovery.NewDecoder(discovery.Names{}), log: zap.NewNop()}
-	o.figures.Classes([]string{"lookup"})
+	calls.figures.Classes([]string{"lookup"})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	served := make(chan error, 1)
 	go func() {
-		served <- (&admin.Server{Listener: l, Gateway: o, Log: o.log}).Serve(t.Context())
+		served <- (&admin.Server{Listener: l, Gateway: calls, Log: calls.log}).Serve(t.Context())
 	}()
 	var seen bytes.Buffer
 	for _, line := range []string{"readyz", "telemetry", "exclude none", "include none", "evacuate", "activate"} {
--- /dev/null
+++ b/cmd/dewhitch/ledger_process.go
@@ -0,0 +1,111 @@
+package main
+
+import (
+	"context"
+	"sync"
+	"time"
+
+	"go.uber.org/zap"
+
+	"dewhitch/internal/config"
+	"dewhitch/internal/forward"
+	"dewhitch/internal/front/platform"
+	"dewhitch/internal/ledger"
+	"dewhitch/internal/ledger/recorder"
+	"dewhitch/internal/ledger/store"
+	"dewhitch/internal/operator"
+)
+
+// overdueAlarm is how long beyond its own deadline a request, or a call to the counter, may be open before the ledger raises an
+// alarm.
+const overdueAlarm = 5 * time.Second
+
+// poster is what the parts of the process post to the ledger by. It is safe for any goroutine.
+type poster interface {
+	platform.Books
+	forward.Books
+}
+
+// ledgerProcess is the ledger of a running process, with its recorder and its store, either of which may be off.
+type ledgerProcess struct {
+	recorder poster             // discards what it gets if the ledger is off
+	active   *recorder.Recorder // the same recorder; nil: the ledger is off
+	store    *store.Store       // nil: the ledger is in memory only
+	stop     context.CancelFunc
+	running  sync.WaitGroup
+}
+
+// startLedger opens the ledger that the operators' file describes, and starts its recorder. A folder that can't be used is no
+// reason not to serve: the ledger is in memory then.
+func startLedger(o *config.Operations, node, role string, names ledger.Names, log *zap.Logger) (*ledgerProcess, error) {
+	p := &ledgerProcess{recorder: recorder.Discard{}, stop: func() {}}
+	if !o.Ledger.Enabled {
+		return p, nil
+	}
+	limits := ledger.Limits{Rows: o.Ledger.Rows, Open: o.Ledger.Open, Flight: o.Ledger.Flight}
+	options := recorder.Options{Limits: limits, Names: names, Patience: overdueAlarm, Audit: o.Ledger.Audit,
+		Statement: o.Ledger.Statement, AlarmFile: o.Ledger.AlarmFile, Log: log}
+	stored, storedNames := p.openStore(o, node, role, limits, log)
+	if p.store != nil {
+		p.active = recorder.New(stored, storedNames, p.store, options)
+		p.active.State() // the repair is durable before anything new is posted
+	} else {
+		p.active = recorder.New(ledger.New(limits, false), storedNames, nil, options)
+	}
+	p.recorder = p.active
+	ctx, stop := context.WithCancel(context.Background())
+	p.stop = stop
+	p.running.Go(func() { _ = p.active.Run(ctx) })
+	return p, nil
+}
+
+// openStore opens the ledger's folder, if there is one, and returns what the folder holds. The store stays nil if the folder
+// can't be used.
+func (p *ledgerProcess) openStore(o *config.Operations, node, role string, limits ledger.Limits,
+	log *zap.Logger) (*ledger.Ledger, ledger.Names) {
+	if o.Ledger.Dir == "" {
+		return nil, ledger.Names{}
+	}
+	opened, stored, names, recovery, err := store.Open(store.Options{Dir: o.Ledger.Dir, Node: node, Role: role,
+		SegmentBytes: o.Ledger.SegmentBytes, Segments: o.Ledger.Segments, Records: o.Ledger.Records, Sync: o.Ledger.Sync,
+		Limits: limits, Log: log})
+	if err != nil {
+		log.Error("the ledger's folder can't be used: figures end with this process", zap.Error(err))
+		return nil, ledger.Names{}
+	}
+	p.store = opened
+	log.Info("the ledger goes on", zap.Uint64("life", recovery.Life), zap.Int("postings_replayed", recovery.Replayed),
+		zap.Uint64("reqs_cut_off_by_crash", recovery.Reqs))
+	for _, note := range recovery.Notes {
+		log.Error("the ledger could not keep everything", zap.String("note", note))
+	}
+	return stored, names
+}
+
+// readTallies has the ledger's audit read the module's tallies by f.
+func (p *ledgerProcess) readTallies(f func(func(tally func(customer uint64) (units float64, known bool))) error) {
+	if p.active != nil {
+		p.active.Tallies(f)
+	}
+}
+
+// operatorParts are the ledger's pages on the operators' listener, if there are any.
+func (p *ledgerProcess) operatorParts() []operator.Part {
+	if p.active == nil {
+		return nil
+	}
+	return []operator.Part{operator.Ledger(p.active, p.isDurable)}
+}
+
+// isDurable reports whether the figures outlast the process.
+func (p *ledgerProcess) isDurable() bool { return p.store != nil && p.store.Kept() }
+
+// close ends the recorder and the store, after all that posts has ended.
+func (p *ledgerProcess) close() {
+	p.stop()
+	p.running.Wait()
+	if p.store != nil {
+		p.active.Release()
+		p.store.Close()
+	}
+}
--- a/cmd/dewhitch/serve.go
+++ b/cmd/dewhitch/serve.go
@@ -3,26 +3,25 @@
 import (
 	"math"
 	"os"
-	"os/signal"
 	"runtime"
 	"runtime/debug"
-	"syscall"
 
 	"go.uber.org/zap"
 
 	"dewhitch/internal/config"
 )
 
+// Settings of the Go runtime.
 const (
-	memoryShare = 0.7 // of the limit: the rest is for stacks, buffers of the kernel and spikes
-	lazyGC      = 400 // percent: the live heap is small, and collecting it costs CPU
+	memoryLimitShare = 0.7 // of the process's memory: the rest is for stacks, buffers of the kernel and spikes
+	gcPercent        = 400 // the live heap is small, and collecting it costs CPU; the memory limit collects earlier if needed
 )
 
+// serveCmd runs a gateway.
 type serveCmd struct{}
 
 func (serveCmd) Run() error {
-	again := make(chan os.Signal, 1) // from the first on: unhandled, the signal would end the program
-	signal.Notify(again, syscall.SIGHUP)
+	reload := hangUpSignals() // before anything else: unhandled, the signal would end the process
 	n, err := config.LoadNode(os.Getenv)
 	if err != nil {
 		return err
@@ -44,26 +43,26 @@
 		return err
 	}
 	defer log.Sync()
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(n.Cores))))
-	debug.SetGCPercent(lazyGC) // the memory limit has it collect sooner when it must
-	debug.SetMemoryLimit(int64(memoryShare * float64(n.MemoryMB<<20)))
-	return serve(n, l, o, f, log, signals(), again)
+	setRuntimeLimits(n)
+	return serve(n, l, o, f, log, reload)
 }
 
-func signals() <-chan os.Signal {
-	term := make(chan os.Signal, 1)
-	signal.Notify(term, syscall.SIGTERM, syscall.SIGINT)
-	return term
+// setRuntimeLimits keeps the process within its share of the machine.
+func setRuntimeLimits(n *config.Node) {
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(n.Cores))))
+	debug.SetGCPercent(gcPercent)
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(n.MemoryMB<<20)))
 }
 
-// serve runs one gateway until a signal ends it. Then it goes on serving for a while, answers all that it has
-// taken, and returns. At a signal on again it reads its configuration anew.
-func serve(n *config.Node, l *config.Limits, o *config.Operations, f *config.Fleet, log *zap.Logger, term,
-	again <-chan os.Signal) error {
+// serve runs one gateway until a signal ends it, by the graceful shutdown of run. At a signal on reload it reads its
+// configuration again.
+func serve(n *config.Node, l *config.Limits, o *config.Operations, f *config.Fleet, log *zap.Logger,
+	reload <-chan os.Signal) error {
+	terminate := terminationSignals()
 	g, err := openGateway(n, l, o, f, log)
 	if err != nil {
 		return err
 	}
 	defer g.close()
-	return g.run(term, again)
+	return g.run(terminate, reload)
 }
--- /dev/null
+++ b/cmd/dewhitch/shutdown.go
@@ -0,0 +1,61 @@
+package main
+
+import (
+	"context"
+	"os"
+	"os/signal"
+	"syscall"
+	"time"
+
+	"go.uber.org/zap"
+
+	"dewhitch/internal/shutdown"
+)
+
+// terminationSignals delivers the signals that end the process.
+func terminationSignals() <-chan os.Signal {
+	terminate := make(chan os.Signal, 1)
+	signal.Notify(terminate, syscall.SIGTERM, syscall.SIGINT)
+	return terminate
+}
+
+// hangUpSignals delivers SIGHUP, which operators send to all processes; unhandled, it would end the process.
+func hangUpSignals() <-chan os.Signal {
+	hangUp := make(chan os.Signal, 1)
+	signal.Notify(hangUp, syscall.SIGHUP)
+	return hangUp
+}
+
+// awaitShutdown waits for a signal, calls start, which plans and starts the graceful shutdown, and returns when new connections
+// are no longer accepted by that plan, or when the context ends.
+func awaitShutdown(ctx context.Context, terminate <-chan os.Signal, log *zap.Logger,
+	start func(signalledAt time.Time) shutdown.Plan) {
+	select {
+	case <-ctx.Done():
+		return
+	case s := <-terminate:
+		signalledAt := time.Now()
+		plan := start(signalledAt)
+		log.Info("ending", zap.Stringer("signal", s), zap.Duration("takes_for", plan.AcceptUntil.Sub(signalledAt)),
+			zap.Duration("answers_within", plan.AnswerBy.Sub(signalledAt)),
+			zap.Duration("closes_within", plan.CloseBy.Sub(signalledAt)))
+		select {
+		case <-ctx.Done():
+		case <-time.After(time.Until(plan.AcceptUntil)):
+		}
+	}
+}
+
+// shutDown starts the graceful shutdown of the gateway: it is no longer ready, sessions close by the plan, and all requests are
+// answered by it.
+func (g *gateway) shutDown(signalledAt time.Time) shutdown.Plan {
+	plan := shutdown.New(signalledAt, time.Duration(g.longestDeadline.Load()))
+	g.state.End()
+	for _, s := range g.servers {
+		s.CloseBy(plan.CloseBy)
+	}
+	if err := g.planner.Shutdown(plan.AnswerBy); err != nil {
+		g.log.Warn("requests are answered by their own deadlines alone", zap.Error(err))
+	}
+	return plan
+}
--- /dev/null
+++ b/cmd/dewhitch/snapshots.go
@@ -0,0 +1,140 @@
+package main
+
+import (
+	"cmp"
+	"context"
+	"fmt"
+	"time"
+
+	"go.uber.org/zap"
+
+	"dewhitch/internal/config"
+	"dewhitch/internal/core"
+	"dewhitch/internal/ops"
+	"dewhitch/internal/snapshot"
+	"dewhitch/internal/warmstart"
+)
+
+// snapshotKeeper writes snapshots of the module's state for the next process. A nil snapshotKeeper writes none: warm start is
+// off, or the folder can't be used, which is no reason not to serve.
+type snapshotKeeper struct {
+	planner  *core.Planner
+	image    snapshot.Image // of this process's settings; the state is copied into it
+	writer   *snapshot.Writer
+	interval time.Duration
+	failing  bool          // the last write failed, and that is logged
+	stop     chan struct{} // closed by writeLast
+	stopped  chan struct{} // closed when run ends
+	log      *zap.Logger
+}
+
+// openSnapshots imports the newest snapshot of an earlier process, and claims the files of this one; before the planner runs.
+// It is nil where warm start is off or the folder can't be used.
+func openSnapshots(n *config.Node, w config.WarmStart, classes []string, p *core.Planner, f *ops.Figures,
+	log *zap.Logger) *snapshotKeeper {
+	if !w.Enabled(n.Inherited != 0) {
+		return nil
+	}
+	k := &snapshotKeeper{
+		planner:  p,
+		image:    snapshot.Of(n.Name, &n.Settings, classes, n.Names.Plans),
+		interval: w.Every,
+		stop:     make(chan struct{}),
+		stopped:  make(chan struct{}),
+		log:      log,
+	}
+	dir := cmp.Or(w.Dir, n.Scratch)
+	found, err := snapshot.Latest(dir, n.Name)
+	if err != nil {
+		log.Warn("no snapshots are kept, and the start is a cold one", zap.Error(err))
+		return nil
+	}
+	k.importFound(found, f)
+	if k.writer, err = snapshot.Claim(dir, n.Name, found.Generation); err != nil {
+		log.Warn("no snapshots are kept", zap.Error(err))
+		return nil
+	}
+	return k
+}
+
+// importFound imports a snapshot that was found, if there is one that may be used, and counts what was loaded and rejected.
+func (k *snapshotKeeper) importFound(found snapshot.Found, f *ops.Figures) {
+	for _, err := range found.Rejected {
+		k.log.Warn("a snapshot was not taken", zap.Error(err))
+	}
+	loaded, rejected := 0, len(found.Rejected)
+	var age time.Duration
+	if found.Image != nil {
+		var err error
+		if age, err = k.importState(found); err == nil {
+			loaded = 1
+		} else {
+			k.log.Warn("a snapshot was not taken", zap.Error(err))
+			rejected++
+		}
+	}
+	f.Warm(loaded, rejected, age)
+}
+
+// importState fits a snapshot's state to this process's settings and imports it, unless it is too old to be trusted. Its age
+// is 0 if it does not fit.
+func (k *snapshotKeeper) importState(found snapshot.Found) (age time.Duration, err error) {
+	state, dropped, err := snapshot.Fit(found.Image, &k.image)
+	if err != nil {
+		return 0, err
+	}
+	age = time.Since(k.planner.Time(state.At))
+	if warmstart.Trust(age.Seconds()) == 0 {
+		return age, fmt.Errorf("%s old", age)
+	}
+	servers, customers := k.planner.ImportState(state)
+	k.log.Info("warm start", zap.Uint64("life", found.Life), zap.Uint64("number", found.Number), zap.Duration("age", age),
+		zap.Int("servers", servers), zap.Int("customers", customers), zap.Int("of", len(state.Customers)),
+		zap.Int("dropped", dropped))
+	return age, nil
+}
+
+// run writes a snapshot in each interval, until the context ends or writeLast is called.
+func (k *snapshotKeeper) run(ctx context.Context) {
+	if k == nil {
+		return
+	}
+	defer close(k.stopped)
+	tick := time.NewTicker(k.interval)
+	defer tick.Stop()
+	for {
+		select {
+		case <-ctx.Done():
+			return
+		case <-k.stop:
+			return
+		case <-tick.C:
+			k.write()
+		}
+	}
+}
+
+// writeLast ends run, as the files have one writer, and writes a last snapshot. It is called once, while the planner still
+// runs.
+func (k *snapshotKeeper) writeLast() {
+	if k == nil {
+		return
+	}
+	close(k.stop)
+	<-k.stopped
+	k.write()
+}
+
+// write writes one snapshot, once the module has handled an event. Only the first failure and the end of it are logged.
+func (k *snapshotKeeper) write() {
+	err := k.planner.ExportState(&k.image.State, snapshot.MaxCustomers)
+	if err == nil && k.image.State.At > 0 {
+		_, err = k.writer.Write(&k.image)
+	}
+	if err != nil && !k.failing {
+		k.log.Warn("what is learnt can't be kept for the next process", zap.Error(err))
+	} else if err == nil && k.failing {
+		k.log.Info("what is learnt is kept again")
+	}
+	k.failing = err != nil
+}
