--- a/cmd/dewhitch/golden_test.go
+++ b/cmd/dewhitch/golden_test.go
@@ -72,13 +72,13 @@
 	}
 	golden.Compare(t, "show.json", printed(t, func() error { return snapshotShow{File: file, JSON: true}.Run() }))
 	now := time.Unix(0, int64(goldenAt)).Add(1500 * time.Millisecond)
-	golden.Compare(t, "show", printed(t, func() error { return show(g, m, now) }))
+	golden.Compare(t, "show", printed(t, func() error { return printSnapshot(g, m, now) }))
 
 	var got struct {
 		Generation snapshot.Generation
 		snapshot.Image
 	}
-	g, m = goldenSnapshot() // show has ordered the customers
+	g, m = goldenSnapshot() // printSnapshot has ordered the customers
 	d := json.NewDecoder(bytes.NewReader(golden.Read(t, "show.json")))
 	d.DisallowUnknownFields()
 	if err := d.Decode(&got); err != nil || got.Generation != g || !reflect.DeepEqual(&got.Image, m) {
--- a/cmd/dewhitch/ledger_commands.go
+++ b/cmd/dewhitch/ledger_commands.go
@@ -14,7 +14,7 @@
 	"dewhitch/internal/ledger/store"
 )
 
-// ledgerCmd reads books beside a gateway that may be at work, or after it has ended. None of it writes to a folder.
+// ledgerCmd reads a ledger's folder, also while the gateway that writes it runs. None of the commands writes to a folder.
 type ledgerCmd struct {
 	Show   ledgerShow   `cmd:"" help:"Print the figures of a folder, by plan and class or by haulier."`
 	Verify ledgerVerify `cmd:"" help:"Check that figures add up; print the rows that do not, and end with 1 if there are any."`
@@ -23,8 +23,8 @@
 }
 
 type ledgerShow struct {
-	Dir      string `arg:"" help:"The folder (ledger.dir)."`
-	Hauliers bool   `help:"A line for each haulier that is in memory."`
+	Dir        string `arg:"" help:"The folder (ledger.dir)."`
+	ByCustomer bool   `name:"hauliers" help:"A line for each haulier that is in memory."`
 }
 
 func (c ledgerShow) Run() error {
@@ -38,70 +38,81 @@
 		fmt.Println("note:", note)
 	}
 	_, lines := v.Ledger.Sums()
-	if c.Hauliers {
+	if c.ByCustomer {
 		lines = v.Ledger.Lines()
 	}
+	return statement.WriteTable(os.Stdout, statementSums(v, lines, c.ByCustomer))
+}
+
+// statementSums is the form of a table's lines, with or without the customers' names.
+func statementSums(v *store.View, lines []ledger.Line, withCustomer bool) []statement.Sum {
 	var sums []statement.Sum
 	for _, line := range lines {
-		haulier := ledger.HaulierText(line.Key.Customer)
-		if !c.Hauliers {
-			haulier = ""
+		name := statement.Name{Plan: v.Names.Plan(line.Key.Plan), Class: v.Names.Class(line.Key.Class)}
+		if withCustomer {
+			name.Haulier = ledger.HaulierText(line.Key.Customer)
 		}
-		sums = append(sums, statement.Sum{Name: statement.Name{Haulier: haulier, Plan: v.Names.Plan(line.Key.Plan),
-			Class: v.Names.Class(line.Key.Class)}, Counts: line.Counts, Tries: line.Counts.N[ledger.FrontTaken]})
+		sums = append(sums, statement.Sum{Name: name, Counts: line.Counts, Tries: line.Counts.N[ledger.FrontTaken]})
 	}
-	return statement.WriteTable(os.Stdout, sums)
+	return sums
 }
 
 type ledgerVerify struct {
 	From []string `arg:"" help:"Folders, or files of JSON lines; - is the standard input."`
 }
 
-// errDoesNotAddUp has been told line by line.
+// errDoesNotAddUp says that figures don't add up; which, has been printed line by line.
 var errDoesNotAddUp = errors.New("the figures do not add up")
 
 func (c ledgerVerify) Run() error {
-	bad, m := false, statement.NewMerged()
-	say := func(err error) {
-		bad = true
-		fmt.Println(err)
-	}
+	merged := statement.NewMerged()
+	faults := 0
 	for _, from := range c.From {
 		if info, err := os.Stat(from); err != nil || !info.IsDir() {
-			if err := addFile(m, from); err != nil {
+			if err := addFile(merged, from); err != nil {
 				return err
 			}
 			continue
 		}
-		v, err := store.Read(from)
+		found, err := auditFolder(merged, from)
 		if err != nil {
 			return err
 		}
-		for _, note := range v.Notes {
-			fmt.Printf("%s: note: %s\n", v.Node, note)
-		}
-		for _, f := range v.Ledger.Audit(true) {
-			say(fmt.Errorf("%s: haulier %s, plan %s, class %s: %s", v.Node, ledger.HaulierText(f.Key.Customer),
-				v.Names.Plan(f.Key.Plan), v.Names.Class(f.Key.Class), f))
-		}
-		if err := store.Records(from, 0, func(_ []byte, r statement.Record) error {
-			m.Add(r)
-			return nil
-		}); err != nil {
-			return err
-		}
+		faults += found
 	}
-	for _, err := range m.Verify() {
-		say(err)
+	for _, err := range merged.Verify() {
+		fmt.Println(err)
+		faults++
 	}
-	if bad {
+	if faults > 0 {
 		return errDoesNotAddUp
 	}
-	fmt.Printf("%d nodes add up\n", len(m.Nodes))
+	fmt.Printf("%d nodes add up\n", len(merged.Nodes))
 	return nil
 }
 
-func addFile(m *statement.Merged, path string) error {
+// auditFolder prints the faults of a ledger's folder and returns their number, and adds the folder's records to those merged.
+func auditFolder(merged *statement.Merged, dir string) (faults int, err error) {
+	v, err := store.Read(dir)
+	if err != nil {
+		return 0, err
+	}
+	for _, note := range v.Notes {
+		fmt.Printf("%s: note: %s\n", v.Node, note)
+	}
+	for _, f := range v.Ledger.Audit(true) {
+		fmt.Printf("%s: haulier %s, plan %s, class %s: %s\n", v.Node, ledger.HaulierText(f.Key.Customer),
+			v.Names.Plan(f.Key.Plan), v.Names.Class(f.Key.Class), f)
+		faults++
+	}
+	return faults, store.Records(dir, 0, func(_ []byte, r statement.Record) error {
+		merged.Add(r)
+		return nil
+	})
+}
+
+// addFile adds the records of a file of JSON lines to those merged; - is the standard input.
+func addFile(merged *statement.Merged, path string) error {
 	from := os.Stdin
 	if path != "-" {
 		f, err := os.Open(path)
@@ -112,7 +123,7 @@
 		from = f
 	}
 	if err := statement.Read(from, func(r statement.Record) error {
-		m.Add(r)
+		merged.Add(r)
 		return nil
 	}); err != nil {
 		return fmt.Errorf("%s: %w", path, err)
@@ -129,9 +140,10 @@
 
 func (c ledgerExport) Run() error { return c.write(os.Stdout) }
 
+// write exports the records after c.After, once, or in each c.Follow until an error.
 func (c ledgerExport) write(to io.Writer) error {
 	out := bufio.NewWriter(to)
-	var table *statement.CSV
+	var table *statement.CSV // nil: JSON lines
 	if c.CSV {
 		var err error
 		if table, err = statement.NewCSV(out); err != nil {
@@ -139,49 +151,75 @@
 		}
 	}
 	for {
-		err := store.Records(c.Dir, c.After, func(line []byte, r statement.Record) error {
-			if c.After > 0 && r.Seq != c.After+1 {
-				fmt.Fprintf(os.Stderr, "records %d to %d are no longer kept\n", c.After+1, r.Seq-1)
-			}
-			c.After = r.Seq
-			if table != nil {
-				return table.Write(r)
-			}
-			_, err := out.Write(append(append([]byte(nil), line...), '\n'))
+		if err := c.writeNew(out, table); err != nil || c.Follow <= 0 {
 			return err
-		})
-		if err == nil && table != nil {
-			err = table.Flush()
 		}
-		if err == nil {
-			err = out.Flush()
+		time.Sleep(c.Follow)
+	}
+}
+
+// writeNew exports the records after c.After, and moves that on. Records that the folder has dropped are reported.
+func (c *ledgerExport) writeNew(out *bufio.Writer, table *statement.CSV) error {
+	err := store.Records(c.Dir, c.After, func(line []byte, r statement.Record) error {
+		if c.After > 0 && r.Seq != c.After+1 {
+			fmt.Fprintf(os.Stderr, "records %d to %d are no longer kept\n", c.After+1, r.Seq-1)
+		}
+		c.After = r.Seq
+		if table != nil {
+			return table.Write(r)
 		}
-		if err != nil || c.Follow <= 0 {
+		_, err := out.Write(append(append([]byte(nil), line...), '\n'))
+		return err
+	})
+	if err != nil {
+		return err
+	}
+	if table != nil {
+		if err := table.Flush(); err != nil {
 			return err
 		}
-		time.Sleep(c.Follow)
 	}
+	return out.Flush()
 }
 
 type ledgerMerge struct {
-	Files    []string `arg:"" help:"Exports as JSON lines; - is the standard input."`
-	Hauliers bool     `help:"A line for each haulier."`
+	Files      []string `arg:"" help:"Exports as JSON lines; - is the standard input."`
+	ByCustomer bool     `name:"hauliers" help:"A line for each haulier."`
 }
 
 func (c ledgerMerge) Run() error {
-	m := statement.NewMerged()
+	merged := statement.NewMerged()
 	for _, path := range c.Files {
-		if err := addFile(m, path); err != nil {
+		if err := addFile(merged, path); err != nil {
 			return err
 		}
 	}
-	return writeMerged(os.Stdout, m, c.Hauliers)
+	return writeMerged(os.Stdout, merged, c.ByCustomer)
 }
 
-// writeMerged prints what merged records say, and fails if they do not add up.
-func writeMerged(to io.Writer, m *statement.Merged, hauliers bool) error {
+// writeMerged prints the figures of merged records, by customer or not, and fails with errDoesNotAddUp if they don't add up.
+func writeMerged(to io.Writer, merged *statement.Merged, byCustomer bool) error {
+	writeNodes(to, merged)
+	if err := statement.WriteTable(to, merged.Sums(byCustomer)); err != nil {
+		return err
+	}
+	all, across, overlapping, servedTwice := merged.Bookings()
+	fmt.Fprintf(to, "bookings by key: %d; with tries through several nodes: %d, of these with two tries open at once: %d; "+
+		"served more than once: %d\n", all, across, overlapping, servedTwice)
+	faults := merged.Verify()
+	for _, err := range faults {
+		fmt.Fprintln(to, err)
+	}
+	if len(faults) > 0 {
+		return errDoesNotAddUp
+	}
+	return nil
+}
+
+// writeNodes prints the nodes of merged records on one line, after a line for each gap in their records.
+func writeNodes(to io.Writer, merged *statement.Merged) {
 	var nodes []string
-	for name, n := range m.Nodes {
+	for name, n := range merged.Nodes {
 		nodes = append(nodes, fmt.Sprintf("%s (%s, %d lives)", name, n.Role, n.Lives))
 		if n.First > 1 {
 			fmt.Fprintf(to, "%s: its records before %d are missing\n", name, n.First)
@@ -191,18 +229,4 @@
 		}
 	}
 	fmt.Fprintln(to, strings.Join(nodes, ", "))
-	if err := statement.WriteTable(to, m.Sums(hauliers)); err != nil {
-		return err
-	}
-	all, across, overlapping, twice := m.Bookings()
-	fmt.Fprintf(to, "bookings by key: %d; with tries through several nodes: %d, of these with two tries open at once: %d; "+
-		"served more than once: %d\n", all, across, overlapping, twice)
-	wrong := m.Verify()
-	for _, err := range wrong {
-		fmt.Fprintln(to, err)
-	}
-	if len(wrong) > 0 {
-		return errDoesNotAddUp
-	}
-	return nil
 }
--- a/cmd/dewhitch/main.go
+++ b/cmd/dewhitch/main.go
@@ -15,6 +15,7 @@
 // version is set at the build by -ldflags "-X main.version=...".
 var version = "dev"
 
+// cli is the command line. Help texts, names and defaults are read by operators and their scripts.
 var cli struct {
 	Limits string `default:"deploy/limits.toml" help:"The limits file (${default})."`
 
@@ -33,6 +34,7 @@
 	Version  versionCmd  `cmd:"" help:"Print the version."`
 }
 
+// versionCmd prints the version, and the revision that the binary was built from.
 type versionCmd struct{}
 
 func (versionCmd) Run() error {
@@ -48,6 +50,7 @@
 	return nil
 }
 
+// checkCmd reads and checks all configuration, and starts nothing.
 type checkCmd struct{}
 
 func (checkCmd) Run() error {
@@ -73,16 +76,17 @@
 	ctx.FatalIfErrorf(ctx.Run())
 }
 
-// logger writes to standard error, one line a record.
+// logger makes a logger of cli.LogLevel, which writes one line a record to standard error. Repeated records are sampled, except at
+// the debug level, at which a trace must be complete.
 func logger() (*zap.Logger, error) {
-	c := zap.NewProductionConfig()
 	level, err := zap.ParseAtomicLevel(cli.LogLevel)
 	if err != nil {
 		return nil, err
 	}
+	c := zap.NewProductionConfig()
 	c.Level = level
 	c.Sampling = &zap.SamplingConfig{Initial: 20, Thereafter: 200}
-	if level.Level() == zap.DebugLevel { // a trace is of use only whole
+	if level.Level() == zap.DebugLevel {
 		c.Sampling = nil
 	}
 	c.DisableStacktrace = true
--- a/cmd/dewhitch/snapshot_commands.go
+++ b/cmd/dewhitch/snapshot_commands.go
@@ -3,6 +3,7 @@
 import (
 	"encoding/json"
 	"fmt"
+	"io"
 	"os"
 	"slices"
 	"text/tabwriter"
@@ -12,7 +13,7 @@
 	"dewhitch/internal/snapshot"
 )
 
-// snapshotCmd reads a snapshot of what a gateway has learnt, beside a gateway that may be at work.
+// snapshotCmd reads a snapshot of the module's state, also while the gateway that writes it runs.
 type snapshotCmd struct {
 	Show   snapshotShow   `cmd:"" help:"Print what a snapshot holds."`
 	Verify snapshotVerify `cmd:"" help:"Tell whether a snapshot is whole, and why not; end with 1 if it is not."`
@@ -24,7 +25,7 @@
 }
 
 func (c snapshotShow) Run() error {
-	g, m, err := snapshot.Read(c.File)
+	generation, image, err := snapshot.Read(c.File)
 	if err != nil {
 		return err
 	}
@@ -34,44 +35,52 @@
 		return out.Encode(struct {
 			Generation snapshot.Generation `json:"Generation"`
 			*snapshot.Image
-		}{g, m})
+		}{generation, image})
 	}
-	return show(g, m, time.Now())
+	return printSnapshot(generation, image, time.Now())
 }
 
-// show prints a table of servers and one of customers, those that used most of their store first.
-func show(g snapshot.Generation, m *snapshot.Image, now time.Time) error {
-	l := &m.State
-	age := func(i dw.Instant) string {
-		return time.Unix(0, int64(l.At)).Sub(time.Unix(0, int64(i))).Round(time.Millisecond).String()
-	}
+// printSnapshot prints a table of servers and one of customers, those with the lowest level first. It sorts the image's
+// customers.
+func printSnapshot(g snapshot.Generation, m *snapshot.Image, now time.Time) error {
+	state := &m.State
 	fmt.Printf("%s, gateway %d of %d, life %d, write %d, %s old\n", m.Node, m.Self, m.Instances, g.Life, g.Number,
-		now.Sub(time.Unix(0, int64(l.At))).Round(time.Millisecond))
-	fmt.Printf("latency %.1f ms, %d servers, %d customers, plans %v, classes %v\n", 1000*l.Latency, len(l.Servers),
-		len(l.Customers), m.Plans, m.Classes)
+		now.Sub(time.Unix(0, int64(state.At))).Round(time.Millisecond))
+	fmt.Printf("latency %.1f ms, %d servers, %d customers, plans %v, classes %v\n", 1000*state.Latency, len(state.Servers),
+		len(state.Customers), m.Plans, m.Classes)
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
+	printServers(w, state)
+	printCustomers(w, state, m.Plans)
+	return w.Flush()
+}
+
+func printServers(w io.Writer, state *dw.State) {
 	fmt.Fprintln(w, "\nserver\tlatency\tmeasured before\tclasses that failed")
-	for _, v := range l.Servers {
+	for _, s := range state.Servers {
 		failed := 0
-		for _, d := range v.Failures {
-			failed += min(1, d.Count)
+		for _, f := range s.Failures {
+			failed += min(1, f.Count)
 		}
 		measured := "never"
-		if v.Measured > 0 {
-			measured = age(v.Measured)
+		if s.Measured > 0 {
+			age := time.Unix(0, int64(state.At)).Sub(time.Unix(0, int64(s.Measured)))
+			measured = age.Round(time.Millisecond).String()
 		}
-		fmt.Fprintf(w, "s-%08x\t%.1f ms\t%s\t%d\n", uint32(v.ID), 1000*v.Latency, measured, failed)
+		fmt.Fprintf(w, "s-%08x\t%.1f ms\t%s\t%d\n", uint32(s.ID), 1000*s.Latency, measured, failed)
 	}
+}
+
+func printCustomers(w io.Writer, state *dw.State, plans []snapshot.Plan) {
 	fmt.Fprintln(w, "\ncustomer\tplan\tlevel\town use/s\tothers' use/s\tcount\tlisted")
-	slices.SortFunc(l.Customers, func(a, b dw.AccountState) int { return int(min(1, max(-1, a.Level-b.Level))) })
-	for _, c := range l.Customers {
+	slices.SortFunc(state.Customers, func(a, b dw.AccountState) int { return int(min(1, max(-1, a.Level-b.Level))) })
+	for _, c := range state.Customers {
 		plan := "?"
-		if c.Plan >= 0 && c.Plan < len(m.Plans) {
-			plan = m.Plans[c.Plan].Name
+		if c.Plan >= 0 && c.Plan < len(plans) {
+			plan = plans[c.Plan].Name
 		}
-		fmt.Fprintf(w, "%016x\t%s\t%.2f\t%.2f\t%.2f\t%.2f\t%v\n", uint64(c.ID), plan, c.Level, c.OwnRate, c.OthersRate, c.WindowTotal, c.BlockedUntil > l.At)
+		fmt.Fprintf(w, "%016x\t%s\t%.2f\t%.2f\t%.2f\t%.2f\t%v\n", uint64(c.ID), plan, c.Level, c.OwnRate, c.OthersRate,
+			c.WindowTotal, c.BlockedUntil > state.At)
 	}
-	return w.Flush()
 }
 
 type snapshotVerify struct {
@@ -79,13 +88,13 @@
 }
 
 func (c snapshotVerify) Run() error {
-	g, m, err := snapshot.Read(c.File)
+	generation, image, err := snapshot.Read(c.File)
 	if err == nil {
-		err = snapshot.Check(m)
+		err = snapshot.Check(image)
 	}
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	fmt.Printf("%s: whole, life %d, write %d\n", c.File, g.Life, g.Number)
+	fmt.Printf("%s: whole, life %d, write %d\n", c.File, generation.Life, generation.Number)
 	return nil
 }
