--- a/internal/front/bounds.go
+++ b/internal/front/bounds.go
@@ -8,27 +8,31 @@
 	"dewhitch/internal/resp"
 )
 
-// Bounds are shared by all sessions of a gateway, and follow from its memory.
+// Bounds limit the memory that all client sessions of a gateway use. They are safe for any goroutine.
 type Bounds struct {
-	unsent    int64 // bytes of answers that wait for a client to read, beyond which no command of its is taken
-	allUnsent int64 // and of those of all sessions, beyond which a session with so many is ended
-	waiting   atomic.Int64
-	large     *semaphore.Weighted // bytes of large commands in hand
+	maxUnsent      int64               // bytes of unsent answers of a session, beyond which none of its commands is read
+	maxUnsentTotal int64               // bytes of unsent answers of all sessions, beyond which a session over maxUnsent is ended
+	unsentTotal    atomic.Int64        // bytes of unsent answers of all sessions
+	largeCommands  *semaphore.Weighted // bytes of large commands without an answer
 }
 
-// The shares of the memory limit. It guards against a constant that fits one machine and overflows a smaller one.
+// Shares of the memory, as a constant that fits one machine would exceed a smaller one.
 const (
-	unsentPart    = 8         // of the memory: answers that wait
-	sessionPart   = 8         // of those: of one session
-	largePart     = 8         // of the memory: large commands in hand
-	mostOfSession = 512 << 10 // bytes, whatever the memory
-	maxPipelined  = 64        // commands of one session that may wait for their answers; more are left unread
-	largeSize     = 2 << 10   // of a command; those that are larger share what memory there is for them
+	unsentMemoryPart  = 8         // one in so many bytes of memory, for unsent answers
+	sessionUnsentPart = 8         // one in so many of those, for each session
+	maxSessionUnsent  = 512 << 10 // bytes, for each session of a machine of any size
+	largeMemoryPart   = 8         // one in so many bytes of memory, for large commands
+	maxPipelined      = 64        // commands of a session without an answer; more are left unread
+	minLargeCommand   = 2 << 10   // bytes; only larger commands count as large
 )
 
-// NewBounds shares out so many bytes of memory.
+// NewBounds divides so many bytes of memory.
 func NewBounds(memory int) *Bounds {
-	all := int64(memory / unsentPart)
-	return &Bounds{unsent: min(all/sessionPart, mostOfSession), allUnsent: all,
-		large: semaphore.NewWeighted(int64(max(memory/largePart, resp.MaxCommand)))}
+	unsent := int64(memory / unsentMemoryPart)
+	large := int64(max(memory/largeMemoryPart, resp.MaxCommand))
+	return &Bounds{
+		maxUnsent:      min(unsent/sessionUnsentPart, maxSessionUnsent),
+		maxUnsentTotal: unsent,
+		largeCommands:  semaphore.NewWeighted(large),
+	}
 }
--- a/internal/front/closing.go
+++ b/internal/front/closing.go
@@ -16,90 +16,93 @@
 const (
 	ClosedByClient  CloseReason = iota // it closed or half-closed, or its connection broke
 	ClosedIdle                         // it asked for nothing for too long
-	ClosedEvicted                      // to make room for another client
+	ClosedEvicted                      // to release its place to another client
 	ClosedDrained                      // the gateway was drained
 	ClosedEnding                       // the gateway ends
-	ClosedSlow                         // a command was not whole in time
+	ClosedSlow                         // a command was not complete in time
 	ClosedProtocol                     // a command could not be read
 	ClosedFaults                       // too many commands could not be used
 	ClosedUnread                       // it did not read its answers
 	ClosedRequested                    // by a command of its client's
-	closeReasons
+	closeReasonCount
 )
 
-var closeReasonNames = [closeReasons]string{"client", "idle", "evicted", "drained", "ending", "slow", "protocol", "faults",
+var closeReasonNames = [closeReasonCount]string{"client", "idle", "evicted", "drained", "ending", "slow", "protocol", "faults",
 	"unread_answers", "requested"}
 
 // String is the reason's name in metrics and logs.
 func (r CloseReason) String() string { return closeReasonNames[r] }
 
-// Monitor is told what becomes of client connections. It may not block.
+// Monitor observes client connections. Its methods are called on any goroutine, also at the same time, and may not block.
 type Monitor interface {
-	// ConnectionClosed tells that a connection ended, for a reason of a fixed set.
+	// ConnectionClosed reports that a connection ended, for a CloseReason's name.
 	ConnectionClosed(reason string)
-	// ConnectionsOverdue tells that so many connections are held past the time of a drain or of the gateway's end.
+	// ConnectionsOverdue reports that so many connections are open past the time of a drain or of the gateway's end.
 	ConnectionsOverdue(n int)
 }
 
-// sessionIDs numbers client connections over all fronts of a process, for the log.
+// sessionIDs numbers the client connections of a process, over all its servers, for the log.
 var sessionIDs atomic.Uint64
 
-// because notes why the session ends, if nothing has before; the lock is held.
-func (s *session) because(r CloseReason) {
-	if !s.closing {
-		s.closing, s.reason = true, r
+// setCloseReason records why the session ends, unless a reason is recorded already; the lock is held.
+func (s *session) setCloseReason(r CloseReason) {
+	if !s.closeReasonSet {
+		s.closeReasonSet = true
+		s.closeReason = r
 	}
 }
 
-// status is what the log says of a session.
+// status is the state of a session in the log.
 type status struct {
 	ID       uint64 `json:"id"`
 	Remote   string `json:"remote"`
 	State    string `json:"state"`
-	Owed     int    `json:"owed"` // answers
-	Commands int    `json:"commands"`
-	BusyMS   int64  `json:"busy_ms"` // since when it has owed something
+	Owed     int    `json:"owed"`     // commands without an answer
+	Commands int    `json:"commands"` // read so far
+	BusyMS   int64  `json:"busy_ms"`  // ms since it last owed something
 }
 
 func (s *session) status() status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return status{ID: s.id, Remote: s.conn.RemoteAddr().String(), State: s.life.state.String(), Owed: len(s.slots),
-		Commands: s.taken, BusyMS: time.Since(s.busy).Milliseconds()}
+	return status{ID: s.id, Remote: s.conn.RemoteAddr().String(), State: s.lifecycle.state.String(), Owed: len(s.slots),
+		Commands: s.commandsRead, BusyMS: time.Since(s.lastOwedAt).Milliseconds()}
 }
 
-// ended tells why a session ended. Of what clients and planned endings do each day, only the count is told.
-func (f *Server) ended(s *session) {
+// reportEnd reports why a session ended to the monitor, and logs the ends that are a client's fault.
+func (f *Server) reportEnd(s *session) {
 	s.mu.Lock()
 	reason := ClosedByClient
-	if s.closing {
-		reason = s.reason
+	if s.closeReasonSet {
+		reason = s.closeReason
 	}
-	taken, bad := s.taken, s.bad
+	commands := s.commandsRead
+	faults := s.faultyCommands
 	s.mu.Unlock()
 	if f.Monitor != nil {
 		f.Monitor.ConnectionClosed(reason.String())
 	}
 	if reason >= ClosedSlow && reason <= ClosedUnread {
 		f.Log.Info("a client connection was cut off", zap.Uint64("session", s.id), zap.Stringer("reason", reason),
-			zap.Stringer("remote", s.conn.RemoteAddr()), zap.Int("commands", taken), zap.Int("faults", bad))
+			zap.Stringer("remote", s.conn.RemoteAddr()), zap.Int("commands", commands), zap.Int("faults", faults))
 	}
 }
 
-// mostOverdue bounds the sessions that one log line names.
-const mostOverdue = 8
+// maxOverdueLogged bounds the sessions that one log line names.
+const maxOverdueLogged = 8
 
-// reportOverdue logs and counts the sessions that are held though their time is over, if there are any.
-func (f *Server) reportOverdue(what string, overdue func(*session) bool) {
-	var held []status
+// reportOverdue logs and counts the sessions that are overdue, if there are any; cause is what should have ended them.
+func (f *Server) reportOverdue(cause string, overdue func(*session) bool) {
+	var logged []status
 	n := 0
 	f.mu.Lock()
 	for s := range f.sessions {
 		if !overdue(s) {
 			continue
 		}
-		if n++; len(held) < mostOverdue {
-			held = append(held, s.status())
+		n++
+		if len(logged) < maxOverdueLogged {
+			logged = append(logged, s.status())
 		}
 	}
 	f.mu.Unlock()
@@ -109,16 +112,16 @@
 	if f.Monitor != nil {
 		f.Monitor.ConnectionsOverdue(n)
 	}
-	f.Log.Warn("client connections are held past their time", zap.String("by", what), zap.Int("connections", n),
-		zap.Any("some", held))
+	f.Log.Warn("client connections are held past their time", zap.String("by", cause), zap.Int("connections", n),
+		zap.Any("some", logged))
 }
 
-// checkDrained reports the sessions that a drain should have ended by now.
+// checkDrained reports the sessions that a drain should have ended by now, if it is still in force.
 func (f *Server) checkDrained(d *drainTimes) {
 	f.mu.Lock()
-	stands := f.drained == d
+	inForce := f.drain == d
 	f.mu.Unlock()
-	if stands {
+	if inForce {
 		f.reportOverdue("drain", func(s *session) bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
@@ -127,42 +130,42 @@
 	}
 }
 
-// hurryDrained has the sessions of a drain on which more has come answer what they owe now, again and again until the drain ends
-// or its last session does. Danger: a request that waits for a server that hangs would keep its connection open past the
-// drain's term, with what its client has written since.
-func (f *Server) hurryDrained(d *drainTimes) {
-	var held []*session
+// expediteDrained expedites the answers of sessions with unread input, in each expediteInterval until the drain ends or its last
+// session does. Otherwise a request at a server that hangs would keep its connection open past the drain's term, and what its
+// client has written since would be lost.
+func (f *Server) expediteDrained(d *drainTimes) {
+	var sessions []*session
 	f.mu.Lock()
-	if f.drained == d {
-		held = slices.Collect(maps.Keys(f.sessions))
+	if f.drain == d {
+		sessions = slices.Collect(maps.Keys(f.sessions))
 	}
 	f.mu.Unlock()
-	for _, s := range held {
-		s.hurryIfWritten()
+	for _, s := range sessions {
+		s.expediteIfUnread()
 	}
-	if len(held) > 0 {
-		time.AfterFunc(hurryInterval, func() { f.hurryDrained(d) })
+	if len(sessions) > 0 {
+		time.AfterFunc(expediteInterval, func() { f.expediteDrained(d) })
 	}
 }
 
-// hurryIfWritten has a session answer now, if it ends and its client has written more than it will read.
-func (s *session) hurryIfWritten() {
+// expediteIfUnread expedites a session's answers, if it ends and its client has written more than it will read.
+func (s *session) expediteIfUnread() {
 	s.mu.Lock()
-	ends := s.life.state != stateOpen && len(s.slots) > 0
+	ends := s.lifecycle.state != stateOpen && len(s.slots) > 0
 	s.mu.Unlock()
-	if !ends || !unread(s.conn) {
+	if !ends || !hasUnread(s.conn) {
 		return
 	}
-	var now []func()
+	var expedite []func()
 	s.mu.Lock()
 	for _, o := range s.slots {
-		if o.hurry != nil {
-			now = append(now, o.hurry)
-			o.hurry = nil
+		if o.onExpedite != nil {
+			expedite = append(expedite, o.onExpedite)
+			o.onExpedite = nil
 		}
 	}
 	s.mu.Unlock()
-	for _, f := range now {
+	for _, f := range expedite {
 		f()
 	}
 }
--- a/internal/front/drain_test.go
+++ b/internal/front/drain_test.go
@@ -19,15 +19,17 @@
 )
 
 // drainEndsSoon are the times of a drain that was called so long ago that taking requests ends in a moment.
-func drainEndsSoon() drainTimes { return newDrain(time.Now().Add(100*time.Millisecond - takeTime)) }
+func drainEndsSoon() drainTimes {
+	return newDrain(time.Now().Add(100*time.Millisecond - drainReadTime))
+}
 
 // drainIsLate are those of one of which the time to take requests is over.
-func drainIsLate() drainTimes { return newDrain(time.Now().Add(-takeTime)) }
+func drainIsLate() drainTimes { return newDrain(time.Now().Add(-drainReadTime)) }
 
 func (s *session) is(at state) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.life.state >= at
+	return s.lifecycle.state >= at
 }
 
 // gated counts what is read of a connection, and notes reads between the end of reading commands and the shut of the
@@ -80,7 +82,7 @@
 			eventually(t, "the session goes on reading", func() bool { return s.is(stateClosing) })
 			c.Write([]byte(ping + ping))
 			// Nobody would tell that nothing is read: the looks for a client that has gone have passed a few times.
-			time.Sleep(3 * goneInterval)
+			time.Sleep(3 * hangUpInterval)
 			close(d.answer)
 			if got := answers(t, c); got != "+OK\r\n" {
 				t.Errorf("%q", got)
@@ -181,7 +183,7 @@
 
 // largeCommand is one that needs a place among the large commands in hand.
 func largeCommand() []byte {
-	return resp.AppendBulk(resp.AppendBulk(resp.AppendArray(nil, 2), "ECHO"), strings.Repeat("x", 2*largeSize))
+	return resp.AppendBulk(resp.AppendBulk(resp.AppendArray(nil, 2), "ECHO"), strings.Repeat("x", 2*minLargeCommand))
 }
 
 // A large command was read, and waits for memory as the time ends: it is answered once there is some, and the connection
@@ -190,8 +192,8 @@
 	d := &slow{answer: make(chan struct{})}
 	close(d.answer)
 	c, _, s, run := gatedPair(t, d)
-	s.bounds.large = semaphore.NewWeighted(4 * largeSize)
-	if !s.bounds.large.TryAcquire(4 * largeSize) {
+	s.bounds.largeCommands = semaphore.NewWeighted(4 * minLargeCommand)
+	if !s.bounds.largeCommands.TryAcquire(4 * minLargeCommand) {
 		t.Fatal("no memory to take")
 	}
 	run()
@@ -199,10 +201,10 @@
 	eventually(t, "the command is not read", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return !s.awaiting && s.until.IsZero() && !s.heard.IsZero() && s.taken == 0
+		return !s.awaitingCommand && s.commandDeadline.IsZero() && !s.lastReadAt.IsZero() && s.commandsRead == 0
 	})
 	s.drain(drainIsLate())
-	s.bounds.large.Release(4 * largeSize)
+	s.bounds.largeCommands.Release(4 * minLargeCommand)
 	if got := answers(t, c); got != "+OK\r\n" {
 		t.Errorf("%q", got)
 	}
@@ -215,7 +217,7 @@
 	c, _, s := pair(t, d, false)
 	const commands = maxFaults - 1
 	c.Write([]byte(strings.Repeat("*1\r\n$3\r\nBAD\r\n", commands)))
-	eventually(t, "nothing was rejected", func() bool { return s.faults() > 2 })
+	eventually(t, "nothing was rejected", func() bool { return s.faultyCount() > 2 })
 	s.drain(drainIsLate())
 	began := time.Now()
 	got := answers(t, c)
@@ -252,7 +254,7 @@
 type refusable struct{}
 
 func (refusable) Do(_ time.Time, _ resp.Command, s *Slot) {
-	if s.Refuse() {
+	if s.MustReject() {
 		s.Fill(resp.AppendFailure(nil, "BUSY"))
 		return
 	}
@@ -297,7 +299,7 @@
 	eventually(t, "no answer waits to be read", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.owed > 0
+		return s.unsentBytes > 0
 	})
 	s.drain(drainIsLate())
 	got, err := io.Copy(io.Discard, c)
@@ -459,7 +461,7 @@
 func drainBy(f *Server, d drainTimes) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.drained = &d
+	f.drain = &d
 }
 
 // Connections that come during a drain: each ends, and what it said whole is answered.
@@ -504,7 +506,7 @@
 		taken := 0
 		for s := range f.sessions {
 			s.mu.Lock()
-			taken += s.taken
+			taken += s.commandsRead
 			s.mu.Unlock()
 		}
 		return len(f.sessions) == len(conns) && taken == len(conns)/3
--- a/internal/front/ending_test.go
+++ b/internal/front/ending_test.go
@@ -53,7 +53,7 @@
 
 func (c *slow) Do(_ time.Time, _ resp.Command, s *Slot) {
 	c.taken.Add(1)
-	s.OnGone(func() { c.gone.Add(1) })
+	s.OnClientLeft(func() { c.gone.Add(1) })
 	go func() {
 		<-c.answer
 		s.Fill(resp.AppendStatus(nil, "OK"))
@@ -141,7 +141,7 @@
 	eventually(t, "the session goes on taking", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.life.state >= stateClosing
+		return s.lifecycle.state >= stateClosing
 	})
 	c.Write([]byte(ping + ping))
 	close(d.answer)
@@ -181,7 +181,7 @@
 			eventually(t, "the half command is not being read", func() bool {
 				s.mu.Lock()
 				defer s.mu.Unlock()
-				return s.taken == 1 && !s.until.IsZero()
+				return s.commandsRead == 1 && !s.commandDeadline.IsZero()
 			})
 			ask(s)
 			if rest, err := io.ReadAll(r); len(rest) > 0 || err != nil {
@@ -198,13 +198,13 @@
 	eventually(t, "the command was not answered", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.taken == 1 && s.owed == 0 && s.awaiting
+		return s.commandsRead == 1 && s.unsentBytes == 0 && s.awaitingCommand
 	})
 	s.evict()
 	eventually(t, "it does not end", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		return s.life.state == stateClosed
+		return s.lifecycle.state == stateClosed
 	})
 	c.Write([]byte(ping)) // crosses the end
 	if got := answers(t, c); got != "+OK\r\n" {
--- a/internal/front/eviction.go
+++ b/internal/front/eviction.go
@@ -8,61 +8,72 @@
 
 const (
 	evictionInterval = 50 * time.Millisecond
-	evictableAfter   = 250 * time.Millisecond // of a session: a client that asks again does so by then, or can connect again
+	evictableAfter   = 250 * time.Millisecond // of idleness: a client in use sends its next command by then, or can reconnect
 )
 
-// evictIdle ends idle sessions beyond those to keep, the longest idle first, until the context ends. It guards clients from each
-// other: a platform lets them hold so many connections and no more, and where each asks once and keeps its own, what is
-// asked next never gets here, though the gateway is at ease and its places are free.
+// evictable is an idle session, and since when it has been idle.
+type evictable struct {
+	session *session
+	since   time.Time
+}
+
+// evictIdle ends idle sessions beyond KeepIdle in each evictionInterval, until the context ends. A platform bounds the
+// connections that its clients hold together: if each client keeps the one that it used once, the commands of others never
+// reach a gateway that has capacity for them.
 func (f *Server) evictIdle(ctx context.Context) {
 	tick := time.NewTicker(evictionInterval)
 	defer tick.Stop()
-	type candidate struct {
-		s     *session
-		since time.Time
-	}
-	var all []candidate
+	var idle []evictable
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-tick.C:
 		}
-		all = all[:0]
-		asked := 0
-		f.mu.Lock()
-		for s := range f.sessions {
-			since, useful, resting := s.resting()
-			if useful { // others are no client's, and have a short time anyway
-				asked++
-			}
-			if useful && resting && time.Since(since) >= evictableAfter {
-				all = append(all, candidate{s, since})
-			}
+		idle = f.evictBeyondKept(idle[:0])
+	}
+}
+
+// evictBeyondKept evicts the idle sessions beyond KeepIdle, the longest idle first. Of sessions that have sent no usable command
+// none counts, as their time is short in any case. It returns the buffer that it was given.
+func (f *Server) evictBeyondKept(idle []evictable) []evictable {
+	used := 0
+	f.mu.Lock()
+	for s := range f.sessions {
+		since, useful, resting := s.resting()
+		if !useful {
+			continue
 		}
-		f.mu.Unlock()
-		slices.SortFunc(all, func(a, b candidate) int { return a.since.Compare(b.since) })
-		for _, c := range all[:max(0, min(len(all), asked-f.KeepIdle))] {
-			c.s.evict()
+		used++
+		if resting && time.Since(since) >= evictableAfter {
+			idle = append(idle, evictable{s, since})
 		}
 	}
+	f.mu.Unlock()
+	slices.SortFunc(idle, func(a, b evictable) int { return a.since.Compare(b.since) })
+	surplus := min(len(idle), used-f.KeepIdle)
+	for _, e := range idle[:max(0, surplus)] {
+		e.session.evict()
+	}
+	return idle
 }
 
-// makeRoom ends the session that has been idle longest, if one is. Clients may keep sessions that they no longer use,
-// and a new one would wait for them for ever. Those that have asked for nothing that could be used go first: whoever
-// connects by hundreds and says nothing takes the place of no client that is served. A client that has connected a
-// moment ago has had no time to ask.
-func (f *Server) makeRoom() {
+// evictLongestIdle ends the session that has been idle longest, if one is, so that a new one gets its place. Sessions that have
+// sent no usable command go first: connections that send nothing must not displace clients that are served. A session younger
+// than firstCommandTime has had no time for a command, and counts as useful.
+func (f *Server) evictLongestIdle() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var longest *session
-	var since time.Time
-	served := false
+	var longestSince time.Time
+	longestUseful := false
 	for s := range f.sessions {
-		at, useful, idle := s.idle()
-		useful = useful || time.Since(at) < firstTime
-		if idle && (longest == nil || served && !useful || served == useful && at.Before(since)) {
-			longest, since, served = s, at, useful
+		since, useful, idle := s.idle()
+		useful = useful || time.Since(since) < firstCommandTime
+		if idle && (longest == nil || longestUseful && !useful || longestUseful == useful && since.Before(longestSince)) {
+			longest = s
+			longestSince = since
+			longestUseful = useful
 		}
 	}
 	if longest != nil {
--- a/internal/front/golden_wire_test.go
+++ b/internal/front/golden_wire_test.go
@@ -65,14 +65,14 @@
 		c.Write([]byte(in))
 		b = fmt.Appendf(b, "%.200q\n\t%q\n", in, answers(t, c))
 	}
-	golden.Compare(t, "session.txt", fmt.Appendf(b, "%v\n", errSlow))
+	golden.Compare(t, "session.txt", fmt.Appendf(b, "%v\n", errCommandTimeout))
 }
 
 // The reasons for which a connection ended, which are a label of the metrics and a field of the log, in their order; and what the log
 // says of a session. Operators read them.
 func TestGoldenReports(t *testing.T) {
 	var b []byte
-	for r := range closeReasons {
+	for r := range closeReasonCount {
 		b = fmt.Appendf(b, "%v\n", r)
 	}
 	text, err := json.Marshal(status{ID: 1, Remote: "10.0.0.1:2", State: stateDraining.String(), Owed: 3, Commands: 4, BusyMS: 5})
--- a/internal/front/hangup.go
+++ b/internal/front/hangup.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// withDescriptor calls f with the descriptor of a connection, where the system has one.
+// withDescriptor calls f with the descriptor of a connection, if it has one.
 func withDescriptor(c net.Conn, f func(fd int)) {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -18,23 +18,24 @@
 	}
 }
 
-// unread tells whether something has come on a connection that is not read yet. False where the system does not tell.
-func unread(c net.Conn) (more bool) {
+// hasUnread reports whether bytes have come on a connection that are not read yet; false if the system does not tell. It does not
+// block and reads nothing.
+func hasUnread(c net.Conn) (unread bool) {
 	withDescriptor(c, func(fd int) {
 		var b [1]byte
 		n, _, err := syscall.Recvfrom(fd, b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		more = err == nil && n > 0
+		unread = err == nil && n > 0
 	})
-	return more
+	return unread
 }
 
-// hungUp tells whether the far side of a connection has closed it or its sending, though what came before is not read yet.
-// False where the system does not tell.
-func hungUp(c net.Conn) (gone bool) {
+// hungUp reports whether the peer has closed a connection or its sending side, even if bytes before that are not read yet; false
+// if the system does not tell. It does not block.
+func hungUp(c net.Conn) (closed bool) {
 	withDescriptor(c, func(fd int) {
 		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
 		n, err := unix.Poll(p, 0)
-		gone = err == nil && n > 0 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
+		closed = err == nil && n > 0 && p[0].Revents&(unix.POLLRDHUP|unix.POLLHUP|unix.POLLERR) != 0
 	})
-	return gone
+	return closed
 }
--- a/internal/front/lifecycle_test.go
+++ b/internal/front/lifecycle_test.go
@@ -12,14 +12,14 @@
 	called := time.Now()
 	d := newDrain(called)
 	// The rule allows sockets 50 ms; the gateway may be held up between its clock and the read, and again before.
-	if last := d.takeUntil.Add(2 * stallMargin); drainTerm-last.Sub(called) < recentWindow {
+	if last := d.readUntil.Add(2 * stallMargin); drainTerm-last.Sub(called) < recentWindow {
 		t.Errorf("a request that is read %v after the call would be recent at the end of the term", last.Sub(called))
 	}
-	if last := d.goneBy.Add(stallMargin); last.Sub(called) >= drainTerm {
+	if last := d.closeAt.Add(stallMargin); last.Sub(called) >= drainTerm {
 		t.Errorf("a connection may be held for %v", last.Sub(called))
 	}
 	// A wall clock that is stepped moves neither: both carry the monotonic clock's reading.
-	for _, at := range []time.Time{d.takeUntil, d.goneBy} {
+	for _, at := range []time.Time{d.readUntil, d.closeAt} {
 		if !strings.Contains(at.String(), "m=") {
 			t.Errorf("%v is a time of the wall clock alone", at)
 		}
@@ -44,7 +44,7 @@
 			case 0:
 				var first time.Time
 				if rng.IntN(2) == 0 {
-					first = born.Add(firstTime)
+					first = born.Add(firstCommandTime)
 				}
 				if l.drain(newDrain(now), first) {
 					called = now
@@ -76,15 +76,15 @@
 	if l.state < before.state {
 		t.Errorf("world %d: from state %d back to %d", world, before.state, l.state)
 	}
-	if before.state == stateDraining && l.takeUntil.After(before.takeUntil) {
-		t.Errorf("world %d: the time to take requests went from %v to %v", world, before.takeUntil, l.takeUntil)
+	if before.state == stateDraining && l.readUntil.After(before.readUntil) {
+		t.Errorf("world %d: the time to take requests went from %v to %v", world, before.readUntil, l.readUntil)
 	}
-	if reads := l.reads(now); reads && (l.state >= stateClosing || l.state == stateDraining && !now.Before(l.takeUntil)) {
+	if reads := l.reads(now); reads && (l.state >= stateClosing || l.state == stateDraining && !now.Before(l.readUntil)) {
 		t.Errorf("world %d: state %d reads", world, l.state)
 	} else if !reads && l.state == stateOpen {
 		t.Errorf("world %d: an open connection does not read", world)
 	}
-	if l.state == stateDraining && l.readBy(now.Add(time.Hour)).After(l.takeUntil) {
+	if l.state == stateDraining && l.readBy(now.Add(time.Hour)).After(l.readUntil) {
 		t.Errorf("world %d: a read goes on beyond the time to take requests", world)
 	}
 }
@@ -92,14 +92,14 @@
 // checkDrained holds a connection to the term: called is when the gateway was drained.
 func checkDrained(t *testing.T, world int, l lifecycle, called, now time.Time) {
 	t.Helper()
-	if now.Sub(called) >= takeTime+firstTime && l.reads(now) {
+	if now.Sub(called) >= drainReadTime+firstCommandTime && l.reads(now) {
 		t.Errorf("world %d: it reads %v after the call", world, now.Sub(called))
 	}
-	if read := called.Add(takeTime); l.state == stateDraining && !l.refuses(read) {
-		t.Errorf("world %d: a request that is read %v after the call is not refused", world, takeTime)
+	if read := called.Add(drainReadTime); l.state == stateDraining && !l.rejects(read) {
+		t.Errorf("world %d: a request that is read %v after the call is not refused", world, drainReadTime)
 	}
-	if l.state == stateClosed && !l.goneBy.Before(called.Add(drainTerm)) && now.Before(called.Add(drainTerm-discardTime)) {
-		t.Errorf("world %d: closed %v after the call, and held for %v", world, now.Sub(called), l.goneBy.Sub(called))
+	if l.state == stateClosed && !l.closeAt.Before(called.Add(drainTerm)) && now.Before(called.Add(drainTerm-discardTime)) {
+		t.Errorf("world %d: closed %v after the call, and held for %v", world, now.Sub(called), l.closeAt.Sub(called))
 	}
 }
 
@@ -108,24 +108,24 @@
 	begin := time.Now()
 	var l lifecycle
 	l.drain(newDrain(begin), time.Time{})
-	if l.drain(newDrain(begin.Add(time.Second)), time.Time{}) || l.takeUntil != begin.Add(takeTime) {
+	if l.drain(newDrain(begin.Add(time.Second)), time.Time{}) || l.readUntil != begin.Add(drainReadTime) {
 		t.Errorf("after a second drain: %+v", l)
 	}
 	l.stop(begin.Add(time.Hour))
-	if l.takeUntil != begin.Add(takeTime) {
+	if l.readUntil != begin.Add(drainReadTime) {
 		t.Errorf("after a stop that is later: %+v", l)
 	}
 	l.stop(begin.Add(time.Second))
-	if l.takeUntil != begin.Add(time.Second) {
+	if l.readUntil != begin.Add(time.Second) {
 		t.Errorf("after a stop that is earlier: %+v", l)
 	}
 	l.close()
-	l.shut(begin.Add(goneTime - time.Millisecond))
-	if want := begin.Add(goneTime - time.Millisecond + leastDiscardTime); l.goneBy != want {
-		t.Errorf("shut just before its end, it goes at %v, not %v", l.goneBy.Sub(begin), want.Sub(begin))
+	l.shut(begin.Add(drainCloseTime - time.Millisecond))
+	if want := begin.Add(drainCloseTime - time.Millisecond + minDiscardTime); l.closeAt != want {
+		t.Errorf("shut just before its end, it goes at %v, not %v", l.closeAt.Sub(begin), want.Sub(begin))
 	}
 	l.shut(begin.Add(time.Hour))
-	if l.goneBy.After(begin.Add(drainTerm)) {
+	if l.closeAt.After(begin.Add(drainTerm)) {
 		t.Errorf("shut again: %+v", l)
 	}
 }
--- a/internal/front/limits/golden_test.go
+++ b/internal/front/limits/golden_test.go
@@ -62,7 +62,7 @@
 		for _, w := range c.words {
 			cmd = append(cmd, []byte(w))
 		}
-		got, err := goldenCommands().decode(cmd, c.kind)
+		got, err := goldenCommands().parse(cmd, c.kind)
 		if err != nil || !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%q: %v\n got %+v\nwant %+v", c.words, err, got, c.want)
 		}
--- a/internal/front/limits/limits.go
+++ b/internal/front/limits/limits.go
@@ -1,5 +1,5 @@
-// Package limits is the front for RESP commands on limits: LIMIT.GET and LIMIT.ADJUST, beside the platform's
-// commands, so that queries can stand between bookings.
+// Package limits is the front for RESP commands on limits, LIMIT.GET and LIMIT.ADJUST. It also carries out the platform's commands,
+// so that a session can mix them.
 package limits
 
 import (
@@ -15,40 +15,41 @@
 	"dewhitch/internal/resp"
 )
 
-// Commands carries out the commands of this front.
+// Commands carries out the commands of this front (front.Commands).
 type Commands struct {
 	*platform.Commands
 }
 
 // Do implements front.Commands.
-func (c *Commands) Do(came time.Time, cmd resp.Command, s *front.Slot) {
+func (c *Commands) Do(readAt time.Time, cmd resp.Command, s *front.Slot) {
 	switch string(bytes.ToUpper(cmd[0])) {
 	case "LIMIT.GET":
-		c.take(came, cmd, core.KindQueryLimit, s)
+		c.handleRequest(readAt, cmd, core.KindQueryLimit, s)
 	case "LIMIT.ADJUST":
-		c.take(came, cmd, core.KindAdjustLimit, s)
+		c.handleRequest(readAt, cmd, core.KindAdjustLimit, s)
 	default:
-		c.Commands.Do(came, cmd, s)
+		c.Commands.Do(readAt, cmd, s)
 	}
 }
 
-func (c *Commands) take(came time.Time, cmd resp.Command, kind core.RequestKind, s *front.Slot) {
-	r, err := c.decode(cmd, kind)
+// handleRequest parses a request and submits it to the planner.
+func (c *Commands) handleRequest(readAt time.Time, cmd resp.Command, kind core.RequestKind, s *front.Slot) {
+	r, err := c.parse(cmd, kind)
 	if err != nil {
 		s.Reject(err.Error())
 		return
 	}
-	r.ReceivedAt = came
-	c.Hand(r, s, appendAnswer)
+	r.ReceivedAt = readAt
+	c.Submit(r, s, appendAnswer)
 }
 
-// decode reads CUSTOMER ARGUMENTS, or CUSTOMER UNITS ARGUMENTS for an adjustment.
-func (c *Commands) decode(cmd resp.Command, kind core.RequestKind) (*core.Request, error) {
-	words := 3
+// parse reads LIMIT.GET CUSTOMER ARGUMENTS or LIMIT.ADJUST CUSTOMER UNITS ARGUMENTS. The texts of its errors are answered to the client.
+func (c *Commands) parse(cmd resp.Command, kind core.RequestKind) (*core.Request, error) {
+	length := 3
 	if kind == core.KindAdjustLimit {
-		words = 4
+		length = 4
 	}
-	if len(cmd) != words {
+	if len(cmd) != length {
 		return nil, errors.New("wrong number of arguments")
 	}
 	r := &core.Request{Kind: kind}
@@ -56,24 +57,33 @@
 	if r.Customer, err = platform.Customer(cmd[1]); err != nil {
 		return nil, err
 	}
-	if _, err = c.Arguments(cmd[words-1], r); err != nil {
+	if _, err = c.Arguments(cmd[length-1], r); err != nil {
 		return nil, err
 	}
 	plan := c.Settings.Plans[r.Plan]
 	if plan.Rate <= 0 {
 		return nil, errors.New("t: this plan has no limit")
 	}
-	if r.Units = 0; kind == core.KindAdjustLimit {
-		r.Units, err = strconv.ParseFloat(string(cmd[2]), 64)
-		if most := plan.Burst; err != nil || r.Units == 0 || !(r.Units >= -most && r.Units <= most) {
-			return nil, fmt.Errorf("units: %.32q is not a number from %v to %v, 0 excepted", cmd[2], -most, most)
+	r.Units = 0
+	if kind == core.KindAdjustLimit {
+		if r.Units, err = adjustment(cmd[2], plan.Burst); err != nil {
+			return nil, err
 		}
 	}
 	return r, nil
 }
 
-// appendAnswer words an answer: for a query, the limit, what is left, and the milliseconds until there is more;
-// for an adjustment, the units that were booked, below 0 for those given back.
+// adjustment reads units to take, or below 0 to return: at most a burst at once.
+func adjustment(text []byte, burst float64) (float64, error) {
+	units, err := strconv.ParseFloat(string(text), 64)
+	if err != nil || units == 0 || !(units >= -burst && units <= burst) {
+		return 0, fmt.Errorf("units: %.32q is not a number from %v to %v, 0 excepted", text, -burst, burst)
+	}
+	return units, nil
+}
+
+// appendAnswer appends an answer in the form of the wire: for a query, the limit, what is left, and the milliseconds until there is
+// more; for an adjustment, the units that were taken, below 0 for those returned.
 func appendAnswer(b []byte, a core.Answer) []byte {
 	switch {
 	case a.Result == core.ResultFailed:
--- a/internal/front/platform/golden_test.go
+++ b/internal/front/platform/golden_test.go
@@ -66,7 +66,7 @@
 		for _, w := range c.words {
 			cmd = append(cmd, []byte(w))
 		}
-		got, err := goldenCommands().decode(cmd, c.query)
+		got, err := goldenCommands().parse(cmd, c.query)
 		if err != nil || !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%q: %v\n got %+v\nwant %+v", c.words, err, got, c.want)
 		}
--- a/internal/front/reader.go
+++ b/internal/front/reader.go
@@ -9,198 +9,204 @@
 	"dewhitch/internal/resp"
 )
 
-// How a session's client is waited for.
+// How long a session waits for its client.
 const (
-	readBuffer    = 2 << 10
-	helloTime     = 1500 * time.Millisecond // from connecting to the first byte: a client connects to say something
-	byteTime      = 2500 * time.Millisecond // between two bytes of a command: a client may spend 2 s on a head
-	commandTime   = 10 * time.Second        // from a command's first byte to its last
-	idleTime      = 5 * time.Second         // a client that asks for nothing for so long can connect again
-	drainInterval = 50 * time.Millisecond   // between two looks at whether a draining session is owed nothing
-	lastReadTime  = time.Millisecond        // for what is on its way, before a session ends
-	stopTime      = 100 * time.Millisecond  // for a command that is on its way as the gateway ends
-	goneInterval  = 50 * time.Millisecond   // while nothing is read: between two looks at whether the client has gone
-	discardBytes  = 256 << 10               // of input that is discarded; a client that writes more waits for the close
+	readBuffer      = 2 << 10                 // bytes
+	helloTime       = 1500 * time.Millisecond // from the connection to the first byte
+	byteTime        = 2500 * time.Millisecond // between two bytes of a command: a client may send a head for 2 s
+	commandTime     = 10 * time.Second        // from a command's first byte to its last
+	idleTime        = 5 * time.Second         // between two commands: a client can reconnect
+	drainInterval   = 50 * time.Millisecond   // between two checks whether a draining session is owed nothing
+	lastReadTime    = time.Millisecond        // before a session ends, for input that is on its way
+	stopTime        = 100 * time.Millisecond  // at the end of the gateway, for a command that is on its way
+	hangUpInterval  = 50 * time.Millisecond   // between two checks whether the client has hung up, while nothing is read
+	maxDiscardBytes = 256 << 10               // of input that is discarded at the end; a client that writes more waits for the close
 )
 
-// The penalties for commands that can't be used.
+// The pause before the next command is read, after a faulty one.
 const (
-	maxFaults   = 16 // after which the session ends
-	penaltyStep = 50 * time.Millisecond
+	maxFaults   = 16                    // faulty commands, with which the session ends
+	penaltyStep = 50 * time.Millisecond // for each faulty command so far
 	maxPenalty  = time.Second
 )
 
+// Why no more commands are read. The texts are part of the wire.
 var (
-	errOver = errors.New("the session takes no more commands")
-	errSlow = errors.New("the command is not whole in time")
+	errNoMoreCommands = errors.New("the session takes no more commands")
+	errCommandTimeout = errors.New("the command is not whole in time")
 )
 
-// read takes commands until the session ends or its client has broken the protocol.
+// read reads commands until the session ends. It is the session's reading goroutine.
 func (s *session) read() {
-	for r := resp.NewReader(s, readBuffer); s.readCommand(r); {
+	r := resp.NewReader(s, readBuffer)
+	for s.readCommand(r) {
 	}
 }
 
-// readCommand takes one command; false: it was the last.
+// readCommand reads and starts one command; false: it was the last.
 func (s *session) readCommand(r *resp.Reader) bool {
-	if err := s.await(r); err != nil {
+	if err := s.awaitCommand(r); err != nil {
 		s.endReading(err)
 		return false
 	}
 	c, err := r.ReadCommand()
 	err = s.commandRead(err)
-	if err != nil && !errors.Is(err, errSlow) && !errors.Is(err, resp.ErrProtocol) {
+	if err != nil && !errors.Is(err, errCommandTimeout) && !errors.Is(err, resp.ErrProtocol) {
 		s.endReading(err)
 		return false
 	}
-	if time.Since(s.heard) > goneInterval {
-		s.leaveIfGone() // it has waited behind others, or for a pause
+	if time.Since(s.lastReadAt) > hangUpInterval {
+		s.abortIfHungUp() // the command was in the buffer for a while
 	}
-	slot := s.open(c)
+	slot := s.openSlot(c)
 	if slot == nil {
 		return false
 	}
 	if err != nil {
-		// Answered in its turn; then the session is over, as no command can be told from what follows.
-		slot.Fill(resp.AppendFailure(nil, "ERR "+err.Error()))
-		if errors.Is(err, errSlow) {
-			s.finish(ClosedSlow)
-		} else {
-			s.finish(ClosedProtocol)
-		}
+		s.endWithError(slot, err)
 		return false
 	}
-	before := s.faults()
-	s.commands.Do(s.heard, c, slot)
-	return s.goesOn(before)
+	faultsBefore := s.faultyCount()
+	s.commands.Do(s.lastReadAt, c, slot)
+	return s.mayContinue(faultsBefore)
+}
+
+// endWithError answers an unreadable command with its error, and ends the session, as the start of the next command is unknown.
+func (s *session) endWithError(slot *Slot, err error) {
+	slot.Fill(resp.AppendFailure(nil, "ERR "+err.Error()))
+	if errors.Is(err, errCommandTimeout) {
+		s.finish(ClosedSlow)
+	} else {
+		s.finish(ClosedProtocol)
+	}
 }
 
-// commandRead notes that no command is being read any more, and says what its error means.
+// commandRead records that no command is being read any more, and tells a command's time-out from the end of the session.
 func (s *session) commandRead(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.until = time.Time{}
+	s.commandDeadline = time.Time{}
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
-	if s.evicted || s.life.state != stateOpen { // it was not taken: its client sends it elsewhere
-		return errOver
+	if s.evicted || s.lifecycle.state != stateOpen { // the command was not accepted: its client sends it elsewhere
+		return errNoMoreCommands
 	}
-	return errSlow
+	return errCommandTimeout
 }
 
-// endReading ends a session by whose reader nothing more is taken. One that never asked is owed nothing, and its place is
-// free at once; while draining, what it sends just then must not be reset.
+// endReading ends a session after the last read, which failed with err. A session of an open gateway that never sent a command is
+// closed at once, and releases its place; any other ends gracefully, so that input that is on its way does not reset it.
 func (s *session) endReading(err error) {
 	s.mu.Lock()
-	over := errors.Is(err, errOver)
-	graceful := over && (s.taken > 0 || s.life.state != stateOpen)
-	if over && s.life.state != stateOpen {
-		s.because(s.ends)
+	byGateway := errors.Is(err, errNoMoreCommands)
+	graceful := byGateway && (s.commandsRead > 0 || s.lifecycle.state != stateOpen)
+	if byGateway && s.lifecycle.state != stateOpen {
+		s.setCloseReason(s.shutdownReason)
 	}
 	s.mu.Unlock()
 	switch {
 	case graceful:
-		s.finish(ClosedEvicted) // unless it is for another reason, which was noted
-	case over:
-		s.cut(ClosedIdle)
+		s.finish(ClosedEvicted) // if no other reason is recorded
+	case byGateway:
+		s.abort(ClosedIdle)
 	default:
-		s.cut(ClosedByClient)
+		s.abort(ClosedByClient)
 	}
 }
 
-// faults is how many commands could not be used.
-func (s *session) faults() int {
+// faultyCount is how many commands so far could not be used.
+func (s *session) faultyCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.bad
+	return s.faultyCommands
 }
 
-// goesOn tells whether another command is read after one that was carried out, and has a client that sends what can't be
-// used wait first; before that command, so many could not be used.
-func (s *session) goesOn(before int) bool {
+// mayContinue tells whether another command is read after one that was started. If that one could not be used, which
+// faultsBefore tells, the session pauses first, or ends.
+func (s *session) mayContinue(faultsBefore int) bool {
 	s.mu.Lock()
-	bad, closing := s.bad, s.life.state >= stateClosing
+	faults := s.faultyCommands
+	closing := s.lifecycle.state >= stateClosing
 	s.mu.Unlock()
-	return !closing && (bad == before || s.penalize(bad))
+	return !closing && (faults == faultsBefore || s.penalize(faults))
 }
 
-// await waits for the first byte of a command. Danger: clients that connect and say nothing, or keep a session for
-// good, must take nobody's place.
-func (s *session) await(r *resp.Reader) error {
+// awaitCommand waits for the first byte of a command. The wait is bounded, as idle clients must not take the places of others.
+func (s *session) awaitCommand(r *resp.Reader) error {
 	for limit := helloTime; r.Buffered() == 0; {
-		if s.taken > 0 {
+		if s.commandsRead > 0 {
 			limit = idleTime
 		}
-		if !s.watch(limit) {
-			return errOver
+		if !s.beginWait(limit) {
+			return errNoMoreCommands
 		}
 		_, err := r.Peek()
 		s.mu.Lock()
-		s.awaiting = false
+		s.awaitingCommand = false
 		s.mu.Unlock()
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			return err
 		}
-		if err != nil && s.leave(r, limit) {
-			return errOver
+		if err != nil && s.endsBetweenCommands(r, limit) {
+			return errNoMoreCommands
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.life.state >= stateClosing {
-		return errOver
+	if s.lifecycle.state >= stateClosing {
+		return errNoMoreCommands
 	}
-	s.until = s.life.readBy(time.Now().Add(commandTime))
-	s.evicted = false // it is busy: another may be asked to make room, or this one again
+	s.commandDeadline = s.lifecycle.readBy(time.Now().Add(commandTime))
+	s.evicted = false // it is in use again; another session is evicted, or this one later
 	return nil
 }
 
-// Read reads from the client's connection, which nothing else does while commands are taken: once the lifecycle forbids it,
-// no more is read, wherever in a command that is. In the midst of a command it bounds each read; a wait for a command has a
-// deadline of its own.
+// Read reads from the client's connection, which nothing else does while commands are read. Once the lifecycle forbids it,
+// nothing more is read, even within a command. It sets the deadline of each read within a command; a wait for a command has a
+// deadline of its own, by beginWait.
 func (s *session) Read(b []byte) (int, error) {
 	s.mu.Lock()
 	now := time.Now()
-	reads := s.life.reads(now)
-	if reads && !s.until.IsZero() {
-		s.conn.SetReadDeadline(earlier(s.until, now.Add(byteTime)))
+	reads := s.lifecycle.reads(now)
+	if reads && !s.commandDeadline.IsZero() {
+		s.conn.SetReadDeadline(earlier(s.commandDeadline, now.Add(byteTime)))
 	}
 	s.mu.Unlock()
 	if !reads {
-		return 0, errOver
+		return 0, errNoMoreCommands
 	}
 	n, err := s.conn.Read(b)
 	if n > 0 {
-		s.heard = time.Now()
+		s.lastReadAt = time.Now()
 	}
 	return n, err
 }
 
-// watch bounds a wait for the next command; false: none is taken any more. A draining session looks often, and one that is
-// to make room at once.
-func (s *session) watch(limit time.Duration) bool {
+// beginWait sets the deadline of a wait for the next command; false: no more commands are read. A draining session waits for
+// drainInterval at a time, and an evicted one for lastReadTime.
+func (s *session) beginWait(limit time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if !s.life.reads(now) {
+	if !s.lifecycle.reads(now) {
 		return false
 	}
-	if s.life.state == stateDraining {
+	if s.lifecycle.state == stateDraining {
 		limit = drainInterval
 	}
 	if s.evicted {
 		limit = lastReadTime
 	}
-	s.awaiting = true
-	s.conn.SetReadDeadline(s.life.readBy(now.Add(limit)))
+	s.awaitingCommand = true
+	s.conn.SetReadDeadline(s.lifecycle.readBy(now.Add(limit)))
 	return true
 }
 
-// leave tells whether the session ends now, between two commands: someone wants it to, or it has said nothing for so long.
-// Danger: whatever came before the end was taken, and would be lost; so it looks once more, and serves what came.
-func (s *session) leave(r *resp.Reader, limit time.Duration) bool {
-	if !s.mayLeave(limit) {
+// endsBetweenCommands tells whether the session ends now, between two commands. It reads once more before it does, as a command
+// that came in the meantime would be lost, and must be served.
+func (s *session) endsBetweenCommands(r *resp.Reader, limit time.Duration) bool {
+	if !s.mayEnd(limit) {
 		return false
 	}
 	s.conn.SetReadDeadline(time.Now().Add(lastReadTime))
@@ -208,136 +214,148 @@
 	return err != nil
 }
 
-func (s *session) mayLeave(limit time.Duration) bool {
+// mayEnd is the rule by which a session that waits for a command, and owes nothing, ends: it was evicted, it drains and has had time
+// for its first command, or it has been idle for limit.
+func (s *session) mayEnd(limit time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	idle := s.owesNothing()
-	switch {
-	case s.evicted:
-		if s.evicted = false; idle { // if it is busy again, another is asked
-			s.because(ClosedEvicted)
-		}
-		return idle
-	case s.life.state == stateDraining: // a new one's first command may be on its way
-		return idle && (s.taken > 0 || time.Since(s.born) >= firstTime)
+	wasEvicted := s.evicted
+	s.evicted = false // if it owes something again, another session is evicted
+	if !s.owesNothing() {
+		return false
 	}
-	if idle = idle && time.Since(s.busy) >= limit; idle {
-		s.because(ClosedIdle)
+	switch {
+	case wasEvicted:
+		s.setCloseReason(ClosedEvicted)
+		return true
+	case s.lifecycle.state == stateDraining:
+		return s.commandsRead > 0 || time.Since(s.acceptedAt) >= firstCommandTime
+	case time.Since(s.lastOwedAt) >= limit:
+		s.setCloseReason(ClosedIdle)
+		return true
 	}
-	return idle
+	return false
 }
 
-// penalize has a client that sends what can't be used wait before its next command is read: an error at full speed, and
-// the same again, would take the time of all others. At last it ends the session. While it drains there is no time to wait,
-// and not much is read.
-func (s *session) penalize(n int) bool {
-	if n >= maxFaults {
+// penalize pauses after a faulty command, by the number of them so far, as a client that repeats faults at full speed would take
+// the CPU of all others. False: there were too many, and the session ends. A draining session does not pause: its time is short,
+// and it reads little.
+func (s *session) penalize(faults int) bool {
+	if faults >= maxFaults {
 		s.finish(ClosedFaults)
 		return false
 	}
-	defer s.watchForClose()()
+	stop := s.watchForHangUp()
+	defer stop()
 	select {
 	case <-s.ctx.Done():
-	case <-s.drained:
-	case <-time.After(min(time.Duration(n)*penaltyStep, maxPenalty)):
+	case <-s.drainStarted:
+	case <-time.After(min(time.Duration(faults)*penaltyStep, maxPenalty)):
 	}
 	return true
 }
 
-// open makes the slot of the next command, once there is room.
-func (s *session) open(c resp.Command) *Slot {
-	slot, size := &Slot{session: s}, 0
+// openSlot makes the slot of the next command, once there is capacity for it; nil: the session is over.
+func (s *session) openSlot(c resp.Command) *Slot {
+	slot := &Slot{session: s}
+	size := 0
 	for _, word := range c {
 		size += len(word)
 	}
-	if size > largeSize {
+	if size > minLargeCommand {
 		if !s.acquireLarge(int64(size)) {
 			return nil
 		}
-		slot.large = int64(size)
+		slot.largeBytes = int64(size)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for (len(s.slots) >= maxPipelined || int64(s.owed) > s.bounds.unsent) && s.life.state < stateClosed {
-		look := time.AfterFunc(goneInterval, func() {
-			s.leaveIfGone()
-			s.room.Broadcast()
+	for s.isFull() && s.lifecycle.state < stateClosed {
+		check := time.AfterFunc(hangUpInterval, func() {
+			s.abortIfHungUp()
+			s.capacity.Broadcast()
 		})
-		s.room.Wait()
-		look.Stop()
+		s.capacity.Wait()
+		check.Stop()
 	}
-	if s.life.state == stateClosed {
-		s.bounds.large.Release(slot.large)
+	if s.lifecycle.state == stateClosed {
+		s.bounds.largeCommands.Release(slot.largeBytes)
 		return nil
 	}
-	s.taken++
-	slot.refuse = s.life.refuses(s.heard)
+	s.commandsRead++
+	slot.mustReject = s.lifecycle.rejects(s.lastReadAt)
 	s.slots = append(s.slots, slot)
 	return slot
 }
 
-// acquireLarge waits for room for a large command; false: the session is over.
+// isFull tells whether a command has to wait until others of the session are answered; the lock is held.
+func (s *session) isFull() bool {
+	return len(s.slots) >= maxPipelined || int64(s.unsentBytes) > s.bounds.maxUnsent
+}
+
+// acquireLarge waits for memory for a large command of so many bytes; false: the session is over.
 func (s *session) acquireLarge(size int64) bool {
-	if s.bounds.large.TryAcquire(size) {
+	if s.bounds.largeCommands.TryAcquire(size) {
 		return true
 	}
-	stop := s.watchForClose()
-	err := s.bounds.large.Acquire(s.ctx, size)
-	if stop(); err != nil {
+	stop := s.watchForHangUp()
+	err := s.bounds.largeCommands.Acquire(s.ctx, size)
+	stop()
+	if err != nil {
 		return false
 	}
-	s.leaveIfGone()
+	s.abortIfHungUp()
 	return true
 }
 
-// watchForClose looks at whether the client has gone, again and again until it is stopped. It is for a reader that waits for
-// something other than its client. Danger: the requests that are out for a client that has gone would be sent on meanwhile.
-func (s *session) watchForClose() (stop func()) {
+// watchForHangUp checks whether the client has hung up in each hangUpInterval, until it is stopped. It is for a reader that waits
+// for something other than its client: requests of a client that has left must not be forwarded meanwhile.
+func (s *session) watchForHangUp() (stop func()) {
 	ctx, stop := context.WithCancel(s.ctx)
-	go s.leaveOnClose(ctx)
+	go s.abortOnHangUp(ctx)
 	return stop
 }
 
-// leaveOnClose ends the session once its client has gone, or returns when the context ends.
-func (s *session) leaveOnClose(ctx context.Context) {
-	look := time.NewTicker(goneInterval)
-	defer look.Stop()
+// abortOnHangUp aborts the session once its client has hung up, and returns when the context ends.
+func (s *session) abortOnHangUp(ctx context.Context) {
+	tick := time.NewTicker(hangUpInterval)
+	defer tick.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-look.C:
-			s.leaveIfGone()
+		case <-tick.C:
+			s.abortIfHungUp()
 		}
 	}
 }
 
-// leaveIfGone ends the session if its client has closed or half-closed. Danger: the end of a client that sent much and went
-// stands behind all that it sent, which is read only as there is room, and each would be sent on for nobody.
-func (s *session) leaveIfGone() {
+// abortIfHungUp aborts the session if its client has closed or half-closed the connection. The end of the input would be read only
+// after all commands before it, each of which would be forwarded for nobody.
+func (s *session) abortIfHungUp() {
 	if hungUp(s.conn) {
-		s.cut(ClosedByClient)
+		s.abort(ClosedByClient)
 	}
 }
 
-// awaitAnswers waits until all that was taken is answered and the sending side is shut. Danger: nothing may be read
-// meanwhile, as what was read and is not answered would be lost; unread, its client sends it elsewhere.
+// awaitAnswers waits until all commands are answered and the sending side is shut, or the client has hung up. Nothing is read
+// meanwhile: a client may take what was read as accepted, and sends elsewhere what was not.
 func (s *session) awaitAnswers() {
-	s.leaveOnClose(s.ctx)
+	s.abortOnHangUp(s.ctx)
 }
 
-// discard reads what still comes until the client ends, or its time is up: a close over unread input would reset the
-// connection, and the client could lose answers that are on their way. It reads so much and no more, as a client may write
-// without end; one that goes on waits for the close.
+// discard reads and drops input until the client closes, or until closeAt: closing a connection with unread input would reset it,
+// and the client could lose answers that are on their way. It reads maxDiscardBytes at most, as a client may write without end,
+// and then waits for closeAt.
 func (s *session) discard() {
 	s.mu.Lock()
-	until := s.life.goneBy
+	until := s.lifecycle.closeAt
 	s.mu.Unlock()
 	if !time.Now().Before(until) {
 		return
 	}
 	buf := make([]byte, readBuffer)
-	for left := discardBytes; left > 0; {
+	for left := maxDiscardBytes; left > 0; {
 		n, err := s.conn.Read(buf)
 		if err != nil {
 			return
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -12,106 +12,156 @@
 	"dewhitch/internal/sockets"
 )
 
-// Server takes client sessions in at one address.
+const (
+	lastAcceptTime = 20 * time.Millisecond // at the end, for connections that the system has accepted
+	placeInterval  = 50 * time.Millisecond // between two evictions for a session that waits for a place
+)
+
+// Server accepts client sessions at one address. Its exported fields are set before Serve. Its methods are safe for any
+// goroutine.
 type Server struct {
 	Listener net.Listener
 	Open     func() Commands // for each session
-	Sessions int             // most at once
-	KeepIdle int             // idle ones beyond so many sessions end early; 0: none does
+	Sessions int             // the maximum at once
+	KeepIdle int             // idle sessions beyond so many are ended early; 0: none is
 	Bounds   *Bounds
 	Log      *zap.Logger
-	Monitor  Monitor         // nil: nobody is told
-	Ready    <-chan struct{} // closed once sessions may be taken in; nil: from the start
-
-	mu       sync.Mutex
-	sessions map[*session]struct{}
-	all      sync.WaitGroup
-	drained  *drainTimes   // nil: the gateway is not drained
-	closeBy  time.Time     // of all sessions, as the gateway ends; zero: not set
-	changed  chan struct{} // closed at the next change of drained; nil: nobody waits for one
+	Monitor  Monitor         // nil: none
+	Ready    <-chan struct{} // closed once sessions may be accepted; nil: from the start
+
+	mu              sync.Mutex
+	sessions        map[*session]struct{}
+	running         sync.WaitGroup // of sessions
+	drain           *drainTimes    // nil: the gateway is not drained
+	drainChanged    chan struct{}  // closed at the next change of drain; nil: nobody waits for one
+	sessionsCloseBy time.Time      // at the end of the gateway; zero: not set
 }
 
-// Serve takes sessions in until the context ends: then it closes the listener, lets every session end as soon
-// as nothing is owed to its client, and returns when the last has. A listener that breaks ends it likewise, with an error.
+// Serve accepts sessions until the context ends. It then closes the listener, lets each session end as soon as its client is
+// owed nothing, and returns when the last has. A fault of the listener ends it in the same way, with that error.
 func (f *Server) Serve(ctx context.Context) error {
 	f.mu.Lock()
 	if f.sessions == nil {
 		f.sessions = map[*session]struct{}{}
 	}
 	f.mu.Unlock()
-	stop := context.AfterFunc(ctx, func() { lastAccepts(f.Listener) })
+	stop := context.AfterFunc(ctx, func() { finishAccepting(f.Listener) })
 	defer stop()
 	if f.KeepIdle > 0 {
 		go f.evictIdle(ctx)
 	}
+	err := f.acceptSessions(ctx)
+	f.Listener.Close()
+	f.stopSessions()
+	f.running.Wait()
+	if errors.Is(err, sockets.ErrEnded) {
+		return nil
+	}
+	return err
+}
+
+// acceptSessions accepts sessions until the listener fails, which it does with sockets.ErrEnded after the context has ended.
+func (f *Server) acceptSessions(ctx context.Context) error {
 	places := make(chan struct{}, f.Sessions)
-	var broken error // of the listener
 	for {
 		f.awaitOpen(ctx)
 		conn, err := sockets.Accept(f.Listener, f.Log, "a client session")
 		if err != nil {
-			broken = err
-			break
+			return err
 		}
 		f.awaitOpen(ctx) // a drain may have ended meanwhile
-		placed := f.place(ctx, places)
-		s := newSession(conn, f.Open(), f.Bounds)
-		f.mu.Lock()
-		f.sessions[s] = struct{}{}
-		if f.drained != nil {
-			s.drain(*f.drained)
-		}
-		f.mu.Unlock()
-		f.all.Go(func() {
+		hasPlace := f.acquirePlace(ctx, places)
+		s := f.addSession(conn)
+		f.running.Go(func() {
 			s.run()
-			f.ended(s)
-			f.mu.Lock()
-			delete(f.sessions, s)
-			f.mu.Unlock()
-			if placed {
+			f.reportEnd(s)
+			f.removeSession(s)
+			if hasPlace {
 				<-places
 			}
 		})
 	}
-	f.Listener.Close()
+}
+
+// addSession makes a session, which drains if the gateway does.
+func (f *Server) addSession(conn net.Conn) *session {
+	s := newSession(conn, f.Open(), f.Bounds)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.sessions[s] = struct{}{}
+	if f.drain != nil {
+		s.drain(*f.drain)
+	}
+	return s
+}
+
+func (f *Server) removeSession(s *session) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	delete(f.sessions, s)
+}
+
+// stopSessions has each session end as soon as its client is owed nothing.
+func (f *Server) stopSessions() {
 	f.mu.Lock()
+	defer f.mu.Unlock()
 	for s := range f.sessions {
-		if !f.closeBy.IsZero() {
-			s.closeBy(f.closeBy)
+		if !f.sessionsCloseBy.IsZero() {
+			s.closeBy(f.sessionsCloseBy)
 		}
 		s.stop()
 	}
-	f.mu.Unlock()
-	f.all.Wait()
-	if errors.Is(broken, sockets.ErrEnded) {
-		return nil
-	}
-	return broken
 }
 
-// CloseBy has every session that is owed nothing closed by a time, once the context of Serve has ended, and those that are not
-// reported. It may be called at any time.
+// CloseBy sets a time by which each session that is owed nothing is closed, after the context of Serve has ended; those that are
+// open then are reported. It may be called at any time.
 func (f *Server) CloseBy(at time.Time) {
 	f.mu.Lock()
-	f.closeBy = at
+	f.sessionsCloseBy = at
 	f.mu.Unlock()
 	time.AfterFunc(time.Until(at), func() {
 		f.reportOverdue("the gateway's end", func(*session) bool { return true })
 	})
 }
 
-// awaitOpen waits until sessions may be taken in: the gateway is ready, ends, or is drained, as a drained gateway may not keep
+// Drain has each session end between two commands, and new ones as well, until it is called with false. Requests that are read
+// by drainReadTime are served, and later ones rejected; if the gateway is not ready, all are rejected.
+func (f *Server) Drain(on bool) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if f.drainChanged != nil {
+		close(f.drainChanged)
+		f.drainChanged = nil
+	}
+	if !on {
+		f.drain = nil
+		return
+	}
+	now := time.Now()
+	d := newDrain(now)
+	if !f.isReady() {
+		d.readUntil = now
+	}
+	f.drain = &d
+	time.AfterFunc(drainExpediteTime, func() { f.expediteDrained(&d) })
+	time.AfterFunc(drainTerm, func() { f.checkDrained(&d) })
+	for s := range f.sessions {
+		s.drain(d)
+	}
+}
+
+// awaitOpen waits until sessions may be accepted: the gateway is ready, ends, or drains, as a drained gateway may not keep
 // connections waiting.
 func (f *Server) awaitOpen(ctx context.Context) {
-	for !f.ready() {
+	for !f.isReady() {
 		f.mu.Lock()
-		drained := f.drained != nil
-		if f.changed == nil {
-			f.changed = make(chan struct{})
+		draining := f.drain != nil
+		if f.drainChanged == nil {
+			f.drainChanged = make(chan struct{})
 		}
-		changed := f.changed
+		changed := f.drainChanged
 		f.mu.Unlock()
-		if drained {
+		if draining {
 			return
 		}
 		select {
@@ -123,8 +173,7 @@
 	}
 }
 
-// ready reports whether the gateway is ready.
-func (f *Server) ready() bool {
+func (f *Server) isReady() bool {
 	select {
 	case <-f.Ready:
 		return true
@@ -133,17 +182,17 @@
 	}
 }
 
-// place waits for a place for a new session, which holds a descriptor of the reserve meanwhile. False: the gateway ends, or
-// drains and has none, and it is served without. Danger: its client has connected and may have sent its command; closing it
-// would lose that.
-func (f *Server) place(ctx context.Context, places chan<- struct{}) bool {
+// acquirePlace waits for a place for a new session, whose connection uses a reserved descriptor meanwhile. If the gateway ends,
+// or drains and has no place, it returns false, and the session is served without one: its client may have sent a command, which
+// would be lost if its connection was closed.
+func (f *Server) acquirePlace(ctx context.Context, places chan<- struct{}) bool {
 	for {
 		select {
 		case places <- struct{}{}:
 			return true
 		default:
 		}
-		f.makeRoom()
+		f.evictLongestIdle()
 		select {
 		case places <- struct{}{}:
 			return true
@@ -151,53 +200,22 @@
 			return false
 		case <-time.After(placeInterval):
 		}
-		if f.draining() {
+		if f.isDraining() {
 			return false
 		}
 	}
 }
 
-func (f *Server) draining() bool {
+func (f *Server) isDraining() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.drained != nil
+	return f.drain != nil
 }
 
-// lastAccepts has a listener take in what the machine has accepted by now, for a moment. Danger: a client whose connection
-// stands in the queue has been served, as far as it can tell, and may have sent its command; closing the listener resets it.
-func lastAccepts(l net.Listener) {
+// finishAccepting has a listener accept for lastAcceptTime more what is in the system's queue: closing the listener resets those
+// connections, whose clients may have sent a command.
+func finishAccepting(l net.Listener) {
 	if d, ok := l.(interface{ SetDeadline(time.Time) error }); !ok || d.SetDeadline(time.Now().Add(lastAcceptTime)) != nil {
 		l.Close()
 	}
 }
-
-const (
-	lastAcceptTime = 20 * time.Millisecond // at the end
-	placeInterval  = 50 * time.Millisecond // while all places are taken and nobody is idle
-)
-
-// Drain has every session end between two commands, and those that come meanwhile as well, until it is called with
-// false. What is read within the time for that is served, and refused after it: at once, where the gateway is not ready.
-func (f *Server) Drain(on bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.changed != nil {
-		close(f.changed)
-		f.changed = nil
-	}
-	if !on {
-		f.drained = nil
-		return
-	}
-	now := time.Now()
-	d := newDrain(now)
-	if !f.ready() {
-		d.takeUntil = now
-	}
-	f.drained = &d
-	time.AfterFunc(hurryTime, func() { f.hurryDrained(&d) })
-	time.AfterFunc(drainTerm, func() { f.checkDrained(&d) })
-	for s := range f.sessions {
-		s.drain(d)
-	}
-}
--- a/internal/front/session.go
+++ b/internal/front/session.go
@@ -1,5 +1,8 @@
-// Package front holds client sessions: it reads commands, keeps their answers in the order of the commands,
-// and decides nothing. The fronts in the folders below say what the commands are.
+// Package front serves client sessions: it reads commands, and writes their answers in the order of the commands. The packages
+// in the folders below define and carry out the commands.
+//
+// A session (session.go) has a reading goroutine (reader.go) and a writing one (writer.go). Slot is the place of an answer;
+// lifecycle.go decides what a connection may still do; eviction.go and closing.go end sessions; server.go accepts them.
 package front
 
 import (
@@ -12,15 +15,16 @@
 	"dewhitch/internal/resp"
 )
 
-// Commands carries out the commands of a client session. If it is an io.Closer, it is closed when that ends.
+// Commands carries out the commands of a client session. If it is an io.Closer, it is closed when the session ends.
 type Commands interface {
-	// Do starts a command. It leads to one Fill of the slot.
-	Do(came time.Time, c resp.Command, s *Slot)
+	// Do starts a command, whose last byte was read at a time. It is called on the session's reading goroutine, in the order of
+	// the commands. It leads to one Fill of the slot, at any time, and does not wait for that.
+	Do(readAt time.Time, c resp.Command, s *Slot)
 }
 
-// session is one client's connection. It is given back at the end of run. What the connection may still do is the
-// lifecycle's to say. Its reader alone advances that to closing, when it has nothing in hand: whoever closed a session
-// beside its reader would close it over a command that was read and is not answered.
+// session is one client's connection, which is closed at the end of run. The lifecycle decides what the connection may still do.
+// Only the reader advances it to closing, between two commands: anyone else would close it over a command that was read and is
+// not answered.
 type session struct {
 	id       uint64 // in the log
 	conn     net.Conn
@@ -29,34 +33,49 @@
 	ctx      context.Context // ends when the session is over
 	cancel   context.CancelFunc
 
-	mu       sync.Mutex
-	slots    []*Slot // in the order of the commands, those whose answers are not in out yet
-	room     *sync.Cond
-	out      []byte
-	value    *Slot         // whose value is written behind out
-	marks    []mark        // of the answers in out whose fate someone wants to know
-	owed     int           // bytes of answers that wait to be written, in out and in slots
-	wake     chan struct{} // something is in out, or the session is over
-	busy     time.Time     // when it last owed something
-	life     lifecycle
-	drained  chan struct{} // closed once the session drains
-	born     time.Time
-	until    time.Time   // by which the command that is being read must be whole; zero: none is
-	awaiting bool        // the reader waits for the first byte of a command
-	evicted  bool        // another client needs its place: it ends if nothing is owed
-	heard    time.Time   // when the last bytes came; the reader's own
-	taken    int         // commands
-	bad      int         // of those, that could not be used
-	ends     CloseReason // if it ends by the state of the gateway
-	closing  bool        // reason is set
-	reason   CloseReason
+	wake         chan struct{} // has a buffer of one: something is unwritten, or the session is over
+	drainStarted chan struct{} // closed once the session drains
+	acceptedAt   time.Time
+	lastReadAt   time.Time // of the last bytes; the reader's own
+
+	mu        sync.Mutex // guards all fields below
+	lifecycle lifecycle
+
+	// Answers.
+	slots       []*Slot    // in the order of the commands, those whose answers are not in unwritten yet
+	capacity    *sync.Cond // signalled when slots or unsentBytes become less, or the session is over
+	unwritten   []byte     // answers for the writer
+	streaming   *Slot      // whose value is written after unwritten; nil: none
+	marks       []mark     // of the answers in unwritten that have an onSettled
+	unsentBytes int        // of answers, in unwritten and in slots
+	lastOwedAt  time.Time
+
+	// Commands.
+	commandDeadline time.Time // of the command that is being read; zero: none is
+	awaitingCommand bool      // the reader waits for the first byte of a command
+	evicted         bool      // another client needs the place: the session ends if it owes nothing
+	commandsRead    int
+	faultyCommands  int // of commandsRead, those that could not be used
+
+	// The end.
+	shutdownReason CloseReason // if the session ends by the state of the gateway
+	closeReasonSet bool
+	closeReason    CloseReason
 }
 
 func newSession(conn net.Conn, c Commands, b *Bounds) *session {
-	s := &session{id: sessionIDs.Add(1), conn: conn, commands: c, bounds: b, wake: make(chan struct{}, 1), drained: make(chan struct{}),
-		busy: time.Now(), born: time.Now()}
+	s := &session{
+		id:           sessionIDs.Add(1),
+		conn:         conn,
+		commands:     c,
+		bounds:       b,
+		wake:         make(chan struct{}, 1),
+		drainStarted: make(chan struct{}),
+		acceptedAt:   time.Now(),
+		lastOwedAt:   time.Now(),
+	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
-	s.room = sync.NewCond(&s.mu)
+	s.capacity = sync.NewCond(&s.mu)
 	return s
 }
 
@@ -71,39 +90,39 @@
 	s.read()
 	s.awaitAnswers()
 	s.discard()
-	s.lost()
+	s.abandon()
 	writer.Wait()
 }
 
-// drain has the session take commands for as long as a drain of the gateway allows, and end sooner between two of them,
-// once nothing is owed.
+// drain lets the session read commands for as long as a drain of the gateway allows, and end earlier between two of them, once
+// nothing is owed.
 func (s *session) drain(d drainTimes) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var first time.Time
-	if s.taken == 0 { // its first command may be on its way
-		first = s.born.Add(firstTime)
+	if s.commandsRead == 0 { // the first command may be on its way
+		first = s.acceptedAt.Add(firstCommandTime)
 	}
-	if s.life.drain(d, first) {
-		s.ends = ClosedDrained
-		s.draining()
+	if s.lifecycle.drain(d, first) {
+		s.shutdownReason = ClosedDrained
+		s.notifyDrain()
 	}
 }
 
-// stop has the session take no more than what has come by now, and end once that is answered. Danger: a client that goes on
-// sending would have the gateway serve on until it is killed, with its last ones unanswered.
+// stop has the session read no more than what has come by now, and end once that is answered. A client that goes on sending would
+// otherwise be served until the process is killed, and have no answers to its last commands.
 func (s *session) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	within := lastReadTime
-	if s.taken == 0 || !s.until.IsZero() { // a command is on its way
+	if s.commandsRead == 0 || !s.commandDeadline.IsZero() { // a command is on its way
 		within = stopTime
 	}
-	s.ends = ClosedEnding
-	if s.life.stop(time.Now().Add(within)) {
-		s.draining()
+	s.shutdownReason = ClosedEnding
+	if s.lifecycle.stop(time.Now().Add(within)) {
+		s.notifyDrain()
 	} else {
-		s.rouse()
+		s.interruptRead()
 	}
 }
 
@@ -111,120 +130,131 @@
 func (s *session) closeBy(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.life.closeBy(at)
+	s.lifecycle.boundClose(at)
 }
 
-// draining tells the reader that the session drains, wherever it waits; the lock is held.
-func (s *session) draining() {
-	close(s.drained)
-	s.rouse()
+// notifyDrain wakes the reader, wherever it waits, as the session drains; the lock is held.
+func (s *session) notifyDrain() {
+	close(s.drainStarted)
+	s.interruptRead()
 }
 
-// rouse has a reader that waits for a command look at whether the session ends, and one within a command go by the time
-// that is left; the lock is held.
-func (s *session) rouse() {
-	switch now := time.Now(); {
-	case s.life.state >= stateClosing:
-	case s.awaiting:
+// interruptRead has a reader that waits for a command check whether the session ends, and shortens the deadline of one within a
+// command; the lock is held.
+func (s *session) interruptRead() {
+	now := time.Now()
+	switch {
+	case s.lifecycle.state >= stateClosing:
+	case s.awaitingCommand:
 		s.conn.SetReadDeadline(now)
-	case !s.until.IsZero():
-		s.until = s.life.readBy(s.until)
-		s.conn.SetReadDeadline(earlier(s.until, now.Add(byteTime)))
+	case !s.commandDeadline.IsZero():
+		s.commandDeadline = s.lifecycle.readBy(s.commandDeadline)
+		s.conn.SetReadDeadline(earlier(s.commandDeadline, now.Add(byteTime)))
 	}
 }
 
-// finish has the session end, for a reason, as soon as all that it has taken is answered. Only the reader calls it, and takes
+// finish ends the session, for a reason, as soon as all commands that it has read are answered. Only the reader calls it, and reads
 // nothing after.
 func (s *session) finish(r CloseReason) {
 	s.mu.Lock()
-	s.because(r)
-	s.life.close()
-	s.signal()
+	s.setCloseReason(r)
+	s.lifecycle.close()
+	s.wakeWriter()
 	s.mu.Unlock()
 }
 
-// idle tells whether nothing is owed to the client, since when, and whether it has asked for anything that could be
-// used.
+// idle tells whether nothing is owed to the client, since when, and whether it has sent a usable command.
 func (s *session) idle() (since time.Time, useful, idle bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.busy, s.taken > s.bad, s.owesNothing() && s.stays()
+	return s.lastOwedAt, s.commandsRead > s.faultyCommands, s.owesNothing() && s.isOpen()
 }
 
-// stays tells that nobody has asked for its end yet; the lock is held.
-func (s *session) stays() bool { return s.life.state == stateOpen && !s.evicted }
+// isOpen tells whether the session neither ends nor was evicted; the lock is held.
+func (s *session) isOpen() bool { return s.lifecycle.state == stateOpen && !s.evicted }
 
-// owesNothing tells that no answer waits, to be given or to be written; the lock is held.
-func (s *session) owesNothing() bool { return len(s.slots) == 0 && len(s.out) == 0 && s.owed == 0 }
+// owesNothing tells whether no answer is to be given or written; the lock is held.
+func (s *session) owesNothing() bool {
+	return len(s.slots) == 0 && len(s.unwritten) == 0 && s.unsentBytes == 0
+}
 
-// resting tells the same of a session that waits for its client's next command: one that is in the midst of sending it, and
-// may be slow at that, is not resting. One that ends is of no more use.
+// resting is idle for a session that waits for its client's next command: a client in the middle of a command, which may send
+// slowly, is not resting. A session that ends is neither useful nor resting.
 func (s *session) resting() (since time.Time, useful, resting bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	stays := s.stays()
-	return s.busy, stays && s.taken > s.bad, stays && s.owesNothing() && s.awaiting
+	open := s.isOpen()
+	return s.lastOwedAt, open && s.commandsRead > s.faultyCommands, open && s.owesNothing() && s.awaitingCommand
 }
 
-// evict asks for the session's end, if nothing is owed to its client. A command that crosses the end was not taken; the
-// client sends it once more.
+// evict has the session end if nothing is owed to its client. A command that crosses the end was not accepted; its client sends it
+// again.
 func (s *session) evict() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if !s.stays() {
+	if !s.isOpen() {
 		return
 	}
 	s.evicted = true
-	if !s.until.IsZero() {
-		s.until = time.Now()
+	if !s.commandDeadline.IsZero() {
+		s.commandDeadline = time.Now()
 	}
-	s.rouse()
+	s.interruptRead()
 }
 
-// cut ends the session at once, for a reason: nothing can be said to its client any more.
-func (s *session) cut(r CloseReason) {
+// abort ends the session at once, for a reason: nothing is written to its client any more.
+func (s *session) abort(r CloseReason) {
 	s.mu.Lock()
-	s.because(r)
+	s.setCloseReason(r)
 	s.mu.Unlock()
-	s.lost()
+	s.abandon()
 }
 
-// lost tells those that work for the client that it has left.
-func (s *session) lost() {
+// abandon ends the session at once: nothing is read or written any more, and all that work for its client are notified.
+func (s *session) abandon() {
 	s.mu.Lock()
-	s.life.abandon(time.Now())
-	slots, marks := s.slots, s.marks
-	s.slots, s.out, s.marks = nil, nil, nil
-	s.paid(s.owed)
-	var gone []func()
-	if s.value != nil {
-		gone = append(gone, s.value.value.Close) // the writer may wait for more of it
+	s.lifecycle.abandon(time.Now())
+	marks := s.marks
+	notify := s.abandonAnswers()
+	s.capacity.Broadcast()
+	s.wakeWriter()
+	s.mu.Unlock()
+	s.cancel()
+	settleMarks(marks, 0)
+	for _, f := range notify {
+		f()
+	}
+}
+
+// abandonAnswers drops all answers, and returns what is to be called for them without the lock; the lock is held. The fate of an
+// answer is reported before anyone is notified that the client left.
+func (s *session) abandonAnswers() (notify []func()) {
+	if s.streaming != nil {
+		notify = append(notify, s.streaming.value.Close) // the writer may wait for more of it
 	}
-	for _, o := range slots {
+	for _, o := range s.slots {
 		if o.value != nil {
-			gone = append(gone, o.value.Close)
+			notify = append(notify, o.value.Close)
 		}
-		if o.settled != nil {
+		if o.onSettled != nil {
 			fate := Gone
 			if o.filled {
 				fate = Cut
 			}
-			gone = append(gone, func() { o.settled(fate) }) // before anyone is told that the client left
+			notify = append(notify, func() { o.onSettled(fate) })
 		}
 		if o.filled {
 			continue
 		}
-		s.bounds.large.Release(o.large)
-		if o.large = 0; o.gone != nil {
-			gone = append(gone, o.gone)
+		s.bounds.largeCommands.Release(o.largeBytes)
+		o.largeBytes = 0
+		if o.onClientLeft != nil {
+			notify = append(notify, o.onClientLeft)
 		}
 	}
-	s.room.Broadcast()
-	s.signal()
-	s.mu.Unlock()
-	s.cancel()
-	settle(marks, 0)
-	for _, f := range gone {
-		f()
-	}
+	s.slots = nil
+	s.unwritten = nil
+	s.marks = nil
+	s.releaseUnsent(s.unsentBytes)
+	return notify
 }
--- a/internal/front/sessions/sessions.go
+++ b/internal/front/sessions/sessions.go
@@ -1,6 +1,5 @@
-// Package sessions answers the commands that RESP clients send about their own session, before or between those that
-// they are there for: HELLO, CLIENT, SELECT, ECHO, QUIT, COMMAND and PING. It owns a session's name and number. It
-// decides nothing about reqs, and hands every other command on.
+// Package sessions answers the commands that RESP clients send about their own session, before or between requests: HELLO, CLIENT,
+// SELECT, ECHO, QUIT, COMMAND and PING. It owns a session's name and number, and passes every other command on.
 package sessions
 
 import (
@@ -16,24 +15,25 @@
 	"dewhitch/internal/resp"
 )
 
-// The bounds of what a client may have kept about itself.
+// Bounds of a session.
 const (
-	maxName = 128 // bytes of a name
-	proto   = 2   // the one version of RESP that is spoken here
+	maxName         = 128 // bytes of a name
+	protocolVersion = 2   // the one version of RESP that is spoken here
 )
 
-// Commands is one session's. It is used by the session's reading goroutine alone.
+// Commands carries out the commands of one session. It belongs to the session's reading goroutine.
 type Commands struct {
-	front.Commands // carries out what is not about the session
+	front.Commands // carries out all other commands
 	id             uint64
 	name           string
 	version        string
-	library        [2]string // its name and version
+	library        [2]string // name and version of the client's library
 }
 
-var lastID atomic.Uint64 // sessions of the program, counted from 1
+// lastID numbers the sessions of the process, from 1.
+var lastID atomic.Uint64
 
-// New wraps the commands of one session; version is the program's.
+// New adds a session's own commands to next; version is the program's.
 func New(next front.Commands, version string) *Commands {
 	return &Commands{Commands: next, id: lastID.Add(1), version: version}
 }
@@ -49,30 +49,30 @@
 // Do implements front.Commands.
 func (c *Commands) Do(came time.Time, cmd resp.Command, s *front.Slot) {
 	name := string(bytes.ToUpper(cmd[0]))
-	t, known := table[name]
+	t, known := commandTable[name]
 	switch {
-	case !known || t.do == nil:
+	case !known || t.handle == nil:
 		c.Commands.Do(came, cmd, s)
-	case len(cmd) < t.least || len(cmd) > t.most:
+	case len(cmd) < t.minLength || len(cmd) > t.maxLength:
 		s.Reject(wrongNumber(name))
 	default:
-		t.do(c, cmd[1:], s)
+		t.handle(c, cmd[1:], s)
 	}
 }
 
-// command is what COMMAND tells of one: the arity as the field's servers have it (below 0: at least so many words), and
-// where the keys stand.
+// command is a command as it is carried out, and as COMMAND describes it.
 type command struct {
-	least, most int // words
-	do          func(c *Commands, args [][]byte, s *front.Slot)
-	flags       []string
-	key         int
+	minLength int // in arguments, with the command's name
+	maxLength int
+	handle    func(c *Commands, args [][]byte, s *front.Slot) // nil: it is passed on
+	flags     []string
+	key       int // the position of its one key; 0: none
 }
 
-var table map[string]command
+var commandTable map[string]command
 
-func init() { // COMMAND tells of itself
-	table = map[string]command{
+func init() { // the handler of COMMAND reads the table, which an initializer may not refer to
+	commandTable = map[string]command{
 		"HELLO":        {1, 7, (*Commands).hello, []string{"noscript", "loading", "stale", "fast", "no_auth"}, 0},
 		"CLIENT":       {2, 4, (*Commands).client, []string{"noscript", "loading", "stale"}, 0},
 		"SELECT":       {2, 2, (*Commands).selectDB, []string{"loading", "stale", "fast"}, 0},
@@ -91,18 +91,17 @@
 	return fmt.Sprintf("wrong number of arguments for '%s' command", strings.ToLower(name))
 }
 
-func ok(s *front.Slot) { s.Fill(resp.AppendStatus(nil, "OK")) }
+func replyOK(s *front.Slot) { s.Fill(resp.AppendStatus(nil, "OK")) }
 
-// refuse answers an error that is no fault of the session: clients ask on purpose for what a server may not have, and
-// go by the error.
-func refuse(s *front.Slot, words string) { s.Fill(resp.AppendFailure(nil, words)) }
+// replyError answers an error that does not count as a faulty command: clients probe for what a server supports by such errors.
+func replyError(s *front.Slot, text string) { s.Fill(resp.AppendFailure(nil, text)) }
 
-// drainer is what may have to send its clients elsewhere; they ask by PING whether it does.
+// drainer is a front.Commands of a gateway that may be drained, which PING tells.
 type drainer interface{ Drained() bool }
 
 func (c *Commands) ping(args [][]byte, s *front.Slot) {
 	if d, ok := c.Commands.(drainer); ok && d.Drained() {
-		refuse(s, "ERR draining")
+		replyError(s, "ERR draining")
 		return
 	}
 	if len(args) > 0 {
@@ -119,55 +118,68 @@
 func (c *Commands) selectDB(args [][]byte, s *front.Slot) {
 	switch n, err := strconv.Atoi(string(args[0])); {
 	case err != nil:
-		refuse(s, "ERR value is not an integer or out of range")
+		replyError(s, "ERR value is not an integer or out of range")
 	case n != 0:
-		refuse(s, "ERR DB index is out of range")
+		replyError(s, "ERR DB index is out of range")
 	default:
-		ok(s)
+		replyOK(s)
 	}
 }
 
-// hello reads [VERSION [AUTH USER PASSWORD] [SETNAME NAME]]. A fault leaves the session as it was.
+// hello reads [VERSION [AUTH USER PASSWORD] [SETNAME NAME]]. A fault leaves the session unchanged.
 func (c *Commands) hello(args [][]byte, s *front.Slot) {
 	name := c.name
 	if len(args) > 0 {
 		version, err := strconv.Atoi(string(args[0]))
 		if err != nil {
-			refuse(s, "ERR Protocol version is not an integer or out of range")
+			replyError(s, "ERR Protocol version is not an integer or out of range")
 			return
 		}
-		if version != proto {
-			refuse(s, "NOPROTO unsupported protocol version")
+		if version != protocolVersion {
+			replyError(s, "NOPROTO unsupported protocol version")
 			return
 		}
-		for rest := args[1:]; len(rest) > 0; {
-			switch option := string(bytes.ToUpper(rest[0])); {
-			case option == "AUTH" && len(rest) >= 3:
-				refuse(s, noPassword)
-				return
-			case option == "SETNAME" && len(rest) >= 2:
-				if !nameable(rest[1]) {
-					refuse(s, badName)
-					return
-				}
-				name, rest = string(rest[1]), rest[2:]
-			default:
-				refuse(s, fmt.Sprintf("ERR Syntax error in HELLO option '%.32s'", rest[0]))
-				return
-			}
+		var fault string
+		if name, fault = helloOptions(args[1:], name); fault != "" {
+			replyError(s, fault)
+			return
 		}
 	}
 	c.name = name
+	s.Fill(c.helloReply())
+}
+
+// helloOptions reads the options of HELLO, and returns the session's name by them, or the text of the fault.
+func helloOptions(options [][]byte, name string) (newName, fault string) {
+	for len(options) > 0 {
+		switch option := string(bytes.ToUpper(options[0])); {
+		case option == "AUTH" && len(options) >= 3:
+			return "", noPassword
+		case option == "SETNAME" && len(options) >= 2:
+			if !isValidName(options[1]) {
+				return "", badName
+			}
+			name = string(options[1])
+			options = options[2:]
+		default:
+			return "", fmt.Sprintf("ERR Syntax error in HELLO option '%.32s'", options[0])
+		}
+	}
+	return name, ""
+}
+
+// helloReply is the answer to HELLO: pairs of names and values.
+func (c *Commands) helloReply() []byte {
 	b := resp.AppendArray(nil, 14)
 	for _, pair := range [][2]string{{"server", "dewhitch"}, {"version", c.version}} {
 		b = resp.AppendBulk(resp.AppendBulk(b, pair[0]), pair[1])
 	}
-	b = resp.AppendInt(resp.AppendBulk(b, "proto"), proto)
+	b = resp.AppendInt(resp.AppendBulk(b, "proto"), protocolVersion)
 	b = resp.AppendInt(resp.AppendBulk(b, "id"), int64(c.id))
 	for _, pair := range [][2]string{{"mode", "standalone"}, {"role", "master"}} {
 		b = resp.AppendBulk(resp.AppendBulk(b, pair[0]), pair[1])
 	}
-	s.Fill(resp.AppendArray(resp.AppendBulk(b, "modules"), 0))
+	return resp.AppendArray(resp.AppendBulk(b, "modules"), 0)
 }
 
 const (
@@ -176,53 +188,54 @@
 	badName = "ERR Client names cannot contain spaces, newlines or special characters."
 )
 
-// nameable says whether a name can stand in one word of a list.
-func nameable(name []byte) bool {
+// isValidName tells whether a name can stand in a list of names: printable, without spaces.
+func isValidName(name []byte) bool {
 	return len(name) <= maxName && bytes.IndexFunc(name, func(r rune) bool { return r < '!' || r > '~' }) < 0
 }
 
+// client answers CLIENT ID, GETNAME, SETNAME and SETINFO.
 func (c *Commands) client(args [][]byte, s *front.Slot) {
 	sub := string(bytes.ToUpper(args[0]))
-	words := map[string]int{"ID": 1, "GETNAME": 1, "SETNAME": 2, "SETINFO": 3}[sub]
+	length := map[string]int{"ID": 1, "GETNAME": 1, "SETNAME": 2, "SETINFO": 3}[sub]
 	switch {
-	case words == 0:
-		refuse(s, fmt.Sprintf("ERR unknown subcommand '%.32s'. Try CLIENT HELP.", args[0]))
-	case words != len(args):
-		refuse(s, "ERR "+wrongNumber("client|"+sub))
+	case length == 0:
+		replyError(s, fmt.Sprintf("ERR unknown subcommand '%.32s'. Try CLIENT HELP.", args[0]))
+	case length != len(args):
+		replyError(s, "ERR "+wrongNumber("client|"+sub))
 	case sub == "ID":
 		s.Fill(resp.AppendInt(nil, int64(c.id)))
 	case sub == "GETNAME":
 		s.Fill(resp.AppendBulk(nil, c.name))
-	case !nameable(args[words-1]):
-		refuse(s, badName)
+	case !isValidName(args[length-1]):
+		replyError(s, badName)
 	case sub == "SETNAME":
 		c.name = string(args[1])
-		ok(s)
+		replyOK(s)
 	default:
 		attribute := strings.ToUpper(string(args[1]))
-		at, known := map[string]int{"LIB-NAME": 0, "LIB-VER": 1}[attribute]
+		index, known := map[string]int{"LIB-NAME": 0, "LIB-VER": 1}[attribute]
 		if !known {
-			refuse(s, fmt.Sprintf("ERR Unrecognized option '%.32s'", args[1]))
+			replyError(s, fmt.Sprintf("ERR Unrecognized option '%.32s'", args[1]))
 			return
 		}
-		c.library[at] = string(args[2])
-		ok(s)
+		c.library[index] = string(args[2])
+		replyOK(s)
 	}
 }
 
 // commands answers COMMAND, COMMAND COUNT, COMMAND LIST, COMMAND DOCS and COMMAND INFO.
 func (c *Commands) commands(args [][]byte, s *front.Slot) {
-	names := make([]string, 0, len(table))
-	for name := range table {
+	names := make([]string, 0, len(commandTable))
+	for name := range commandTable {
 		names = append(names, name)
 	}
 	if len(args) == 0 {
-		s.Fill(infos(names))
+		s.Fill(commandInfos(names))
 		return
 	}
 	switch sub := string(bytes.ToUpper(args[0])); sub {
 	case "COUNT":
-		s.Fill(resp.AppendInt(nil, int64(len(table))))
+		s.Fill(resp.AppendInt(nil, int64(len(commandTable))))
 	case "LIST":
 		b := resp.AppendArray(nil, len(names))
 		for _, name := range names {
@@ -230,7 +243,7 @@
 		}
 		s.Fill(b)
 	case "DOCS":
-		s.Fill(resp.AppendArray(nil, 0)) // in RESP2 a list of names and texts: there are no texts
+		s.Fill(resp.AppendArray(nil, 0)) // a list of names and texts: there are none
 	case "INFO":
 		if len(args) > 1 {
 			names = names[:0]
@@ -238,22 +251,23 @@
 				names = append(names, string(bytes.ToUpper(name)))
 			}
 		}
-		s.Fill(infos(names))
+		s.Fill(commandInfos(names))
 	default:
-		refuse(s, fmt.Sprintf("ERR unknown subcommand '%.32s'. Try COMMAND HELP.", args[0]))
+		replyError(s, fmt.Sprintf("ERR unknown subcommand '%.32s'. Try COMMAND HELP.", args[0]))
 	}
 }
 
-func infos(names []string) []byte {
+// commandInfos describes commands in the form of COMMAND; an arity below 0 is a minimum.
+func commandInfos(names []string) []byte {
 	b := resp.AppendArray(nil, len(names))
 	for _, name := range names {
-		t, known := table[name]
+		t, known := commandTable[name]
 		if !known {
 			b = append(b, "*-1\r\n"...)
 			continue
 		}
-		arity := t.least
-		if t.most != t.least {
+		arity := t.minLength
+		if t.maxLength != t.minLength {
 			arity = -arity
 		}
 		b = resp.AppendInt(resp.AppendBulk(resp.AppendArray(b, 6), strings.ToLower(name)), int64(arity))
--- a/internal/front/slot.go
+++ b/internal/front/slot.go
@@ -7,23 +7,26 @@
 	"dewhitch/internal/resp"
 )
 
-// Slot is the place of one answer in the order of a client session.
+// streamingBytes is what an answer counts among the unsent bytes while its value is streamed.
+const streamingBytes = 1
+
+// Slot is the place of one answer in the order of a session's commands. Its methods are safe for any goroutine.
 type Slot struct {
-	session *session
-	answer  []byte
-	value   Value // that follows the answer's bytes, with its end behind it; nil: none
-	filled  bool
-	large   int64  // bytes of the command that Bounds.large holds a place for
-	gone    func() // called if the client leaves before the slot is filled
-	hurry   func() // called if the slot must be filled now; nil: nobody can
-	settled func(Fate)
-	refuse  bool
+	session      *session
+	answer       []byte
+	value        Value // written after answer, with the end of its bulk string; nil: none
+	filled       bool
+	largeBytes   int64      // of the command, held in Bounds.largeCommands until the slot is filled
+	onClientLeft func()     // nil: none
+	onExpedite   func()     // nil: none
+	onSettled    func(Fate) // nil: none
+	mustReject   bool
 }
 
-// Value is a large value as it comes.
+// Value is a large value while it is read. Whoever has it closes it. It is read by one goroutine at a time.
 type Value interface {
 	io.Reader
-	Close() // from any goroutine, and again
+	Close() // from any goroutine; repeated calls do nothing
 }
 
 // Fate is what became of a slot's answer.
@@ -38,124 +41,142 @@
 
 // mark is where an answer ends in what is being written.
 type mark struct {
-	end     int
-	settled func(Fate)
+	end       int // offset of the byte after it
+	onSettled func(Fate)
 }
 
-// Refuse reports whether the gateway took no more requests when the command came: one must be refused, and not be carried
-// out.
-func (o *Slot) Refuse() bool { return o.refuse }
+// MustReject reports whether the gateway no longer accepted requests when the command was read: a request must be rejected, and
+// not be carried out.
+func (o *Slot) MustReject() bool { return o.mustReject }
 
-// Reject gives the slot an error, for a command that can't be used.
+// Reject answers a command that can't be used with an error. Too many of them end the session.
 func (o *Slot) Reject(why string) {
 	o.session.mu.Lock()
-	o.session.bad++
+	o.session.faultyCommands++
 	o.session.mu.Unlock()
 	o.Fill(resp.AppendFailure(nil, "ERR "+why))
 }
 
-// Last gives the slot its answer, and has the session end as soon as all that came before it is answered too.
+// Last answers the command, and ends the session once all commands before it are answered too. It is called within
+// Commands.Do.
 func (o *Slot) Last(answer []byte) {
 	o.Fill(answer)
 	o.session.finish(ClosedRequested)
 }
 
-// OnGone sets what is to happen if the client leaves before the slot is filled.
-func (o *Slot) OnGone(f func()) {
+// OnClientLeft has f called, once, if the client leaves before the slot is filled; at once, on a goroutine of its own, if it
+// has left already.
+func (o *Slot) OnClientLeft(f func()) {
 	s := o.session
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.life.state < stateClosed && !o.filled {
-		o.gone = f
-	} else if !o.filled {
-		go f() // it left while the command was being taken in
+	if o.filled {
+		return
+	}
+	if s.lifecycle.state == stateClosed {
+		go f()
+		return
 	}
+	o.onClientLeft = f
 }
 
-// OnHurry sets what is to happen if the answer is wanted now, whatever it is, as the connection must end.
-func (o *Slot) OnHurry(f func()) {
+// OnExpedite has f called, once, if the answer is needed now, whatever it is, as the connection must end.
+func (o *Slot) OnExpedite(f func()) {
 	o.session.mu.Lock()
 	defer o.session.mu.Unlock()
-	o.hurry = f
+	o.onExpedite = f
 }
 
-// OnSettled has f told, once, what becomes of the answer. It must be set before the slot can be filled; f may not block.
+// OnSettled has f called, exactly once, with what became of the answer. It is set before the slot can be filled; f may not
+// block.
 func (o *Slot) OnSettled(f func(Fate)) {
 	o.session.mu.Lock()
 	defer o.session.mu.Unlock()
-	o.settled = f
+	o.onSettled = f
 }
 
-// Fill gives the slot its answer. It does not block; a second answer is passed over.
+// Fill gives the slot its answer, in the form of the wire. It does not block; a second answer is ignored.
 func (o *Slot) Fill(answer []byte) { o.fill(answer, nil) }
 
-// FillFrom gives the slot an answer of a bulk string's head and a value of that length, which the session copies when its
-// turn has come, and closes in any case.
+// FillFrom gives the slot an answer of a bulk string's head and a value of that length, which the session copies to the client
+// in its turn, and closes in any case.
 func (o *Slot) FillFrom(head []byte, v Value) { o.fill(head, v) }
 
 func (o *Slot) fill(answer []byte, v Value) {
 	s := o.session
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if v != nil && (o.filled || s.life.state == stateClosed) {
+	if v != nil && (o.filled || s.lifecycle.state == stateClosed) {
 		v.Close()
 	}
 	if o.filled {
 		return
 	}
-	o.answer, o.value, o.filled, o.gone, o.hurry = answer, v, true, nil, nil
-	s.bounds.large.Release(o.large)
-	if s.life.state == stateClosed {
+	o.answer = answer
+	o.value = v
+	o.filled = true
+	o.onClientLeft = nil
+	o.onExpedite = nil
+	s.bounds.largeCommands.Release(o.largeBytes)
+	if s.lifecycle.state == stateClosed {
 		return
 	}
-	s.owed += len(answer)
-	if s.bounds.waiting.Add(int64(len(answer))) > s.bounds.allUnsent && int64(s.owed) > s.bounds.unsent {
-		s.because(ClosedUnread)
-		s.conn.Close() // a client that does not read may not fill the gateway's memory; read sees the end
-	}
+	s.countUnsent(len(answer))
 	if s.slots[0] != o {
 		return
 	}
-	s.busy = time.Now()
-	s.gather()
-	s.signal()
+	s.lastOwedAt = time.Now()
+	s.gatherAnswers()
+	s.wakeWriter()
+}
+
+// countUnsent counts n bytes of an answer as unsent; the lock is held. It ends a session that holds too much of the gateway's
+// memory, as its client does not read: the reader sees the closed connection.
+func (s *session) countUnsent(n int) {
+	s.unsentBytes += n
+	total := s.bounds.unsentTotal.Add(int64(n))
+	if total > s.bounds.maxUnsentTotal && int64(s.unsentBytes) > s.bounds.maxUnsent {
+		s.setCloseReason(ClosedUnread)
+		s.conn.Close()
+	}
 }
 
-// gather moves answers whose turn has come to what is written next, up to the first with a value; the lock is held. Until
-// that value is written its answer counts as owed.
-func (s *session) gather() {
+// gatherAnswers moves the answers at the head of the slots to what is written next, up to the first with a value; the lock is
+// held. Until that value is written, the answer counts as owed.
+func (s *session) gatherAnswers() {
 	n := 0
-	for n < len(s.slots) && s.slots[n].filled && s.value == nil {
+	for n < len(s.slots) && s.slots[n].filled && s.streaming == nil {
 		o := s.slots[n]
-		if s.out = append(s.out, o.answer...); o.value != nil {
-			s.value = o
-			s.owed++
-			s.bounds.waiting.Add(1)
-		} else if o.settled != nil {
-			s.marks = append(s.marks, mark{len(s.out), o.settled})
+		s.unwritten = append(s.unwritten, o.answer...)
+		if o.value != nil {
+			s.streaming = o
+			s.unsentBytes += streamingBytes
+			s.bounds.unsentTotal.Add(streamingBytes)
+		} else if o.onSettled != nil {
+			s.marks = append(s.marks, mark{len(s.unwritten), o.onSettled})
 		}
 		s.slots[n] = nil
 		n++
 	}
 	s.slots = s.slots[n:]
-	s.room.Signal()
+	s.capacity.Signal()
 }
 
-// end tells the fate of an answer with a value, which is no longer needed.
+// end closes the value of an answer, and reports what became of the answer.
 func (o *Slot) end(f Fate) {
 	o.value.Close()
-	if o.settled != nil {
-		o.settled(f)
+	if o.onSettled != nil {
+		o.onSettled(f)
 	}
 }
 
-// settle tells the fates of answers of which so many bytes were written, one behind the other.
-func settle(marks []mark, written int) {
+// settleMarks reports what became of consecutive answers of which so many bytes were written.
+func settleMarks(marks []mark, written int) {
 	for _, m := range marks {
 		if m.end <= written {
-			m.settled(Written)
+			m.onSettled(Written)
 		} else {
-			m.settled(Cut)
+			m.onSettled(Cut)
 		}
 	}
 	clear(marks)
