--- /dev/null
+++ b/cmd/dewhitch/ledger_commands.go
@@ -0,0 +1,232 @@
+package main
+
+import (
+	"bufio"
+	"errors"
+	"fmt"
+	"io"
+	"os"
+	"strings"
+	"time"
+
+	"dewhitch/internal/ledger"
+	"dewhitch/internal/ledger/statement"
+	"dewhitch/internal/ledger/store"
+)
+
+// ledgerCmd reads a ledger's folder, also while the gateway that writes it runs. None of the commands writes to a folder.
+type ledgerCmd struct {
+	Show   ledgerShow   `cmd:"" help:"Print the figures of a folder, by plan and class or by haulier."`
+	Verify ledgerVerify `cmd:"" help:"Check that figures add up; print the rows that do not, and end with 1 if there are any."`
+	Export ledgerExport `cmd:"" help:"Print the records behind a number, as JSON lines or CSV."`
+	Merge  ledgerMerge  `cmd:"" help:"Add up the exports of several nodes."`
+}
+
+type ledgerShow struct {
+	Dir        string `arg:"" help:"The folder (ledger.dir)."`
+	ByCustomer bool   `name:"hauliers" help:"A line for each haulier that is in memory."`
+}
+
+func (c ledgerShow) Run() error {
+	v, err := store.Read(c.Dir)
+	if err != nil {
+		return err
+	}
+	fmt.Printf("%s (%s), life %d: %d postings behind the last statement, %d open, records %d to %d\n", v.Node, v.Role, v.Life,
+		v.Replayed, v.Ledger.Open(), v.First, v.Last)
+	for _, note := range v.Notes {
+		fmt.Println("note:", note)
+	}
+	_, lines := v.Ledger.Sums()
+	if c.ByCustomer {
+		lines = v.Ledger.Lines()
+	}
+	return statement.WriteTable(os.Stdout, statementSums(v, lines, c.ByCustomer))
+}
+
+// statementSums is the form of a table's lines, with or without the customers' names.
+func statementSums(v *store.View, lines []ledger.Line, withCustomer bool) []statement.Sum {
+	var sums []statement.Sum
+	for _, line := range lines {
+		name := statement.Name{Plan: v.Names.Plan(line.Key.Plan), Class: v.Names.Class(line.Key.Class)}
+		if withCustomer {
+			name.Haulier = ledger.HaulierText(line.Key.Customer)
+		}
+		sums = append(sums, statement.Sum{Name: name, Counts: line.Counts, Tries: line.Counts.N[ledger.FrontTaken]})
+	}
+	return sums
+}
+
+type ledgerVerify struct {
+	From []string `arg:"" help:"Folders, or files of JSON lines; - is the standard input."`
+}
+
+// errDoesNotAddUp says that figures don't add up; which, has been printed line by line.
+var errDoesNotAddUp = errors.New("the figures do not add up")
+
+func (c ledgerVerify) Run() error {
+	merged := statement.NewMerged()
+	faults := 0
+	for _, from := range c.From {
+		if info, err := os.Stat(from); err != nil || !info.IsDir() {
+			if err := addFile(merged, from); err != nil {
+				return err
+			}
+			continue
+		}
+		found, err := auditFolder(merged, from)
+		if err != nil {
+			return err
+		}
+		faults += found
+	}
+	for _, err := range merged.Verify() {
+		fmt.Println(err)
+		faults++
+	}
+	if faults > 0 {
+		return errDoesNotAddUp
+	}
+	fmt.Printf("%d nodes add up\n", len(merged.Nodes))
+	return nil
+}
+
+// auditFolder prints the faults of a ledger's folder and returns their number, and adds the folder's records to those merged.
+func auditFolder(merged *statement.Merged, dir string) (faults int, err error) {
+	v, err := store.Read(dir)
+	if err != nil {
+		return 0, err
+	}
+	for _, note := range v.Notes {
+		fmt.Printf("%s: note: %s\n", v.Node, note)
+	}
+	for _, f := range v.Ledger.Audit(true) {
+		fmt.Printf("%s: haulier %s, plan %s, class %s: %s\n", v.Node, ledger.HaulierText(f.Key.Customer),
+			v.Names.Plan(f.Key.Plan), v.Names.Class(f.Key.Class), f)
+		faults++
+	}
+	return faults, store.Records(dir, 0, func(_ []byte, r statement.Record) error {
+		merged.Add(r)
+		return nil
+	})
+}
+
+// addFile adds the records of a file of JSON lines to those merged; - is the standard input.
+func addFile(merged *statement.Merged, path string) error {
+	from := os.Stdin
+	if path != "-" {
+		f, err := os.Open(path)
+		if err != nil {
+			return err
+		}
+		defer f.Close()
+		from = f
+	}
+	if err := statement.Read(from, func(r statement.Record) error {
+		merged.Add(r)
+		return nil
+	}); err != nil {
+		return fmt.Errorf("%s: %w", path, err)
+	}
+	return nil
+}
+
+type ledgerExport struct {
+	Dir    string        `arg:"" help:"The folder (ledger.dir)."`
+	After  uint64        `help:"The number of the last record that the reader has."`
+	CSV    bool          `name:"csv" help:"CSV instead of JSON lines."`
+	Follow time.Duration `help:"Look for further records so often, until interrupted."`
+}
+
+func (c ledgerExport) Run() error { return c.write(os.Stdout) }
+
+// write exports the records after c.After, once, or in each c.Follow until an error.
+func (c ledgerExport) write(to io.Writer) error {
+	out := bufio.NewWriter(to)
+	var table *statement.CSV // nil: JSON lines
+	if c.CSV {
+		var err error
+		if table, err = statement.NewCSV(out); err != nil {
+			return err
+		}
+	}
+	for {
+		if err := c.writeNew(out, table); err != nil || c.Follow <= 0 {
+			return err
+		}
+		time.Sleep(c.Follow)
+	}
+}
+
+// writeNew exports the records after c.After, and moves that on. Records that the folder has dropped are reported.
+func (c *ledgerExport) writeNew(out *bufio.Writer, table *statement.CSV) error {
+	err := store.Records(c.Dir, c.After, func(line []byte, r statement.Record) error {
+		if c.After > 0 && r.Seq != c.After+1 {
+			fmt.Fprintf(os.Stderr, "records %d to %d are no longer kept\n", c.After+1, r.Seq-1)
+		}
+		c.After = r.Seq
+		if table != nil {
+			return table.Write(r)
+		}
+		_, err := out.Write(append(append([]byte(nil), line...), '\n'))
+		return err
+	})
+	if err != nil {
+		return err
+	}
+	if table != nil {
+		if err := table.Flush(); err != nil {
+			return err
+		}
+	}
+	return out.Flush()
+}
+
+type ledgerMerge struct {
+	Files      []string `arg:"" help:"Exports as JSON lines; - is the standard input."`
+	ByCustomer bool     `name:"hauliers" help:"A line for each haulier."`
+}
+
+func (c ledgerMerge) Run() error {
+	merged := statement.NewMerged()
+	for _, path := range c.Files {
+		if err := addFile(merged, path); err != nil {
+			return err
+		}
+	}
+	return writeMerged(os.Stdout, merged, c.ByCustomer)
+}
+
+// writeMerged prints the figures of merged records, by customer or not, and fails with errDoesNotAddUp if they don't add up.
+func writeMerged(to io.Writer, merged *statement.Merged, byCustomer bool) error {
+	writeNodes(to, merged)
+	if err := statement.WriteTable(to, merged.Sums(byCustomer)); err != nil {
+		return err
+	}
+	all, across, overlapping, servedTwice := merged.Bookings()
+	fmt.Fprintf(to, "bookings by key: %d; with tries through several nodes: %d, of these with two tries open at once: %d; "+
+		"served more than once: %d\n", all, across, overlapping, servedTwice)
+	faults := merged.Verify()
+	for _, err := range faults {
+		fmt.Fprintln(to, err)
+	}
+	if len(faults) > 0 {
+		return errDoesNotAddUp
+	}
+	return nil
+}
+
+// writeNodes prints the nodes of merged records on one line, after a line for each gap in their records.
+func writeNodes(to io.Writer, merged *statement.Merged) {
+	var nodes []string
+	for name, n := range merged.Nodes {
+		nodes = append(nodes, fmt.Sprintf("%s (%s, %d lives)", name, n.Role, n.Lives))
+		if n.First > 1 {
+			fmt.Fprintf(to, "%s: its records before %d are missing\n", name, n.First)
+		}
+		for _, note := range n.Gaps {
+			fmt.Fprintf(to, "%s: note: %s\n", name, note)
+		}
+	}
+	fmt.Fprintln(to, strings.Join(nodes, ", "))
+}
