--- a/gateway.go
+++ b/gateway.go
@@ -164,6 +164,15 @@
 	return acts
 }
 
+// Tally tells what a customer's tally holds, for bookkeeping; not known: the account was dropped, with its tally.
+func (g *Gateway) Tally(id CustomerID) (units float64, known bool) {
+	c, known := g.customers[id]
+	if known {
+		units = c.tally
+	}
+	return units, known
+}
+
 func (g *Gateway) at(t Instant, f func()) {
 	g.lastTimer++
 	id := TimerID(strconv.FormatInt(g.lastTimer, 36))
