--- a/actions.go
+++ b/actions.go
@@ -1,6 +1,7 @@
 package dewhitch
 
-// Reason tells what a request was refused or failed for. It is for bookkeeping: clients are told when to come back.
+// Reason tells what a request was refused or failed for. It is for bookkeeping: clients are told when to
+// come back.
 type Reason int
 
 // The reasons.
@@ -65,8 +66,8 @@
 		Add      float64
 		TTL      Span // a new name is forgotten after it
 	}
-	// TallyChanged says that units went onto a customer's tally, which the next Count takes along; below 0: off it. A tally
-	// also gets back what a Count could not add. It is for bookkeeping; nothing is to be done.
+	// TallyChanged says that units went onto a customer's tally, which the next Count takes along; below 0: off
+	// it. A tally also gets back what a Count could not add. It is for bookkeeping; nothing is to be done.
 	TallyChanged struct {
 		Customer CustomerID
 		Units    float64
--- /dev/null
+++ b/admission.go
@@ -0,0 +1,193 @@
+package dewhitch
+
+import "math"
+
+// admission decides on new requests by its rules in a fixed order. Each rule is one function with a verdict;
+// the first that denies rejects the request, before anything is spent.
+type admission struct {
+	ctx      *stepContext
+	accounts *accounts
+	requests *requestTable
+	quota    *quotaRules
+	counter  *counterSync
+	shedder  *loadShedder
+	balancer *balancer
+	attempts *attemptController
+	shutdown *shutdown
+}
+
+// counterCheck is how a request within its quota stands to the check with the counter.
+type counterCheck int
+
+const (
+	counterCheckNotNeeded  counterCheck = iota // the request is admitted by what is known
+	counterCheckFirst                          // it waits until its units are counted
+	counterCheckImpossible                     // no call can be made for it now
+)
+
+// arrive decides on a new request, or on units to take alone: it is rejected at once, or served from here on.
+func (ad *admission) arrive(e Arrival, unitsOnly bool) {
+	e.Remaining = ad.shutdown.limit(e.Remaining)
+	if v := ad.checkValid(e); !v.admitted {
+		ad.ctx.emit(Reject{Request: e.ID, Reason: v.reason})
+		return
+	}
+	r := ad.newRequest(e, unitsOnly)
+	a := r.account
+	quota := ad.quota.check(a, r.units, ad.shedder.reservedFor(r))
+	check := counterCheckNotNeeded
+	if quota.admitted {
+		check = ad.counterCheckOf(a)
+	}
+	if check == counterCheckImpossible {
+		quota = ad.admitByDemand(a, r.units)
+	}
+	if v := ad.combine(r, quota, a.ceiling.check(ad.ctx.now, r.units)); !v.admitted {
+		ad.requests.reject(r, v)
+		return
+	}
+	var s *server
+	if !unitsOnly {
+		var v verdict
+		s, v = ad.shedder.checkCapacity(r, quota.admitted && check != counterCheckImpossible)
+		if !v.admitted {
+			ad.requests.reject(r, v)
+			return
+		}
+	}
+	r.withinQuota = quota.admitted
+	ad.open(r)
+	if check == counterCheckFirst {
+		ad.confirm(r)
+	} else {
+		ad.serve(r, s)
+	}
+}
+
+// checkValid rejects what names no class or plan of the settings, or has no time left.
+func (ad *admission) checkValid(e Arrival) verdict {
+	set := &ad.ctx.settings
+	known := e.Class >= 0 && e.Class < len(set.Classes) && e.Plan >= 0 && e.Plan < len(set.Plans)
+	if !known || e.Remaining <= 0 {
+		return deny(ReasonInvalid, 0)
+	}
+	return admit()
+}
+
+// newRequest makes the request of a valid arrival.
+func (ad *admission) newRequest(e Arrival, unitsOnly bool) *request {
+	class := &ad.ctx.settings.Classes[e.Class]
+	return &request{
+		id:         e.ID,
+		classIndex: e.Class,
+		class:      class,
+		account:    ad.accounts.get(e, &ad.ctx.settings.Plans[e.Plan]),
+		units:      max(0, e.Units),
+		unitsOnly:  unitsOnly,
+		objective:  ad.ctx.now + Instant(class.Objective),
+		deadline:   ad.ctx.now + Instant(e.Remaining),
+	}
+}
+
+// counterCheckOf tells whether a request within the quota is counted before it is admitted. That takes a
+// call, so it is not done where the request would be served beyond the quota too, or while demand is low. A
+// request joins the call that follows one that is out.
+func (ad *admission) counterCheckOf(a *account) counterCheck {
+	if !a.counterFirst || a.plan.servesBeyondQuota() || a.demand.isLow(a.plan.Rate, a.window) {
+		return counterCheckNotNeeded
+	}
+	if a.sync.calling || ad.counter.mayCall() {
+		return counterCheckFirst
+	}
+	return counterCheckImpossible
+}
+
+// admitByDemand decides on a request that cannot be counted first: by chance. One that is denied still goes
+// on the tally, as the count of such a customer is of what was asked for.
+func (ad *admission) admitByDemand(a *account, units float64) verdict {
+	if ad.drawByDemand(a) {
+		return admit()
+	}
+	ad.counter.addToTally(a, units)
+	return deny(ReasonQuota, 0)
+}
+
+// drawByDemand admits, of requests that cannot be counted first, a random part: the rate by the demand. All
+// others are admitted.
+func (ad *admission) drawByDemand(a *account) bool {
+	return !a.counterFirst || ad.ctx.rng.Float64()*a.demand.units <= a.plan.Rate*a.demand.span
+}
+
+// servesBeyondQuota tells whether requests beyond the quota earn more than they cost.
+func (p *Plan) servesBeyondQuota() bool { return p.OverQuotaValue > p.OverQuotaCost }
+
+// combine decides by quota and ceiling: the ceiling always binds, the quota unless the request may be
+// forwarded beyond it. Retry-After is the longer of the two.
+func (ad *admission) combine(r *request, quota, ceiling verdict) verdict {
+	retryAfter := max(quota.retryAfter, ceiling.retryAfter)
+	switch {
+	case !ceiling.admitted:
+		return deny(ReasonCeiling, retryAfter)
+	case !quota.admitted && (r.unitsOnly || !r.account.plan.servesBeyondQuota()):
+		return deny(ReasonQuota, retryAfter)
+	}
+	return admit()
+}
+
+// open makes r an open request. Whatever happens to its attempts, it is answered before its client gives up.
+func (ad *admission) open(r *request) {
+	ad.requests.byID[r.id] = r
+	r.account.ceiling.spend(r.units)
+	ad.ctx.setTimer(r.deadline-Instant(ad.ctx.settings.Tick), func() {
+		if !r.done {
+			ad.attempts.giveUp(r)
+		}
+	})
+}
+
+// confirm has r wait until its units are counted.
+func (ad *admission) confirm(r *request) {
+	a := r.account
+	a.sync.unconfirmed = append(a.sync.unconfirmed, r)
+	a.consumed += r.units
+	ad.counter.addToTally(a, r.units)
+	if a.sync.calling {
+		ad.counter.enqueue(a, false)
+	} else {
+		ad.counter.call(a)
+	}
+}
+
+// serve spends the units of r and sends it to s, or answers it if it is for units alone.
+func (ad *admission) serve(r *request, s *server) {
+	if r.withinQuota {
+		ad.counter.spend(r.account, r.units)
+	}
+	if r.unitsOnly {
+		ad.requests.finish(r, AdjustAnswer{Request: r.id, Units: r.units})
+	} else {
+		ad.attempts.start(r, s)
+	}
+}
+
+// resume decides on the requests that waited for a call of a; counted: the call was answered. The total of
+// all that the customer asked for must be within the rate, less what is reserved for higher priority.
+// Without an answer, as many are admitted as the demand allows.
+func (ad *admission) resume(a *account, counted bool) {
+	for _, r := range a.sync.unconfirmed {
+		reserved := ad.shedder.reservedFor(r)
+		spent := counted && reserved > 0 && a.sync.total > (1-reserved)*a.plan.Rate*seconds(a.window)
+		s, _ := ad.balancer.pick(r, math.Inf(1))
+		switch {
+		case spent || ad.ctx.now < a.blockedUntil:
+			ad.requests.reject(r, deny(ReasonQuota, Span(a.windowEnd()-ad.ctx.now)))
+		case r.unitsOnly && (counted || ad.drawByDemand(a)):
+			ad.requests.finish(r, AdjustAnswer{Request: r.id, Units: r.units})
+		case s == nil || !counted && !ad.drawByDemand(a):
+			ad.requests.reject(r, deny(ReasonOverload, ad.shedder.retryAfter(r, 1)))
+		default:
+			ad.attempts.start(r, s)
+		}
+	}
+	a.sync.unconfirmed = a.sync.unconfirmed[:0]
+}
--- a/balancer.go
+++ b/balancer.go
@@ -1,142 +1,134 @@
 package dewhitch
 
-// Which server a request goes to. What a decision costs does not grow with the servers that are listed: of
-// many that this gateway uses, so many are looked at.
-
-import (
-	"cmp"
-	"math"
-)
+import "math"
 
 const (
-	mostCompared = 64   // servers that a request is decided between; of more that are in use, by lot
-	mostVisited  = 1024 // servers that are looked at to find them
-	mostSuspects = 256  // servers that evidence speaks against, of which each request is asked anew
+	maxCompared      = 64   // servers that a request is decided between; of more, by random start
+	maxVisited       = 1024 // servers that are looked at to find them
+	crossZonePenalty = 0.1  // what a server of another zone must be cheaper by
 )
 
-// candidate is a server that r may go to.
+// balancer chooses the server of an attempt. The cost of a choice does not grow with the list: maxCompared
+// and maxVisited bound it. It changes nothing but warming servers' budgets, which fill.
+type balancer struct {
+	ctx       *stepContext
+	endpoints *endpointSet
+	aperture  *aperture
+	traffic   *trafficStatistics
+	slowStart *slowStart
+	outliers  *outlierDetector
+	latency   *latencyEstimator
+	rules     attemptRules
+}
+
+// candidate is a server that the request may go to; without a server, none was found.
 type candidate struct {
 	*server
-	cost   float64 // by which it is compared
-	expect float64 // how long a new attempt should take
+	cost     float64 // by which candidates are compared
+	expected float64 // seconds that a new attempt should take
 }
 
 // selection is the choice of a server for one request.
 type selection struct {
-	g     *Gateway
-	r     *request
-	limit float64 // of the expected time
-	blind float64 // how little this gateway sees of a server
-	trust bool    // evidence against servers counts
-	feed  float64 // attempts a second that a cold server may get, by its warmth
+	*balancer
+	request       *request
+	maxExpected   float64 // seconds: a candidate beyond it comes after those within it
+	sparsity      float64 // of the aperture
+	ejecting      bool    // outliers are left out
+	slowStartRate float64 // attempts a second of a warming server, times its warmth
 
-	best    candidate
-	room    int // for servers to be compared
-	decided bool
+	best      candidate
+	remaining int  // servers that may still be compared
+	decided   bool // best was chosen without comparison
 }
 
-// pick chooses the server that should finish r first and tells how long that takes: over limit if it must be.
-func (g *Gateway) pick(r *request, limit float64) (*server, float64) {
-	if len(g.ready) == 0 || r.done || len(r.attempts) >= g.set.MaxAttempts {
+// pick chooses the server that should finish r first and returns how long that takes, in seconds: more than
+// maxExpected if no server is within it. It returns nil if there is none.
+func (b *balancer) pick(r *request, maxExpected float64) (*server, float64) {
+	ready := b.endpoints.ready
+	if len(ready) == 0 || !b.rules.attemptsLeft(r) {
 		return nil, 0
 	}
-	aperture := g.aperture()
-	// Danger: of many gateways, each sees a server too seldom to know how crowded it is, and all would rush to
-	// those that looked best last. The less a gateway sees of a server, the more it draws by lot, by the square
-	// of speed (the least of exponential draws); with much traffic of its own it takes the best. A server too
-	// slow for limit, on which the lot may fall, says nothing against the others: they come first.
-	c := &selection{g: g, r: r, limit: limit, blind: g.blind(),
-		trust: float64(g.out(r)) <= maxEjected*float64(len(g.ready)),
-		feed:  coldUse * (g.sendRate() + g.wanted/seconds(sendSpan)) / float64(min(len(g.ready), aperture)),
-		room:  min(aperture, mostCompared)}
-	within, start := len(g.ready), 0
-	if aperture > mostCompared {
-		within = min(aperture, len(g.ready))
-		start = g.rng.IntN(within)
+	aperture := b.aperture.size()
+	c := &selection{balancer: b, request: r, maxExpected: maxExpected, sparsity: b.aperture.sparsity(),
+		ejecting:      b.outliers.ejectionApplies(r.classIndex),
+		slowStartRate: b.slowStart.evenRate(aperture),
+		remaining:     min(aperture, maxCompared)}
+	within, start := len(ready), 0
+	if aperture > maxCompared {
+		within = min(aperture, len(ready))
+		start = b.ctx.rng.IntN(within)
 	}
-	for i := 0; i < min(within, mostVisited) && !c.over(); i++ {
-		c.visit(g.ready[(start+i)%within])
+	for i := 0; i < min(within, maxVisited) && !c.complete(); i++ {
+		c.visit(ready[(start+i)%within])
 	}
-	return c.best.server, c.best.expect
+	return c.best.server, c.best.expected
 }
 
-// over tells whether no other server is looked at: what the fleet feeds is, whatever its place.
-func (c *selection) over() bool { return c.decided || c.room <= 0 && c.g.fed == 0 }
+// complete tells whether no further server is visited. Servers with a slow-start rate from the fleet are
+// visited beyond the number that is compared, as their attempts are assigned to this gateway.
+func (c *selection) complete() bool {
+	return c.decided || c.remaining <= 0 && c.endpoints.slowStart == 0
+}
+
+// eligible decides whether the request may go to s at all.
+func (c *selection) eligible(s *server) bool {
+	if c.remaining <= 0 && s.SlowStartRate == 0 {
+		return false
+	}
+	if c.ejecting && c.outliers.isEjected(s, c.request.classIndex) {
+		return false
+	}
+	if s.HealthCheck == HealthCheckIdempotent && c.request.class.Idempotency == NotIdempotent {
+		return false
+	}
+	return c.rules.mayAttempt(c.request, s)
+}
 
-// visit compares a server, if r may go there.
+// visit compares a server, if the request may go there. A server under health check is taken at once: its
+// budget bounds how many requests that are.
 func (c *selection) visit(s *server) {
-	g, r := c.g, c.r
-	if c.room <= 0 && s.SlowStartRate == 0 || c.trust && g.isOut(s, r) || !g.mayTry(r, s) ||
-		s.HealthCheck == HealthCheckIdempotent && r.class.Idempotency == NotIdempotent {
+	if !c.eligible(s) {
 		return
 	}
-	warmth := g.warmth(s)
-	// Rule 4; budgets start at a random level, so that gateways do not come in step. Fed by what was sent
-	// alone, cold servers get the less the more is refused for want of them, and stay so.
-	if warmth < 1 {
-		// What all gateways together have settled goes before this one's guess.
-		if s.budget.fill(g.now, cmp.Or(s.SlowStartRate, warmth*c.feed), 1); s.budget.level < 1 {
-			return
-		}
+	warmth := c.slowStart.warmth(s)
+	if !c.slowStart.admits(s, warmth, c.slowStartRate) {
+		return
 	}
-	if c.room--; s.HealthCheck != HealthCheckOff { // by as few as its budget allows
-		c.best, c.decided = candidate{server: s}, true
+	c.remaining--
+	if s.HealthCheck != HealthCheckOff {
+		c.best = candidate{server: s}
+		c.decided = true
 		return
 	}
 	c.compare(c.weigh(s, warmth))
 }
 
-// weigh tells what speaks for and against a server.
+// weigh estimates the cost of s. The estimate of a server that is seen seldom is of an older load, and among
+// many there is always one that looks idle: all gateways would send there together. So the less this gateway
+// sees of a server, the more the choice is random, weighted by the square of speed (the least of exponential
+// draws), and the more the mean latency counts in place of the server's own.
 func (c *selection) weigh(s *server, warmth float64) candidate {
-	g, r := c.g, c.r
-	// Danger: the estimate of a server that is seen seldom is of an older load, and among many there is always
-	// one that looks idle. The less is seen of it, the more the latency of all speaks against it.
-	expect := g.expect(s)
-	cost := expect * math.Pow(expect*warmth*g.rng.ExpFloat64(), c.blind)
-	expect = (expect + c.blind*max(0, g.latency-expect)) * g.sizes[r.kind]
+	r := c.request
+	expected := c.latency.expected(s)
+	cost := expected * math.Pow(expected*warmth*c.ctx.rng.ExpFloat64(), c.sparsity)
+	expected = (expected + c.sparsity*max(0, c.latency.mean-expected)) * c.latency.classSize[r.classIndex]
 	if n := len(r.attempts); n > 0 && r.attempts[n-1].server == s {
 		cost += seconds(r.class.Objective)
 	}
-	// Danger: a cut-off zone, found out server by server, one loss each
-	if cost /= 1 - g.cut[s.Zone]; s.Zone != g.set.Zone {
-		cost *= 1 + crossZone
+	// A lost zone would otherwise be found out server by server, at the price of an attempt each.
+	cost /= 1 - c.traffic.zoneFailures[s.Zone]
+	if s.Zone != c.ctx.settings.Zone {
+		cost *= 1 + crossZonePenalty
 	}
-	return candidate{s, cost, expect}
+	return candidate{s, cost, expected}
 }
 
-// compare keeps the better of a candidate and the best so far.
+// compare keeps the better of a candidate and the best so far: one within maxExpected before one beyond it,
+// then the cheaper.
 func (c *selection) compare(x candidate) {
-	late, was := x.expect > c.limit, c.best.expect > c.limit
-	if c.best.server == nil || late == was && x.cost < c.best.cost || was && !late {
+	late, bestLate := x.expected > c.maxExpected, c.best.expected > c.maxExpected
+	if c.best.server == nil || late == bestLate && x.cost < c.best.cost || bestLate && !late {
 		c.best = x
 	}
 }
-
-// out counts the ready servers that evidence speaks against, for r. Of very many, as counted of late for its
-// class.
-func (g *Gateway) out(r *request) int {
-	recent := g.outAt[r.kind] != 0 && g.now-g.outAt[r.kind] < Instant(g.sweepEvery())
-	if len(g.suspects) > mostSuspects && recent {
-		return g.outs[r.kind]
-	}
-	n := 0
-	for s := range g.suspects { // in any order
-		if s.clear() {
-			delete(g.suspects, s)
-		} else if s.State == Ready && g.isOut(s, r) {
-			n++
-		}
-	}
-	g.outs[r.kind], g.outAt[r.kind] = n, g.now
-	return n
-}
-
-// clear tells whether nothing speaks against s.
-func (s *server) clear() bool {
-	for _, v := range s.verdicts {
-		if v.failed > 0 {
-			return false
-		}
-	}
-	return true
-}
--- a/counter_sync.go
+++ b/counter_sync.go
@@ -1,175 +1,197 @@
 package dewhitch
 
-// The shared counter: what is pushed and asked, in whose turn, and what its totals tell.
-
 import (
-	"math"
+	"slices"
 	"strconv"
+
+	"dewhitch/internal/ratelimit"
+)
+
+const (
+	earlyPushFraction  = 0.25 // of the available units: a tally of that much is pushed before its period ends
+	counterFirstBursts = 0.5  // beyond the rate in a counterFirst window: few buckets start empty
+	counterPrecision   = 0.01 // units: error of a total, which is sent with seven digits
 )
 
-// query has a query, or a give-back, wait for a call that pushes what came before: without one it is a guess.
-func (g *Gateway) query(e Arrival) {
-	e.Remaining = g.untilEnd(e.Remaining)
-	known := e.Plan >= 0 && e.Plan < len(g.set.Plans) && g.set.Plans[e.Plan].Rate > 0
-	if !g.set.Counter || !known || e.Remaining <= 0 {
-		g.acts = append(g.acts, Fail{Request: e.ID, Reason: ReasonCounterUnread})
+// counterWindow is the synchronisation of an account with the shared counter, which counts units by customer
+// and window.
+type counterWindow struct {
+	number      int64   // of the window of the last call
+	total       float64 // units of all gateways, as last read in this window
+	own         float64 // units of this gateway that are surely in the counter's total
+	tally       float64 // units spent here and not yet pushed; below 0: given back
+	pushing     float64 // units of the call that is out
+	calling     bool    // a call is out; never more than one for an account
+	totalWanted bool    // the next call is made without waiting for its period
+	queued      bool    // in counterSync.queue
+	lastCallAt  Instant
+	nextCallAt  Instant // next ordinary call
+
+	unconfirmed []*request // counterFirst requests whose units are on the tally or on their way
+	queries     []*request // limit queries and give-backs that wait for the next call
+	sentQueries []*request // and for the one that is out
+}
+
+// counterSync pushes tallies to the shared counter and reads its totals. Calls are rate limited by the
+// answers to earlier ones, as all gateways share the counter.
+type counterSync struct {
+	ctx     *stepContext
+	limiter *ratelimit.Limiter
+	queue   []*account          // those with something to push or a total to read, in the order they came
+	calls   map[string]*account // by name: calls that are out
+}
+
+// spend takes units off an account's quota and puts them on its tally.
+func (s *counterSync) spend(a *account, units float64) {
+	a.consumed += units
+	s.addToTally(a, units)
+	if a.counterFirst { // pushed with the next checked request: there are no calls to spare
 		return
 	}
-	c := g.customer(e, &g.set.Plans[e.Plan])
-	r := &request{id: e.ID, units: e.Units, customer: c, spent: c.spent}
-	g.requests[r.id] = r
-	spare := min(e.Remaining/limitSpare, second/10)
-	g.after(e.Remaining-spare, func() { g.finish(r, Fail{Request: r.id, Reason: ReasonCounterUnread}) })
-	c.asks = append(c.asks, r)
-	if g.queue(c, true); !c.calling && g.mayCall() {
-		g.count(c)
-	}
+	a.bucket.spend(s.ctx.now, units)
+	s.enqueue(a, false)
 }
 
-// answer gives the queries that waited for the total their answers.
-func (g *Gateway) answer(c *customer) {
-	for _, r := range c.asking {
-		if r.units == 0 {
-			g.finish(r, g.left(c, c.spent-r.spent, r.id))
-		} else if back := max(0, min(-r.units, c.mine, c.total)); !r.done {
-			// Danger: use below nothing lets in more than the quota; no list and no ceiling gains by this.
-			c.mine -= back
-			g.spend(c, -back)
-			g.queue(c, true) // the others shall know
-			g.finish(r, AdjustAnswer{Request: r.id, Units: -back})
-		}
-	}
+// addToTally puts units on an account's tally, and notifies the caller.
+func (s *counterSync) addToTally(a *account, units float64) {
+	a.sync.tally += units
+	s.ctx.emit(TallyChanged{Customer: a.id, Units: units})
 }
 
-// release decides on those that waited for the count of all that c asked for: it must be within the rate.
-func (g *Gateway) release(c *customer, told bool) {
-	for _, r := range c.held {
-		kept := g.kept(r)
-		spent := told && kept > 0 && c.total > (1-kept)*c.plan.Rate*seconds(c.window)
-		if s, _ := g.pick(r, math.Inf(1)); spent || g.now < c.listedTill {
-			g.refuse(r, ReasonQuota, Span(c.edge()-g.now))
-		} else if r.take && (told || g.chance(c)) {
-			g.finish(r, AdjustAnswer{Request: r.id, Units: r.units})
-		} else if s == nil || !told && !g.chance(c) {
-			g.refuse(r, ReasonOverload, g.comeBack(r, 1))
-		} else {
-			g.send(r, s)
-		}
+// available is how many units this gateway may admit of an account's bucket.
+func (s *counterSync) available(a *account) float64 {
+	return a.bucket.available(s.ctx.now, s.ctx.settings.CounterTimeout, s.ctx.settings.MaxUnits)
+}
+
+// enqueue has an account called for by the sweep; if its total is wanted, at the next chance. First calls
+// fall at random into the period, so that the gateways' calls do not come together.
+func (s *counterSync) enqueue(a *account, totalWanted bool) {
+	a.sync.totalWanted = a.sync.totalWanted || totalWanted
+	if a.sync.queued || !s.ctx.settings.Counter || a.plan.Rate <= 0 {
+		return
 	}
-	c.held = c.held[:0]
+	a.sync.queued = true
+	if a.sync.nextCallAt <= s.ctx.now {
+		a.sync.nextCallAt = s.ctx.now + Instant(s.ctx.rng.Float64()*float64(a.window)/callsPerWindow)
+	}
+	s.queue = append(s.queue, a)
 }
 
-// queue has c looked at by the sweep; if it wants, for its total at the next chance.
-func (g *Gateway) queue(c *customer, wants bool) {
-	c.wants = c.wants || wants
-	if !c.queued && g.set.Counter && c.plan.Rate > 0 {
-		c.queued = true
-		if c.period <= g.now { // spread over the period, so that pushes do not come in step
-			c.period = g.now + Instant(g.rng.Float64()*float64(c.window)/pushesAWindow)
-		}
-		g.pushes = append(g.pushes, c)
+// sweep makes the calls that may be made now: first for urgent accounts, then, while calls are left, for
+// those whose period has ended.
+func (s *counterSync) sweep() {
+	for _, urgentOnly := range []bool{true, false} {
+		s.queue = slices.DeleteFunc(s.queue, func(a *account) bool {
+			a.sync.queued = a.sync.calling || !s.push(a, urgentOnly)
+			return !a.sync.queued
+		})
 	}
 }
 
-// push sends the tally of c to the counter if it is due, early or in its period, and tells whether it did.
-func (g *Gateway) push(c *customer, early bool) bool {
-	if !g.mayCall() {
+// push makes a call for an account if one may be made and it is urgent or at its time, and tells whether it
+// did.
+func (s *counterSync) push(a *account, urgentOnly bool) bool {
+	if !s.mayCall() {
 		return false
 	}
-	near := c.wants || g.turn(c) != c.turn || c.tally >= nearShare*max(0, g.room(c))
-	near = near && (g.now-c.lastPush >= Instant(g.set.CounterTimeout) || len(c.asks) > 0)
-	if !near && (early || g.now < c.period) {
+	if !s.urgent(a) && (urgentOnly || s.ctx.now < a.sync.nextCallAt) {
 		return false
 	}
-	g.count(c)
+	s.call(a)
 	return true
 }
 
-// turn is the window that counts of c go to now. Windows of customers turn at different times.
-func (g *Gateway) turn(c *customer) int64 {
-	return int64(g.now+c.phase()) / int64(c.window)
+// urgent tells whether an account's call should not wait for its period: a total is wanted, its window has
+// ended, or much is unpushed. Between two calls a time-out passes all the same, unless queries wait.
+func (s *counterSync) urgent(a *account) bool {
+	wanted := a.sync.totalWanted || a.windowNumber(s.ctx.now) != a.sync.number ||
+		a.sync.tally >= earlyPushFraction*max(0, s.available(a))
+	spaced := s.ctx.now-a.sync.lastCallAt >= Instant(s.ctx.settings.CounterTimeout)
+	return wanted && (spaced || len(a.sync.queries) > 0)
 }
 
-// edge is when the window of the last count turns.
-func (c *customer) edge() Instant { return Instant(c.turn+1)*Instant(c.window) - c.phase() }
-
-func (c *customer) phase() Instant { return Instant(uint64(c.id) % uint64(c.window)) }
+// mayCall tells whether the rate limit has a call left.
+func (s *counterSync) mayCall() bool { return s.limiter.Allow(int64(s.ctx.now)) }
 
-// mayCall paces the calls to the counter, which all gateways share.
-func (g *Gateway) mayCall() bool { return g.calls.Allow(int64(g.now)) }
+// call adds an account's tally to the counter. No other call of the account may be out.
+func (s *counterSync) call(a *account) {
+	s.startWindow(a)
+	w := &a.sync
+	name := strconv.FormatUint(uint64(a.id), 36) + "." + strconv.FormatInt(w.number, 36)
+	w.pushing, w.tally = w.tally, 0
+	w.sentQueries, w.queries = w.queries, nil
+	w.calling = true
+	w.totalWanted = false
+	w.lastCallAt = s.ctx.now
+	w.nextCallAt = s.ctx.now + Instant(a.window)/callsPerWindow
+	s.calls[name] = a
+	s.limiter.Spend()
+	s.ctx.emit(CounterAdd{Name: name, Customer: a.id, Add: w.pushing, TTL: min(maxCounterTTL, 2*a.window)})
+}
 
-// count makes a call that adds the tally of c to the counter.
-func (g *Gateway) count(c *customer) {
-	if turn := g.turn(c); turn != c.turn {
-		// The store's level is carried over; what was not read of the old window is taken to be as predicted.
-		c.turn, c.total, c.past, c.predicted, c.mine = turn, 0, 0, 0, 0
-		c.asked, c.askedIn = c.asked*askedFade, c.askedIn*askedFade
+// startWindow moves an account on to the present window. The bucket's level is carried over: use of the old
+// window that was not read is taken to be as predicted.
+func (s *counterSync) startWindow(a *account) {
+	number := a.windowNumber(s.ctx.now)
+	if number == a.sync.number {
+		return
 	}
-	name := strconv.FormatUint(uint64(c.id), 36) + "." + strconv.FormatInt(c.turn, 36)
-	c.adding, c.tally, c.calling, c.wants = c.tally, 0, true, false
-	c.asking, c.asks = c.asks, nil
-	c.lastPush, c.period = g.now, g.now+Instant(c.window)/pushesAWindow
-	g.names[name] = c
-	g.calls.Spend()
-	g.acts = append(g.acts, CounterAdd{Name: name, Customer: c.id, Add: c.adding, TTL: min(maxWindow, 2*c.window)})
+	a.sync.number = number
+	a.sync.total = 0
+	a.sync.own = 0
+	a.bucket.predicted = 0
+	a.demand.startWindow()
 }
 
-// counted takes the counter's answer.
-func (g *Gateway) counted(e CounterAnswered) {
-	c := g.names[e.Name]
-	if c == nil || !c.calling {
-		return
+// answered takes the counter's answer to a call and returns its account; nil if no such call is out. What a
+// call did not add goes back on the tally. One that timed out may have been added: the next total shows it.
+func (s *counterSync) answered(e CounterAnswered) *account {
+	a := s.calls[e.Name]
+	if a == nil || !a.sync.calling {
+		return nil
 	}
-	delete(g.names, e.Name)
-	c.calling = false
+	delete(s.calls, e.Name)
+	a.sync.calling = false
+	s.limiter.Observe(e.Outcome == OutcomeOK, seconds(e.Latency))
 	if e.Outcome == OutcomeOK {
-		g.total(c, c.adding, e.Total)
-		g.answer(c)
-	} else {
-		c.asks = append(c.asking, c.asks...) // until their time is up
-		if e.Outcome != OutcomeTimeout {
-			c.tally += c.adding
-		} else if !c.thin {
-			c.total += c.adding // it may have counted; if not, the next total puts it right
-		}
-		if !c.thin {
-			g.queue(c, false)
-		}
+		s.settle(a, a.sync.pushing, e.Total)
+		return a
+	}
+	a.sync.queries = append(a.sync.sentQueries, a.sync.queries...)
+	if e.Outcome != OutcomeTimeout {
+		a.sync.tally += a.sync.pushing
+	} else if !a.counterFirst {
+		a.sync.total += a.sync.pushing
 	}
-	g.calls.Observe(e.Outcome == OutcomeOK, seconds(e.Latency))
-	g.release(c, e.Outcome == OutcomeOK)
-	if len(c.asks) > 0 {
-		g.queue(c, true)
+	if !a.counterFirst {
+		s.enqueue(a, false)
 	}
+	return a
 }
 
-// total settles what was predicted of the others against what the counter says.
-func (g *Gateway) total(c *customer, add, total float64) {
-	g.advance(c)
-	before := c.total
-	// Gateways give back only what they added: with less left than this one's, the counter has forgotten.
-	if total-add < c.mine-countGrain {
-		before, c.mine = 0, 0
+// settle takes a total that includes the units just added. Gateways give back only what they added: a total
+// below this one's own units shows that the counter has lost its state.
+func (s *counterSync) settle(a *account, added, total float64) {
+	w, now := &a.sync, s.ctx.now
+	a.bucket.advance(now)
+	before := w.total
+	if total-added < w.own-counterPrecision {
+		before = 0
+		w.own = 0
 	}
-	others := total - add - before
-	c.mine += max(0, add)
-	c.total = total
-	w, edge := seconds(c.window), c.edge()
-	if c.thin {
-		past := seconds(g.now-edge) + w
-		c.asked += max(0, total-before)
-		c.askedIn += max(0, past-c.past)
-		c.past = past
-		if total > c.plan.Rate*w+thinBursts*c.plan.Burst {
-			c.listedTill = edge
+	othersUse := total - added - before
+	w.own += max(0, added)
+	w.total = total
+	quota := a.plan.Rate * seconds(a.window)
+	if a.counterFirst {
+		a.demand.observe(total-before, seconds(now-a.windowEnd())+seconds(a.window))
+		if total > quota+counterFirstBursts*a.plan.Burst {
+			a.blockedUntil = a.windowEnd()
 		}
 		return
 	}
-	dt := max(seconds(g.now-c.lastTotal), seconds(g.set.Tick))
-	c.level = min(c.plan.Burst, max(min(c.level, 0), c.level-(others-c.predicted)))
-	c.others += (max(0, others)/dt - c.others) * (1 - math.Exp(-dt/c.memory()))
-	c.predicted, c.lastTotal = 0, g.now
-	if total+c.tally > c.plan.Rate*w+c.plan.Burst {
-		c.listedTill = edge
+	a.bucket.settle(now, othersUse, s.ctx.settings.Tick)
+	if total+w.tally > quota+a.plan.Burst {
+		a.blockedUntil = a.windowEnd()
 	}
 }
--- a/dedup_window.go
+++ b/dedup_window.go
@@ -1,38 +1,42 @@
 package dewhitch
 
-// The window in which a group of servers drops repeats of a keyed request. It bounds not only when a
-// repeat begins but how long any attempt of the request is out: what a slow connection, a partition or a
-// stuck server holds up may still run when it gets through, and must then meet a server that remembers the
-// other attempt.
+// The deduplication window of a request with an idempotency key is how long a group of servers drops its
+// repeats, from its first attempt on. It bounds not only when a repeat begins but how long any attempt is
+// out: one that a slow connection, a partition or a stuck server holds up may still run when it gets
+// through, and must then meet a server that remembers the other attempt.
 
-// windowEnd is when the servers that may have run r forget it. It does not repeat if no attempt may have
-// run, or if r's class has no window.
-func (r *request) windowEnd() (end Instant, repeats bool) {
-	first := r.live()
-	if first == nil || !again[r.class.Idempotency].inGroup {
+// dedupWindowEnd is when the servers that may have run r forget it; false if no attempt may have run, or if
+// r's class has no window.
+func (r *request) dedupWindowEnd() (end Instant, bounded bool) {
+	first := r.mayHaveRun()
+	if first == nil || !afterMayHaveRun[r.class.Idempotency].withinDedupScope {
 		return 0, false
 	}
-	return first.at + Instant(r.class.DedupWindow), true
+	return first.startedAt + Instant(r.class.DedupWindow), true
 }
 
-// endOthers has the attempts of r that are out end with the window of one that is sent now, which may run
-// before they do.
-func (g *Gateway) endOthers(r *request) {
-	end := g.now + Instant(r.class.DedupWindow)
-	earlier := len(r.attempts)
-	if r.out == 0 || !g.set.MayCancel || end >= r.due {
-		return
-	}
-	g.at(end, func() {
-		for i := range earlier {
-			if !r.attempts[i].ended {
-				g.acts = append(g.acts, CancelAttempt{Request: r.id, Attempt: i})
-			}
-		}
-	})
+// deduplicated tells whether s drops a repeat of r, whose first attempt is given, as a repeat: it is in
+// scope, within the window, and the attempts that are out end within the window of one that is sent now.
+func (rules attemptRules) deduplicated(r *request, first *attempt, s *server) bool {
+	window := Instant(r.class.DedupWindow)
+	return r.class.DedupScope.same(s.Endpoint, first.server.Endpoint) &&
+		rules.ctx.now-first.startedAt < window && rules.othersEndInWindow(r)
+}
+
+// othersEndInWindow tells whether the attempts of r that are out end within the window of one that is sent
+// now.
+func (rules attemptRules) othersEndInWindow(r *request) bool {
+	return r.inFlight == 0 || rules.ctx.settings.MayCancel ||
+		r.deadline <= rules.ctx.now+Instant(r.class.DedupWindow)
 }
 
-// canEndOthers tells whether the attempts of r that are out end within the window of one that is sent now.
-func (g *Gateway) canEndOthers(r *request) bool {
-	return r.out == 0 || g.set.MayCancel || r.due <= g.now+Instant(r.class.DedupWindow)
+// withdrawAtWindowEnd has the attempts of r that are out withdrawn at the end of the window of one that is
+// sent now, which may run before they do.
+func (c *attemptController) withdrawAtWindowEnd(r *request) {
+	end := c.ctx.now + Instant(r.class.DedupWindow)
+	if r.inFlight == 0 || !c.ctx.settings.MayCancel || end >= r.deadline {
+		return
+	}
+	earlier := len(r.attempts)
+	c.ctx.setTimer(end, func() { c.requests.withdraw(r, earlier) })
 }
--- a/endpoint_set.go
+++ b/endpoint_set.go
@@ -1,66 +1,105 @@
 package dewhitch
 
-// The servers that are listed, in the order in which this gateway uses them.
-
 import (
 	"cmp"
 	"maps"
 	"slices"
 )
 
-// list follows the server list. Rule 3: what drains or is gone gets nothing new from this moment on.
-func (g *Gateway) list(e EndpointList) {
+// subscribeRetryDelay is the pause before the endpoint list is subscribed to again after a failure.
+const subscribeRetryDelay = second
+
+// server is a listed endpoint and this gateway's statistics of it since the endpoint's last start.
+type server struct {
+	Endpoint
+	rank            uint64          // place in this gateway's order; unique in a list
+	inFlight        int             // attempts out from this gateway
+	unansweredSince Instant         // since when attempts are out without any answer
+	answeredAt      Instant         // last answer of any class
+	latency         float64         // seconds: moving average, of an attempt sent alone to a warm server
+	measuredAt      Instant         // last sample in latency
+	failures        []failureRecord // by class
+	slowStartBudget bucket          // attempts that may be sent while it warms up
+}
+
+// endpointSet is the endpoint list as last received, in the order in which this gateway uses it.
+type endpointSet struct {
+	ctx       *stepContext
+	servers   []*server // by rank
+	ready     []*server // of servers, those that take new attempts; by rank
+	slowStart int       // of ready, those with a slow-start rate set by the fleet
+	byID      map[ServerID]*server
+}
+
+// update applies an endpoint list. A server that drains or is removed gets no new attempt from this event
+// on. It returns the servers that are new or have restarted, whose statistics have to start anew, in the
+// list's order, and those that are forgotten.
+func (set *endpointSet) update(e EndpointList) (started, forgotten []*server) {
 	if e.Kind == ListFailed {
-		if g.set.ListOnRequest {
-			g.after(second, func() { g.acts = append(g.acts, SubscribeEndpoints{}) })
-		}
-		return
+		set.resubscribe()
+		return nil, nil
 	}
 	if e.Kind != ListDelta {
-		for _, s := range g.servers {
+		for _, s := range set.servers {
 			s.State = Removed
 		}
 	}
-	known := len(g.servers)
+	known := len(set.servers)
 	for _, entry := range e.Servers {
-		s := g.byID[entry.ID]
+		s := set.byID[entry.ID]
 		if s == nil {
-			s = &server{Endpoint: Endpoint{StartedAt: -1}, rank: entry.ID.rank(g.set.Self)}
-			g.byID[entry.ID] = s
-			g.servers = append(g.servers, s)
+			s = &server{Endpoint: Endpoint{StartedAt: -1}, rank: entry.ID.rank(set.ctx.settings.Self)}
+			set.byID[entry.ID] = s
+			set.servers = append(set.servers, s)
 		}
-		if entry.StartedAt != s.StartedAt { // it has started anew
-			s.latency, s.verdicts = g.latency, make([]verdict, len(g.set.Classes))
-			s.budget = bucket{level: g.rng.Float64(), at: g.now}
-			delete(g.suspects, s)
+		if entry.StartedAt != s.StartedAt {
+			started = append(started, s)
 		}
 		s.Endpoint = entry
 	}
-	if len(g.servers) > known {
-		slices.SortFunc(g.servers, func(a, b *server) int {
+	if len(set.servers) > known {
+		slices.SortFunc(set.servers, func(a, b *server) int {
 			return cmp.Compare(a.rank, b.rank)
 		})
 	}
-	g.index()
+	forgotten = set.dropRemoved()
+	set.indexReady()
+	return started, forgotten
 }
 
-// index forgets the servers that are gone and owe nothing, and finds those that may be sent to, in order of
-// rank.
-func (g *Gateway) index() {
-	gone := func(s *server) bool { return s.State == Removed && s.out == 0 }
-	if slices.ContainsFunc(g.servers, gone) {
-		maps.DeleteFunc(g.byID, func(_ ServerID, s *server) bool { return gone(s) })
-		maps.DeleteFunc(g.suspects, func(s *server, _ bool) bool { return gone(s) })
-		g.servers = slices.DeleteFunc(g.servers, gone)
+// resubscribe asks for the list again after a pause.
+func (set *endpointSet) resubscribe() {
+	if set.ctx.settings.ListOnRequest {
+		set.ctx.setTimerAfter(subscribeRetryDelay, func() { set.ctx.emit(SubscribeEndpoints{}) })
 	}
-	g.ready, g.fed = g.ready[:0], 0
-	for _, s := range g.servers {
+}
+
+// dropRemoved forgets the servers that are removed and have no attempt out.
+func (set *endpointSet) dropRemoved() (forgotten []*server) {
+	removed := func(s *server) bool { return s.State == Removed && s.inFlight == 0 }
+	if !slices.ContainsFunc(set.servers, removed) {
+		return nil
+	}
+	for _, s := range set.servers {
+		if removed(s) {
+			forgotten = append(forgotten, s)
+		}
+	}
+	maps.DeleteFunc(set.byID, func(_ ServerID, s *server) bool { return removed(s) })
+	set.servers = slices.DeleteFunc(set.servers, removed)
+	return forgotten
+}
+
+// indexReady finds the servers that take new attempts.
+func (set *endpointSet) indexReady() {
+	set.ready, set.slowStart = set.ready[:0], 0
+	for _, s := range set.servers {
 		if s.State != Ready {
 			continue
 		}
-		g.ready = append(g.ready, s)
+		set.ready = append(set.ready, s)
 		if s.SlowStartRate > 0 {
-			g.fed++
+			set.slowStart++
 		}
 	}
 }
--- a/endpoints.go
+++ b/endpoints.go
@@ -23,7 +23,8 @@
 	HealthCheck   HealthCheckMode `json:"Look"`
 }
 
-// HealthCheckMode says that a server is looked at, to see whether it is well: what goes there goes there first, as its budget allows.
+// HealthCheckMode says that a server is looked at, to see whether it is well: what goes there goes there
+// first, as its budget allows.
 type HealthCheckMode int
 
 // The looks.
@@ -33,8 +34,9 @@
 	HealthCheckAny
 )
 
-// rank is the server's place in the order in which gateway self uses servers: another order for each gateway. It is the
-// finalizer of splitmix64 (Steele, Lea, Flood 2014), a bijection, so that no two servers share a place.
+// rank is the server's place in the order in which gateway self uses servers: another order for each
+// gateway. It is the finalizer of splitmix64 (Steele, Lea, Flood 2014), a bijection, so that no two servers
+// share a place.
 func (id ServerID) rank(self int) uint64 {
 	h := uint64(id) + uint64(self+1)*0x9e3779b97f4a7c15
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
--- a/events.go
+++ b/events.go
@@ -68,7 +68,8 @@
 	ClientLeft struct{ Request RequestID }
 	// Expedite tells that a request must have its answer now, however long its client would wait.
 	Expedite struct{ Request RequestID }
-	// Shutdown tells that this gateway ends: every request must have its answer by then, however long its client would wait.
+	// Shutdown tells that this gateway ends: every request must have its answer by then, however long its
+	// client would wait.
 	Shutdown struct{ By Instant }
 	// TimerFired returns a timer.
 	TimerFired struct{ ID TimerID }
--- a/gateway.go
+++ b/gateway.go
@@ -1,218 +1,192 @@
 package dewhitch
 
-// The module: tuned values and clockwork; it decides in request.go, quota.go, counting.go and servers.go.
-
 import (
-	"math"
 	"math/rand/v2"
-	"slices"
-	"strconv"
 
 	"dewhitch/internal/ratelimit"
 )
 
-// The tuned values. Each is relative to something the settings tell.
-const (
-	windowBursts  = 2.0         // a window lasts so many bursts: a listed customer waits it out, room or not
-	maxWindow     = 60 * second // the counter forgets a name after that
-	expireEvery   = 5 * second  // idle accounts are looked for so often
-	pushesAWindow = 4           // ordinary batches: a quarter of a window apart
-	nearShare     = 0.25        // a tally of this share of the room is pushed without waiting for the period
-	shareFloor    = 0.125       // of the rate, over all gateways: what a quiet gateway is taken to ask
-	blindSigmas   = 0.25        // unseen use of others is reserved up to so many standard deviations
-	staleWindows  = 0.5         // a total older than this share of a window no longer tells of others
-	askedFade     = 0.7         // of what was asked in earlier windows, in a new one
-	keptShare     = 0.7         // of the store, for what earns more than a request that earns next to nothing
-	thinBursts    = 0.5         // beyond the rate in a thin customer's window: few stores start empty
-	easeUse       = 0.5         // of the rate: a thin customer that asks for less is not checked
-	limitSpare    = 8           // the part of a query's time that its answer needs on its way
-	countGrain    = 0.01        // units: what a total may be off by, given to seven digits
-
-	aimUse        = 0.25       // of the aim: a first attempt must be expected within it, as work varies
-	idleUse       = 2.5        // or within so many times the latency of servers at ease, if that is more
-	idleSamples   = 1000.0     // after which that is forgotten
-	beyondUse     = 0.4        // of that threshold for what is beyond its quota: the first to go when pressed
-	hedgeAt       = 0.5        // share of the aim after which an unanswered attempt gets a second one
-	retryShare    = 0.1        // further attempts for each request taken
-	retryBurst    = 10.0       // and this many at once
-	latencyWeight = 0.1        // of a new sample in a server's latency
-	maxWeight     = 0.4        // of one after a while in which there was none
-	startLatency  = 0.15       // of the classes' mean aim: a server's latency before it has answered
-	sendSpan      = 5 * second // over which a gateway's own rate is measured
-	coldUse       = 0.5        // of what is sent and what asks for a server: a cold one's part, by its capacity
-	failures      = 3          // unanswered attempts show that a server hangs; it is avoided for so many turns
-	ejectLongest  = 32 * second
-	recoverSpan   = second // over which an idle server's latency goes to the mean, and an old mean is forgotten
-	recoverGaps   = 3.0    // or over so many times the span between two attempts on it, if that is longer
-	reportWeight  = 0.8    // of a server's report in its latency, for a gateway that sees little of it itself
-	apertureGap   = 2.0    // seconds between two attempts on a server: servers beyond that many are left out
-	leastAperture = 6      // of servers
-	minPoints     = 1e-6   // a class that earns nothing still has a place in line
-	maxSize       = 4.0    // of the mean: more is a trouble of the server, not the class
-	sizeGuess     = 16.0   // samples: what a class is taken for until it has shown its size counts as so many
-	maxStray      = 2.0    // of the mean latency: more counts as this much, as it is one server's trouble
-	parallel      = 2.0    // attempts that a server is taken to run side by side
-	crossZone     = 0.1    // what a server of another zone must be better by
-	maxEjected    = 0.5    // of the ready servers, or of attempts; if more are bad, all are pressed
-	mostSwept     = 256    // servers that one sweep looks at
-)
-
-// Gateway is one instance of the module.
+// Gateway is the decision module of one gateway: a state machine that Handle drives. It holds the owners of
+// the decisions and routes each event to them. Each owner uses those above it in this list only, and changes
+// only its own state and what it documents. A Gateway is owned by one goroutine; none of its methods may run
+// beside another.
 type Gateway struct {
-	set                       Settings
-	rng                       *rand.Rand
-	now                       Instant
-	acts                      []Action
-	servers                   []*server        // in order of rank
-	ready                     []*server        // of them, those that may be sent to
-	fed                       int              // of those, how many the fleet feeds
-	suspects                  map[*server]bool // that something may speak against
-	outs                      []int            // by class, as out counted them
-	outAt                     []Instant        // and when
-	swept                     int              // the next server to be swept
-	byID                      map[ServerID]*server
-	requests                  map[RequestID]*request
-	customers                 map[CustomerID]*customer
-	timers                    map[TimerID]func()
-	lastTimer                 int64
-	pushes                    []*customer // those with something to push or to ask
-	started                   bool
-	startAt                   Instant
-	calls                     *ratelimit.Limiter // of the counter, which all gateways share
-	names                     map[string]*customer
-	budget                    float64
-	latency                   float64 // smoothed, over all servers
-	measured                  Instant // when an answer last told a latency
-	idle                      float64 // the least latency of late: that of servers at ease
-	sent, wanted, tried, good float64 // leaking: attempts, wishes for a server, to go on, attempts in time
-	leaked                    Instant
-	cut                       map[int]float64 // by zone: share of attempts there that speak against it, of late
-	sizes, sized              []float64       // by class: its latency against the mean of all; samples of it
-	worth                     float64         // mean points of what arrives, for its work
-	minAim                    Span
-	endBy                     Instant // every request is answered by then; 0: this gateway does not end
+	ctx     *stepContext
+	started bool // the first event has come
+
+	traffic   *trafficStatistics
+	endpoints *endpointSet
+	aperture  *aperture
+	slowStart *slowStart
+	outliers  *outlierDetector
+	latency   *latencyEstimator
+	balancer  *balancer
+
+	requests    *requestTable
+	accounts    *accounts
+	counter     *counterSync
+	quota       *quotaRules
+	retryBudget *retryBudget
+	shedder     *loadShedder
+	attempts    *attemptController
+	shutdown    *shutdown
+	admission   *admission
+	limits      *limitQueries
 }
 
-// New makes a gateway that knows nothing yet.
+// New makes a gateway without any state. Seed is that of its random choices: the same settings, seed and
+// events lead to the same actions. The error is that of Settings.Check.
 func New(s Settings, seed uint64) (*Gateway, error) {
-	if err := s.validate(); err != nil {
+	if err := s.Check(); err != nil {
 		return nil, err
 	}
-	g := &Gateway{set: s, rng: rand.New(rand.NewPCG(seed, 1)), byID: map[ServerID]*server{},
-		requests: map[RequestID]*request{}, customers: map[CustomerID]*customer{}, timers: map[TimerID]func(){},
-		names: map[string]*customer{}, suspects: map[*server]bool{}, outs: make([]int, len(s.Classes)),
-		outAt: make([]Instant, len(s.Classes)), cut: map[int]float64{}, minAim: s.Classes[0].Objective,
-		budget: retryBurst,
-		worth:  max(s.Classes[0].Weight, minPoints), calls: ratelimit.New(seconds(s.CounterTimeout), s.Instances)}
-	for _, c := range s.Classes {
-		g.sizes, g.sized = append(g.sizes, 1), append(g.sized, sizeGuess)
-		g.minAim = min(g.minAim, c.Objective)
-		g.latency += startLatency * seconds(c.Objective) / float64(len(s.Classes))
-	}
-	g.idle = g.latency
+	ctx := &stepContext{settings: s, rng: rand.New(rand.NewPCG(seed, 1)),
+		timers: timerTable{callbacks: map[TimerID]func(){}}}
+	g := &Gateway{ctx: ctx}
+	g.newServerOwners()
+	g.newRequestOwners()
 	return g, nil
 }
 
-// Handle takes one event and appends the actions it leads to.
-func (g *Gateway) Handle(now Instant, e Event, acts []Action) []Action {
-	g.now, g.acts = now, acts
+// newServerOwners makes the owners of what is known of the servers.
+func (g *Gateway) newServerOwners() {
+	ctx, classes := g.ctx, len(g.ctx.settings.Classes)
+	g.traffic = &trafficStatistics{ctx: ctx, zoneFailures: map[int]float64{}}
+	g.endpoints = &endpointSet{ctx: ctx, byID: map[ServerID]*server{}}
+	g.aperture = &aperture{endpoints: g.endpoints, traffic: g.traffic}
+	g.slowStart = &slowStart{ctx: ctx, endpoints: g.endpoints, aperture: g.aperture, traffic: g.traffic}
+	g.outliers = &outlierDetector{ctx: ctx, endpoints: g.endpoints, aperture: g.aperture, traffic: g.traffic,
+		suspects: map[*server]bool{}, counts: make([]int, classes), countedAt: make([]Instant, classes)}
+	g.latency = newLatencyEstimator(ctx, g.endpoints, g.aperture, g.slowStart)
+	g.balancer = &balancer{ctx: ctx, endpoints: g.endpoints, aperture: g.aperture, traffic: g.traffic,
+		slowStart: g.slowStart, outliers: g.outliers, latency: g.latency, rules: attemptRules{ctx}}
+}
+
+// newRequestOwners makes the owners of requests and accounts.
+func (g *Gateway) newRequestOwners() {
+	ctx, set := g.ctx, &g.ctx.settings
+	g.requests = &requestTable{ctx: ctx, byID: map[RequestID]*request{}}
+	g.accounts = &accounts{ctx: ctx, byID: map[CustomerID]*account{}}
+	g.counter = &counterSync{ctx: ctx, calls: map[string]*account{},
+		limiter: ratelimit.New(seconds(set.CounterTimeout), set.Instances)}
+	g.quota = &quotaRules{ctx: ctx, latency: g.latency, counter: g.counter}
+	g.retryBudget = &retryBudget{tokens: maxRetryBudget}
+	g.shedder = &loadShedder{ctx: ctx, traffic: g.traffic, latency: g.latency, balancer: g.balancer,
+		retryBudget: g.retryBudget, meanPriority: max(set.Classes[0].Weight, minPriority)}
+	g.attempts = &attemptController{ctx: ctx, requests: g.requests, rules: attemptRules{ctx}, traffic: g.traffic,
+		slowStart: g.slowStart, outliers: g.outliers, latency: g.latency, balancer: g.balancer, shedder: g.shedder,
+		retryBudget: g.retryBudget, counter: g.counter}
+	g.shutdown = &shutdown{ctx: ctx, requests: g.requests, attempts: g.attempts}
+	g.admission = &admission{ctx: ctx, accounts: g.accounts, requests: g.requests, quota: g.quota,
+		counter: g.counter, shedder: g.shedder, balancer: g.balancer, attempts: g.attempts, shutdown: g.shutdown}
+	g.limits = &limitQueries{ctx: ctx, accounts: g.accounts, requests: g.requests, counter: g.counter,
+		shutdown: g.shutdown}
+}
+
+// Handle takes one event and appends the actions it leads to, which the caller carries out in that order.
+// Now must not go back from one event to the next.
+func (g *Gateway) Handle(now Instant, e Event, actions []Action) []Action {
+	g.ctx.now = now
+	g.ctx.actions = actions
 	if !g.started {
-		g.started, g.startAt, g.leaked = true, now, now
-		if g.set.ListOnRequest {
-			g.acts = append(g.acts, SubscribeEndpoints{})
-		}
-		g.after(g.sweepEvery(), g.sweep)
-		g.after(expireEvery, g.expire)
+		g.start()
 	}
+	g.route(e)
+	actions = g.ctx.actions
+	g.ctx.actions = nil
+	return actions
+}
+
+// start begins the periodic work, with the first event.
+func (g *Gateway) start() {
+	g.started = true
+	g.ctx.startedAt = g.ctx.now
+	g.traffic.decayedAt = g.ctx.now
+	if g.ctx.settings.ListOnRequest {
+		g.ctx.emit(SubscribeEndpoints{})
+	}
+	g.ctx.setTimerAfter(g.ctx.sweepInterval(), g.sweep)
+	g.ctx.setTimerAfter(accountExpiryPeriod, g.accounts.expire)
+}
+
+// sweep runs the periodic work.
+func (g *Gateway) sweep() {
+	g.ctx.setTimerAfter(g.ctx.sweepInterval(), g.sweep)
+	g.counter.sweep()
+	g.latency.recoverIdle()
+}
+
+// route hands an event to the owner that decides on it. HealthChecked and PeerMessage lead to nothing.
+func (g *Gateway) route(e Event) {
 	switch e := e.(type) {
 	case EndpointList:
-		g.list(e)
+		g.updateEndpoints(e)
 	case Arrival:
-		g.arrive(e, false)
+		g.admission.arrive(e, false)
 	case LimitQuery:
-		g.query(e.arrival(0))
+		g.limits.query(e.arrival(0))
 	case LimitAdjust:
-		if a := e.arrival(e.Units); e.Units > 0 {
-			g.arrive(a, true)
+		if e.Units > 0 {
+			g.admission.arrive(e.arrival(e.Units), true)
 		} else {
-			g.query(a)
+			g.limits.query(e.arrival(e.Units))
 		}
 	case AnswerStarted:
-		if r := g.requests[e.Request]; r != nil {
-			r.customer.begun += 1 - r.begun
-			r.done, r.begun = true, 1 // the client owns the attempt from now on
-		}
+		g.requests.answerStarted(e.Request)
 	case AttemptEnded:
-		g.ended(e)
+		g.attempts.ended(e)
 	case ClientLeft:
-		if r := g.requests[e.Request]; r != nil {
-			g.finish(r, nil)
-		}
+		g.requests.clientLeft(e.Request)
 	case Expedite:
-		g.answerNow(e.Request)
+		g.shutdown.expedite(e.Request)
 	case Shutdown:
-		g.end(e.By)
+		g.shutdown.begin(e.By)
 	case TimerFired:
-		if f := g.timers[e.ID]; f != nil {
-			delete(g.timers, e.ID)
-			f()
-		}
+		g.ctx.fireTimer(e.ID)
 	case CounterAnswered:
-		g.counted(e)
+		g.counterAnswered(e)
 	}
-	acts, g.acts = g.acts, nil
-	return acts
 }
 
-// Tally tells what a customer's tally holds, for bookkeeping; not known: the account was dropped, with its tally.
-func (g *Gateway) Tally(id CustomerID) (units float64, known bool) {
-	c, known := g.customers[id]
-	if known {
-		units = c.tally
+// updateEndpoints applies an endpoint list and starts the statistics of new and restarted servers anew.
+func (g *Gateway) updateEndpoints(e EndpointList) {
+	started, forgotten := g.endpoints.update(e)
+	for _, s := range started {
+		g.latency.reset(s)
+		g.outliers.reset(s)
+		g.slowStart.reset(s)
+	}
+	for _, s := range forgotten {
+		g.outliers.forget(s)
 	}
-	return units, known
-}
-
-func (g *Gateway) at(t Instant, f func()) {
-	g.lastTimer++
-	id := TimerID(strconv.FormatInt(g.lastTimer, 36))
-	g.timers[id] = f
-	g.acts = append(g.acts, SetTimer{At: t, ID: id})
 }
 
-func (g *Gateway) after(d Span, f func()) { g.at(g.now+Instant(d), f) }
-
-// sweepEvery is how often the periodic work is looked at: a fraction of the counter's time-out.
-func (g *Gateway) sweepEvery() Span { return max(2*g.set.Tick, g.set.CounterTimeout/5, second/100) }
-
-// sweep runs the periodic work.
-func (g *Gateway) sweep() {
-	g.after(g.sweepEvery(), g.sweep)
-	for _, near := range []bool{true, false} { // where calls are short, those whose store is go first
-		g.pushes = slices.DeleteFunc(g.pushes, func(c *customer) bool {
-			c.queued = c.calling || !g.push(c, near)
-			return !c.queued
-		})
+// counterAnswered applies the end of a counter call, then decides on what waited for it.
+func (g *Gateway) counterAnswered(e CounterAnswered) {
+	a := g.counter.answered(e)
+	if a == nil {
+		return
 	}
-	// Danger: who refuses all by old estimates does not learn that things are better. An idle server's goes to
-	// that of servers at ease, or, the less is seen of one, to the mean; with none measured, the mean fades.
-	part, seen := seconds(g.sweepEvery())/seconds(recoverSpan), 1-g.blind()
-	if g.now-g.measured > Instant(recoverSpan) {
-		g.latency *= 1 - part
-	} else {
-		part /= max(1, recoverGaps*g.gap()/seconds(recoverSpan))
+	counted := e.Outcome == OutcomeOK
+	if counted {
+		g.limits.answer(a)
 	}
-	// Of many servers some are looked at in turn, each for all of the sweeps since its last.
-	n := min(len(g.servers), mostSwept)
-	if sweeps := (len(g.servers) + mostSwept - 1) / mostSwept; sweeps > 1 {
-		part = 1 - math.Pow(1-min(1, part), float64(sweeps))
+	g.admission.resume(a, counted)
+	if len(a.sync.queries) > 0 {
+		g.counter.enqueue(a, true)
 	}
-	for range n {
-		if g.swept++; g.swept >= len(g.servers) {
-			g.swept = 0
-		}
-		if s := g.servers[g.swept]; s.out == 0 {
-			s.latency += (g.latency + seen*seen*(g.idle-g.latency) - s.latency) * part
-		}
+}
+
+// Tally is how many units a customer's tally holds, for bookkeeping. Known is false if there is no account:
+// one that is dropped takes its tally along.
+func (g *Gateway) Tally(id CustomerID) (units float64, known bool) {
+	a, known := g.accounts.byID[id]
+	if known {
+		units = a.sync.tally
 	}
+	return units, known
 }
+
+// EjectedServers counts the ready servers that get nothing new because their attempts fail; 0 where so many
+// fail that none is left out.
+func (g *Gateway) EjectedServers(now Instant) int { return g.outliers.ejectedNow(now) }
--- a/outlier_detection.go
+++ b/outlier_detection.go
@@ -1,147 +1,146 @@
 package dewhitch
 
-// The servers: what speaks for and against each.
-
-import (
-	"math"
+import "math"
+
+const (
+	ejectionBase      = second      // length of the first ejection; each further failure doubles it
+	ejectionIntervals = 3.0         // or so many intervals between two attempts on the server, if that is longer
+	maxEjection       = 32 * second // length of any ejection
+	maxEjected        = 0.5         // of the ready servers: if more are outliers, none is left out
+	maxSuspects       = 256         // servers with failures that are recounted for each request
 )
 
-type server struct {
-	Endpoint
-	out               int     // attempts out from this gateway
-	waiting, answered Instant // since when something is out with no answer; the last answer, of any class
-	latency           float64 // smoothed, as of a warm one
-	measured          Instant // when an answer last told it
-	verdicts          []verdict
-	budget            bucket // of a cold server
-	rank              uint64 // the place in this gateway's order; no two servers of one list share it
+// failureRecord is what speaks against a server for one class. Its zero value is a server without failures.
+type failureRecord struct {
+	answeredAt   Instant // last answer of the class
+	count        int     // consecutive failures since
+	firstAt      Instant // of the first of them
+	ejectedUntil Instant // then the server is half-open: one attempt at a time, until one is answered
 }
 
-// verdict is what speaks against a server for a class.
-type verdict struct {
-	answered Instant // last
-	failed   int     // failures since
-	at       Instant // of the first of them
-	ejected  Instant // until then
+// outlierDetector ejects servers that do not answer. It owns the servers' failures, answeredAt and
+// unansweredSince.
+type outlierDetector struct {
+	ctx       *stepContext
+	endpoints *endpointSet
+	aperture  *aperture
+	traffic   *trafficStatistics
+	suspects  map[*server]bool // those that may have failures
+	counts    []int            // by class: ejected servers, as last counted
+	countedAt []Instant        // by class; 0: never
 }
 
-// throttled tells, by lot, to hold back: where most attempts end badly, only less work brings servers back.
-func (g *Gateway) throttled() bool {
-	g.leak()
-	g.tried++
-	return g.rng.Float64()*g.tried > failures+g.good/maxEjected
+// reset forgets a server's failures; it has restarted.
+func (o *outlierDetector) reset(s *server) {
+	s.failures = make([]failureRecord, len(o.ctx.settings.Classes))
+	delete(o.suspects, s)
 }
 
-// leak lets what is old count less.
-func (g *Gateway) leak() {
-	part := math.Exp(-seconds(g.now-g.leaked) / seconds(sendSpan))
-	g.sent, g.tried, g.good, g.wanted, g.leaked = g.sent*part, g.tried*part, g.good*part, g.wanted*part, g.now
-	for zone := range g.cut { // in any order
-		g.cut[zone] *= part
-	}
-}
+// forget drops a server that is no longer listed.
+func (o *outlierDetector) forget(s *server) { delete(o.suspects, s) }
 
-func (g *Gateway) sendRate() float64 { g.leak(); return g.sent / seconds(sendSpan) } // own, attempts a second
+// recordSuccess clears a server's failures of a class.
+func (o *outlierDetector) recordSuccess(s *server, class int) {
+	s.unansweredSince, s.answeredAt = o.ctx.now, o.ctx.now
+	s.failures[class] = failureRecord{answeredAt: o.ctx.now}
+	o.traffic.recordZoneSuccess(s.Zone)
+}
 
-// judge learns from an outcome.
-func (g *Gateway) judge(r *request, a *attempt, e AttemptEnded) {
+// recordFailure counts an attempt that failed or is unanswered as a failure of its server, once. It returns
+// false, and counts nothing, if the server has answered another request of the class since the attempt
+// began: then the attempt is slow, not the server silent.
+func (o *outlierDetector) recordFailure(class int, a *attempt) (silent bool) {
 	s := a.server
-	s.out--
-	if e.Outcome == OutcomeNotSent || e.Outcome == OutcomeCancelled {
-		return
+	record := &s.failures[class]
+	if record.answeredAt > a.startedAt {
+		return false
 	}
-	sample := seconds(e.Latency)
-	if e.Outcome == OutcomeOK {
-		if g.leak(); e.Latency <= r.class.Objective {
-			g.good++
-		}
-		s.waiting, s.answered = g.now, g.now
-		s.verdicts[r.kind] = verdict{answered: g.now}
-		g.cut[s.Zone] *= 1 - latencyWeight
-		size := min(sample/crowd(a.beside)/g.latency, maxSize)
-		g.sized[r.kind]++
-		g.sizes[r.kind] += max(latencyWeight/4, 1/g.sized[r.kind]) * (size - g.sizes[r.kind])
-	} else {
-		// Danger: silence is one server's trouble; as slowness of all a few dead servers would have all refused.
-		if g.suspect(r, a) && e.Outcome != OutcomeRejected {
-			return
-		}
-		sample = max(2*sample, seconds(g.minAim))
+	if a.failureCounted {
+		return true
 	}
-	sample /= crowd(a.beside)
-	g.latency += g.weight(g.measured, latencyWeight/4) * (min(sample, maxStray*g.latency) - g.latency)
-	s.latency += g.weight(s.measured, latencyWeight) * (sample*g.warmth(s)/g.sizes[r.kind] - s.latency)
-	if l := e.Load; l.Has&HasInflight != 0 && l.Has&HasRate != 0 { // Little's law, with one more of the mean
-		told := (l.Inflight + l.Queue + 1) / (l.Rate + 1/g.latency)
-		s.latency += reportWeight * g.blind() * g.blind() * (told - s.latency)
+	a.failureCounted = true
+	o.suspects[s] = true
+	o.traffic.recordZoneFailure(s.Zone)
+	// Where attempts are few each one lost costs more of them, so ejection lasts longer.
+	length := max(seconds(ejectionBase), ejectionIntervals*o.aperture.attemptInterval()) *
+		math.Pow(2, float64(record.count))
+	record.count++
+	if record.count == 1 {
+		record.firstAt = o.ctx.now
 	}
-	g.idle = min(g.latency, g.idle*(1+1/idleSamples))
-	g.measured, s.measured = g.now, g.now
+	record.ejectedUntil = o.ctx.now + Instant(min(length, seconds(maxEjection))*1e9)
+	return true
 }
 
-// weight is that of a new sample: the less was measured of late, the more it says.
-func (g *Gateway) weight(last Instant, least float64) float64 {
-	return max(least, maxWeight*(1-math.Exp(-seconds(g.now-last)/seconds(recoverSpan))))
+// isEjected decides whether a server is left out for a request of a class: while it is ejected, and,
+// half-open after that, while an attempt is out there. Failures of one class eject it for all classes until
+// it has answered any of them.
+func (o *outlierDetector) isEjected(s *server, class int) bool {
+	for k, record := range s.failures {
+		applies := record.count > 0 && (k == class || s.answeredAt <= record.firstAt)
+		if applies && (o.ctx.now < record.ejectedUntil || s.inFlight > 0) {
+			return true
+		}
+	}
+	return false
 }
 
-// aperture is how many servers this gateway uses, in its own order: of more it would learn too little.
-func (g *Gateway) aperture() int {
-	return min(len(g.servers), max(leastAperture, int(g.sendRate()*apertureGap)))
+// ejectionApplies tells whether outliers are left out for a class. If more than maxEjected of the ready
+// servers are outliers, the fault is not theirs alone, and the others could not carry the load.
+func (o *outlierDetector) ejectionApplies(class int) bool {
+	return float64(o.countEjected(class)) <= maxEjected*float64(len(o.endpoints.ready))
 }
 
-// gap is the mean time between two attempts of this gateway on a server.
-func (g *Gateway) gap() float64 { return float64(g.aperture()) / max(1e-3, g.sendRate()) }
-
-// suspect holds an attempt that failed or is unanswered against its server, if that answered no other since.
-// A server that is seen seldom is avoided for longer: of few attempts each costs much.
-func (g *Gateway) suspect(r *request, a *attempt) bool {
-	v := &a.server.verdicts[r.kind]
-	if v.answered > a.at {
-		return false
+// countEjected counts the ready servers that are outliers for a class. With very many suspects the last
+// count is used for the length of a sweep.
+func (o *outlierDetector) countEjected(class int) int {
+	counted := o.countedAt[class]
+	recent := counted != 0 && o.ctx.now-counted < Instant(o.ctx.sweepInterval())
+	if len(o.suspects) > maxSuspects && recent {
+		return o.counts[class]
 	}
-	if !a.failed {
-		a.failed = true
-		g.suspects[a.server] = true
-		g.cut[a.server.Zone] += (1 - g.cut[a.server.Zone]) * latencyWeight
-		span := max(seconds(recoverSpan), failures*g.gap()) * math.Pow(2, float64(v.failed))
-		if v.failed++; v.failed == 1 {
-			v.at = g.now
+	n := 0
+	for s := range o.suspects { // in any order
+		if !s.hasFailures() {
+			delete(o.suspects, s)
+		} else if s.State == Ready && o.isEjected(s, class) {
+			n++
 		}
-		v.ejected = g.now + Instant(min(span, seconds(ejectLongest))*1e9)
 	}
-	return true
+	o.counts[class], o.countedAt[class] = n, o.ctx.now
+	return n
 }
 
-// warmth is the least share of its capacity that a server has reached.
-func (g *Gateway) warmth(s *server) float64 {
-	if s.StartedAt <= 0 || g.now-s.StartedAt >= Instant(g.set.SlowStartSpan) {
-		return 1
+// hasFailures tells whether s has unanswered failures of any class.
+func (s *server) hasFailures() bool {
+	for _, record := range s.failures {
+		if record.count > 0 {
+			return true
+		}
 	}
-	return g.set.StartCapacity + (1-g.set.StartCapacity)*seconds(g.now-s.StartedAt)/seconds(g.set.SlowStartSpan)
+	return false
 }
 
-// expect is how long a new attempt on s should take.
-func (g *Gateway) expect(s *server) float64 {
-	latency := s.latency * crowd(s.out)
-	if s.out > 0 { // or for so long as it has owed an answer without giving any
-		latency = max(latency, seconds(g.now-s.waiting))
+// ejectedNow counts the ready servers that get no attempt of any class; 0 where outliers are not left out.
+func (o *outlierDetector) ejectedNow(now Instant) int {
+	n := 0
+	for s := range o.suspects { // in any order
+		if s.State == Ready && s.ejectedForAll(now) {
+			n++
+		}
+	}
+	if float64(n) > maxEjected*float64(len(o.endpoints.ready)) {
+		return 0
 	}
-	return latency / g.warmth(s)
+	return n
 }
 
-// crowd is how much longer an attempt takes beside n others from this gateway.
-func crowd(n int) float64 { return (float64(n) + parallel) / parallel }
-
-// isOut tells that evidence speaks against s.
-func (g *Gateway) isOut(s *server, r *request) bool {
-	for k, v := range s.verdicts { // one class's failures speak for all until the server answers another
-		speaks := v.failed > 0 && (k == r.kind || s.answered <= v.at)
-		if speaks && (g.now < v.ejected || s.out > 0) { // then one request at a time, until one is answered
+// ejectedForAll tells whether a failure of one class ejects s for all of them.
+func (s *server) ejectedForAll(now Instant) bool {
+	for _, record := range s.failures {
+		if record.count > 0 && now < record.ejectedUntil && s.answeredAt <= record.firstAt {
 			return true
 		}
 	}
 	return false
 }
-
-// blind is how little this gateway sees of a server: near 1 if it seldom sends there, 0 if all the time.
-func (g *Gateway) blind() float64 { return 1 / (1 + math.Pow(seconds(recoverSpan)/g.gap(), 2)) }
--- /dev/null
+++ b/quota.go
@@ -0,0 +1,63 @@
+package dewhitch
+
+// quotaRules decides whether a request is within its customer's quota. The rules are asked in the order of
+// check.
+type quotaRules struct {
+	ctx     *stepContext
+	latency *latencyEstimator
+	counter *counterSync
+}
+
+// check decides whether units are within the quota when a fraction of the burst is left to requests of higher
+// priority. It spends nothing.
+func (q *quotaRules) check(a *account, units, reserved float64) verdict {
+	if v := q.checkBlocked(a); !v.admitted {
+		return v
+	}
+	if v := q.checkBucket(a, units, reserved); !v.admitted {
+		return v
+	}
+	return q.checkInFlight(a)
+}
+
+// checkBlocked rejects what comes in a window whose quota is used up; Retry-After is its end.
+func (q *quotaRules) checkBlocked(a *account) verdict {
+	if q.ctx.now < a.blockedUntil {
+		return deny(ReasonQuota, Span(a.blockedUntil-q.ctx.now))
+	}
+	return admit()
+}
+
+// checkBucket rejects what the shared bucket does not hold for this gateway, and asks for a new total if the
+// last one is not recent; Retry-After is when the bucket has refilled. Where the counter is checked first,
+// its total decides instead.
+func (q *quotaRules) checkBucket(a *account, units, reserved float64) verdict {
+	if a.plan.Rate <= 0 || a.counterFirst {
+		return admit()
+	}
+	available := q.counter.available(a)
+	if available >= units && a.bucket.level-units >= reserved*a.plan.Burst {
+		return admit()
+	}
+	if q.ctx.now-a.bucket.lastTotalAt > Instant(a.window)/(callsPerWindow*callsPerWindow) {
+		q.counter.enqueue(a, true)
+	}
+	return deny(ReasonQuota, Span((units-available)/a.plan.Rate*1e9))
+}
+
+// checkInFlight rejects what exceeds the plan's attempts in flight; Retry-After is the mean latency. What
+// the other gateways have in flight is estimated by Little's law from their rate, or taken to be as many as
+// here; streamed answers are left out of that, as their length is the client's.
+func (q *quotaRules) checkInFlight(a *account) verdict {
+	othersRate := a.bucket.assumedOthersRate(q.ctx.now)
+	if a.counterFirst && a.demand.span > 0 {
+		// Before the first total of a window the gateways admit what is asked for, even if it is far over the rate.
+		othersRate = max(othersRate, a.demand.units/a.demand.span*(1-1/a.gateways))
+	}
+	others := max(othersRate*q.latency.mean/max(1, q.ctx.settings.MaxUnits/2),
+		(a.gateways-1)*float64(a.openAttempts-a.streamingAttempts))
+	if a.plan.MaxInFlight > 0 && float64(a.openAttempts+1)+others > float64(a.plan.MaxInFlight) {
+		return deny(ReasonQuota, Span(q.latency.mean*1e9))
+	}
+	return admit()
+}
--- a/settings.go
+++ b/settings.go
@@ -69,8 +69,8 @@
 	CrossZonePrice, WastePrice, ProbePrice, LatePrice float64
 }
 
-// Check names the first field that no gateway could work with, as New would: settings read anew are checked whole
-// before any of them is used.
+// Check names the first field that no gateway could work with, as New would: settings read anew are checked
+// whole before any of them is used.
 func (s *Settings) Check() error { return s.validate() }
 
 // validate names the first field that no gateway could work with.
--- a/shutdown.go
+++ b/shutdown.go
@@ -1,40 +1,48 @@
 package dewhitch
 
-// Answers before their time: the gateway ends, or a client's connection must.
-
 import (
 	"maps"
 	"slices"
 )
 
-// end has every request answered by a time: those that are open, and those that still come.
-func (g *Gateway) end(by Instant) {
-	g.endBy = by
-	g.at(by, g.answerAll)
+// shutdown answers requests before their deadlines: all of them when the gateway shuts down, one when its
+// client's connection has to end.
+type shutdown struct {
+	ctx      *stepContext
+	requests *requestTable
+	attempts *attemptController
+	by       Instant // every request is answered by then; 0: this gateway does not shut down
+}
+
+// begin has every request answered by an instant: those that are open, and those that still come.
+func (sd *shutdown) begin(by Instant) {
+	sd.by = by
+	sd.ctx.setTimer(by, sd.expediteAll)
 }
 
-// untilEnd bounds what a client would wait by what the gateway has left.
-func (g *Gateway) untilEnd(wait Span) Span {
-	if g.endBy == 0 {
+// limit bounds the time that a client would wait by what the gateway has left.
+func (sd *shutdown) limit(wait Span) Span {
+	if sd.by == 0 {
 		return wait
 	}
-	return min(wait, Span(g.endBy-g.now))
+	return min(wait, Span(sd.by-sd.ctx.now))
 }
 
-// answerAll ends the requests that are still open, in the kindest way that rule 2 allows.
-func (g *Gateway) answerAll() {
-	for _, id := range slices.Sorted(maps.Keys(g.requests)) {
-		g.answerNow(id)
+// expediteAll ends the requests that are still open, in the order of their identifiers.
+func (sd *shutdown) expediteAll() {
+	for _, id := range slices.Sorted(maps.Keys(sd.requests.byID)) {
+		sd.expedite(id)
 	}
 }
 
-// answerNow ends a request, if it is still open.
-func (g *Gateway) answerNow(id RequestID) {
-	switch r := g.requests[id]; {
+// expedite ends a request now, if it is still open: rejected if its client may send it again, else failed.
+func (sd *shutdown) expedite(id RequestID) {
+	r := sd.requests.byID[id]
+	switch {
 	case r == nil || r.done:
-	case r.class == nil: // a query, or a give-back
-		g.finish(r, Fail{Request: r.id, Reason: ReasonCounterUnread})
+	case r.class == nil: // a limit query, or units given back
+		sd.requests.finish(r, Fail{Request: r.id, Reason: ReasonCounterUnread})
 	default:
-		g.giveUp(r)
+		sd.attempts.giveUp(r)
 	}
 }
--- a/state.go
+++ b/state.go
@@ -4,205 +4,273 @@
 	"dewhitch/internal/warmstart"
 )
 
-// This file gives the module's state out as plain values, and takes them in at the start of another process. It decides
-// nothing on requests; how far old values are believed is internal/warm's.
+// This file exports the module's state as plain values and imports it in the process that replaces this one.
+// It decides nothing on requests; how far old values are trusted is the rule of internal/warmstart. The tags
+// of these types, and the order of the fields in those that are stored as arrays, are a stored form.
 
 type (
-	// State is what a gateway has learnt by an instant. Classes and plans are indices into its settings.
+	// State is what a gateway knew at an instant. Classes and plans are indices into its settings. Rates are per
+	// second, latencies in seconds; counts decay over some seconds, as of At.
 	State struct {
 		At                Instant            `json:"At"`
 		SentAttempts      float64            `json:"Sent"`
-		EndpointRequests  float64            `json:"Wanted"`
+		EndpointRequests  float64            `json:"Wanted"` // requests that asked the balancer for a server
 		ThrottleRequests  float64            `json:"Tried"`
 		ThrottleAccepts   float64            `json:"Good"`
-		RetryBudget       float64            `json:"Budget"`
+		RetryBudget       float64            `json:"Budget"` // retries
 		Latency           float64            `json:"Latency"`
 		IdleLatency       float64            `json:"Idle"`
-		MeanWeight        float64            `json:"Worth"`
+		MeanWeight        float64            `json:"Worth"` // mean priority of requests
 		Measured          Instant            `json:"Measured"`
 		CounterCallRate   float64            `json:"CallRate"`     // of the counter
 		CounterMinLatency float64            `json:"CallQuickest"` // of the counter
-		ClassSizes        []float64          `json:"Sizes"`
-		ZoneFailureShare  []float64          `json:"Cut"` // by zone
+		ClassSizes        []float64          `json:"Sizes"`        // by class: its latency, by the mean
+		ZoneFailureShare  []float64          `json:"Cut"`          // by zone: from 0 to 1
 		Servers           []ServerStatistics `json:"Servers"`
 		Customers         []AccountState     `json:"Customers"`
 	}
-	// ServerStatistics is what it has learnt of a server since that one's last start.
+	// ServerStatistics is what it knew of a server since the server's last start.
 	ServerStatistics struct {
-		_ struct{} `cbor:",toarray"` // there are many, and their fields' names would be most of them
+		_ struct{} `cbor:",toarray"` // there are many, and their fields' names would be most of the bytes
 		Endpoint
-		Latency           float64             `json:"Latency"`
+		Latency           float64             `json:"Latency"` // seconds
 		Measured          Instant             `json:"Measured"`
 		Answered          Instant             `json:"Answered"`
-		SlowStartBudget   float64             `json:"Fed"` // budget of a cold one
+		SlowStartBudget   float64             `json:"Fed"` // attempts
 		SlowStartBudgetAt Instant             `json:"FedAt"`
 		Failures          []FailureStatistics `json:"Verdicts"` // by class
 	}
 	// FailureStatistics is what speaks against a server for a class.
 	FailureStatistics struct {
 		_            struct{} `cbor:",toarray"`
-		Count        int      `json:"Failed"`
+		Count        int      `json:"Failed"` // consecutive failures
 		AnsweredAt   Instant  `json:"Answered"`
 		FirstAt      Instant  `json:"At"`
 		EjectedUntil Instant  `json:"Ejected"`
 	}
-	// AccountState is a customer's account.
+	// AccountState is a customer's account. Units are those of the customer's quota.
 	AccountState struct {
 		_             struct{}   `cbor:",toarray"`
 		ID            CustomerID `json:"ID"`
 		Plan          int        `json:"Plan"`
-		Spread        int        `json:"Spread"`
-		InSet         bool       `json:"InSet"`
+		Spread        int        `json:"Spread"` // gateways that serve the customer
+		InSet         bool       `json:"InSet"`  // this gateway is one of them
 		Window        Span       `json:"Window"`
-		Level         float64    `json:"Level"`
-		Predicted     float64    `json:"Predicted"`
-		OwnRate       float64    `json:"Own"`
-		OthersRate    float64    `json:"Others"`
-		Demand        float64    `json:"Asked"`
-		DemandSpan    float64    `json:"AskedIn"`
-		UpdatedAt     Instant    `json:"At"`
+		Level         float64    `json:"Level"`     // units
+		Predicted     float64    `json:"Predicted"` // units of the other gateways' use, as predicted
+		OwnRate       float64    `json:"Own"`       // units a second
+		OthersRate    float64    `json:"Others"`    // units a second
+		Demand        float64    `json:"Asked"`     // units
+		DemandSpan    float64    `json:"AskedIn"`   // seconds
+		UpdatedAt     Instant    `json:"At"`        // of Level
 		LastTotalAt   Instant    `json:"LastTotal"`
 		BlockedUntil  Instant    `json:"ListedTill"`
 		LastRequestAt Instant    `json:"Seen"`
 		WindowNumber  int64      `json:"Turn"`
-		WindowTotal   float64    `json:"Total"`
-		OwnInWindow   float64    `json:"Mine"`
-		WindowElapsed float64    `json:"Past"`
+		WindowTotal   float64    `json:"Total"` // units
+		OwnInWindow   float64    `json:"Mine"`  // units of this gateway in WindowTotal
+		WindowElapsed float64    `json:"Past"`  // seconds of the window at its last total
 	}
 )
 
-// Export fills s, whose slices are used again, with the state by the last event, and with most customers at most: more
-// of them cost the caller more than their replacement gains. Accounts that stand as new ones would are left out.
-func (g *Gateway) Export(s *State, most int) {
-	g.leak()
-	rate, quickest := g.calls.Export()
-	*s = State{At: g.now, SentAttempts: g.sent, EndpointRequests: g.wanted, ThrottleRequests: g.tried, ThrottleAccepts: g.good, RetryBudget: g.budget,
-		Latency: g.latency, IdleLatency: g.idle, MeanWeight: g.worth, Measured: g.measured, CounterCallRate: rate, CounterMinLatency: quickest,
-		ClassSizes: append(s.ClassSizes[:0], g.sizes...), ZoneFailureShare: s.ZoneFailureShare[:0], Servers: s.Servers[:0], Customers: s.Customers[:0]}
-	for zone := range g.set.Zones {
-		s.ZoneFailureShare = append(s.ZoneFailureShare, g.cut[zone])
-	}
-	for _, v := range g.servers {
-		if v.State == Removed || !g.knows(v) {
-			continue
-		}
-		e := ServerStatistics{Endpoint: v.Endpoint, Latency: v.latency, Measured: v.measured, Answered: v.answered,
-			SlowStartBudget: v.budget.level, SlowStartBudgetAt: v.budget.at}
-		for _, d := range v.verdicts {
-			e.Failures = append(e.Failures, FailureStatistics{Count: d.failed, AnsweredAt: d.answered, FirstAt: d.at, EjectedUntil: d.ejected})
-		}
-		s.Servers = append(s.Servers, e)
+// Export fills s, whose slices are used again, with the state after the last event, and with maxCustomers at
+// most: more of them cost the caller more than their replacement gains. Accounts that are as new ones would
+// be are left out. It is called between two events, on the goroutine that owns the gateway.
+func (g *Gateway) Export(s *State, maxCustomers int) {
+	g.traffic.decay()
+	callRate, minLatency := g.counter.limiter.Export()
+	*s = State{
+		At:                g.ctx.now,
+		SentAttempts:      g.traffic.sentAttempts,
+		EndpointRequests:  g.traffic.endpointRequests,
+		ThrottleRequests:  g.traffic.throttleRequests,
+		ThrottleAccepts:   g.traffic.throttleAccepts,
+		RetryBudget:       g.retryBudget.tokens,
+		Latency:           g.latency.mean,
+		IdleLatency:       g.latency.idle,
+		MeanWeight:        g.shedder.meanPriority,
+		Measured:          g.latency.measuredAt,
+		CounterCallRate:   callRate,
+		CounterMinLatency: minLatency,
+		ClassSizes:        append(s.ClassSizes[:0], g.latency.classSize...),
+		ZoneFailureShare:  s.ZoneFailureShare[:0],
+		Servers:           s.Servers[:0],
+		Customers:         s.Customers[:0],
 	}
-	for _, c := range g.customers { // in any order
-		if len(s.Customers) >= most || g.now-c.seen > Instant(2*c.window) {
-			continue
-		}
-		e := AccountState{ID: c.id, Spread: int(c.spread), InSet: c.inSet, Window: c.window, Level: c.level,
-			Predicted: c.predicted + c.tally, OwnRate: c.own, OthersRate: c.others, Demand: c.asked, DemandSpan: c.askedIn, UpdatedAt: c.at,
-			LastTotalAt: c.lastTotal, BlockedUntil: c.listedTill, LastRequestAt: c.seen, WindowNumber: c.turn, WindowTotal: c.total, OwnInWindow: c.mine,
-			WindowElapsed: c.past}
-		// What this process has still to push is off the store already, and comes back to its successor as use of others.
-		if c.calling {
-			e.Predicted += c.adding
+	for zone := range g.ctx.settings.Zones {
+		s.ZoneFailureShare = append(s.ZoneFailureShare, g.traffic.zoneFailures[zone])
+	}
+	for _, v := range g.endpoints.servers {
+		if v.State != Removed && g.hasStatistics(v) {
+			s.Servers = append(s.Servers, v.export())
 		}
-		for i := range g.set.Plans {
-			if c.plan == &g.set.Plans[i] {
-				e.Plan = i
-			}
+	}
+	for _, a := range g.accounts.byID { // in any order
+		if len(s.Customers) < maxCustomers && !a.unusedForWindows(g.ctx.now) {
+			s.Customers = append(s.Customers, a.export(g.ctx.settings.Plans))
 		}
-		s.Customers = append(s.Customers, e)
 	}
 }
 
-// knows tells whether this gateway has learnt anything of a server: of very many it uses few.
-func (g *Gateway) knows(s *server) bool {
-	return s.measured > 0 || s.out > 0 || !s.clear() || g.warmth(s) < 1
+// hasStatistics tells whether this gateway knows anything of a server: of very many it uses few.
+func (g *Gateway) hasStatistics(s *server) bool {
+	return s.measuredAt > 0 || s.inFlight > 0 || s.hasFailures() || g.slowStart.warmth(s) < 1
+}
+
+// export is what is known of a server.
+func (s *server) export() ServerStatistics {
+	e := ServerStatistics{
+		Endpoint:          s.Endpoint,
+		Latency:           s.latency,
+		Measured:          s.measuredAt,
+		Answered:          s.answeredAt,
+		SlowStartBudget:   s.slowStartBudget.level,
+		SlowStartBudgetAt: s.slowStartBudget.at,
+	}
+	for _, f := range s.failures {
+		e.Failures = append(e.Failures, FailureStatistics{Count: f.count, AnsweredAt: f.answeredAt,
+			FirstAt: f.firstAt, EjectedUntil: f.ejectedUntil})
+	}
+	return e
+}
+
+// export is an account for the process that replaces this one. What this one has still to push is off the
+// level already, and will come to the other by the counter, as use of others.
+func (a *account) export(plans []Plan) AccountState {
+	e := AccountState{
+		ID:            a.id,
+		Spread:        int(a.gateways),
+		InSet:         a.ceiling.assigned,
+		Window:        a.window,
+		Level:         a.bucket.level,
+		Predicted:     a.bucket.predicted + a.sync.tally,
+		OwnRate:       a.bucket.ownRate,
+		OthersRate:    a.bucket.othersRate,
+		Demand:        a.demand.units,
+		DemandSpan:    a.demand.span,
+		UpdatedAt:     a.bucket.updatedAt,
+		LastTotalAt:   a.bucket.lastTotalAt,
+		BlockedUntil:  a.blockedUntil,
+		LastRequestAt: a.lastRequestAt,
+		WindowNumber:  a.sync.number,
+		WindowTotal:   a.sync.total,
+		OwnInWindow:   a.sync.own,
+		WindowElapsed: a.demand.windowElapsed,
+	}
+	if a.sync.calling {
+		e.Predicted += a.sync.pushing
+	}
+	for i := range plans {
+		if a.plan == &plans[i] {
+			e.Plan = i
+		}
+	}
+	return e
 }
 
-// Import takes over what another process of this gateway had learnt, before the first event, and tells how many servers
-// and customers it took; 0 and 0 if s is too old. The values must be numbers, and of this gateway's settings.
+// Import takes over what another process of this gateway knew, before the first event, and returns how many
+// servers and customers it took: 0 and 0 if s is too old or an event has come already. The values must be
+// numbers, and of this gateway's settings.
 func (g *Gateway) Import(now Instant, s *State) (servers, customers int) {
 	age := seconds(now - s.At)
 	trust := warmstart.Trust(age)
 	if trust == 0 || g.started {
 		return 0, 0
 	}
-	g.now, g.startAt, g.leaked = now, now, now
-	g.sent, g.wanted, g.tried, g.good = s.SentAttempts*trust, s.EndpointRequests*trust, s.ThrottleRequests*trust, s.ThrottleAccepts*trust
-	g.budget, g.latency, g.idle, g.worth = min(retryBurst, s.RetryBudget), s.Latency, s.IdleLatency, s.MeanWeight
-	g.measured = s.Measured
-	g.calls.Resume(s.CounterCallRate, s.CounterMinLatency)
-	copy(g.sizes, s.ClassSizes)
-	for i, size := range g.sizes {
-		if size != 1 { // it has shown its size
-			g.sized[i] = 4 / latencyWeight
+	g.ctx.now = now
+	g.ctx.startedAt = now
+	g.importTraffic(s, trust)
+	g.importLatency(s)
+	g.importServers(s, trust)
+	for i := range s.Customers {
+		if e := &s.Customers[i]; warmstart.Quota(age, seconds(e.Window)) && g.importAccount(e) {
+			customers++
 		}
 	}
-	for zone, cut := range s.ZoneFailureShare {
-		g.cut[zone] = cut * trust
+	return len(s.Servers), customers
+}
+
+// importTraffic takes over the counts of requests and attempts, as far as they are trusted.
+func (g *Gateway) importTraffic(s *State, trust float64) {
+	t := g.traffic
+	t.decayedAt = g.ctx.now
+	t.sentAttempts = s.SentAttempts * trust
+	t.endpointRequests = s.EndpointRequests * trust
+	t.throttleRequests = s.ThrottleRequests * trust
+	t.throttleAccepts = s.ThrottleAccepts * trust
+	for zone, failures := range s.ZoneFailureShare {
+		t.zoneFailures[zone] = failures * trust
 	}
-	// Danger: of the servers only the list says what may be sent to. Until it does, these take nothing new, and one that
-	// has started anew since is a new one to it.
+	g.retryBudget.tokens = min(maxRetryBudget, s.RetryBudget)
+	g.shedder.meanPriority = s.MeanWeight
+	g.counter.limiter.Resume(s.CounterCallRate, s.CounterMinLatency)
+}
+
+// importLatency takes over the averages over all servers.
+func (g *Gateway) importLatency(s *State) {
+	l := g.latency
+	l.mean = s.Latency
+	l.idle = s.IdleLatency
+	l.measuredAt = s.Measured
+	copy(l.classSize, s.ClassSizes)
+	for i, size := range l.classSize {
+		if size != 1 { // it was measured
+			l.classSamples[i] = importedSizeSamples
+		}
+	}
+}
+
+// importServers takes over what was known of the servers. Only the endpoint list says which of them may be
+// sent to: until it does, they are draining, and one that has restarted since is a new one to it.
+func (g *Gateway) importServers(s *State, trust float64) {
 	entries := make([]Endpoint, len(s.Servers))
-	for i, v := range s.Servers {
-		entries[i] = v.Endpoint
+	for i, e := range s.Servers {
+		entries[i] = e.Endpoint
 		entries[i].State = Draining
 	}
-	g.list(EndpointList{Kind: ListDelta, Servers: entries})
+	g.updateEndpoints(EndpointList{Kind: ListDelta, Servers: entries})
 	for _, e := range s.Servers {
-		v := g.byID[e.ID]
-		v.latency = warmstart.Latency(e.Latency, g.latency, trust)
-		v.measured, v.answered = e.Measured, e.Answered
-		v.budget = bucket{level: min(1, e.SlowStartBudget), at: max(e.SlowStartBudgetAt, s.At)}
-		for k, d := range e.Failures[:min(len(e.Failures), len(v.verdicts))] {
-			v.verdicts[k] = verdict{answered: d.AnsweredAt, failed: d.Count, at: d.FirstAt, ejected: d.EjectedUntil}
-			if d.Count > 0 {
-				g.suspects[v] = true
+		v := g.endpoints.byID[e.ID]
+		v.latency = warmstart.Latency(e.Latency, g.latency.mean, trust)
+		v.measuredAt = e.Measured
+		v.answeredAt = e.Answered
+		v.slowStartBudget.level = min(slowStartBurst, e.SlowStartBudget)
+		v.slowStartBudget.at = max(e.SlowStartBudgetAt, s.At)
+		for k, f := range e.Failures[:min(len(e.Failures), len(v.failures))] {
+			v.failures[k] = failureRecord{answeredAt: f.AnsweredAt, count: f.Count, firstAt: f.FirstAt,
+				ejectedUntil: f.EjectedUntil}
+			if f.Count > 0 {
+				g.outliers.suspects[v] = true
 			}
 		}
 	}
-	for i := range s.Customers {
-		if e := &s.Customers[i]; warmstart.Quota(age, seconds(e.Window)) {
-			customers += g.account(e)
-		}
-	}
-	return len(s.Servers), customers
-}
-
-// account takes over a customer's, if it has the same window here; 1 if it did.
-func (g *Gateway) account(e *AccountState) int {
-	c := g.customer(Arrival{Customer: e.ID, Spread: e.Spread, First: g.set.Self}, &g.set.Plans[e.Plan])
-	if c.window != e.Window || c.spread != float64(e.Spread) {
-		delete(g.customers, e.ID)
-		return 0
-	}
-	c.inSet, c.seen, c.listedTill = e.InSet, min(e.LastRequestAt, g.now), min(e.BlockedUntil, g.now+Instant(c.window))
-	c.level, c.own, c.others = min(e.Level, c.plan.Burst), e.OwnRate, e.OthersRate
-	c.at, c.lastTotal = min(e.UpdatedAt, g.now), min(e.LastTotalAt, g.now)
-	c.asked, c.askedIn = e.Demand, e.DemandSpan
-	if c.turn == e.WindowNumber { // else the window has turned, and its count is a new one
-		c.total, c.mine, c.past, c.predicted = e.WindowTotal, e.OwnInWindow, e.WindowElapsed, e.Predicted
-	}
-	return 1
 }
 
-// EjectedServers counts the ready servers that this gateway sends nothing new for what speaks against them; as with pick, none
-// where that would be more than the module leaves out.
-func (g *Gateway) EjectedServers(now Instant) int {
-	out := 0
-	for s := range g.suspects { // in any order
-		if s.State != Ready {
-			continue
-		}
-		for _, v := range s.verdicts {
-			if v.failed > 0 && now < v.ejected && s.answered <= v.at {
-				out++
-				break
-			}
-		}
+// importAccount takes over a customer's account, if it has the same windows and gateways here, and tells
+// whether it did. Of a window that has ended since, nothing is taken but the level.
+func (g *Gateway) importAccount(e *AccountState) bool {
+	now := g.ctx.now
+	a := g.accounts.get(Arrival{Customer: e.ID, Spread: e.Spread, First: g.ctx.settings.Self},
+		&g.ctx.settings.Plans[e.Plan])
+	if a.window != e.Window || a.gateways != float64(e.Spread) {
+		delete(g.accounts.byID, e.ID)
+		return false
 	}
-	if float64(out) > maxEjected*float64(len(g.ready)) {
-		return 0
+	a.ceiling.assigned = e.InSet
+	a.lastRequestAt = min(e.LastRequestAt, now)
+	a.blockedUntil = min(e.BlockedUntil, now+Instant(a.window))
+	a.bucket.level = min(e.Level, a.plan.Burst)
+	a.bucket.ownRate = e.OwnRate
+	a.bucket.othersRate = e.OthersRate
+	a.bucket.updatedAt = min(e.UpdatedAt, now)
+	a.bucket.lastTotalAt = min(e.LastTotalAt, now)
+	a.demand.units = e.Demand
+	a.demand.span = e.DemandSpan
+	if a.sync.number == e.WindowNumber {
+		a.sync.total = e.WindowTotal
+		a.sync.own = e.OwnInWindow
+		a.demand.windowElapsed = e.WindowElapsed
+		a.bucket.predicted = e.Predicted
 	}
-	return out
+	return true
 }
--- a/token_bucket.go
+++ b/token_bucket.go
@@ -1,12 +1,13 @@
 package dewhitch
 
-// bucket fills at a rate, up to a bound.
+// bucket is a token bucket: it fills at a rate, up to a bound. The level may be negative.
 type bucket struct {
 	level float64
-	at    Instant
+	at    Instant // of the level
 }
 
-func (b *bucket) fill(now Instant, rate, most float64) {
-	b.level = min(most, b.level+rate*seconds(now-b.at))
+// fill brings the bucket to the present. Rate is in tokens a second.
+func (b *bucket) fill(now Instant, rate, bound float64) {
+	b.level = min(bound, b.level+rate*seconds(now-b.at))
 	b.at = now
 }
--- /dev/null
+++ b/traffic.go
@@ -0,0 +1,63 @@
+package dewhitch
+
+import "math"
+
+const (
+	trafficMemory     = 5 * second // time constant of the exponential decay of all counts
+	zoneFailureWeight = 0.1        // of a new outcome in a zone's failure fraction
+)
+
+// trafficStatistics counts this gateway's recent traffic. All counts decay together: a decay at every use
+// keeps them comparable, and its instants are part of the replayed decisions.
+type trafficStatistics struct {
+	ctx              *stepContext
+	sentAttempts     float64
+	endpointRequests float64         // requests that asked the balancer for a server
+	throttleRequests float64         // requests that passed or failed the adaptive throttle
+	throttleAccepts  float64         // attempts answered within the latency objective
+	zoneFailures     map[int]float64 // by zone: moving average of attempts that failed, from 0 to 1
+	decayedAt        Instant
+}
+
+// decay brings all counts to the present.
+func (t *trafficStatistics) decay() {
+	factor := math.Exp(-seconds(t.ctx.now-t.decayedAt) / seconds(trafficMemory))
+	t.sentAttempts *= factor
+	t.throttleRequests *= factor
+	t.throttleAccepts *= factor
+	t.endpointRequests *= factor
+	t.decayedAt = t.ctx.now
+	for zone := range t.zoneFailures { // in any order
+		t.zoneFailures[zone] *= factor
+	}
+}
+
+// attemptRate is how many attempts a second this gateway sends.
+func (t *trafficStatistics) attemptRate() float64 {
+	t.decay()
+	return t.sentAttempts / seconds(trafficMemory)
+}
+
+// recordAttempt counts an attempt that starts now.
+func (t *trafficStatistics) recordAttempt() {
+	t.decay()
+	t.sentAttempts++
+}
+
+// recordAnswer counts an answer; only one within the latency objective is an accept of the throttle.
+func (t *trafficStatistics) recordAnswer(withinObjective bool) {
+	t.decay()
+	if withinObjective {
+		t.throttleAccepts++
+	}
+}
+
+// recordZoneSuccess lowers a zone's failure fraction.
+func (t *trafficStatistics) recordZoneSuccess(zone int) {
+	t.zoneFailures[zone] *= 1 - zoneFailureWeight
+}
+
+// recordZoneFailure raises a zone's failure fraction.
+func (t *trafficStatistics) recordZoneFailure(zone int) {
+	t.zoneFailures[zone] += (1 - t.zoneFailures[zone]) * zoneFailureWeight
+}
