--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,8 +1,7 @@
-// Package backoff says how long to wait before a call that failed is made again. It owns the count of failures of one
-// caller and its lot. It never waits, calls or reads a clock, and it is not safe for concurrent use.
+// Package backoff says how long to wait before a call that failed is made again. It never waits, calls or reads a clock.
 //
-// Danger: callers that start together, or lose the same service together, and wait for fixed times, ask again in the
-// same millisecond for ever; a service that bears all of them over a second then serves none.
+// Callers that start together, or lose the same service together, and wait for fixed times would retry in the same
+// millisecond every time: a service that could bear all of them within a second then serves none.
 package backoff
 
 import (
@@ -10,24 +9,25 @@
 	"time"
 )
 
-// Backoff waits with full jitter: anything from nothing to a bound that doubles with each failure in a row (Brooker,
-// "Exponential Backoff And Jitter", 2015).
+// Backoff is exponential backoff with full jitter: a wait is uniform between 0 and a bound that doubles with each
+// failure in a row (Brooker, "Exponential Backoff And Jitter", 2015). It belongs to one caller and is not safe for
+// concurrent use. The exported fields are set before the first Next.
 type Backoff struct {
-	First time.Duration // bound of the first wait
-	Max   time.Duration // of the last
-	// The same where the service said that it is overloaded: there are more callers than it bears.
-	BusyFirst, BusyMax time.Duration
-	Rand               *rand.Rand
-	bound              time.Duration
+	First     time.Duration // bound of the first wait
+	Max       time.Duration // bound of any wait
+	BusyFirst time.Duration // like First, where the service rejected the call as overloaded; First if less
+	BusyMax   time.Duration // like Max, where it did
+	Rand      *rand.Rand    // of the jitter; required
+	bound     time.Duration // of the last wait; 0: no failure since the last success
 }
 
-// Next is the next wait, after a failure; busy: the service answered, and turned the call away.
+// Next is the wait after a failure. Busy: the service answered, and rejected the call as overloaded.
 func (b *Backoff) Next(busy bool) time.Duration {
-	first, most := b.First, b.Max
+	first, bound := b.First, b.Max
 	if busy {
-		first, most = max(first, b.BusyFirst), b.BusyMax
+		first, bound = max(first, b.BusyFirst), b.BusyMax
 	}
-	b.bound = min(most, max(first, 2*b.bound))
+	b.bound = min(bound, max(first, 2*b.bound))
 	return time.Duration(b.Rand.Int64N(int64(b.bound) + 1))
 }
 
--- a/internal/warmstart/warmstart.go
+++ b/internal/warmstart/warmstart.go
@@ -1,30 +1,32 @@
-// Package warmstart says how far a process believes what the process before it had learnt. It is pure: no I/O, no clock.
+// Package warmstart holds the rules of how far a process trusts the state that the process before it exported. Its
+// functions are pure. Ages and latencies are in seconds.
 package warmstart
 
 import "math"
 
 const (
-	memory  = 5.0  // seconds, over which what was known of servers and rates fades
-	longest = 60.0 // seconds, after which a snapshot tells nothing
+	trustDecay = 5.0  // seconds: time constant of the trust in what was known of servers and rates
+	maxAge     = 60.0 // seconds: an older state is not used
 )
 
-// Trust is the part that is believed of what was known age seconds ago: 1 for now, 0 for what is too old, and for what
-// was not yet to be known: a clock that was set back makes every span in it wrong.
+// Trust is the weight, from 0 to 1, of values that are age seconds old. It is 0 for a state that is too old, and for
+// one from the future: after a clock was set back every span in it is wrong.
 func Trust(age float64) float64 {
-	if age >= 0 && age <= longest { // not so for what is no number
-		return math.Exp(-age / memory)
+	if age >= 0 && age <= maxAge { // false for NaN
+		return math.Exp(-age / trustDecay)
 	}
 	return 0
 }
 
-// Latency is what a server's latency is taken to be, where mean is that of all. Danger: a server that was fast may crawl
-// by now, and whoever has no answers of its own yet sends everything there; so none is taken for faster than the mean.
-func Latency(was, mean, trust float64) float64 {
-	if was > mean {
-		return mean + trust*(was-mean)
+// Latency is what a server's latency is taken to be, where mean is that of all servers. None is taken to be faster than
+// the mean: a server that was fast may be slow by now, and a gateway without answers of its own would send everything
+// there.
+func Latency(exported, mean, trust float64) float64 {
+	if exported > mean {
+		return mean + trust*(exported-mean)
 	}
 	return mean
 }
 
-// Quota tells whether what was known of a customer still says what its store holds: while its window may not have passed.
+// Quota tells whether a customer's account is still valid: its counter window, in seconds, may not have ended yet.
 func Quota(age, window float64) bool { return Trust(age) > 0 && age <= window }
