--- a/actions.go
+++ b/actions.go
@@ -1,43 +1,42 @@
 package dewhitch
 
-// Reason tells what a request was refused or failed for. It is for bookkeeping: clients are told when to
-// come back.
+// Reason is why a request was rejected or failed. It is for records: clients get the Retry-After only.
 type Reason int
 
 // The reasons.
 const (
-	ReasonInvalid       Reason = iota // of no class or plan, or out of time
-	ReasonQuota                       // no room in the quota, or at the cap on open attempts
-	ReasonCeiling                     // none under the hard ceiling
-	ReasonOverload                    // the servers are pressed, or none may be asked
-	ReasonExhausted                   // out of attempts or of time
+	ReasonInvalid       Reason = iota // no such class or plan, or no time left
+	ReasonQuota                       // the quota is used up, or the limit of attempts in flight is reached
+	ReasonCeiling                     // the hard ceiling is reached
+	ReasonOverload                    // load shedding, or no server may take it
+	ReasonExhausted                   // no attempt or no time is left
 	ReasonCounterUnread               // the counter gave no exact answer in time
 )
 
-// Action is something the caller must do, in the order given.
+// Action is something that the caller must do. Actions are carried out in the order given.
 type Action interface{ action() }
 
 // The actions.
 type (
-	// StartAttempt starts an attempt; a request's attempts count from 0.
+	// StartAttempt sends a request to a server. A request's attempts count from 0.
 	StartAttempt struct {
 		Request     RequestID
 		Server      ServerID
 		Timeout     Span // 0: until the client gives up
-		StartWithin Span // it may begin to be written for so long, and is not sent after that; 0: for as long as it may take
+		StartWithin Span // after that it is not sent if its writing has not begun; 0: no such bound
 	}
-	// CancelAttempt withdraws an attempt.
+	// CancelAttempt withdraws an attempt. Its outcome still comes.
 	CancelAttempt struct {
 		Request RequestID
 		Attempt int
 	}
-	// Reject is a final answer: trying again does no harm.
+	// Reject is a final answer after which the client may send the request again.
 	Reject struct {
 		Request    RequestID
 		Reason     Reason
 		RetryAfter Span // 0: no advice
 	}
-	// Fail is a final answer that promises nothing.
+	// Fail is a final answer that does not say whether the request has run.
 	Fail struct {
 		Request RequestID
 		Reason  Reason
@@ -45,16 +44,16 @@
 	// LimitAnswer is the final answer to a LimitQuery, exact by the counter.
 	LimitAnswer struct {
 		Request          RequestID
-		Limit            float64 // most units that can be left
+		Limit            float64 // units that can be left at most
 		Remaining        float64 // units that may be taken now
-		ReplenishedAfter Span    // until there are more; 0: there can't be
+		ReplenishedAfter Span    // until there are more; 0: there are Limit already
 	}
 	// AdjustAnswer is the final answer to a LimitAdjust.
 	AdjustAnswer struct {
 		Request RequestID
-		Units   float64 // taken; below 0: given back, and never more than was used
+		Units   float64 // taken; below 0: given back, at most what was used
 	}
-	// SetTimer asks for a TimerFired.
+	// SetTimer asks for a TimerFired at an instant.
 	SetTimer struct {
 		At Instant
 		ID TimerID
@@ -62,19 +61,20 @@
 	// CounterAdd adds to a named number that all gateways share, and reads it.
 	CounterAdd struct {
 		Name     string
-		Customer CustomerID // whose tally it takes along, all of it
-		Add      float64
-		TTL      Span // a new name is forgotten after it
+		Customer CustomerID // whose whole tally is added
+		Add      float64    // units
+		TTL      Span       // after it a new name is forgotten
 	}
-	// TallyChanged says that units went onto a customer's tally, which the next Count takes along; below 0: off
-	// it. A tally also gets back what a Count could not add. It is for bookkeeping; nothing is to be done.
+	// TallyChanged says that units went onto a customer's tally, which the next CounterAdd takes along; below
+	// 0: off it. What a CounterAdd could not add goes back onto the tally without this. It is for records;
+	// there is nothing to do.
 	TallyChanged struct {
 		Customer CustomerID
 		Units    float64
 	}
 	// HealthCheck asks a server for its health.
 	HealthCheck struct{ Server ServerID }
-	// SubscribeEndpoints asks for changes of the server list.
+	// SubscribeEndpoints asks for changes of the endpoint list.
 	SubscribeEndpoints struct{}
 )
 
--- a/gateway_test.go
+++ b/gateway_test.go
@@ -1,6 +1,7 @@
 package dewhitch_test
 
 import (
+	"errors"
 	"fmt"
 	"reflect"
 	"strings"
@@ -168,7 +169,9 @@
 	for _, c := range cases {
 		s := settings()
 		c.spoil(&s)
-		if _, err := dw.New(s, 1); err == nil || !strings.HasSuffix(err.Error(), " "+c.field) {
+		_, err := dw.New(s, 1)
+		var setting *dw.SettingError
+		if !errors.As(err, &setting) || setting.Field != c.field || !strings.HasSuffix(err.Error(), " "+c.field) {
 			t.Errorf("%s: got error %v", c.field, err)
 		}
 	}
--- a/types.go
+++ b/types.go
@@ -1,7 +1,9 @@
-// Package dewhitch decides, for one gateway of a shared API, which
-// requests go on to which server while every customer stays inside a quota
-// that all gateways keep together. It does no input or output and reads no
-// clock: the caller hands it events and carries out the actions it returns.
+// Package dewhitch decides, for one gateway of a shared API, which requests are admitted and which server
+// each is forwarded to, while every customer stays within a quota that all gateways keep together.
+//
+// It is a pure state machine: Gateway.Handle takes an Event and returns the Actions that the caller carries
+// out, in their order. It does no input or output, reads no clock and starts no goroutine. With the same
+// Settings, seed and events it returns the same actions.
 package dewhitch
 
 // Instant is a point on the caller's monotonic clock, in nanoseconds.
@@ -15,53 +17,55 @@
 func seconds[T Instant | Span](d T) float64 { return float64(d) / 1e9 }
 
 type (
-	// RequestID names one try of one client; it is never used again.
+	// RequestID names one request of one client, a retry by the client being another; it is never used again.
 	RequestID string
-	// ServerID names a server; it says nothing about it.
+	// ServerID names a server.
 	ServerID uint32
 	// CustomerID names the customer whose quota a request draws on.
 	CustomerID uint64
-	// TimerID comes back unchanged when a timer set by SetTimer is due.
+	// TimerID names a timer from its SetTimer to its TimerFired.
 	TimerID string
 )
 
 // Idempotency tells what running a request twice would do.
 type Idempotency int
 
-// The effects.
+// The kinds of idempotency.
 const (
-	Idempotent      Idempotency = iota // may be repeated at will
-	IdempotentByKey                    // repeats are dropped by a group of servers, for a while
-	NotIdempotent                      // must never run twice
+	Idempotent      Idempotency = iota // no effect: it may be repeated at will
+	IdempotentByKey                    // servers drop repeats, within the class's DedupScope and DedupWindow
+	NotIdempotent                      // an effect each time: it must never run twice
 )
 
-// DedupScope is the set of servers that drop each other's repeats of a keyed request.
+// DedupScope is the set of servers that drop each other's repeats of a request with an idempotency key.
 type DedupScope int
 
-// The groups.
+// The scopes.
 const (
-	DedupAll DedupScope = iota
-	DedupZone
-	DedupCell
+	DedupAll  DedupScope = iota // all servers
+	DedupZone                   // those of one zone
+	DedupCell                   // those of one cell
 )
 
-// Outcome is how an attempt, a probe or a counter call ended.
+// Outcome is how an attempt, a health check or a counter call ended.
 type Outcome int
 
 // The outcomes.
 const (
 	OutcomeOK            Outcome = iota
 	OutcomeError                 // the server answered with an error; it may have run
-	OutcomeRejected              // turned away unseen
+	OutcomeRejected              // the server rejected it without running it
 	OutcomeTimeout               // no answer in time; it may have run, or still run
 	OutcomeConnectFailed         // no connection; it never ran
 	OutcomeReset                 // the connection broke; it may have run
 	OutcomeCancelled             // withdrawn; it may have run
 	OutcomeNotSent               // never left the gateway
-	OutcomeCount                 // how many there are
+	OutcomeCount                 // the number of outcomes
 )
 
+// outcomeNames are the names of the outcomes in metrics and logs.
+var outcomeNames = [OutcomeCount]string{"ok", "error", "rejected", "timeout", "connect_failed", "reset",
+	"cancelled", "not_sent"}
+
 // String is the outcome's name in metrics and logs.
-func (o Outcome) String() string {
-	return [...]string{"ok", "error", "rejected", "timeout", "connect_failed", "reset", "cancelled", "not_sent"}[o]
-}
+func (o Outcome) String() string { return outcomeNames[o] }
