--- a/comments_test.go
+++ b/comments_test.go
@@ -5,7 +5,9 @@
 	"go/parser"
 	"go/token"
 	"io/fs"
+	"os"
 	"path/filepath"
+	"regexp"
 	"strings"
 	"testing"
 )
@@ -98,3 +100,25 @@
 	name, ok := receiver.(*ast.Ident)
 	return ok && name.IsExported()
 }
+
+// pagePath finds the names of files and folders of this repository in a page: what stands between backticks and is a path.
+var pagePath = regexp.MustCompile("`((?:[a-z_]+/)*[a-z_]+\\.(?:go|md|toml|json)|(?:cmd|internal|docs|deploy)(?:/[a-z_0-9]+)+)`")
+
+// The pages that tell a newcomer where things are name only files and folders that exist.
+func TestPagesNameFilesThatExist(t *testing.T) {
+	for _, page := range []string{"README.md", "docs/architecture.md", "docs/glossary.md"} {
+		text, err := os.ReadFile(page)
+		if err != nil {
+			t.Fatal(err)
+		}
+		found := pagePath.FindAllStringSubmatch(string(text), -1)
+		if len(found) < 10 {
+			t.Errorf("%s: %d paths were found: the test looks for the wrong form", page, len(found))
+		}
+		for _, match := range found {
+			if _, err := os.Stat(match[1]); err != nil {
+				t.Errorf("%s: %v", page, err)
+			}
+		}
+	}
+}
--- a/internal/fleet/maintenance/command.go
+++ b/internal/fleet/maintenance/command.go
@@ -46,6 +46,7 @@
 	Text  string
 }
 
+// Error implements error.
 func (e *CommandError) Error() string { return e.Text }
 
 // Unwrap returns the cause.
