--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -30,7 +30,7 @@
 
 func (c runCmd) Run(ctx context.Context, dir folder) error {
 	return soak.Run(ctx, soak.Plan{Program: cli.Program, Dir: string(dir), Length: c.Length, Kill: c.Kill, Seed: c.Seed,
-		Hauliers: c.Hauliers, Out: os.Stdout})
+		Customers: c.Hauliers, Out: os.Stdout})
 }
 
 type costCmd struct {
@@ -42,7 +42,7 @@
 
 func (c costCmd) Run(ctx context.Context, dir folder) error {
 	return soak.Cost(ctx, soak.CostPlan{Program: cli.Program, Dir: string(dir), Rounds: c.Rounds, Length: c.Length,
-		Clients: c.Clients, Pace: c.Pace, Out: os.Stdout})
+		Clients: c.Clients, Interval: c.Pace, Out: os.Stdout})
 }
 
 type counterCmd struct {
--- a/internal/soak/cost.go
+++ b/internal/soak/cost.go
@@ -19,20 +19,20 @@
 // CostPlan says how to measure what the books cost: one gateway under the same load, with books off, in memory and on
 // the disk in turn, in one run, so that a machine whose speed drifts does so for all.
 type CostPlan struct {
-	Program string
-	Dir     string
-	Rounds  int
-	Length  time.Duration // of each round, of each mode
-	Clients int           // that send one req after another, each at its pace
-	Pace    time.Duration // between two reqs of a client
-	Out     io.Writer
+	Program  string
+	Dir      string
+	Rounds   int
+	Length   time.Duration // of each round, of each mode
+	Clients  int           // that send one request after another, each at its pace
+	Interval time.Duration // between two requests of a client
+	Out      io.Writer
 }
 
 var modes = []string{"off", "memory", "disk"}
 
 // sample is one round of one mode.
 type sample struct {
-	cpu float64 // microseconds a req
+	cpu float64 // microseconds a request
 	p99 time.Duration
 }
 
@@ -73,23 +73,23 @@
 	return v[len(v)/2]
 }
 
-// round runs one gateway under load and tells its CPU time a req, by the system's account of the whole process.
+// round runs one gateway under load and tells its CPU time a request, by the system's account of the whole process.
 func (p CostPlan) round(ctx context.Context, mode, name string) (s sample, err error) {
-	w := &world{Plan: Plan{Program: p.Program, Dir: filepath.Join(p.Dir, name), Seed: 1, Out: io.Discard}}
-	defer w.close()
-	if w.backends, err = standin.NewBackends(nodes, false, standin.Always(standin.Step{})); err != nil {
+	env := &environment{Plan: Plan{Program: p.Program, Dir: filepath.Join(p.Dir, name), Seed: 1, Out: io.Discard}}
+	defer env.close()
+	if env.backends, err = standin.NewBackends(nodes, false, standin.Always(standin.Step{})); err != nil {
 		return s, err
 	}
-	if w.counter, err = standin.NewCounter(); err != nil {
+	if env.counter, err = standin.NewCounter(); err != nil {
 		return s, err
 	}
-	if w.discovery, err = standin.NewDiscovery(w.members(-1), 1); err != nil {
+	if env.discovery, err = standin.NewDiscovery(env.members(-1), 1); err != nil {
 		return s, err
 	}
-	n := w.node("n0", "", "serve")
+	n := env.node("n0", "", "serve")
 	n.limits = ""
-	w.nodes = []*node{n}
-	if err := w.configure(0, n); err != nil {
+	env.nodes = []*node{n}
+	if err := env.configure(0, n); err != nil {
 		return s, err
 	}
 	text := fmt.Sprintf("[ledger]\nenabled = %v\n", mode != "off")
@@ -102,39 +102,48 @@
 	if err := n.Start(patience); err != nil {
 		return s, err
 	}
+	all, err := p.load(ctx, n.Listen)
+	if err != nil {
+		return s, err
+	}
+	if err := n.End(patience); err != nil {
+		return s, err
+	}
+	used := n.Program().CPU()
+	slices.Sort(all)
+	return sample{used.Seconds() * 1e6 / float64(len(all)), all[len(all)*99/100]}, ctx.Err()
+}
+
+// load runs the clients for the round's length, and returns the latencies of all.
+func (p CostPlan) load(ctx context.Context, addr string) ([]time.Duration, error) {
 	var mu sync.Mutex
 	var all []time.Duration
 	var clients sync.WaitGroup
 	failed := make(chan error, p.Clients)
-	load, stop := context.WithTimeout(ctx, p.Length)
+	ctx, stop := context.WithTimeout(ctx, p.Length)
 	defer stop()
 	for h := range p.Clients {
 		clients.Go(func() {
-			took, err := p.client(load, n.Listen, h)
+			latencies, err := p.client(ctx, addr, h)
 			if err != nil {
 				failed <- err
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			all = append(all, took...)
+			all = append(all, latencies...)
 		})
 	}
 	clients.Wait()
 	select {
 	case err := <-failed:
-		return s, err
+		return nil, err
 	default:
+		return all, nil
 	}
-	if err := n.End(patience); err != nil {
-		return s, err
-	}
-	used := n.Program().CPU()
-	slices.Sort(all)
-	return sample{used.Seconds() * 1e6 / float64(len(all)), all[len(all)*99/100]}, ctx.Err()
 }
 
-// client sends one req after another and times the answers.
-func (p CostPlan) client(ctx context.Context, addr string, h int) (took []time.Duration, err error) {
+// client sends one request after another and times the answers.
+func (p CostPlan) client(ctx context.Context, addr string, h int) (latencies []time.Duration, err error) {
 	c, err := standin.Dial(addr, patience)
 	if err != nil {
 		return nil, err
@@ -142,23 +151,23 @@
 	defer c.Close()
 	for i := 0; ctx.Err() == nil; i++ {
 		c.SetDeadline(time.Now().Add(patience))
-		words := []string{"SVC.QUERY", fmt.Sprintf("%016x", h*1000+i%100), fmt.Sprintf("i%d-%d", h, i),
+		arguments := []string{"SVC.QUERY", fmt.Sprintf("%016x", h*1000+i%100), fmt.Sprintf("i%d-%d", h, i),
 			"c=space-query,t=regular,d=4000,spread=3,first=0"}
 		began := time.Now()
-		if err := c.Send(words); err != nil {
-			return took, err
+		if err := c.Send(arguments); err != nil {
+			return latencies, err
 		}
 		v, err := c.Reply()
 		if err != nil {
-			return took, err
+			return latencies, err
 		}
 		if v.Kind == '-' && !strings.HasPrefix(v.Text, "BUSY") {
-			return took, errors.New(v.Text)
+			return latencies, errors.New(v.Text)
 		}
-		took = append(took, time.Since(began))
-		wait(ctx, p.Pace)
+		latencies = append(latencies, time.Since(began))
+		wait(ctx, p.Interval)
 	}
-	return took, nil
+	return latencies, nil
 }
 
 // RowBytes is how much memory a row of the ledger takes, all that hangs on it included, as the heap grows by it.
--- a/internal/soak/quota.go
+++ b/internal/soak/quota.go
@@ -13,7 +13,7 @@
 	"dewhitch/internal/standin"
 )
 
-// QuotaPlan says how to measure what gateways send on beyond the quota while their counter is in trouble: hauliers of
+// QuotaPlan says how to measure what gateways send on beyond the quota while their counter is at fault: customers of
 // the plan fleet ask four times their quota, through gateways of which one gets most and another every few seconds.
 type QuotaPlan struct {
 	Program string
@@ -24,27 +24,27 @@
 }
 
 const (
-	burstHauliers = 6
-	askedTimes    = 4.0             // the quota
-	shiftEvery    = 7 * time.Second // another gateway gets most
-	fleetRate     = 60.0            // as configure has it
-	fleetBurst    = 90.0
-	ceilingRate   = 120.0
-	ceilingBurst  = 180.0
-	ceilingSlack  = 18.0
+	quotaCustomers = 6
+	demandMultiple = 4.0             // the quota
+	shiftEvery     = 7 * time.Second // another gateway gets most
+	fleetRate      = 60.0            // as configure has it
+	fleetBurst     = 90.0
+	ceilingRate    = 120.0
+	ceilingBurst   = 180.0
+	ceilingSlack   = 18.0
 )
 
 // phase is one state of the counter.
 type phase struct {
-	name string
-	do   func(*standin.Counter)
+	name  string
+	apply func(*standin.Counter)
 }
 
-// Quota measures and prints a table. Shares are of the quota's rate, over all hauliers.
+// Quota measures and prints a table. Shares are of the quota's rate, over all customers.
 func Quota(ctx context.Context, p QuotaPlan) error {
-	w := &world{Plan: Plan{Program: p.Program, Dir: p.Dir, Seed: p.Seed, Out: p.Out}}
-	defer w.close()
-	if err := w.openQuota(); err != nil {
+	env := &environment{Plan: Plan{Program: p.Program, Dir: p.Dir, Seed: p.Seed, Out: p.Out}}
+	defer env.close()
+	if err := env.openQuota(); err != nil {
 		return err
 	}
 	phases := []phase{
@@ -60,54 +60,54 @@
 	load, stop := context.WithTimeout(ctx, time.Duration(len(phases))*p.Phase)
 	defer stop()
 	var all sync.WaitGroup
-	for h := range burstHauliers {
-		all.Go(func() { w.burst(load, uint64(2+3*h)) }) // those of the plan fleet
+	for h := range quotaCustomers {
+		all.Go(func() { env.runOpenLoop(load, uint64(2+3*h)) }) // those of the plan fleet
 	}
 	began := time.Now()
 	var script []standin.Trouble
 	for i, ph := range phases {
-		script = append(script, standin.Trouble{At: time.Duration(i) * p.Phase, Do: ph.do})
+		script = append(script, standin.Trouble{At: time.Duration(i) * p.Phase, Do: ph.apply})
 	}
-	w.counter.Play(load, script...)
+	env.counter.Play(load, script...)
 	all.Wait()
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	for _, n := range w.nodes {
+	for _, n := range env.nodes {
 		if err := n.End(patience); err != nil {
 			return err
 		}
 	}
-	return w.judge(began, p.Phase, phases)
+	return env.report(began, p.Phase, phases)
 }
 
-func (w *world) openQuota() (err error) {
-	if w.backends, err = standin.NewBackends(12, true, standin.Always(standin.Step{Delay: 5 * time.Millisecond})); err != nil {
+func (env *environment) openQuota() (err error) {
+	if env.backends, err = standin.NewBackends(12, true, standin.Always(standin.Step{Delay: 5 * time.Millisecond})); err != nil {
 		return err
 	}
-	if w.counter, err = standin.NewCounter(); err != nil {
+	if env.counter, err = standin.NewCounter(); err != nil {
 		return err
 	}
-	w.doors = []*standin.Listener{w.counter.Listener}
+	env.counterListeners = []*standin.Listener{env.counter.Listener}
 	for range gateways - 1 {
-		door, err := w.counter.Door()
+		door, err := env.counter.Door()
 		if err != nil {
 			return err
 		}
-		w.doors = append(w.doors, door)
+		env.counterListeners = append(env.counterListeners, door)
 	}
-	if w.discovery, err = standin.NewDiscovery(w.members(-1), 1); err != nil {
+	if env.discovery, err = standin.NewDiscovery(env.members(-1), 1); err != nil {
 		return err
 	}
 	for i := range gateways {
-		w.nodes = append(w.nodes, w.node("n"+strconv.Itoa(i), "", "serve"))
+		env.nodes = append(env.nodes, env.node("n"+strconv.Itoa(i), "", "serve"))
 	}
-	return w.startAll()
+	return env.startAll()
 }
 
-// burst asks for one haulier in an open loop: what is due is sent, whatever is answered.
-func (w *world) burst(ctx context.Context, h uint64) {
-	rng := rand.New(rand.NewPCG(w.Seed, 500+h))
+// runOpenLoop asks for one customer in an open loop: what is due is sent, whatever is answered.
+func (env *environment) runOpenLoop(ctx context.Context, h uint64) {
+	rng := rand.New(rand.NewPCG(env.Seed, 500+h))
 	var sessions [gateways]*standin.Client
 	var readers sync.WaitGroup
 	defer func() {
@@ -120,20 +120,20 @@
 	}()
 	began := time.Now()
 	for n := 0; ctx.Err() == nil; n++ {
-		due := began.Add(time.Duration(float64(n) / (askedTimes * fleetRate) * 1e9))
-		wait(ctx, time.Until(due))
-		most := int(time.Since(began)/shiftEvery) + int(h)
-		at := most % gateways
+		sendAt := began.Add(time.Duration(float64(n) / (demandMultiple * fleetRate) * 1e9))
+		wait(ctx, time.Until(sendAt))
+		preferred := int(time.Since(began)/shiftEvery) + int(h)
+		at := preferred % gateways
 		switch v := rng.Float64(); {
 		case v > 0.9:
-			at = (most + 2) % gateways
+			at = (preferred + 2) % gateways
 		case v > 0.7:
-			at = (most + 1) % gateways
+			at = (preferred + 1) % gateways
 		}
 		c := sessions[at]
 		if c == nil {
 			var err error
-			if c, err = standin.Dial(w.nodes[at].Listen, time.Second); err != nil {
+			if c, err = standin.Dial(env.nodes[at].Listen, time.Second); err != nil {
 				continue
 			}
 			sessions[at] = c
@@ -156,25 +156,25 @@
 
 // bucket is a store of units, kept by what the backends saw.
 type bucket struct {
-	level, rate, most float64
-	at                time.Time
+	level, rate, burst float64
+	at                 time.Time
 }
 
 // draw takes a unit and tells how far below nothing that leaves the store.
 func (b *bucket) draw(at time.Time) float64 {
-	b.level = min(b.most, b.level+b.rate*at.Sub(b.at).Seconds())
+	b.level = min(b.burst, b.level+b.rate*at.Sub(b.at).Seconds())
 	b.at = at
 	b.level--
 	return max(0, -b.level)
 }
 
-// judge prints what was sent on in each phase, and what of it lay beyond the quota, by what the backends saw. A unit that
+// report prints what was sent on in each phase, and what of it lay beyond the quota, by what the backends saw. A unit that
 // is beyond is not drawn, so that one that is within is not held against what came before it.
-func (w *world) judge(began time.Time, length time.Duration, phases []phase) error {
+func (env *environment) report(began time.Time, length time.Duration, phases []phase) error {
 	type figures struct{ sent, beyond, ceiling float64 }
 	got := make([]figures, len(phases))
 	quota, ceiling := map[string]*bucket{}, map[string]*bucket{}
-	for _, c := range w.backends.Seen() {
+	for _, c := range env.backends.Seen() {
 		i := int(c.At.Sub(began) / length)
 		if i < 0 || i >= len(got) {
 			continue
@@ -190,16 +190,16 @@
 		}
 		got[i].ceiling = max(got[i].ceiling, ceiling[c.Customer].draw(c.At))
 	}
-	tw := tabwriter.NewWriter(w.Out, 0, 0, 2, ' ', 0)
+	tw := tabwriter.NewWriter(env.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "counter\tsent on\tbeyond the quota\tdeepest below the ceiling, units")
-	all := fleetRate * burstHauliers * length.Seconds()
-	broken := false
+	all := fleetRate * quotaCustomers * length.Seconds()
+	exceeded := false
 	for i, g := range got {
 		fmt.Fprintf(tw, "%s\t%.2f\t%.2f\t%.1f of %g\n", phases[i].name, g.sent/all, g.beyond/all, g.ceiling, ceilingSlack)
-		broken = broken || g.ceiling > ceilingSlack
+		exceeded = exceeded || g.ceiling > ceilingSlack
 	}
 	tw.Flush()
-	if broken {
+	if exceeded {
 		return fmt.Errorf("a ceiling was broken")
 	}
 	return nil
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,5 +1,5 @@
 // Package soak runs gateways and a forwarder among stand-ins that reset, stall and spoil, kills one every so often, and
-// then reckons up: what the ledgers say against what hauliers' clients, backends and the counter saw, to the request. It
+// then audits them: what the ledgers say against what customers' clients, backends and the counter saw, to the request. It
 // owns the processes and stand-ins of a run; it decides nothing in them and shares no code with what it checks.
 package soak
 
@@ -22,13 +22,13 @@
 
 // Plan says what to run.
 type Plan struct {
-	Program  string        // dewhitch, built
-	Dir      string        // for the nodes' files; it must be empty
-	Length   time.Duration // of the load
-	Kill     time.Duration // between two kills
-	Seed     uint64
-	Hauliers int // that come to the gateways themselves; half as many more come through the forwarder
-	Out      io.Writer
+	Program   string        // dewhitch, built
+	Dir       string        // for the nodes' files; it must be empty
+	Length    time.Duration // of the load
+	Kill      time.Duration // between two kills
+	Seed      uint64
+	Customers int // that come to the gateways themselves; half as many more come through the forwarder
+	Out       io.Writer
 }
 
 const (
@@ -49,37 +49,37 @@
 	role, limits string
 }
 
-// world is all of a run.
-type world struct {
+// environment is all of a run.
+type environment struct {
 	Plan
-	backends  *standin.Backends
-	counter   *standin.Counter
-	discovery *standin.Discovery
-	registry  *zookeeper.Server
-	doors     []*standin.Listener // of the counter, by gateway; none: all go by the first
-	nodes     []*node             // the gateways, then the forwarder
-	tallies   tallies
+	backends         *standin.Backends
+	counter          *standin.Counter
+	discovery        *standin.Discovery
+	registry         *zookeeper.Server
+	counterListeners []*standin.Listener // of the counter, by gateway; none: all go by the first
+	nodes            []*node             // the gateways, then the forwarder
+	tallies          tallies
 }
 
 // Run carries a plan out and prints the reckoning. An error says what does not hold.
 func Run(ctx context.Context, p Plan) error {
-	w := &world{Plan: p, tallies: tallies{rows: map[Row]*Tally{}}}
-	defer w.close()
-	if err := w.open(); err != nil {
+	env := &environment{Plan: p, tallies: tallies{rows: map[Row]*Tally{}}}
+	defer env.close()
+	if err := env.open(); err != nil {
 		return err
 	}
-	fmt.Fprintf(w.Out, "seed %d: %d gateways, a forwarder, %d backends, for %v, a kill every %v\n", p.Seed, gateways, nodes,
+	fmt.Fprintf(env.Out, "seed %d: %d gateways, a forwarder, %d backends, for %v, a kill every %v\n", p.Seed, gateways, nodes,
 		p.Length, p.Kill)
 	load, stop := context.WithTimeout(ctx, p.Length)
 	defer stop()
 	var all sync.WaitGroup
-	for h := range p.Hauliers + p.Hauliers/2 {
-		all.Go(func() { w.haulier(load, uint64(h+1)) })
+	for h := range p.Customers + p.Customers/2 {
+		all.Go(func() { env.runCustomer(load, uint64(h+1)) })
 	}
 	faults := make(chan error, 3)
-	all.Go(func() { faults <- w.kill(load) })
-	all.Go(func() { w.trouble(load) })
-	all.Go(func() { faults <- w.look(load) })
+	all.Go(func() { faults <- env.killNodes(load) })
+	all.Go(func() { env.injectFaults(load) })
+	all.Go(func() { faults <- env.readWhileRunning(load) })
 	all.Wait()
 	for range 2 {
 		if err := <-faults; err != nil {
@@ -89,50 +89,50 @@
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	if err := w.end(); err != nil {
+	if err := env.endNodes(); err != nil {
 		return err
 	}
-	return w.reckon()
+	return env.audit()
 }
 
 // open starts the stand-ins and the programs.
-func (w *world) open() (err error) {
+func (env *environment) open() (err error) {
 	weights := map[standin.Deed]struct {
 		Weight float64
 		Delay  time.Duration
 	}{standin.Serve: {90, 20 * time.Millisecond}, standin.Fail: {2, 0}, standin.Busy: {2, 0}, standin.Reset: {1.5, 5 * time.Millisecond},
 		standin.Stall: {0.5, 0}, standin.Spoil: {1, 0}, standin.Extra: {1, 0}, standin.Broken: {1, 0}}
-	if w.backends, err = standin.NewBackends(nodes, true, standin.Weighted(w.Seed, weights)); err != nil {
+	if env.backends, err = standin.NewBackends(nodes, true, standin.Weighted(env.Seed, weights)); err != nil {
 		return err
 	}
-	if w.counter, err = standin.NewCounter(); err != nil {
+	if env.counter, err = standin.NewCounter(); err != nil {
 		return err
 	}
-	if w.discovery, err = standin.NewDiscovery(w.members(-1), 1); err != nil {
+	if env.discovery, err = standin.NewDiscovery(env.members(-1), 1); err != nil {
 		return err
 	}
-	if w.registry, err = zookeeper.New(); err != nil {
+	if env.registry, err = zookeeper.New(); err != nil {
 		return err
 	}
 	for i := range gateways {
-		w.nodes = append(w.nodes, w.node("n"+strconv.Itoa(i), statement.Gateway, "serve"))
+		env.nodes = append(env.nodes, env.node("n"+strconv.Itoa(i), statement.Gateway, "serve"))
 	}
-	w.nodes = append(w.nodes, w.node("forwarder", statement.Forwarder, "forward"))
-	return w.startAll()
+	env.nodes = append(env.nodes, env.node("forwarder", statement.Forwarder, "forward"))
+	return env.startAll()
 }
 
 // node makes one program of the run.
-func (w *world) node(name, role, command string) *node {
+func (env *environment) node(name, role, command string) *node {
 	n := &node{role: role, limits: standin.OwnAddr()}
-	n.Name, n.Dir, n.Listen, n.Path = name, filepath.Join(w.Dir, name), standin.OwnAddr(), w.Program
+	n.Name, n.Dir, n.Listen, n.Path = name, filepath.Join(env.Dir, name), standin.OwnAddr(), env.Program
 	n.Args = []string{"--limits", n.File("limits.toml"), "--operations", n.File("operations.toml"), command}
 	return n
 }
 
 // startAll writes the files of all programs, and starts them.
-func (w *world) startAll() error {
-	for i, n := range w.nodes {
-		if err := w.configure(i, n); err != nil {
+func (env *environment) startAll() error {
+	for i, n := range env.nodes {
+		if err := env.configure(i, n); err != nil {
 			return err
 		}
 		if err := n.Start(patience); err != nil {
@@ -143,9 +143,9 @@
 }
 
 // members is the list of backends, with one of them draining unless that is below 0.
-func (w *world) members(draining int) string {
+func (env *environment) members(draining int) string {
 	var list []string
-	for i, l := range w.backends.Nodes {
+	for i, l := range env.backends.Nodes {
 		phase := "up"
 		if i == draining {
 			phase = "draining"
@@ -156,12 +156,12 @@
 }
 
 // configure writes a node's files.
-func (w *world) configure(i int, n *node) error {
-	counter := w.counter.Addr()
-	if i < len(w.doors) {
-		counter = w.doors[i].Addr()
+func (env *environment) configure(i int, n *node) error {
+	counter := env.counter.Addr()
+	if i < len(env.counterListeners) {
+		counter = env.counterListeners[i].Addr()
 	}
-	config, err := standin.Config{Name: n.Name, Listen: n.Listen, Discovery: w.discovery.Addr(), Counter: counter, Seed: w.Seed + uint64(i),
+	config, err := standin.Config{Name: n.Name, Listen: n.Listen, Discovery: env.discovery.Addr(), Counter: counter, Seed: env.Seed + uint64(i),
 		Instances: gateways, Number: i % gateways, Zones: []string{"hall-a"}, Plans: []standin.Plan{
 			{Name: plans[0], QuotaRate: 20, Depth: 30, OverrunCost: 0.8, Pays: 0.8},
 			{Name: plans[1], QuotaRate: 40, Depth: 80, BeyondEarns: 0.2, Pays: 1.1},
@@ -174,8 +174,8 @@
 		return err
 	}
 	servers := ""
-	if w.registry != nil {
-		servers = strconv.Quote(w.registry.Addr())
+	if env.registry != nil {
+		servers = strconv.Quote(env.registry.Addr())
 	}
 	limits := fmt.Sprintf("listen = %q\n[registry]\nservers = [%s]\nsession_ms = 1500\n[forward]\nlisten = %q\ngateways = %d\n",
 		n.limits, servers, n.Listen, gateways)
@@ -184,11 +184,11 @@
 	return n.Write(map[string]string{"config.json": config, "limits.toml": limits, "operations.toml": operations})
 }
 
-// kill ends a node outright every so often, the forwarder each fourth time, and starts it again; now and then it is
+// killNodes ends a node outright every so often, the forwarder each fourth time, and starts it again; now and then it is
 // killed once more while it repairs its books.
-func (w *world) kill(ctx context.Context) error {
-	rng := rand.New(rand.NewPCG(w.Seed, 11))
-	tick := time.NewTicker(w.Kill)
+func (env *environment) killNodes(ctx context.Context) error {
+	rng := rand.New(rand.NewPCG(env.Seed, 11))
+	tick := time.NewTicker(env.Kill)
 	defer tick.Stop()
 	for i := 0; ; i++ {
 		select {
@@ -196,9 +196,9 @@
 			return nil
 		case <-tick.C:
 		}
-		n := w.nodes[rng.IntN(gateways)]
+		n := env.nodes[rng.IntN(gateways)]
 		if i%4 == 3 {
-			n = w.nodes[gateways]
+			n = env.nodes[gateways]
 		}
 		for again := true; again; again = rng.IntN(4) == 0 {
 			n.Kill()
@@ -215,19 +215,19 @@
 	}
 }
 
-// trouble has the counter misbehave for short spells, and backends drain and come back.
-func (w *world) trouble(ctx context.Context) {
-	rng := rand.New(rand.NewPCG(w.Seed, 12))
+// injectFaults has the counter misbehave for short spells, and backends drain and come back.
+func (env *environment) injectFaults(ctx context.Context) {
+	rng := rand.New(rand.NewPCG(env.Seed, 12))
 	modes := []string{"silent", "full", "reset", "spoilt", "late", "doubled", "interim"}
 	for ctx.Err() == nil {
 		wait(ctx, time.Duration(500+rng.IntN(2000))*time.Millisecond)
-		w.counter.Mode(modes[rng.IntN(len(modes))])
-		w.discovery.Set(w.members(rng.IntN(nodes)))
+		env.counter.Mode(modes[rng.IntN(len(modes))])
+		env.discovery.Set(env.members(rng.IntN(nodes)))
 		wait(ctx, time.Duration(100+rng.IntN(700))*time.Millisecond)
-		w.counter.Mode("add")
-		w.discovery.Set(w.members(-1))
+		env.counter.Mode("add")
+		env.discovery.Set(env.members(-1))
 	}
-	w.counter.Mode("add")
+	env.counter.Mode("add")
 }
 
 func wait(ctx context.Context, d time.Duration) {
@@ -237,15 +237,15 @@
 	}
 }
 
-// look reads the books of all nodes while they work, as an export does, and checks them each time.
-func (w *world) look(ctx context.Context) error {
+// readWhileRunning reads the books of all nodes while they work, as an export does, and checks them each time.
+func (env *environment) readWhileRunning(ctx context.Context) error {
 	// What is behind the last record that was read, as a reader should ask: one that holds a store for long holds up its
 	// statements.
 	read := map[*node]*struct {
 		seq   uint64
 		chain statement.Chain
 	}{}
-	for _, n := range w.nodes {
+	for _, n := range env.nodes {
 		read[n] = &struct {
 			seq   uint64
 			chain statement.Chain
@@ -256,7 +256,7 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		for _, n := range w.nodes {
+		for _, n := range env.nodes {
 			dir := filepath.Join(n.Dir, "ledger")
 			v, err := store.Read(dir)
 			if err != nil { // it is being started, or a statement is going in
@@ -276,14 +276,14 @@
 	}
 }
 
-// end has all nodes end as at a planned restart, the forwarder first.
-func (w *world) end() error {
-	for i := len(w.nodes) - 1; i >= 0; i-- {
-		if err := w.nodes[i].End(patience); err != nil {
+// endNodes has all nodes end as at a planned restart, the forwarder first.
+func (env *environment) endNodes() error {
+	for i := len(env.nodes) - 1; i >= 0; i-- {
+		if err := env.nodes[i].End(patience); err != nil {
 			return err
 		}
 	}
-	for _, n := range w.nodes {
+	for _, n := range env.nodes {
 		if line, bad := n.Says("the books do not add up", "could not keep everything", "could not be kept", "can't be used",
 			"panic:", "DATA RACE"); bad {
 			return fmt.Errorf("%s says: %s", n.Name, line)
@@ -292,14 +292,14 @@
 	return nil
 }
 
-func (w *world) close() {
-	for _, n := range w.nodes {
+func (env *environment) close() {
+	for _, n := range env.nodes {
 		n.Kill()
 	}
-	if w.backends != nil {
-		w.backends.Close()
+	if env.backends != nil {
+		env.backends.Close()
 	}
-	for _, s := range []interface{ Close() }{w.counter, w.discovery, w.registry} {
+	for _, s := range []interface{ Close() }{env.counter, env.discovery, env.registry} {
 		switch s := s.(type) {
 		case *standin.Counter:
 			if s != nil {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -16,7 +16,7 @@
 	}
 	var out bytes.Buffer
 	err = Run(t.Context(), Plan{Program: program, Dir: t.TempDir(), Length: 12 * time.Second, Kill: 1500 * time.Millisecond,
-		Seed: 7, Hauliers: 16, Out: &out})
+		Seed: 7, Customers: 16, Out: &out})
 	t.Log(out.String())
 	if err != nil {
 		t.Fatal(err)
