--- a/cmd/dewhitch/books.go
+++ b/cmd/dewhitch/books.go
@@ -21,7 +21,7 @@
 // books are all that the parts of the program need of the desk.
 type books interface {
 	platform.Books
-	forward.Books
+	forward.Recorder
 }
 
 // bookPatience is how long beyond its own deadline a req, or a call to the counter, may be open before that is an alarm.
--- /dev/null
+++ b/internal/forward/commands.go
@@ -0,0 +1,140 @@
+// Package forward is the thin forwarder: it accepts client sessions and forwards each command to a planner of its
+// customer's set. It decides nothing on quotas.
+//
+// commands.go has the commands of a session and the rule on attempts, planners.go the planners and their selection, link.go
+// the connections to them, call.go what is owed to a client and to the ledger.
+package forward
+
+import (
+	"bytes"
+	"errors"
+	"fmt"
+	"strconv"
+	"time"
+
+	"go.uber.org/zap"
+
+	"dewhitch"
+	"dewhitch/internal/core"
+	"dewhitch/internal/front"
+	"dewhitch/internal/front/platform"
+	"dewhitch/internal/ledger"
+	"dewhitch/internal/resp"
+)
+
+// deadlineGrace is for how long beyond a command's deadline its answer is waited for: the planner's own answer comes first.
+const deadlineGrace = 100 * time.Millisecond
+
+// Commands forwards the commands of one client session. It owns a connection to each planner that the session has needed;
+// Close gives them back. It is not safe for concurrent use.
+type Commands struct {
+	planners *Planners
+	recorder Recorder
+	gateways int // numbers of gateways are below it
+	log      *zap.Logger
+	links    map[string]*link // by the planner's address
+}
+
+// New makes the forwarding of one session.
+func New(p *Planners, gateways int, r Recorder, log *zap.Logger) *Commands {
+	return &Commands{planners: p, recorder: r, gateways: gateways, log: log, links: map[string]*link{}}
+}
+
+// Close implements io.Closer.
+func (c *Commands) Close() error {
+	for _, l := range c.links {
+		l.conn.Close()
+	}
+	return nil
+}
+
+// listIndex is where the list of names and values stands in each command that is forwarded.
+var listIndex = map[string]int{"SVC.QUERY": 3, "SVC.SUBMIT": 3, "LIMIT.GET": 2, "LIMIT.ADJUST": 3}
+
+// Do implements front.Commands.
+func (c *Commands) Do(receivedAt time.Time, cmd resp.Command, s *front.Slot) {
+	customer, r, err := c.parse(cmd)
+	if err != nil {
+		s.Reject(err.Error())
+		return
+	}
+	c.forward(receivedAt, cmd, customer, r, s)
+}
+
+// parse reads of a command what the forwarder needs: the customer, its set of planners, the deadline and the ledger's key.
+func (c *Commands) parse(cmd resp.Command) (dewhitch.CustomerID, *core.Request, error) {
+	name := string(bytes.ToUpper(cmd[0]))
+	index, known := listIndex[name]
+	if !known {
+		return 0, nil, fmt.Errorf("unknown command %.32q", cmd[0])
+	}
+	if len(cmd) <= index {
+		return 0, nil, errors.New("wrong number of arguments")
+	}
+	customer, err := platform.Customer(cmd[1])
+	if err != nil {
+		return 0, nil, err
+	}
+	r := &core.Request{}
+	class, plan, err := platform.Route(cmd[index], r)
+	if err != nil {
+		return 0, nil, err
+	}
+	r.LedgerKey = c.recorder.RowByName(uint64(customer), plan, class)
+	switch name {
+	case "LIMIT.GET":
+		r.LedgerKey.Class = ledger.ClassQuery
+		r.Units = 0
+	case "LIMIT.ADJUST":
+		r.LedgerKey.Class = ledger.ClassAdjust
+		r.Units, _ = strconv.ParseFloat(string(cmd[2]), 64) // the planner rejects what is no number
+	}
+	return customer, r, nil
+}
+
+// forward writes a command to the first planner of the set that it can be written to completely. A planner that was not sent
+// the last byte has applied nothing, so the next may be tried; after that the command is never sent again.
+func (c *Commands) forward(receivedAt time.Time, cmd resp.Command, customer dewhitch.CustomerID, r *core.Request, s *front.Slot) {
+	text := resp.AppendArray(nil, len(cmd))
+	for _, word := range cmd {
+		text = resp.AppendBulk(text, word)
+	}
+	k := c.begin(r, s)
+	for _, addr := range c.planners.Of(customer, r.Spread, r.FirstGateway, c.gateways) {
+		l, err := c.linkTo(addr)
+		if errors.Is(err, errEnded) {
+			break
+		}
+		if err != nil {
+			c.log.Warn("a planner can't be reached", zap.String("planner", addr), zap.Error(err))
+			continue
+		}
+		if l.send(text, k, time.Until(receivedAt.Add(r.Timeout+deadlineGrace))) {
+			return
+		}
+	}
+	k.answer(ledger.PlanFailedGaveUp, resp.AppendFailure(nil, "ERR no planner of this customer's set can be reached"))
+}
+
+// linkTo returns the session's link to a planner, a new one if there is none or it was lost. The error is errEnded, or that of
+// the dial.
+func (c *Commands) linkTo(addr string) (*link, error) {
+	if l := c.links[addr]; l != nil && !l.lost.Load() {
+		return l, nil
+	}
+	conn, err := dialPlanner(addr)
+	if err != nil {
+		return nil, err
+	}
+	l := &link{conn: conn, log: c.log, addr: addr}
+	if !c.planners.register(l) {
+		conn.Close()
+		return nil, errEnded
+	}
+	c.links[addr] = l
+	go func() {
+		l.read()
+		c.planners.unregister(l)
+	}()
+	return l, nil
+}
--- a/internal/forward/golden_test.go
+++ b/internal/forward/golden_test.go
@@ -70,15 +70,15 @@
 	defer planner.Close()
 	planners := &Planners{}
 	planners.Set(map[int]string{0: planner.Addr()})
-	got = one(t, planners, words)
+	got = exchangeOne(t, planners, words)
 	if asks {
 		sent = <-came
 	}
 	return sent, got
 }
 
-// one is what a client reads for a command, over a session of its own.
-func one(t *testing.T, planners *Planners, words []string) []byte {
+// exchangeOne is what a client reads for a command, over a session of its own.
+func exchangeOne(t *testing.T, planners *Planners, words []string) []byte {
 	t.Helper()
 	l, err := net.Listen("tcp", standin.OwnAddr())
 	if err != nil {
@@ -92,7 +92,7 @@
 		defer close(over)
 		server.Serve(ctx)
 	}()
-	client, err := standin.Dial(l.Addr().String(), patience)
+	client, err := standin.Dial(l.Addr().String(), testTimeout)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -115,7 +115,7 @@
 // where none is registered.
 func TestGoldenPlanners(t *testing.T) {
 	p := &Planners{}
-	text := one(t, p, []string{"LIMIT.GET", "00000001b4d65521", "t=slim,d=20000,spread=3,first=1"})
+	text := exchangeOne(t, p, []string{"LIMIT.GET", "00000001b4d65521", "t=slim,d=20000,spread=3,first=1"})
 	p.Set(map[int]string{0: "10.0.0.1:1000", 1: "10.0.0.1:1001", 2: "10.0.0.1:1002", 4: "10.0.0.1:1004"})
 	var b []byte
 	for customer := range 4 {
--- a/internal/forward/giveup_test.go
+++ b/internal/forward/reset_test.go
@@ -16,10 +16,10 @@
 	"dewhitch/internal/standin"
 )
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
-// forwarder runs one before a planner that is stuck, and gives back a session of a client.
-func forwarder(t *testing.T) (*Planners, net.Conn, *standin.Stuck) {
+// newForwarder runs one before a planner that is stuck, and gives back a session of a client.
+func newForwarder(t *testing.T) (*Planners, net.Conn, *standin.Stuck) {
 	t.Helper()
 	planner, err := standin.NewStuck()
 	if err != nil {
@@ -52,13 +52,13 @@
 	return planners, client, planner
 }
 
-// waiting counts the commands that were written whole and are not answered.
-func (p *Planners) waiting() (n int) {
+// countInFlight counts the commands that were written whole and are not answered.
+func (p *Planners) countInFlight() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for l := range p.links {
 		l.mu.Lock()
-		n += len(l.slots)
+		n += len(l.inFlight)
 		l.mu.Unlock()
 	}
 	return n
@@ -73,29 +73,29 @@
 		deadline string
 		giveUp   func(*Planners, net.Conn)
 	}{
-		"the client has gone": {"60000", func(_ *Planners, client net.Conn) { client.Close() }},
+		"the client has left": {"60000", func(_ *Planners, client net.Conn) { client.Close() }},
 		"its time is up":      {"300", func(*Planners, net.Conn) {}},
 		"the forwarder's end": {"60000", func(p *Planners, _ net.Conn) { p.End(time.Now()) }},
 	} {
 		t.Run(name, func(t *testing.T) {
-			planners, client, planner := forwarder(t)
+			planners, client, planner := newForwarder(t)
 			body := strings.Repeat("x", 32<<10)
 			client.Write(standin.AppendCommand(nil, "SVC.SUBMIT", "00000000b4d65521", "n",
 				"c=order,t=wide,d="+c.deadline+",units=1,spread=1,first=0", body))
 			conn := <-planner.Conns
 			defer conn.Close()
-			for end := time.Now().Add(patience); planners.waiting() == 0; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testTimeout); planners.countInFlight() == 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("the command is not written")
 				}
 			}
 			c.giveUp(planners, client)
-			for end := time.Now().Add(patience); planners.waiting() > 0; time.Sleep(time.Millisecond) {
+			for end := time.Now().Add(testTimeout); planners.countInFlight() > 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
 					t.Fatal("the command is not given up")
 				}
 			}
-			conn.SetReadDeadline(time.Now().Add(patience))
+			conn.SetReadDeadline(time.Now().Add(testTimeout))
 			got, err := io.ReadAll(conn)
 			if bytes.HasSuffix(got, []byte("x\r\n")) {
 				t.Errorf("the planner was sent all %d bytes of a command that was given up before, and then %v", len(got), err)
