--- a/internal/operator/golden_ledger_test.go
+++ b/internal/operator/golden_ledger_test.go
@@ -13,10 +13,10 @@
 	"dewhitch/internal/ledger/recorder"
 )
 
-// fixed is a report with all fields.
-type fixed struct{}
+// fixedReport is a report with all fields.
+type fixedReport struct{}
 
-func (fixed) Report() recorder.Report {
+func (fixedReport) Report() recorder.Report {
 	figures := func(from uint64) (c ledger.Counts) {
 		for e := ledger.None + 1; e < ledger.Events; e++ {
 			c.Set(e, from+uint64(e), -int64(from)*1e5-int64(e))
@@ -33,7 +33,7 @@
 
 // TestLedgerForm freezes the page /ledger and the ledger's metrics, which operators' tools read.
 func TestLedgerForm(t *testing.T) {
-	part := Ledger(fixed{}, func() bool { return true })
+	part := Ledger(fixedReport{}, func() bool { return true })
 	mux, registry := http.NewServeMux(), prometheus.NewRegistry()
 	registry.MustRegister(part)
 	part.Pages(mux)
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -12,10 +12,10 @@
 	"dewhitch/internal/ledger/recorder"
 )
 
-// books gives a report that does not change.
-type books recorder.Report
+// fixedSource gives a report that does not change.
+type fixedSource recorder.Report
 
-func (b books) Report() recorder.Report { return recorder.Report(b) }
+func (b fixedSource) Report() recorder.Report { return recorder.Report(b) }
 
 // counts has a value of its own at each event, from a first one on.
 func counts(first uint64) (c ledger.Counts) {
@@ -26,10 +26,10 @@
 	return c
 }
 
-// TestGoldenPages keeps the operators' pages of the books: the metrics, names, labels and values, and the JSON lines of
+// TestGoldenPages keeps the operators' pages of the ledger: the metrics, names, labels and values, and the JSON lines of
 // /ledger, which operators' alerts and scripts read.
 func TestGoldenPages(t *testing.T) {
-	report := books{
+	report := fixedSource{
 		Names: ledger.Names{Plans: []string{"fleet", "basic"}, Classes: []string{"query", "booking"}},
 		Lines: []ledger.Line{
 			{Key: ledger.Key{Customer: 0xabc, Plan: 0, Class: 1}, Counts: counts(1000)},
@@ -37,7 +37,7 @@
 			{Key: ledger.Key{Customer: 0xdef, Plan: 1, Class: ledger.ClassQuery}, Counts: counts(3000)},
 			{Key: ledger.Key{Customer: 0xdef, Plan: 1, Class: ledger.ClassAdjust}, Counts: counts(4000)},
 			{Key: ledger.Account(0xdef), Counts: counts(5000)},
-			{Key: ledger.Key{Customer: 0xdef, Plan: 7, Class: 8}}, // numbers without words, and nothing booked
+			{Key: ledger.Key{Customer: 0xdef, Plan: 7, Class: 8}}, // numbers without names, and nothing posted
 		},
 		Total: counts(6000), Open: 11, Rows: 12, Evictions: 13, Abandoned: 14, Alarms: 15, Raised: 16, Cleared: 17,
 	}
