--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -1,4 +1,4 @@
-// Package durable replaces files whole or not at all: whatever fails, and wherever a kill comes, the file holds what it held
+// Package durable replaces files atomically: whatever fails, and whenever the process is killed, the file holds what it held
 // before, or all of the new text. It owns the files that it opens, and closes them.
 package durable
 
@@ -10,18 +10,18 @@
 	"path/filepath"
 )
 
-// System is the part of a file system that is needed. Tests put one in its place that fails.
+// System is the part of a file system that is needed; tests inject faults by it.
 type System interface {
 	OpenFile(name string, flag int, perm fs.FileMode) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	SyncDir(name string) error
+	SyncDir(name string) error // makes the names in a folder durable
 }
 
 // File is a file that is being written.
 type File interface {
 	io.WriteCloser
-	Sync() error
+	Sync() error // makes what was written durable
 }
 
 // Disk is the file system of this machine.
@@ -49,21 +49,22 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// Replace puts text in the place of the file: it writes a temporary file in the same folder, has it reach the disk, renames
-// it, and has the name reach the disk too. No two writers may use one temporary file at the same time. After an error of
-// the last step the new text is there, though a loss of power may take it away.
+// Replace replaces the content of a file by text, durably: it writes a temporary file in the same folder, syncs and renames
+// it, and syncs the folder. Two writers may not use one temporary file at the same time. An error is that of the file system; if
+// the last step fails, the file has the new text, which a loss of power may undo.
 func Replace(s System, temporary, file string, text []byte) error {
 	err := write(s, temporary, text)
 	if err == nil {
 		err = s.Rename(temporary, file)
 	}
 	if err != nil {
-		_ = s.Remove(temporary) // a full disk has no room for it, and the error that counts is known
+		_ = s.Remove(temporary) // the first error is the one to return
 		return err
 	}
 	return s.SyncDir(filepath.Dir(file))
 }
 
+// write writes and syncs a file.
 func write(s System, name string, text []byte) error {
 	f, err := s.OpenFile(name, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
 	if err != nil {
@@ -72,8 +73,8 @@
 	if _, err = f.Write(text); err == nil {
 		err = f.Sync()
 	}
-	if closed := f.Close(); err == nil {
-		err = closed
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	return err
 }
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -21,49 +21,49 @@
 	stepFolder step = "sync of the folder"
 )
 
-// failing is the disk, with one step that fails; a write takes so many bytes first.
-type failing struct {
+// faultySystem is the disk, with one step that fails; a write takes so many bytes first.
+type faultySystem struct {
 	System
 	at    step
 	err   error
 	bytes int
 }
 
-func (f *failing) fails(at step) error {
+func (f *faultySystem) fails(at step) error {
 	if f.at == at {
 		return f.err
 	}
 	return nil
 }
 
-func (f *failing) OpenFile(name string, flag int, perm fs.FileMode) (File, error) {
+func (f *faultySystem) OpenFile(name string, flag int, perm fs.FileMode) (File, error) {
 	if err := f.fails(stepOpen); err != nil {
 		return nil, err
 	}
 	file, err := f.System.OpenFile(name, flag, perm)
-	return &failingFile{file, f}, err
+	return &faultyFile{file, f}, err
 }
 
-func (f *failing) Rename(from, to string) error {
+func (f *faultySystem) Rename(from, to string) error {
 	if err := f.fails(stepRename); err != nil {
 		return err
 	}
 	return f.System.Rename(from, to)
 }
 
-func (f *failing) SyncDir(name string) error {
+func (f *faultySystem) SyncDir(name string) error {
 	if err := f.fails(stepFolder); err != nil {
 		return err
 	}
 	return f.System.SyncDir(name)
 }
 
-type failingFile struct {
+type faultyFile struct {
 	File
-	f *failing
+	f *faultySystem
 }
 
-func (w *failingFile) Write(b []byte) (int, error) {
+func (w *faultyFile) Write(b []byte) (int, error) {
 	if err := w.f.fails(stepWrite); err != nil {
 		n, _ := w.File.Write(b[:min(len(b), w.f.bytes)])
 		return n, err
@@ -71,12 +71,12 @@
 	return w.File.Write(b)
 }
 
-func (w *failingFile) Sync() error { return errors.Join(w.f.fails(stepSync), w.File.Sync()) }
+func (w *faultyFile) Sync() error { return errors.Join(w.f.fails(stepSync), w.File.Sync()) }
 
-func (w *failingFile) Close() error { return errors.Join(w.f.fails(stepClose), w.File.Close()) }
+func (w *faultyFile) Close() error { return errors.Join(w.f.fails(stepClose), w.File.Close()) }
 
-// Each step fails once, in each way, and a write after each number of bytes: the error is told, the file holds the old text
-// (the new one, if only the folder's sync fails), nothing else is left in the folder, and the next try succeeds.
+// Each step fails once, in each way, and a write after each number of bytes: the error is returned, the file holds the old text
+// (the new one, if only the folder's sync fails), nothing else is left in the folder, and the next attempt succeeds.
 func TestReplaceFails(t *testing.T) {
 	const before, after = "before", "after, and longer"
 	file := filepath.Join(t.TempDir(), "file")
@@ -92,15 +92,15 @@
 	replace := func(s System, text string) error { return Replace(s, file+".part", file, []byte(text)) }
 	for _, err := range []error{syscall.ENOSPC, syscall.EIO, syscall.EDQUOT, syscall.EROFS, syscall.EINTR} {
 		for _, at := range []step{stepOpen, stepWrite, stepSync, stepClose, stepRename, stepFolder} {
-			most := 0
+			maxBytes := 0
 			if at == stepWrite {
-				most = len(after)
+				maxBytes = len(after)
 			}
-			for n := range most + 1 {
+			for n := range maxBytes + 1 {
 				if err := replace(Disk, before); err != nil {
 					t.Fatal(err)
 				}
-				if got := replace(&failing{Disk, at, err, n}, after); !errors.Is(got, err) {
+				if got := replace(&faultySystem{Disk, at, err, n}, after); !errors.Is(got, err) {
 					t.Errorf("%s: %v, not %v", at, got, err)
 				}
 				want := before
@@ -111,7 +111,7 @@
 				if err := replace(Disk, after); err != nil {
 					t.Fatal(err)
 				}
-				check("the next try", after)
+				check("the next attempt", after)
 			}
 		}
 	}
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -40,7 +40,7 @@
 	golden.Compare(t, "metrics", golden.Metrics(t, goldenMetrics()))
 }
 
-// TestGoldenFields keeps the fields that go behind the figures in the answer to the operators' call telemetry.
+// TestGoldenFields keeps the fields that go after the figures in the answer to the operators' call telemetry.
 func TestGoldenFields(t *testing.T) {
 	golden.Compare(t, "fields.json", append(goldenMetrics().AppendFields([]byte(`{"first":1`)), '}'))
 	want := map[string]int64{"first": 1, "list_version_read": 105, "list_age_read_ms": 23, "list_age_read_max_ms": 104,
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,6 +1,6 @@
-// Package telemetry measures how news of the servers and the ends of connections get through a gateway: which version of
-// the list was read and which is in force, how old it was by then, how long messages waited for the planner, and why
-// requests were refused, sent again or cut off. All labels are from fixed sets. It is safe for any goroutine.
+// Package telemetry measures how endpoint updates and requests get through a gateway: which version of the list was read and
+// which is applied, how old it was by then, how long messages waited for the planner, and why requests were rejected or
+// retried and connections closed. All labels are from fixed sets.
 package telemetry
 
 import (
@@ -18,37 +18,41 @@
 
 const namespace = "dewhitch"
 
-// buckets are bounds of histograms of times, in seconds: from what is no wait at all to the grace of a drain and beyond.
+// buckets are the bounds of histograms of times, in seconds, up to the grace period of a drain.
 var buckets = []float64{0.0001, 0.0005, 0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 6}
 
-// Stage is how far a message of discovery's has come.
+// Stage is how far an update of the endpoint list has come.
 type Stage int
 
 // The stages.
 const (
-	StageRead    Stage = iota // read whole, and decoded
-	StageApplied              // in force for every decision
-	stages
+	StageRead    Stage = iota // read completely and decoded
+	StageApplied              // applied by the planner: every decision goes by it
+	stageCount
 )
 
-var stageNames = [stages]string{"read", "applied"}
+var stageNames = [stageCount]string{"read", "applied"}
 
-// Metrics are the measurements of one process.
+// Metrics are the measurements of one process. They implement core.Monitor, discovery.Monitor, operator.Part and
+// prometheus.Collector, and are safe for concurrent use.
 type Metrics struct {
-	waits       [core.QueueCount]prometheus.Observer
-	longest     [core.QueueCount]atomic.Int64 // ns, since the start of the process
-	ages        [stages]prometheus.Observer
-	versions    [stages]atomic.Int64
-	lastAge     [stages]atomic.Int64 // ns
-	oldest      [stages]atomic.Int64 // ns, since the start of the process
-	listBytes   prometheus.Counter
-	listBreaks  *prometheus.CounterVec
-	answers     [ledger.Events]prometheus.Counter
-	retries     [dw.OutcomeCount]prometheus.Counter
-	closes      *prometheus.CounterVec
-	overdue     prometheus.Counter
-	collectors  []prometheus.Collector
+	collectors []prometheus.Collector // all that are registered, but for the list's versions
+
+	waits    [core.QueueCount]prometheus.Observer // by queue, in seconds
+	maxWaits [core.QueueCount]atomic.Int64        // ns; since the start of the process
+
 	versionDesc *prometheus.Desc
+	versions    [stageCount]atomic.Int64 // of the endpoint list
+	ages        [stageCount]prometheus.Observer
+	lastAges    [stageCount]atomic.Int64 // ns; from a message's first byte
+	maxAges     [stageCount]atomic.Int64 // ns; since the start of the process
+	listBytes   prometheus.Counter
+	listBreaks  *prometheus.CounterVec // by reason
+
+	answers [ledger.Events]prometheus.Counter   // nil: not an event of the planner's
+	retries [dw.OutcomeCount]prometheus.Counter // by the outcome of the attempt before
+	closes  *prometheus.CounterVec              // of client connections, by reason
+	overdue prometheus.Counter                  // client connections
 }
 
 // New makes metrics that are all zero.
@@ -96,28 +100,29 @@
 // Waited implements core.Monitor.
 func (m *Metrics) Waited(q core.Queue, d time.Duration) {
 	m.waits[q].Observe(d.Seconds())
-	raise(&m.longest[q], int64(d))
+	storeMax(&m.maxWaits[q], int64(d))
 }
 
-// ListRead notes that a message of discovery's was read whole, so long after its first byte.
+// ListRead implements discovery.Monitor.
 func (m *Metrics) ListRead(version int64, bytes int, age time.Duration) {
 	m.listBytes.Add(float64(bytes))
-	m.reached(StageRead, version, age)
+	m.observeStage(StageRead, version, age)
 }
 
 // ListApplied implements core.Monitor.
 func (m *Metrics) ListApplied(version int64, age time.Duration) {
-	m.reached(StageApplied, version, age)
+	m.observeStage(StageApplied, version, age)
 }
 
-func (m *Metrics) reached(s Stage, version int64, age time.Duration) {
+// observeStage records that a version of the list reached a stage.
+func (m *Metrics) observeStage(s Stage, version int64, age time.Duration) {
 	m.versions[s].Store(version)
-	m.lastAge[s].Store(int64(age))
+	m.lastAges[s].Store(int64(age))
 	m.ages[s].Observe(age.Seconds())
-	raise(&m.oldest[s], int64(age))
+	storeMax(&m.maxAges[s], int64(age))
 }
 
-// ListBroke notes that the list's connection ended. The reason is one of a fixed set.
+// ListBroke implements discovery.Monitor.
 func (m *Metrics) ListBroke(reason string) { m.listBreaks.WithLabelValues(reason).Inc() }
 
 // Answered implements core.Monitor.
@@ -130,19 +135,23 @@
 // Retried implements core.Monitor.
 func (m *Metrics) Retried(after dw.Outcome) { m.retries[after].Inc() }
 
-// ConnectionClosed notes that a client's connection ended. The reason is one of a fixed set.
+// ConnectionClosed counts a client's connection that ended. The reason is one of a fixed set.
 func (m *Metrics) ConnectionClosed(reason string) { m.closes.WithLabelValues(reason).Inc() }
 
-// ConnectionsOverdue notes that so many client connections are held past their time.
+// ConnectionsOverdue counts client connections that are open after the time for them, at a drain or a shutdown.
 func (m *Metrics) ConnectionsOverdue(n int) { m.overdue.Add(float64(n)) }
 
-// raise sets v to at least n.
-func raise(v *atomic.Int64, n int64) {
-	for old := v.Load(); n > old && !v.CompareAndSwap(old, n); old = v.Load() {
+// storeMax sets v to n if that is more.
+func storeMax(v *atomic.Int64, n int64) {
+	for {
+		old := v.Load()
+		if n <= old || v.CompareAndSwap(old, n) {
+			return
+		}
 	}
 }
 
-// AppendFields appends the newest figures as fields of a JSON object, each behind a comma. Times are in milliseconds.
+// AppendFields appends the newest figures as fields of a JSON object, each after a comma. Times are in milliseconds.
 func (m *Metrics) AppendFields(b []byte) []byte {
 	field := func(name string, n int64) {
 		b = append(strconv.AppendQuote(append(b, ','), name), ':')
@@ -150,16 +159,16 @@
 	}
 	for s, name := range stageNames {
 		field("list_version_"+name, m.versions[s].Load())
-		field("list_age_"+name+"_ms", time.Duration(m.lastAge[s].Load()).Milliseconds())
-		field("list_age_"+name+"_max_ms", time.Duration(m.oldest[s].Load()).Milliseconds())
+		field("list_age_"+name+"_ms", time.Duration(m.lastAges[s].Load()).Milliseconds())
+		field("list_age_"+name+"_max_ms", time.Duration(m.maxAges[s].Load()).Milliseconds())
 	}
 	for q := range core.QueueCount {
-		field("wait_"+q.String()+"_max_ms", time.Duration(m.longest[q].Load()).Milliseconds())
+		field("wait_"+q.String()+"_max_ms", time.Duration(m.maxWaits[q].Load()).Milliseconds())
 	}
 	return b
 }
 
-// Pages implements operator.Part: there are none beside the metrics.
+// Pages implements operator.Part: there are no pages besides the metrics.
 func (m *Metrics) Pages(*http.ServeMux) {}
 
 // Describe implements prometheus.Collector.
