--- a/cmd/dewhitch/ledger_process.go
+++ b/cmd/dewhitch/ledger_process.go
@@ -23,7 +23,7 @@
 // poster is what the parts of the process post to the ledger by. It is safe for any goroutine.
 type poster interface {
 	platform.Books
-	forward.Books
+	forward.Recorder
 }
 
 // ledgerProcess is the ledger of a running process, with its recorder and its store, either of which may be off.
