--- /dev/null
+++ b/cmd/dewhitch/fleet_command.go
@@ -0,0 +1,239 @@
+package main
+
+import (
+	"context"
+	"encoding/json"
+	"fmt"
+	"io"
+	"maps"
+	"net/http"
+	"net/url"
+	"os"
+	"os/user"
+	"slices"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"dewhitch/internal/config"
+	"dewhitch/internal/fleet/agent"
+	"dewhitch/internal/fleet/evacuation"
+)
+
+// fleetCmd calls a member of a fleet through its operators' listener. The fields' names are those of the commands and flags.
+type fleetCmd struct {
+	At string `help:"The operators' listener of any member, host:port; operator.listen of the operators' file if none is named."`
+
+	Status fleetStatus `cmd:"" help:"Print the members, the leader and the plan."`
+	Freeze fleetFreeze `cmd:"" help:"Have the fleet settle nothing of itself, until thaw."`
+	Thaw   fleetThaw   `cmd:"" help:"End a freeze."`
+	Zones  fleetZones  `cmd:"" help:"Print what is settled of zones."`
+	Leave  fleetLeave  `cmd:"" help:"Have all gateways leave a zone's servers."`
+	Return fleetReturn `cmd:"" help:"Have all gateways return to a zone's servers."`
+	Work   workCmd     `cmd:"" help:"Machines out for work, in an order that the fleet settles."`
+}
+
+// Bounds of a call to a member.
+const (
+	callTimeout   = 15 * time.Second
+	maxAnswerSize = 16 << 20 // bytes
+)
+
+// memberError is a call that a member answered with an error.
+type memberError struct {
+	address string
+	status  int    // of HTTP
+	text    string // for operators
+}
+
+func (e *memberError) Error() string { return e.address + ": " + e.text }
+
+// address is the operators' listener to call: that of the flag, or that of the operators' file.
+func (c *fleetCmd) address() (string, error) {
+	if c.At != "" {
+		return c.At, nil
+	}
+	o, err := config.LoadOperations(cli.Operations)
+	if err != nil {
+		return "", err
+	}
+	if o.Operator.Listen == "" {
+		return "", fmt.Errorf("no --at, and operator.listen of %s is empty", cli.Operations)
+	}
+	return o.Operator.Listen, nil
+}
+
+// call sends a form to a member and returns the body of its answer. The error is a *memberError if the member answered with another
+// status than OK; the body is returned as well.
+func (c *fleetCmd) call(method, path string, form url.Values) ([]byte, error) {
+	address, err := c.address()
+	if err != nil {
+		return nil, err
+	}
+	ctx, stop := context.WithTimeout(context.Background(), callTimeout)
+	defer stop()
+	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, strings.NewReader(form.Encode()))
+	if err != nil {
+		return nil, err
+	}
+	request.Header.Set("Content-Type", "application/x-www-form-urlencoded")
+	answer, err := http.DefaultClient.Do(request)
+	if err != nil {
+		return nil, err
+	}
+	defer answer.Body.Close()
+	text, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerSize))
+	if err == nil && answer.StatusCode != http.StatusOK {
+		err = &memberError{address: address, status: answer.StatusCode, text: strings.TrimSpace(string(text))}
+	}
+	return text, err
+}
+
+// read decodes a page of a member into v, or prints it as it is if raw; done tells that it was printed.
+func (c *fleetCmd) read(page string, raw bool, v any) (done bool, err error) {
+	text, err := c.call(http.MethodGet, page, nil)
+	if err != nil {
+		return false, err
+	}
+	if raw {
+		_, err = os.Stdout.Write(text)
+		return true, err
+	}
+	return false, json.Unmarshal(text, v)
+}
+
+// fleetStatus prints the fleet as a member sees it.
+type fleetStatus struct {
+	JSON bool `help:"As JSON."`
+}
+
+func (s fleetStatus) Run() error {
+	var v agent.Status
+	if done, err := cli.Members.read("/fleet", s.JSON, &v); done || err != nil {
+		return err
+	}
+	quorum := "fresh: a leader with a quorum said so within the lease"
+	if !v.Quorum {
+		quorum = "OLD: nothing is settled, the last plan holds"
+	}
+	fmt.Printf("fleet %s, as %s sees it; plan %v, %s; leader %s, heard %d ms ago; folder: %s\n", v.Fleet, v.Name, v.Epoch, quorum, v.Leader,
+		v.LeaderAge, v.Folder)
+	if v.Frozen != nil {
+		fmt.Printf("frozen by %s since %s: %s\n", v.Frozen.By, time.UnixMilli(v.Frozen.At).Format(time.RFC3339), v.Frozen.Reason)
+	}
+	if len(v.Unacknowledged) > 0 {
+		fmt.Println("have not acknowledged the plan:", strings.Join(v.Unacknowledged, ", "))
+	}
+	return printMembers(v)
+}
+
+// printMembers prints a table of the members of a fleet.
+func printMembers(status agent.Status) error {
+	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(t, "member\tzone\tstate\tvotes\tacts on\tfresh\tlast report\tbegan")
+	for _, m := range status.Members {
+		age, began := "none", ""
+		if m.Age >= 0 {
+			age = fmt.Sprint(m.Age, " ms ago")
+			began = time.Unix(0, m.Incarnation).Format(time.RFC3339)
+		}
+		fmt.Fprintf(t, "%s\t%s\t%s\t%v\t%v\t%v\t%s\t%s\n", m.Name, m.Zone, m.State, m.Voter, m.Epoch, m.Fresh, age, began)
+	}
+	return t.Flush()
+}
+
+// operatorReason has the flags of every command that changes the plan.
+type operatorReason struct {
+	Why string `required:"" help:"Why; it goes into the plan and the logs."`
+	By  string `help:"Who asks (the user's name)."`
+}
+
+// post sends a command with the operator and the reason, and prints the answer.
+func (s operatorReason) post(verb string, form url.Values) error {
+	operator, err := s.operator()
+	if err != nil {
+		return err
+	}
+	if form == nil {
+		form = url.Values{}
+	}
+	form.Set("by", operator)
+	form.Set("why", s.Why)
+	text, err := cli.Members.call(http.MethodPost, "/fleet/"+verb, form)
+	if err == nil {
+		os.Stdout.Write(text)
+	}
+	return err
+}
+
+// operator is the name by the flag, or the user's.
+func (s operatorReason) operator() (string, error) {
+	if s.By != "" {
+		return s.By, nil
+	}
+	u, err := user.Current()
+	if err != nil {
+		return "", fmt.Errorf("--by: %w", err)
+	}
+	return u.Username, nil
+}
+
+// fleetFreeze stops the fleet's own decisions.
+type fleetFreeze struct{ operatorReason }
+
+func (s fleetFreeze) Run() error { return s.post("freeze", nil) }
+
+// fleetThaw ends a freeze.
+type fleetThaw struct{ operatorReason }
+
+func (s fleetThaw) Run() error { return s.post("thaw", nil) }
+
+// fleetZones prints the statuses of zones.
+type fleetZones struct {
+	JSON bool `help:"As JSON."`
+}
+
+func (z fleetZones) Run() error {
+	statuses := evacuation.Statuses{}
+	if done, err := cli.Members.read("/fleet/zones", z.JSON, &statuses); done || err != nil {
+		return err
+	}
+	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(t, "zone\tstate\tsince\tfailed returns\tprobers\tby\twhy")
+	for _, key := range slices.Sorted(maps.Keys(statuses)) {
+		status := statuses[key]
+		state := string(status.State)
+		if status.Hold {
+			state = "in, held"
+		}
+		by := status.By
+		if by == "" {
+			by = "the fleet"
+		}
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%s\n", key, state, time.UnixMilli(status.Since).Format(time.RFC3339), status.FailedProbes,
+			strings.Join(status.Probers, " "), by, status.Reason)
+	}
+	return t.Flush()
+}
+
+// fleetLeave evacuates a zone.
+type fleetLeave struct {
+	Zone string `arg:"" help:"The zone, by its full name."`
+	operatorReason
+	For time.Duration `help:"How long to stay away; without, until return."`
+}
+
+func (l fleetLeave) Run() error {
+	return l.post("leave", url.Values{"zone": {l.Zone}, "for_ms": {fmt.Sprint(l.For.Milliseconds())}})
+}
+
+// fleetReturn returns a zone to service, or holds it there.
+type fleetReturn struct {
+	Zone string `arg:"" help:"The zone, by its full name."`
+	operatorReason
+	Hold bool `help:"The fleet does not leave it of itself, until it is returned to without."`
+}
+
+func (r fleetReturn) Run() error {
+	return r.post("return", url.Values{"zone": {r.Zone}, "hold": {fmt.Sprint(r.Hold)}})
+}
--- /dev/null
+++ b/cmd/dewhitch/fleet_plan.go
@@ -0,0 +1,65 @@
+package main
+
+import (
+	"slices"
+	"time"
+
+	dw "dewhitch"
+	"dewhitch/internal/core"
+	"dewhitch/internal/fleet/agent"
+	"dewhitch/internal/fleet/evacuation"
+)
+
+// fleetPlan translates the fleet's decisions for the planner: names of zones and machines become indexes and server IDs. Machines that are
+// not listed are left out. The error is that of a section that can't be decoded.
+func (g *gateway) fleetPlan(d agent.Decisions) (core.FleetPlan, error) {
+	statuses := evacuation.Statuses{}
+	if _, err := d.Plan.Section(evacuation.Section, &statuses); err != nil {
+		return core.FleetPlan{}, err
+	}
+	now := g.planner.Instant(time.Now())
+	plan := core.FleetPlan{
+		Active:         true,
+		Zones:          zoneUses(statuses, g.n.Names.Zones, g.n.Settings.Zone, g.n.Name, now),
+		SlowStartRates: map[dw.ServerID]float64{},
+		InMaintenance:  map[dw.ServerID]bool{},
+	}
+	for id, rate := range d.SlowStart.Rates {
+		plan.SlowStartRates[dw.ServerID(id)] = rate
+	}
+	for name := range d.Withdrawn {
+		if id, ok := g.decoder.Lookup(name); ok {
+			plan.InMaintenance[id] = true
+		}
+	}
+	return plan, nil
+}
+
+// zoneUses returns how one gateway, by its name and the index of its zone, uses the zones that have a status. A start in its future, by
+// a leader whose clock is ahead, is taken for now.
+func zoneUses(statuses evacuation.Statuses, zones []string, own int, name string, now dw.Instant) map[int]core.ZoneUse {
+	from := zoneName(zones, own)
+	uses := map[int]core.ZoneUse{}
+	for i, zone := range zones {
+		if status, ok := statuses.For(from, zone); ok {
+			uses[i] = zoneUse(status, name, now)
+		}
+	}
+	return uses
+}
+
+// zoneUse is how a gateway uses a zone with a status: a returning one in slow start, a probed one for health checks if the gateway is a
+// prober, and otherwise not at all.
+func zoneUse(status evacuation.Status, gateway string, now dw.Instant) core.ZoneUse {
+	startedAt := min(now, core.FromUnixMS(status.Since))
+	switch {
+	case status.State == evacuation.Returning:
+		return core.ZoneUse{StartedAt: startedAt}
+	case status.State == evacuation.Probing && slices.Contains(status.Probers, gateway):
+		if status.AnyRequest {
+			return core.ZoneUse{StartedAt: startedAt, HealthCheck: dw.HealthCheckAny}
+		}
+		return core.ZoneUse{StartedAt: startedAt, HealthCheck: dw.HealthCheckIdempotent}
+	}
+	return core.ZoneUse{Avoid: true}
+}
--- a/cmd/dewhitch/uses_test.go
+++ b/cmd/dewhitch/fleet_plan_test.go
@@ -9,7 +9,7 @@
 	"dewhitch/internal/fleet/evacuation"
 )
 
-func TestUsesOfVerdicts(t *testing.T) {
+func TestZoneUses(t *testing.T) {
 	zones := []string{"hall-a", "hall-b", "hall-c"}
 	v := evacuation.Statuses{"hall-b": {State: evacuation.Probing, Probers: []string{"n1"}, Since: 5}, "hall-a>hall-c": {State: evacuation.Evacuated},
 		"hall-c": {Hold: true, State: evacuation.Returning}}
@@ -23,11 +23,11 @@
 		{1, "n1", map[int]core.ZoneUse{1: {StartedAt: since, HealthCheck: dw.HealthCheckIdempotent}}},
 		{2, "n2", map[int]core.ZoneUse{1: {Avoid: true}}},
 	} {
-		if got := uses(v, zones, c.own, c.name, core.FromUnixMS(9)); !maps.Equal(got, c.want) {
+		if got := zoneUses(v, zones, c.own, c.name, core.FromUnixMS(9)); !maps.Equal(got, c.want) {
 			t.Errorf("%s: %+v, expected %+v", c.name, got, c.want)
 		}
 	}
-	if got := uses(v, zones, 1, "n1", core.FromUnixMS(3)); got[1].StartedAt != core.FromUnixMS(3) {
+	if got := zoneUses(v, zones, 1, "n1", core.FromUnixMS(3)); got[1].StartedAt != core.FromUnixMS(3) {
 		t.Errorf("a start in the future: %+v", got)
 	}
 }
--- /dev/null
+++ b/cmd/dewhitch/fleet_watcher.go
@@ -0,0 +1,62 @@
+package main
+
+import (
+	dw "dewhitch"
+	"dewhitch/internal/core"
+	"dewhitch/internal/fleet/agent"
+	"dewhitch/internal/fleet/slowstart"
+)
+
+// fleetWatcher passes the planner's events to the fleet agent. The planner's goroutine calls it.
+type fleetWatcher struct {
+	agent *agent.Agent
+	zones []string // names, by the planner's index
+}
+
+// RequestReceived counts a request.
+func (w *fleetWatcher) RequestReceived() { w.agent.Tally().RequestReceived() }
+
+// EndpointsChanged passes the servers that are ready and in a zone with a name.
+func (w *fleetWatcher) EndpointsChanged(endpoints []dw.Endpoint) {
+	var servers []slowstart.Server
+	for _, e := range endpoints {
+		if e.State == dw.Ready && e.Zone < len(w.zones) {
+			servers = append(servers, slowstart.Server{
+				ID:    uint32(e.ID),
+				Zone:  w.zones[e.Zone],
+				Since: int64(e.StartedAt) / 1e6,
+			})
+		}
+	}
+	w.agent.EndpointsChanged(servers)
+}
+
+// AttemptStarted counts an attempt to a server in a zone with a name.
+func (w *fleetWatcher) AttemptStarted(id core.AttemptID, server dw.ServerID, zone int) {
+	if zone < len(w.zones) {
+		w.agent.Tally().AttemptStarted(fleetAttempt(id), w.zones[zone], uint32(server))
+	}
+}
+
+// AttemptEnded counts the outcome of an attempt, with the server's load report.
+func (w *fleetWatcher) AttemptEnded(id core.AttemptID, result core.AttemptResult) {
+	outcome := fleetOutcomes[result.Outcome]
+	w.agent.Tally().AttemptEnded(fleetAttempt(id), outcome, uint32(result.Load.Queue), uint32(result.Load.Inflight))
+}
+
+func fleetAttempt(id core.AttemptID) agent.AttemptID {
+	return agent.AttemptID{Request: string(id.RequestID), Attempt: id.Number}
+}
+
+// fleetOutcomes are the planner's outcomes as the fleet counts them. An attempt that was cancelled or never sent is no evidence on a
+// server.
+var fleetOutcomes = [dw.OutcomeCount]agent.Outcome{
+	dw.OutcomeOK:            agent.Served,
+	dw.OutcomeError:         agent.Failed,
+	dw.OutcomeRejected:      agent.Rejected,
+	dw.OutcomeTimeout:       agent.TimedOut,
+	dw.OutcomeConnectFailed: agent.ConnectFailed,
+	dw.OutcomeReset:         agent.Failed,
+	dw.OutcomeCancelled:     agent.NoOutcome,
+	dw.OutcomeNotSent:       agent.NoOutcome,
+}
