--- a/cmd/dewhitch/fleet.go
+++ b/cmd/dewhitch/fleet.go
@@ -115,7 +115,7 @@
 		case d := <-g.acts:
 			plan, err := g.fleetPlan(d)
 			if err != nil {
-				g.log.Error("fleet: the plan's zone statuses can't be decoded: the last ones hold", zap.Error(err))
+				g.log.Error("zone statuses of the fleet's plan can't be decoded, the last ones hold", zap.Error(err))
 				continue
 			}
 			if err := g.planner.ApplyFleetPlan(plan); err != nil {
