--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -26,19 +26,19 @@
 	"dewhitch/internal/standin/zookeeper"
 )
 
-// start runs members that know one another, and gives what ends them.
+// start runs members that know one another's addresses; stop ends them and waits.
 func start(t *testing.T, n int, dirs bool) (all []*Agent, stop func()) {
-	return startBy(t, n, dirs, nil)
+	return startWithRegistry(t, n, dirs, nil)
 }
 
-// startBy has them find one another in a registry, if one is given, and tells them nothing else.
-func startBy(t *testing.T, n int, dirs bool, reg *zookeeper.Server) (all []*Agent, stop func()) {
+// startWithRegistry has them find one another by a registry only, if one is given.
+func startWithRegistry(t *testing.T, n int, dirs bool, reg *zookeeper.Server) (all []*Agent, stop func()) {
 	t.Helper()
-	return startWith(t, n, dirs, reg, func(*Agent) {})
+	return startConfigured(t, n, dirs, reg, func(*Agent) {})
 }
 
-// startWith calls f with each of them before it runs.
-func startWith(t *testing.T, n int, dirs bool, reg *zookeeper.Server, f func(*Agent)) (all []*Agent, stop func()) {
+// startConfigured calls configure with each of them before it runs.
+func startConfigured(t *testing.T, n int, dirs bool, reg *zookeeper.Server, configure func(*Agent)) (all []*Agent, stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
@@ -72,66 +72,66 @@
 					Address: o.Gossip.Listen, Log: zap.NewNop()}, a.AddCandidates)
 			})
 		}
-		f(a)
+		configure(a)
 		all = append(all, a)
 		running.Go(func() { _ = a.Run(ctx) })
 	}
 	return all, func() { cancel(); running.Wait() }
 }
 
-// until waits for something that must come.
-func until(t *testing.T, what string, f func() bool) {
+// eventually waits for something that must happen.
+func eventually(t *testing.T, what string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !f(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(what, "does not come")
+			t.Fatal(what, "does not happen")
 		}
 	}
 }
 
-// ended waits until no goroutine is left: the library's probes outlive their list by their time-out.
-func ended(t *testing.T) {
+// waitForGoroutines waits until no goroutine is left: memberlist's probes outlive it by their timeout.
+func waitForGoroutines(t *testing.T) {
 	t.Helper()
-	until(t, "the end of all goroutines", func() bool { return goleak.Find() == nil })
+	eventually(t, "the end of all goroutines", func() bool { return goleak.Find() == nil })
 }
 
-// fresh waits until each has a fresh view of the others, and acts on the plan that names all of the voters: while they are taken in
-// one after the other, the plan goes on by itself.
-func fresh(t *testing.T, all []*Agent) {
+// waitUntilFresh waits until each has a fresh view of all others, and acts on the plan that names all voters: while the leader adds them
+// one by one, the plan changes without a command.
+func waitUntilFresh(t *testing.T, all []*Agent) {
 	for _, a := range all {
-		until(t, "the plan that names all voters", func() bool {
+		eventually(t, "the plan that names all voters", func() bool {
 			named := map[string]uint64{}
 			err := a.call(func() {
 				p := a.node.Plan()
 				_, _ = p.Section("voters", &named)
 			})
-			return err == nil && len(named) == len(a.o.Voters)
+			return err == nil && len(named) == len(a.options.Voters)
 		})
-		until(t, "a fresh view", func() bool {
+		eventually(t, "a fresh view", func() bool {
 			s, err := a.Status()
 			return err == nil && s.Quorum && len(s.Members) == len(all)
 		})
 	}
 }
 
-func TestFoundByRegistry(t *testing.T) {
-	defer ended(t)
+func TestMembersFindOneAnotherByRegistry(t *testing.T) {
+	defer waitForGoroutines(t)
 	z, err := zookeeper.New()
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer z.Close()
-	all, stop := startBy(t, 4, false, z)
+	all, stop := startWithRegistry(t, 4, false, z)
 	defer stop()
-	fresh(t, all)
-	// All sessions lapse at once, as when the registry was away for long: nobody is gone by that, and the nodes come anew.
+	waitUntilFresh(t, all)
+	// All sessions expire at once, as after a long outage of the registry: no member is gone for that, and the nodes are created anew.
 	names, owners := []string{"g0", "g1", "g2", "g3"}, map[string]int64{}
 	for _, n := range names {
 		owners[n] = z.Owner("/members/test/" + n)
 		z.Expire(owners[n])
 	}
 	for _, n := range names {
-		until(t, "a new node of "+n, func() bool {
+		eventually(t, "a new node of "+n, func() bool {
 			now := z.Owner("/members/test/" + n)
 			return now != 0 && now != owners[n]
 		})
@@ -139,7 +139,7 @@
 	for _, a := range all {
 		s, err := a.Status()
 		if err != nil || !s.Quorum || len(s.Members) != len(all) {
-			t.Errorf("%s after the registry's sessions lapsed: %+v %v", s.Name, s, err)
+			t.Errorf("%s after the registry's sessions expired: %+v %v", s.Name, s, err)
 		}
 		for _, m := range s.Members {
 			if m.State != "alive" {
@@ -149,11 +149,11 @@
 	}
 }
 
-func TestOperatorsCalls(t *testing.T) {
-	defer ended(t)
+func TestOperatorCommands(t *testing.T) {
+	defer waitForGoroutines(t)
 	all, stop := start(t, 4, true)
 	defer stop()
-	fresh(t, all)
+	waitUntilFresh(t, all)
 	mux := http.NewServeMux()
 	all[3].Pages(mux)
 	server := httptest.NewServer(mux)
@@ -182,18 +182,18 @@
 		t.Errorf("an unknown verb: %d", code)
 	}
 	if s, _ := all[3].Status(); s.Epoch != before.Epoch {
-		t.Errorf("refused calls changed the plan: %v, %v", before.Epoch, s.Epoch)
+		t.Errorf("rejected commands changed the plan: %v, %v", before.Epoch, s.Epoch)
 	}
 	if code, text := post("freeze", url.Values{"by": {"me"}, "why": {"so"}}); code != http.StatusOK || !strings.HasPrefix(text, "YES ") {
 		t.Fatalf("%d %s", code, text)
 	}
 	for _, a := range all {
-		until(t, "the freeze", func() bool {
+		eventually(t, "the freeze", func() bool {
 			s, _ := a.Status()
 			return s.Frozen != nil && s.Frozen.Reason == "so"
 		})
 	}
-	until(t, "everybody's acknowledgement", func() bool {
+	eventually(t, "everybody's acknowledgement", func() bool {
 		s, _ := all[0].Status()
 		return len(s.Unacknowledged) == 0
 	})
@@ -208,19 +208,19 @@
 	}
 }
 
-// A voter comes back with its folder as the same voter; a folder that another process has is refused, and says so.
-func TestFolder(t *testing.T) {
-	defer ended(t)
+// A voter restarts with its storage under the same identity; storage that another process has open is rejected with an error that says so.
+func TestVoterStorageAcrossRestart(t *testing.T) {
+	defer waitForGoroutines(t)
 	all, stop := start(t, 1, true)
-	fresh(t, all)
+	waitUntilFresh(t, all)
 	if _, err := all[0].Submit(t.Context(), "freeze", fleet.EncodeNote("me", "so")); err != nil {
 		t.Fatal(err)
 	}
-	o := all[0].o
+	o := all[0].options
 	if _, err := Open(o); err == nil || !strings.Contains(err.Error(), "another process has the folder") {
-		t.Errorf("a folder that is held: %v", err)
+		t.Errorf("storage that is open elsewhere: %v", err)
 	}
-	stop() // what its goroutine owns may be looked at from then on
+	stop() // from here on the test may read what its goroutine owned
 	was := all[0].node.Self().Identity
 	again, err := Open(o)
 	if err != nil {
@@ -232,17 +232,17 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	running.Go(func() { _ = again.Run(ctx) })
-	until(t, "the plan of its last life", func() bool {
+	eventually(t, "the plan of its last process", func() bool {
 		s, _ := again.Status()
 		return s.Frozen != nil && s.Quorum
 	})
 	cancel()
 	running.Wait()
-	if err := os.WriteFile(filepath.Join(o.Dir, "fleet.db"), []byte("not what was kept"), 0o640); err != nil {
+	if err := os.WriteFile(filepath.Join(o.Dir, "fleet.db"), []byte("not what was stored"), 0o640); err != nil {
 		t.Fatal(err)
 	}
 	if _, err := Open(o); err == nil {
-		t.Error("a garbled folder is taken")
+		t.Error("garbled storage is accepted")
 	}
 	if _, err := again.Submit(t.Context(), "thaw", nil); !errors.Is(err, ErrEnded) {
 		t.Errorf("a member that has ended: %v", err)
--- a/internal/fleet/agent/golden_fleet_test.go
+++ b/internal/fleet/agent/golden_fleet_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// timeless puts 1 in place of the times of a page, which the clock gives, and writes it with sorted keys.
-func timeless(t *testing.T, page []byte) []byte {
+// withoutTimes puts 1 in place of the times of a page, which the clock gives, and writes it with sorted keys.
+func withoutTimes(t *testing.T, page []byte) []byte {
 	t.Helper()
 	var v any
 	if err := json.Unmarshal(page, &v); err != nil {
@@ -79,11 +79,11 @@
 // TestGoldenPages freezes the pages of a running member: paths, the fields of the operators' forms, answers, and what is
 // shown then; and the names, kinds and labels of its metrics.
 func TestGoldenPages(t *testing.T) {
-	defer ended(t)
+	defer waitForGoroutines(t)
 	all, stop := start(t, 1, false)
 	defer stop()
-	fresh(t, all)
-	until(t, "the roster", func() bool {
+	waitUntilFresh(t, all)
+	eventually(t, "the roster", func() bool {
 		var roster map[string]int64
 		err := all[0].call(func() {
 			p := all[0].node.Plan()
@@ -142,7 +142,7 @@
 		if code != 200 {
 			t.Fatalf("%s: %d %s", page, code, text)
 		}
-		golden.Compare(t, file, timeless(t, text))
+		golden.Compare(t, file, withoutTimes(t, text))
 	}
 	var want, got map[string]any
 	if err := json.Unmarshal(golden.Read(t, "status.json"), &want); err != nil {
@@ -178,16 +178,16 @@
 	golden.Compare(t, "metrics.txt", []byte(lines.String()))
 }
 
-// TestGoldenForms freezes how a call about work becomes the arguments that the leader reads.
+// TestGoldenForms freezes how a maintenance command becomes the arguments that the leader reads.
 func TestGoldenForms(t *testing.T) {
-	args, err := ofWork(url.Values{"by": {"alice"}, "why": {"kernel"}, "key": {"k1"}, "kind": {"off"}, "for_ms": {"11"}, "not_before": {"12"},
+	args, err := parseMaintenanceCommand(url.Values{"by": {"alice"}, "why": {"kernel"}, "key": {"k1"}, "kind": {"off"}, "for_ms": {"11"}, "not_before": {"12"},
 		"machine": {"s-00000001", "s-00000002"}, "id": {"13"}, "after": {"14"}})
 	if err != nil {
 		t.Fatal(err)
 	}
 	golden.Compare(t, "form-work.cbor", args)
 	for _, key := range []string{"for_ms", "not_before", "id", "after"} {
-		if _, err := ofWork(url.Values{key: {"x"}}); err == nil || !strings.HasPrefix(err.Error(), key+": ") {
+		if _, err := parseMaintenanceCommand(url.Values{key: {"x"}}); err == nil || !strings.HasPrefix(err.Error(), key+": ") {
 			t.Errorf("%s: %v", key, err)
 		}
 	}
@@ -198,7 +198,7 @@
 	if got := Machine(0x0a0b0c0d); got != "s-0a0b0c0d" {
 		t.Error(got)
 	}
-	if id, ok := serverOf("s-0a0b0c0d"); !ok || id != 0x0a0b0c0d {
+	if id, ok := parseMachine("s-0a0b0c0d"); !ok || id != 0x0a0b0c0d {
 		t.Error(id, ok)
 	}
 }
--- /dev/null
+++ b/internal/fleet/agent/observe.go
@@ -0,0 +1,30 @@
+package agent
+
+import (
+	"time"
+
+	"dewhitch/internal/fleet"
+)
+
+// observe passes what a member's report adds on to the policies.
+func (a *Agent) observe(now time.Duration, from fleet.Peer, delta fleet.Report) {
+	a.zones.Observe(now, from.Name, from.Status.Zone, from.Status.Region, delta)
+	a.slowStart.Observe(now, from.Name, from.Status.GrantSeq, delta)
+	for id, c := range delta.Servers {
+		a.maintenance.Observe(now, Machine(id), c.Served, c.ConnectFailed+c.Failed, c.TimedOut, c.AnsweredLate)
+	}
+	if from.Name == a.options.Gossip.Name {
+		a.observeOwn(now, delta)
+	}
+}
+
+// observeOwn counts this gateway's own attempts, wherever they went. A rejection is neither: the server is reachable, but has no
+// capacity.
+func (a *Agent) observeOwn(now time.Duration, delta fleet.Report) {
+	good, bad := uint64(0), uint64(0)
+	for _, c := range delta.Zones {
+		good += c.Served + c.AnsweredLate
+		bad += c.ConnectFailed + c.TimedOut + c.Failed
+	}
+	a.drain.monitor.Observe(now, good, bad)
+}
--- /dev/null
+++ b/internal/fleet/agent/slow_start.go
@@ -0,0 +1,93 @@
+package agent
+
+import (
+	"slices"
+	"time"
+
+	"dewhitch/internal/fleet"
+	"dewhitch/internal/fleet/evacuation"
+	"dewhitch/internal/fleet/slowstart"
+)
+
+const allocationInterval = 200 * time.Millisecond // between two allocations of slow-start rates by the leader
+
+// EndpointsChanged tells of the servers that are listed and ready, at each change. It does not block, and takes over the slice.
+func (a *Agent) EndpointsChanged(servers []slowstart.Server) { a.endpoints.Store(&servers) }
+
+func (a *Agent) listedServers() []slowstart.Server {
+	if p := a.endpoints.Load(); p != nil {
+		return *p
+	}
+	return nil
+}
+
+// grantFor is the leader's grant to a member: what it may send to servers in slow start, and to those of zones that are recovering
+// or health-checked. Nil while there are none.
+func (a *Agent) grantFor(now time.Duration, to fleet.Peer, seq uint64) []byte {
+	if now >= a.nextAllocation {
+		a.nextAllocation = now + allocationInterval
+		a.allocated = a.allocate(now)
+	}
+	if !a.allocated {
+		return nil
+	}
+	return a.slowStart.Grant(now, to.Name, seq).Encode()
+}
+
+// allocate divides slow-start rates among gateways, by the plan and the endpoint list; false: there are none to divide.
+func (a *Agent) allocate(now time.Duration) bool {
+	p := a.node.Plan()
+	statuses, err := zoneStatuses(&p)
+	if err != nil {
+		return false
+	}
+	servers := serversByZoneState(a.listedServers(), statuses)
+	_, unix := a.now()
+	return a.slowStart.Allocate(now, unix, servers, a.maySend(servers, statuses))
+}
+
+// serversByZoneState restricts the use of servers in evacuated zones. A server's slow start begins anew with its zone's return.
+func serversByZoneState(listed []slowstart.Server, statuses evacuation.Statuses) []slowstart.Server {
+	servers := slices.Clone(listed)
+	for i := range servers {
+		s := &servers[i]
+		status, ok := statuses[s.Zone]
+		if !ok || status.Hold {
+			continue
+		}
+		s.Since = max(s.Since, status.Since)
+		switch status.State {
+		case evacuation.Returning:
+			s.Use = slowstart.UseFully
+		case evacuation.Probing:
+			s.Use = slowstart.UseForHealthChecks
+		default:
+			s.Use = slowstart.UseNever
+		}
+	}
+	return servers
+}
+
+// maySend returns whether a gateway may send to a server, by the state of the server's zone as seen from the gateway's.
+func (a *Agent) maySend(servers []slowstart.Server, statuses evacuation.Statuses) func(gateway string, server uint32) bool {
+	zones := map[uint32]string{}
+	for _, s := range servers {
+		zones[s.ID] = s.Zone
+	}
+	type path struct{ from, to string }
+	rules := map[path]func(gateway string) bool{} // computed once a path: it is asked for every pair of gateway and server
+	return func(gateway string, server uint32) bool {
+		from, _ := a.zones.ZoneOf(gateway)
+		p := path{from, zones[server]}
+		rule := rules[p]
+		if rule == nil {
+			status, evacuated := statuses.For(p.from, p.to)
+			rule = func(gateway string) bool {
+				return !evacuated || status.State == evacuation.Returning ||
+					status.State == evacuation.Probing && slices.Contains(status.Probers, gateway)
+			}
+			rules[p] = rule
+		}
+		return rule(gateway)
+	}
+}
--- /dev/null
+++ b/internal/fleet/agent/status.go
@@ -0,0 +1,102 @@
+package agent
+
+import (
+	"maps"
+	"slices"
+
+	"dewhitch/internal/fleet"
+	"dewhitch/internal/fleet/gossip"
+)
+
+// States of a voter's storage in Status.Folder.
+const (
+	folderNone   = "none"   // nothing is stored
+	folderKept   = "kept"   // writes succeed
+	folderHalted = "halted" // the last write failed
+)
+
+// MemberStatus is a member on the status page.
+type MemberStatus struct {
+	gossip.Member
+	Epoch       fleet.Epoch `json:"epoch"`          // of the plan that it acts on, by its last status
+	Incarnation int64       `json:"incarnation"`    // when its process started, Unix ns; 0: there is no status of it yet
+	Age         int64       `json:"last_report_ms"` // since its last status; -1: there is none
+	Fresh       bool        `json:"fresh"`          // its view, by its last status
+	Voter       bool        `json:"voter"`          // by configuration
+}
+
+// Status is the status page.
+type Status struct {
+	Name           string              `json:"name"`
+	Fleet          string              `json:"fleet"`
+	Leader         string              `json:"leader"`
+	LeaderAge      int64               `json:"leader_ms"` // since the leader was last heard of
+	Quorum         bool                `json:"quorum"`    // the view is fresh: a leader with a quorum confirmed it within the lease
+	Epoch          fleet.Epoch         `json:"epoch"`
+	Sections       []string            `json:"sections"` // of the plan, sorted
+	Frozen         *fleet.OperatorMark `json:"frozen,omitempty"`
+	Unacknowledged []string            `json:"unacknowledged"` // members that do not act on the plan yet
+	Members        []MemberStatus      `json:"members"`
+	PassedOver     uint64              `json:"passed_over"` // messages and reports that were dropped as unusable
+	Folder         string              `json:"folder"`      // of a voter's storage: kept, halted, or none
+}
+
+// Status returns this member's view; the error is ErrEnded.
+func (a *Agent) Status() (s Status, err error) {
+	err = a.call(func() { s = a.status() })
+	return s, err
+}
+
+// status runs on the agent's goroutine.
+func (a *Agent) status() Status {
+	p := a.node.Plan()
+	leader, ago := a.node.Leader()
+	s := Status{
+		Name:           a.options.Gossip.Name,
+		Fleet:          a.options.Gossip.Fleet,
+		Leader:         leader,
+		LeaderAge:      ago.Milliseconds(),
+		Quorum:         a.node.Self().Fresh,
+		Epoch:          p.Epoch,
+		Sections:       slices.Sorted(maps.Keys(p.Sections)),
+		Unacknowledged: a.node.Unacknowledged(p.Epoch),
+		PassedOver:     a.node.Dropped(),
+		Folder:         a.folderState(),
+	}
+	if m, ok := p.Frozen(); ok {
+		s.Frozen = &m
+	}
+	for _, m := range a.gossip.Members() {
+		s.Members = append(s.Members, a.memberStatus(m))
+	}
+	return s
+}
+
+func (a *Agent) folderState() string {
+	switch {
+	case a.storage.store == nil:
+		return folderNone
+	case a.storage.halted():
+		return folderHalted
+	}
+	return folderKept
+}
+
+func (a *Agent) memberStatus(m gossip.Member) MemberStatus {
+	s := MemberStatus{Member: m, Age: -1, Voter: slices.Contains(a.options.Voters, m.Name)}
+	if m.Name == a.options.Gossip.Name {
+		s.Epoch = a.node.Plan().Epoch
+		s.Incarnation = a.startedAt.UnixNano()
+		s.Age = 0
+		s.Fresh = a.node.Fresh()
+		return s
+	}
+	if p, ok := a.node.Peer(m.Name); ok && p.HasStatus {
+		now, _ := a.now()
+		s.Epoch = p.Status.Epoch
+		s.Incarnation = p.StartedAt
+		s.Age = (now - p.LastStatusAt).Milliseconds()
+		s.Fresh = p.Status.Fresh
+	}
+	return s
+}
--- a/internal/fleet/agent/tally.go
+++ b/internal/fleet/agent/tally.go
@@ -9,7 +9,17 @@
 	"dewhitch/internal/fleet"
 )
 
-// Outcome is what a fetch came to, as the fleet counts it.
+const (
+	maxServers  = fleet.MaxObservedServers // counted; beyond it all are forgotten and counted anew
+	maxAttempts = 1 << 16                  // in flight and counted; more are not
+
+	// An attempt is late after lateFactor times the mean latency, or minLateAfter if that is longer.
+	minLateAfter     = 120 * time.Millisecond
+	lateFactor       = 2.5
+	latencySmoothing = 0.02 // weight of a new latency in the moving average
+)
+
+// Outcome is the result of an attempt.
 type Outcome int
 
 // The outcomes.
@@ -19,170 +29,188 @@
 	TimedOut
 	Failed
 	Rejected
-	NoOutcome // it was withdrawn, or never left
+	NoOutcome // cancelled, or never sent: it tells nothing of the server
 )
 
-// AttemptID names a fetch that is out.
+// AttemptID identifies an attempt in flight.
 type AttemptID struct {
 	Request string
 	Attempt int
 }
 
-// Tally counts what this process sees of zones and servers. A fetch that is out for longer than others take is counted as
-// silent then, and not when somebody gives it up: evidence has to come in good time. The servers that changed since they
-// were last told go first, so that all come in turns.
+// Tally counts this process's attempts by zone and server, for its reports. An attempt counts as timed out as soon as it takes much
+// longer than usual, not when a client or deadline gives it up, so that evidence of an outage is early. All methods may be called from
+// any goroutine.
 type Tally struct {
-	mu      sync.Mutex
-	now     func() time.Time
-	zones   map[string]fleet.AttemptCounts
-	servers map[uint32]*server
-	changed []uint32 // in the order in which they first changed since they were told
-	open    map[AttemptID]*open
-	asked   uint64  // reqs that were taken in
-	usual   float64 // seconds that a served fetch takes, smoothed
+	mu          sync.Mutex
+	now         func() time.Time
+	zones       map[string]fleet.AttemptCounts
+	servers     map[uint32]*tallyServer
+	changed     []uint32 // servers to report, in the order in which they changed since their last report
+	attempts    map[AttemptID]*openAttempt
+	requests    uint64  // received from clients
+	meanLatency float64 // seconds, of served attempts, exponential moving average; 0: none was served
 }
 
-type open struct {
-	zone  string
-	id    uint32
-	began time.Time
-	late  bool
+type openAttempt struct {
+	zone      string
+	server    uint32
+	startedAt time.Time
+	late      bool // counted as timed out
 }
 
-type server struct {
+type tallyServer struct {
 	fleet.ServerReport
-	waits bool // it is among the changed
+	queued bool // in changed
 }
 
-const (
-	mostKept  = fleet.MaxObservedServers // servers
-	mostOpen  = 1 << 16
-	leastMark = 120 * time.Millisecond // before a fetch is late, at least
-	markTimes = 2.5                    // what fetches usually take
-	smooth    = 0.02
-)
-
 func newTally(now func() time.Time) *Tally {
-	return &Tally{now: now, zones: map[string]fleet.AttemptCounts{}, servers: map[uint32]*server{}, open: map[AttemptID]*open{}}
+	return &Tally{
+		now:      now,
+		zones:    map[string]fleet.AttemptCounts{},
+		servers:  map[uint32]*tallyServer{},
+		attempts: map[AttemptID]*openAttempt{},
+	}
 }
 
-// RequestReceived counts a req that was taken in.
+// RequestReceived counts a client's request.
 func (t *Tally) RequestReceived() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.asked++
+	t.requests++
 }
 
-// AttemptStarted counts a fetch that is out.
-func (t *Tally) AttemptStarted(f AttemptID, zone string, id uint32) {
+// AttemptStarted records that an attempt is in flight.
+func (t *Tally) AttemptStarted(id AttemptID, zone string, server uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if len(t.open) < mostOpen {
-		t.open[f] = &open{zone: zone, id: id, began: t.now()}
+	if len(t.attempts) < maxAttempts {
+		t.attempts[id] = &openAttempt{zone: zone, server: server, startedAt: t.now()}
 	}
 }
 
-// AttemptEnded counts what became of it; queue and inflight as the server last told.
-func (t *Tally) AttemptEnded(f AttemptID, o Outcome, queue, inflight uint32) {
+// AttemptEnded counts an attempt's outcome. queue and inFlight are the load that the server last reported.
+func (t *Tally) AttemptEnded(id AttemptID, o Outcome, queue, inFlight uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	v := t.open[f]
-	if v == nil {
+	attempt := t.attempts[id]
+	if attempt == nil {
 		return
 	}
-	delete(t.open, f)
-	took := t.now().Sub(v.began)
+	delete(t.attempts, id)
+	latency := t.now().Sub(attempt.startedAt)
 	if o == Served || o == Rejected {
-		if s := t.servers[v.id]; s != nil {
-			s.Queue, s.InFlight = queue, inflight
+		if s := t.servers[attempt.server]; s != nil {
+			s.Queue = queue
+			s.InFlight = inFlight
 		}
 	}
-	if v.late && o == Served { // how slow a zone is shows in those most of all
-		t.add(v.zone, v.id, fleet.AttemptCounts{AnsweredLate: 1, LatencyMicros: uint64(took.Microseconds())})
-	}
-	if v.late || o == NoOutcome {
-		return
+	switch {
+	case attempt.late && o == Served: // its latency counts too: it tells most about a slow zone
+		t.add(attempt, fleet.AttemptCounts{AnsweredLate: 1, LatencyMicros: uint64(latency.Microseconds())})
+	case !attempt.late && o != NoOutcome:
+		if o == Served {
+			t.observeLatency(latency.Seconds())
+		}
+		t.add(attempt, countOf(o, latency))
 	}
-	one := fleet.AttemptCounts{Attempts: 1}
+}
+
+// countOf is one attempt as counters.
+func countOf(o Outcome, latency time.Duration) fleet.AttemptCounts {
+	c := fleet.AttemptCounts{Attempts: 1}
 	switch o {
 	case Served:
-		one.Served, one.LatencyMicros = 1, uint64(took.Microseconds())
-		if t.usual == 0 {
-			t.usual = took.Seconds()
-		}
-		t.usual += smooth * (took.Seconds() - t.usual)
+		c.Served = 1
+		c.LatencyMicros = uint64(latency.Microseconds())
 	case ConnectFailed:
-		one.ConnectFailed = 1
+		c.ConnectFailed = 1
 	case TimedOut:
-		one.TimedOut = 1
+		c.TimedOut = 1
 	case Failed:
-		one.Failed = 1
+		c.Failed = 1
 	case Rejected:
-		one.Rejected = 1
+		c.Rejected = 1
+	case NoOutcome:
+	}
+	return c
+}
+
+func (t *Tally) observeLatency(seconds float64) {
+	if t.meanLatency == 0 {
+		t.meanLatency = seconds
 	}
-	t.add(v.zone, v.id, one)
+	t.meanLatency += latencySmoothing * (seconds - t.meanLatency)
 }
 
-func (t *Tally) add(zone string, id uint32, c fleet.AttemptCounts) {
-	z := t.zones[zone]
-	z.Add(c)
-	t.zones[zone] = z
-	s := t.servers[id]
+// add adds to the counters of an attempt's zone and server.
+func (t *Tally) add(attempt *openAttempt, c fleet.AttemptCounts) {
+	zone := t.zones[attempt.zone]
+	zone.Add(c)
+	t.zones[attempt.zone] = zone
+	s := t.servers[attempt.server]
 	if s == nil {
-		if len(t.servers) >= mostKept {
-			clear(t.servers) // those that are still there come anew; the zones go on
+		if len(t.servers) >= maxServers {
+			clear(t.servers)
 			t.changed = nil
 		}
-		s = &server{}
-		t.servers[id] = s
+		s = &tallyServer{}
+		t.servers[attempt.server] = s
 	}
-	s.Zone = zone
+	s.Zone = attempt.zone
 	s.AttemptCounts.Add(c)
-	if !s.waits {
-		s.waits = true
-		t.changed = append(t.changed, id)
+	if !s.queued {
+		s.queued = true
+		t.changed = append(t.changed, attempt.server)
 	}
 }
 
-// busy are the servers that fetches are out to.
-func (t *Tally) busy() map[uint32]bool {
+// serversInFlight are the servers that attempts are in flight to.
+func (t *Tally) serversInFlight() map[uint32]bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	ids := map[uint32]bool{}
-	for _, v := range t.open {
-		ids[v.id] = true
+	servers := map[uint32]bool{}
+	for _, attempt := range t.attempts {
+		servers[attempt.server] = true
 	}
-	return ids
+	return servers
 }
 
-// mark is how long a fetch may be out before it is late.
-func (t *Tally) mark() time.Duration {
-	return max(leastMark, time.Duration(markTimes*t.usual*float64(time.Second)))
+// lateAfter is how long an attempt may take before it counts as timed out.
+func (t *Tally) lateAfter() time.Duration {
+	return max(minLateAfter, time.Duration(lateFactor*t.meanLatency*float64(time.Second)))
 }
 
-// report is the next one, with servers where it is whole.
-func (t *Tally) report(whole bool) *fleet.Report {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	now, mark := t.now(), t.mark()
-	for _, v := range t.open {
-		if !v.late && now.Sub(v.began) > mark {
-			v.late = true
-			t.add(v.zone, v.id, fleet.AttemptCounts{Attempts: 1, TimedOut: 1})
+// countLate counts attempts in flight as timed out once they are late.
+func (t *Tally) countLate() {
+	now := t.now()
+	limit := t.lateAfter()
+	for _, attempt := range t.attempts {
+		if !attempt.late && now.Sub(attempt.startedAt) > limit {
+			attempt.late = true
+			t.add(attempt, fleet.AttemptCounts{Attempts: 1, TimedOut: 1})
 		}
 	}
-	if len(t.zones) == 0 && t.asked == 0 {
+}
+
+// report returns the next report; a full one has the servers that changed, up to MaxReportedServers in turns. Nil: there is nothing
+// to report yet.
+func (t *Tally) report(full bool) *fleet.Report {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	t.countLate()
+	if len(t.zones) == 0 && t.requests == 0 {
 		return nil
 	}
-	r := &fleet.Report{Zones: maps.Clone(t.zones), Requests: t.asked}
-	if !whole {
+	r := &fleet.Report{Zones: maps.Clone(t.zones), Requests: t.requests}
+	if !full {
 		return r
 	}
 	r.Servers = map[uint32]fleet.ServerReport{}
 	n := min(len(t.changed), fleet.MaxReportedServers)
 	for _, id := range t.changed[:n] {
 		s := t.servers[id]
-		s.waits = false
+		s.queued = false
 		r.Servers[id] = s.ServerReport
 	}
 	t.changed = slices.Delete(t.changed, 0, n)
--- a/internal/fleet/agent/tally_test.go
+++ b/internal/fleet/agent/tally_test.go
@@ -10,41 +10,41 @@
 
 func TestTally(t *testing.T) {
 	now := time.Unix(0, 0)
-	y := newTally(func() time.Time { return now })
+	tally := newTally(func() time.Time { return now })
 	for i := range 10 {
-		y.AttemptStarted(AttemptID{fmt.Sprint(i), 0}, "a", 1)
+		tally.AttemptStarted(AttemptID{fmt.Sprint(i), 0}, "a", 1)
 		now = now.Add(20 * time.Millisecond)
-		y.AttemptEnded(AttemptID{fmt.Sprint(i), 0}, Served, 3, 4)
+		tally.AttemptEnded(AttemptID{fmt.Sprint(i), 0}, Served, 3, 4)
 	}
-	y.AttemptStarted(AttemptID{"late", 0}, "b", 2)
-	y.AttemptStarted(AttemptID{"gone", 0}, "b", 2)
-	y.AttemptEnded(AttemptID{"gone", 0}, NoOutcome, 0, 0)
-	if r := y.report(true); r.Zones["b"].Attempts != 0 || r.Zones["a"].Served != 10 || r.Servers[1].Queue != 3 {
+	tally.AttemptStarted(AttemptID{"late", 0}, "b", 2)
+	tally.AttemptStarted(AttemptID{"cancelled", 0}, "b", 2)
+	tally.AttemptEnded(AttemptID{"cancelled", 0}, NoOutcome, 0, 0)
+	if r := tally.report(true); r.Zones["b"].Attempts != 0 || r.Zones["a"].Served != 10 || r.Servers[1].Queue != 3 {
 		t.Errorf("%+v", r)
 	}
-	now = now.Add(leastMark + time.Millisecond)
-	if r := y.report(true); r.Zones["b"] != (fleet.AttemptCounts{Attempts: 1, TimedOut: 1}) || len(r.Servers) != 1 {
-		t.Errorf("a fetch that is late is silent now: %+v", r)
+	now = now.Add(minLateAfter + time.Millisecond)
+	if r := tally.report(true); r.Zones["b"] != (fleet.AttemptCounts{Attempts: 1, TimedOut: 1}) || len(r.Servers) != 1 {
+		t.Errorf("a late attempt counts as timed out: %+v", r)
 	}
-	y.AttemptEnded(AttemptID{"late", 0}, Served, 0, 0)
-	y.AttemptEnded(AttemptID{"late", 0}, Served, 0, 0)
-	took := uint64((leastMark + time.Millisecond).Microseconds())
-	if r := y.report(true); r.Zones["b"] != (fleet.AttemptCounts{Attempts: 1, TimedOut: 1, AnsweredLate: 1, LatencyMicros: took}) {
-		t.Errorf("it is counted once, and that it was served after all, with its time: %+v", r)
+	tally.AttemptEnded(AttemptID{"late", 0}, Served, 0, 0)
+	tally.AttemptEnded(AttemptID{"late", 0}, Served, 0, 0)
+	latency := uint64((minLateAfter + time.Millisecond).Microseconds())
+	if r := tally.report(true); r.Zones["b"] != (fleet.AttemptCounts{Attempts: 1, TimedOut: 1, AnsweredLate: 1, LatencyMicros: latency}) {
+		t.Errorf("its late answer counts once, with its latency: %+v", r)
 	}
 }
 
-// All servers that changed come in turns, a report's number at a time.
-func TestTallyTakesTurns(t *testing.T) {
-	y := newTally(time.Now)
+// Reports name all changed servers in turns, MaxReportedServers at a time.
+func TestTallyReportsServersInTurns(t *testing.T) {
+	tally := newTally(time.Now)
 	const servers = 3*fleet.MaxReportedServers + 1
 	for id := range uint32(servers) {
-		y.AttemptStarted(AttemptID{"r", int(id)}, "a", id)
-		y.AttemptEnded(AttemptID{"r", int(id)}, Failed, 0, 0)
+		tally.AttemptStarted(AttemptID{"r", int(id)}, "a", id)
+		tally.AttemptEnded(AttemptID{"r", int(id)}, Failed, 0, 0)
 	}
 	seen := map[uint32]bool{}
 	for range 4 {
-		r := y.report(true)
+		r := tally.report(true)
 		if len(r.Servers) > fleet.MaxReportedServers {
 			t.Fatalf("%d servers in a report", len(r.Servers))
 		}
@@ -53,6 +53,6 @@
 		}
 	}
 	if len(seen) != servers {
-		t.Errorf("%d of %d servers came", len(seen), servers)
+		t.Errorf("%d of %d servers were reported", len(seen), servers)
 	}
 }
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -43,6 +43,14 @@
 	Role    string `cbor:"5,keyasint" json:"role"`
 }
 
+// States of a member.
+const (
+	StateAlive   = "alive"
+	StateSuspect = "suspect" // it answers no health check of gossip's
+	StateGone    = "gone"    // it was suspect for too long
+	StateLeft    = "left"    // it said so
+)
+
 // Member is one as gossip has it.
 type Member struct {
 	Name     string `json:"name"`
--- a/internal/fleet/sim_test.go
+++ b/internal/fleet/sim_test.go
@@ -52,7 +52,7 @@
 	diskFull     bool // writes don't complete
 	down         bool
 	stalledUntil time.Duration
-	inbox        [][]byte      // of a stalled process
+	inbox        [][]byte // of a stalled process
 	epoch        Epoch
 	failures     []error
 	sent         int
