--- a/internal/fleet/agent/status.go
+++ b/internal/fleet/agent/status.go
@@ -10,9 +10,9 @@
 
 // States of a voter's storage in Status.Folder.
 const (
-	folderNone   = "none"   // nothing is stored
-	folderKept   = "kept"   // writes succeed
-	folderHalted = "halted" // the last write failed
+	folderNone     = "none"   // nothing is stored
+	folderWritable = "kept"   // writes succeed
+	folderHalted   = "halted" // the last write failed
 )
 
 // MemberStatus is a member on the status page.
@@ -79,7 +79,7 @@
 	case a.storage.halted():
 		return folderHalted
 	}
-	return folderKept
+	return folderWritable
 }
 
 func (a *Agent) memberStatus(m gossip.Member) MemberStatus {
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -10,29 +10,29 @@
 	"dewhitch/internal/golden"
 )
 
-var goldenAbout = Metadata{Zone: "hall-a", Region: "north", Number: 3, Version: "1.2.3", Role: "gateway"}
+var goldenMetadata = Metadata{Zone: "hall-a", Region: "north", Number: 3, Version: "1.2.3", Role: "gateway"}
 
-// TestGoldenAbout freezes what members say of themselves in the library's gossip, and what other members read of it. Packets
+// TestGoldenMetadata freezes what members announce of themselves, and what other members read of it. Packets
 // and streams are the library's own.
-func TestGoldenAbout(t *testing.T) {
-	for name, about := range map[string]Metadata{"about": goldenAbout, "about-least": {}} {
+func TestGoldenMetadata(t *testing.T) {
+	for name, metadata := range map[string]Metadata{"about": goldenMetadata, "about-least": {}} {
 		if name == "about" {
-			golden.Filled(t, about)
+			golden.Filled(t, metadata)
 		}
-		g := &Gossip{o: Options{Metadata: about, Changed: func(string, string) {}}, known: map[string]Member{}}
+		g := &Gossip{options: Options{Metadata: metadata, Changed: func(string, string) {}}, members: map[string]Member{}}
 		golden.Compare(t, name+".cbor", (&delegate{g}).NodeMeta(memberlist.MetaMaxSize))
 		n := &memberlist.Node{Name: "g3", Addr: net.IPv4(127, 0, 0, 3), Port: 7003, Meta: golden.Read(t, name+".cbor")}
 		(&delegate{g}).NotifyJoin(n)
-		if got := g.known["g3"]; got != (Member{"g3", "alive", "127.0.0.3:7003", about}) {
+		if got := g.members["g3"]; got != (Member{"g3", "alive", "127.0.0.3:7003", metadata}) {
 			t.Errorf("%s: read as %+v", name, got)
 		}
 		(&delegate{g}).NotifyLeave(n)
-		if got := g.known["g3"].State; got != "gone" {
+		if got := g.members["g3"].State; got != "gone" {
 			t.Errorf("lost: %s", got)
 		}
 		n.State = memberlist.StateLeft
 		(&delegate{g}).NotifyLeave(n)
-		if got := g.known["g3"].State; got != "left" {
+		if got := g.members["g3"].State; got != "left" {
 			t.Errorf("left: %s", got)
 		}
 	}
@@ -40,7 +40,7 @@
 
 // TestGoldenMember freezes a member as operators are shown it.
 func TestGoldenMember(t *testing.T) {
-	m := Member{Name: "g3", State: "suspect", Address: "127.0.0.3:7003", Metadata: goldenAbout}
+	m := Member{Name: "g3", State: "suspect", Address: "127.0.0.3:7003", Metadata: goldenMetadata}
 	golden.Filled(t, m)
 	text, err := json.MarshalIndent(m, "", "  ")
 	if err != nil {
--- a/internal/fleet/gossip/transport.go
+++ b/internal/fleet/gossip/transport.go
@@ -11,64 +11,73 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// transport carries the library's packets and streams: over sockets of its own, and to each peer under the address that
-// this process has for it.
-//
-// The library's own transport takes 64 KiB of new memory for each packet; that was a third of what a member costs.
+const (
+	acceptQueueSize   = 256                   // packets and streams that the library has not taken; more are lost, as on the wire
+	maxPacket         = 64 << 10              // bytes
+	receiveBuffer     = 1 << 20               // bytes, of the socket; the system may give less
+	acceptRetryPeriod = 10 * time.Millisecond // while the process is out of descriptors
+)
+
+// transport implements memberlist.NodeAwareTransport over sockets of its own. It reaches each peer under the address that this
+// process has for it. Unlike the library's own transport it reads all packets into one buffer: a new buffer of 64 KiB for each
+// packet dominates a member's cost.
 type transport struct {
 	udp     *net.UDPConn
 	tcp     *net.TCPListener
-	at      *net.TCPAddr
-	peers   map[string]string
+	address *net.TCPAddr
+	peers   map[string]string // addresses by name
 	packets chan *memberlist.Packet
 	streams chan net.Conn
-	over    chan struct{}
+	closed  chan struct{}
 	once    sync.Once
 	running sync.WaitGroup
 	sent    atomic.Uint64 // bytes
 }
 
-// counted counts what is written to a connection.
-type counted struct {
+// countedConn counts the bytes written to a connection.
+type countedConn struct {
 	net.Conn
 	sent *atomic.Uint64
 }
 
-func (c counted) Write(b []byte) (int, error) {
+func (c countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.sent.Add(uint64(n))
 	return n, err
 }
 
-const waiting = 256 // packets and streams that the library has not taken; more are lost, as on the wire
-
 func newTransport(listen string, peers map[string]string) (*transport, error) {
-	l, err := net.Listen("tcp", listen)
+	listener, err := net.Listen("tcp", listen)
 	if err != nil {
 		return nil, err
 	}
-	t := &transport{tcp: l.(*net.TCPListener), peers: peers, packets: make(chan *memberlist.Packet, waiting),
-		streams: make(chan net.Conn, waiting), over: make(chan struct{})}
-	t.at = t.tcp.Addr().(*net.TCPAddr)
-	if t.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: t.at.IP, Port: t.at.Port}); err != nil {
-		l.Close()
+	t := &transport{
+		tcp:     listener.(*net.TCPListener),
+		peers:   peers,
+		packets: make(chan *memberlist.Packet, acceptQueueSize),
+		streams: make(chan net.Conn, acceptQueueSize),
+		closed:  make(chan struct{}),
+	}
+	t.address = t.tcp.Addr().(*net.TCPAddr)
+	if t.udp, err = net.ListenUDP("udp", &net.UDPAddr{IP: t.address.IP, Port: t.address.Port}); err != nil {
+		listener.Close()
 		return nil, err
 	}
-	_ = t.udp.SetReadBuffer(1 << 20) // as much of it as the system gives
+	_ = t.udp.SetReadBuffer(receiveBuffer)
 	t.running.Go(t.listenPackets)
 	t.running.Go(t.listenStreams)
 	return t, nil
 }
 
 func (t *transport) listenPackets() {
-	b := make([]byte, 64<<10)
+	b := make([]byte, maxPacket)
 	for {
 		n, from, err := t.udp.ReadFromUDP(b)
 		if err != nil {
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // a refusal of one that was sent
+			continue // an ICMP error for a packet that was sent
 		}
 		if n == 0 {
 			continue
@@ -76,7 +85,7 @@
 		p := &memberlist.Packet{Buf: append([]byte(nil), b[:n]...), From: from, Timestamp: time.Now()}
 		select {
 		case t.packets <- p:
-		case <-t.over:
+		case <-t.closed:
 			return
 		default:
 		}
@@ -90,11 +99,11 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(10 * time.Millisecond) // out of descriptors, for a moment
+			time.Sleep(acceptRetryPeriod)
 			continue
 		}
 		select {
-		case t.streams <- counted{c, &t.sent}:
+		case t.streams <- countedConn{c, &t.sent}:
 		default:
 			c.Close()
 		}
@@ -103,10 +112,10 @@
 
 // FinalAdvertiseAddr implements memberlist.Transport.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
-	if t.at.IP.IsUnspecified() {
-		return nil, 0, fmt.Errorf("gossip: %v is no address that others can reach", t.at)
+	if t.address.IP.IsUnspecified() {
+		return nil, 0, fmt.Errorf("gossip: %v is no address that others can reach", t.address)
 	}
-	return t.at.IP, t.at.Port, nil
+	return t.address.IP, t.address.Port, nil
 }
 
 // PacketCh implements memberlist.Transport.
@@ -127,35 +136,36 @@
 }
 
 // DialTimeout implements memberlist.Transport.
-func (t *transport) DialTimeout(addr string, patience time.Duration) (net.Conn, error) {
-	c, err := net.DialTimeout("tcp", addr, patience)
+func (t *transport) DialTimeout(addr string, timeout time.Duration) (net.Conn, error) {
+	c, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
 		return nil, err
 	}
-	return counted{c, &t.sent}, nil
+	return countedConn{c, &t.sent}, nil
 }
 
-func (t *transport) own(a memberlist.Address) string {
-	if own, ok := t.peers[a.Name]; ok {
-		return own
+// peerAddress is where this process reaches a member: as configured for it, else as the member advertises itself.
+func (t *transport) peerAddress(a memberlist.Address) string {
+	if configured, ok := t.peers[a.Name]; ok {
+		return configured
 	}
 	return a.Addr
 }
 
 // WriteToAddress implements memberlist.NodeAwareTransport.
 func (t *transport) WriteToAddress(b []byte, a memberlist.Address) (time.Time, error) {
-	return t.WriteTo(b, t.own(a))
+	return t.WriteTo(b, t.peerAddress(a))
 }
 
 // DialAddressTimeout implements memberlist.NodeAwareTransport.
-func (t *transport) DialAddressTimeout(a memberlist.Address, patience time.Duration) (net.Conn, error) {
-	return t.DialTimeout(t.own(a), patience)
+func (t *transport) DialAddressTimeout(a memberlist.Address, timeout time.Duration) (net.Conn, error) {
+	return t.DialTimeout(t.peerAddress(a), timeout)
 }
 
 // Shutdown implements memberlist.Transport.
 func (t *transport) Shutdown() error {
 	t.once.Do(func() {
-		close(t.over)
+		close(t.closed)
 		t.udp.Close()
 		t.tcp.Close()
 		t.running.Wait()
--- a/internal/fleet/memberregistry/memberregistry.go
+++ b/internal/fleet/memberregistry/memberregistry.go
@@ -1,5 +1,5 @@
-// Package memberregistry has the members of a fleet find one another by ephemeral nodes in a registry: it keeps a node for this one
-// and tells of the others'. It owns its session with the registry.
+// Package memberregistry lets the members of a fleet find one another by ephemeral nodes in a registry: it keeps a node for this
+// member and follows the others'. It owns its session with the registry.
 package memberregistry
 
 import (
@@ -16,23 +16,23 @@
 	"dewhitch/internal/registry"
 )
 
-// Options say where, and who this member is.
+// Options configure where, and who this member is.
 type Options struct {
-	Servers []string // none: nothing is kept or found
-	Path    string
-	Session time.Duration
-	Name    string
-	Address string // where others reach this member, host:port
+	Servers []string      // of the registry, host:port; empty: Run does nothing
+	Path    string        // of the folder with the members' nodes
+	Session time.Duration // timeout after which the registry deletes a lost member's node
+	Name    string        // of this member
+	Address string        // under which others reach this member, host:port
 	Log     *zap.Logger
 }
 
-// node is the data of a member's.
-type node struct {
+// memberNode is the data of a member's node; the node's name is the member's, escaped for a path.
+type memberNode struct {
 	Address string `json:"address"`
 }
 
-// Run keeps this member's node, and tells found where all others may be, until the context ends. What the registry says is a
-// hint: a member that is not there any more, as when sessions lapse while the registry is away, is not told to be gone.
+// Run keeps this member's node and calls found with all members' addresses by name at each change, until the context ends. The
+// addresses are hints: a member that is missing need not be gone, as all sessions expire at once while the registry is away.
 func Run(ctx context.Context, o Options, found func(map[string]string)) error {
 	if len(o.Servers) == 0 {
 		return nil
@@ -42,39 +42,46 @@
 		return fmt.Errorf("configuration: fleet.registry.servers: %w", err)
 	}
 	defer r.Close()
-	data, err := json.Marshal(node{o.Address})
+	data, err := json.Marshal(memberNode{o.Address})
 	if err != nil {
 		return err
 	}
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return r.Keep(ctx, url.PathEscape(o.Name), data) })
 	group.Go(func() error {
-		return r.Follow(ctx, func(nodes map[string][]byte) {
-			at := map[string]string{}
-			for escaped, data := range nodes {
-				var n node
-				name, err := url.PathUnescape(escaped)
-				if err == nil {
-					err = json.Unmarshal(data, &n)
-				}
-				if err == nil {
-					err = numeric(n.Address)
-				}
-				if err != nil {
-					o.Log.Warn("a node is no member's", zap.String("node", escaped), zap.Error(err))
-					continue
-				}
-				at[name] = n.Address
-			}
-			found(at)
-		})
+		return r.Follow(ctx, func(nodes map[string][]byte) { found(addresses(nodes, o.Log)) })
 	})
 	return group.Wait()
 }
 
-// numeric refuses what would have to be looked up by name.
-func numeric(addr string) error {
-	host, _, err := net.SplitHostPort(addr)
+// addresses decodes nodes, and logs and skips those that are no member's.
+func addresses(nodes map[string][]byte, log *zap.Logger) map[string]string {
+	at := map[string]string{}
+	for escaped, data := range nodes {
+		name, address, err := decodeNode(escaped, data)
+		if err != nil {
+			log.Warn("a node is no member's", zap.String("node", escaped), zap.Error(err))
+			continue
+		}
+		at[name] = address
+	}
+	return at
+}
+
+func decodeNode(escaped string, data []byte) (name, address string, err error) {
+	if name, err = url.PathUnescape(escaped); err != nil {
+		return "", "", err
+	}
+	var n memberNode
+	if err := json.Unmarshal(data, &n); err != nil {
+		return "", "", err
+	}
+	return name, n.Address, checkNumeric(n.Address)
+}
+
+// checkNumeric rejects an address that would need a name lookup.
+func checkNumeric(address string) error {
+	host, _, err := net.SplitHostPort(address)
 	if err == nil && net.ParseIP(host) == nil {
 		err = fmt.Errorf("%q is no IP address", host)
 	}
--- a/internal/fleet/voterstore/golden_test.go
+++ b/internal/fleet/voterstore/golden_test.go
@@ -19,8 +19,8 @@
 	"dewhitch/internal/golden"
 )
 
-// goldenSaved has every field set, and those of the log's own messages that this program uses.
-func goldenSaved() *fleet.VoterState {
+// goldenState has every field set, and those of raft's messages that this program uses.
+func goldenState() *fleet.VoterState {
 	kind := raftpb.EntryConfChangeV2
 	return &fleet.VoterState{Identity: 1<<63 + 11, Generation: 1700000000012, Promised: 1700000000013,
 		HardState: &raftpb.HardState{Term: proto.Uint64(21), Vote: proto.Uint64(22), Commit: proto.Uint64(24)},
@@ -30,10 +30,10 @@
 			{Index: proto.Uint64(25), Term: proto.Uint64(21), Type: &kind, Data: []byte{5, 6}}}}
 }
 
-// same fails the test unless what was read is goldenSaved.
-func same(t *testing.T, got *fleet.VoterState, err error) {
+// checkState fails the test unless what was read is goldenSaved.
+func checkState(t *testing.T, got *fleet.VoterState, err error) {
 	t.Helper()
-	want := goldenSaved()
+	want := goldenState()
 	if err != nil || got == nil {
 		t.Fatalf("%+v, %v", got, err)
 	}
@@ -66,15 +66,14 @@
 	return b.Bytes()
 }
 
-// TestGoldenStore freezes what a voter keeps in its folder, as it is written whole and then by the parts that follow one
-// another; the voter of another version reads it.
+// TestGoldenStore freezes what a voter stores, written as a replacement and as a sequence of updates; another version's voter reads it.
 func TestGoldenStore(t *testing.T) {
-	s := goldenSaved()
+	s := goldenState()
 	blank := *s
 	blank.HardState, blank.Snapshot, blank.Entries = nil, nil, nil
 	for name, saves := range map[string][]fleet.StorageUpdate{
-		"whole": {{Replacement: s}},
-		"parts": {{Replacement: &blank}, {Snapshot: s.Snapshot}, {HardState: s.HardState, Entries: s.Entries[:1]}, {Entries: s.Entries[1:]}},
+		"replacement": {{Replacement: s}},
+		"updates":     {{Replacement: &blank}, {Snapshot: s.Snapshot}, {HardState: s.HardState, Entries: s.Entries[:1]}, {Entries: s.Entries[1:]}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
@@ -92,13 +91,13 @@
 			}
 			golden.Compare(t, "store.txt", dump(t, filepath.Join(dir, "fleet.db")))
 			v, got, err := Open(dir)
-			same(t, got, err)
+			checkState(t, got, err)
 			v.Close()
 		})
 	}
 }
 
-// TestGoldenStoreIsRead has the store of the golden file, written by nothing of this package, read by Open.
+// TestGoldenStoreIsRead has Open read the store of the golden file, which nothing of this package wrote.
 func TestGoldenStoreIsRead(t *testing.T) {
 	dir := t.TempDir()
 	db, err := bbolt.Open(filepath.Join(dir, "fleet.db"), 0o640, nil)
@@ -132,7 +131,7 @@
 		t.Fatal(err)
 	}
 	v, got, err := Open(dir)
-	same(t, got, err)
+	checkState(t, got, err)
 	v.Close()
 	if left, err := os.ReadDir(dir); err != nil || len(left) != 1 {
 		t.Errorf("the folder holds %v, %v", left, err)
