--- a/cmd/dewhitch/gateway.go
+++ b/cmd/dewhitch/gateway.go
@@ -107,7 +107,7 @@
 
 // openLedger opens the ledger and the figures, and reserves the classes that a reload may add.
 func (g *gateway) openLedger() (err error) {
-	g.classes, g.n.Settings.Classes = classtable.Spared(g.n.Names.Classes, g.n.Settings.Classes)
+	g.classes, g.n.Settings.Classes = classtable.WithSpareClasses(g.n.Names.Classes, g.n.Settings.Classes)
 	g.state = &ops.State{}
 	g.figures = &ops.Figures{}
 	g.metrics = telemetry.New()
--- a/cmd/dewhitch/golden_test.go
+++ b/cmd/dewhitch/golden_test.go
@@ -27,7 +27,7 @@
 
 // goldenSnapshot is a snapshot with a value of its own in each field.
 func goldenSnapshot() (snapshot.Generation, *snapshot.Image) {
-	return snapshot.Generation{Life: 71, Number: 72}, &snapshot.Image{
+	return snapshot.Generation{Incarnation: 71, Number: 72}, &snapshot.Image{
 		Node: "n7", Instances: 5, Self: 3, Zones: 2, Classes: []string{"query", "booking"},
 		Plans: []snapshot.Plan{{Name: "fleet", Rate: 8.1, Burst: 16.2, Ceiling: 24.3}, {Name: "basic", Rate: 4.4, Burst: 9.5, Ceiling: 12.6}},
 		State: dw.State{
--- a/cmd/dewhitch/reload.go
+++ b/cmd/dewhitch/reload.go
@@ -62,7 +62,7 @@
 
 // applyClasses has new requests use the classes of the new settings, and the maximum of attempts that they allow.
 func (g *gateway) applyClasses(m *config.Node) {
-	table := g.commands.Retune(m.Names.Classes, m.Settings.Classes)
+	table := g.commands.ReloadClasses(m.Names.Classes, m.Settings.Classes)
 	g.figures.Classes(table.Names())
 	g.longestDeadline.Store(int64(m.Longest()))
 	g.planner.SetMaxAttempts(m.Settings.MaxAttempts)
--- a/cmd/dewhitch/snapshot_commands.go
+++ b/cmd/dewhitch/snapshot_commands.go
@@ -44,7 +44,7 @@
 // customers.
 func printSnapshot(g snapshot.Generation, m *snapshot.Image, now time.Time) error {
 	state := &m.State
-	fmt.Printf("%s, gateway %d of %d, life %d, write %d, %s old\n", m.Node, m.Self, m.Instances, g.Life, g.Number,
+	fmt.Printf("%s, gateway %d of %d, life %d, write %d, %s old\n", m.Node, m.Self, m.Instances, g.Incarnation, g.Number,
 		now.Sub(time.Unix(0, int64(state.At))).Round(time.Millisecond))
 	fmt.Printf("latency %.1f ms, %d servers, %d customers, plans %v, classes %v\n", 1000*state.Latency, len(state.Servers),
 		len(state.Customers), m.Plans, m.Classes)
@@ -95,6 +95,6 @@
 	if err != nil {
 		return fmt.Errorf("%s: %w", c.File, err)
 	}
-	fmt.Printf("%s: whole, life %d, write %d\n", c.File, generation.Life, generation.Number)
+	fmt.Printf("%s: whole, life %d, write %d\n", c.File, generation.Incarnation, generation.Number)
 	return nil
 }
--- a/cmd/dewhitch/snapshots.go
+++ b/cmd/dewhitch/snapshots.go
@@ -73,7 +73,7 @@
 			rejected++
 		}
 	}
-	f.Warm(loaded, rejected, age)
+	f.SnapshotsFound(loaded, rejected, age)
 }
 
 // importState fits a snapshot's state to this process's settings and imports it, unless it is too old to be trusted. Its age
@@ -88,7 +88,7 @@
 		return age, fmt.Errorf("%s old", age)
 	}
 	servers, customers := k.planner.ImportState(state)
-	k.log.Info("warm start", zap.Uint64("life", found.Life), zap.Uint64("number", found.Number), zap.Duration("age", age),
+	k.log.Info("warm start", zap.Uint64("life", found.Incarnation), zap.Uint64("number", found.Number), zap.Duration("age", age),
 		zap.Int("servers", servers), zap.Int("customers", customers), zap.Int("of", len(state.Customers)),
 		zap.Int("dropped", dropped))
 	return age, nil
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -158,7 +158,7 @@
 func TestHeldConnections(t *testing.T) {
 	addr := serve(t)
 	var held []net.Conn
-	for range 3 * Callers {
+	for range 3 * MaxCallers {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
 			t.Fatal(err)
@@ -172,7 +172,7 @@
 		if got := call(t, addr, "readyz\n"); got != "YES\n" {
 			t.Fatalf("%q", got)
 		}
-		if waited := time.Since(began); waited > callTime/2 { // the bound is loose: this is no test of speed
+		if waited := time.Since(began); waited > callTimeout/2 { // the bound is loose: this is no test of speed
 			t.Fatalf("answered after %v", waited)
 		}
 	}
--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -1,6 +1,5 @@
-// Package admin is the operators' address: one call a connection, a line of text, answered by a line that begins with
-// YES or NO. It owns the parser of that line and the callers' connections, and decides nothing: what a call does is
-// the Gateway's.
+// Package admin is the operators' address. A connection carries one call, a line of text, which is answered by a line that starts
+// with YES or NO. The package owns the parser of that line and the callers' connections; a Gateway carries the calls out.
 package admin
 
 import (
@@ -14,19 +13,25 @@
 
 // The verbs.
 const (
-	Readyz    Verb = iota // whether this process is ready to serve
+	Readyz    Verb = iota // whether the gateway is ready to serve
 	Telemetry             // the figures, then a line END
-	Exclude               // nothing more to a server
-	Include               // the server may serve again
-	Evacuate              // send clients away
-	Activate              // end of the drain
+	Exclude               // no new work to a server
+	Include               // the end of an exclusion
+	Evacuate              // drain the gateway
+	Activate              // the end of the drain
 )
 
 var verbs = map[string]struct {
-	verb Verb
-	id   bool
-}{"readyz": {Readyz, false}, "telemetry": {Telemetry, false}, "exclude": {Exclude, true}, "include": {Include, true},
-	"evacuate": {Evacuate, false}, "activate": {Activate, false}}
+	verb  Verb
+	hasID bool // it takes a server's id
+}{
+	"readyz":    {Readyz, false},
+	"telemetry": {Telemetry, false},
+	"exclude":   {Exclude, true},
+	"include":   {Include, true},
+	"evacuate":  {Evacuate, false},
+	"activate":  {Activate, false},
+}
 
 // Call is one operator's call.
 type Call struct {
@@ -34,24 +39,24 @@
 	ID   string // of a server, for Exclude and Include
 }
 
-// The bounds of a call.
+// Bounds of a call, in bytes.
 const (
-	MaxLine = 256 // bytes of a line, its end included
-	MaxID   = 64
+	MaxLine = 256 // of a line, with its end
+	MaxID   = 64  // of a server's id
 )
 
 // ErrLong says that a line did not end within MaxLine bytes.
 var ErrLong = errors.New("line too long")
 
-// Parse reads one line, without its end; a \r before the end is passed over. Words are split by spaces or tabs; the
-// verb is read in any case, an id as it stands.
+// Parse reads one line, without its end; a \r before the end is ignored. Fields are separated by spaces or tabs; the verb may be in
+// any case, an id is read as it stands. The texts of its errors are answered to the operator.
 func Parse(line []byte) (Call, error) {
 	if len(line) >= MaxLine {
 		return Call{}, ErrLong
 	}
 	line = bytes.TrimSuffix(line, []byte("\r"))
-	words := bytes.Fields(line)
-	if len(words) == 0 {
+	fields := bytes.Fields(line)
+	if len(fields) == 0 {
 		return Call{}, errors.New("empty call")
 	}
 	for _, c := range line {
@@ -59,22 +64,22 @@
 			return Call{}, errors.New("control characters in the call")
 		}
 	}
-	v, ok := verbs[string(bytes.ToLower(words[0]))]
-	if !ok {
-		return Call{}, fmt.Errorf("unknown call %.32q", words[0])
+	v, known := verbs[string(bytes.ToLower(fields[0]))]
+	if !known {
+		return Call{}, fmt.Errorf("unknown call %.32q", fields[0])
 	}
 	switch {
-	case v.id && len(words) != 2:
-		return Call{}, fmt.Errorf("%s takes one server id", words[0])
-	case !v.id && len(words) != 1:
-		return Call{}, fmt.Errorf("%s takes no argument", words[0])
+	case v.hasID && len(fields) != 2:
+		return Call{}, fmt.Errorf("%s takes one server id", fields[0])
+	case !v.hasID && len(fields) != 1:
+		return Call{}, fmt.Errorf("%s takes no argument", fields[0])
 	}
 	c := Call{Verb: v.verb}
-	if v.id {
-		if len(words[1]) > MaxID {
+	if v.hasID {
+		if len(fields[1]) > MaxID {
 			return Call{}, fmt.Errorf("server id of over %d bytes", MaxID)
 		}
-		c.ID = string(words[1])
+		c.ID = string(fields[1])
 	}
 	return c, nil
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -5,6 +5,7 @@
 	"context"
 	"errors"
 	"net"
+	"slices"
 	"sync"
 	"time"
 
@@ -13,46 +14,47 @@
 	"dewhitch/internal/sockets"
 )
 
-// Gateway carries out the calls; none of its methods may block for long, as every answer is due within a second.
+// Gateway carries out the operators' calls. Its methods are called on any goroutine, also at the same time, and may not block for
+// long, as a call is answered within a second.
 type Gateway interface {
 	Ready() bool
 	AppendTelemetry([]byte) []byte // one line of JSON
-	Exclude(id string) error       // an id never listed is an error
-	Include(id string) error
+	Exclude(id string) error       // fails for a server that was never listed
+	Include(id string) error       // fails as Exclude does
 	Drain(on bool)
 }
 
-// The bounds of the callers.
+// Bounds of the callers.
 const (
-	Callers  = 32              // connections at once; when all are taken, the oldest makes room
-	callTime = 3 * time.Second // from connecting to the end of the line
-	sendTime = time.Second     // for the answer
+	MaxCallers  = 32              // connections at once; when all are in use, the oldest is closed
+	callTimeout = 3 * time.Second // from the connection to the end of the line
+	sendTimeout = time.Second     // for the answer
 )
 
-// Server takes operators' calls at one address.
+// Server serves operators' calls at one address. Its exported fields are set before Serve.
 type Server struct {
 	Listener net.Listener
 	Gateway  Gateway
 	Log      *zap.Logger
 
 	mu      sync.Mutex
-	callers []net.Conn // the oldest first
-	all     sync.WaitGroup
+	callers []net.Conn     // the oldest first
+	running sync.WaitGroup // of callers
 }
 
-// Serve answers calls until the context ends, and returns when the last caller has been answered or let go. A listener that
-// breaks ends it with an error.
+// Serve answers calls until the context ends, which closes the connections of callers that have not sent their line, and returns
+// after the last caller. A fault of the listener ends it with that error.
 func (s *Server) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
 		s.Listener.Close()
 		s.mu.Lock()
 		defer s.mu.Unlock()
-		for _, c := range s.callers { // none waits for its line once the gateway has ended
+		for _, c := range s.callers {
 			c.Close()
 		}
 	})
 	defer stop()
-	defer s.all.Wait()
+	defer s.running.Wait()
 	for {
 		conn, err := sockets.Accept(s.Listener, s.Log, "an operator's call")
 		if errors.Is(err, sockets.ErrEnded) {
@@ -60,90 +62,86 @@
 		} else if err != nil {
 			return err
 		}
-		s.hold(conn)
-		s.all.Go(func() {
-			defer s.let(conn)
+		s.admit(conn)
+		s.running.Go(func() {
+			defer s.release(conn)
 			s.answer(conn)
 		})
 	}
 }
 
-// hold keeps a caller among those that count. Danger: callers that connect and say nothing, or half a line, must
-// not keep an operator out; the one that has waited longest goes first.
-func (s *Server) hold(conn net.Conn) {
+// admit adds a caller, in place of the oldest if there are MaxCallers: connections that send nothing must not keep an operator out.
+func (s *Server) admit(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if len(s.callers) >= Callers {
-		s.callers[0].Close() // its goroutine sees the end and lets it go
+	if len(s.callers) >= MaxCallers {
+		s.callers[0].Close() // its goroutine sees that, and releases it
 		s.callers = s.callers[1:]
 	}
 	s.callers = append(s.callers, conn)
 }
 
-func (s *Server) let(conn net.Conn) {
+// release closes a caller's connection and removes the caller, if it is still there.
+func (s *Server) release(conn net.Conn) {
 	conn.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for i, c := range s.callers {
-		if c == conn {
-			s.callers = append(s.callers[:i], s.callers[i+1:]...)
-			break
-		}
+	if i := slices.Index(s.callers, conn); i >= 0 {
+		s.callers = append(s.callers[:i], s.callers[i+1:]...)
 	}
 }
 
-// answer reads one line and answers it.
+// answer reads one line and answers it. A caller that leaves or does not send its line in time gets no answer.
 func (s *Server) answer(conn net.Conn) {
-	conn.SetReadDeadline(time.Now().Add(callTime))
+	conn.SetReadDeadline(time.Now().Add(callTimeout))
 	r := bufio.NewReaderSize(conn, MaxLine)
 	line, err := r.ReadSlice('\n')
 	var out []byte
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
-		out = no(nil, ErrLong)
+		out = appendRefusal(nil, ErrLong)
 	case err != nil:
-		return // gone, or too slow: there is nobody to answer
+		return
 	default:
-		out = s.do(line[:len(line)-1])
+		out = s.carryOut(line[:len(line)-1])
 	}
-	conn.SetWriteDeadline(time.Now().Add(sendTime))
+	conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 	conn.Write(out)
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		tcp.CloseWrite()
 	}
 }
 
-// do carries out one line and words its answer.
-func (s *Server) do(line []byte) []byte {
+// carryOut carries out the call of one line and returns its answer.
+func (s *Server) carryOut(line []byte) []byte {
 	c, err := Parse(line)
 	if err != nil {
-		return no(nil, err)
+		return appendRefusal(nil, err)
 	}
-	g := s.Gateway
 	switch c.Verb {
 	case Readyz:
-		if !g.Ready() {
+		if !s.Gateway.Ready() {
 			return []byte("NO not ready\n")
 		}
 	case Telemetry:
-		out := g.AppendTelemetry(nil)
-		return append(out, "\nEND\n"...)
+		return append(s.Gateway.AppendTelemetry(nil), "\nEND\n"...)
 	case Exclude:
-		err = g.Exclude(c.ID)
+		err = s.Gateway.Exclude(c.ID)
 	case Include:
-		err = g.Include(c.ID)
+		err = s.Gateway.Include(c.ID)
 	case Evacuate:
-		g.Drain(true)
+		s.Gateway.Drain(true)
 	case Activate:
-		g.Drain(false)
+		s.Gateway.Drain(false)
 	}
 	if err != nil {
-		return no(nil, err)
+		return appendRefusal(nil, err)
 	}
 	return []byte("YES\n")
 }
 
-func no(b []byte, err error) []byte {
+// appendRefusal appends the answer to a call that failed: one line, without control characters.
+func appendRefusal(b []byte, err error) []byte {
 	b = append(b, "NO "...)
 	for _, c := range []byte(err.Error()) {
 		if c < ' ' || c == 0x7f {
--- a/internal/classtable/classtable.go
+++ b/internal/classtable/classtable.go
@@ -1,9 +1,9 @@
-// Package classtable owns the table of class names that the fronts read reqs by: which of the module's classes a name's
-// reqs go under, as settings are read anew while the gateway runs. It does no I/O and reads no clock.
+// Package classtable maps the class names that clients use to classes of the decision module, over reloads of the settings. It does
+// no I/O and reads no clock.
 //
-// The module keeps the classes of its start, as its quota state, what it knows of servers and its open reqs depend on
-// them. A class that later settings name goes under one of those whose rules are at least as strict as its own, so that
-// no rule of the new class is broken by following the old one.
+// The module has the classes of its start for its lifetime, as its quota accounts, server statistics and open requests refer to
+// them. A class of reloaded settings is mapped to one of those whose rules are at least as strict as its own, so that following
+// the module's rules breaks none of the new class's.
 package classtable
 
 import (
@@ -16,55 +16,60 @@
 // Entry is what one class name means.
 type Entry struct {
 	Name   string
-	Class  int            // of the module; below 0: none is strict enough, and reqs of the name are refused
-	Effect dw.Idempotency // as the settings that named it last say: which command it comes by
+	Class  int            // index of the module's class; below 0: none is strict enough, and requests of the name are rejected
+	Effect dw.Idempotency // by the settings that named it last, for the command that its requests come by
 }
 
-// Table is the names that clients may use, those of the settings in force first.
+// Table is the names that clients may use, those of the settings in force first. It is never changed in place.
 type Table []Entry
 
-// MostNames bounds a table, whatever settings come: the names of dropped classes go first, the oldest first.
-const MostNames = 256
+// MaxNames bounds the names of a table: those of dropped classes are forgotten first, the oldest first.
+const MaxNames = 256
 
-// Start is the table of the settings that the module was made with.
+// Start is the table of the settings that the module was made with. Of a repeated name the first counts.
 func Start(names []string, classes []dw.Class) Table {
 	t := make(Table, 0, len(names))
 	for i, n := range names {
-		if _, twice := t.Find(n); !twice { // a name given twice means what it meant first
+		if _, repeated := t.Find(n); !repeated {
 			t = append(t, Entry{Name: n, Class: i, Effect: classes[i].Idempotency})
 		}
 	}
 	return t
 }
 
-// Spared is the classes that a module is made with, and their names for books and snapshots: those of the settings, and
-// behind them, for each that may be repeated, one that may not, as which settings read anew may name a class. Clients
-// never name these themselves. Danger: without one, every req of such a class would be refused until a restart.
-func Spared(names []string, classes []dw.Class) ([]string, []dw.Class) {
-	names, classes = slices.Clone(names), slices.Clone(classes)
+// WithSpareClasses are the classes that a module is made with, and their names for ledger and snapshots: those of the settings, and
+// after them, for each idempotent one, the same as a class that is not idempotent. Reloaded settings may change a class to that;
+// without the spare class, all requests of it would be rejected until a restart. Clients can't name the spare classes.
+func WithSpareClasses(names []string, classes []dw.Class) ([]string, []dw.Class) {
+	names = slices.Clone(names)
+	classes = slices.Clone(classes)
 	for i, c := range classes {
-		if c.Idempotency != dw.NotIdempotent {
-			c.Idempotency, c.DedupScope, c.DedupWindow = dw.NotIdempotent, dw.DedupAll, 0
-			names, classes = append(names, names[i]+" (once)"), append(classes, c)
+		if c.Idempotency == dw.NotIdempotent {
+			continue
 		}
+		c.Idempotency = dw.NotIdempotent
+		c.DedupScope = dw.DedupAll
+		c.DedupWindow = 0
+		names = append(names, names[i]+" (once)")
+		classes = append(classes, c)
 	}
 	return names, classes
 }
 
-// Retune is the table once settings with these classes are in force; module is the module's classes. The names that
-// they drop are kept behind, for clients that have not moved yet.
-func (t Table) Retune(module []dw.Class, names []string, classes []dw.Class) Table {
+// Reload is the table when settings with these classes come into force; module is the module's classes. Names that the settings
+// drop stay at the end, for clients that still use them. Of a repeated name the first counts.
+func (t Table) Reload(module []dw.Class, names []string, classes []dw.Class) Table {
 	out := make(Table, 0, len(names)+len(t))
 	named := make(map[string]bool, len(names))
 	for i, n := range names {
 		if named[n] {
-			continue // a name given twice means what it meant first
+			continue
 		}
 		named[n] = true
 		out = append(out, Entry{Name: n, Class: Choose(module, classes[i]), Effect: classes[i].Idempotency})
 	}
 	for _, e := range t {
-		if !named[e.Name] && len(out) < MostNames {
+		if !named[e.Name] && len(out) < MaxNames {
 			named[e.Name] = true
 			out = append(out, e)
 		}
@@ -91,10 +96,14 @@
 	return names
 }
 
-// Choose is the module's class that a class goes under: an equal one, or else the nearest of those that are at least
-// as strict; -1 if none is.
+// effectDistance is the distance of two classes of different idempotency, far above the other distances: the class would lose retries.
+const effectDistance = 100
+
+// Choose is the index of the module's class that a class is mapped to: an equal one, or the nearest of those that are at least as
+// strict, by deadline, objective and weight; -1 if none is.
 func Choose(module []dw.Class, c dw.Class) int {
-	best, nearest := -1, math.Inf(1)
+	nearest := -1
+	shortest := math.Inf(1)
 	for i, m := range module {
 		if m == c {
 			return i
@@ -102,23 +111,24 @@
 		if !Stricter(m, c) {
 			continue
 		}
-		d := far(float64(m.Deadline), float64(c.Deadline)) + far(float64(m.Objective), float64(c.Objective)) +
-			far(m.Weight+1, c.Weight+1)
+		distance := logRatio(float64(m.Deadline), float64(c.Deadline)) + logRatio(float64(m.Objective), float64(c.Objective)) +
+			logRatio(m.Weight+1, c.Weight+1)
 		if m.Idempotency != c.Idempotency {
-			d += 100 // another effect costs retries that the class would have had
+			distance += effectDistance
 		}
-		if d < nearest {
-			best, nearest = i, d
+		if distance < shortest {
+			nearest = i
+			shortest = distance
 		}
 	}
-	return best
+	return nearest
 }
 
-// far is how many times one is the other, on a scale where twice and half are as far.
-func far(a, b float64) float64 { return math.Abs(math.Log(max(a, 1e-9) / max(b, 1e-9))) }
+// logRatio is the distance of two amounts, on a scale on which twice and half are equally far.
+func logRatio(a, b float64) float64 { return math.Abs(math.Log(max(a, 1e-9) / max(b, 1e-9))) }
 
-// Stricter says whether following the rules of m breaks none of those of c. Danger: a class that may not run twice
-// must not be taken for one that may be repeated, nor a group of servers for a larger one.
+// Stricter tells whether following the rules of m breaks none of those of c: m may not allow a retry that c forbids, nor one at more
+// servers or for a longer time.
 func Stricter(m, c dw.Class) bool {
 	if m.Streaming != c.Streaming {
 		return false
@@ -127,8 +137,9 @@
 	case dw.Idempotent:
 		return true
 	case dw.IdempotentByKey:
+		narrowerScope := m.DedupScope == c.DedupScope || c.DedupScope == dw.DedupAll
 		return m.Idempotency == dw.NotIdempotent ||
-			m.Idempotency == dw.IdempotentByKey && (m.DedupScope == c.DedupScope || c.DedupScope == dw.DedupAll) && m.DedupWindow <= c.DedupWindow
+			m.Idempotency == dw.IdempotentByKey && narrowerScope && m.DedupWindow <= c.DedupWindow
 	default:
 		return m.Idempotency == dw.NotIdempotent
 	}
--- a/internal/classtable/classtable_test.go
+++ b/internal/classtable/classtable_test.go
@@ -43,7 +43,7 @@
 		for round := range rapid.IntRange(1, 5).Draw(t, "rounds") {
 			newNames, cs := classes(t, fmt.Sprintf("round%d", round))
 			before := table
-			table = table.Retune(module, newNames, cs)
+			table = table.Reload(module, newNames, cs)
 			seen := map[string]bool{}
 			for i, n := range newNames {
 				if seen[n] {
@@ -75,7 +75,7 @@
 					t.Fatalf("%s: was %+v, is %+v", e.Name, e, got)
 				}
 			}
-			if len(table) > MostNames {
+			if len(table) > MaxNames {
 				t.Fatalf("%d names", len(table))
 			}
 		}
@@ -87,7 +87,7 @@
 func TestSparesLeaveNoClassOut(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names, module := classes(t, "module")
-		spareNames, spared := Spared(names, module)
+		spareNames, spared := WithSpareClasses(names, module)
 		if len(spareNames) != len(spared) {
 			t.Fatalf("%d names of %d classes", len(spareNames), len(spared))
 		}
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -49,10 +49,10 @@
 	return *c.classes.Load()
 }
 
-// Retune brings the classes of reloaded settings into force for new requests; earlier requests keep their class. One goroutine at
+// ReloadClasses brings the classes of reloaded settings into force for new requests; earlier requests keep their class. One goroutine at
 // a time may call it.
-func (c *Commands) Retune(names []string, classes []dw.Class) classtable.Table {
-	t := c.Classes().Retune(c.Settings.Classes, names, classes)
+func (c *Commands) ReloadClasses(names []string, classes []dw.Class) classtable.Table {
+	t := c.Classes().Reload(c.Settings.Classes, names, classes)
 	c.classes.Store(&t)
 	return t
 }
--- a/internal/front/platform/submit.go
+++ b/internal/front/platform/submit.go
@@ -45,7 +45,7 @@
 	r.LedgerKey = c.Books.Row(uint64(r.Customer), r.Plan, ledgerClass(r))
 	sub := &submission{commands: c, request: r, slot: s, format: format, result: core.ResultFailed}
 	if c.Figures != nil {
-		c.Figures.Open(1)
+		c.Figures.AddOpen(1)
 	}
 	r.Answer = sub.answer
 	sub.postReceived()
@@ -131,7 +131,7 @@
 // countAnswered counts a request as answered, if its client has not left before.
 func (s *submission) countAnswered(result core.Result) {
 	if s.closeOnce() && s.request.Kind == core.KindForward {
-		s.commands.Figures.Ended(s.request.ClassName, opsVerdicts[result])
+		s.commands.Figures.RequestEnded(s.request.ClassName, opsVerdicts[result])
 	}
 }
 
@@ -142,7 +142,7 @@
 	if figures == nil || !s.closedOnce.CompareAndSwap(false, true) {
 		return false
 	}
-	figures.Open(-1)
+	figures.AddOpen(-1)
 	return true
 }
 
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,5 +1,5 @@
-// Package handover owns what a gateway's process leaves for the process that replaces it: the servers that operators
-// excluded. It is kept in one file in a folder that both share, written whole or not at all.
+// Package handover owns the state that a gateway's process leaves for the process that replaces it: the servers that operators
+// have excluded. It is one file in a folder that both processes share, which is replaced atomically.
 package handover
 
 import (
@@ -13,25 +13,28 @@
 	"dewhitch/internal/durable"
 )
 
-// State is what goes over.
+// State is what is handed over.
 type State struct {
-	Excluded []string `json:"excluded"`
+	Excluded []string `json:"excluded"` // ids of servers, in discovery's form
 }
 
-// The bounds of the file, which another process wrote: it is read as input that may be broken.
+// Bounds of the file, which another process wrote, and which may be broken.
 const (
-	maxSize = 1 << 20
+	maxSize = 1 << 20 // bytes
 	maxIDs  = 1 << 14
-	maxID   = 64
+	maxID   = 64 // bytes
 )
 
+// ErrNone says that no process left a state.
+var ErrNone = errors.New("handover: no state was left")
+
 // Path is the file of the gateway of that name in the folder.
 func Path(dir, name string) string {
 	return filepath.Join(dir, "dewhitch-"+filepath.Base(name)+".handover.json")
 }
 
-// Save writes the state whole, so that a process that reads it meanwhile, or a kill, never finds half of it. The temporary
-// file has the process's number: two processes of one gateway may save at the same time.
+// Save replaces the file atomically; the state is durable when it returns. The temporary file has the process's number in its name,
+// as two processes of one gateway may save at the same time.
 func Save(path string, s State) error {
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -40,11 +43,8 @@
 	return durable.Replace(durable.Disk, fmt.Sprintf("%s.%d.part", path, os.Getpid()), path, text)
 }
 
-// ErrNone says that no process left a state.
-var ErrNone = errors.New("handover: no state was left")
-
-// Load reads what the process before left. A missing file is ErrNone; a broken one is an error, and nothing of it is
-// taken.
+// Load reads the state. It fails with ErrNone if there is no file, and with another error, and an empty state, if the file is
+// broken.
 func Load(path string) (State, error) {
 	var s State
 	f, err := os.Open(path)
--- a/internal/ops/golden_test.go
+++ b/internal/ops/golden_test.go
@@ -22,7 +22,7 @@
 		for v, name := range []string{"success", "overload", "error"} {
 			n++
 			for range n {
-				f.Ended(class, Verdict(v))
+				f.RequestEnded(class, Verdict(v))
 			}
 			counts[name] = float64(n)
 		}
@@ -34,7 +34,7 @@
 		replies[class] = counts
 	}
 	want["replies"] = replies
-	f.Open(13)
+	f.AddOpen(13)
 	f.Targets(14, 15)
 	for range 16 {
 		f.Reloaded(true)
@@ -42,7 +42,7 @@
 	for range 17 {
 		f.Reloaded(false)
 	}
-	f.Warm(18, 19, 20*time.Millisecond)
+	f.SnapshotsFound(18, 19, 20*time.Millisecond)
 	for name, n := range map[string]float64{"dispatches": 12, "concurrent": 13, "targets": 14, "targets_disabled": 15,
 		"reload_success": 16, "reload_failure": 17, "snapshot_loaded": 18, "snapshot_rejected": 19, "snapshot_age_ms": 20,
 		"more": 21} {
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -10,20 +10,20 @@
 func TestFigures(t *testing.T) {
 	var f Figures
 	f.Classes([]string{"lookup", "order"})
-	f.Ended("lookup", Success)
-	f.Ended("order", Overload)
-	f.Ended("order", Error)
-	f.Ended("nothing", Success) // no such class: passed over
+	f.RequestEnded("lookup", Success)
+	f.RequestEnded("order", Overload)
+	f.RequestEnded("order", Error)
+	f.RequestEnded("nothing", Success) // no such class: passed over
 	f.Dispatched("order")
-	f.Open(1)
+	f.AddOpen(1)
 	f.Targets(5, 2)
 	f.Reloaded(true)
 	f.Reloaded(false)
 	f.Reloaded(false)
 	// Settings read anew drop a class, add one and reorder: counts go on under their names.
 	f.Classes([]string{"bulk", "lookup"})
-	f.Ended("lookup", Success)
-	f.Ended("bulk", Error)
+	f.RequestEnded("lookup", Success)
+	f.RequestEnded("bulk", Error)
 	var got struct {
 		Replies                         map[string]struct{ Success, Overload, Error, Dispatches int }
 		Concurrent, Targets, Dispatches int
@@ -53,9 +53,9 @@
 	for range 8 {
 		all.Go(func() {
 			for range 1000 {
-				f.Ended("a", Success)
-				f.Open(1)
-				f.Open(-1)
+				f.RequestEnded("a", Success)
+				f.AddOpen(1)
+				f.AddOpen(-1)
 			}
 		})
 	}
--- a/internal/snapshot/export_test.go
+++ b/internal/snapshot/export_test.go
@@ -3,6 +3,6 @@
 // Sealed is a body behind a header that is right for it.
 func Sealed(body []byte) []byte {
 	h := append(make([]byte, headerSize), body...)
-	seal(h, Generation{Life: 1})
+	seal(h, Generation{Incarnation: 1})
 	return h
 }
--- a/internal/snapshot/files.go
+++ b/internal/snapshot/files.go
@@ -14,35 +14,33 @@
 	"dewhitch/internal/durable"
 )
 
+// Names and numbers of files. The folder may hold files of others.
 const (
-	suffix    = ".snapshot"
-	temporary = ".part"
-	newest    = 8    // files that are tried, the newest first
-	mostFiles = 4096 // names that are looked at: the folder is shared with others
-	claims    = 64   // lives that are tried, where other processes claim at the same time
+	fileSuffix      = ".snapshot"
+	temporarySuffix = ".part"
+	maxTried        = 8    // files that are read at the start, the newest first
+	maxNames        = 4096 // names in the folder that are read
+	maxClaims       = 64   // incarnations that a process tries to claim, where others claim at the same time
 )
 
-func prefix(node string) string { return "dewhitch-" + filepath.Base(node) + "." }
+// filePrefix starts the names of a node's files.
+func filePrefix(node string) string { return "dewhitch-" + filepath.Base(node) + "." }
 
-// lives finds the lives of which the folder has files, the newest first.
-func lives(dir, node string) ([]uint64, error) {
+// incarnations are those of which the folder has files, the newest first.
+func incarnations(dir, node string) ([]uint64, error) {
 	d, err := os.Open(dir)
 	if err != nil {
 		return nil, err
 	}
 	defer d.Close()
-	names, err := d.Readdirnames(mostFiles)
+	names, err := d.Readdirnames(maxNames)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return nil, err
 	}
 	var all []uint64
-	for _, n := range names {
-		if n, ok := strings.CutPrefix(n, prefix(node)); ok {
-			if n, ok = strings.CutSuffix(n, suffix); ok {
-				if life, err := strconv.ParseUint(n, 16, 64); err == nil && life > 0 {
-					all = append(all, life)
-				}
-			}
+	for _, name := range names {
+		if incarnation, ok := incarnationOf(node, name); ok {
+			all = append(all, incarnation)
 		}
 	}
 	slices.Sort(all)
@@ -50,11 +48,24 @@
 	return all, nil
 }
 
-func path(dir, node string, life uint64) string {
-	return filepath.Join(dir, fmt.Sprintf("%s%016x%s", prefix(node), life, suffix))
+// incarnationOf reads the incarnation from a file's name; false: it is no snapshot of the node.
+func incarnationOf(node, name string) (uint64, bool) {
+	digits, ok := strings.CutPrefix(name, filePrefix(node))
+	if !ok {
+		return 0, false
+	}
+	if digits, ok = strings.CutSuffix(digits, fileSuffix); !ok {
+		return 0, false
+	}
+	incarnation, err := strconv.ParseUint(digits, 16, 64)
+	return incarnation, err == nil && incarnation > 0
+}
+
+func filePath(dir, node string, incarnation uint64) string {
+	return filepath.Join(dir, fmt.Sprintf("%s%016x%s", filePrefix(node), incarnation, fileSuffix))
 }
 
-// Read reads one file; nothing beyond the bounds is read.
+// Read reads one file, MaxSize at most. It fails as Decode does, or if the file can't be read.
 func Read(file string) (Generation, *Image, error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -68,32 +79,34 @@
 	return Decode(text)
 }
 
-// Found is the newest whole snapshot of a node; Image is nil if there is none.
+// Found is the newest complete snapshot of a node.
 type Found struct {
 	Generation
-	Image    *Image
-	Rejected []error // what was newer, and why it was not taken
+	Image    *Image  // nil: there is none
+	Rejected []error // of newer files, why each can't be used
 }
 
-// Latest finds the newest whole snapshot of a node. Those that are newer and not whole are told, but for such as were
-// only claimed.
+// Latest finds the newest complete snapshot of a node. It fails if the folder can't be read. Files that were claimed and not
+// written are not reported.
 func Latest(dir, node string) (Found, error) {
-	all, err := lives(dir, node)
+	all, err := incarnations(dir, node)
 	if err != nil {
 		return Found{}, err
 	}
 	var found Found
-	for _, life := range all[:min(len(all), newest)] {
-		g, m, err := Read(path(dir, node, life))
-		if err == nil && g.Life != life {
-			err = fmt.Errorf("%w: life %d under the name of another", ErrBroken, g.Life)
+	for _, incarnation := range all[:min(len(all), maxTried)] {
+		path := filePath(dir, node, incarnation)
+		g, m, err := Read(path)
+		if err == nil && g.Incarnation != incarnation {
+			err = fmt.Errorf("%w: life %d under the name of another", ErrBroken, g.Incarnation)
 		}
 		if err == nil {
-			found.Generation, found.Image = g, m
+			found.Generation = g
+			found.Image = m
 			break
 		}
 		if !errors.Is(err, ErrEmpty) && !errors.Is(err, fs.ErrNotExist) {
-			found.Rejected = append(found.Rejected, fmt.Errorf("%s: %w", filepath.Base(path(dir, node, life)), err))
+			found.Rejected = append(found.Rejected, fmt.Errorf("%s: %w", filepath.Base(path), err))
 		}
 	}
 	return found, nil
@@ -101,66 +114,70 @@
 
 // Writer writes the snapshots of one process. It is not safe for concurrent use.
 type Writer struct {
-	dir, node    string
-	last, before Generation // the last write of this process; the snapshot that it started from
-	buf          []byte
+	dir    string
+	node   string
+	last   Generation // of the last write of this process
+	before Generation // of the snapshot that this process started from
+	buf    []byte     // reused
 }
 
-// Claim begins a new life, behind all that the folder knows of. No two processes ever get the same: the file is made by
-// whoever comes first.
+// Claim starts a new incarnation, after all that the folder has files of. No two processes get the same, as claiming creates the
+// file exclusively.
 func Claim(dir, node string, before Generation) (*Writer, error) {
-	all, err := lives(dir, node)
+	all, err := incarnations(dir, node)
 	if err != nil {
 		return nil, err
 	}
-	life := before.Life
+	incarnation := before.Incarnation
 	if len(all) > 0 {
-		life = max(life, all[0])
+		incarnation = max(incarnation, all[0])
 	}
-	for range claims {
-		life++
-		f, err := os.OpenFile(path(dir, node, life), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
+	for range maxClaims {
+		incarnation++
+		f, err := os.OpenFile(filePath(dir, node, incarnation), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 		if err == nil {
-			return &Writer{dir: dir, node: node, last: Generation{Life: life}, before: before}, f.Close()
+			return &Writer{dir: dir, node: node, last: Generation{Incarnation: incarnation}, before: before}, f.Close()
 		}
 		if !errors.Is(err, fs.ErrExist) {
 			return nil, err
 		}
 	}
-	return nil, fmt.Errorf("snapshot: %d lives are taken in a row", claims)
+	return nil, fmt.Errorf("snapshot: %d lives are taken in a row", maxClaims)
 }
 
-// Last is the last write of this process.
+// Last is the generation of the last write; its number is 0 before the first.
 func (w *Writer) Last() Generation { return w.last }
 
-// Write puts a snapshot in the place of the last one of this life, whole or not at all: a kill at any instant leaves the
-// one before. What processes older than the one it started from have left is then removed.
+// Write replaces the file of this incarnation atomically: after a crash at any time the file is the new or the previous one. The
+// first write also prunes. It returns the snapshot's size in bytes.
 func (w *Writer) Write(m *Image) (size int, err error) {
-	next := Generation{w.last.Life, w.last.Number + 1}
+	next := Generation{w.last.Incarnation, w.last.Number + 1}
 	if w.buf, err = Encode(w.buf[:0], next, m); err != nil {
 		return 0, err
 	}
-	to := path(w.dir, w.node, next.Life)
-	if err := durable.Replace(durable.Disk, to+temporary, to, w.buf); err != nil {
+	to := filePath(w.dir, w.node, next.Incarnation)
+	if err := durable.Replace(durable.Disk, to+temporarySuffix, to, w.buf); err != nil {
 		return 0, err
 	}
-	if w.last = next; next.Number == 1 {
+	w.last = next
+	if next.Number == 1 {
 		w.prune()
 	}
 	return len(w.buf), nil
 }
 
-// prune removes the files of lives before the one that this process started from: that one's process may be at work
-// still, and its last snapshot is the one to go back to.
+// prune removes the files of incarnations before the one that this process started from. That one's process may still run, and its
+// last snapshot is the one to fall back to.
 func (w *Writer) prune() {
-	all, err := lives(w.dir, w.node)
+	all, err := incarnations(w.dir, w.node)
 	if err != nil {
 		return
 	}
-	for _, life := range all {
-		if life < w.before.Life {
-			os.Remove(path(w.dir, w.node, life))
-			os.Remove(path(w.dir, w.node, life) + temporary)
+	for _, incarnation := range all {
+		if incarnation < w.before.Incarnation {
+			path := filePath(w.dir, w.node, incarnation)
+			os.Remove(path)
+			os.Remove(path + temporarySuffix)
 		}
 	}
 }
--- a/internal/snapshot/fit.go
+++ b/internal/snapshot/fit.go
@@ -3,12 +3,16 @@
 import (
 	"errors"
 	"fmt"
+	"math"
 	"slices"
 
 	dw "dewhitch"
 )
 
-// Of describes the settings of a process, with nothing learnt yet.
+// ErrForeign says that a snapshot is another deployment's.
+var ErrForeign = errors.New("of another deployment")
+
+// Of describes the settings of a process, with an empty state.
 func Of(node string, s *dw.Settings, classes, plans []string) Image {
 	m := Image{Node: node, Instances: s.Instances, Self: s.Self, Zones: s.Zones, Classes: classes}
 	for i, p := range s.Plans {
@@ -24,85 +28,117 @@
 	return fmt.Sprint("#", i)
 }
 
-// ErrForeign says that a snapshot is another deployment's.
-var ErrForeign = errors.New("of another deployment")
-
-// Fit turns what m holds into the terms of now's settings, in place: classes and plans go by name. What belongs to one
-// that is gone or has changed is left out, and dropped says how much; what is no number spoils the whole.
-func Fit(m, now *Image) (l *dw.State, dropped int, err error) {
+// Fit converts the state of m, in place, to the settings that now describes. Classes are matched by name, and plans by all of their
+// fields; what belongs to one that is not in both is left out. dropped is the number of customers left out and of classes without
+// statistics. It fails with ErrForeign, or as Check does.
+func Fit(m, now *Image) (state *dw.State, dropped int, err error) {
 	if m.Node != now.Node || m.Instances != now.Instances || m.Self != now.Self || m.Zones != now.Zones {
 		return nil, 0, fmt.Errorf("%w: %s, gateway %d of %d", ErrForeign, m.Node, m.Self, m.Instances)
 	}
-	l = &m.State
 	if err := Check(m); err != nil {
 		return nil, 0, err
 	}
-	class := make([]int, len(now.Classes)) // by index now, the index then
+	state = &m.State
+	classes := make([]int, len(now.Classes)) // by index in now, the index in m
 	for i, c := range now.Classes {
-		if class[i] = slices.Index(m.Classes, c); class[i] < 0 {
-			dropped++ // nothing is known of it
+		classes[i] = slices.Index(m.Classes, c)
+		if classes[i] < 0 {
+			dropped++
 		}
 	}
-	sizes := make([]float64, len(class))
-	for i, was := range class {
-		if sizes[i] = 1; was >= 0 {
-			sizes[i] = l.ClassSizes[was]
+	fitClasses(state, classes)
+	dropped += fitPlans(state, m.Plans, now.Plans)
+	return state, dropped, nil
+}
+
+// fitClasses reorders what the state has by class; before is the old index of each class, below 0 if there is none.
+func fitClasses(state *dw.State, before []int) {
+	sizes := make([]float64, len(before))
+	for i, old := range before {
+		sizes[i] = 1
+		if old >= 0 {
+			sizes[i] = state.ClassSizes[old]
 		}
 	}
-	l.ClassSizes = sizes
-	for i := range l.Servers {
-		v := &l.Servers[i]
-		verdicts := make([]dw.FailureStatistics, len(class))
-		for k, was := range class {
-			if was >= 0 && was < len(v.Failures) {
-				verdicts[k] = v.Failures[was]
+	state.ClassSizes = sizes
+	for i := range state.Servers {
+		server := &state.Servers[i]
+		failures := make([]dw.FailureStatistics, len(before))
+		for k, old := range before {
+			if old >= 0 && old < len(server.Failures) {
+				failures[k] = server.Failures[old]
 			}
 		}
-		v.Failures = verdicts
+		server.Failures = failures
 	}
-	kept := l.Customers[:0]
-	for _, c := range l.Customers {
-		if c.Plan = slices.Index(now.Plans, m.Plans[c.Plan]); c.Plan < 0 {
+}
+
+// fitPlans converts the customers' plans, and drops the customers of plans that are gone or changed.
+func fitPlans(state *dw.State, before, now []Plan) (dropped int) {
+	fitted := state.Customers[:0]
+	for _, c := range state.Customers {
+		c.Plan = slices.Index(now, before[c.Plan])
+		if c.Plan < 0 {
 			dropped++
 			continue
 		}
-		kept = append(kept, c)
+		fitted = append(fitted, c)
 	}
-	l.Customers = kept
-	return l, dropped, nil
+	state.Customers = fitted
+	return dropped
 }
 
-// Check tells that all numbers are such as a gateway can have: the module takes them as they are.
+// Bounds of the numbers of a state.
+const (
+	maxAmount   = 1e12 // of any rate, amount or latency
+	minPositive = 1e-9 // of what the module divides by
+	maxWindow   = 1e9  // elapsed in a counter's window
+	maxFailures = 1000 // in a row
+)
+
+// Check fails with ErrBroken unless all numbers are such as a gateway can have, as the module uses them unchecked.
 func Check(m *Image) error {
-	l := &m.State
-	ok := len(l.ClassSizes) == len(m.Classes) && len(l.ZoneFailureShare) <= m.Zones
-	within := func(least, most float64, all ...float64) {
-		for _, v := range all {
-			ok = ok && v >= least && v <= most // not so for what is no number
-		}
-	}
-	const many, years = 1e12, 1e9
-	within(0, many, l.SentAttempts, l.EndpointRequests, l.ThrottleRequests, l.ThrottleAccepts, l.RetryBudget)
-	within(0, many, l.CounterCallRate, l.CounterMinLatency)
-	within(1e-9, many, l.Latency, l.IdleLatency, l.MeanWeight)
-	within(1e-9, many, l.ClassSizes...)
-	within(0, 1-1e-9, l.ZoneFailureShare...)
-	for _, v := range l.Servers {
-		within(1e-9, many, v.Latency)
-		within(-many, many, v.SlowStartBudget, v.Rating)
-		for _, d := range v.Failures {
-			within(0, 1000, float64(d.Count))
-		}
+	state := &m.State
+	ok := len(state.ClassSizes) == len(m.Classes) && len(state.ZoneFailureShare) <= m.Zones &&
+		within(0, maxAmount, state.SentAttempts, state.EndpointRequests, state.ThrottleRequests, state.ThrottleAccepts) &&
+		within(0, maxAmount, state.RetryBudget, state.CounterCallRate, state.CounterMinLatency) &&
+		within(minPositive, maxAmount, state.Latency, state.IdleLatency, state.MeanWeight) &&
+		within(minPositive, maxAmount, state.ClassSizes...) &&
+		within(0, 1-1e-9, state.ZoneFailureShare...)
+	for i := range state.Servers {
+		ok = ok && isValidServer(&state.Servers[i])
 	}
-	for _, c := range l.Customers {
-		ok = ok && c.Plan >= 0 && c.Plan < len(m.Plans) && c.Spread > 0 && c.Spread <= m.Instances && c.Window > 0
-		within(-many, many, c.Level, c.WindowTotal, c.OwnInWindow)
-		within(0, many, c.OwnRate, c.OthersRate, c.Demand, c.DemandSpan)
-		within(-years, years, c.WindowElapsed)
-		within(-many, many, c.Predicted)
+	for i := range state.Customers {
+		ok = ok && isValidCustomer(&state.Customers[i], m)
 	}
 	if !ok {
 		return fmt.Errorf("%w: a number out of bounds", ErrBroken)
 	}
 	return nil
 }
+
+func isValidServer(s *dw.ServerStatistics) bool {
+	for _, f := range s.Failures {
+		if f.Count < 0 || f.Count > maxFailures {
+			return false
+		}
+	}
+	return within(minPositive, maxAmount, s.Latency) && within(-maxAmount, maxAmount, s.SlowStartBudget, s.Rating)
+}
+
+func isValidCustomer(c *dw.AccountState, m *Image) bool {
+	return c.Plan >= 0 && c.Plan < len(m.Plans) && c.Spread > 0 && c.Spread <= m.Instances && c.Window > 0 &&
+		within(-maxAmount, maxAmount, c.Level, c.WindowTotal, c.OwnInWindow, c.Predicted) &&
+		within(0, maxAmount, c.OwnRate, c.OthersRate, c.Demand, c.DemandSpan) &&
+		within(-maxWindow, maxWindow, c.WindowElapsed)
+}
+
+// within tells whether all values lie between two bounds; a NaN does not.
+func within(lowest, highest float64, values ...float64) bool {
+	for _, v := range values {
+		if math.IsNaN(v) || v < lowest || v > highest {
+			return false
+		}
+	}
+	return true
+}
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -1,8 +1,8 @@
-// Package snapshot owns what a process has learnt as it outlives the process: the format of a snapshot, how it is fitted
-// to the settings of another process, and its files, with their lives and generations.
+// Package snapshot owns the decision module's state as it outlasts a process: the format of a snapshot, how it is fitted to the
+// settings of another process, and its files, with their incarnations and generations.
 //
-// Whatever is read here was written by another process, perhaps of another version, and perhaps half: all of it is
-// bounded and checked before any of it is used.
+// A snapshot was written by another process, perhaps of another version, and perhaps incompletely: all of it is bounded and checked
+// before any of it is used.
 package snapshot
 
 import (
@@ -17,30 +17,30 @@
 	dw "dewhitch"
 )
 
-// Version is that of the format; a snapshot of another one is left alone.
+// Version is that of the format; a snapshot of another version is not used.
 const Version = 1
 
-// The bounds of a snapshot.
+// Bounds of a snapshot.
 const (
-	MaxSize      = 16 << 20
+	MaxSize      = 16 << 20 // bytes
 	MaxCustomers = 1 << 16
-	maxElements  = 1 << 17
+	maxElements  = 1 << 17 // of an array
 )
 
-// The header: magic, version and length, generation, then the sum of all other bytes.
+// The header, big-endian: magic, version, length of the body, incarnation, number, and the checksum of all other bytes.
 const (
-	magic      = "dwsnap"
-	sumAt      = 28
-	headerSize = sumAt + 8
+	magic          = "dwsnap"
+	checksumOffset = 28
+	headerSize     = checksumOffset + 8
 )
 
-// Generation orders snapshots: the lives of processes, and the writes of each.
+// Generation orders snapshots.
 type Generation struct {
-	Life   uint64 `json:"Life"`
-	Number uint64 `json:"Number"`
+	Incarnation uint64 `json:"Life"`   // of the process; greater than that of any before
+	Number      uint64 `json:"Number"` // of the write in that process, from 1
 }
 
-// Image is a snapshot's content: what was learnt, and whose settings its indices are of.
+// Image is a snapshot's content: the state, and the settings that its indices refer to.
 type Image struct {
 	Node      string   `json:"Node"`
 	Instances int      `json:"Instances"`
@@ -51,7 +51,7 @@
 	State     dw.State `json:"Learnt"`
 }
 
-// Plan is what a plan's accounts depend on; one that says anything else is another plan.
+// Plan is what the accounts of a plan depend on; a plan that differs in any of it is another one.
 type Plan struct {
 	Name    string  `json:"Name"`
 	Rate    float64 `json:"Rate"`
@@ -59,18 +59,18 @@
 	Ceiling float64 `json:"Ceiling"`
 }
 
-// The faults of a snapshot, for figures and log lines.
+// The faults of a snapshot.
 var (
 	ErrEmpty   = errors.New("claimed, but nothing written yet")
-	ErrTorn    = errors.New("torn")
+	ErrTorn    = errors.New("torn") // incomplete, or changed
 	ErrVersion = errors.New("of another version")
 	ErrBroken  = errors.New("broken")
 )
 
 var (
-	encoding = must(cbor.EncOptions{ShortestFloat: cbor.ShortestFloat16}.EncMode())
-	// Danger: a few bytes can announce an array of any length, and hold maps in maps without end.
-	decoding = must(cbor.DecOptions{MaxArrayElements: maxElements, MaxMapPairs: 1 << 10, MaxNestedLevels: 8,
+	encMode = must(cbor.EncOptions{ShortestFloat: cbor.ShortestFloat16}.EncMode())
+	// The options bound what is allocated: a few bytes can announce an array of any length, or nest maps without end.
+	decMode = must(cbor.DecOptions{MaxArrayElements: maxElements, MaxMapPairs: 1 << 10, MaxNestedLevels: 8,
 		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode())
 )
 
@@ -81,11 +81,11 @@
 	return v
 }
 
-// Encode writes a snapshot behind the bytes of b, which may be used again.
+// Encode appends a snapshot to b. It fails for one of over MaxSize bytes, and returns b then.
 func Encode(b []byte, g Generation, m *Image) ([]byte, error) {
 	start := len(b)
 	out := bytes.NewBuffer(append(b, make([]byte, headerSize)...))
-	if err := encoding.NewEncoder(out).Encode(m); err != nil {
+	if err := encMode.NewEncoder(out).Encode(m); err != nil {
 		return b, err
 	}
 	b = out.Bytes()
@@ -101,21 +101,21 @@
 	copy(h, magic)
 	binary.BigEndian.PutUint16(h[6:], Version)
 	binary.BigEndian.PutUint32(h[8:], uint32(len(h)-headerSize))
-	binary.BigEndian.PutUint64(h[12:], g.Life)
+	binary.BigEndian.PutUint64(h[12:], g.Incarnation)
 	binary.BigEndian.PutUint64(h[20:], g.Number)
-	binary.BigEndian.PutUint64(h[sumAt:], sum(h))
+	binary.BigEndian.PutUint64(h[checksumOffset:], checksum(h))
 }
 
-// sum is of all bytes but itself.
-func sum(h []byte) uint64 {
+// checksum is that of all bytes but its own.
+func checksum(h []byte) uint64 {
 	d := xxhash.New()
-	d.Write(h[:sumAt])
+	d.Write(h[:checksumOffset])
 	d.Write(h[headerSize:])
 	return d.Sum64()
 }
 
-// Decode reads a snapshot: all of it, or nothing and the fault. Nothing is allocated for a length before its bytes are
-// seen to be there.
+// Decode reads a snapshot. It fails with ErrEmpty, ErrTorn, ErrVersion or ErrBroken. Memory for a length is allocated only after its
+// bytes have been found.
 func Decode(b []byte) (g Generation, m *Image, err error) {
 	switch {
 	case len(b) == 0:
@@ -128,12 +128,12 @@
 		return g, nil, fmt.Errorf("%w: %d, not %d", ErrVersion, binary.BigEndian.Uint16(b[6:]), Version)
 	case int64(binary.BigEndian.Uint32(b[8:])) != int64(len(b)-headerSize):
 		return g, nil, fmt.Errorf("%w: %d bytes of %d", ErrTorn, len(b)-headerSize, binary.BigEndian.Uint32(b[8:]))
-	case binary.BigEndian.Uint64(b[sumAt:]) != sum(b):
+	case binary.BigEndian.Uint64(b[checksumOffset:]) != checksum(b):
 		return g, nil, fmt.Errorf("%w: the sum does not match", ErrTorn)
 	}
 	g = Generation{binary.BigEndian.Uint64(b[12:]), binary.BigEndian.Uint64(b[20:])}
 	m = &Image{}
-	if err := decoding.Unmarshal(b[headerSize:], m); err != nil {
+	if err := decMode.Unmarshal(b[headerSize:], m); err != nil {
 		return g, nil, fmt.Errorf("%w: %v", ErrBroken, err)
 	}
 	if len(m.State.Customers) > MaxCustomers {
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -13,7 +13,7 @@
 )
 
 // goldenGeneration and goldenImage are what the golden snapshot holds: each field has a value of its own.
-var goldenGeneration = snapshot.Generation{Life: 0x0102030405060708, Number: 0x1112131415161718}
+var goldenGeneration = snapshot.Generation{Incarnation: 0x0102030405060708, Number: 0x1112131415161718}
 
 func goldenImage() *snapshot.Image {
 	return &snapshot.Image{
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -41,7 +41,7 @@
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := image(rapid.IntRange(0, 40).Draw(t, "customers"), rapid.Float64Range(0, 1e9).Draw(t, "v"))
-		g := snapshot.Generation{Life: rapid.Uint64().Draw(t, "life"), Number: rapid.Uint64().Draw(t, "number")}
+		g := snapshot.Generation{Incarnation: rapid.Uint64().Draw(t, "life"), Number: rapid.Uint64().Draw(t, "number")}
 		b, err := snapshot.Encode([]byte("front"), g, m)
 		if err != nil {
 			t.Fatal(err)
@@ -72,7 +72,7 @@
 }
 
 func TestFaultsAreTold(t *testing.T) {
-	b, err := snapshot.Encode(nil, snapshot.Generation{Life: 1}, image(3, 1))
+	b, err := snapshot.Encode(nil, snapshot.Generation{Incarnation: 1}, image(3, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -97,7 +97,7 @@
 // A length that its bytes do not bear out allocates nothing.
 func TestLengthIsNotBelieved(t *testing.T) {
 	m := image(0, 1)
-	b, _ := snapshot.Encode(nil, snapshot.Generation{Life: 1}, m)
+	b, _ := snapshot.Encode(nil, snapshot.Generation{Incarnation: 1}, m)
 	grown := testing.AllocsPerRun(10, func() {
 		c := append([]byte(nil), b...)
 		binary.BigEndian.PutUint32(c[8:], math.MaxUint32)
@@ -164,7 +164,7 @@
 	latest := func(v float64, life, number uint64) {
 		t.Helper()
 		f, err := snapshot.Latest(dir, "n1")
-		if err != nil || f.Image == nil || f.Image.State.Customers[4].Level != v || f.Generation != (snapshot.Generation{Life: life, Number: number}) {
+		if err != nil || f.Image == nil || f.Image.State.Customers[4].Level != v || f.Generation != (snapshot.Generation{Incarnation: life, Number: number}) {
 			t.Fatalf("%+v, %v", f.Generation, err)
 		}
 	}
@@ -207,10 +207,10 @@
 	}
 	w := claimed(t, dir)
 	for i := 1; ; i++ {
-		if _, err := w.Write(image(200+i%700, float64(w.Last().Life*1e6+uint64(i)))); err != nil {
+		if _, err := w.Write(image(200+i%700, float64(w.Last().Incarnation*1e6+uint64(i)))); err != nil {
 			t.Fatal(err)
 		}
-		fmt.Printf("wrote %d %d\n", w.Last().Life, w.Last().Number)
+		fmt.Printf("wrote %d %d\n", w.Last().Incarnation, w.Last().Number)
 	}
 }
 
@@ -235,7 +235,7 @@
 		lines := bufio.NewScanner(out)
 		after := 1 + rng.IntN(12)
 		for lines.Scan() {
-			if n, _ := fmt.Sscanf(lines.Text(), "wrote %d %d", &said.Life, &said.Number); n == 2 && said.Number == uint64(after) {
+			if n, _ := fmt.Sscanf(lines.Text(), "wrote %d %d", &said.Incarnation, &said.Number); n == 2 && said.Number == uint64(after) {
 				time.Sleep(time.Duration(rng.IntN(3000)) * time.Microsecond)
 				cmd.Process.Kill()
 			}
@@ -245,10 +245,10 @@
 		if err != nil || f.Image == nil || len(f.Rejected) > 0 {
 			t.Fatalf("kill %d: %+v, %v", kill, f, err)
 		}
-		if said.Number < uint64(after) || f.Life != said.Life || f.Number < said.Number {
+		if said.Number < uint64(after) || f.Incarnation != said.Incarnation || f.Number < said.Number {
 			t.Fatalf("kill %d: found %+v, where %+v was on the disk", kill, f.Generation, said)
 		}
-		want := float64(f.Life*1e6 + f.Number)
+		want := float64(f.Incarnation*1e6 + f.Number)
 		for _, c := range f.Image.State.Customers {
 			if c.Level != want || c.WindowTotal != want {
 				t.Fatalf("kill %d: mixed: %v in %v", kill, c.Level, want)
@@ -261,7 +261,7 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	b, _ := snapshot.Encode(nil, snapshot.Generation{Life: 1}, image(3, 1))
+	b, _ := snapshot.Encode(nil, snapshot.Generation{Incarnation: 1}, image(3, 1))
 	f.Add(b[36:])
 	f.Add([]byte("\x9b\xff\xff\xff\xff\xff\xff\xff\xff"))
 	now := image(0, 0)
@@ -291,7 +291,7 @@
 	m := image(10000, 123.456)
 	var buf []byte
 	for b.Loop() {
-		buf, _ = snapshot.Encode(buf[:0], snapshot.Generation{Life: 1}, m)
+		buf, _ = snapshot.Encode(buf[:0], snapshot.Generation{Incarnation: 1}, m)
 	}
 	b.ReportMetric(float64(len(buf)), "bytes")
 }
