--- a/admission.go
+++ b/admission.go
@@ -2,18 +2,18 @@
 
 import "math"
 
-// admission decides on new requests by its rules in a fixed order. Each rule is one function with a verdict;
-// the first that denies rejects the request, before anything is spent.
+// admission decides on new requests. It calls the rules of the other owners in a fixed order, each once.
 type admission struct {
-	ctx      *stepContext
-	accounts *accounts
-	requests *requestTable
-	quota    *quotaRules
-	counter  *counterSync
-	shedder  *loadShedder
-	balancer *balancer
-	attempts *attemptController
-	shutdown *shutdown
+	ctx        *stepContext
+	accounts   *accounts
+	requests   *requestTable
+	quota      *quotaRules
+	counter    *counterSync
+	priorities *priorities
+	shedder    *loadShedder
+	balancer   *balancer
+	attempts   *attemptController
+	shutdown   *shutdown
 }
 
 // counterCheck is how a request within its quota stands to the check with the counter.
@@ -21,11 +21,29 @@
 
 const (
 	counterCheckNotNeeded  counterCheck = iota // the request is admitted by what is known
-	counterCheckFirst                          // it waits until its units are counted
+	counterCheckFirst                          // it is admitted once its units are counted
 	counterCheckImpossible                     // no call can be made for it now
 )
 
-// arrive decides on a new request, or on units to take alone: it is rejected at once, or served from here on.
+// quotaVerdict is the decision of the quota's rules.
+type quotaVerdict struct {
+	verdict
+	check counterCheck // valid if a request was within the quota by what is known
+}
+
+// certain tells whether the request is within the quota by what is known, or will be known before it is
+// forwarded.
+func (v quotaVerdict) certain() bool { return v.admitted && v.check != counterCheckImpossible }
+
+// arrive decides on a new request, or on units to take alone: it is rejected at once, or served from here
+// on. The rules, in their order:
+//
+//  1. validity (checkValid);
+//  2. the quota, less what is reserved for higher priorities, checked with the counter if need be (checkQuota);
+//  3. the hard ceiling (hardCeiling.check), and whether the request may go beyond the quota (combine);
+//  4. the capacity of the servers (loadShedder.checkCapacity); units alone need none.
+//
+// A rejection spends nothing of the account.
 func (ad *admission) arrive(e Arrival, unitsOnly bool) {
 	e.Remaining = ad.shutdown.limit(e.Remaining)
 	if v := ad.checkValid(e); !v.admitted {
@@ -33,31 +51,23 @@
 		return
 	}
 	r := ad.newRequest(e, unitsOnly)
-	a := r.account
-	quota := ad.quota.check(a, r.units, ad.shedder.reservedFor(r))
-	check := counterCheckNotNeeded
-	if quota.admitted {
-		check = ad.counterCheckOf(a)
-	}
-	if check == counterCheckImpossible {
-		quota = ad.admitByDemand(a, r.units)
-	}
-	if v := ad.combine(r, quota, a.ceiling.check(ad.ctx.now, r.units)); !v.admitted {
+	quota := ad.checkQuota(r)
+	ceiling := r.account.ceiling.check(ad.ctx.now, r.units)
+	if v := ad.combine(r, quota.verdict, ceiling); !v.admitted {
 		ad.requests.reject(r, v)
 		return
 	}
 	var s *server
 	if !unitsOnly {
 		var v verdict
-		s, v = ad.shedder.checkCapacity(r, quota.admitted && check != counterCheckImpossible)
-		if !v.admitted {
+		if s, v = ad.shedder.checkCapacity(r, quota.certain()); !v.admitted {
 			ad.requests.reject(r, v)
 			return
 		}
 	}
 	r.withinQuota = quota.admitted
 	ad.open(r)
-	if check == counterCheckFirst {
+	if quota.check == counterCheckFirst {
 		ad.confirm(r)
 	} else {
 		ad.serve(r, s)
@@ -89,6 +99,20 @@
 	}
 }
 
+// checkQuota decides whether r is within its quota: by what is known, or, if that has to be checked with the
+// counter and cannot, by demand.
+func (ad *admission) checkQuota(r *request) quotaVerdict {
+	v := quotaVerdict{verdict: ad.quota.check(r.account, r.units, ad.priorities.reservedFor(r))}
+	if !v.admitted {
+		return v
+	}
+	v.check = ad.counterCheckOf(r.account)
+	if v.check == counterCheckImpossible {
+		v.verdict = ad.admitByDemand(r.account, r.units)
+	}
+	return v
+}
+
 // counterCheckOf tells whether a request within the quota is counted before it is admitted. That takes a
 // call, so it is not done where the request would be served beyond the quota too, or while demand is low. A
 // request joins the call that follows one that is out.
@@ -102,8 +126,8 @@
 	return counterCheckImpossible
 }
 
-// admitByDemand decides on a request that cannot be counted first: by chance. One that is denied still goes
-// on the tally, as the count of such a customer is of what was asked for.
+// admitByDemand decides at random on a request that cannot be counted first. One that is denied still goes
+// on the tally: the count of such a customer is that of its demand.
 func (ad *admission) admitByDemand(a *account, units float64) verdict {
 	if ad.drawByDemand(a) {
 		return admit()
@@ -112,8 +136,8 @@
 	return deny(ReasonQuota, 0)
 }
 
-// drawByDemand admits, of requests that cannot be counted first, a random part: the rate by the demand. All
-// others are admitted.
+// drawByDemand admits a random part of the requests that should be counted first and cannot: the quotient of
+// rate and demand. All others are admitted.
 func (ad *admission) drawByDemand(a *account) bool {
 	return !a.counterFirst || ad.ctx.rng.Float64()*a.demand.units <= a.plan.Rate*a.demand.span
 }
@@ -134,7 +158,8 @@
 	return admit()
 }
 
-// open makes r an open request. Whatever happens to its attempts, it is answered before its client gives up.
+// open makes r an open request, and charges the ceiling. Invariant: whatever happens to its attempts, an
+// open request has its answer a tick before its deadline.
 func (ad *admission) open(r *request) {
 	ad.requests.byID[r.id] = r
 	r.account.ceiling.spend(r.units)
@@ -145,7 +170,7 @@
 	})
 }
 
-// confirm has r wait until its units are counted.
+// confirm has r wait until its units are counted: resume goes on with it.
 func (ad *admission) confirm(r *request) {
 	a := r.account
 	a.sync.unconfirmed = append(a.sync.unconfirmed, r)
@@ -175,7 +200,7 @@
 // Without an answer, as many are admitted as the demand allows.
 func (ad *admission) resume(a *account, counted bool) {
 	for _, r := range a.sync.unconfirmed {
-		reserved := ad.shedder.reservedFor(r)
+		reserved := ad.priorities.reservedFor(r)
 		spent := counted && reserved > 0 && a.sync.total > (1-reserved)*a.plan.Rate*seconds(a.window)
 		s, _ := ad.balancer.pick(r, math.Inf(1))
 		switch {
--- a/gateway.go
+++ b/gateway.go
@@ -24,6 +24,7 @@
 
 	requests    *requestTable
 	accounts    *accounts
+	priorities  *priorities
 	counter     *counterSync
 	quota       *quotaRules
 	retryBudget *retryBudget
@@ -69,16 +70,18 @@
 	g.accounts = &accounts{ctx: ctx, byID: map[CustomerID]*account{}}
 	g.counter = &counterSync{ctx: ctx, calls: map[string]*account{},
 		limiter: ratelimit.New(seconds(set.CounterTimeout), set.Instances)}
+	g.priorities = &priorities{latency: g.latency, mean: max(set.Classes[0].Weight, minPriority)}
 	g.quota = &quotaRules{ctx: ctx, latency: g.latency, counter: g.counter}
 	g.retryBudget = &retryBudget{tokens: maxRetryBudget}
 	g.shedder = &loadShedder{ctx: ctx, traffic: g.traffic, latency: g.latency, balancer: g.balancer,
-		retryBudget: g.retryBudget, meanPriority: max(set.Classes[0].Weight, minPriority)}
+		priorities: g.priorities, retryBudget: g.retryBudget}
 	g.attempts = &attemptController{ctx: ctx, requests: g.requests, rules: attemptRules{ctx}, traffic: g.traffic,
 		slowStart: g.slowStart, outliers: g.outliers, latency: g.latency, balancer: g.balancer, shedder: g.shedder,
 		retryBudget: g.retryBudget, counter: g.counter}
 	g.shutdown = &shutdown{ctx: ctx, requests: g.requests, attempts: g.attempts}
 	g.admission = &admission{ctx: ctx, accounts: g.accounts, requests: g.requests, quota: g.quota,
-		counter: g.counter, shedder: g.shedder, balancer: g.balancer, attempts: g.attempts, shutdown: g.shutdown}
+		counter: g.counter, priorities: g.priorities, shedder: g.shedder, balancer: g.balancer,
+		attempts: g.attempts, shutdown: g.shutdown}
 	g.limits = &limitQueries{ctx: ctx, accounts: g.accounts, requests: g.requests, counter: g.counter,
 		shutdown: g.shutdown}
 }
--- a/load_shedding.go
+++ b/load_shedding.go
@@ -3,48 +3,30 @@
 import "math"
 
 const (
-	objectiveFraction    = 0.25  // of the latency objective: a first attempt must be expected within it
-	idleMultiple         = 2.5   // or within so many times the latency of idle servers, if that is more
-	beyondQuotaFraction  = 0.4   // of that threshold for requests beyond their quota, which are shed first
-	throttleFree         = 3.0   // requests that the throttle never counts against the servers
-	throttleAcceptRatio  = 0.5   // accepts per request below which the throttle starts to reject
-	minPriority          = 1e-6  // weight of a class that is configured with none
-	priorityMeanWeight   = 0.025 // of a request in the mean priority
-	reservedFraction     = 0.7   // of the burst: what a request of no priority leaves to others
-	minRetryAfterLatency = 0.5   // of the mean latency: least advice to a request that is shed; at most 1 more
+	objectiveFraction    = 0.25 // of the latency objective: a first attempt must be expected within it
+	idleMultiple         = 2.5  // or within so many times the latency of idle servers, if that is more
+	beyondQuotaFraction  = 0.4  // of that threshold for requests beyond their quota, which are shed first
+	throttleFree         = 3.0  // requests that the throttle never counts against the servers
+	throttleAcceptRatio  = 0.5  // accepts per request below which the throttle starts to reject
+	minRetryAfterLatency = 0.5  // of the mean latency: least advice to a request that is shed; at most 1 more
 )
 
-// loadShedder rejects requests that the servers should not get. What earns little gives way to what earns
-// more.
+// loadShedder rejects requests that the servers should not get, those of low priority first.
 type loadShedder struct {
-	ctx          *stepContext
-	traffic      *trafficStatistics
-	latency      *latencyEstimator
-	balancer     *balancer
-	retryBudget  *retryBudget
-	meanPriority float64 // exponential moving average over the requests that came here
-}
-
-// priority is a request's weight for the work that it is.
-func (l *loadShedder) priority(r *request) float64 {
-	return max(r.class.Weight, minPriority) / l.latency.classSize[r.classIndex]
-}
-
-// reservedFor is the fraction of a customer's burst that r leaves to requests of higher priority. Units that
-// are taken alone are for work unknown, and leave nothing: they may have all that a limit query reports.
-func (l *loadShedder) reservedFor(r *request) float64 {
-	if r.unitsOnly {
-		return 0
-	}
-	return reservedFraction * max(0, 1-l.priority(r)/l.meanPriority)
+	ctx         *stepContext
+	traffic     *trafficStatistics
+	latency     *latencyEstimator
+	balancer    *balancer
+	priorities  *priorities
+	retryBudget *retryBudget
 }
 
 // latencyThreshold is the expected latency, in seconds, from which on r is shed: a fraction of its objective
 // or a multiple of what idle servers take, which is no sign of load, scaled by the root of its priority.
-func (l *loadShedder) latencyThreshold(r *request, withinQuota bool, priority float64) float64 {
+func (l *loadShedder) latencyThreshold(r *request, withinQuota bool) float64 {
 	byObjective := objectiveFraction * seconds(r.objective-l.ctx.now)
 	byIdle := idleMultiple * l.latency.idle * l.latency.classSize[r.classIndex]
-	threshold := max(byObjective, byIdle) * math.Sqrt(priority/l.meanPriority)
+	threshold := max(byObjective, byIdle) * math.Sqrt(l.priorities.of(r)/l.priorities.mean)
 	if !withinQuota {
 		threshold *= beyondQuotaFraction
 	}
@@ -54,9 +36,8 @@
 // checkCapacity finds the server for the first attempt of r, or sheds r: if no server may take it, if the
 // best one is expected to be too slow, or by the throttle.
 func (l *loadShedder) checkCapacity(r *request, withinQuota bool) (*server, verdict) {
-	priority := l.priority(r)
-	l.meanPriority += priorityMeanWeight * (priority - l.meanPriority)
-	threshold := l.latencyThreshold(r, withinQuota, priority)
+	l.priorities.observe(r)
+	threshold := l.latencyThreshold(r, withinQuota)
 	l.traffic.endpointRequests++
 	s, expected := l.balancer.pick(r, threshold)
 	if s == nil || expected > threshold || l.throttled() {
--- a/settings.go
+++ b/settings.go
@@ -49,9 +49,9 @@
 	Classes   []Class
 	Plans     []Plan
 
-	Counter        bool // CounterAdd is possible
-	CounterTimeout Span // after it a call ends with OutcomeTimeout
-	CounterFee     float64
+	Counter        bool    // CounterAdd is possible
+	CounterTimeout Span    // after it a call ends with OutcomeTimeout
+	CounterFee     float64 // of the result, times counter calls by requests
 	MeterPeriod    Span    // over which AttemptEnded.Used is metered; 0: it is not
 	MaxUnits       float64 // of one request
 	UnitsCorrected bool    // a request's units are an estimate, corrected by AttemptEnded.TrueUnits
@@ -77,10 +77,10 @@
 	StartCapacity    float64 // fraction of its capacity that a server starts with, from 0 to 1
 	OverloadMultiple float64 // of its present capacity: what is overload of a warming server
 
-	CrossZonePrice float64 // for each attempt to another zone
-	WastePrice     float64 // for servers' work that served no answer
-	ProbePrice     float64 // for each health check
-	LatePrice      float64 // for weight left unserved after its objective
+	CrossZonePrice float64 // of the result, times attempts to another zone by requests
+	WastePrice     float64 // of the result, times the fraction of the servers' work that served no answer
+	ProbePrice     float64 // of the result, times health checks by requests
+	LatePrice      float64 // of the result, times the fraction of the weight unserved after its objective
 }
 
 // SettingError is a setting that no gateway could work with.
--- a/state.go
+++ b/state.go
@@ -88,7 +88,7 @@
 		RetryBudget:       g.retryBudget.tokens,
 		Latency:           g.latency.mean,
 		IdleLatency:       g.latency.idle,
-		MeanWeight:        g.shedder.meanPriority,
+		MeanWeight:        g.priorities.mean,
 		Measured:          g.latency.measuredAt,
 		CounterCallRate:   callRate,
 		CounterMinLatency: minLatency,
@@ -202,7 +202,7 @@
 		t.zoneFailures[zone] = failures * trust
 	}
 	g.retryBudget.tokens = min(maxRetryBudget, s.RetryBudget)
-	g.shedder.meanPriority = s.MeanWeight
+	g.priorities.mean = s.MeanWeight
 	g.counter.limiter.Resume(s.CounterCallRate, s.CounterMinLatency)
 }
 
