--- a/cmd/dewhitch/ledger_commands.go
+++ b/cmd/dewhitch/ledger_commands.go
@@ -32,7 +32,7 @@
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s (%s), life %d: %d postings behind the last statement, %d open, records %d to %d\n", v.Node, v.Role, v.Life,
+	fmt.Printf("%s (%s), life %d: %d postings behind the last statement, %d open, records %d to %d\n", v.Node, v.Role, v.Incarnation,
 		v.Replayed, v.Ledger.Open(), v.First, v.Last)
 	for _, note := range v.Notes {
 		fmt.Println("note:", note)
@@ -50,7 +50,7 @@
 	for _, line := range lines {
 		name := statement.Name{Plan: v.Names.Plan(line.Key.Plan), Class: v.Names.Class(line.Key.Class)}
 		if withCustomer {
-			name.Haulier = ledger.HaulierText(line.Key.Customer)
+			name.Haulier = ledger.CustomerText(line.Key.Customer)
 		}
 		sums = append(sums, statement.Sum{Name: name, Counts: line.Counts, Tries: line.Counts.N[ledger.FrontTaken]})
 	}
@@ -101,7 +101,7 @@
 		fmt.Printf("%s: note: %s\n", v.Node, note)
 	}
 	for _, f := range v.Ledger.Audit(true) {
-		fmt.Printf("%s: haulier %s, plan %s, class %s: %s\n", v.Node, ledger.HaulierText(f.Key.Customer),
+		fmt.Printf("%s: haulier %s, plan %s, class %s: %s\n", v.Node, ledger.CustomerText(f.Key.Customer),
 			v.Names.Plan(f.Key.Plan), v.Names.Class(f.Key.Class), f)
 		faults++
 	}
--- a/cmd/dewhitch/ledger_process.go
+++ b/cmd/dewhitch/ledger_process.go
@@ -74,8 +74,8 @@
 		return nil, ledger.Names{}
 	}
 	p.store = opened
-	log.Info("the ledger goes on", zap.Uint64("life", recovery.Life), zap.Int("postings_replayed", recovery.Replayed),
-		zap.Uint64("reqs_cut_off_by_crash", recovery.Reqs))
+	log.Info("the ledger goes on", zap.Uint64("life", recovery.Incarnation), zap.Int("postings_replayed", recovery.Replayed),
+		zap.Uint64("reqs_cut_off_by_crash", recovery.Requests))
 	for _, note := range recovery.Notes {
 		log.Error("the ledger could not keep everything", zap.String("note", note))
 	}
@@ -98,7 +98,7 @@
 }
 
 // isDurable reports whether the figures outlast the process.
-func (p *ledgerProcess) isDurable() bool { return p.store != nil && p.store.Kept() }
+func (p *ledgerProcess) isDurable() bool { return p.store != nil && p.store.LogIntact() }
 
 // close ends the recorder and the store, after all that posts has ended.
 func (p *ledgerProcess) close() {
--- a/internal/backend/outcomes.go
+++ b/internal/backend/outcomes.go
@@ -43,14 +43,14 @@
 
 // outcomeEvents are the ledger's events for the outcomes of attempts.
 var outcomeEvents = [dw.OutcomeCount]ledger.Event{
-	dw.OutcomeOK:            ledger.FetchOK,
-	dw.OutcomeError:         ledger.FetchError,
-	dw.OutcomeRejected:      ledger.FetchRejected,
-	dw.OutcomeTimeout:       ledger.FetchTimeout,
-	dw.OutcomeConnectFailed: ledger.FetchConnectFailed,
-	dw.OutcomeReset:         ledger.FetchReset,
-	dw.OutcomeCancelled:     ledger.FetchCancelled,
-	dw.OutcomeNotSent:       ledger.FetchNotSent,
+	dw.OutcomeOK:            ledger.AttemptOK,
+	dw.OutcomeError:         ledger.AttemptError,
+	dw.OutcomeRejected:      ledger.AttemptRejected,
+	dw.OutcomeTimeout:       ledger.AttemptTimeout,
+	dw.OutcomeConnectFailed: ledger.AttemptConnectFailed,
+	dw.OutcomeReset:         ledger.AttemptReset,
+	dw.OutcomeCancelled:     ledger.AttemptCancelled,
+	dw.OutcomeNotSent:       ledger.AttemptNotSent,
 }
 
 // postEnd posts the end of an attempt, the first time that it is called. Only the attempt's goroutine calls it.
--- a/internal/backend/pools.go
+++ b/internal/backend/pools.go
@@ -81,7 +81,7 @@
 	ctx, cancel := context.WithDeadline(context.Background(), spec.Deadline)
 	a := &attempt{Attempt: spec, began: began, ctx: ctx, cancel: cancel}
 	p.register(a)
-	a.posting = ledger.Posting{Event: ledger.FetchBegan, Key: spec.Request.LedgerKey, Ref: spec.Request.LedgerRef}
+	a.posting = ledger.Posting{Event: ledger.AttemptStarted, Key: spec.Request.LedgerKey, Ref: spec.Request.LedgerRef}
 	p.recorder.Post(a.posting)
 	go func() {
 		result := p.run(a)
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -14,15 +14,15 @@
 // Ledger events by the module's reasons.
 var (
 	rejectionEvents = map[dw.Reason]ledger.Event{
-		dw.ReasonInvalid:   ledger.PlanRefusedUnusable,
-		dw.ReasonQuota:     ledger.PlanRefusedQuota,
-		dw.ReasonCeiling:   ledger.PlanRefusedCeiling,
-		dw.ReasonOverload:  ledger.PlanRefusedServers,
-		dw.ReasonExhausted: ledger.PlanRefusedGaveUp,
+		dw.ReasonInvalid:   ledger.PlanRejectedInvalid,
+		dw.ReasonQuota:     ledger.PlanRejectedQuota,
+		dw.ReasonCeiling:   ledger.PlanRejectedCeiling,
+		dw.ReasonOverload:  ledger.PlanRejectedOverload,
+		dw.ReasonExhausted: ledger.PlanRejectedExhausted,
 	}
 	failureEvents = map[dw.Reason]ledger.Event{
-		dw.ReasonExhausted:     ledger.PlanFailedGaveUp,
-		dw.ReasonCounterUnread: ledger.PlanFailedUnread,
+		dw.ReasonExhausted:     ledger.PlanFailedExhausted,
+		dw.ReasonCounterUnread: ledger.PlanFailedCounterUnread,
 	}
 )
 
--- a/internal/core/counter_calls.go
+++ b/internal/core/counter_calls.go
@@ -31,7 +31,7 @@
 		LedgerKey: ledger.Account(uint64(a.Customer)),
 	}
 	notified := ledger.Posting{
-		Event: ledger.UnitsTold,
+		Event: ledger.UnitsPushed,
 		Key:   call.LedgerKey,
 		Ref:   call.LedgerRef,
 		Units: ledger.MicroUnits(a.Add),
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -80,16 +80,16 @@
 	p.recorder.Post(ledger.Posting{Event: ledger.PlanTaken, Key: m.request.LedgerKey, Ref: m.request.LedgerRef,
 		Units: ledger.MicroUnits(m.request.Units)})
 	if m.request.ClientLeft() { // its cancelMessage may have been handled before
-		p.recordEnd(s, ledger.PlanGone)
+		p.recordEnd(s, ledger.PlanClientLeft)
 		return
 	}
 	if m.pending.expedited.Load() { // nothing has been done for it yet: a rejection is safe
-		p.recordEnd(s, ledger.PlanRefusedGaveUp)
+		p.recordEnd(s, ledger.PlanRejectedExhausted)
 		m.request.Answer(Answer{Result: ResultRejected})
 		return
 	}
 	if m.request.Kind == KindForward && !p.claimName(m.request.Message.Name) {
-		p.recordEnd(s, ledger.PlanFailedOpen)
+		p.recordEnd(s, ledger.PlanFailedDuplicateID)
 		m.request.Answer(Answer{Result: ResultFailed})
 		return
 	}
@@ -143,7 +143,7 @@
 		e.Write(zap.String("request", s.request.Message.Name), zap.Int("attempts", s.attempts), zap.Int("out", s.inFlight))
 	}
 	p.closeRequest(s)
-	p.recordEnd(s, ledger.PlanGone)
+	p.recordEnd(s, ledger.PlanClientLeft)
 	p.step(dw.ClientLeft{Request: s.id})
 	p.forgetIfEnded(s)
 }
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -37,11 +37,11 @@
 	accepted := k.posting
 	accepted.Event = ledger.FrontTaken
 	accepted.Units = ledger.MicroUnits(r.Units)
-	accepted.Wait = ledger.WholeSeconds(r.Timeout)
+	accepted.Wait = ledger.CeilSeconds(r.Timeout)
 	c.recorder.Post(accepted)
 	if r.Message.Key != "" && r.LedgerKey.Class >= 0 {
 		withKey := k.posting
-		withKey.Event = ledger.FrontKeyed
+		withKey.Event = ledger.FrontIdempotencyKey
 		withKey.Units = int64(xxhash.Sum64String(r.Message.Key))
 		c.recorder.Post(withKey)
 	}
@@ -55,9 +55,9 @@
 func (k *call) postEnd(f front.Fate) {
 	switch f {
 	case front.Gone:
-		k.post(ledger.FrontGone)
+		k.post(ledger.FrontClientLeft)
 	case front.Cut:
-		k.post(ledger.FrontCut)
+		k.post(ledger.FrontWriteFailed)
 	default:
 		k.post(k.end)
 	}
@@ -75,8 +75,8 @@
 	switch decided {
 	case ledger.PlanServed:
 		k.end = ledger.FrontServed
-	case ledger.PlanRefusedQuota:
-		k.end = ledger.FrontRefused
+	case ledger.PlanRejectedQuota:
+		k.end = ledger.FrontRejected
 	default:
 		k.end = ledger.FrontFailed
 	}
@@ -98,22 +98,22 @@
 // classify gives the ledger's events for a planner's answer: the end of the attempt, and the decision.
 func classify(v resp.Value) (attempt, decided ledger.Event) {
 	if v.Kind != resp.Failure {
-		return ledger.FetchOK, ledger.PlanServed
+		return ledger.AttemptOK, ledger.PlanServed
 	}
 	word, _, _ := strings.Cut(string(v.Text), " ")
 	switch {
 	case word == "BUSY":
-		return ledger.FetchOK, ledger.PlanRefusedQuota
+		return ledger.AttemptOK, ledger.PlanRejectedQuota
 	case slices.Contains(acceptedFailures, string(v.Text)):
-		return ledger.FetchOK, ledger.PlanFailedGaveUp
+		return ledger.AttemptOK, ledger.PlanFailedExhausted
 	}
-	return ledger.FetchRejected, ledger.PlanFailedGaveUp
+	return ledger.AttemptRejected, ledger.PlanFailedExhausted
 }
 
 // fail answers a call that was written completely and whose planner was lost.
 func (k *call) fail() {
-	k.post(ledger.FetchReset)
+	k.post(ledger.AttemptReset)
 	k.post(ledger.PlanHeard)
-	k.answer(ledger.PlanFailedGaveUp,
+	k.answer(ledger.PlanFailedExhausted,
 		resp.AppendFailure(nil, "ERR the planner was lost; the command may have been applied"))
 }
--- a/internal/forward/commands.go
+++ b/internal/forward/commands.go
@@ -113,7 +113,7 @@
 			return
 		}
 	}
-	k.answer(ledger.PlanFailedGaveUp, resp.AppendFailure(nil, "ERR no planner of this customer's set can be reached"))
+	k.answer(ledger.PlanFailedExhausted, resp.AppendFailure(nil, "ERR no planner of this customer's set can be reached"))
 }
 
 // linkTo returns the session's link to a planner, a new one if there is none or it was lost. The error is errEnded, or that of
--- a/internal/forward/link.go
+++ b/internal/forward/link.go
@@ -60,12 +60,12 @@
 		return false
 	}
 	k.post(ledger.PlanSent)
-	k.post(ledger.FetchBegan)
+	k.post(ledger.AttemptStarted)
 	l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if n, _ := l.conn.Write(command); n < len(command) {
 		l.lost.Store(true)
 		l.conn.Close()
-		k.post(ledger.FetchNotSent)
+		k.post(ledger.AttemptNotSent)
 		k.post(ledger.PlanHeard)
 		return false
 	}
--- a/internal/front/platform/submit.go
+++ b/internal/front/platform/submit.go
@@ -18,7 +18,7 @@
 // Forms of a result for the figures and for the ledger.
 var (
 	opsVerdicts = [...]ops.Verdict{core.ResultServed: ops.Success, core.ResultRejected: ops.Overload, core.ResultFailed: ops.Error}
-	endEvents   = [...]ledger.Event{core.ResultServed: ledger.FrontServed, core.ResultRejected: ledger.FrontRefused,
+	endEvents   = [...]ledger.Event{core.ResultServed: ledger.FrontServed, core.ResultRejected: ledger.FrontRejected,
 		core.ResultFailed: ledger.FrontFailed}
 )
 
@@ -86,10 +86,10 @@
 func (s *submission) postReceived() {
 	r := s.request
 	s.received = ledger.Posting{Event: ledger.FrontTaken, Key: r.LedgerKey, Ref: r.LedgerRef,
-		Units: ledger.MicroUnits(r.Units), Wait: ledger.WholeSeconds(r.Timeout)}
+		Units: ledger.MicroUnits(r.Units), Wait: ledger.CeilSeconds(r.Timeout)}
 	s.commands.Books.Post(s.received)
 	if r.Message.Key != "" && r.Kind == core.KindForward {
-		s.commands.Books.Post(ledger.Posting{Event: ledger.FrontKeyed, Key: r.LedgerKey, Ref: r.LedgerRef,
+		s.commands.Books.Post(ledger.Posting{Event: ledger.FrontIdempotencyKey, Key: r.LedgerKey, Ref: r.LedgerRef,
 			Units: int64(xxhash.Sum64String(r.Message.Key))})
 	}
 }
@@ -117,11 +117,11 @@
 	switch {
 	case s.notHanded:
 		end = s.received
-		end.Event = ledger.FrontKept
+		end.Event = ledger.FrontNotSubmitted
 	case f == front.Gone:
-		end.Event = ledger.FrontGone
+		end.Event = ledger.FrontClientLeft
 	case f == front.Cut:
-		end.Event = ledger.FrontCut
+		end.Event = ledger.FrontWriteFailed
 	default:
 		end.Event = endEvents[s.result]
 	}
--- a/internal/ledger/audit.go
+++ b/internal/ledger/audit.go
@@ -11,19 +11,19 @@
 	Key         Key
 	All         bool // it is over all rows, and Key is of none
 	Check       string
-	Books       [2]Book
+	Journals    [2]Journal
 	Left, Right uint64 // in the order of Books; units are in millionths
 }
 
 // String words it for a log.
 func (m Mismatch) String() string {
-	return fmt.Sprintf("%s: %d in %s, %d in %s", m.Check, int64(m.Left), m.Books[0], int64(m.Right), m.Books[1])
+	return fmt.Sprintf("%s: %d in %s, %d in %s", m.Check, int64(m.Left), m.Journals[0], int64(m.Right), m.Journals[1])
 }
 
 // transit is what the table holds of a row.
 type transit struct {
 	front, planner, handed, sending, fetching, hearing uint64
-	answering                                          [verdicts]uint64
+	answering                                          [verdictCount]uint64
 	handedUnits                                        uint64
 	calling, callOpen, returning                       uint64
 	callingUnits, callOpenUnits, returningUnits        uint64
@@ -38,7 +38,7 @@
 
 func (t *transit) add(e *Entry) {
 	if e.Call {
-		calling, open, returning := e.Told && !e.CallBegan && !e.CallOver, e.CallBegan && !e.CallOver, e.Rejected && !e.Returned
+		calling, open, returning := e.Pushed && !e.CallBegan && !e.CallOver, e.CallBegan && !e.CallOver, e.Rejected && !e.Returned
 		t.calling += count(calling)
 		t.callOpen += count(open)
 		t.returning += count(returning)
@@ -63,7 +63,7 @@
 // and the sum over them. What does not add up is returned, in the order of the keys. A row that nothing was posted to
 // stands as it stood.
 func (l *Ledger) Audit(all bool, watched ...Key) (found []Mismatch) {
-	l.last = nil
+	l.lastRow = nil
 	l.epoch++
 	found, l.found = l.found, nil
 	table := map[Key]*transit{}
@@ -89,9 +89,9 @@
 			r.dirty = false
 			sum.Add(&r.counts)
 		}
-		for e := None + 1; e < Events; e++ {
+		for e := None + 1; e < EventCount; e++ {
 			if sum.N[e] != l.total.N[e] || sum.Units(e) != l.total.Units(e) {
-				found = append(found, Mismatch{All: true, Check: "sum of " + e.String(), Books: [2]Book{e.Book(), e.Book()},
+				found = append(found, Mismatch{All: true, Check: "sum of " + e.String(), Journals: [2]Journal{e.Journal(), e.Journal()},
 					Left: sum.N[e], Right: l.total.N[e]})
 			}
 		}
@@ -123,9 +123,9 @@
 		}
 	}
 	for k, n := range rows {
-		m := Mismatch{Key: k, Check: "open beyond its deadline = 0", Books: [2]Book{Front, Planner}, Left: n}
+		m := Mismatch{Key: k, Check: "open beyond its deadline = 0", Journals: [2]Journal{JournalFront, JournalPlanner}, Left: n}
 		if k.Class == ClassAccount {
-			m.Books = [2]Book{Counter, Units}
+			m.Journals = [2]Journal{JournalCounter, JournalUnits}
 		}
 		found = append(found, m)
 	}
@@ -137,43 +137,43 @@
 func (r *row) check(t *transit) (found []Mismatch) {
 	c := &r.counts
 	n := &c.N
-	same := func(what string, a Book, left uint64, b Book, right uint64) {
+	same := func(what string, a Journal, left uint64, b Journal, right uint64) {
 		if left != right {
-			found = append(found, Mismatch{Key: r.key, Check: what, Books: [2]Book{a, b}, Left: left, Right: right})
+			found = append(found, Mismatch{Key: r.key, Check: what, Journals: [2]Journal{a, b}, Left: left, Right: right})
 		}
 	}
 	units := func(e Event) uint64 { return uint64(c.Units(e)) }
 	if r.key.Class == ClassAccount {
-		same("calls ordered = begun", Units, n[UnitsTold], Counter, n[CallBegan]+n[CallNeverBegan]+t.calling)
-		same("calls begun = ended + open", Counter, n[CallBegan], Counter,
+		same("calls ordered = begun", JournalUnits, n[UnitsPushed], JournalCounter, n[CallBegan]+n[CallNeverBegan]+t.calling)
+		same("calls begun = ended + open", JournalCounter, n[CallBegan], JournalCounter,
 			n[CallAdded]+n[CallRejected]+n[CallUnknown]+n[CallCutoff]+t.callOpen)
-		same("units ordered = in calls begun", Units, units(UnitsTold), Counter,
+		same("units ordered = in calls begun", JournalUnits, units(UnitsPushed), JournalCounter,
 			units(CallBegan)+units(CallNeverBegan)+t.callingUnits)
-		same("units of calls begun = ended + open", Counter, units(CallBegan), Counter,
+		same("units of calls begun = ended + open", JournalCounter, units(CallBegan), JournalCounter,
 			units(CallAdded)+units(CallRejected)+units(CallUnknown)+units(CallCutoff)+t.callOpenUnits)
-		same("units not added = returned", Counter, units(CallRejected), Units,
+		same("units not added = returned", JournalCounter, units(CallRejected), JournalUnits,
 			units(UnitsReturned)+units(UnitsNeverReturned)+t.returningUnits)
 		return found
 	}
-	same("taken = served + refused + failed + open", Front, n[FrontTaken], Front, c.Ended()+t.front)
-	same("taken by the front = by the planner", Front, n[FrontTaken]-n[FrontKept]-n[FrontNeverTaken], Planner,
+	same("taken = served + refused + failed + open", JournalFront, n[FrontTaken], JournalFront, c.Ended()+t.front)
+	same("taken by the front = by the planner", JournalFront, n[FrontTaken]-n[FrontNotSubmitted]-n[FrontNeverTaken], JournalPlanner,
 		n[PlanTaken]+t.handed)
-	same("units taken by the front = by the planner", Front,
-		units(FrontTaken)-units(FrontKept)-units(FrontNeverTaken), Planner, units(PlanTaken)+t.handedUnits)
-	same("taken by the planner = decided + open", Planner, n[PlanTaken], Planner,
-		n[PlanServed]+c.Refused()+c.Failed()+n[PlanGone]+n[PlanCutoff]+t.planner)
-	same("served by the planner = written or lost", Planner, n[PlanServed], Front,
+	same("units taken by the front = by the planner", JournalFront,
+		units(FrontTaken)-units(FrontNotSubmitted)-units(FrontNeverTaken), JournalPlanner, units(PlanTaken)+t.handedUnits)
+	same("taken by the planner = decided + open", JournalPlanner, n[PlanTaken], JournalPlanner,
+		n[PlanServed]+c.Rejected()+c.Failed()+n[PlanClientLeft]+n[PlanCutoff]+t.planner)
+	same("served by the planner = written or lost", JournalPlanner, n[PlanServed], JournalFront,
 		n[FrontServed]+r.lost[served]+t.answering[served])
-	same("refused by the planner = written or lost", Planner, c.Refused(), Front,
-		n[FrontRefused]+r.lost[refused]+t.answering[refused])
-	same("failed by the planner = written or lost", Planner, c.Failed(), Front,
+	same("refused by the planner = written or lost", JournalPlanner, c.Rejected(), JournalFront,
+		n[FrontRejected]+r.lost[rejected]+t.answering[rejected])
+	same("failed by the planner = written or lost", JournalPlanner, c.Failed(), JournalFront,
 		n[FrontFailed]+r.lost[failed]+t.answering[failed])
-	same("fetches ordered = begun", Planner, n[PlanSent], Fetches, n[FetchBegan]+n[FetchNeverBegan]+t.sending)
-	same("fetches begun = ended + open", Fetches, n[FetchBegan], Fetches, c.FetchesEnded()+t.fetching)
-	same("fetches ended = heard of", Fetches, c.FetchesEnded()+n[FetchNeverBegan], Planner,
+	same("fetches ordered = begun", JournalPlanner, n[PlanSent], JournalAttempts, n[AttemptStarted]+n[AttemptNeverStarted]+t.sending)
+	same("fetches begun = ended + open", JournalAttempts, n[AttemptStarted], JournalAttempts, c.AttemptsEnded()+t.fetching)
+	same("fetches ended = heard of", JournalAttempts, c.AttemptsEnded()+n[AttemptNeverStarted], JournalPlanner,
 		n[PlanHeard]+n[PlanHeardCutoff]+t.hearing)
-	if r.key.Class >= 0 && int64(n[PlanServed]-n[FetchOK]) > 0 {
-		same("served by a good fetch each", Planner, n[PlanServed], Fetches, n[FetchOK])
+	if r.key.Class >= 0 && int64(n[PlanServed]-n[AttemptOK]) > 0 {
+		same("served by a good fetch each", JournalPlanner, n[PlanServed], JournalAttempts, n[AttemptOK])
 	}
 	return found
 }
@@ -182,7 +182,7 @@
 const CheckTally = "units on the tally = drawn - told + returned"
 
 // AuditAccounts compares what the tallies of the decision module hold with the units' book, for the accounts that
-// Accounts named. tally tells what a haulier's tally holds, in units; unknown: the module has dropped the account, with
+// Accounts named. tally tells what a customer's tally holds, in units; unknown: the module has dropped the account, with
 // whatever was on its tally, which the postings forgotten take note of; they are yet to be posted. It must be called
 // where nothing is drawn meanwhile.
 func (l *Ledger) AuditAccounts(keys []Key, tally func(customer uint64) (units float64, known bool)) (found []Mismatch,
@@ -201,29 +201,29 @@
 			continue
 		}
 		// Each posting was rounded to a millionth, and the module adds up unrounded.
-		slack := int64(r.counts.N[UnitsDrawn]+r.counts.N[UnitsTold]+r.counts.N[UnitsReturned])/2 + 1
-		if held := MicroUnits(units); held-pending > slack || pending-held > slack {
-			found = append(found, Mismatch{Key: k, Check: CheckTally, Books: [2]Book{Planner, Units},
-				Left: uint64(held), Right: uint64(pending)})
+		slack := int64(r.counts.N[UnitsDrawn]+r.counts.N[UnitsPushed]+r.counts.N[UnitsReturned])/2 + 1
+		if tallied := MicroUnits(units); tallied-pending > slack || pending-tallied > slack {
+			found = append(found, Mismatch{Key: k, Check: CheckTally, Journals: [2]Journal{JournalPlanner, JournalUnits},
+				Left: uint64(tallied), Right: uint64(pending)})
 		}
 	}
 	return found, forgotten
 }
 
-// Accounts names the accounts of hauliers that were posted to since it last did, and those that hold units.
+// Accounts names the accounts of customers that were posted to since it last did, and those that hold units.
 func (l *Ledger) Accounts() (keys []Key) {
-	l.last = nil
-	kept := l.accounts[:0]
+	l.lastRow = nil
+	remaining := l.accounts[:0]
 	for _, r := range l.accounts {
 		if l.rows[r.key] != r {
 			continue
 		}
 		keys = append(keys, r.key)
 		if r.unread = r.counts.Pending() != 0; r.unread {
-			kept = append(kept, r)
+			remaining = append(remaining, r)
 		}
 	}
-	clear(l.accounts[len(kept):])
-	l.accounts = kept
+	clear(l.accounts[len(remaining):])
+	l.accounts = remaining
 	return keys
 }
--- a/internal/ledger/counts.go
+++ b/internal/ledger/counts.go
@@ -2,22 +2,22 @@
 
 // Counts are the figures of a row.
 type Counts struct {
-	N [Events]uint64
-	U [sums]int64 // in millionths
+	N [EventCount]uint64
+	U [unitSums]int64 // in millionths
 }
 
 // Units are those that came with an event.
 func (c *Counts) Units(e Event) int64 {
-	if u := kinds[e].units; u >= 0 {
+	if u := eventKinds[e].unitsIndex; u >= 0 {
 		return c.U[u]
 	}
 	return 0
 }
 
-// Book adds one posting.
-func (c *Counts) Book(e Event, units int64) {
+// Record adds one posting.
+func (c *Counts) Record(e Event, units int64) {
 	c.N[e]++
-	if u := kinds[e].units; u >= 0 {
+	if u := eventKinds[e].unitsIndex; u >= 0 {
 		c.U[u] += units
 	}
 }
@@ -46,7 +46,7 @@
 // Set gives one figure a value, for readers of files.
 func (c *Counts) Set(e Event, n uint64, units int64) {
 	c.N[e] = n
-	if u := kinds[e].units; u >= 0 {
+	if u := eventKinds[e].unitsIndex; u >= 0 {
 		c.U[u] = units
 	}
 }
@@ -54,9 +54,9 @@
 // Zero says that nothing was ever counted.
 func (c *Counts) Zero() bool { return *c == Counts{} }
 
-// Refused adds up the planner's refusals.
-func (c *Counts) Refused() (n uint64) {
-	for e := PlanRefusedQuota; e <= PlanRefusedUnusable; e++ {
+// Rejected adds up the planner's refusals.
+func (c *Counts) Rejected() (n uint64) {
+	for e := PlanRejectedQuota; e <= PlanRejectedInvalid; e++ {
 		n += c.N[e]
 	}
 	return n
@@ -64,29 +64,29 @@
 
 // Failed adds up the planner's failures.
 func (c *Counts) Failed() uint64 {
-	return c.N[PlanFailedGaveUp] + c.N[PlanFailedOpen] + c.N[PlanFailedUnread]
+	return c.N[PlanFailedExhausted] + c.N[PlanFailedDuplicateID] + c.N[PlanFailedCounterUnread]
 }
 
-// FetchesEnded adds up the fetches that have ended, in whatever way.
-func (c *Counts) FetchesEnded() (n uint64) {
-	for e := FetchOK; e <= FetchCutoff; e++ {
+// AttemptsEnded adds up the attempts that have ended, in whatever way.
+func (c *Counts) AttemptsEnded() (n uint64) {
+	for e := AttemptOK; e <= AttemptCutoff; e++ {
 		n += c.N[e]
 	}
 	return n
 }
 
-// Ended adds up how reqs ended by the front's book, whatever became of them.
+// Ended adds up how requests ended by the front's book, whatever became of them.
 func (c *Counts) Ended() uint64 {
-	return c.N[FrontServed] + c.N[FrontRefused] + c.FrontFailures()
+	return c.N[FrontServed] + c.N[FrontRejected] + c.FrontFailures()
 }
 
 // FrontFailures adds up what ended as neither served nor refused by the front's book.
 func (c *Counts) FrontFailures() uint64 {
-	return c.N[FrontFailed] + c.N[FrontGone] + c.N[FrontCut] + c.N[FrontKept] + c.N[FrontCutoff]
+	return c.N[FrontFailed] + c.N[FrontClientLeft] + c.N[FrontWriteFailed] + c.N[FrontNotSubmitted] + c.N[FrontCutoff]
 }
 
 // Pending is what the tally of an account must hold, by the units' book.
 func (c *Counts) Pending() int64 {
-	return c.Units(UnitsDrawn) - c.Units(UnitsTold) + c.Units(UnitsReturned) - c.Units(UnitsForgotten) -
+	return c.Units(UnitsDrawn) - c.Units(UnitsPushed) + c.Units(UnitsReturned) - c.Units(UnitsForgotten) -
 		c.Units(UnitsCutoff)
 }
--- a/internal/ledger/cutoff.go
+++ b/internal/ledger/cutoff.go
@@ -17,7 +17,7 @@
 		e := l.table[ref]
 		k := e.Key
 		if e.Call {
-			if e.Told && !e.CallBegan {
+			if e.Pushed && !e.CallBegan {
 				post(CallNeverBegan, k, ref, e.Units)
 			} else if !e.CallOver {
 				post(CallCutoff, k, ref, e.Units)
@@ -28,10 +28,10 @@
 			continue
 		}
 		for range e.sending() {
-			post(FetchNeverBegan, k, ref, 0)
+			post(AttemptNeverStarted, k, ref, 0)
 		}
 		for range e.fetching() {
-			post(FetchCutoff, k, ref, 0)
+			post(AttemptCutoff, k, ref, 0)
 		}
 		for range e.hearing() {
 			post(PlanHeardCutoff, k, ref, 0)
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -6,55 +6,55 @@
 	"slices"
 )
 
-// The verdicts of a req, by the event that gave them.
+// The verdicts of a request, by the event that gave them.
 type verdict uint8
 
 const (
 	undecided verdict = iota
 	served
-	refused
+	rejected
 	failed
 	other // gone or cut off: no answer was decided
-	verdicts
+	verdictCount
 )
 
 func decided(e Event) verdict {
 	switch {
 	case e == PlanServed:
 		return served
-	case e >= PlanRefusedQuota && e <= PlanRefusedUnusable:
-		return refused
-	case e >= PlanFailedGaveUp && e <= PlanFailedUnread:
+	case e >= PlanRejectedQuota && e <= PlanRejectedInvalid:
+		return rejected
+	case e >= PlanFailedExhausted && e <= PlanFailedCounterUnread:
 		return failed
 	}
 	return other
 }
 
-// Entry is what is open under a Ref. It holds what the owners have said of this req or call, each in its own words.
+// Entry is what is open under a Ref. It holds what the owners have said of this request or call, each in its own words.
 type Entry struct {
-	Key        Key     `json:"Key"`
-	Units      int64   `json:"Units"`
-	Since      int64   `json:"Since"` // Unix time in nanoseconds
-	Wait       uint16  `json:"Wait"`
-	Keyed      bool    `json:"Keyed"`
-	Hash       uint64  `json:"Hash"`
-	Call       bool    `json:"Call"`
-	FrontTaken bool    `json:"FrontTaken"`
-	FrontEnded bool    `json:"FrontEnded"`
-	NeverTaken bool    `json:"NeverTaken"` // the planner will not take it
-	Lost       bool    `json:"Lost"`       // its answer did not reach the client
-	PlanTaken  bool    `json:"PlanTaken"`
-	PlanEnded  verdict `json:"PlanEnded"`
-	Sent       uint16  `json:"Sent"`
-	Heard      uint16  `json:"Heard"`
-	Began      uint16  `json:"Began"`
-	Ended      uint16  `json:"Ended"`
-	Told       bool    `json:"Told"`      // of a Call
-	CallBegan  bool    `json:"CallBegan"` // of a Call
-	CallOver   bool    `json:"CallOver"`  // of a Call
-	Rejected   bool    `json:"Rejected"`
-	Returned   bool    `json:"Returned"`
-	row        *row    // of Key
+	Key               Key     `json:"Key"`
+	Units             int64   `json:"Units"`
+	Since             int64   `json:"Since"` // Unix time in nanoseconds
+	Wait              uint16  `json:"Wait"`
+	HasIdempotencyKey bool    `json:"Keyed"`
+	Hash              uint64  `json:"Hash"`
+	Call              bool    `json:"Call"`
+	FrontTaken        bool    `json:"FrontTaken"`
+	FrontEnded        bool    `json:"FrontEnded"`
+	NeverTaken        bool    `json:"NeverTaken"` // the planner will not take it
+	Lost              bool    `json:"Lost"`       // its answer did not reach the client
+	PlanTaken         bool    `json:"PlanTaken"`
+	PlanEnded         verdict `json:"PlanEnded"`
+	Sent              uint16  `json:"Sent"`
+	Heard             uint16  `json:"Heard"`
+	Began             uint16  `json:"Began"`
+	Ended             uint16  `json:"Ended"`
+	Pushed            bool    `json:"Told"`      // of a Call
+	CallBegan         bool    `json:"CallBegan"` // of a Call
+	CallOver          bool    `json:"CallOver"`  // of a Call
+	Rejected          bool    `json:"Rejected"`
+	Returned          bool    `json:"Returned"`
+	row               *row    // of Key
 }
 
 // enter takes note of a posting on what is open.
@@ -64,19 +64,19 @@
 			return
 		}
 	}
-	switch eventOwner := p.Event.Book(); eventOwner {
-	case Front:
+	switch eventOwner := p.Event.Journal(); eventOwner {
+	case JournalFront:
 		e.enterFront(p, r)
-	case Planner:
+	case JournalPlanner:
 		e.enterPlanner(p.Event, r)
-	case Fetches:
+	case JournalAttempts:
 		e.enterAttempt(p.Event)
-	case Units, Counter:
+	case JournalUnits, JournalCounter:
 		e.enterCall(p.Event)
 	}
-	if e.Keyed && e.FrontEnded {
-		e.Keyed = false
-		l.tried(Try{Key: e.Key, Hash: e.Hash, Taken: e.Since, Ended: p.At, End: p.Event})
+	if e.HasIdempotencyKey && e.FrontEnded {
+		e.HasIdempotencyKey = false
+		l.recordIdempotentRequest(IdempotentRequest{Key: e.Key, Hash: e.Hash, Taken: e.Since, Ended: p.At, End: p.Event})
 	}
 	if e.done() {
 		delete(l.table, p.Ref)
@@ -87,14 +87,14 @@
 // openEntry opens the entry of a posting that can open one. Any other posting speaks of an entry that is not open: Audit finds that.
 func (l *Ledger) openEntry(p Posting, r *row) *Entry {
 	switch p.Event {
-	case FrontTaken, PlanTaken, UnitsTold, CallBegan:
+	case FrontTaken, PlanTaken, UnitsPushed, CallBegan:
 	default:
 		return nil
 	}
 	if len(l.table) >= l.limits.Open {
 		l.abandon()
 	}
-	e := &Entry{Key: p.Key, Units: p.Units, Since: p.At, row: r, Call: p.Event == UnitsTold || p.Event == CallBegan}
+	e := &Entry{Key: p.Key, Units: p.Units, Since: p.At, row: r, Call: p.Event == UnitsPushed || p.Event == CallBegan}
 	l.table[p.Ref] = e
 	r.open++
 	return e
@@ -105,15 +105,15 @@
 	switch p.Event {
 	case FrontTaken:
 		e.FrontTaken, e.Wait = true, p.Wait
-	case FrontKeyed:
-		e.Keyed, e.Hash = true, uint64(p.Units)
-	case FrontKept, FrontNeverTaken:
+	case FrontIdempotencyKey:
+		e.HasIdempotencyKey, e.Hash = true, uint64(p.Units)
+	case FrontNotSubmitted, FrontNeverTaken:
 		e.NeverTaken = true
-		e.FrontEnded = e.FrontEnded || p.Event == FrontKept
-	case FrontGone, FrontCut, FrontCutoff:
+		e.FrontEnded = e.FrontEnded || p.Event == FrontNotSubmitted
+	case FrontClientLeft, FrontWriteFailed, FrontCutoff:
 		e.Lost = !e.FrontEnded
 		e.endFront(r)
-	case FrontServed, FrontRefused, FrontFailed:
+	case FrontServed, FrontRejected, FrontFailed:
 		e.endFront(r)
 	}
 }
@@ -141,9 +141,9 @@
 // enterAttempt takes note of what the pools say of an attempt.
 func (e *Entry) enterAttempt(event Event) {
 	switch event {
-	case FetchBegan:
+	case AttemptStarted:
 		e.Began++
-	case FetchNeverBegan:
+	case AttemptNeverStarted:
 		e.Began++
 		e.Ended++
 	default:
@@ -154,8 +154,8 @@
 // enterCall takes note of what the planner and the counter's client say of a call to the counter.
 func (e *Entry) enterCall(event Event) {
 	switch event {
-	case UnitsTold:
-		e.Told = true
+	case UnitsPushed:
+		e.Pushed = true
 	case UnitsReturned, UnitsNeverReturned:
 		e.Returned = true
 	case CallBegan, CallNeverBegan:
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -10,25 +10,25 @@
 )
 
 // events are all events in the order of their numbers, which stand in log segments and in rows of the embedded store.
-var events = []Event{None, FrontTaken, FrontServed, FrontRefused, FrontFailed, FrontGone, FrontCut, FrontKept, FrontCutoff,
-	PlanTaken, PlanServed, PlanRefusedQuota, PlanRefusedCeiling, PlanRefusedServers, PlanRefusedGaveUp, PlanRefusedUnusable,
-	PlanFailedGaveUp, PlanFailedOpen, PlanFailedUnread, PlanGone, PlanCutoff, PlanSent, PlanHeard,
-	FetchBegan, FetchOK, FetchError, FetchRejected, FetchTimeout, FetchConnectFailed, FetchReset, FetchCancelled, FetchNotSent,
-	FetchCutoff, UnitsDrawn, UnitsTold, UnitsReturned, UnitsForgotten, CallBegan, CallAdded, CallRejected, CallUnknown,
-	CallCutoff, FrontNeverTaken, FetchNeverBegan, PlanHeardCutoff, CallNeverBegan, UnitsNeverReturned, UnitsCutoff, FrontKeyed}
+var events = []Event{None, FrontTaken, FrontServed, FrontRejected, FrontFailed, FrontClientLeft, FrontWriteFailed, FrontNotSubmitted, FrontCutoff,
+	PlanTaken, PlanServed, PlanRejectedQuota, PlanRejectedCeiling, PlanRejectedOverload, PlanRejectedExhausted, PlanRejectedInvalid,
+	PlanFailedExhausted, PlanFailedDuplicateID, PlanFailedCounterUnread, PlanClientLeft, PlanCutoff, PlanSent, PlanHeard,
+	AttemptStarted, AttemptOK, AttemptError, AttemptRejected, AttemptTimeout, AttemptConnectFailed, AttemptReset, AttemptCancelled, AttemptNotSent,
+	AttemptCutoff, UnitsDrawn, UnitsPushed, UnitsReturned, UnitsForgotten, CallBegan, CallAdded, CallRejected, CallUnknown,
+	CallCutoff, FrontNeverTaken, AttemptNeverStarted, PlanHeardCutoff, CallNeverBegan, UnitsNeverReturned, UnitsCutoff, FrontIdempotencyKey}
 
 // TestEventForm freezes the number, the text and the book of each event, and whether it has units. Segments and rows hold
 // the number; export records, CSV columns, metrics and alarms hold the text, which ByName reads.
 func TestEventForm(t *testing.T) {
-	if len(events) != int(Events) {
-		t.Errorf("%d events are listed, and there are %d", len(events), Events)
+	if len(events) != int(EventCount) {
+		t.Errorf("%d events are listed, and there are %d", len(events), EventCount)
 	}
 	var lines strings.Builder
 	for n, e := range events {
 		if int(e) != n {
 			t.Errorf("event %s has number %d in place of %d", e, e, n)
 		}
-		fmt.Fprintln(&lines, uint8(e), e, e.Book(), e.HasUnits())
+		fmt.Fprintln(&lines, uint8(e), e, e.Journal(), e.HasUnits())
 	}
 	golden.Compare(t, "events", []byte(lines.String()))
 	for line := range strings.Lines(string(golden.Read(t, "events"))) {
@@ -48,13 +48,13 @@
 // the entries that are open) and keys; alarms and the export hold the texts.
 func TestNumberForm(t *testing.T) {
 	var lines strings.Builder
-	for _, b := range []Book{Front, Planner, Fetches, Units, Counter} {
+	for _, b := range []Journal{JournalFront, JournalPlanner, JournalAttempts, JournalUnits, JournalCounter} {
 		fmt.Fprintln(&lines, "book", uint8(b), b)
 	}
 	for _, v := range []struct {
 		name string
 		verdict
-	}{{"undecided", undecided}, {"served", served}, {"refused", refused}, {"failed", failed}, {"other", other}} {
+	}{{"undecided", undecided}, {"served", served}, {"refused", rejected}, {"failed", failed}, {"other", other}} {
 		fmt.Fprintln(&lines, "verdict", uint8(v.verdict), v.name)
 	}
 	for _, e := range events {
@@ -68,7 +68,7 @@
 		fmt.Fprintln(&lines, "class", i, n.Class(i))
 	}
 	for _, customer := range []uint64{0, 0xaa, 0x123456789abcdef0, Others} {
-		fmt.Fprintln(&lines, "haulier", customer, HaulierText(customer))
+		fmt.Fprintln(&lines, "haulier", customer, CustomerText(customer))
 	}
 	account := Account(0xaa)
 	fmt.Fprintln(&lines, "account", account.Customer, account.Plan, account.Class)
@@ -80,7 +80,7 @@
 func TestCheckForm(t *testing.T) {
 	l := New(Limits{}, false)
 	for _, k := range []Key{{Customer: 5, Plan: 1, Class: 2}, Account(6)} {
-		kept := Kept{Key: k, Lost: [4]uint64{3, 5, 7, 9}}
+		kept := StoredRow{Key: k, Lost: [4]uint64{3, 5, 7, 9}}
 		for _, e := range events[1:] {
 			kept.Set(e, 1000+uint64(e)*uint64(e)*uint64(e), int64(e)*int64(e)*1e6)
 		}
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -17,33 +17,33 @@
 
 // Limits bound a ledger's memory.
 type Limits struct {
-	Rows   int // of hauliers; those rolled up come on top, a plan and class each
+	Rows   int // of customers; those rolled up come on top, a plan and class each
 	Open   int // entries that are open
 	Flight int // postings that the flight recorder holds
 }
 
 // Ledger is the state of the books. It is for one goroutine at a time.
 type Ledger struct {
-	limits    Limits
-	rows      map[Key]*row
-	recent    *list.List // of *row, the one posted to last in front; those rolled up are not in it
-	table     map[uint64]*Entry
-	last      *row   // that was posted to, and has been touched since the last audit or statement
-	epoch     uint64 // audits and statements
-	total     Counts // over all rows, booked beside them
-	dirty     []*row
-	unkept    []*row
-	found     []Mismatch // in evicted rows
-	gone      []Key      // evicted rows that a store holds
-	evicted   []Line     // deltas of evicted rows that no statement holds yet
-	accounts  []*row     // that were posted to since Accounts last named them, or hold units
-	tries     []Try      // that have ended since the last statement
-	stating   bool       // statements are made
-	flight    []Posting
-	flown     uint64
-	Abandoned uint64 // entries that were given up as the table was full: their rows no longer add up
-	Evictions uint64
-	TriesLost uint64 // that came beyond what is held between two statements
+	limits                 Limits
+	rows                   map[Key]*row
+	recent                 *list.List // of *row, the one posted to last in front; those rolled up are not in it
+	table                  map[uint64]*Entry
+	lastRow                *row   // that was posted to, and has been touched since the last audit or statement
+	epoch                  uint64 // audits and statements
+	total                  Counts // over all rows, booked beside them
+	dirty                  []*row
+	unstored               []*row
+	found                  []Mismatch          // in evicted rows
+	evictedKeys            []Key               // evicted rows that a store holds
+	evicted                []Line              // deltas of evicted rows that no statement holds yet
+	accounts               []*row              // that were posted to since Accounts last named them, or hold units
+	idempotentRequests     []IdempotentRequest // that have ended since the last statement
+	stating                bool                // statements are made
+	flight                 []Posting
+	flightPosted           uint64
+	Abandoned              uint64 // entries that were given up as the table was full: their rows no longer add up
+	Evictions              uint64
+	IdempotentRequestsLost uint64 // that came beyond what is held between two statements
 }
 
 // New makes empty books. With statements, Statement must be called now and then.
@@ -54,15 +54,15 @@
 
 // Post books one posting. Whatever it says is booked: that it fits is for Audit to say.
 func (l *Ledger) Post(p Posting) {
-	if p.Event == None || p.Event >= Events {
+	if p.Event == None || p.Event >= EventCount {
 		return
 	}
 	if len(l.flight) < l.limits.Flight {
 		l.flight = append(l.flight, p)
 	} else {
-		l.flight[l.flown%uint64(len(l.flight))] = p
+		l.flight[l.flightPosted%uint64(len(l.flight))] = p
 	}
-	l.flown++
+	l.flightPosted++
 	var r *row
 	e := l.table[p.Ref]
 	if e != nil && e.Key.Customer == Others {
@@ -70,29 +70,29 @@
 	}
 	if e != nil && e.Key == p.Key {
 		r = e.row
-		l.recently(r)
+		l.touchRecent(r)
 	} else {
 		r = l.row(p.Key)
 	}
-	r.counts.Book(p.Event, p.Units)
-	l.total.Book(p.Event, p.Units)
+	r.counts.Record(p.Event, p.Units)
+	l.total.Record(p.Event, p.Units)
 	if p.Ref != 0 {
 		l.enter(p, e, r)
 	}
 }
 
-// Open is how many reqs and calls are open.
+// Open is how many requests and calls are open.
 func (l *Ledger) Open() int { return len(l.table) }
 
 // Total is the figures over all rows, as they were booked beside them.
 func (l *Ledger) Total() Counts { return l.total }
 
 // Flight returns the last postings to a row that the flight recorder still holds, the oldest first, so many at most.
-func (l *Ledger) Flight(k Key, most int) (ps []Posting) {
+func (l *Ledger) Flight(k Key, limit int) (ps []Posting) {
 	for i := range l.flight {
-		p := l.flight[(l.flown-1-uint64(i))%uint64(len(l.flight))]
+		p := l.flight[(l.flightPosted-1-uint64(i))%uint64(len(l.flight))]
 		if p.Key == k {
-			if ps = append(ps, p); len(ps) == most {
+			if ps = append(ps, p); len(ps) == limit {
 				break
 			}
 		}
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -31,12 +31,12 @@
 		if rapid.Bool().Draw(t, "wraps") {
 			// Figures that add up and are about to wrap: 2^64-3 of all, with as many taken as served.
 			var c Counts
-			for _, e := range []Event{FrontTaken, FrontServed, PlanTaken, PlanServed, PlanSent, PlanHeard, FetchBegan, FetchOK} {
+			for _, e := range []Event{FrontTaken, FrontServed, PlanTaken, PlanServed, PlanSent, PlanHeard, AttemptStarted, AttemptOK} {
 				c.Set(e, math.MaxUint64-2, 0)
 			}
 			c.Set(FrontTaken, math.MaxUint64-2, math.MaxInt64-1)
 			c.Set(PlanTaken, math.MaxUint64-2, math.MaxInt64-1)
-			l.Restore(Kept{Key: Key{1, 0, 0}, Counts: c})
+			l.Restore(StoredRow{Key: Key{1, 0, 0}, Counts: c})
 		}
 		n := 0
 		ledgertest.Storm(seed, 300, 12, func(p Posting) {
@@ -86,13 +86,13 @@
 			switch p.Event {
 			case UnitsDrawn, UnitsReturned:
 				module[p.Key.Customer] += p.Units
-			case UnitsTold:
+			case UnitsPushed:
 				module[p.Key.Customer] -= p.Units
 			}
 		})
 		for at, bad := range all {
 			for _, fault := range []string{"lost", "doubled", "wrong units"} {
-				if fault == "wrong units" && !bad.Event.HasUnits() || bad.Event == FrontKeyed { // a note, and no figure
+				if fault == "wrong units" && !bad.Event.HasUnits() || bad.Event == FrontIdempotencyKey { // a note, and no figure
 					continue
 				}
 				l := New(Limits{Rows: 1000, Open: 1000, Flight: 100}, false)
@@ -128,7 +128,7 @@
 	}
 }
 
-// 200,000 hauliers that come once each: memory stays bounded, and what was rolled up is exact, by plan.
+// 200,000 customers that come once each: memory stays bounded, and what was rolled up is exact, by plan.
 func TestOneOffHauliers(t *testing.T) {
 	l := New(Limits{Rows: 500, Open: 100, Flight: 100}, true)
 	var want [3]uint64
@@ -136,7 +136,7 @@
 	for i := range uint64(200_000) {
 		k := Key{1000 + i, int16(i % 3), 0}
 		want[i%3]++
-		for _, e := range []Event{FrontTaken, PlanTaken, PlanRefusedQuota, FrontRefused} {
+		for _, e := range []Event{FrontTaken, PlanTaken, PlanRejectedQuota, FrontRejected} {
 			l.Post(Posting{Event: e, Key: k, Ref: i + 1, Units: 1e6})
 		}
 		if i%300 == 0 {
@@ -169,7 +169,7 @@
 	l := New(Limits{Rows: 20, Open: 100, Flight: 100}, false)
 	for i := range uint64(100) {
 		k := Key{1000 + i, 0, 0}
-		for _, e := range []Event{FrontTaken, PlanTaken, PlanRefusedQuota, FrontRefused} {
+		for _, e := range []Event{FrontTaken, PlanTaken, PlanRejectedQuota, FrontRejected} {
 			if i != 7 || e != PlanTaken {
 				l.Post(Posting{Event: e, Key: k, Ref: i + 1, Units: 1e6})
 			}
@@ -189,11 +189,11 @@
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(Limits{Rows: rapid.SampledFrom([]int{16, 1000}).Draw(t, "rows"), Open: 1000, Flight: 10}, true)
 		tries, keyed := 0, 0
-		sum, rows, n := map[Key]*Counts{}, map[Key]Kept{}, 0
+		sum, rows, n := map[Key]*Counts{}, map[Key]StoredRow{}, 0
 		var open []Open
 		take := func() {
 			s := l.Statement()
-			tries += len(s.Tries)
+			tries += len(s.IdempotentRequests)
 			for _, d := range s.Deltas {
 				if sum[d.Key] == nil {
 					sum[d.Key] = &Counts{}
@@ -202,14 +202,14 @@
 			}
 			open = s.Open
 			for _, k := range s.Rows {
-				if rows[k.Key] = k; k.Gone {
+				if rows[k.Key] = k; k.RolledUp {
 					delete(rows, k.Key)
 				}
 			}
 		}
 		ledgertest.Storm(rapid.Uint64().Draw(t, "seed"), 200, 12, func(p Posting) {
 			l.Post(p)
-			if p.Event == FrontKeyed {
+			if p.Event == FrontIdempotencyKey {
 				keyed++
 			}
 			if n++; n%23 == 0 {
--- a/internal/ledger/ledgertest/storm.go
+++ b/internal/ledger/ledgertest/storm.go
@@ -19,14 +19,14 @@
 	}
 	s := script{p(ledger.FrontTaken, units)}
 	if k.Class == 1 {
-		s = append(s, p(ledger.FrontKeyed, int64(ref%7)))
+		s = append(s, p(ledger.FrontIdempotencyKey, int64(ref%7)))
 	}
 	if r.IntN(20) == 0 {
-		return append(s, p(ledger.FrontKept, units))
+		return append(s, p(ledger.FrontNotSubmitted, units))
 	}
 	goneFirst := r.IntN(12) == 0
 	if goneFirst {
-		s = append(s, p(ledger.FrontGone, 0))
+		s = append(s, p(ledger.FrontClientLeft, 0))
 	}
 	s = append(s, p(ledger.PlanTaken, units))
 	fetches, ok := 0, false
@@ -34,26 +34,26 @@
 		fetches = r.IntN(3)
 	}
 	for i := range fetches {
-		end := ledger.FetchError + ledger.Event(r.IntN(int(ledger.FetchNotSent-ledger.FetchError)+1))
+		end := ledger.AttemptError + ledger.Event(r.IntN(int(ledger.AttemptNotSent-ledger.AttemptError)+1))
 		if ok = i == fetches-1 && r.IntN(2) == 0; ok {
-			end = ledger.FetchOK
+			end = ledger.AttemptOK
 		}
-		s = append(s, p(ledger.PlanSent, 0), p(ledger.FetchBegan, 0), p(end, 0), p(ledger.PlanHeard, 0))
+		s = append(s, p(ledger.PlanSent, 0), p(ledger.AttemptStarted, 0), p(end, 0), p(ledger.PlanHeard, 0))
 	}
 	if goneFirst {
-		return append(s, p(ledger.PlanGone, 0))
+		return append(s, p(ledger.PlanClientLeft, 0))
 	}
-	decision, end := ledger.PlanRefusedQuota+ledger.Event(r.IntN(5)), ledger.FrontRefused
+	decision, end := ledger.PlanRejectedQuota+ledger.Event(r.IntN(5)), ledger.FrontRejected
 	if ok || k.Class < 0 && r.IntN(2) == 0 {
 		decision, end = ledger.PlanServed, ledger.FrontServed
 	} else if r.IntN(3) == 0 {
-		decision, end = ledger.PlanFailedGaveUp+ledger.Event(r.IntN(3)), ledger.FrontFailed
+		decision, end = ledger.PlanFailedExhausted+ledger.Event(r.IntN(3)), ledger.FrontFailed
 	}
 	if r.IntN(10) == 0 {
-		end = ledger.FrontCut
+		end = ledger.FrontWriteFailed
 	}
 	if s = append(s, p(decision, 0)); r.IntN(6) == 0 && k.Class >= 0 { // a fetch that ends after the answer
-		late := []ledger.Posting{p(ledger.PlanSent, 0), p(ledger.FetchBegan, 0), p(ledger.FetchCancelled, 0), p(ledger.PlanHeard, 0)}
+		late := []ledger.Posting{p(ledger.PlanSent, 0), p(ledger.AttemptStarted, 0), p(ledger.AttemptCancelled, 0), p(ledger.PlanHeard, 0)}
 		s = append(s[:len(s)-1], late[0], late[1], s[len(s)-1], p(end, 0), late[2], late[3])
 		return s
 	}
@@ -65,7 +65,7 @@
 	p := func(e ledger.Event, ref uint64) ledger.Posting {
 		return ledger.Posting{Event: e, Key: k, Ref: ref, Units: units}
 	}
-	s := script{p(ledger.UnitsDrawn, 0), p(ledger.UnitsTold, ref), p(ledger.CallBegan, ref)}
+	s := script{p(ledger.UnitsDrawn, 0), p(ledger.UnitsPushed, ref), p(ledger.CallBegan, ref)}
 	switch r.IntN(3) {
 	case 0:
 		return append(s, p(ledger.CallAdded, ref))
--- a/internal/ledger/names.go
+++ b/internal/ledger/names.go
@@ -2,14 +2,14 @@
 
 import "strconv"
 
-// Names are the words behind the numbers in keys, in their order.
+// Names are the names behind the numbers in keys, in their order.
 type Names struct {
 	Plans   []string `json:"Plans"`
 	Classes []string `json:"Classes"`
 }
 
-// HaulierText is a haulier as commands and exports have it.
-func HaulierText(customer uint64) string {
+// CustomerText is a customer as commands and exports have it.
+func CustomerText(customer uint64) string {
 	if customer == Others {
 		return "others"
 	}
@@ -18,20 +18,20 @@
 }
 
 // Plan is the word for a plan's number.
-func (n Names) Plan(i int16) string { return word(n.Plans, i, map[int16]string{NoPlan: "-"}) }
+func (n Names) Plan(i int16) string { return nameOf(n.Plans, i, map[int16]string{NoPlan: "-"}) }
 
 // Class is the word for a class's number.
 func (n Names) Class(i int16) string {
-	return word(n.Classes, i, map[int16]string{ClassQuery: "limit.get", ClassAdjust: "limit.adjust",
+	return nameOf(n.Classes, i, map[int16]string{ClassQuery: "limit.get", ClassAdjust: "limit.adjust",
 		ClassAccount: "account"})
 }
 
-func word(words []string, i int16, own map[int16]string) string {
+func nameOf(names []string, i int16, own map[int16]string) string {
 	if s, ok := own[i]; ok {
 		return s
 	}
-	if i >= 0 && int(i) < len(words) {
-		return words[i]
+	if i >= 0 && int(i) < len(names) {
+		return names[i]
 	}
 	return strconv.Itoa(int(i))
 }
--- a/internal/ledger/recorder/alarms.go
+++ b/internal/ledger/recorder/alarms.go
@@ -33,7 +33,7 @@
 func (rec *Recorder) alarm(m ledger.Mismatch) alarm {
 	a := alarm{At: time.Now(), Check: m.Check, Haulier: "all"}
 	if !m.All {
-		a.Haulier = ledger.HaulierText(m.Key.Customer)
+		a.Haulier = ledger.CustomerText(m.Key.Customer)
 		a.Plan, a.Class = rec.names.Plan(m.Key.Plan), rec.names.Class(m.Key.Class)
 		for _, p := range rec.ledger.Flight(m.Key, alarmPostings) {
 			a.Flight = append(a.Flight, fmt.Sprintf("%s %s ref=%d units=%g",
@@ -41,7 +41,7 @@
 		}
 	}
 	if m.Left != m.Right {
-		a.Books = []string{m.Books[0].String(), m.Books[1].String()}
+		a.Books = []string{m.Journals[0].String(), m.Journals[1].String()}
 		a.Figures = []int64{int64(m.Left), int64(m.Right)}
 	}
 	return a
--- a/internal/ledger/recorder/bench_test.go
+++ b/internal/ledger/recorder/bench_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 )
 
-// BenchmarkReq posts what one served req leads to: nine postings, and a tenth for the units drawn.
+// BenchmarkReq posts what one served request leads to: nine postings, and a tenth for the units drawn.
 func BenchmarkReq(b *testing.B) {
 	for _, mode := range []string{"memory", "disk"} {
 		b.Run(mode, func(b *testing.B) {
@@ -30,8 +30,8 @@
 			}
 			d := recorder.New(l, ledger.Names{}, k, o)
 			d.State()
-			events := []ledger.Event{ledger.FrontTaken, ledger.PlanTaken, ledger.UnitsDrawn, ledger.PlanSent, ledger.FetchBegan,
-				ledger.FetchOK, ledger.PlanHeard, ledger.PlanServed, ledger.FrontServed}
+			events := []ledger.Event{ledger.FrontTaken, ledger.PlanTaken, ledger.UnitsDrawn, ledger.PlanSent, ledger.AttemptStarted,
+				ledger.AttemptOK, ledger.PlanHeard, ledger.PlanServed, ledger.FrontServed}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				if i%10000 == 9999 {
--- a/internal/ledger/recorder/discard.go
+++ b/internal/ledger/recorder/discard.go
@@ -7,7 +7,7 @@
 // Discard is what posts go to where no books are kept.
 type Discard struct{}
 
-// Ref implements the owners' interfaces: 0 is no req's.
+// Ref implements the owners' interfaces: 0 is no request's.
 func (Discard) Ref() uint64 { return 0 }
 
 // Post implements the owners' interfaces.
--- a/internal/ledger/recorder/golden_test.go
+++ b/internal/ledger/recorder/golden_test.go
@@ -29,9 +29,9 @@
 	full := alarm{At: at, State: "raised", Check: "taken <= served", Haulier: "00000000000000bb", Plan: "basic", Class: "lookup",
 		Books: []string{"front", "planner"}, Figures: []int64{-3, 4}, Flight: []string{"one", "two"}}
 	alarms := []alarm{full, {At: at, State: "cleared", Check: "sum of taken", Haulier: "all"},
-		d.alarm(ledger.Mismatch{Key: booking, Check: "fetches ordered = begun", Books: [2]ledger.Book{ledger.Planner, ledger.Fetches},
+		d.alarm(ledger.Mismatch{Key: booking, Check: "fetches ordered = begun", Journals: [2]ledger.Journal{ledger.JournalPlanner, ledger.JournalAttempts},
 			Left: 8, Right: 9}),
-		d.alarm(ledger.Mismatch{All: true, Check: "sum of served", Books: [2]ledger.Book{ledger.Front, ledger.Front}, Left: 1, Right: 2}),
+		d.alarm(ledger.Mismatch{All: true, Check: "sum of served", Journals: [2]ledger.Journal{ledger.JournalFront, ledger.JournalFront}, Left: 1, Right: 2}),
 		d.alarm(ledger.Mismatch{Key: ledger.Account(0xcc), Check: ledger.CheckTally}),
 	}
 	for i := range alarms {
--- a/internal/ledger/recorder/names.go
+++ b/internal/ledger/recorder/names.go
@@ -28,7 +28,7 @@
 	return n
 }
 
-// Row is the key of a haulier's reqs of a plan and class, by their places in the settings; a class below 0 is one of the
+// Row is the key of a customer's requests of a plan and class, by their places in the settings; a class below 0 is one of the
 // ledger's own.
 func (rec *Recorder) Row(customer uint64, plan, class int) ledger.Key {
 	k := ledger.Key{Customer: customer, Plan: rec.plans[plan], Class: int16(class)}
--- a/internal/ledger/recorder/planted_test.go
+++ b/internal/ledger/recorder/planted_test.go
@@ -33,7 +33,7 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// crooked stands between an owner and the desk, and falsifies one posting on one haulier.
+// crooked stands between an owner and the desk, and falsifies one posting on one customer.
 type crooked struct {
 	*recorder.Recorder
 	event   ledger.Event
@@ -138,7 +138,7 @@
 	return &gateway{l.Addr().String(), d, logs}
 }
 
-// work has four hauliers, 1 to 4, send mixed commands, and waits for the answers.
+// work has four customers, 1 to 4, send mixed commands, and waits for the answers.
 func (g *gateway) work(t *testing.T, rounds int) {
 	t.Helper()
 	c, err := standin.Dial(g.addr, 10*time.Second)
@@ -193,8 +193,8 @@
 	for began := time.Now(); !ok(g.desk.Report()); time.Sleep(10 * time.Millisecond) {
 		if time.Since(began) > 20*time.Second {
 			r := g.desk.Report()
-			t.Fatalf("%s: %d taken, %d gone, %d cut, %d open", what, r.Total.N[ledger.FrontTaken], r.Total.N[ledger.FrontGone],
-				r.Total.N[ledger.FrontCut], r.Open)
+			t.Fatalf("%s: %d taken, %d gone, %d cut, %d open", what, r.Total.N[ledger.FrontTaken], r.Total.N[ledger.FrontClientLeft],
+				r.Total.N[ledger.FrontWriteFailed], r.Open)
 		}
 	}
 	if a := g.alarms(); len(a) > 0 {
@@ -202,7 +202,7 @@
 	}
 }
 
-// A session ends with all that it may have open, at backends that never answer: each req is gone, each fetch cancelled
+// A session ends with all that it may have open, at backends that never answer: each request is gone, each attempt cancelled
 // and heard of, and nothing stays open.
 func TestSessionEndsWithManyOpen(t *testing.T) {
 	g := startAt(t, recorder.Options{Audit: 5 * time.Millisecond}, nil, standin.Always(standin.Step{Deed: standin.Stall}))
@@ -217,14 +217,14 @@
 			t.Fatal(err)
 		}
 	}
-	answered := func(r recorder.Report) uint64 { return r.Total.N[ledger.FrontRefused] }
+	answered := func(r recorder.Report) uint64 { return r.Total.N[ledger.FrontRejected] }
 	g.eventually(t, "open", func(r recorder.Report) bool {
 		return r.Total.N[ledger.FrontTaken] == many && r.Total.N[ledger.PlanTaken] == many
 	})
 	c.Close()
 	g.eventually(t, "ended", func(r recorder.Report) bool {
-		return r.Open == 0 && r.Total.N[ledger.FrontGone]+r.Total.N[ledger.FrontCut]+answered(r) == many &&
-			r.Total.N[ledger.FrontGone] > 0 && r.Total.N[ledger.FetchBegan] == r.Total.FetchesEnded()
+		return r.Open == 0 && r.Total.N[ledger.FrontClientLeft]+r.Total.N[ledger.FrontWriteFailed]+answered(r) == many &&
+			r.Total.N[ledger.FrontClientLeft] > 0 && r.Total.N[ledger.AttemptStarted] == r.Total.AttemptsEnded()
 	})
 }
 
@@ -247,12 +247,12 @@
 	}()
 	g.eventually(t, "ended", func(r recorder.Report) bool {
 		n := &r.Total.N
-		return r.Open == 0 && n[ledger.FrontCut] > 0 && n[ledger.FrontServed] > 0 && n[ledger.FrontTaken] == r.Total.Ended()
+		return r.Open == 0 && n[ledger.FrontWriteFailed] > 0 && n[ledger.FrontServed] > 0 && n[ledger.FrontTaken] == r.Total.Ended()
 	})
 }
 
 // One miscount in each book is reported within five seconds, with audits a second apart as operators have them; it names
-// the haulier, plan and class; it is said once while it stands; and the alarm file has it.
+// the customer, plan and class; it is said once while it stands; and the alarm file has it.
 func TestPlanted(t *testing.T) {
 	for _, c := range []struct {
 		event ledger.Event
@@ -264,10 +264,10 @@
 		{ledger.FrontTaken, "wrong units", "space-query"},
 		{ledger.PlanTaken, "lost", "space-query"},
 		{ledger.PlanServed, "lost", ""},
-		{ledger.FetchBegan, "lost", ""},
-		{ledger.FetchOK, "lost", ""},
+		{ledger.AttemptStarted, "lost", ""},
+		{ledger.AttemptOK, "lost", ""},
 		{ledger.UnitsDrawn, "wrong units", "account"},
-		{ledger.UnitsTold, "lost", "account"},
+		{ledger.UnitsPushed, "lost", "account"},
 		{ledger.CallAdded, "wrong units", "account"},
 		{ledger.CallBegan, "doubled", "account"},
 	} {
@@ -337,7 +337,7 @@
 	if !until("the books do not add up") {
 		t.Fatal("no alarm")
 	}
-	for _, e := range []ledger.Event{ledger.PlanTaken, ledger.PlanSent, ledger.FetchBegan, ledger.FetchOK, ledger.PlanHeard,
+	for _, e := range []ledger.Event{ledger.PlanTaken, ledger.PlanSent, ledger.AttemptStarted, ledger.AttemptOK, ledger.PlanHeard,
 		ledger.PlanServed} {
 		p.Event = e
 		g.desk.Post(p)
--- a/internal/ledger/recorder/post.go
+++ b/internal/ledger/recorder/post.go
@@ -42,9 +42,9 @@
 
 func (rec *Recorder) time() int64 { return rec.start.UnixNano() + int64(time.Since(rec.start)) }
 
-// timed are the events whose time is of use: they open something, or end a req.
-var timed = [ledger.Events]bool{ledger.FrontTaken: true, ledger.FrontServed: true, ledger.FrontRefused: true,
-	ledger.FrontFailed: true, ledger.FrontGone: true, ledger.FrontCut: true, ledger.FrontKept: true, ledger.UnitsTold: true}
+// timed are the events whose time is of use: they open something, or end a request.
+var timed = [ledger.EventCount]bool{ledger.FrontTaken: true, ledger.FrontServed: true, ledger.FrontRejected: true,
+	ledger.FrontFailed: true, ledger.FrontClientLeft: true, ledger.FrontWriteFailed: true, ledger.FrontNotSubmitted: true, ledger.UnitsPushed: true}
 
 // enter books what waits; mark, if any, is called where the next posting begins anew. The lock mu is held.
 func (rec *Recorder) enter(mark func()) {
--- a/internal/ledger/recorder/recorder.go
+++ b/internal/ledger/recorder/recorder.go
@@ -1,7 +1,7 @@
-// Package recorder is where the parts of a running gateway post to the ledger: it numbers reqs, keeps the names of plans and
+// Package recorder is where the parts of a running gateway post to the ledger: it numbers requests, keeps the names of plans and
 // classes, puts the time on postings, audits the books every second, and raises and clears alarms. It owns the one
 // ledger.Ledger of the process. What is posted is kept at once, under a lock that is held for that alone, and booked a
-// moment later, many postings at a time. It decides nothing on reqs, and
+// moment later, many postings at a time. It decides nothing on requests, and
 // nothing that it does can refuse or delay one beyond that lock.
 package recorder
 
@@ -32,7 +32,7 @@
 type Options struct {
 	Limits    ledger.Limits
 	Names     ledger.Names  // of the settings; the numbers that owners use for them are their places here
-	Patience  time.Duration // beyond a req's own deadline: by then nothing of it can be open
+	Patience  time.Duration // beyond a request's own deadline: by then nothing of it can be open
 	Audit     time.Duration // between two audits
 	Statement time.Duration // between two statements, if there is a keeper
 	AlarmFile string        // JSON lines; none if empty
@@ -55,7 +55,7 @@
 type Recorder struct {
 	options Options
 	// The time of the start, and what has passed since by the monotonic clock: a system's clock that steps must not make
-	// a req look overdue, or one that is overdue look young.
+	// a request look overdue, or one that is overdue look young.
 	start time.Time
 
 	refs atomic.Uint64
@@ -105,7 +105,7 @@
 	return rec
 }
 
-// Release lets go of the keeper, after Run has ended: what is posted later, as by a fetch that nobody waits for, is kept
+// Release lets go of the keeper, after Run has ended: what is posted later, as by a attempt that nobody waits for, is kept
 // nowhere. The keeper may then be closed.
 func (rec *Recorder) Release() {
 	rec.posting.Lock()
@@ -146,5 +146,5 @@
 	}
 }
 
-// Ref numbers a req or a call.
+// Ref numbers a request or a call.
 func (rec *Recorder) Ref() uint64 { return rec.refs.Add(1) }
--- a/internal/ledger/recorder/report.go
+++ b/internal/ledger/recorder/report.go
@@ -26,7 +26,7 @@
 // Report is a view of the books for operators.
 type Report struct {
 	Names     ledger.Names
-	Lines     []ledger.Line // of the hauliers asked for, or by plan and class over all
+	Lines     []ledger.Line // of the customers asked for, or by plan and class over all
 	Total     ledger.Counts
 	Open      int
 	Rows      int
@@ -37,7 +37,7 @@
 	Cleared   uint64
 }
 
-// Report adds up the rows by plan and class, over all hauliers.
+// Report adds up the rows by plan and class, over all customers.
 func (rec *Recorder) Report() Report {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
--- a/internal/ledger/rows.go
+++ b/internal/ledger/rows.go
@@ -7,22 +7,22 @@
 
 // row holds the figures of a key.
 type row struct {
-	key    Key
-	counts Counts
-	stated *Counts          // what statements hold of it; nil: nothing
-	lost   [verdicts]uint64 // answers that were decided and did not reach the client; by pairs of the front's and the planner's ends
-	open   int              // entries of the table under this key
-	dirty  bool             // posted to since the last audit
-	unkept bool             // and since the last statement
-	unread bool             // it is in the ledger's accounts
-	at     *list.Element
-	moved  uint64 // epoch in which it was moved to the front
+	key      Key
+	counts   Counts
+	stated   *Counts              // what statements hold of it; nil: nothing
+	lost     [verdictCount]uint64 // answers that were decided and did not reach the client; by pairs of the front's and the planner's ends
+	open     int                  // entries of the table under this key
+	dirty    bool                 // posted to since the last audit
+	unstored bool                 // and since the last statement
+	unread   bool                 // it is in the ledger's accounts
+	at       *list.Element
+	moved    uint64 // epoch in which it was moved to the front
 }
 
 // row finds or makes the row of a key, and takes note that it changes.
 func (l *Ledger) row(k Key) *row {
-	if l.last != nil && l.last.key == k { // postings on one req come close together
-		return l.last
+	if l.lastRow != nil && l.lastRow.key == k { // postings on one request come close together
+		return l.lastRow
 	}
 	r := l.rows[k]
 	if r == nil {
@@ -35,19 +35,19 @@
 			r.at = l.recent.PushFront(r)
 		}
 	}
-	l.recently(r)
+	l.touchRecent(r)
 	return r
 }
 
-// recently takes note that a row is posted to.
-func (l *Ledger) recently(r *row) {
-	if l.last == r {
+// touchRecent takes note that a row is posted to.
+func (l *Ledger) touchRecent(r *row) {
+	if l.lastRow == r {
 		return
 	}
 	if r.at != nil && r.moved != l.epoch { // once between two audits is order enough
 		l.recent.MoveToFront(r.at)
 	}
-	r.moved, l.last = l.epoch, r
+	r.moved, l.lastRow = l.epoch, r
 	l.touch(r)
 }
 
@@ -60,9 +60,9 @@
 		r.dirty = true
 		l.dirty = append(l.dirty, r)
 	}
-	if l.stating && !r.unkept {
-		r.unkept = true
-		l.unkept = append(l.unkept, r)
+	if l.stating && !r.unstored {
+		r.unstored = true
+		l.unstored = append(l.unstored, r)
 	}
 }
 
@@ -82,12 +82,12 @@
 	}
 	l.recent.Remove(r.at)
 	delete(l.rows, r.key)
-	if l.last == r {
-		l.last = nil
+	if l.lastRow == r {
+		l.lastRow = nil
 	}
 	l.Evictions++
 	rolledUp := l.rollUp(r)
-	r.dirty, r.unkept = false, false // lists that still hold it pass it over
+	r.dirty, r.unstored = false, false // lists that still hold it pass it over
 	if l.stating {
 		l.stateEvicted(r, rolledUp)
 	}
@@ -136,7 +136,7 @@
 	delta := r.counts
 	if r.stated != nil {
 		delta = r.counts.Less(r.stated)
-		l.gone = append(l.gone, r.key)
+		l.evictedKeys = append(l.evictedKeys, r.key)
 	}
 	if rolledUp.stated == nil {
 		rolledUp.stated = &Counts{}
--- a/internal/ledger/statement.go
+++ b/internal/ledger/statement.go
@@ -8,10 +8,10 @@
 // Statement is what has come since the one before: the deltas by row, in the order of their keys, and, for a store, the
 // figures of the rows that have changed.
 type Statement struct {
-	Deltas []Line
-	Rows   []Kept
-	Tries  []Try  // that have ended, in that order
-	Open   []Open // what is open, in the order of the Refs
+	Deltas             []Line
+	Rows               []StoredRow
+	IdempotentRequests []IdempotentRequest // that have ended, in that order
+	Open               []Open              // what is open, in the order of the Refs
 }
 
 // Open is an entry of the table, as a store keeps it.
@@ -20,27 +20,27 @@
 	Entry
 }
 
-// Kept is a row as a store keeps it.
-type Kept struct {
-	Key  Key
-	Gone bool // it was rolled up
+// StoredRow is a row as a store keeps it.
+type StoredRow struct {
+	Key      Key
+	RolledUp bool // it was rolled up
 	Counts
 	Lost [4]uint64 // answers that were decided and did not reach the client: served, refused, failed, other
 }
 
 // Statement closes a period.
 func (l *Ledger) Statement() Statement {
-	l.last = nil
-	s := Statement{Deltas: l.evicted, Tries: l.tries}
-	for _, k := range l.gone { // one that has come again follows below
-		s.Rows = append(s.Rows, Kept{Key: k, Gone: true})
+	l.lastRow = nil
+	s := Statement{Deltas: l.evicted, IdempotentRequests: l.idempotentRequests}
+	for _, k := range l.evictedKeys { // one that has come again follows below
+		s.Rows = append(s.Rows, StoredRow{Key: k, RolledUp: true})
 	}
-	l.evicted, l.gone, l.tries = nil, nil, nil
-	for _, r := range l.unkept {
-		if !r.unkept || l.rows[r.key] != r {
+	l.evicted, l.evictedKeys, l.idempotentRequests = nil, nil, nil
+	for _, r := range l.unstored {
+		if !r.unstored || l.rows[r.key] != r {
 			continue
 		}
-		r.unkept = false
+		r.unstored = false
 		delta := r.counts
 		if r.stated == nil {
 			r.stated = &Counts{}
@@ -51,9 +51,9 @@
 		if !delta.Zero() {
 			s.Deltas = append(s.Deltas, Line{r.key, delta})
 		}
-		s.Rows = append(s.Rows, r.kept())
+		s.Rows = append(s.Rows, r.stored())
 	}
-	l.unkept = l.unkept[:0]
+	l.unstored = l.unstored[:0]
 	for ref, e := range l.table {
 		s.Open = append(s.Open, Open{ref, *e})
 	}
@@ -62,14 +62,14 @@
 	return s
 }
 
-func (r *row) kept() Kept {
-	k := Kept{Key: r.key, Counts: r.counts}
+func (r *row) stored() StoredRow {
+	k := StoredRow{Key: r.key, Counts: r.counts}
 	copy(k.Lost[:], r.lost[served:])
 	return k
 }
 
 // Restore puts a row back that a store kept, all of it stated. It is for books that are still empty.
-func (l *Ledger) Restore(k Kept) {
+func (l *Ledger) Restore(k StoredRow) {
 	r := l.row(k.Key)
 	r.counts = k.Counts
 	copy(r.lost[served:], k.Lost[:])
@@ -86,15 +86,15 @@
 	e.row.open++
 }
 
-const maxTries = 1 << 16 // that are held between two statements
+const maxIdempotentRequests = 1 << 16 // that are held between two statements
 
-func (l *Ledger) tried(t Try) {
+func (l *Ledger) recordIdempotentRequest(t IdempotentRequest) {
 	if !l.stating {
 		return
 	}
-	if len(l.tries) >= maxTries {
-		l.TriesLost++
+	if len(l.idempotentRequests) >= maxIdempotentRequests {
+		l.IdempotentRequestsLost++
 		return
 	}
-	l.tries = append(l.tries, t)
+	l.idempotentRequests = append(l.idempotentRequests, t)
 }
--- a/internal/ledger/statement/golden_test.go
+++ b/internal/ledger/statement/golden_test.go
@@ -14,7 +14,7 @@
 // figuresFrom gives each event a count and units of its own.
 func figuresFrom(from uint64) *ledger.Counts {
 	c := &ledger.Counts{}
-	for e := ledger.None + 1; e < ledger.Events; e++ {
+	for e := ledger.None + 1; e < ledger.EventCount; e++ {
 		c.Set(e, from+uint64(e), -int64(from)*1e5-int64(e))
 	}
 	return c
@@ -101,12 +101,12 @@
 	changed.Seq, changed.Life = 9, 6
 	m.Add(changed)
 	m.Add(record(7, "g1", func(r *Record) {
-		counts(r, ledger.FrontTaken, 1, ledger.FrontServed, 1, ledger.PlanServed, 2, ledger.PlanRefusedQuota, 3)
+		counts(r, ledger.FrontTaken, 1, ledger.FrontServed, 1, ledger.PlanServed, 2, ledger.PlanRejectedQuota, 3)
 		r.Figures.Set(ledger.PlanTaken, 1, 4e6)
 	}))
 	m.Add(record(8, "g2", func(r *Record) {
 		r.Class = "account"
-		counts(r, ledger.UnitsTold, 1, ledger.CallBegan, 1)
+		counts(r, ledger.UnitsPushed, 1, ledger.CallBegan, 1)
 		r.Figures.Set(ledger.CallAdded, 1, 3e6)
 	}))
 	var out bytes.Buffer
--- a/internal/ledger/statement/merge.go
+++ b/internal/ledger/statement/merge.go
@@ -116,7 +116,7 @@
 			k := &c.N
 			if name.Class == "account" {
 				calls := k[ledger.CallAdded] + k[ledger.CallRejected] + k[ledger.CallUnknown] + k[ledger.CallCutoff]
-				later("calls ordered, begun", k[ledger.UnitsTold], k[ledger.CallBegan]+k[ledger.CallNeverBegan], maxOpen)
+				later("calls ordered, begun", k[ledger.UnitsPushed], k[ledger.CallBegan]+k[ledger.CallNeverBegan], maxOpen)
 				later("calls begun, ended", k[ledger.CallBegan], calls, maxOpen)
 				if k[ledger.CallBegan] == calls {
 					later("units of calls begun, ended", uint64(c.Units(ledger.CallBegan)), uint64(c.Units(ledger.CallAdded)+
@@ -126,13 +126,13 @@
 			}
 			open := Open(c)
 			later("taken, served + refused + failed", k[ledger.FrontTaken], c.Ended(), maxOpen)
-			later("taken by the front, by the planner", k[ledger.FrontTaken]-k[ledger.FrontKept]-k[ledger.FrontNeverTaken],
+			later("taken by the front, by the planner", k[ledger.FrontTaken]-k[ledger.FrontNotSubmitted]-k[ledger.FrontNeverTaken],
 				k[ledger.PlanTaken], max(0, open))
-			later("fetches ordered, begun", k[ledger.PlanSent], k[ledger.FetchBegan]+k[ledger.FetchNeverBegan], maxOpen)
-			later("fetches begun, ended", k[ledger.FetchBegan], c.FetchesEnded(), maxOpen)
+			later("fetches ordered, begun", k[ledger.PlanSent], k[ledger.AttemptStarted]+k[ledger.AttemptNeverStarted], maxOpen)
+			later("fetches begun, ended", k[ledger.AttemptStarted], c.AttemptsEnded(), maxOpen)
 			later("served by the planner, written", k[ledger.PlanServed], k[ledger.FrontServed], int64(c.FrontFailures())+max(0, open))
-			later("refused by the planner, written", c.Refused(), k[ledger.FrontRefused], int64(c.FrontFailures())+max(0, open))
-			if open == 0 && k[ledger.FrontKept]+k[ledger.FrontNeverTaken] == 0 {
+			later("refused by the planner, written", c.Rejected(), k[ledger.FrontRejected], int64(c.FrontFailures())+max(0, open))
+			if open == 0 && k[ledger.FrontNotSubmitted]+k[ledger.FrontNeverTaken] == 0 {
 				later("units taken by the front, by the planner", uint64(c.Units(ledger.FrontTaken)),
 					uint64(c.Units(ledger.PlanTaken)), 0)
 			}
@@ -186,7 +186,7 @@
 // passed is how many reqs planners took of a forwarder, by its own books: each of its fetches that was not surely
 // unwritten is one.
 func passed(c *ledger.Counts) uint64 {
-	return c.FetchesEnded() - c.N[ledger.FetchNotSent] - c.N[ledger.FetchConnectFailed] - c.N[ledger.FetchRejected]
+	return c.AttemptsEnded() - c.N[ledger.AttemptNotSent] - c.N[ledger.AttemptConnectFailed] - c.N[ledger.AttemptRejected]
 }
 
 // Bookings links the tries of each booking by its key: how many bookings there were, how many had tries through more
@@ -226,8 +226,8 @@
 			continue
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%g\t%d\t%d\t\n", cmp.Or(s.Haulier, "all"), s.Plan, s.Class,
-			s.N[ledger.FrontTaken], s.N[ledger.FrontServed], s.N[ledger.FrontRefused], s.FrontFailures(), Open(&s.Counts),
-			s.N[ledger.FetchBegan], float64(s.Units(ledger.FrontTaken))/1e6, s.PassedOn, s.Tries)
+			s.N[ledger.FrontTaken], s.N[ledger.FrontServed], s.N[ledger.FrontRejected], s.FrontFailures(), Open(&s.Counts),
+			s.N[ledger.AttemptStarted], float64(s.Units(ledger.FrontTaken))/1e6, s.PassedOn, s.Tries)
 	}
 	return w.Flush()
 }
--- a/internal/ledger/statement/record.go
+++ b/internal/ledger/statement/record.go
@@ -91,7 +91,7 @@
 	list := func(name string, each func(e ledger.Event) bool) {
 		b = append(b, name...)
 		first := true
-		for e := ledger.None + 1; e < ledger.Events; e++ {
+		for e := ledger.None + 1; e < ledger.EventCount; e++ {
 			if !each(e) {
 				continue
 			}
@@ -235,7 +235,7 @@
 func NewCSV(to io.Writer) (*CSV, error) {
 	c := &CSV{csv.NewWriter(to)}
 	head := slices.Clone(csvNames)
-	for e := ledger.None + 1; e < ledger.Events; e++ {
+	for e := ledger.None + 1; e < ledger.EventCount; e++ {
 		head = append(head, e.String())
 		if e.HasUnits() {
 			head = append(head, e.String()+"_units")
@@ -253,7 +253,7 @@
 	if figures == nil {
 		figures = &ledger.Counts{}
 	}
-	for e := ledger.None + 1; e < ledger.Events; e++ {
+	for e := ledger.None + 1; e < ledger.EventCount; e++ {
 		row = append(row, strconv.FormatUint(figures.N[e], 10))
 		if e.HasUnits() {
 			row = append(row, strconv.FormatFloat(float64(figures.Units(e))/1e6, 'f', -1, 64))
--- a/internal/ledger/statement/record_test.go
+++ b/internal/ledger/statement/record_test.go
@@ -71,14 +71,14 @@
 	served := func(n int) func(*Record) {
 		return func(r *Record) {
 			counts(r, ledger.FrontTaken, n, ledger.FrontServed, n, ledger.PlanTaken, n, ledger.PlanServed, n, ledger.PlanSent, n,
-				ledger.PlanHeard, n, ledger.FetchBegan, n, ledger.FetchOK, n)
+				ledger.PlanHeard, n, ledger.AttemptStarted, n, ledger.AttemptOK, n)
 		}
 	}
 	forwarder := record(1, "forwarder", func(r *Record) {
 		r.Role = Forwarder
-		counts(r, ledger.FrontTaken, 9, ledger.FrontServed, 6, ledger.FrontFailed, 2, ledger.FrontGone, 1, ledger.PlanTaken, 9,
-			ledger.PlanServed, 6, ledger.PlanFailedGaveUp, 3, ledger.PlanSent, 9, ledger.PlanHeard, 9, ledger.FetchBegan, 9,
-			ledger.FetchOK, 6, ledger.FetchRejected, 1, ledger.FetchNotSent, 2)
+		counts(r, ledger.FrontTaken, 9, ledger.FrontServed, 6, ledger.FrontFailed, 2, ledger.FrontClientLeft, 1, ledger.PlanTaken, 9,
+			ledger.PlanServed, 6, ledger.PlanFailedExhausted, 3, ledger.PlanSent, 9, ledger.PlanHeard, 9, ledger.AttemptStarted, 9,
+			ledger.AttemptOK, 6, ledger.AttemptRejected, 1, ledger.AttemptNotSent, 2)
 	})
 	read(t, m, record(1, "n0", served(4)), record(2, "n0", served(5)), record(1, "n1", served(3)), forwarder)
 	if wrong := m.Verify(); len(wrong) > 0 {
@@ -100,8 +100,8 @@
 		{ledger.FrontTaken, 1, ledger.FrontServed, 2, ledger.PlanTaken, 1},
 		{ledger.FrontTaken, 1, ledger.FrontServed, 1, ledger.PlanTaken, 2, ledger.PlanServed, 1},
 		{ledger.FrontTaken, 3, ledger.FrontServed, 3, ledger.PlanTaken, 3, ledger.PlanServed, 2},
-		{ledger.FrontTaken, 1, ledger.FrontRefused, 1, ledger.PlanTaken, 1, ledger.PlanRefusedQuota, 1, ledger.FetchOK, 1},
-		{ledger.PlanSent, 1, ledger.FetchBegan, 2, ledger.FetchOK, 2},
+		{ledger.FrontTaken, 1, ledger.FrontRejected, 1, ledger.PlanTaken, 1, ledger.PlanRejectedQuota, 1, ledger.AttemptOK, 1},
+		{ledger.PlanSent, 1, ledger.AttemptStarted, 2, ledger.AttemptOK, 2},
 	} {
 		m := NewMerged()
 		read(t, m, record(1, "n0", func(r *Record) { counts(r, c...) }))
@@ -112,7 +112,7 @@
 	m := NewMerged()
 	read(t, m, record(1, "n0", func(r *Record) {
 		r.Class = "account"
-		counts(r, ledger.UnitsTold, 1, ledger.CallBegan, 1, ledger.CallAdded, 1)
+		counts(r, ledger.UnitsPushed, 1, ledger.CallBegan, 1, ledger.CallAdded, 1)
 		r.Figures.Set(ledger.CallAdded, 1, 3e6)
 	}))
 	if wrong := m.Verify(); len(wrong) != 1 {
@@ -130,7 +130,7 @@
 		})
 	}
 	read(t, m, try(1, "n0", "k1", 10, 14, ledger.FrontServed), try(1, "n1", "k1", 12, 15, ledger.FrontServed),
-		try(2, "n0", "k2", 10, 11, ledger.FrontRefused), try(2, "n1", "k2", 13, 15, ledger.FrontServed),
+		try(2, "n0", "k2", 10, 11, ledger.FrontRejected), try(2, "n1", "k2", 13, 15, ledger.FrontServed),
 		try(3, "n0", "k3", 10, 11, ledger.FrontServed))
 	if got := fmt.Sprint(m.Bookings()); got != "3 2 1 1" {
 		t.Errorf("bookings, across, overlapping, served twice: %s", got)
--- a/internal/ledger/store/commit.go
+++ b/internal/ledger/store/commit.go
@@ -8,47 +8,47 @@
 	"dewhitch/internal/ledger/statement"
 )
 
-// pending is what was cut and is not on the disk yet.
-type pending struct {
-	rows    map[ledger.Key]ledger.Kept
-	open    []ledger.Open
-	deltas  map[ledger.Key]*ledger.Counts
-	tries   []ledger.Try
-	notes   []statement.Record // lives and gaps
-	segment uint64
-	at      int
-	to      time.Time
+// uncommitted is what was cut and is not on the disk yet.
+type uncommitted struct {
+	rows               map[ledger.Key]ledger.StoredRow
+	open               []ledger.Open
+	deltas             map[ledger.Key]*ledger.Counts
+	idempotentRequests []ledger.IdempotentRequest
+	notes              []statement.Record // lives and gaps
+	segment            uint64
+	at                 int
+	to                 time.Time
 }
 
-func newPending() *pending {
-	return &pending{rows: map[ledger.Key]ledger.Kept{}, deltas: map[ledger.Key]*ledger.Counts{}}
+func newUncommitted() *uncommitted {
+	return &uncommitted{rows: map[ledger.Key]ledger.StoredRow{}, deltas: map[ledger.Key]*ledger.Counts{}}
 }
 
 // Mark implements recorder.Keeper.
 func (s *Store) Mark() {
-	if s.pend == nil {
-		s.pend = newPending()
+	if s.uncommitted == nil {
+		s.uncommitted = newUncommitted()
 	}
-	p := s.pend
+	p := s.uncommitted
 	p.to = time.Now()
-	if s.lost > 0 {
+	if s.unlogged > 0 {
 		p.notes = append(p.notes, statement.Record{Kind: statement.Gap, From: p.to, To: p.to, Note: fmt.Sprintf(
-			"the log did not hold %d postings for a while; they are in the figures, as no crash came", s.lost)})
+			"the log did not hold %d postings for a while; they are in the figures, as no crash came", s.unlogged)})
 	}
-	s.lost = 0
-	if !s.kept.Load() || s.broken.Load() { // this statement holds all that the log lacks: it can be taken up again behind it
+	s.unlogged = 0
+	if !s.logIntact.Load() || s.broken.Load() { // this statement holds all that the log lacks: it can be taken up again behind it
 		s.resumed = s.rotate()
 		if s.resumed {
-			s.cur.takeUp(s.meta.Statements + 1)
+			s.current.takeUp(s.meta.Statements + 1)
 		}
-		s.kept.Store(s.resumed)
+		s.logIntact.Store(s.resumed)
 		s.broken.Store(false)
 	}
 	switch {
-	case s.kept.Load():
-		p.segment, p.at = s.cur.number, s.cur.at
-	case s.cur != nil:
-		p.segment, p.at = s.cur.number+1, 0
+	case s.logIntact.Load():
+		p.segment, p.at = s.current.number, s.current.at
+	case s.current != nil:
+		p.segment, p.at = s.current.number+1, 0
 	default:
 		p.segment, p.at = s.firstFree(), 0
 	}
@@ -56,7 +56,7 @@
 
 // Cut implements recorder.Keeper.
 func (s *Store) Cut(st ledger.Statement) {
-	p := s.pend
+	p := s.uncommitted
 	for _, k := range st.Rows {
 		p.rows[k.Key] = k
 	}
@@ -67,48 +67,48 @@
 		p.deltas[d.Key].Add(&d.Counts)
 	}
 	p.open = st.Open
-	p.tries = append(p.tries, st.Tries...)
+	p.idempotentRequests = append(p.idempotentRequests, st.IdempotentRequests...)
 }
 
 // Commit implements recorder.Keeper.
 func (s *Store) Commit(names ledger.Names) error {
-	p := s.pend
+	p := s.uncommitted
 	m, err := s.write(p, names)
 	if err != nil {
 		if s.resumed {
 			s.broken.Store(true) // the log goes on behind a gap that no statement on the disk bridges
 		}
 		p.bound()
-		s.kick()
+		s.wantSegment()
 		return err
 	}
-	s.meta, s.pend, s.resumed = m, nil, false
+	s.meta, s.uncommitted, s.resumed = m, nil, false
 	s.mu.Lock()
-	kept := s.old[:0]
-	for _, seg := range s.old {
+	remaining := s.full[:0]
+	for _, seg := range s.full {
 		if seg.number >= p.segment || s.remove(seg) != nil {
-			kept = append(kept, seg)
+			remaining = append(remaining, seg)
 		}
 	}
-	clear(s.old[len(kept):])
-	s.old = kept
+	clear(s.full[len(remaining):])
+	s.full = remaining
 	s.mu.Unlock()
-	s.kick()
+	s.wantSegment()
 	return nil
 }
 
-// bound keeps what waits for the disk from growing: tries are the first to go, and then the names of hauliers.
-func (p *pending) bound() {
-	const most = 1 << 16
-	if n := len(p.tries) - most; n > 0 {
-		p.tries = append([]ledger.Try(nil), p.tries[n:]...)
+// bound keeps what waits for the disk from growing: tries are the first to go, and then the names of customers.
+func (p *uncommitted) bound() {
+	const maxWaiting = 1 << 16
+	if n := len(p.idempotentRequests) - maxWaiting; n > 0 {
+		p.idempotentRequests = append([]ledger.IdempotentRequest(nil), p.idempotentRequests[n:]...)
 		p.notes = append(p.notes, statement.Record{Kind: statement.Gap, From: p.to, To: p.to,
 			Note: fmt.Sprintf("%d tries are in no record, as the disk took none", n)})
 	}
 	if len(p.notes) > 64 {
 		p.notes = p.notes[len(p.notes)-64:]
 	}
-	if len(p.deltas) <= most {
+	if len(p.deltas) <= maxWaiting {
 		return
 	}
 	for k, c := range p.deltas {
--- a/internal/ledger/store/fuzz_test.go
+++ b/internal/ledger/store/fuzz_test.go
@@ -30,7 +30,7 @@
 
 // Nor is a row more than what its checksum covers, and a row that is read is written as it was.
 func FuzzRow(f *testing.F) {
-	k := ledger.Kept{Key: ledger.Key{Customer: 7, Plan: 1, Class: -3}, Lost: [4]uint64{1, 2, 3, 4}}
+	k := ledger.StoredRow{Key: ledger.Key{Customer: 7, Plan: 1, Class: -3}, Lost: [4]uint64{1, 2, 3, 4}}
 	k.Set(ledger.UnitsDrawn, 5, -6)
 	f.Add(rowKey(k.Key), encodeRow(k))
 	f.Fuzz(func(t *testing.T, key, value []byte) {
--- a/internal/ledger/store/golden_test.go
+++ b/internal/ledger/store/golden_test.go
@@ -33,7 +33,7 @@
 	wording   = ledger.Names{Plans: []string{"basic", "fleet"}, Classes: []string{"space-query", "lookup", "booking"}}
 
 	postings = []ledger.Posting{
-		{Event: ledger.FrontKeyed, Key: ledger.Key{Customer: 0x1122334455667788, Plan: 0x0102, Class: 0x0304}, Ref: 899,
+		{Event: ledger.FrontIdempotencyKey, Key: ledger.Key{Customer: 0x1122334455667788, Plan: 0x0102, Class: 0x0304}, Ref: 899,
 			Units: -0x0a0b0c0d0e0f1011, At: 0x1213141516171819, Wait: 0x2021},
 		{Event: ledger.FrontTaken, Key: bookingOf, Ref: 900, Units: 3e6, At: 1772344860000000000, Wait: 60},
 		{Event: ledger.PlanTaken, Key: bookingOf, Ref: 900, Units: 4e6, At: 1772344861000000000, Wait: 61},
@@ -72,32 +72,32 @@
 
 // figures gives each event a count and units of its own.
 func figures(from uint64) (c ledger.Counts) {
-	for e := ledger.None + 1; e < ledger.Events; e++ {
+	for e := ledger.None + 1; e < ledger.EventCount; e++ {
 		c.Set(e, from+uint64(e), -int64(from)*1e6-int64(e))
 	}
 	return c
 }
 
 // keptRows are the rows of the frozen store, in the order of their keys.
-func keptRows() []ledger.Kept {
-	return []ledger.Kept{{Key: bookingOf, Counts: figures(100), Lost: [4]uint64{1, 2, 3, 400}},
+func keptRows() []ledger.StoredRow {
+	return []ledger.StoredRow{{Key: bookingOf, Counts: figures(100), Lost: [4]uint64{1, 2, 3, 400}},
 		{Key: accountOf, Counts: figures(20000), Lost: [4]uint64{5, 6, 7, 8}}}
 }
 
 // openEntries are an entry with all fields and, as a swap of two flags would not show in it, one for each flag.
 func openEntries() []ledger.Open {
 	return []ledger.Open{
-		{Ref: 500, Entry: ledger.Entry{Key: bookingOf, Units: 11, Since: 12, Wait: 13, Keyed: true, Hash: 14, Call: true,
+		{Ref: 500, Entry: ledger.Entry{Key: bookingOf, Units: 11, Since: 12, Wait: 13, HasIdempotencyKey: true, Hash: 14, Call: true,
 			FrontTaken: true, FrontEnded: true, NeverTaken: true, Lost: true, PlanTaken: true, PlanEnded: 2, Sent: 15, Heard: 16,
-			Began: 17, Ended: 18, Told: true, CallBegan: true, CallOver: true, Rejected: true, Returned: true}},
-		{Ref: 501, Entry: ledger.Entry{Key: bookingOf, Keyed: true}},
+			Began: 17, Ended: 18, Pushed: true, CallBegan: true, CallOver: true, Rejected: true, Returned: true}},
+		{Ref: 501, Entry: ledger.Entry{Key: bookingOf, HasIdempotencyKey: true}},
 		{Ref: 502, Entry: ledger.Entry{Key: accountOf, Call: true}},
 		{Ref: 503, Entry: ledger.Entry{Key: bookingOf, FrontTaken: true}},
 		{Ref: 504, Entry: ledger.Entry{Key: bookingOf, FrontEnded: true}},
 		{Ref: 505, Entry: ledger.Entry{Key: bookingOf, NeverTaken: true}},
 		{Ref: 506, Entry: ledger.Entry{Key: bookingOf, Lost: true}},
 		{Ref: 507, Entry: ledger.Entry{Key: bookingOf, PlanTaken: true}},
-		{Ref: 508, Entry: ledger.Entry{Key: accountOf, Told: true}},
+		{Ref: 508, Entry: ledger.Entry{Key: accountOf, Pushed: true}},
 		{Ref: 509, Entry: ledger.Entry{Key: accountOf, CallBegan: true}},
 		{Ref: 510, Entry: ledger.Entry{Key: accountOf, CallOver: true}},
 		{Ref: 511, Entry: ledger.Entry{Key: accountOf, Rejected: true}},
@@ -106,7 +106,7 @@
 }
 
 // head is what the frozen store knows of itself.
-var head = meta{Version: 1, Node: "n3", Role: statement.Forwarder, Life: 7, Statements: 21, Seq: 45, First: 41,
+var head = meta{Version: 1, Node: "n3", Role: statement.Forwarder, Incarnation: 7, Statements: 21, Seq: 45, First: 41,
 	Chain: "5ec34aeb5874f821", Segment: 12, At: 2, Names: wording, Stated: marked}
 
 // keptRecords are the records for export of the frozen store.
@@ -187,17 +187,17 @@
 // statement that is written has fixed times.
 func TestStoreForm(t *testing.T) {
 	dir := t.TempDir()
-	s := &Store{o: Options{Dir: dir, Wait: time.Second, Records: 5}, meta: meta{Version: 1, Node: "n3", Role: statement.Forwarder,
-		Life: 7, Statements: 20, Seq: 40, First: 38, Chain: "00112233445566ff", Segment: 11, At: 1, Stated: stated}}
-	p := newPending()
-	for _, k := range append(keptRows(), ledger.Kept{Key: ledger.Key{Customer: 9}, Gone: true}) {
+	s := &Store{options: Options{Dir: dir, Wait: time.Second, Records: 5}, meta: meta{Version: 1, Node: "n3", Role: statement.Forwarder,
+		Incarnation: 7, Statements: 20, Seq: 40, First: 38, Chain: "00112233445566ff", Segment: 11, At: 1, Stated: stated}}
+	p := newUncommitted()
+	for _, k := range append(keptRows(), ledger.StoredRow{Key: ledger.Key{Customer: 9}, RolledUp: true}) {
 		p.rows[k.Key] = k
 	}
 	booking, account := figures(1000), figures(3000)
 	p.deltas[bookingOf], p.deltas[accountOf] = &booking, &account
 	p.open, p.segment, p.at, p.to = openEntries(), 12, 2, marked
-	p.tries = []ledger.Try{{Key: bookingOf, Hash: 0xdeadbeef, Taken: 1772344800000000005, Ended: 1772344801000000006,
-		End: ledger.FrontRefused}}
+	p.idempotentRequests = []ledger.IdempotentRequest{{Key: bookingOf, Hash: 0xdeadbeef, Taken: 1772344800000000005, Ended: 1772344801000000006,
+		End: ledger.FrontRejected}}
 	p.notes = []statement.Record{{Kind: statement.Life, From: stated, To: marked, Note: "2 postings replayed"},
 		{Kind: statement.Gap, From: marked, To: stated, Note: "<torn> & \"odd\" späť"}}
 	got, err := s.write(p, wording)
@@ -221,8 +221,8 @@
 	}
 
 	lines := []ledger.Line{{Key: bookingOf, Counts: figures(100)}, {Key: accountOf, Counts: figures(20000)}}
-	lines[0].Counts.Book(ledger.FrontTaken, 3e6) // the log behind place 2
-	lines[0].Counts.Book(ledger.PlanTaken, 4e6)
+	lines[0].Counts.Record(ledger.FrontTaken, 3e6) // the log behind place 2
+	lines[0].Counts.Record(ledger.PlanTaken, 4e6)
 	v, err := Read(dir)
 	if err != nil {
 		t.Fatal(err)
@@ -231,7 +231,7 @@
 		t.Errorf("the ledger is read as %+v, %d open", got, v.Ledger.Open())
 	}
 	v.Ledger = nil
-	if want := (&View{Node: "n3", Role: statement.Forwarder, Life: 7, Names: wording, Replayed: 2, First: 41, Last: 45}); !reflect.DeepEqual(v, want) {
+	if want := (&View{Node: "n3", Role: statement.Forwarder, Incarnation: 7, Names: wording, Replayed: 2, First: 41, Last: 45}); !reflect.DeepEqual(v, want) {
 		t.Errorf("read as %+v", v)
 	}
 
@@ -248,7 +248,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(known, wording) || found.Life != 8 || found.Replayed != 2 || len(found.Notes) != 0 {
+	if !reflect.DeepEqual(known, wording) || found.Incarnation != 8 || found.Replayed != 2 || len(found.Notes) != 0 {
 		t.Errorf("taken over as %+v %+v", known, found)
 	}
 	if err := s.Close(); err != nil {
--- a/internal/ledger/store/log.go
+++ b/internal/ledger/store/log.go
@@ -14,20 +14,20 @@
 	for {
 		seg, err := s.make()
 		if err != nil && !failed {
-			s.o.Log.Error("the ledger's log has no room on the disk", zap.Error(err))
+			s.options.Log.Error("the ledger's log has no room on the disk", zap.Error(err))
 		}
 		failed = err != nil
 		if seg != nil {
 			select {
 			case s.spares <- seg:
-			case <-s.over:
+			case <-s.closing:
 				s.remove(seg)
 				return
 			}
 		}
 		select {
-		case <-s.want:
-		case <-s.over:
+		case <-s.segmentWanted:
+		case <-s.closing:
 			return
 		}
 	}
@@ -36,28 +36,28 @@
 // make makes a segment, if one more may wait for the disk; else it returns nil.
 func (s *Store) make() (*segment, error) {
 	s.mu.Lock()
-	n := s.next
-	room := len(s.old)+1 < s.o.Segments
-	if room {
-		s.next++
+	n := s.nextNumber
+	mayWait := len(s.full)+1 < s.options.Segments
+	if mayWait {
+		s.nextNumber++
 	}
 	s.mu.Unlock()
-	if !room {
+	if !mayWait {
 		return nil, nil
 	}
-	return createSegment(s.o.Files, s.o.Dir, n, s.o.SegmentBytes)
+	return createSegment(s.options.Files, s.options.Dir, n, s.options.SegmentBytes)
 }
 
-func (s *Store) kick() {
+func (s *Store) wantSegment() {
 	select {
-	case s.want <- struct{}{}:
+	case s.segmentWanted <- struct{}{}:
 	default:
 	}
 }
 
 func (s *Store) remove(seg *segment) error {
 	if seg.m != nil {
-		s.o.Files.Unmap(seg.m)
+		s.options.Files.Unmap(seg.m)
 		seg.m = nil
 	}
 	return os.Remove(seg.path)
@@ -65,17 +65,17 @@
 
 // Append implements recorder.Keeper.
 func (s *Store) Append(p ledger.Posting) {
-	if !s.kept.Load() || s.broken.Load() {
-		s.lost++
+	if !s.logIntact.Load() || s.broken.Load() {
+		s.unlogged++
 		return
 	}
-	if s.cur.at == s.cur.most && !s.rotate() {
-		s.cur.gap()
-		s.kept.Store(false)
-		s.lost++
+	if s.current.at == s.current.capacity && !s.rotate() {
+		s.current.gap()
+		s.logIntact.Store(false)
+		s.unlogged++
 		return
 	}
-	s.cur.put(p)
+	s.current.put(p)
 }
 
 // rotate goes on in the segment that is ready, if one is.
@@ -83,15 +83,15 @@
 	select {
 	case seg := <-s.spares:
 		s.mu.Lock()
-		if s.cur != nil {
-			s.old = append(s.old, s.cur)
+		if s.current != nil {
+			s.full = append(s.full, s.current)
 		}
 		s.mu.Unlock()
-		s.cur = seg
-		s.kick()
+		s.current = seg
+		s.wantSegment()
 		return true
 	default:
-		s.kick()
+		s.wantSegment()
 		return false
 	}
 }
@@ -100,7 +100,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.meta.Segment
-	for _, seg := range s.old {
+	for _, seg := range s.full {
 		n = max(n, seg.number)
 	}
 	return n + 1
--- a/internal/ledger/store/read.go
+++ b/internal/ledger/store/read.go
@@ -26,14 +26,14 @@
 }
 
 // encodeRow writes the figures that are not 0, each behind the number of its event.
-func encodeRow(k ledger.Kept) (b []byte) {
-	for e := ledger.None + 1; e < ledger.Events; e++ {
+func encodeRow(k ledger.StoredRow) (b []byte) {
+	for e := ledger.None + 1; e < ledger.EventCount; e++ {
 		if n := k.N[e]; n != 0 {
 			b = binary.AppendUvarint(append(b, byte(e)), n)
 		}
 	}
 	b = append(b, 0)
-	for e := ledger.None + 1; e < ledger.Events; e++ {
+	for e := ledger.None + 1; e < ledger.EventCount; e++ {
 		if u := k.Units(e); u != 0 {
 			b = binary.AppendVarint(append(b, byte(e)), u)
 		}
@@ -45,7 +45,7 @@
 	return seal(b)
 }
 
-func decodeRow(key, value []byte) (k ledger.Kept, err error) {
+func decodeRow(key, value []byte) (k ledger.StoredRow, err error) {
 	b, err := unseal(value)
 	if err != nil || len(key) != 12 {
 		return k, errCorrupt
@@ -56,7 +56,7 @@
 	for list := range 2 {
 		for {
 			e, err := r.ReadByte()
-			if err != nil || ledger.Event(e) >= ledger.Events {
+			if err != nil || ledger.Event(e) >= ledger.EventCount {
 				return k, errCorrupt
 			}
 			if e == 0 {
@@ -94,7 +94,7 @@
 
 // content is what an embedded store holds of figures.
 type content struct {
-	rows []ledger.Kept
+	rows []ledger.StoredRow
 	open []ledger.Open
 }
 
@@ -143,14 +143,14 @@
 
 // View is what a folder holds, read beside a gateway that may be at work there.
 type View struct {
-	Node, Role string
-	Life       uint64
-	Names      ledger.Names
-	Ledger     *ledger.Ledger // what was open when it was read is still open in it
-	Replayed   int
-	Notes      []string
-	First      uint64 // record for export that is there
-	Last       uint64
+	Node, Role  string
+	Incarnation uint64
+	Names       ledger.Names
+	Ledger      *ledger.Ledger // what was open when it was read is still open in it
+	Replayed    int
+	Notes       []string
+	First       uint64 // record for export that is there
+	Last        uint64
 }
 
 // readings is how often Read looks again, where a gateway that writes on meanwhile makes its log look torn.
@@ -184,7 +184,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &View{m.Node, m.Role, m.Life, m.Names, l, log.postings, log.notes, m.First, m.Seq}, nil
+	return &View{m.Node, m.Role, m.Incarnation, m.Names, l, log.postings, log.notes, m.First, m.Seq}, nil
 }
 
 // Records hands the records for export behind a number on, in their order.
--- a/internal/ledger/store/recovery.go
+++ b/internal/ledger/store/recovery.go
@@ -15,19 +15,19 @@
 // recover makes the ledger of what the folder holds.
 func (s *Store) recover() (*ledger.Ledger, *Recovered, error) {
 	found := &Recovered{}
-	m, held, err := load(filepath.Join(s.o.Dir, dbName))
+	m, stored, err := load(filepath.Join(s.options.Dir, dbName))
 	if errors.Is(err, errCorrupt) {
 		note := fmt.Sprintf("%s: %v; the figures before this start were set aside", dbName, err)
-		if err := s.aside(); err != nil {
+		if err := s.setAside(); err != nil {
 			return nil, nil, err
 		}
 		found.Notes = append(found.Notes, note)
-		m, held, err = meta{}, content{}, nil
+		m, stored, err = meta{}, content{}, nil
 	}
 	if err != nil {
 		return nil, nil, err
 	}
-	l, log, err := replay(s.o.Dir, s.o.Limits, m, held, true)
+	l, log, err := replay(s.options.Dir, s.options.Limits, m, stored, true)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -35,27 +35,27 @@
 	before := l.Total()
 	cut := l.CutOff(time.Now().UnixNano())
 	after := l.Total()
-	found.Cut, found.Reqs = len(cut), after.N[ledger.FrontCutoff]-before.N[ledger.FrontCutoff]
+	found.Cut, found.Requests = len(cut), after.N[ledger.FrontCutoff]-before.N[ledger.FrontCutoff]
 	s.meta = m
-	s.meta.Version, s.meta.Node, s.meta.Role = version, s.o.Node, s.o.Role
-	s.meta.Life++
-	found.Life = s.meta.Life
-	numbers, err := segments(s.o.Dir)
+	s.meta.Version, s.meta.Node, s.meta.Role = version, s.options.Node, s.options.Role
+	s.meta.Incarnation++
+	found.Incarnation = s.meta.Incarnation
+	numbers, err := segments(s.options.Dir)
 	if err != nil {
 		return nil, nil, err
 	}
 	for _, n := range numbers { // they are covered by the next statement
-		s.old = append(s.old, &segment{number: n, path: segmentPath(s.o.Dir, n)})
-		s.next = max(s.next, n)
+		s.full = append(s.full, &segment{number: n, path: segmentPath(s.options.Dir, n)})
+		s.nextNumber = max(s.nextNumber, n)
 	}
-	s.next = max(s.next, m.Segment) + 1
+	s.nextNumber = max(s.nextNumber, m.Segment) + 1
 	now := time.Now()
-	life := statement.Record{Kind: statement.Life, From: now, To: now,
-		Note: fmt.Sprintf("%d postings replayed, %d reqs cut off by a crash", found.Replayed, found.Reqs)}
-	s.pend = newPending()
-	s.pend.notes = []statement.Record{life}
+	start := statement.Record{Kind: statement.Life, From: now, To: now,
+		Note: fmt.Sprintf("%d postings replayed, %d reqs cut off by a crash", found.Replayed, found.Requests)}
+	s.uncommitted = newUncommitted()
+	s.uncommitted.notes = []statement.Record{start}
 	for _, note := range found.Notes {
-		s.pend.notes = append(s.pend.notes, statement.Record{Kind: statement.Gap, From: now, To: now, Note: note})
+		s.uncommitted.notes = append(s.uncommitted.notes, statement.Record{Kind: statement.Gap, From: now, To: now, Note: note})
 	}
 	// From here on the log begins anew, and what it holds counts once the repair is on the disk. A crash before that
 	// finds all as it was, and repairs it again.
@@ -63,19 +63,19 @@
 	return l, found, nil
 }
 
-// aside renames what can't be trusted, so that nobody counts on it and nobody has lost it.
-func (s *Store) aside() error {
+// setAside renames what can't be trusted, so that nobody counts on it and nobody has lost it.
+func (s *Store) setAside() error {
 	suffix := fmt.Sprintf(".bad-%d", time.Now().UnixNano())
-	numbers, err := segments(s.o.Dir)
+	numbers, err := segments(s.options.Dir)
 	if err != nil {
 		return err
 	}
 	for _, n := range numbers {
-		if err := os.Rename(segmentPath(s.o.Dir, n), segmentPath(s.o.Dir, n)+suffix); err != nil {
+		if err := os.Rename(segmentPath(s.options.Dir, n), segmentPath(s.options.Dir, n)+suffix); err != nil {
 			return err
 		}
 	}
-	return os.Rename(filepath.Join(s.o.Dir, dbName), filepath.Join(s.o.Dir, dbName)+suffix)
+	return os.Rename(filepath.Join(s.options.Dir, dbName), filepath.Join(s.options.Dir, dbName)+suffix)
 }
 
 // replayed is what the log held beyond the rows of the store.
@@ -86,12 +86,12 @@
 
 // replay makes a ledger of what the store holds and of the log behind it. It stops at the first record that is not complete: what
 // stands behind a break is never counted on.
-func replay(dir string, limits ledger.Limits, m meta, held content, stating bool) (*ledger.Ledger, replayed, error) {
+func replay(dir string, limits ledger.Limits, m meta, stored content, stating bool) (*ledger.Ledger, replayed, error) {
 	l := ledger.New(limits, stating)
-	for _, k := range held.rows {
+	for _, k := range stored.rows {
 		l.Restore(k)
 	}
-	for _, o := range held.open {
+	for _, o := range stored.open {
 		l.RestoreOpen(o)
 	}
 	var found replayed
--- a/internal/ledger/store/segment.go
+++ b/internal/ledger/store/segment.go
@@ -64,11 +64,11 @@
 
 // segment is one that is being written.
 type segment struct {
-	number uint64
-	path   string
-	m      []byte
-	at     int // records written
-	most   int // that it has room for
+	number   uint64
+	path     string
+	m        []byte
+	at       int // records written
+	capacity int // that it has room for
 }
 
 func segmentPath(dir string, n uint64) string {
@@ -76,7 +76,7 @@
 }
 
 func createSegment(f Files, dir string, n uint64, size int) (*segment, error) {
-	s := &segment{number: n, path: segmentPath(dir, n), most: (size-headSize)/recordSize - 1}
+	s := &segment{number: n, path: segmentPath(dir, n), capacity: (size-headSize)/recordSize - 1}
 	m, err := f.Create(s.path, size)
 	if err != nil {
 		return nil, err
@@ -99,7 +99,7 @@
 
 // gap says in the last place that the log breaks off behind what is written.
 func (s *segment) gap() {
-	encode(s.m[headSize+s.most*recordSize:], s.number, uint32(s.most), ledger.Posting{Event: gapEvent, Ref: uint64(s.at)})
+	encode(s.m[headSize+s.capacity*recordSize:], s.number, uint32(s.capacity), ledger.Posting{Event: gapEvent, Ref: uint64(s.at)})
 }
 
 // encode writes a record. Its checksum comes last, and covers the segment's number and its own place: what an earlier
--- a/internal/ledger/store/store.go
+++ b/internal/ledger/store/store.go
@@ -51,51 +51,51 @@
 
 // meta is what the store knows of itself. At is the place in the log up to which the rows hold it.
 type meta struct {
-	Version    int          `json:"version"`
-	Node       string       `json:"node"`
-	Role       string       `json:"role"`
-	Life       uint64       `json:"life"`
-	Statements uint64       `json:"statements"`
-	Seq        uint64       `json:"seq"`   // of the last record
-	First      uint64       `json:"first"` // that is still there
-	Chain      string       `json:"chain"`
-	Segment    uint64       `json:"segment"`
-	At         int          `json:"at"`
-	Names      ledger.Names `json:"names"`
-	Stated     time.Time    `json:"stated"`
+	Version     int          `json:"version"`
+	Node        string       `json:"node"`
+	Role        string       `json:"role"`
+	Incarnation uint64       `json:"life"`
+	Statements  uint64       `json:"statements"`
+	Seq         uint64       `json:"seq"`   // of the last record
+	First       uint64       `json:"first"` // that is still there
+	Chain       string       `json:"chain"`
+	Segment     uint64       `json:"segment"`
+	At          int          `json:"at"`
+	Names       ledger.Names `json:"names"`
+	Stated      time.Time    `json:"stated"`
 }
 
 // Store implements recorder.Keeper.
 type Store struct {
-	o    Options
-	lock *os.File
-	meta meta
+	options Options
+	lock    *os.File
+	meta    meta
 
 	// Under the recorder's lock, and in Run.
-	cur  *segment
-	kept atomic.Bool
-	lost uint64 // postings that are in no log
-	pend *pending
+	current     *segment
+	logIntact   atomic.Bool
+	unlogged    uint64 // postings that are in no log
+	uncommitted *uncommitted
 
 	broken  atomic.Bool // what follows in the log must not be counted on: it stands behind a gap
 	resumed bool        // the log was taken up again, by a statement that is not on the disk yet
 
-	mu     sync.Mutex
-	old    []*segment // full, and not yet covered by a statement on the disk
-	next   uint64     // number of a segment
-	spares chan *segment
-	want   chan struct{}
-	over   chan struct{}
-	done   sync.WaitGroup
+	mu            sync.Mutex
+	full          []*segment // full, and not yet covered by a statement on the disk
+	nextNumber    uint64     // number of a segment
+	spares        chan *segment
+	segmentWanted chan struct{}
+	closing       chan struct{}
+	done          sync.WaitGroup
 }
 
 // Recovered is what Open found.
 type Recovered struct {
-	Life     uint64
-	Replayed int      // postings that the log held beyond the rows
-	Cut      int      // postings that closed what was open
-	Reqs     uint64   // of those, reqs that were owed an answer
-	Notes    []string // what was torn, set aside or not kept
+	Incarnation uint64
+	Replayed    int      // postings that the log held beyond the rows
+	Cut         int      // postings that closed what was open
+	Requests    uint64   // of those, requests that were owed an answer
+	Notes       []string // what was torn, set aside or not kept
 }
 
 // Open takes a folder over and makes the ledger that it holds; what a crash left open is closed. What is torn or corrupt
@@ -118,7 +118,7 @@
 		lock.Close()
 		return nil, nil, ledger.Names{}, nil, fmt.Errorf("%s: %w", o.Dir, ErrInUse)
 	}
-	s := &Store{o: o, lock: lock, spares: make(chan *segment, 1), want: make(chan struct{}, 1), over: make(chan struct{})}
+	s := &Store{options: o, lock: lock, spares: make(chan *segment, 1), segmentWanted: make(chan struct{}, 1), closing: make(chan struct{})}
 	l, found, err := s.recover()
 	if err != nil {
 		lock.Close()
@@ -135,19 +135,19 @@
 
 // Close gives the folder back. What was posted since the last statement stays in the log.
 func (s *Store) Close() error {
-	close(s.over)
+	close(s.closing)
 	s.done.Wait()
 	select {
 	case seg := <-s.spares:
 		s.remove(seg)
 	default:
 	}
-	if s.cur != nil {
-		s.o.Files.Unmap(s.cur.m)
+	if s.current != nil {
+		s.options.Files.Unmap(s.current.m)
 	}
-	s.kept.Store(false)
+	s.logIntact.Store(false)
 	return s.lock.Close()
 }
 
-// Kept says whether what is posted now survives a crash of the process.
-func (s *Store) Kept() bool { return s.kept.Load() && !s.broken.Load() }
+// LogIntact says whether what is posted now survives a crash of the process.
+func (s *Store) LogIntact() bool { return s.logIntact.Load() && !s.broken.Load() }
--- a/internal/ledger/store/store_test.go
+++ b/internal/ledger/store/store_test.go
@@ -131,15 +131,15 @@
 		kill := func(torn bool) {
 			copied := killed(t, dir)
 			if torn { // the record that was being written is there in part
-				path := filepath.Join(copied, filepath.Base(b.cur.path))
+				path := filepath.Join(copied, filepath.Base(b.current.path))
 				f, err := os.ReadFile(path)
 				if err != nil {
 					t.Fatal(err)
 				}
 				// Its fields are written one behind another, and the checksum last.
 				rec := make([]byte, recordSize)
-				encode(rec, b.cur.number, uint32(b.cur.at), ledger.Posting{Event: ledger.FrontTaken, Ref: 1 << 40, At: 1})
-				copy(f[headSize+b.cur.at*recordSize+4:], rec[4:8+r.IntN(recordSize-8+1)])
+				encode(rec, b.current.number, uint32(b.current.at), ledger.Posting{Event: ledger.FrontTaken, Ref: 1 << 40, At: 1})
+				copy(f[headSize+b.current.at*recordSize+4:], rec[4:8+r.IntN(recordSize-8+1)])
 				os.WriteFile(path, f, 0o600)
 			}
 			if r.IntN(2) == 0 { // killed again while it is repaired
@@ -241,7 +241,7 @@
 		})
 	}
 	flood(1)
-	if b.Kept() {
+	if b.LogIntact() {
 		t.Fatal("more was kept than there is room for")
 	}
 	if err := b.state(); !errors.Is(err, bbolterrors.ErrTimeout) {
@@ -267,7 +267,7 @@
 		}
 		b.ready()
 	}
-	if !b.Kept() {
+	if !b.LogIntact() {
 		t.Fatal("with room on the disk, the log is not taken up")
 	}
 	flood(3)
@@ -313,12 +313,12 @@
 		}
 		os.WriteFile(path, f, 0o600)
 	}
-	row := func(dir string) func(int) int { // where some haulier's row begins in the store
+	row := func(dir string) func(int) int { // where some customer's row begins in the store
 		f, _ := os.ReadFile(filepath.Join(dir, dbName))
 		i := bytes.LastIndex(f, rowKey(b.l.Lines()[9].Key))
 		return func(int) int { return i + 14 }
 	}
-	wal := filepath.Base(b.cur.path)
+	wal := filepath.Base(b.current.path)
 	for what, c := range map[string]struct {
 		do    func(dir string)
 		aside bool
@@ -369,14 +369,14 @@
 	if err := b.state(); err != nil {
 		t.Fatal(err)
 	}
-	first := filepath.Base(b.cur.path)
+	first := filepath.Base(b.current.path)
 	n := 0
 	ledgertest.Storm(6, 300, 20, func(p ledger.Posting) {
 		b.ready()
 		b.post(p)
 		n++
 	})
-	if filepath.Base(b.cur.path) == first {
+	if filepath.Base(b.current.path) == first {
 		t.Fatalf("%d postings fill no segment", n)
 	}
 	for _, lost := range []int{1, 7, 100} {
@@ -386,7 +386,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		end := headSize + b.cur.most*recordSize // the last place is for the mark of a gap
+		end := headSize + b.current.capacity*recordSize // the last place is for the mark of a gap
 		clear(f[end-lost*recordSize : end])
 		os.WriteFile(path, f, 0o600)
 		v, err := Read(copied)
--- a/internal/ledger/store/write.go
+++ b/internal/ledger/store/write.go
@@ -22,8 +22,8 @@
 )
 
 // write puts a statement into the embedded store, all of it or nothing.
-func (s *Store) write(p *pending, names ledger.Names) (meta, error) {
-	db, err := open(filepath.Join(s.o.Dir, dbName), &bbolt.Options{Timeout: s.o.Wait, NoSync: !s.o.Sync})
+func (s *Store) write(p *uncommitted, names ledger.Names) (meta, error) {
+	db, err := open(filepath.Join(s.options.Dir, dbName), &bbolt.Options{Timeout: s.options.Wait, NoSync: !s.options.Sync})
 	if err != nil {
 		return meta{}, err
 	}
@@ -31,7 +31,7 @@
 	var m meta
 	err = guard(func() error {
 		return db.Update(func(tx *bbolt.Tx) error {
-			w := writer{tx: tx, meta: s.meta, maxRecords: s.o.Records}
+			w := writer{tx: tx, meta: s.meta, maxRecords: s.options.Records}
 			err := w.statement(p, names)
 			m = w.meta
 			return err
@@ -47,7 +47,7 @@
 	maxRecords int // for export, that are kept
 }
 
-func (w *writer) statement(p *pending, names ledger.Names) error {
+func (w *writer) statement(p *uncommitted, names ledger.Names) error {
 	for _, name := range [][]byte{bucketMeta, bucketRows, bucketRecords} {
 		if _, err := w.tx.CreateBucketIfNotExists(name); err != nil {
 			return err
@@ -75,11 +75,11 @@
 }
 
 // rows writes the rows that have changed, and deletes those that were rolled up.
-func (w *writer) rows(p *pending) (err error) {
+func (w *writer) rows(p *uncommitted) (err error) {
 	rows := w.tx.Bucket(bucketRows)
 	for _, k := range sortedKeys(p.rows) {
 		row := p.rows[k]
-		if row.Gone {
+		if row.RolledUp {
 			err = rows.Delete(rowKey(k))
 		} else {
 			err = rows.Put(rowKey(k), encodeRow(row))
@@ -92,22 +92,22 @@
 }
 
 // records writes the records for export: notes, figures by row, and tries at requests with an idempotency key.
-func (w *writer) records(p *pending, names ledger.Names, from time.Time) error {
+func (w *writer) records(p *uncommitted, names ledger.Names, from time.Time) error {
 	for _, r := range p.notes {
 		if err := w.record(r); err != nil {
 			return err
 		}
 	}
 	for _, k := range sortedKeys(p.deltas) {
-		r := statement.Record{Kind: statement.Figures, From: from, To: p.to, Haulier: ledger.HaulierText(k.Customer),
+		r := statement.Record{Kind: statement.Figures, From: from, To: p.to, Haulier: ledger.CustomerText(k.Customer),
 			Plan: names.Plan(k.Plan), Class: names.Class(k.Class), Figures: p.deltas[k]}
 		if err := w.record(r); err != nil {
 			return err
 		}
 	}
-	for _, t := range p.tries {
+	for _, t := range p.idempotentRequests {
 		r := statement.Record{Kind: statement.Try, From: time.Unix(0, t.Taken).UTC(), To: time.Unix(0, t.Ended).UTC(),
-			Haulier: ledger.HaulierText(t.Key.Customer), Plan: names.Plan(t.Key.Plan), Class: names.Class(t.Key.Class),
+			Haulier: ledger.CustomerText(t.Key.Customer), Plan: names.Plan(t.Key.Plan), Class: names.Class(t.Key.Class),
 			Key: fmt.Sprintf("%016x", t.Hash), End: t.End.String()}
 		if err := w.record(r); err != nil {
 			return err
@@ -120,7 +120,7 @@
 func (w *writer) record(r statement.Record) error {
 	m := &w.meta
 	m.Seq++
-	r.Seq, r.Node, r.Role, r.Life = m.Seq, m.Node, m.Role, m.Life
+	r.Seq, r.Node, r.Role, r.Life = m.Seq, m.Node, m.Role, m.Incarnation
 	line := r.Seal(nil, m.Chain) // the store keeps it until the end of the transaction
 	m.Chain = r.Chain
 	return w.tx.Bucket(bucketRecords).Put(recordKey(m.Seq), line)
--- a/internal/operator/golden_ledger_test.go
+++ b/internal/operator/golden_ledger_test.go
@@ -18,7 +18,7 @@
 
 func (fixedReport) Report() recorder.Report {
 	figures := func(from uint64) (c ledger.Counts) {
-		for e := ledger.None + 1; e < ledger.Events; e++ {
+		for e := ledger.None + 1; e < ledger.EventCount; e++ {
 			c.Set(e, from+uint64(e), -int64(from)*1e5-int64(e))
 		}
 		return c
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -19,7 +19,7 @@
 
 // counts has a value of its own at each event, from a first one on.
 func counts(first uint64) (c ledger.Counts) {
-	for e := ledger.None + 1; e < ledger.Events; e++ {
+	for e := ledger.None + 1; e < ledger.EventCount; e++ {
 		n := first + uint64(e)
 		c.Set(e, n, int64(n)*1_000_000+int64(e))
 	}
--- a/internal/operator/ledger.go
+++ b/internal/operator/ledger.go
@@ -65,8 +65,8 @@
 )
 
 // rowDescs are the metrics of a row's events, by the book that has the event.
-var rowDescs = [ledger.Books]*prometheus.Desc{ledger.Front: requestsDesc, ledger.Planner: decisionsDesc,
-	ledger.Fetches: attemptsDesc}
+var rowDescs = [ledger.JournalCount]*prometheus.Desc{ledger.JournalFront: requestsDesc, ledger.JournalPlanner: decisionsDesc,
+	ledger.JournalAttempts: attemptsDesc}
 
 // Describe implements prometheus.Collector.
 func (p *ledgerPart) Describe(ch chan<- *prometheus.Desc) {
@@ -103,8 +103,8 @@
 		}
 		plan := r.Names.Plan(line.Key.Plan)
 		class := r.Names.Class(line.Key.Class)
-		for e := ledger.None + 1; e < ledger.Events; e++ {
-			if b := e.Book(); b <= ledger.Fetches && (line.Counts.N[e] > 0 || e == ledger.FrontTaken) {
+		for e := ledger.None + 1; e < ledger.EventCount; e++ {
+			if b := e.Journal(); b <= ledger.JournalAttempts && (line.Counts.N[e] > 0 || e == ledger.FrontTaken) {
 				counter(ch, rowDescs[b], float64(line.Counts.N[e]), plan, class, e.String())
 			}
 		}
@@ -113,11 +113,11 @@
 
 // collectTotals collects units and calls to the counter, over all customers.
 func collectTotals(ch chan<- prometheus.Metric, r *recorder.Report) {
-	for e := ledger.None + 1; e < ledger.Events; e++ {
-		switch e.Book() {
-		case ledger.Units:
+	for e := ledger.None + 1; e < ledger.EventCount; e++ {
+		switch e.Journal() {
+		case ledger.JournalUnits:
 			gauge(ch, unitsDesc, float64(r.Total.Units(e))/1e6, e.String())
-		case ledger.Counter:
+		case ledger.JournalCounter:
 			counter(ch, callsDesc, float64(r.Total.N[e]), e.String())
 		}
 	}
--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -23,7 +23,7 @@
 }
 
 func (b *ledgerRow) answered() uint64 {
-	return b.N[ledger.FrontServed] + b.N[ledger.FrontRefused] + b.N[ledger.FrontFailed]
+	return b.N[ledger.FrontServed] + b.N[ledger.FrontRejected] + b.N[ledger.FrontFailed]
 }
 
 // cut is what the books have as taken and not as answered.
@@ -99,7 +99,7 @@
 	if err != nil {
 		return err
 	}
-	r.lives += view.Life
+	r.lives += view.Incarnation
 	r.kills += n.Kills()
 	for _, note := range view.Notes {
 		r.fail("%s: %s", n.Name, note)
@@ -143,7 +143,7 @@
 	if m == nil {
 		return ledger.Counts{}
 	}
-	c := m.Rows[statement.Name{Haulier: ledger.HaulierText(row.Customer), Plan: row.Plan, Class: row.Class}]
+	c := m.Rows[statement.Name{Haulier: ledger.CustomerText(row.Customer), Plan: row.Plan, Class: row.Class}]
 	if c == nil {
 		return ledger.Counts{}
 	}
@@ -167,10 +167,10 @@
 		}
 		all := true
 		for what, c := range map[string][2]uint64{"served": {b.N[ledger.FrontServed], t.Served},
-			"refused": {b.N[ledger.FrontRefused], t.Rejected}, "failed": {b.N[ledger.FrontFailed], t.Failed}} {
+			"refused": {b.N[ledger.FrontRejected], t.Rejected}, "failed": {b.N[ledger.FrontFailed], t.Failed}} {
 			// An answer may have been written and lost with its session; or have arrived, and the gateway was killed
 			// before it was booked.
-			if c[0] > c[1]+t.Lost || c[1] > c[0]+b.N[ledger.FrontCutoff]+b.N[ledger.FrontCut] {
+			if c[0] > c[1]+t.Lost || c[1] > c[0]+b.N[ledger.FrontCutoff]+b.N[ledger.FrontWriteFailed] {
 				fail("%v: %d %s in the books, %d at the clients; %d lost there, %d cut off here", r, c[0], what, c[1], t.Lost, cut)
 			}
 			all = all && c[0] == c[1]
@@ -203,8 +203,8 @@
 		if r.Node != "forwarder" {
 			continue
 		}
-		answered := b.N[ledger.FetchOK]
-		highest := b.N[ledger.FetchBegan] - b.N[ledger.FetchNotSent] - b.N[ledger.FetchRejected]
+		answered := b.N[ledger.AttemptOK]
+		highest := b.N[ledger.AttemptStarted] - b.N[ledger.AttemptNotSent] - b.N[ledger.AttemptRejected]
 		if n := taken[r]; n < answered || n > highest {
 			fail("%v: the gateways took %d of what the forwarder passed on: %d answered, %d in all", r, n, answered, highest)
 		}
@@ -244,9 +244,9 @@
 			continue
 		}
 		f := at(r.Customer, r.Class)
-		f.begun += b.N[ledger.FetchBegan] - b.N[ledger.FetchNotSent] - b.N[ledger.FetchConnectFailed]
-		f.ok += b.N[ledger.FetchOK]
-		f.replied += b.N[ledger.FetchOK] + b.N[ledger.FetchError] + b.N[ledger.FetchRejected]
+		f.begun += b.N[ledger.AttemptStarted] - b.N[ledger.AttemptNotSent] - b.N[ledger.AttemptConnectFailed]
+		f.ok += b.N[ledger.AttemptOK]
+		f.replied += b.N[ledger.AttemptOK] + b.N[ledger.AttemptError] + b.N[ledger.AttemptRejected]
 	}
 	for k, f := range sums {
 		if f.seen > f.begun || f.replied > f.seen || f.ok > f.served {
@@ -306,8 +306,8 @@
 		s := sums[r]
 		n := &s.b.N
 		fmt.Fprintf(tw, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", r.Node, r.Plan, r.Class, s.t.Sent,
-			n[ledger.FrontTaken], n[ledger.FrontServed], s.t.Served, n[ledger.FrontRefused], s.t.Rejected, n[ledger.FrontFailed],
-			s.t.Failed, n[ledger.FrontGone]+n[ledger.FrontCut], n[ledger.FrontCutoff], s.t.Lost)
+			n[ledger.FrontTaken], n[ledger.FrontServed], s.t.Served, n[ledger.FrontRejected], s.t.Rejected, n[ledger.FrontFailed],
+			s.t.Failed, n[ledger.FrontClientLeft]+n[ledger.FrontWriteFailed], n[ledger.FrontCutoff], s.t.Lost)
 	}
 	tw.Flush()
 }
--- a/internal/soak/cost.go
+++ b/internal/soak/cost.go
@@ -182,7 +182,7 @@
 	before := heap()
 	l := ledger.New(ledger.Limits{Rows: 2 * rows, Open: 100, Flight: 100}, statements)
 	for i := range uint64(rows) {
-		for _, e := range []ledger.Event{ledger.FrontTaken, ledger.PlanTaken, ledger.PlanRefusedQuota, ledger.FrontRefused} {
+		for _, e := range []ledger.Event{ledger.FrontTaken, ledger.PlanTaken, ledger.PlanRejectedQuota, ledger.FrontRejected} {
 			l.Post(ledger.Posting{Event: e, Key: ledger.Key{Customer: i}, Ref: i + 1, Units: 1e6})
 		}
 	}
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -26,7 +26,7 @@
 	m.ListBroke("too_long")
 	m.ConnectionClosed("drained")
 	m.ConnectionsOverdue(2)
-	for e := ledger.None + 1; e < ledger.Events; e++ {
+	for e := ledger.None + 1; e < ledger.EventCount; e++ {
 		m.Answered(e)
 	}
 	for o := range dw.OutcomeCount {
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -49,10 +49,10 @@
 	listBytes   prometheus.Counter
 	listBreaks  *prometheus.CounterVec // by reason
 
-	answers [ledger.Events]prometheus.Counter   // nil: not an event of the planner's
-	retries [dw.OutcomeCount]prometheus.Counter // by the outcome of the attempt before
-	closes  *prometheus.CounterVec              // of client connections, by reason
-	overdue prometheus.Counter                  // client connections
+	answers [ledger.EventCount]prometheus.Counter // nil: not an event of the planner's
+	retries [dw.OutcomeCount]prometheus.Counter   // by the outcome of the attempt before
+	closes  *prometheus.CounterVec                // of client connections, by reason
+	overdue prometheus.Counter                    // client connections
 }
 
 // New makes metrics that are all zero.
@@ -71,7 +71,7 @@
 	m.listBreaks = m.counter("list_breaks_total", "Ends of the list's connection, by reason.", "reason")
 	answers := m.counter("answers_total", "Requests that the planner ended, by reason.", "reason")
 	for e := range m.answers {
-		if ledger.Event(e).Book() == ledger.Planner {
+		if ledger.Event(e).Journal() == ledger.JournalPlanner {
 			m.answers[e] = answers.WithLabelValues(ledger.Event(e).String())
 		}
 	}
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -24,7 +24,7 @@
 	m.ListBroke("too_long")
 	m.Waited(core.QueueEndpoints, 3*time.Millisecond)
 	m.Waited(core.QueueEndpoints, time.Millisecond)
-	m.Answered(ledger.PlanRefusedQuota)
+	m.Answered(ledger.PlanRejectedQuota)
 	m.Answered(ledger.FrontTaken) // none of the planner's
 	m.Retried(dw.OutcomeNotSent)
 	m.ConnectionClosed("drained")
