--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -1,5 +1,6 @@
-// Package agent runs a fleet's member: the goroutine, clock, storage and transport of a fleet.Node, the policies that its leader
-// applies, and the operators' pages. The policies themselves are in evacuation, maintenance and slowstart.
+// Package agent runs a fleet's member: the goroutine, clock, storage and transport of a fleet.Node, the
+// policies that its leader applies, and the operators' pages. The policies themselves are in evacuation,
+// maintenance and slowstart.
 package agent
 
 import (
@@ -44,8 +45,8 @@
 	OnDecisions func(Decisions)  // called when they change; may be nil
 }
 
-// Agent is a running member. Its exported methods may be called from any goroutine; unexported fields belong to the goroutine of
-// Run, except where noted.
+// Agent is a running member. Its exported methods may be called from any goroutine; unexported fields belong
+// to the goroutine of Run, except where noted.
 type Agent struct {
 	options   Options
 	startedAt time.Time // origin of the member's clock
@@ -63,8 +64,8 @@
 	stopped    chan struct{} // closed when Run returns
 	stopGossip func()        // set by Run
 
-	// Policies. They observe every report at every member, so that a new leader has evidence at once; their decisions count at the
-	// leader only.
+	// Policies. They observe every report at every member, so that a new leader has evidence at once; their
+	// decisions count at the leader only.
 	zones          *evacuation.Detector
 	slowStart      *slowstart.Allocator
 	maintenance    *maintenance.Scheduler
@@ -84,7 +85,8 @@
 	alive bool
 }
 
-// Open opens a member: it reads the storage and listens. Run must be called if there is no error; it closes what Open opened.
+// Open opens a member: it reads the storage and listens. Run must be called if there is no error; it closes
+// what Open opened.
 func Open(o Options) (*Agent, error) {
 	o.SlowStart.Lease = o.Lease
 	o.Maintenance.SlowStart = o.SlowStart.Span
@@ -189,14 +191,15 @@
 	return binary.BigEndian.Uint64(b[:]) >> 1
 }
 
-// AddCandidates tells, by name, under which addresses members may be found. It is a hint: members that are not named stay known.
+// AddCandidates tells, by name, under which addresses members may be found. It is a hint: members that are
+// not named stay known.
 func (a *Agent) AddCandidates(at map[string]string) { a.gossip.AddCandidates(at) }
 
 // Tally counts this process's attempts, for its reports.
 func (a *Agent) Tally() *Tally { return a.tally }
 
-// now is the time since the process started, and Unix ms derived from it. The system's clock is read once only, as a step of it would
-// end the lease of a machine in maintenance, or a slow start.
+// now is the time since the process started, and Unix ms derived from it. The system's clock is read once
+// only, as a step of it would end the lease of a machine in maintenance, or a slow start.
 func (a *Agent) now() (time.Duration, int64) {
 	d := time.Since(a.startedAt)
 	return d, a.startedAt.Add(d).UnixMilli()
@@ -249,8 +252,8 @@
 	}
 }
 
-// processOutput stores, sends and publishes what the node has ready. Messages do not wait for a write: those that depend on it are
-// still inside the node.
+// processOutput stores, sends and publishes what the node has ready. Messages do not wait for a write: those
+// that depend on it are still inside the node.
 func (a *Agent) processOutput() {
 	a.persist()
 	messages, events := a.node.TakeOutput()
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -95,8 +95,8 @@
 	eventually(t, "the end of all goroutines", func() bool { return goleak.Find() == nil })
 }
 
-// waitUntilFresh waits until each has a fresh view of all others, and acts on the plan that names all voters: while the leader adds them
-// one by one, the plan changes without a command.
+// waitUntilFresh waits until each has a fresh view of all others, and acts on the plan that names all voters:
+// while the leader adds them one by one, the plan changes without a command.
 func waitUntilFresh(t *testing.T, all []*Agent) {
 	for _, a := range all {
 		eventually(t, "the plan that names all voters", func() bool {
@@ -124,7 +124,8 @@
 	all, stop := startWithRegistry(t, 4, false, z)
 	defer stop()
 	waitUntilFresh(t, all)
-	// All sessions expire at once, as after a long outage of the registry: no member is gone for that, and the nodes are created anew.
+	// All sessions expire at once, as after a long outage of the registry: no member counts as dead for that,
+	// and the nodes are created anew.
 	names, owners := []string{"g0", "g1", "g2", "g3"}, map[string]int64{}
 	for _, n := range names {
 		owners[n] = z.Owner("/members/test/" + n)
@@ -208,7 +209,8 @@
 	}
 }
 
-// A voter restarts with its storage under the same identity; storage that another process has open is rejected with an error that says so.
+// A voter restarts with its storage under the same identity; storage that another process has open is
+// rejected with an error that says so.
 func TestVoterStorageAcrossRestart(t *testing.T) {
 	defer waitForGoroutines(t)
 	all, stop := start(t, 1, true)
--- a/internal/fleet/agent/calls.go
+++ b/internal/fleet/agent/calls.go
@@ -26,8 +26,9 @@
 	}
 }
 
-// Submit has the leader run the command called name, and waits for the epoch in which it takes effect. Errors: those of
-// fleet.Node.Submit, the context's, and ErrEnded; after the latter two the command may still take effect.
+// Submit has the leader run the command called name, and waits for the epoch in which it takes effect.
+// Errors: those of fleet.Node.Submit, the context's, and ErrEnded; after the latter two the command may still
+// take effect.
 func (a *Agent) Submit(ctx context.Context, name string, args []byte) (fleet.Epoch, error) {
 	type result struct {
 		epoch fleet.Epoch
--- a/internal/fleet/agent/decisions.go
+++ b/internal/fleet/agent/decisions.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// followPlan updates what a plan says of this gateway. A section that can't be read changes nothing, except that its zone counts as
-// in use.
+// followPlan updates what a plan says of this gateway. A section that can't be read changes nothing, except
+// that its zone counts as in use.
 func (a *Agent) followPlan(p *fleet.Plan) {
 	statuses, err := zoneStatuses(p)
 	status, ok := statuses[a.options.Gossip.Metadata.Zone]
--- a/internal/fleet/agent/drain.go
+++ b/internal/fleet/agent/drain.go
@@ -16,8 +16,8 @@
 	wasInMaintenance bool // at the last updateDrain
 }
 
-// updateDrain starts or stops draining. Gateways of a zone stop one after the other, by name, so that clients do not all come back
-// at once.
+// updateDrain starts or stops draining. Gateways of a zone stop one after the other, by name, so that clients
+// do not all come back at once.
 func (a *Agent) updateDrain(now time.Duration) {
 	d := &a.drain
 	cutOff := d.monitor.ShouldDrain(now, d.zoneEvacuated, a.node.Fresh(), d.turn)
--- a/internal/fleet/agent/golden_fleet_test.go
+++ b/internal/fleet/agent/golden_fleet_test.go
@@ -76,8 +76,8 @@
 	return append(text, '\n')
 }
 
-// TestGoldenPages freezes the pages of a running member: paths, the fields of the operators' forms, answers, and what is
-// shown then; and the names, kinds and labels of its metrics.
+// TestGoldenPages freezes the pages of a running member: paths, the fields of the operators' forms, answers,
+// and what is shown then; and the names, kinds and labels of its metrics.
 func TestGoldenPages(t *testing.T) {
 	defer waitForGoroutines(t)
 	all, stop := start(t, 1, false)
--- a/internal/fleet/agent/leader.go
+++ b/internal/fleet/agent/leader.go
@@ -20,8 +20,8 @@
 	return statuses, err
 }
 
-// leaderTick is one evaluation round of the leader: the zones' states, or if those stay, maintenance. One change is proposed at a
-// time, and none while operators froze the plan.
+// leaderTick is one evaluation round of the leader: the zones' states, or if those stay, maintenance. One
+// change is proposed at a time, and none while operators froze the plan.
 func (a *Agent) leaderTick(now time.Duration, unix int64, n *fleet.Node) {
 	p := n.Plan()
 	if _, frozen := p.Frozen(); frozen {
@@ -91,7 +91,8 @@
 	}
 }
 
-// evacuatedZones are the zones, without paths between two, that are not fully in use, sorted; those that operators hold are.
+// evacuatedZones are the zones, without paths between two, that are not fully in use, sorted; those that
+// operators hold are.
 func evacuatedZones(statuses evacuation.Statuses) (zones []string) {
 	for key, status := range statuses {
 		if !strings.Contains(key, ">") && !status.Hold {
--- a/internal/fleet/agent/metrics.go
+++ b/internal/fleet/agent/metrics.go
@@ -38,7 +38,7 @@
 	gauge := func(d *prometheus.Desc, v float64, labels ...string) {
 		ch <- prometheus.MustNewConstMetric(d, prometheus.GaugeValue, v, labels...)
 	}
-	states := map[string]float64{gossip.StateAlive: 0, gossip.StateSuspect: 0, gossip.StateGone: 0, gossip.StateLeft: 0}
+	states := map[string]float64{gossip.StateAlive: 0, gossip.StateSuspect: 0, gossip.StateDead: 0, gossip.StateLeft: 0}
 	for _, m := range s.Members {
 		states[m.State]++
 	}
--- a/internal/fleet/agent/observe.go
+++ b/internal/fleet/agent/observe.go
@@ -18,8 +18,8 @@
 	}
 }
 
-// observeOwn counts this gateway's own attempts, wherever they went. A rejection is neither: the server is reachable, but has no
-// capacity.
+// observeOwn counts this gateway's own attempts, wherever they went. A rejection is neither: the server is
+// reachable, but has no capacity.
 func (a *Agent) observeOwn(now time.Duration, delta fleet.Report) {
 	good, bad := uint64(0), uint64(0)
 	for _, c := range delta.Zones {
--- a/internal/fleet/agent/pages.go
+++ b/internal/fleet/agent/pages.go
@@ -12,9 +12,10 @@
 
 const maxFormSize = 64 << 10 // bytes
 
-// Pages registers the fleet's pages on the operators' listener: GET /fleet and /fleet/zones, work and servers in JSON, and
-// POST /fleet/COMMAND with a form of by, why and the command's own fields. A command is answered with a line YES EPOCH, or NO and the
-// reason; then it has changed nothing, except that with status 503 it may still take effect.
+// Pages registers the fleet's pages on the operators' listener: GET /fleet and /fleet/zones, work and servers
+// in JSON, and POST /fleet/COMMAND with a form of by, why and the command's own fields. A command is answered
+// with a line YES EPOCH, or NO and the reason; then it has changed nothing, except that with status 503 it
+// may still take effect.
 func (a *Agent) Pages(mux *http.ServeMux) {
 	mux.HandleFunc("GET /fleet", a.statusPage)
 	mux.HandleFunc("GET /fleet/zones", a.planPage(func(p *fleet.Plan) (any, error) { return zoneStatuses(p) }))
--- a/internal/fleet/agent/slow_start.go
+++ b/internal/fleet/agent/slow_start.go
@@ -11,7 +11,8 @@
 
 const allocationInterval = 200 * time.Millisecond // between two allocations of slow-start rates by the leader
 
-// EndpointsChanged tells of the servers that are listed and ready, at each change. It does not block, and takes over the slice.
+// EndpointsChanged tells of the servers that are listed and ready, at each change. It does not block, and
+// takes over the slice.
 func (a *Agent) EndpointsChanged(servers []slowstart.Server) { a.endpoints.Store(&servers) }
 
 func (a *Agent) listedServers() []slowstart.Server {
@@ -21,8 +22,8 @@
 	return nil
 }
 
-// grantFor is the leader's grant to a member: what it may send to servers in slow start, and to those of zones that are recovering
-// or health-checked. Nil while there are none.
+// grantFor is the leader's grant to a member: what it may send to servers in slow start, and to those of
+// zones that are recovering or health-checked. Nil while there are none.
 func (a *Agent) grantFor(now time.Duration, to fleet.Peer, seq uint64) []byte {
 	if now >= a.nextAllocation {
 		a.nextAllocation = now + allocationInterval
@@ -34,7 +35,8 @@
 	return a.slowStart.Grant(now, to.Name, seq).Encode()
 }
 
-// allocate divides slow-start rates among gateways, by the plan and the endpoint list; false: there are none to divide.
+// allocate divides slow-start rates among gateways, by the plan and the endpoint list; false: there are none
+// to divide.
 func (a *Agent) allocate(now time.Duration) bool {
 	p := a.node.Plan()
 	statuses, err := zoneStatuses(&p)
@@ -46,7 +48,8 @@
 	return a.slowStart.Allocate(now, unix, servers, a.maySend(servers, statuses))
 }
 
-// serversByZoneState restricts the use of servers in evacuated zones. A server's slow start begins anew with its zone's return.
+// serversByZoneState restricts the use of servers in evacuated zones. A server's slow start begins anew with
+// its zone's return.
 func serversByZoneState(listed []slowstart.Server, statuses evacuation.Statuses) []slowstart.Server {
 	servers := slices.Clone(listed)
 	for i := range servers {
@@ -68,7 +71,8 @@
 	return servers
 }
 
-// maySend returns whether a gateway may send to a server, by the state of the server's zone as seen from the gateway's.
+// maySend returns whether a gateway may send to a server, by the state of the server's zone as seen from the
+// gateway's.
 func (a *Agent) maySend(servers []slowstart.Server, statuses evacuation.Statuses) func(gateway string, server uint32) bool {
 	zones := map[uint32]string{}
 	for _, s := range servers {
--- a/internal/fleet/agent/storage.go
+++ b/internal/fleet/agent/storage.go
@@ -20,9 +20,9 @@
 	Close() error
 }
 
-// storageWriter writes one update at a time, each on a goroutine of its own. A disk may take seconds to sync, and a member that
-// waited for it would miss plans, answer no status, and lose its lease or its lead. What the voter must not send before a write is
-// complete waits inside the node.
+// storageWriter writes one update at a time, each on a goroutine of its own. A disk may take seconds to sync,
+// and a member that waited for it would miss plans, answer no status, and lose its lease or its lead. What
+// the voter must not send before a write is complete waits inside the node.
 type storageWriter struct {
 	store    store // nil: nothing is stored
 	results  chan writeResult
@@ -101,8 +101,8 @@
 	}
 }
 
-// finishWrite tells the node of a write, unless the node needs another one by now: then that has to be written in its turn. A write
-// that failed is repeated by persist.
+// finishWrite tells the node of a write, unless the node needs another one by now: then that has to be
+// written in its turn. A write that failed is repeated by persist.
 func (a *Agent) finishWrite(r writeResult) {
 	if !a.storage.finish(r) {
 		return
--- a/internal/fleet/agent/storage_test.go
+++ b/internal/fleet/agent/storage_test.go
@@ -27,8 +27,9 @@
 // maxAdoptionDelay is how soon all members must act on a committed plan.
 const maxAdoptionDelay = time.Second
 
-// A voter whose disk is stuck acts on a committed plan and answers calls as any member does; only its messages of the log wait for the
-// disk. The fault that this guards against: docs/incidents/2026-12-03-voter-waits-for-its-disk.md.
+// A voter whose disk is stuck acts on a committed plan and answers calls as any member does; only its
+// messages of the log wait for the disk. The fault that this guards against:
+// docs/incidents/2026-12-03-voter-waits-for-its-disk.md.
 func TestVoterOnASlowDiskActsInTime(t *testing.T) {
 	defer waitForGoroutines(t)
 	disk := make(chan struct{}, 1)
@@ -57,10 +58,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	settled := time.Now()
+	committed := time.Now()
 	acted := make(chan fleet.Epoch, 1)
 	go func() {
-		for end := settled.Add(maxAdoptionDelay); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+		for end := committed.Add(maxAdoptionDelay); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
 			s, err := slow.Status()
 			if err == nil && !s.Epoch.Less(epoch) {
 				acted <- s.Epoch
@@ -72,10 +73,10 @@
 	select {
 	case at := <-acted:
 		if at.Less(epoch) {
-			t.Errorf("the voter with the slow disk acts on %v %v after %v was settled", at, time.Since(settled), epoch)
+			t.Errorf("the voter with the slow disk acts on %v %v after %v was committed", at, time.Since(committed), epoch)
 		}
 	case <-time.After(2 * maxAdoptionDelay):
-		t.Errorf("the voter with the slow disk says nothing %v after %v was settled", time.Since(settled), epoch)
+		t.Errorf("the voter with the slow disk answers nothing %v after %v was committed", time.Since(committed), epoch)
 		release()
 		<-acted
 	}
--- a/internal/fleet/agent/tally.go
+++ b/internal/fleet/agent/tally.go
@@ -38,9 +38,9 @@
 	Attempt int
 }
 
-// Tally counts this process's attempts by zone and server, for its reports. An attempt counts as timed out as soon as it takes much
-// longer than usual, not when a client or deadline gives it up, so that evidence of an outage is early. All methods may be called from
-// any goroutine.
+// Tally counts this process's attempts by zone and server, for its reports. An attempt counts as timed out as
+// soon as it takes much longer than usual, not when a client or deadline gives it up, so that evidence of an
+// outage is early. All methods may be called from any goroutine.
 type Tally struct {
 	mu          sync.Mutex
 	now         func() time.Time
@@ -193,8 +193,8 @@
 	}
 }
 
-// report returns the next report; a full one has the servers that changed, up to MaxReportedServers in turns. Nil: there is nothing
-// to report yet.
+// report returns the next report; a full one has the servers that changed, up to MaxReportedServers in turns.
+// Nil: there is nothing to report yet.
 func (t *Tally) report(full bool) *fleet.Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/fleet/agent/withdrawal.go
+++ b/internal/fleet/agent/withdrawal.go
@@ -16,10 +16,12 @@
 	return uint32(id), ok && err == nil && Machine(uint32(id)) == name
 }
 
-// Applied tells that nothing new is sent to the withdrawn machines of the last Decisions any more. It takes over the map.
+// Applied tells that nothing new is sent to the withdrawn machines of the last Decisions any more. It takes
+// over the map.
 func (a *Agent) Applied(withdrawn map[string]uint64) { a.withdrawn.Store(&withdrawn) }
 
-// acknowledged returns the withdrawn machines that may be taken down as far as this gateway is concerned, each with its turn.
+// acknowledged returns the withdrawn machines that may be taken down as far as this gateway is concerned,
+// each with its turn.
 func (a *Agent) acknowledged() map[string]uint64 {
 	withdrawn := a.withdrawn.Load()
 	if withdrawn == nil || len(*withdrawn) == 0 {
@@ -35,8 +37,8 @@
 	return quiet
 }
 
-// quietTowards tells whether this gateway has nothing in flight to a withdrawn machine. It sends nothing to other gateways; of itself
-// it asks whether it has drained its clients.
+// quietTowards tells whether this gateway has nothing in flight to a withdrawn machine. It sends nothing to
+// other gateways; of itself it asks whether it has drained its clients.
 func (a *Agent) quietTowards(machine string, inFlight map[uint32]bool) bool {
 	if id, server := parseMachine(machine); server && !inFlight[id] {
 		return true
--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -15,8 +15,8 @@
 
 var errUnknownCommand = errors.New("fleet: no such verb")
 
-// commandQueue is the leader's queue of commands: they run one after the other, each on the plan that the one before made.
-// Results are kept for retries by members whose answer was lost.
+// commandQueue is the leader's queue of commands: they run one after the other, each on the plan that the one
+// before made. Results are kept for retries by members whose answer was lost.
 type commandQueue struct {
 	waiting     []queuedCommand
 	proposal    proposal
@@ -68,8 +68,8 @@
 	}
 }
 
-// enqueueCommand queues a command at the leader, or answers at once one whose result is known. Elsewhere it is dropped: whoever
-// submitted it retries.
+// enqueueCommand queues a command at the leader, or answers at once one whose result is known. Elsewhere it
+// is dropped: whoever submitted it retries.
 func (n *Node) enqueueCommand(c command, from string) {
 	if r, ok := n.commands.results[c.ID]; ok {
 		n.sendResult(from, r)
@@ -80,8 +80,9 @@
 	}
 }
 
-// Propose has the leader change sections of its own accord, on the plan as it stands. It reports whether the change was proposed;
-// it is not while another change is pending or commands wait. Whether it is committed shows in the plan.
+// Propose has the leader change sections of its own accord, on the plan as it stands. It reports whether the
+// change was proposed; it is not while another change is pending or commands wait. Whether it is committed
+// shows in the plan.
 func (n *Node) Propose(set map[string]cbor.RawMessage) bool {
 	if !n.Leads() || n.commands.proposal.id != "" || len(n.commands.waiting) > 0 {
 		return false
--- a/internal/fleet/dissemination.go
+++ b/internal/fleet/dissemination.go
@@ -11,8 +11,8 @@
 // Plan is the plan on which this member acts. Its sections are shared and must not be changed.
 func (n *Node) Plan() Plan { return n.plan }
 
-// adoptPlan acts on a plan if it is newer than the known one, and relays it to random live members that may lack it. from is the
-// sender, or empty for a plan from this voter's own log.
+// adoptPlan acts on a plan if it is newer than the known one, and relays it to random live members that may
+// lack it. from is the sender, or empty for a plan from this voter's own log.
 func (n *Node) adoptPlan(p Plan, from string) {
 	if !n.plan.Epoch.Less(p.Epoch) || !p.withinBounds() {
 		return
@@ -45,7 +45,8 @@
 	n.send(p.Name, envelope{Plan: &n.plan})
 }
 
-// Unacknowledged names the live members, sorted, that have not confirmed within a lease that they act on an epoch or a later one.
+// Unacknowledged names the live members, sorted, that have not confirmed within a lease that they act on an
+// epoch or a later one.
 func (n *Node) Unacknowledged(e Epoch) (names []string) {
 	for _, name := range n.peers.names {
 		p := n.peers.byName[name]
--- a/internal/fleet/epoch.go
+++ b/internal/fleet/epoch.go
@@ -6,7 +6,8 @@
 	"strings"
 )
 
-// Epoch orders plans: the generation of the log that committed one, then its index in that log. It never goes back at any member.
+// Epoch orders plans: the generation of the log that committed one, then its index in that log. It never goes
+// back at any member.
 type Epoch struct {
 	Generation uint64 `cbor:"1,keyasint"`
 	Index      uint64 `cbor:"2,keyasint"`
--- a/internal/fleet/freeze.go
+++ b/internal/fleet/freeze.go
@@ -44,7 +44,8 @@
 	return m, ok && err == nil
 }
 
-// FreezeCommands are the commands that stop the leader from changing the plan of its own accord, and allow it again.
+// FreezeCommands are the commands that stop the leader from changing the plan of its own accord, and allow it
+// again.
 func FreezeCommands() map[string]CommandHandler {
 	return map[string]CommandHandler{"freeze": freeze, "thaw": thaw}
 }
--- a/internal/fleet/generation.go
+++ b/internal/fleet/generation.go
@@ -6,13 +6,15 @@
 	"time"
 )
 
-// A generation is one incarnation of the replicated log. If a quorum of its voters lost their storage, nothing can be committed in
-// it any more, and the first configured voter starts a new one, in two phases as in Paxos:
+// A generation is one incarnation of the replicated log. If a quorum of its voters lost their storage,
+// nothing can be committed in it any more, and the first configured voter starts a new one, in two phases as
+// in Paxos:
 //
-//  1. prepare: every configured voter promises the new generation's number. By its promise it gives up its identity, so that the old
-//     log can't regain a quorum, and ignores older generations. So no two generations ever commit side by side.
-//  2. start: the new log begins with the newest plan that any of them knows, with the first voter alone; the others are added one
-//     by one (reconfigureVoters).
+//  1. prepare: every configured voter promises the new generation's number. By its promise it gives up its
+//     identity, so that the old log can't regain a quorum, and ignores older generations. So no two
+//     generations ever commit side by side.
+//  2. start: the new log begins with the newest plan that any of them knows, with the first voter alone; the
+//     others are added one by one (reconfigureVoters).
 //
 // Promises of all configured voters are needed, not of a majority: one that is missing may know a newer plan.
 
@@ -24,8 +26,8 @@
 
 // generationStart is the first voter's attempt to start a generation.
 type generationStart struct {
-	number   uint64 // 0: none is under way
-	since    time.Duration
+	number   uint64           // 0: none is under way
+	since    time.Duration    // when the number was chosen
 	promises map[string]*Plan // by voter: the newest plan that it knows
 }
 
@@ -53,9 +55,10 @@
 	return all, true
 }
 
-// quorumLost tells whether no log can commit any more, by recent statuses of all configured voters: there was no leader for
-// leaderLossTimeout, and in no log that any of them holds do a majority of its voters (of both sets during a change) still have the
-// identities under which they vote there. newest is the newest generation that any of them holds or promised.
+// quorumLost tells whether no log can commit any more, by recent statuses of all configured voters: there was
+// no leader for leaderLossTimeout, and in no log that any of them holds do a majority of its voters (of both
+// sets during a change) still have the identities under which they vote there. newest is the newest
+// generation that any of them holds or promised.
 func (n *Node) quorumLost() (newest uint64, lost bool) {
 	statuses, ok := n.recentVoterStatuses()
 	if !ok {
@@ -105,7 +108,8 @@
 		if !lost {
 			return
 		}
-		// Where every voter lost its storage, the clock alone tells two generations apart; hence Unix milliseconds.
+		// Where every voter lost its storage, the clock alone tells two generations apart; hence Unix
+		// milliseconds.
 		start.number = max(newest+1, uint64(max(0, n.unixMS)))
 		start.since = n.now
 		clear(start.promises)
@@ -177,8 +181,8 @@
 	n.generationStart.promises[from] = plan
 }
 
-// handlePromiseRequest promises a generation if it is newer than any held or promised, and this voter holds no log or sees for
-// itself that none can commit. The promise is sent once it is stored.
+// handlePromiseRequest promises a generation if it is newer than any held or promised, and this voter holds
+// no log or sees for itself that none can commit. The promise is sent once it is stored.
 func (n *Node) handlePromiseRequest(from string, number uint64) {
 	if number < n.identity.Promised || n.identity.Generation >= number {
 		return
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -24,7 +24,8 @@
 	goldenMark = OperatorMark{By: "alice", Reason: "night", At: 1700000000123}
 )
 
-// TestGoldenMessages freezes the messages that members send one another, one of each kind; decode of another version reads them.
+// TestGoldenMessages freezes the messages that members send one another, one of each kind; decode of another
+// version reads them.
 func TestGoldenMessages(t *testing.T) {
 	for name, e := range map[string]envelope{
 		"status": {Status: &goldenStatus},
@@ -58,7 +59,8 @@
 	}
 }
 
-// goldenCBOR compares the encoded form of a value that has every field set, and has its golden file read into a new one.
+// goldenCBOR compares the encoded form of a value that has every field set, and has its golden file read into
+// a new one.
 func goldenCBOR[T any](t *testing.T, file string, v T, read func([]byte, any) error) {
 	t.Helper()
 	golden.Filled(t, v)
@@ -69,8 +71,8 @@
 	}
 }
 
-// TestGoldenLog freezes the entry of the log, which voters store and send; the plan, which snapshots and members have; and the
-// sections and operators' notes of this package.
+// TestGoldenLog freezes the entry of the log, which voters store and send; the plan, which snapshots and
+// members have; and the sections and operators' notes of this package.
 func TestGoldenLog(t *testing.T) {
 	goldenCBOR(t, "change.cbor", change{Base: Epoch{31, 32}, Set: map[string]cbor.RawMessage{"work": {0x81, 5}}, ID: "g1/a/7"}, cbor.Unmarshal)
 	goldenCBOR(t, "change-removes.cbor", change{Base: Epoch{33, 34}, Set: map[string]cbor.RawMessage{"freeze": {cborNull}}, ID: "g1/a/8"}, cbor.Unmarshal)
@@ -88,7 +90,8 @@
 	}
 }
 
-// TestGoldenSections freezes the names of the sections, the commands, and the digest of a plan, and reads each section by its name.
+// TestGoldenSections freezes the names of the sections, the commands, and the digest of a plan, and reads
+// each section by its name.
 func TestGoldenSections(t *testing.T) {
 	p := Plan{Epoch: Epoch{11, 12}, Sections: map[string]cbor.RawMessage{"voters": golden.Read(t, "voters.cbor"), "freeze": golden.Read(t, "mark.cbor")}}
 	if m, ok := p.Frozen(); !ok || m != goldenMark {
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -1,5 +1,5 @@
-// Package gossip knows the members of a fleet and carries their messages: SWIM by hashicorp/memberlist, over a transport that can
-// reach each peer under an address of its own.
+// Package gossip knows the members of a fleet and carries their messages: SWIM by hashicorp/memberlist, over
+// a transport that can reach each peer under an address of its own.
 package gossip
 
 import (
@@ -20,7 +20,7 @@
 	probeInterval = time.Second            // between two of SWIM's health checks
 	gossipRounds  = 500 * time.Millisecond // between two rounds of SWIM's gossip; it carries membership only, which may take seconds
 	streamTimeout = 2 * time.Second        // to open a connection
-	reclaimAfter  = 10 * time.Second       // a member that is gone may come back under another address
+	reclaimAfter  = 10 * time.Second       // a dead member may return under another address
 	leaveTimeout  = time.Second            // to tell the others on shutdown
 )
 
@@ -34,7 +34,7 @@
 	Keyring  string            // path of a file with a base64 key a line, the first to encrypt with; empty: only loopback is allowed
 	Metadata Metadata
 	Receive  func([]byte)             // a message of a member; called by several goroutines, must neither block nor keep the bytes
-	Changed  func(name, state string) // a member changed to alive, gone or left; must not block
+	Changed  func(name, state string) // a member changed to alive, dead or left; must not block
 	Log      *zap.Logger
 }
 
--- a/internal/fleet/gossip/join.go
+++ b/internal/fleet/gossip/join.go
@@ -10,8 +10,8 @@
 	aloneJoinCount = 5 // addresses that a member without any other tries at once; else one
 )
 
-// AddCandidates replaces the addresses, by name, under which members may be found. It is a hint: a member that is not named is not
-// gone, as a registry that lost its sessions names nobody.
+// AddCandidates replaces the addresses, by name, under which members may be found. It is a hint: a member
+// that is not named is not gone, as a registry that lost its sessions names nobody.
 func (g *Gossip) AddCandidates(at map[string]string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -23,8 +23,8 @@
 	}
 }
 
-// joinTargets chooses addresses to join in this round at random: one, or several while this member is alone. None if nobody is
-// missing.
+// joinTargets chooses addresses to join in this round at random: one, or several while this member is alone.
+// None if nobody is missing.
 func (g *Gossip) joinTargets() []string {
 	alone := g.list.NumMembers() <= 1
 	addresses := g.missing()
@@ -36,8 +36,8 @@
 	return addresses[:min(limit, len(addresses))]
 }
 
-// missing returns NAME/HOST:PORT of candidates and seeds that are not alive, and of members that are gone. One that left is not
-// missing.
+// missing returns NAME/HOST:PORT of candidates and seeds that are not alive, and of members that are gone.
+// One that left is not missing.
 func (g *Gossip) missing() []string {
 	addresses := g.missingCandidates()
 	for _, seed := range g.options.Seeds {
@@ -52,7 +52,7 @@
 		}
 	}
 	for _, m := range g.Members() {
-		if m.State == StateGone && m.Name != g.options.Name {
+		if m.State == StateDead && m.Name != g.options.Name {
 			addresses = append(addresses, m.Name+"/"+m.Address)
 		}
 	}
--- a/internal/fleet/gossip/members.go
+++ b/internal/fleet/gossip/members.go
@@ -12,7 +12,7 @@
 const (
 	StateAlive   = "alive"
 	StateSuspect = "suspect" // it does not answer health checks
-	StateGone    = "gone"    // it was suspect for too long
+	StateDead    = "gone"    // it was suspect for too long
 	StateLeft    = "left"    // it announced that it leaves
 )
 
@@ -33,8 +33,8 @@
 	Metadata `json:"about"`
 }
 
-// Members returns every member ever seen, this one among them, sorted by name. States lag by seconds: they are no evidence of a
-// member's health now.
+// Members returns every member ever seen, this one among them, sorted by name. States lag by seconds: they
+// are no evidence of a member's health now.
 func (g *Gossip) Members() []Member {
 	suspect := map[string]bool{}
 	for _, n := range g.list.Members() {
@@ -90,7 +90,7 @@
 func (d *delegate) NotifyJoin(n *memberlist.Node)   { d.g.setMember(n, StateAlive) }
 func (d *delegate) NotifyUpdate(n *memberlist.Node) { d.g.setMember(n, StateAlive) }
 func (d *delegate) NotifyLeave(n *memberlist.Node) {
-	state := StateGone
+	state := StateDead
 	if n.State == memberlist.StateLeft {
 		state = StateLeft
 	}
--- a/internal/fleet/gossip/transport.go
+++ b/internal/fleet/gossip/transport.go
@@ -18,9 +18,9 @@
 	acceptRetryPeriod = 10 * time.Millisecond // while the process is out of descriptors
 )
 
-// transport implements memberlist.NodeAwareTransport over sockets of its own. It reaches each peer under the address that this
-// process has for it. Unlike the library's own transport it reads all packets into one buffer: a new buffer of 64 KiB for each
-// packet dominates a member's cost.
+// transport implements memberlist.NodeAwareTransport over sockets of its own. It reaches each peer under the
+// address that this process has for it. Unlike the library's own transport it reads all packets into one
+// buffer: a new buffer of 64 KiB for each packet dominates a member's cost.
 type transport struct {
 	udp     *net.UDPConn
 	tcp     *net.TCPListener
@@ -144,7 +144,8 @@
 	return countedConn{c, &t.sent}, nil
 }
 
-// peerAddress is where this process reaches a member: as configured for it, else as the member advertises itself.
+// peerAddress is where this process reaches a member: as configured for it, else as the member advertises
+// itself.
 func (t *transport) peerAddress(a memberlist.Address) string {
 	if configured, ok := t.peers[a.Name]; ok {
 		return configured
--- a/internal/fleet/leadership.go
+++ b/internal/fleet/leadership.go
@@ -8,7 +8,8 @@
 
 // Leads tells whether this member leads the voters and has applied all that was committed before its term.
 //
-// It asks raft for its current state: what raft last handed out in a Ready does not change while a disk write is under way.
+// It asks raft for its current state: what raft last handed out in a Ready does not change while a disk write
+// is under way.
 func (n *Node) Leads() bool {
 	return !n.fenced && n.voterActive() && n.voter.leaderReady &&
 		n.voter.raftNode.BasicStatus().RaftState == raft.StateLeader
@@ -22,7 +23,8 @@
 	return n.voter.term
 }
 
-// Leader is the member that this one takes for the leader, and the time since it was last heard of; empty if there never was one.
+// Leader is the member that this one takes for the leader, and the time since it was last heard of; empty if
+// there never was one.
 func (n *Node) Leader() (name string, ago time.Duration) { return n.leader, n.now - n.leaderHeardAt }
 
 // setLeader records that a member leads as of now.
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -12,10 +12,11 @@
 
 // leaseHolder is a member's side of the leader's leases.
 //
-// The leader answers a status with a grant: "at some time after you sent status seq, I led with a quorum, and epoch E was the
-// newest plan". The lease runs from the sending of that status by the member's own monotonic clock, so a delayed answer or a
-// stalled process can only shorten it. While it runs the view is fresh: it lacks no plan that was committed before the lease began.
-// The grant's payload (what this member may send to servers in slow start) holds for one lease as well.
+// The leader answers a status with a grant: "at some time after you sent status seq, I led with a quorum, and
+// epoch E was the newest plan". The lease runs from the sending of that status by the member's own monotonic
+// clock, so a delayed answer or a stalled process can only shorten it. While it runs the view is fresh: it
+// lacks no plan that was committed before the lease began. The grant's payload (what this member may send to
+// servers in slow start) holds for one lease as well.
 type leaseHolder struct {
 	duration   time.Duration
 	sent       [statusRingSize]sentStatus // by seq modulo the size
@@ -47,7 +48,8 @@
 	l.freshUntil = max(l.freshUntil, sentAt+l.duration)
 }
 
-// accept takes the grant that answers a status, unless a later one was accepted; changed: the holder may do something else now.
+// accept takes the grant that answers a status, unless a later one was accepted; changed: the holder may do
+// something else now.
 func (l *leaseHolder) accept(grant []byte, seq uint64, sentAt, now time.Duration) (changed bool) {
 	if seq <= l.grantSeq {
 		return false // late, or duplicate
@@ -74,9 +76,9 @@
 	return n.lease.grant, n.lease.grantSeq > 0 && n.now < n.lease.grantUntil && !n.fenced
 }
 
-// grantDue tells whether the leader is to answer a peer's status with a grant: always one that has no lease, else several times a
-// lease.
-func (n *Node) grantDue(p *Peer) bool {
+// shouldGrant tells whether the leader is to answer a peer's status with a grant: always one that has no
+// lease, else several times a lease.
+func (n *Node) shouldGrant(p *Peer) bool {
 	return n.Leads() && (!p.Status.Fresh || n.now-p.lastGrantAt >= n.config.Lease/grantsPerLease)
 }
 
@@ -88,7 +90,8 @@
 	return n.config.GrantFor(n.now, to, seq)
 }
 
-// handleGrant renews the lease, unless the status is long past or the plan that the leader confirms has not arrived yet.
+// handleGrant renews the lease, unless the status is long past or the plan that the leader confirms has not
+// arrived yet.
 func (n *Node) handleGrant(from string, g *grant) {
 	sentAt, known := n.lease.sentAt(g.Seq)
 	if !known || n.plan.Epoch.Less(g.Epoch) {
--- a/internal/fleet/log.go
+++ b/internal/fleet/log.go
@@ -9,7 +9,8 @@
 // voterActive tells whether this member has a voter whose state is not waiting to be replaced.
 func (n *Node) voterActive() bool { return n.voter != nil && n.replacement == nil }
 
-// resetVoter turns the voter into one that has never voted, under a new identity, and that ignores generations older than promised.
+// resetVoter turns the voter into one that has never voted, under a new identity, and that ignores
+// generations older than promised.
 func (n *Node) resetVoter(promised uint64) {
 	n.restartVoter(&VoterState{Identity: n.rng.Uint64()>>1 | 1, Promised: promised})
 }
@@ -27,8 +28,9 @@
 	n.commands.clear()
 }
 
-// PendingStorage returns what the owner must write to stable storage next; false: nothing. It stays the same until Persisted, unless
-// the voter is restarted meanwhile: compare with StorageUpdate.Equal before reporting an asynchronous write.
+// PendingStorage returns what the owner must write to stable storage next; false: nothing. It stays the same
+// until Persisted, unless the voter is restarted meanwhile: compare with StorageUpdate.Equal before reporting
+// an asynchronous write.
 func (n *Node) PendingStorage() (StorageUpdate, bool) {
 	if n.replacement != nil {
 		return StorageUpdate{Replacement: n.replacement}, true
@@ -39,7 +41,8 @@
 	return StorageUpdate{}, false
 }
 
-// Persisted tells that what PendingStorage returns now is on stable storage. What depended on it is in TakeOutput afterwards.
+// Persisted tells that what PendingStorage returns now is on stable storage. What depended on it is in
+// TakeOutput afterwards.
 func (n *Node) Persisted() {
 	if n.replacement != nil {
 		after := n.afterReplacement
@@ -73,8 +76,8 @@
 	n.voter.step(&r)
 }
 
-// takeVoterOutput takes over what the voter has produced: messages, the leader, the plan, and finished proposals. It is called after
-// each step of the voter.
+// takeVoterOutput takes over what the voter has produced: messages, the leader, the plan, and finished
+// proposals. It is called after each step of the voter.
 func (n *Node) takeVoterOutput() {
 	if !n.voterActive() {
 		return
@@ -112,8 +115,8 @@
 	v.messages = nil
 }
 
-// noteLeader records the leader of the log if it was heard since the last call. What raft remembers does not count: a voter that
-// was removed starts no election, and remembers a leader that is long gone.
+// noteLeader records the leader of the log if it was heard since the last call. What raft remembers does not
+// count: a voter that was removed starts no election, and remembers a leader that is long gone.
 func (n *Node) noteLeader() {
 	v := n.voter
 	if n.Leads() {
@@ -126,7 +129,8 @@
 	v.heardLeader = false
 }
 
-// memberWithIdentity names the member that votes under an identity: by the voters' own statuses, else by the plan; empty: unknown.
+// memberWithIdentity names the member that votes under an identity: by the voters' own statuses, else by the
+// plan; empty: unknown.
 func (n *Node) memberWithIdentity(identity uint64) string {
 	for _, name := range n.config.Voters {
 		if p := n.peers.byName[name]; p != nil && p.HasStatus && p.Status.Identity == identity {
--- a/internal/fleet/memberregistry/golden_test.go
+++ b/internal/fleet/memberregistry/golden_test.go
@@ -15,8 +15,8 @@
 	"dewhitch/internal/standin/zookeeper"
 )
 
-// TestGoldenNode freezes the name and the data of a member's node in the registry, as another process finds it there, and has
-// such a node, written by nothing of this package, read by Run.
+// TestGoldenNode freezes the name and the data of a member's node in the registry, as another process finds
+// it there, and has such a node, written by nothing of this package, read by Run.
 func TestGoldenNode(t *testing.T) {
 	z, err := zookeeper.New()
 	if err != nil {
--- a/internal/fleet/memberregistry/memberregistry.go
+++ b/internal/fleet/memberregistry/memberregistry.go
@@ -1,5 +1,5 @@
-// Package memberregistry lets the members of a fleet find one another by ephemeral nodes in a registry: it keeps a node for this
-// member and follows the others'. It owns its session with the registry.
+// Package memberregistry lets the members of a fleet find one another by ephemeral nodes in a registry: it
+// keeps a node for this member and follows the others'. It owns its session with the registry.
 package memberregistry
 
 import (
@@ -31,8 +31,9 @@
 	Address string `json:"address"`
 }
 
-// Run keeps this member's node and calls found with all members' addresses by name at each change, until the context ends. The
-// addresses are hints: a member that is missing need not be gone, as all sessions expire at once while the registry is away.
+// Run keeps this member's node and calls found with all members' addresses by name at each change, until the
+// context ends. The addresses are hints: a missing member need not be dead, as all sessions expire at
+// once while the registry is away.
 func Run(ctx context.Context, o Options, found func(map[string]string)) error {
 	if len(o.Servers) == 0 {
 		return nil
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -10,7 +10,8 @@
 
 const (
 	housekeepingInterval = 200 * time.Millisecond // between two checks of the generation, the voters and LeaderTick
-	// maxCatchUpTicks of the log are played when a stalled process wakes: enough for a leader without a quorum to step down.
+	// maxCatchUpTicks of the log are played when a stalled process wakes: enough for a leader without a
+	// quorum to step down.
 	maxCatchUpTicks = 2*electionTicks + 2
 )
 
@@ -30,18 +31,21 @@
 	Observe func(now time.Duration, from Peer, delta Report)
 	// LeaderTick is called on the leader every 200 ms (housekeepingInterval); unix is in ms; may be nil.
 	LeaderTick func(now time.Duration, unix int64, n *Node)
-	// GrantFor returns the payload of the leader's grant to a member, the leader included, in answer to its status seq; may be nil.
+	// GrantFor returns the payload of the leader's grant to a member, the leader included, in answer to its
+	// status seq; may be nil.
 	GrantFor func(now time.Duration, to Peer, seq uint64) []byte
 }
 
-// CommandHandler computes the plan's sections that an operator's command changes; none means that the plan already complies.
-// unix is in ms. It runs on the leader. The next leader may run it again for the same command, so it must be idempotent.
+// CommandHandler computes the plan's sections that an operator's command changes; none means that the plan
+// already complies. unix is in ms. It runs on the leader. The next leader may run it again for the same
+// command, so it must be idempotent.
 type CommandHandler func(p *Plan, args []byte, unix int64) (map[string]cbor.RawMessage, error)
 
-// Node is one member of the fleet as a pure state machine, in the manner of raft's RawNode: it does no I/O and reads no clock.
+// Node is one member of the fleet as a pure state machine, in the manner of raft's RawNode: it does no I/O
+// and reads no clock.
 //
-// Threading: one goroutine owns a Node. No two of its methods may run at once, and callbacks of Config and of Submit run within a
-// method, on that goroutine; of Node they may call only accessors and Propose.
+// Threading: one goroutine owns a Node. No two of its methods may run at once, and callbacks of Config and of
+// Submit run within a method, on that goroutine; of Node they may call only accessors and Propose.
 //
 // The owner calls Step for each message received, Tick by NextTick at the latest, and after either:
 //
@@ -90,7 +94,8 @@
 	dropped uint64
 }
 
-// New returns a member. saved is the stored state of a voter, or nil: then a voter draws a new identity and has no log.
+// New returns a member. saved is the stored state of a voter, or nil: then a voter draws a new identity and
+// has no log.
 func New(config Config, saved *VoterState) (*Node, error) {
 	n := &Node{
 		config:          config,
@@ -119,18 +124,19 @@
 	return n, nil
 }
 
-// SetReporter sets the source of the report in each status; full asks for servers beside zones. Call it before the first Tick.
+// SetReporter sets the source of the report in each status; full asks for servers beside zones. Call it
+// before the first Tick.
 func (n *Node) SetReporter(f func(full bool) *Report) { n.reporter = f }
 
-// SetAcknowledged sets the source of the machines that each status lists as withdrawn: this member has nothing in flight there and
-// sends nothing new. Call it before the first Tick.
+// SetAcknowledged sets the source of the machines that each status lists as withdrawn: this member has
+// nothing in flight there and sends nothing new. Call it before the first Tick.
 func (n *Node) SetAcknowledged(f func() map[string]uint64) { n.acknowledged = f }
 
 // Dropped counts messages and reports that were ignored as unreadable, invalid or of another fleet or version.
 func (n *Node) Dropped() uint64 { return n.dropped }
 
-// advance moves the clocks to now. The log plays the ticks that passed, so that a leader that wakes from a stall steps down
-// before it sends or handles anything.
+// advance moves the clocks to now. The log plays the ticks that passed, so that a leader that wakes from a
+// stall steps down before it sends or handles anything.
 func (n *Node) advance(now time.Duration, unixMS int64) {
 	n.now = max(n.now, now)
 	n.unixMS = unixMS
@@ -155,18 +161,18 @@
 	n.advance(now, unix)
 	if n.now >= n.nextHousekeeping {
 		n.nextHousekeeping = n.now + housekeepingInterval
-		n.keepHouse()
+		n.runHousekeeping()
 	}
 	n.runCommands()
 	n.retrySubmissions()
 	if n.now >= n.nextStatus {
-		n.nextStatus = n.statusDueAfter(n.now)
+		n.nextStatus = n.nextStatusAfter(n.now)
 		n.sendStatuses()
 	}
 	n.checkLease()
 }
 
-func (n *Node) keepHouse() {
+func (n *Node) runHousekeeping() {
 	n.startGeneration()
 	if !n.Leads() {
 		return
@@ -183,10 +189,11 @@
 	if n.voter != nil {
 		next = min(next, n.lastLogTick+n.config.Tick)
 	}
-	return min(next, n.submissions.nextDue(next))
+	return min(next, n.submissions.nextDeadline(next))
 }
 
-// Step handles an encoded message from another member. unix is in milliseconds. A message that can't be used counts as Dropped.
+// Step handles an encoded message from another member. unix is in milliseconds. A message that can't be used
+// counts as Dropped.
 func (n *Node) Step(now time.Duration, unix int64, b []byte) {
 	n.advance(now, unix)
 	e, err := decode(n.config.Fleet, b)
@@ -209,7 +216,8 @@
 	n.takeVoterOutput()
 }
 
-// dispatch handles each part of a message. The plan comes first, as a grant counts only for a plan that is already known.
+// dispatch handles each part of a message. The plan comes first, as a grant counts only for a plan that is
+// already known.
 func (n *Node) dispatch(p *Peer, e *envelope) {
 	if e.Plan != nil {
 		n.adoptPlan(*e.Plan, e.From)
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -165,7 +165,7 @@
 		}
 	}
 	if m, ok := small[1].node.plan.Frozen(); !ok || m.Reason != "large" {
-		t.Errorf("the plan says %+v", m)
+		t.Errorf("the plan has %+v", m)
 	}
 }
 
@@ -186,8 +186,8 @@
 		t.Fatal("it sends nothing")
 	}
 	m.node.Step(s.now, s.unix(), sends[0].Data)
-	if _, said := m.node.TakeOutput(); len(said) != 1 || said[0].Kind != Fenced || m.node.Fresh() {
-		t.Errorf("events %+v, fresh %v", said, m.node.Fresh())
+	if _, events := m.node.TakeOutput(); len(events) != 1 || events[0].Kind != Fenced || m.node.Fresh() {
+		t.Errorf("events %+v, fresh %v", events, m.node.Fresh())
 	}
 	// The two may never reach each other: then other members inform the earlier one.
 	other := s.members[2]
@@ -195,11 +195,11 @@
 	other.node.TakeOutput()
 	other.node.Step(s.now, s.unix(), encode(envelope{Version: wireVersion, Fleet: "test", From: m.config.Name, StartedAt: m.config.StartedAt,
 		Incarnation: m.config.Incarnation, Seq: 1 << 20, Status: &Status{}}))
-	told, _ := other.node.TakeOutput()
-	if len(told) != 1 || told[0].To != m.config.Name {
-		t.Fatalf("told %+v", told)
+	answers, _ := other.node.TakeOutput()
+	if len(answers) != 1 || answers[0].To != m.config.Name {
+		t.Fatalf("answers %+v", answers)
 	}
-	if e, err := decode("test", told[0].Data); err != nil || e.LaterIncarnation == nil || e.LaterIncarnation.StartedAt != later.StartedAt {
+	if e, err := decode("test", answers[0].Data); err != nil || e.LaterIncarnation == nil || e.LaterIncarnation.StartedAt != later.StartedAt {
 		t.Errorf("%+v, %v", e, err)
 	}
 	m.node.Tick(s.now+time.Second, s.unix())
@@ -283,7 +283,8 @@
 	s.checkConvergence()
 }
 
-// Bytes per member do not grow with the fleet, except at voters, which receive every status; and a change reaches all members soon.
+// Bytes per member do not grow with the fleet, except at voters, which receive every status; and a change
+// reaches all members soon.
 func TestLargeFleets(t *testing.T) {
 	each := map[int]float64{}
 	sizes := []int{30, 300, 1000}
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -70,9 +70,9 @@
 	return *p, true
 }
 
-// acceptIncarnation tells whether a message of a process may be handled. A process newer than the known one of that name starts
-// with no history. An older one is told of its successor: under one name gossip keeps one address, so that the two processes may
-// never reach each other.
+// acceptIncarnation tells whether a message of a process may be handled. A process newer than the known one
+// of that name starts with no history. An older one is told of its successor: under one name gossip keeps one
+// address, so that the two processes may never reach each other.
 func (n *Node) acceptIncarnation(p *Peer, sender incarnation) bool {
 	known := incarnation{p.StartedAt, p.Incarnation}
 	if sender.before(known) {
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -81,8 +81,8 @@
 	ID   string                     `cbor:"3,keyasint"` // of the command, or the leader's own
 }
 
-// apply returns the plan after a change, under epoch e; with an error the plan is unchanged. It must stay deterministic: every voter,
-// of whatever version, applies each entry itself.
+// apply returns the plan after a change, under epoch e; with an error the plan is unchanged. It must stay
+// deterministic: every voter, of whatever version, applies each entry itself.
 func (p Plan) apply(c change, e Epoch) (Plan, error) {
 	if c.Base != p.Epoch {
 		return p, errPlanChanged
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -7,12 +7,13 @@
 	maxNameLength      = 64 // bytes, of a member, zone or region
 	maxZones           = 64
 	MaxReportedServers = 24
-	maxCounter         = 1 << 40 // attempts; no process lives to count so many
+	maxCounter         = 1 << 40 // attempts; no process runs long enough to count so many
 )
 
 var errInvalidReport = errors.New("fleet: a report with absurd numbers")
 
-// AttemptCounts are a member's counters of attempts to a zone or a server since its process started. They never decrease.
+// AttemptCounts are a member's counters of attempts to a zone or a server since its process started. They
+// never decrease.
 type AttemptCounts struct {
 	Attempts      uint64 `cbor:"1,keyasint" json:"tries"`                    // that ended, or are overdue
 	Served        uint64 `cbor:"2,keyasint" json:"served"`                   // of these, answered with success
@@ -32,8 +33,8 @@
 	InFlight      uint32 `cbor:"4,keyasint" json:"in_flight"`
 }
 
-// Report is what a member reports with its status. It carries counters since the start of its process, not differences, so that
-// late, duplicate and lost reports change nothing.
+// Report is what a member reports with its status. It carries counters since the start of its process, not
+// differences, so that late, duplicate and lost reports change nothing.
 type Report struct {
 	Zones    map[string]AttemptCounts `cbor:"1,keyasint" json:"zones,omitempty"`
 	Servers  map[uint32]ServerReport  `cbor:"2,keyasint" json:"servers,omitempty"` // that changed, up to MaxReportedServers in turns
--- a/internal/fleet/report_baseline.go
+++ b/internal/fleet/report_baseline.go
@@ -2,18 +2,21 @@
 
 import "maps"
 
-// MaxObservedServers bounds the servers whose counters are kept of one member: more than the largest fleet has. Replaced servers come
-// under new IDs, so beyond the bound all are forgotten, and those that still exist are counted anew.
+// MaxObservedServers bounds the servers whose counters are kept of one member: more than the largest fleet
+// has. Replaced servers come under new IDs, so beyond the bound all are forgotten, and those that still exist
+// are counted anew.
 const MaxObservedServers = 4096
 
-// reportBaseline holds the counters that one process of a member reported last; the next report's differences are to these.
+// reportBaseline holds the counters that one process of a member reported last; the next report's differences
+// are to these.
 type reportBaseline struct {
 	zones    map[string]AttemptCounts
 	servers  map[uint32]ServerReport
 	requests uint64
 }
 
-// delta returns what a report adds to those before, and makes it the new baseline. With an error the baseline stays.
+// delta returns what a report adds to those before, and makes it the new baseline. With an error the baseline
+// stays.
 func (b *reportBaseline) delta(r *Report) (Report, error) {
 	if err := r.validate(); err != nil {
 		return Report{}, err
--- a/internal/fleet/schedule_test.go
+++ b/internal/fleet/schedule_test.go
@@ -57,8 +57,9 @@
 	}
 }
 
-// In random schedules no two plans share an epoch, no member goes back, no two generations commit side by side, no stale view is fresh;
-// and once all is healed, all members act on one plan. -rapid.checks=10000 for the long form.
+// In random schedules no two plans share an epoch, no member goes back, no two generations commit side by
+// side, no stale view is fresh; and once all is healed, all members act on one plan. -rapid.checks=10000 for
+// the long form.
 func TestSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(3, 7).Draw(t, "members"), 3)
--- a/internal/fleet/sim_test.go
+++ b/internal/fleet/sim_test.go
@@ -15,8 +15,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// sim runs members on one virtual clock, over links that lose, delay, duplicate and are cut. Members can be stalled, killed, and
-// restarted with or without their storage. It checks the fleet's invariants at each step.
+// sim runs members on one virtual clock, over links that lose, delay, duplicate and are cut. Members can be
+// stalled, killed, and restarted with or without their storage. It checks the fleet's invariants at each
+// step.
 type sim struct {
 	t           fataler
 	rng         *rand.Rand
@@ -92,8 +93,17 @@
 		s.voters = append(s.voters, fmt.Sprintf("m%02d", i))
 	}
 	for i := range members {
-		m := &member{index: i, config: Config{Fleet: "test", Name: fmt.Sprintf("m%02d", i), Zone: string(rune('a' + i%3)), Voters: s.voters,
-			Seed: seed + uint64(i), Tick: simTick, Status: simStatus, Lease: simLease, Commands: map[string]CommandHandler{"freeze": freezeAlways}}}
+		m := &member{index: i, config: Config{
+			Fleet:    "test",
+			Name:     fmt.Sprintf("m%02d", i),
+			Zone:     string(rune('a' + i%3)),
+			Voters:   s.voters,
+			Seed:     seed + uint64(i),
+			Tick:     simTick,
+			Status:   simStatus,
+			Lease:    simLease,
+			Commands: map[string]CommandHandler{"freeze": freezeAlways},
+		}}
 		s.members = append(s.members, m)
 	}
 	for _, m := range s.members {
@@ -129,7 +139,12 @@
 	if err != nil {
 		s.t.Fatalf("%s: %v", m.config.Name, err)
 	}
-	m.node, m.down, m.diskFull, m.stalledUntil, m.inbox, m.epoch = n, false, false, 0, nil, Epoch{}
+	m.node = n
+	m.down = false
+	m.diskFull = false
+	m.stalledUntil = 0
+	m.inbox = nil
+	m.epoch = Epoch{}
 	for _, o := range s.members {
 		if o != m {
 			n.SetAlive(o.config.Name, true)
@@ -234,7 +249,8 @@
 	m.disk = &d
 }
 
-// checkPlan checks that one epoch has one plan, that a generation commits nothing after a newer one did, and that no member goes back.
+// checkPlan checks that one epoch has one plan, that a generation commits nothing after a newer one did, and
+// that no member goes back.
 func (s *sim) checkPlan(m *member, p Plan) {
 	b := planBytes(p)
 	if old, ok := s.committedPlans[p.Epoch]; ok && !bytes.Equal(old, b) {
@@ -263,8 +279,8 @@
 	return b
 }
 
-// checkFreshness checks that a fresh view lacks no plan that was committed longer ago than the lease plus the time within which a
-// leader without a quorum steps down.
+// checkFreshness checks that a fresh view lacks no plan that was committed longer ago than the lease plus the
+// time within which a leader without a quorum steps down.
 func (s *sim) checkFreshness(m *member) {
 	if !m.node.Fresh() || s.newest == m.node.plan.Epoch {
 		return
@@ -317,7 +333,8 @@
 	}
 }
 
-// checkConvergence heals everything and checks that all members reach one epoch under one leader, and that a command takes effect.
+// checkConvergence heals everything and checks that all members reach one epoch under one leader, and that a
+// command takes effect.
 func (s *sim) checkConvergence() {
 	s.heal()
 	s.run(10 * time.Second)
@@ -361,8 +378,8 @@
 	}
 }
 
-// epochOrderModel is the specification of commands for porcupine: each takes effect in an epoch above those of all commands that
-// ended before it was submitted.
+// epochOrderModel is the specification of commands for porcupine: each takes effect in an epoch above those
+// of all commands that ended before it was submitted.
 var epochOrderModel = porcupine.Model{
 	Init: func() any { return Epoch{} },
 	Step: func(state, _, output any) (bool, any) {
@@ -371,7 +388,8 @@
 	},
 }
 
-// checkOrder checks the commands of a schedule. One that ended with ErrNoQuorum may or may not have taken effect, and is left out.
+// checkOrder checks the commands of a schedule. One that ended with ErrNoQuorum may or may not have taken
+// effect, and is left out.
 func (s *sim) checkOrder() {
 	if !porcupine.CheckOperations(epochOrderModel, s.history) {
 		s.t.Fatalf("commands took effect in no order: %+v", s.history)
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -31,8 +31,9 @@
 	return s
 }
 
-// statusDueAfter is when the status after one at now is due. A voter's coincides with a tick of the log, to save a wakeup.
-func (n *Node) statusDueAfter(now time.Duration) time.Duration {
+// nextStatusAfter is when the status after one at now is due. A voter's coincides with a tick of the log, to
+// save a wakeup.
+func (n *Node) nextStatusAfter(now time.Duration) time.Duration {
 	next := now + max(n.config.Status, time.Duration(len(n.peers.byName))*statusPerPeer)
 	if n.voter != nil {
 		tick := n.config.Tick
@@ -41,8 +42,9 @@
 	return next
 }
 
-// sendStatuses sends this member's status to the leader. Every third one, and each while the view is not fresh, goes to all voters
-// and one other member, and reports servers too: they are most of its bytes, and no decision on them takes less than a second.
+// sendStatuses sends this member's status to the leader. Every third one, and each while the view is not
+// fresh, goes to all voters and one other member, and reports servers too: they are most of its bytes, and no
+// decision on them takes less than a second.
 func (n *Node) sendStatuses() {
 	status := n.Self()
 	if n.acknowledged != nil {
@@ -79,8 +81,9 @@
 	}
 }
 
-// statusReceivers chooses to whom a status goes: the leader, or for a full one all known voters and one other member at random,
-// whatever gossip says of it, so that two halves of the fleet meet again as soon as any link works.
+// statusReceivers chooses to whom a status goes: the leader, or for a full one all known voters and one other
+// member at random, whatever gossip says of it, so that two halves of the fleet meet again as soon as any
+// link works.
 func (n *Node) statusReceivers(full bool) (names []string) {
 	for _, v := range n.config.Voters {
 		if v != n.config.Name && n.peers.byName[v] != nil && (full || v == n.leader) {
@@ -96,7 +99,8 @@
 	return names
 }
 
-// handleStatus records a peer's status, and answers with what it lacks: a newer plan, and by the leader a grant.
+// handleStatus records a peer's status, and answers with what it lacks: a newer plan, and by the leader a
+// grant.
 func (n *Node) handleStatus(p *Peer, e *envelope) {
 	if e.Seq <= p.statusSeq {
 		return // late, or duplicate
@@ -113,7 +117,7 @@
 		s := n.Self()
 		n.send(p.Name, envelope{Status: &s}) // to which it answers with its plan
 	}
-	if n.grantDue(p) {
+	if n.shouldGrant(p) {
 		p.lastGrantAt = n.now
 		n.send(p.Name, envelope{Grant: &grant{e.Seq, n.plan.Epoch, n.grantFor(*p, e.Seq)}})
 	}
--- a/internal/fleet/submissions.go
+++ b/internal/fleet/submissions.go
@@ -38,8 +38,8 @@
 	done     func(Epoch, error)
 }
 
-// nextDue is the earliest time at which a submission needs a retry or times out, if that is before next.
-func (s *submissions) nextDue(next time.Duration) time.Duration {
+// nextDeadline is the earliest time at which a submission needs a retry or times out, if that is before next.
+func (s *submissions) nextDeadline(next time.Duration) time.Duration {
 	for _, p := range s.pending {
 		next = min(next, p.nextSend, p.deadline)
 	}
@@ -52,8 +52,9 @@
 	return fmt.Sprintf("%s/%x/%d", n.config.Name, n.config.Incarnation, n.submissions.lastNumber)
 }
 
-// Submit has the leader run the command called name. done is called once, by this or a later call on the Node: with the epoch in
-// which the command's effect is in the plan, or with ErrBusy, ErrNoQuorum or a CommandError. unix is in milliseconds.
+// Submit has the leader run the command called name. done is called once, by this or a later call on the
+// Node: with the epoch in which the command's effect is in the plan, or with ErrBusy, ErrNoQuorum or a
+// CommandError. unix is in milliseconds.
 func (n *Node) Submit(now time.Duration, unix int64, name string, args []byte, done func(Epoch, error)) {
 	n.advance(now, unix)
 	if len(n.submissions.pending) >= maxCommands {
@@ -66,8 +67,8 @@
 	n.runCommands()
 }
 
-// retrySubmissions sends pending commands to the leader every commandRetryInterval, as messages and leaders get lost, and gives up
-// at their deadline. While no leader is known a submission stays due.
+// retrySubmissions sends pending commands to the leader every commandRetryInterval, as messages and leaders
+// get lost, and gives up at their deadline. While no leader is known a submission stays due.
 func (n *Node) retrySubmissions() {
 	for _, id := range slices.Sorted(maps.Keys(n.submissions.pending)) {
 		s := n.submissions.pending[id]
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -24,10 +24,11 @@
 	compactionHysteresis = 2 * compactionReserve
 )
 
-// voter is one voter of a log: raft's RawNode over storage in memory, which the owner of the Node copies to stable storage.
+// voter is one voter of a log: raft's RawNode over storage in memory, which the owner of the Node copies to
+// stable storage.
 //
-// raft draws its randomized election timeouts from a source that can't be seeded. So a follower ticks without firing
-// (TickQuiesced), and the voter starts elections itself, by a countdown drawn from rng.
+// raft draws its randomized election timeouts from a source that can't be seeded. So a follower ticks without
+// firing (TickQuiesced), and the voter starts elections itself, by a countdown drawn from rng.
 type voter struct {
 	identity        uint64
 	generation      uint64
--- a/internal/fleet/voter_ready.go
+++ b/internal/fleet/voter_ready.go
@@ -9,8 +9,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// processReady takes what raft has ready. At most one Ready is pending: if it needs stable storage, its messages and committed
-// entries wait in pendingReady until persisted is called, and raft goes on collecting meanwhile.
+// processReady takes what raft has ready. At most one Ready is pending: if it needs stable storage, its
+// messages and committed entries wait in pendingReady until persisted is called, and raft goes on collecting
+// meanwhile.
 func (v *voter) processReady() {
 	for v.pendingReady == nil && v.raftNode.HasReady() {
 		rd := v.raftNode.Ready()
@@ -31,7 +32,8 @@
 	}
 }
 
-// persisted completes the pending Ready once unpersisted is on stable storage: only now may its messages be sent.
+// persisted completes the pending Ready once unpersisted is on stable storage: only now may its messages be
+// sent.
 func (v *voter) persisted() {
 	rd := v.pendingReady
 	if rd == nil {
@@ -49,7 +51,8 @@
 	v.processReady()
 }
 
-// storeReady brings the storage in memory up to date with stable storage. Its failures break raft's own contract.
+// storeReady brings the storage in memory up to date with stable storage. Its failures break raft's own
+// contract.
 func (v *voter) storeReady(rd *raft.Ready) {
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		if err := v.store.ApplySnapshot(rd.Snapshot); err == nil { // an error: it is older than what is stored
@@ -87,7 +90,8 @@
 	}
 }
 
-// applyChange applies a change of the plan. Every voter comes to the same plan, so what can't be read is skipped by all.
+// applyChange applies a change of the plan. Every voter comes to the same plan, so what can't be read is
+// skipped by all.
 func (v *voter) applyChange(e *raftpb.Entry) {
 	var c change
 	if len(e.Data) == 0 || cbor.Unmarshal(e.Data, &c) != nil {
@@ -98,8 +102,8 @@
 	v.committed = append(v.committed, committedChange{c, err, next.Epoch})
 }
 
-// applyConfChange applies a change of the voters; err is of reading it. A new voter accepts no snapshot whose voters lack it, so each
-// change makes a snapshot.
+// applyConfChange applies a change of the voters; err is of reading it. A new voter accepts no snapshot whose
+// voters lack it, so each change makes a snapshot.
 func (v *voter) applyConfChange(c raftpb.ConfChangeI, err error) {
 	if err == nil {
 		v.confState = v.raftNode.ApplyConfChange(c)
@@ -119,8 +123,8 @@
 	return nil
 }
 
-// createSnapshot makes the applied state the snapshot that followers far behind receive. It is stored with the next write that the
-// log needs; until then stable storage has the entries instead.
+// createSnapshot makes the applied state the snapshot that followers far behind receive. It is stored with
+// the next write that the log needs; until then stable storage has the entries instead.
 func (v *voter) createSnapshot() {
 	if s, err := v.store.CreateSnapshot(v.applied, v.confState, encode(v.plan)); err == nil { // an error: there is one already
 		v.unpersisted.Snapshot = s
--- a/internal/fleet/voter_state.go
+++ b/internal/fleet/voter_state.go
@@ -7,7 +7,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// VoterState is what a voter must have after a restart. All of it belongs to one identity and one generation of the log.
+// VoterState is what a voter must have after a restart. All of it belongs to one identity and one generation
+// of the log.
 type VoterState struct {
 	Identity   uint64 // random, drawn with the storage: a voter that lost its storage is another voter to the log
 	Generation uint64 // of the log; 0: the voter has never been in one
--- a/internal/fleet/voterstore/golden_test.go
+++ b/internal/fleet/voterstore/golden_test.go
@@ -66,7 +66,8 @@
 	return b.Bytes()
 }
 
-// TestGoldenStore freezes what a voter stores, written as a replacement and as a sequence of updates; another version's voter reads it.
+// TestGoldenStore freezes what a voter stores, written as a replacement and as a sequence of updates; another
+// version's voter reads it.
 func TestGoldenStore(t *testing.T) {
 	s := goldenState()
 	blank := *s
--- a/internal/fleet/voterstore/voterstore.go
+++ b/internal/fleet/voterstore/voterstore.go
@@ -1,5 +1,6 @@
-// Package voterstore is the stable storage of a fleet's voter: identity, promise and log, in one bbolt file of a folder. A process that
-// has it open locks others out. docs/design/fleet.md tells why a voter without its storage is another voter.
+// Package voterstore is the stable storage of a fleet's voter: identity, promise and log, in one bbolt file
+// of a folder. A process that has it open locks others out. docs/design/fleet.md tells why a voter without
+// its storage is another voter.
 package voterstore
 
 import (
@@ -157,7 +158,8 @@
 	return updateLog(tx, s.HardState, s.Snapshot, s.Entries)
 }
 
-// updateLog writes what is not nil: a snapshot replaces the entries up to its index, entries replace those from their first index on.
+// updateLog writes what is not nil: a snapshot replaces the entries up to its index, entries replace those
+// from their first index on.
 func updateLog(tx *bbolt.Tx, hardState *raftpb.HardState, snapshot *raftpb.Snapshot, entries []*raftpb.Entry) error {
 	voter, log := tx.Bucket(bucketVoter), tx.Bucket(bucketLog)
 	if hardState != nil {
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -40,11 +40,13 @@
 	OutgoingVoters []uint64 `cbor:"12,keyasint,omitempty"` // and, during a joint change, those that voted before it
 	GrantSeq       uint64   `cbor:"13,keyasint,omitempty"` // the status of its own whose grant it acts on
 
-	// Withdrawn lists the machines to which this member sends nothing and has nothing in flight, each with its turn in maintenance.
+	// Withdrawn lists the machines to which this member sends nothing and has nothing in flight, each with
+	// its turn in maintenance.
 	Withdrawn map[string]uint64 `cbor:"14,keyasint,omitempty"`
 }
 
-// grant is the leader's answer to a status: what it says was true at some time after that status was sent (see leaseHolder).
+// grant is the leader's answer to a status: what it says was true at some time after that status was sent
+// (see leaseHolder).
 type grant struct {
 	Seq     uint64 `cbor:"1,keyasint"` // of the status
 	Epoch   Epoch  `cbor:"2,keyasint"` // the newest plan's
