--- a/internal/fleet/gossip/join.go
+++ b/internal/fleet/gossip/join.go
@@ -36,7 +36,7 @@
 	return addresses[:min(limit, len(addresses))]
 }
 
-// missing returns NAME/HOST:PORT of candidates and seeds that are not alive, and of members that are gone.
+// missing returns NAME/HOST:PORT of candidates and seeds that are not alive, and of dead members.
 // One that left is not missing.
 func (g *Gossip) missing() []string {
 	addresses := g.missingCandidates()
