--- a/cmd/dewhitch/drain_test.go
+++ b/cmd/dewhitch/drain_test.go
@@ -8,7 +8,6 @@
 	"net"
 	"os"
 	"strings"
-	"syscall"
 	"testing"
 	"time"
 )
@@ -59,7 +58,7 @@
 		w.t.Cleanup(func() { conn.Close() })
 		conn.SetDeadline(time.Now().Add(patience))
 		p := &party{conn, bufio.NewReader(conn)}
-		if _, err := readWords(p.r); err != nil {
+		if _, err := readCommand(p.r); err != nil {
 			w.t.Fatal(err)
 		}
 		return p
@@ -188,7 +187,7 @@
 }
 
 // After the time for taking requests, one that comes on a new connection is refused at once: it has not run.
-func TestDrainRefusesLateRequests(t *testing.T) {
+func TestDrainRejectsLateRequests(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t)
 	w.start("serve")
@@ -214,170 +213,6 @@
 	}
 }
 
-// A drained planner leaves the registry, so that forwarders send their clients' commands elsewhere, and comes back with the
-// end of the drain.
-func TestDrainedPlannerLeavesTheRegistry(t *testing.T) {
-	t.Parallel()
-	z := newZookeeper(t)
-	w := newWorld(t)
-	w.registry = z.Addr()
-	p := w.start("serve")
-	const node = "/dewhitch/planners/gateway-0"
-	registered := func(want bool) func() bool { return func() bool { return (z.Owner(node) != 0) == want } }
-	if !eventually(registered(true)) {
-		t.Fatalf("never registered\n%s", p.log())
-	}
-	evacuate(t, w)
-	if !eventually(registered(false)) {
-		t.Error("still registered while drained")
-	}
-	if answer := adminCall(t, w.admin, "activate"); answer != "YES" {
-		t.Fatalf("activate: %q", answer)
-	}
-	if !eventually(registered(true)) {
-		t.Errorf("not registered after the drain\n%s", p.log())
-	}
-}
-
-// The process stands still from before the end of taking requests until after it. What a client wrote meanwhile is not sent
-// on: it is refused or left unread.
-func TestDrainOfAProcessThatStandsStill(t *testing.T) {
-	t.Parallel()
-	w := newWorld(t)
-	p := w.start("serve")
-	c := w.dial()
-	c.Write(patientQuery("q1"))
-	server := w.hangingServer()
-	called := evacuate(t, w)
-	waitUntil(called.Add(time.Second))
-	p.cmd.Process.Signal(syscall.SIGSTOP)
-	waitUntil(called.Add(recentRequest + 100*time.Millisecond))
-	c.Write(patientQuery("q2"))
-	p.cmd.Process.Signal(syscall.SIGCONT)
-	waitUntil(called.Add(recentRequest + 500*time.Millisecond))
-	server.serve("one")
-	c.SetReadDeadline(called.Add(drainTerm))
-	got, err := io.ReadAll(c.r)
-	if text := string(got); err != nil || text != "$3\r\none\r\n" && text != "$3\r\none\r\n-BUSY\r\n" {
-		t.Errorf("%q, %v", got, err)
-	}
-	if got := adminCall(t, w.admin, "telemetry"); !strings.Contains(got, `"dispatches":1,"concurrent":0`) {
-		t.Errorf("%s", got)
-	}
-}
-
-// A drain that comes twice, over a reload, over a broken configuration, and after its own end: an idle connection ends at
-// once each time, and one whose request is out gets its answer, and ends.
-func TestDrainBesideOtherCalls(t *testing.T) {
-	t.Parallel()
-	for name, calls := range map[string]func(t *testing.T, w *world, p *process) (called time.Time){
-		"twice": func(t *testing.T, w *world, _ *process) time.Time {
-			called := evacuate(t, w)
-			evacuate(t, w)
-			return called
-		},
-		"during a reload": func(t *testing.T, w *world, p *process) time.Time {
-			p.cmd.Process.Signal(syscall.SIGHUP)
-			called := evacuate(t, w)
-			p.cmd.Process.Signal(syscall.SIGHUP)
-			return called
-		},
-		"over a broken configuration": func(t *testing.T, w *world, p *process) time.Time {
-			os.WriteFile(p.config, []byte(`{"name"`), 0o600)
-			p.cmd.Process.Signal(syscall.SIGHUP)
-			return evacuate(t, w)
-		},
-		"after its end": func(t *testing.T, w *world, _ *process) time.Time {
-			evacuate(t, w)
-			if answer := adminCall(t, w.admin, "activate"); answer != "YES" {
-				t.Errorf("activate: %q", answer)
-			}
-			return evacuate(t, w)
-		},
-		"at SIGTERM": func(t *testing.T, w *world, p *process) time.Time {
-			p.cmd.Process.Signal(syscall.SIGTERM)
-			return evacuate(t, w)
-		},
-		"before SIGTERM": func(t *testing.T, w *world, p *process) time.Time {
-			called := evacuate(t, w)
-			p.cmd.Process.Signal(syscall.SIGTERM)
-			return called
-		},
-	} {
-		t.Run(name, func(t *testing.T) {
-			t.Parallel()
-			w := newWorld(t)
-			p := w.start("serve")
-			owed, idle := w.dial(), w.dial()
-			owed.Write(patientQuery("q1"))
-			server := w.hangingServer()
-			idle.Write([]byte("*1\r\n$4\r\nPING\r\n"))
-			if err := expect(idle.r, []byte("+PONG\r\n")); err != nil {
-				t.Fatal(err)
-			}
-			called := calls(t, w, p)
-			idle.endsBy(t, called.Add(drainTerm))
-			server.serve("one")
-			if err := expect(owed.r, []byte("$3\r\none\r\n")); err != nil {
-				t.Errorf("the request that was out: %v", err)
-			}
-			owed.endsBy(t, called.Add(drainTerm))
-		})
-	}
-}
-
-// Bad input during a drain gets the answers that it gets at any time: at the operators' address within a second, though
-// others hold its connections, and of clients within the 3 s that are allowed to bad ones.
-func TestBadInputDuringADrain(t *testing.T) {
-	t.Parallel()
-	const dueAdmin, dueClient = time.Second, 3 * time.Second
-	w := newWorld(t)
-	w.start("serve")
-	evacuate(t, w)
-	for range 40 { // more than the address has places
-		conn, err := net.Dial("tcp", w.admin)
-		if err != nil {
-			t.Fatal(err)
-		}
-		t.Cleanup(func() { conn.Close() })
-		fmt.Fprint(conn, "activ")
-	}
-	for line, want := range map[string]string{
-		"evacuate now":           "NO evacuate takes no argument",
-		"evacuat":                `NO unknown call "evacuat"`,
-		"":                       "NO empty call",
-		"act\x00ivate":           "NO control characters in the call",
-		strings.Repeat("x", 400): "NO line too long",
-		"include s-ffffffff":     "NO no server of this id was ever listed",
-		"readyz":                 "NO not ready",
-		"evacuate":               "YES",
-	} {
-		began := time.Now()
-		if got := adminCall(t, w.admin, line); got != want {
-			t.Errorf("%.20q: %q, not %q", line, got, want)
-		}
-		if took := time.Since(began); took > dueAdmin {
-			t.Errorf("%.20q was answered after %v", line, took)
-		}
-	}
-	for says, want := range map[string]string{
-		"PING\r\n":                             "-ERR protocol error: a command is an array\r\n",
-		"*1\r\n$x\r\n":                         "-ERR protocol error: bad number \"x\"\r\n",
-		"*99\r\n":                              "-ERR protocol error: length 99, 16 at most\r\n",
-		"*1\r\n$4\r\nNONE\r\n":                 "-ERR unknown command \"NONE\"\r\n",
-		"*2\r\n$9\r\nSVC.QUERY\r\n$1\r\nx\r\n": "-ERR wrong number of arguments\r\n",
-		"*1\r\n$4\r\nPING\r\n*1\r\n$":          "-ERR draining\r\n",
-		"\r\n":                                 "-ERR protocol error: a command is an array\r\n",
-	} {
-		c := w.dial()
-		io.WriteString(c, says)
-		c.SetReadDeadline(time.Now().Add(dueClient))
-		if got, err := io.ReadAll(c.r); err != nil || string(got) != want {
-			t.Errorf("%q: %q, %v, not %q", says, got, err, want)
-		}
-	}
-}
-
 // A request that was taken before the drain waits for a server that hangs, for longer than the term. Its client goes on writing on
 // the connection: at the end of the term that may not be open with a request of the last 2 s, read or not. One whose client
 // writes nothing more keeps its connection until it is answered.
--- a/cmd/dewhitch/earliest_kill_test.go
+++ b/cmd/dewhitch/earliest_kill_test.go
@@ -20,7 +20,7 @@
 // A request waits for a server that hangs, for longer than the gateway is given to end. Its client writes another on the same
 // connection, which is open until the first is answered: killed with that, the gateway would lose the second. So it answers
 // the first in time, and ends the connection.
-func TestNothingIsHeldToTheEarliestKill(t *testing.T) {
+func TestNoConnectionIsOpenAtTheEarliestKill(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t)
 	p := w.start("serve")
--- a/cmd/dewhitch/golden_ledger_test.go
+++ b/cmd/dewhitch/golden_ledger_test.go
@@ -22,8 +22,8 @@
 	frozenExport = "../../internal/ledger/statement/testdata/golden/records.jsonl"
 )
 
-// frozenBooks makes the folder of a ledger from the frozen store and the segment behind it.
-func frozenBooks(t *testing.T) string {
+// frozenLedger makes the folder of a ledger from the frozen store and the segment behind it.
+func frozenLedger(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	db, err := bbolt.Open(filepath.Join(dir, "ledger.db"), 0o600, nil)
@@ -64,7 +64,7 @@
 // accounting reads the CSV, and the commands merge and verify read the JSON lines again. Nothing in it is masked.
 func TestLedgerForms(t *testing.T) {
 	t.Parallel()
-	dir, files := frozenBooks(t), t.TempDir()
+	dir, files := frozenLedger(t), t.TempDir()
 	export, sound := filepath.Join(files, "export"), filepath.Join(files, "sound")
 	first, _, _ := bytes.Cut(golden.Read(t, "../../"+frozenExport), []byte("\n"))
 	if err := os.WriteFile(sound, first, 0o600); err != nil {
--- a/cmd/dewhitch/handover_test.go
+++ b/cmd/dewhitch/handover_test.go
@@ -31,13 +31,13 @@
 	return strings.TrimSuffix(answer, "\n")
 }
 
-// ask sends one query on a new connection and returns the answer's first line.
-func ask(t *testing.T, addr, id string) string {
+// sendQuery sends one query on a new connection and returns the answer's first line.
+func sendQuery(t *testing.T, addr, id string) string {
 	t.Helper()
-	return askFor(t, addr, "00000000b4d65521", id, "c=lookup,t=wide,d=60000,units=1,spread=2,first=0")
+	return sendQueryOf(t, addr, "00000000b4d65521", id, "c=lookup,t=wide,d=60000,units=1,spread=2,first=0")
 }
 
-func askFor(t *testing.T, addr, haulier, id, words string) string {
+func sendQueryOf(t *testing.T, addr, customer, id, arguments string) string {
 	t.Helper()
 	c, err := net.DialTimeout("tcp", addr, patience)
 	if err != nil {
@@ -45,7 +45,7 @@
 	}
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(patience))
-	c.Write(encode("SVC.QUERY " + haulier + " " + id + " " + words))
+	c.Write(encode("SVC.QUERY " + customer + " " + id + " " + arguments))
 	r := bufio.NewReader(c)
 	line, err := r.ReadString('\n')
 	if err != nil {
@@ -58,7 +58,7 @@
 	return strings.TrimSpace(line)
 }
 
-// handDown is the listener's socket as a platform hands it down. Danger: the File of a listener, and exec with it, put
+// handDown is the listener's socket as a platform hands it down. The File of a listener, and exec with it, would put
 // the socket into blocking mode, which all its holders share; a program that waits in accept then waits in the kernel,
 // and cannot close its listener until a client comes. A descriptor of the socket's own, in a File that Go did not make
 // non-blocking, is passed on as it is.
@@ -107,7 +107,7 @@
 	handed := w.handing()
 	old := handed()
 	oldAdmin := w.admin
-	if got := ask(t, w.listen, "a1"); got != "a1" {
+	if got := sendQuery(t, w.listen, "a1"); got != "a1" {
 		t.Fatalf("served %q", got)
 	}
 	if got := adminCall(t, oldAdmin, "exclude s-00000001"); got != "YES" {
@@ -124,19 +124,19 @@
 	if err := old.wait(); err != nil {
 		t.Fatalf("the old process: %v\n%s", err, old.log())
 	}
-	if got := ask(t, w.listen, "a2"); !strings.HasPrefix(got, "-BUSY") {
+	if got := sendQuery(t, w.listen, "a2"); !strings.HasPrefix(got, "-BUSY") {
 		t.Fatalf("an excluded server served: %q\n%s", got, next.log())
 	}
 	if got := adminCall(t, nextAdmin, "include s-00000001"); got != "YES" {
 		t.Fatal(got)
 	}
-	if got := ask(t, w.listen, "a3"); got != "a3" {
+	if got := sendQuery(t, w.listen, "a3"); got != "a3" {
 		t.Fatalf("served %q\n%s", got, next.log())
 	}
 }
 
-// TestWarmProcess: a customer that uses most of its quota is served on by the process that replaces its gateway's, which
-// a cold one refuses, as it takes all that the counter holds for the use of others. A snapshot that is torn is not taken.
+// TestWarmProcess: a customer that uses most of its quota is served by the process that replaces its gateway's. Without a warm
+// start it is rejected, as the process takes all that the counter holds for the use of others. A torn snapshot is not used.
 func TestWarmProcess(t *testing.T) {
 	served := map[string]int{}
 	for _, mode := range []string{"auto", "off"} {
@@ -146,13 +146,13 @@
 		w.override = []string{`{"settings": {"Contracts": [{"Name": "steady", "QuotaRate": 3, "Depth": 12, "OverrunCost": 1, "Pays": 1}]}}`}
 		// The window of the customer, 8 s by its plan and its number, has just begun.
 		const window = 8e9
-		haulier := fmt.Sprintf("%016x", window-uint64(time.Now().UnixNano())%window)
-		asked, last := 0, ""
-		reqs := func(n int) (in int) {
+		customer := fmt.Sprintf("%016x", window-uint64(time.Now().UnixNano())%window)
+		requests, last := 0, ""
+		send := func(n int) (in int) {
 			for range n {
-				asked++
-				id := fmt.Sprint("w", asked)
-				if last = askFor(t, w.listen, haulier, id, "c=lookup,t=steady,d=60000,units=1,spread=2,first=0"); last == id {
+				requests++
+				id := fmt.Sprint("w", requests)
+				if last = sendQueryOf(t, w.listen, customer, id, "c=lookup,t=steady,d=60000,units=1,spread=2,first=0"); last == id {
 					in++
 				}
 				time.Sleep(150 * time.Millisecond)
@@ -160,7 +160,7 @@
 			return in
 		}
 		old := handed()
-		if before := reqs(14); before < 11 { // by then little is left, and a few snapshots are written
+		if before := send(14); before < 11 { // by then little is left, and a few snapshots are written
 			t.Fatalf("served %d of 14, the last %q\n%s", before, last, old.log())
 		}
 		next := handed()
@@ -168,44 +168,49 @@
 		if err := old.wait(); err != nil {
 			t.Fatalf("the old process: %v\n%s", err, old.log())
 		}
-		served[mode] = reqs(8)
+		served[mode] = send(8)
 		if text := adminCall(t, w.admin, "telemetry"); strings.Contains(text, `"snapshot_loaded":1`) != (mode == "auto") {
 			t.Errorf("%s: %s\n%s", mode, text, next.log())
 		}
 		if mode == "off" {
 			continue
 		}
-		// Its own last snapshot, cut short: the process after it goes by the one before.
-		files, _ := filepath.Glob(filepath.Join(w.scratch, "*.snapshot"))
 		next.cmd.Process.Kill()
 		next.wait()
-		if len(files) != 2 || os.Truncate(files[1], 100) != nil {
-			t.Fatal(files)
-		}
-		if out, err := exec.Command(program, "snapshot", "verify", files[0]).CombinedOutput(); err != nil {
-			t.Errorf("%v: %s", err, out)
-		}
-		if out, err := exec.Command(program, "snapshot", "verify", files[1]).CombinedOutput(); err == nil || !strings.Contains(string(out), "torn") {
-			t.Errorf("%v: %s", err, out)
-		}
-		if out, err := exec.Command(program, "snapshot", "show", files[0]).CombinedOutput(); err != nil ||
-			!strings.Contains(string(out), haulier+"  steady") || !strings.Contains(string(out), "s-00000001") {
-			t.Errorf("%v: %s", err, out)
-		}
-		third := handed()
-		if text := adminCall(t, w.admin, "telemetry"); !strings.Contains(text, `"snapshot_loaded":1,"snapshot_rejected":1`) {
-			t.Errorf("%s\n%s", text, third.log())
-		}
+		checkTornSnapshot(t, w, customer, handed)
 	}
-	t.Logf("of 8 reqs a warm process served %d, a cold one %d", served["auto"], served["off"])
+	t.Logf("of 8 requests a warm process served %d, a cold one %d", served["auto"], served["off"])
 	if served["auto"] < served["off"]+3 {
-		t.Errorf("of 8 reqs a warm process served %d, a cold one %d", served["auto"], served["off"])
+		t.Errorf("of 8 requests a warm process served %d, a cold one %d", served["auto"], served["off"])
+	}
+}
+
+// checkTornSnapshot cuts the newest of two snapshots short: the commands tell so, and the process after it starts from the one before.
+func checkTornSnapshot(t *testing.T, w *world, customer string, handed func() *process) {
+	t.Helper()
+	files, _ := filepath.Glob(filepath.Join(w.scratch, "*.snapshot"))
+	if len(files) != 2 || os.Truncate(files[1], 100) != nil {
+		t.Fatal(files)
+	}
+	if out, err := exec.Command(program, "snapshot", "verify", files[0]).CombinedOutput(); err != nil {
+		t.Errorf("%v: %s", err, out)
+	}
+	if out, err := exec.Command(program, "snapshot", "verify", files[1]).CombinedOutput(); err == nil || !strings.Contains(string(out), "torn") {
+		t.Errorf("%v: %s", err, out)
+	}
+	if out, err := exec.Command(program, "snapshot", "show", files[0]).CombinedOutput(); err != nil ||
+		!strings.Contains(string(out), customer+"  steady") || !strings.Contains(string(out), "s-00000001") {
+		t.Errorf("%v: %s", err, out)
+	}
+	third := handed()
+	if text := adminCall(t, w.admin, "telemetry"); !strings.Contains(text, `"snapshot_loaded":1,"snapshot_rejected":1`) {
+		t.Errorf("%s\n%s", text, third.log())
 	}
 }
 
 // Operators exclude a server while the folder for the next process can't be written: the call is answered, and the file is
 // there once it can be.
-func TestExclusionIsKeptOnceItCanBe(t *testing.T) {
+func TestExclusionIsWrittenOnceItCanBe(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t)
 	w.scratch = filepath.Join(t.TempDir(), "scratch")
@@ -220,7 +225,7 @@
 		t.Fatalf("the call is not taken\n%s", p.log())
 	}
 	if !eventually(func() bool { return strings.Contains(p.log(), "exclusions are not written") }) {
-		t.Fatalf("the failure is not told\n%s", p.log())
+		t.Fatalf("the failure is not logged\n%s", p.log())
 	}
 	if err := os.Mkdir(w.scratch, 0o700); err != nil {
 		t.Fatal(err)
@@ -232,6 +237,6 @@
 		t.Errorf("the exclusion was not kept\n%s", p.log())
 	}
 	if n := strings.Count(p.log(), "exclusions are not written"); n != 1 {
-		t.Errorf("the failure was told %d times", n)
+		t.Errorf("the failure was logged %d times", n)
 	}
 }
--- a/cmd/dewhitch/large_list_test.go
+++ b/cmd/dewhitch/large_list_test.go
@@ -12,7 +12,7 @@
 )
 
 // The largest fleet that operators run.
-const mostServers = 3200
+const maxServers = 3200
 
 // The places of the two groups of servers: those that drain are at one address, all others at another.
 const (
@@ -28,7 +28,7 @@
 	n       int
 }
 
-// newLargeFleet makes n servers, a quarter of which can be told to drain.
+// newLargeFleet makes n servers, a quarter of which can be set to drain.
 func newLargeFleet(t *testing.T, n int) *largeFleet {
 	servers, err := standin.NewBackends(groups, true, standin.Always(standin.Step{}))
 	f := &largeFleet{world: newWorld(t), servers: kept(t, servers, err), n: n}
@@ -68,8 +68,8 @@
 	return int64(value)
 }
 
-// asks has clients ask one request after another until the test is over.
-func (f *largeFleet) asks(clients int) (stop func()) {
+// runClients has clients ask one request after another until the test is over.
+func (f *largeFleet) runClients(clients int) (stop func()) {
 	over := make(chan struct{})
 	var all sync.WaitGroup
 	for i := range clients {
@@ -111,19 +111,19 @@
 	return n
 }
 
-// Servers begin to drain, and the watch is told so by the whole list, which is over 256 KiB: it is applied, and the servers
+// Servers start to drain, and the watch gets that as a full list, which is over 256 KiB: it is applied, and the servers
 // that drain get nothing more.
-func TestWholeListOfALargeFleetIsApplied(t *testing.T) {
-	f := newLargeFleet(t, mostServers)
+func TestFullListOfALargeFleetIsApplied(t *testing.T) {
+	f := newLargeFleet(t, maxServers)
 	f.discovery.Whole(true)
 	p := f.start("serve")
-	defer f.asks(4)()
+	defer f.runClients(4)()
 	if !eventually(func() bool { return f.sentTo(drains) > 0 }) {
 		t.Fatalf("no request reached a server\n%s", p.log())
 	}
 	f.discovery.Set(f.list("draining"))
 	if !eventually(func() bool { return figure(t, f.world, "list_version_applied") == 42 }) {
-		t.Fatalf("version %d is in force, 42 was told\n%s", figure(t, f.world, "list_version_applied"), p.log())
+		t.Fatalf("version %d is in force, 42 was sent\n%s", figure(t, f.world, "list_version_applied"), p.log())
 	}
 	before, others := f.sentTo(drains), f.sentTo(stays)
 	if !eventually(func() bool { return f.sentTo(stays) > others+200 }) {
--- a/cmd/dewhitch/large_test.go
+++ b/cmd/dewhitch/large_test.go
@@ -21,7 +21,7 @@
 
 const largeValue = 3 << 20
 
-// large is the value of a req: its bytes follow from its id.
+// large is the value of a request: its bytes follow from its id.
 func large(id string) []byte {
 	n, _ := strconv.Atoi(strings.TrimLeft(id, "v"))
 	b := make([]byte, largeValue+n)
@@ -37,12 +37,12 @@
 }
 
 // serveLarge has the backends answer with large values, in pieces split anywhere; those whose id begins with x end within.
-func (b *byHand) serveLarge(pause time.Duration) {
+func (b *handBackends) serveLarge(pause time.Duration) {
 	for c := range b.conns {
 		go func() {
 			defer c.Close()
 			for r := bufio.NewReader(c); ; {
-				words, err := readWords(r)
+				words, err := readCommand(r)
 				if err != nil {
 					return
 				}
@@ -68,15 +68,15 @@
 	}
 }
 
-func readWords(r *bufio.Reader) ([]string, error) {
+func readCommand(r *bufio.Reader) ([]string, error) {
 	var n int
 	line, err := r.ReadString('\n')
 	if err != nil {
 		return nil, err
 	}
 	fmt.Sscanf(line, "*%d", &n)
-	words := make([]string, n)
-	for i := range words {
+	fields := make([]string, n)
+	for i := range fields {
 		var size int
 		if line, err = r.ReadString('\n'); err != nil {
 			return nil, err
@@ -86,9 +86,9 @@
 		if _, err := io.ReadFull(r, b); err != nil {
 			return nil, err
 		}
-		words[i] = string(b[:size])
+		fields[i] = string(b[:size])
 	}
-	return words, nil
+	return fields, nil
 }
 
 // peak is the most memory that a process has had resident, in bytes.
@@ -105,6 +105,70 @@
 	return kb << 10
 }
 
+// largeClient is a client connection of small buffers, so that a large value does not fit into them.
+type largeClient struct {
+	net.Conn
+	r *bufio.Reader
+}
+
+func dialLarge(t *testing.T, w *world) *largeClient {
+	c, err := net.Dial("tcp", w.listen)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { c.Close() })
+	c.(*net.TCPConn).SetReadBuffer(64 << 10)
+	c.SetDeadline(time.Now().Add(3 * patience))
+	return &largeClient{c, bufio.NewReaderSize(c, 4<<10)}
+}
+
+func largeQuery(id string) []byte {
+	return encode("SVC.QUERY 00000000b4d65521 " + id + " c=lookup,t=wide,d=60000,units=1,spread=2,first=0")
+}
+
+// get reads the answer to a query, which must be the value of the id to the byte, or errBusy. A slow client pauses between pieces.
+func (c *largeClient) get(id string, slow bool) error {
+	line, err := c.r.ReadString('\n')
+	if strings.HasPrefix(line, "-BUSY") {
+		return errBusy
+	}
+	want := large(id)
+	if err != nil || line != fmt.Sprintf("$%d\r\n", len(want)) {
+		return fmt.Errorf("%s: %q, %v", id, line, err)
+	}
+	got := make([]byte, 0, len(want)+2)
+	for piece := make([]byte, 64<<10); len(got) < len(want)+2; {
+		n, err := c.r.Read(piece[:min(len(piece), len(want)+2-len(got))])
+		if err != nil {
+			return fmt.Errorf("%s after %d bytes: %w", id, len(got), err)
+		}
+		got = append(got, piece[:n]...)
+		if slow {
+			time.Sleep(2 * time.Millisecond)
+		}
+	}
+	if !bytes.Equal(got[:len(want)], want) || string(got[len(want):]) != "\r\n" {
+		return fmt.Errorf("%s: not the value that was sent", id)
+	}
+	return nil
+}
+
+// getTwo pipelines two queries and a PING, so that the second value waits behind the first, and returns how many were rejected.
+func (c *largeClient) getTwo(first, second string, slow bool) (rejected int64, err error) {
+	c.Write(append(append(largeQuery(first), largeQuery(second)...), encode("PING")...))
+	for _, id := range []string{first, second} {
+		if err := c.get(id, slow); err == errBusy {
+			rejected++
+		} else if err != nil {
+			return rejected, err
+		}
+	}
+	if line, err := c.r.ReadString('\n'); line != "+PONG\r\n" {
+		return rejected, fmt.Errorf("behind the values: %q, %v", line, err)
+	}
+	return rejected, nil
+}
+
 // TestLargeValues: 40 clients at once, some of them slow, get values of 3 MiB each, together well over the memory limit, to
 // the byte and in the order of their commands; the connection to the backend is used again; a value that breaks off, and a
 // client that leaves within one, end no more than that.
@@ -113,69 +177,22 @@
 	w.override = []string{`{"limits": {"memory_mb": 64, "sockets": 512}}`}
 	go w.backends.serveLarge(200 * time.Microsecond)
 	p := w.start("serve")
-	get := func(c net.Conn, r *bufio.Reader, id string, slow bool) error {
-		line, err := r.ReadString('\n')
-		if strings.HasPrefix(line, "-BUSY") {
-			return errBusy
-		}
-		want := large(id)
-		if err != nil || line != fmt.Sprintf("$%d\r\n", len(want)) {
-			return fmt.Errorf("%s: %q, %v", id, line, err)
-		}
-		got := make([]byte, 0, len(want)+2)
-		for piece := make([]byte, 64<<10); len(got) < len(want)+2; {
-			n, err := r.Read(piece[:min(len(piece), len(want)+2-len(got))])
-			if err != nil {
-				return fmt.Errorf("%s after %d bytes: %w", id, len(got), err)
-			}
-			got = append(got, piece[:n]...)
-			if slow {
-				time.Sleep(2 * time.Millisecond)
-			}
-		}
-		if !bytes.Equal(got[:len(want)], want) || string(got[len(want):]) != "\r\n" {
-			return fmt.Errorf("%s: not the value that was sent", id)
-		}
-		return nil
-	}
-	dial := func() (net.Conn, *bufio.Reader) {
-		c, err := net.Dial("tcp", w.listen)
-		if err != nil {
-			t.Fatal(err)
-		}
-		c.(*net.TCPConn).SetReadBuffer(64 << 10)
-		c.SetDeadline(time.Now().Add(3 * patience))
-		return c, bufio.NewReaderSize(c, 4<<10)
-	}
-	req := func(id string) []byte {
-		return encode("SVC.QUERY 00000000b4d65521 " + id + " c=lookup,t=wide,d=60000,units=1,spread=2,first=0")
-	}
-	c, r := dial() // the module learns how quick the backend is
-	defer c.Close()
+	c := dialLarge(t, w) // the module learns how quick the backend is
 	for i := range 20 {
-		c.Write(req(fmt.Sprint("v", i)))
-		if err := get(c, r, fmt.Sprint("v", i), false); err != nil && err != errBusy {
+		c.Write(largeQuery(fmt.Sprint("v", i)))
+		if err := c.get(fmt.Sprint("v", i), false); err != nil && err != errBusy {
 			t.Fatal(err)
 		}
 	}
 	var clients sync.WaitGroup
-	var busy atomic.Int64
+	var rejected atomic.Int64
 	for i := range 40 {
-		c, r := dial()
-		defer c.Close()
+		c := dialLarge(t, w)
 		clients.Go(func() {
-			first, second := fmt.Sprint("v", 2*i+1), fmt.Sprint("v", 2*i+2)
-			c.Write(append(append(req(first), req(second)...), encode("PING")...)) // the second waits behind the first
-			for _, id := range []string{first, second} {
-				if err := get(c, r, id, i%4 == 0); err == errBusy {
-					busy.Add(1)
-				} else if err != nil {
-					t.Error(err)
-					return
-				}
-			}
-			if line, err := r.ReadString('\n'); line != "+PONG\r\n" {
-				t.Errorf("behind the values: %q, %v", line, err)
+			n, err := c.getTwo(fmt.Sprint("v", 2*i+1), fmt.Sprint("v", 2*i+2), i%4 == 0)
+			rejected.Add(n)
+			if err != nil {
+				t.Error(err)
 			}
 		})
 	}
@@ -183,31 +200,33 @@
 	if t.Failed() {
 		t.Fatal(p.log())
 	}
-	most := peak(t, p.cmd.Process.Pid)
-	t.Logf("80 values of 3 MiB: %d MiB resident at most", most>>20)
-	if most > 64<<20 {
-		t.Errorf("%d bytes resident", most)
+	resident := peak(t, p.cmd.Process.Pid)
+	t.Logf("80 values of 3 MiB: %d MiB resident at most", resident>>20)
+	if resident > 64<<20 {
+		t.Errorf("%d bytes resident", resident)
 	}
-	if n := busy.Load(); n > 40 {
+	if n := rejected.Load(); n > 40 {
 		t.Errorf("%d of 80 were refused", n)
 	}
-	// One that breaks off: the client sees the end within it, and nothing else.
-	c, r = dial()
-	defer c.Close()
-	c.Write(req("x1"))
-	line, _ := r.ReadString('\n')
-	if n, err := io.Copy(io.Discard, r); !strings.HasPrefix(line, "$3145") || n >= largeValue {
+	checkBrokenValues(t, w)
+}
+
+// checkBrokenValues: of a value that breaks off the client sees the end, and nothing else; a client that leaves within its value
+// takes nothing along, and the next is served.
+func checkBrokenValues(t *testing.T, w *world) {
+	c := dialLarge(t, w)
+	c.Write(largeQuery("x1"))
+	line, _ := c.r.ReadString('\n')
+	if n, err := io.Copy(io.Discard, c.r); !strings.HasPrefix(line, "$3145") || n >= largeValue {
 		t.Errorf("%q and %d bytes, %v", line, n, err)
 	}
-	// A client that leaves within its value takes nothing along: the next is served.
-	c, r = dial()
-	c.Write(req("v90"))
-	r.ReadString('\n')
+	c = dialLarge(t, w)
+	c.Write(largeQuery("v90"))
+	c.r.ReadString('\n')
 	c.Close()
-	c, r = dial()
-	defer c.Close()
-	c.Write(req("v91"))
-	if err := get(c, r, "v91", false); err != nil {
+	c = dialLarge(t, w)
+	c.Write(largeQuery("v91"))
+	if err := c.get("v91", false); err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/dewhitch/ledger_test.go
+++ b/cmd/dewhitch/ledger_test.go
@@ -2,7 +2,6 @@
 
 import (
 	"bytes"
-	"fmt"
 	"io"
 	"net/http"
 	"os"
@@ -16,20 +15,27 @@
 	"dewhitch/internal/standin"
 )
 
-// books runs a ledger command and returns what it prints.
-func books(t *testing.T, args ...string) (string, error) {
+// ledgerCommand runs a ledger command and returns what it prints.
+func ledgerCommand(t *testing.T, args ...string) (string, error) {
 	t.Helper()
 	out, err := exec.Command(program, append([]string{"ledger"}, args...)...).CombinedOutput()
 	return string(out), err
 }
 
-// Two gateways take the tries of one booking, the second while the first is open; one is killed with a req in hand. What
-// the commands print, beside the gateways and after them, is what was sent.
-func TestLedgerCommands(t *testing.T) {
-	t.Parallel()
+// ledgerTest is two gateways with a ledger each, and one client on each.
+type ledgerTest struct {
+	t          *testing.T
+	world      *world
+	a, b       *process
+	dirA, dirB string
+	answer     chan struct{} // closed: the backends serve
+	one, two   *client
+}
+
+func newLedgerTest(t *testing.T) *ledgerTest {
 	first := newWorld(t)
 	answer := make(chan struct{})
-	go func() { // the backends serve what they are told to
+	go func() {
 		<-answer
 		first.backends.serveAll()
 	}()
@@ -37,95 +43,105 @@
 	second.listen, second.limits = standin.OwnAddr(), standin.OwnAddr()
 	second.override = append(second.override, `{"name": "n1"}`)
 	second.self = 1
-	a, b := first.start("serve"), second.start("serve")
-	dirA, dirB := filepath.Join(filepath.Dir(a.config), "ledger"), filepath.Join(filepath.Dir(b.config), "ledger")
+	l := &ledgerTest{t: t, world: first, answer: answer, a: first.start("serve"), b: second.start("serve")}
+	l.dirA = filepath.Join(filepath.Dir(l.a.config), "ledger")
+	l.dirB = filepath.Join(filepath.Dir(l.b.config), "ledger")
+	l.one, l.two = dial(t, first.listen), dial(t, second.listen)
+	return l
+}
 
+// shows tells whether the figures of a folder have such a line, or will soon. Its numbers are taken, served, refused, failed, open.
+func (l *ledgerTest) shows(dir, want string) bool {
+	return eventually(func() bool {
+		out, err := ledgerCommand(l.t, "show", dir)
+		return err == nil && strings.Contains(strings.Join(strings.Fields(out), " "), want)
+	})
+}
+
+// bookTwice sends two attempts at one booking, the second to the other gateway while the first is open, and then has both served.
+func (l *ledgerTest) bookTwice() {
 	args := "c=order,t=wide,d=60000,k=lorry-7,spread=3,first=0"
-	one, two := dial(t, first.listen), dial(t, second.listen)
-	one.write("SVC.SUBMIT 00000000000000aa x1 " + args)
-	seen := func(dir, want string) bool {
-		return eventually(func() bool {
-			out, err := books(t, "show", dir)
-			return err == nil && strings.Contains(strings.Join(strings.Fields(out), " "), want)
-		})
-	}
-	// taken served refused failed open
-	if !seen(dirA, "wide order 1 0 0 0 1") {
-		out, err := books(t, "show", dirA)
-		t.Fatalf("an open booking is not shown: %s, %v", out, err)
-	}
-	two.write("SVC.SUBMIT 00000000000000aa x2 " + args)
-	if !seen(dirB, "wide order 1 0 0 0 1") {
-		t.Fatal("the second try is not shown")
-	}
-	close(answer)
-	for _, c := range []*client{one, two} {
+	l.one.write("SVC.SUBMIT 00000000000000aa x1 " + args)
+	if !l.shows(l.dirA, "wide order 1 0 0 0 1") {
+		out, err := ledgerCommand(l.t, "show", l.dirA)
+		l.t.Fatalf("an open booking is not shown: %s, %v", out, err)
+	}
+	l.two.write("SVC.SUBMIT 00000000000000aa x2 " + args)
+	if !l.shows(l.dirB, "wide order 1 0 0 0 1") {
+		l.t.Fatal("the second try is not shown")
+	}
+	close(l.answer)
+	for _, c := range []*client{l.one, l.two} {
 		if a := c.answer(); !strings.HasPrefix(a, "x") {
-			t.Fatalf("answered %q", a)
+			l.t.Fatalf("answered %q", a)
 		}
 	}
-	first.counter.Mode("silent")
-	one.write("LIMIT.GET 00000000000000bb t=forty,d=60000,spread=1,first=0") // unknown on this front, and no req
-	one.answer()
-	l := dial(t, first.limits)
-	l.write("LIMIT.GET 00000000000000bb t=forty,d=60000,spread=1,first=0")
-	if !seen(dirA, "forty limit.get 1 0 0 0 1") {
-		t.Fatal("an open query is not shown")
-	}
-	a.cmd.Process.Kill()
-	a.wait()
-	if out, err := books(t, "verify", dirA, dirB); err != nil {
-		t.Errorf("verify, of a killed gateway and one at work: %v, %s", err, out)
+}
+
+// killWithOpenQuery kills the first gateway while a query is open.
+func (l *ledgerTest) killWithOpenQuery() {
+	l.world.counter.Mode("silent")
+	l.one.write("LIMIT.GET 00000000000000bb t=forty,d=60000,spread=1,first=0") // unknown on this front, and no request
+	l.one.answer()
+	c := dial(l.t, l.world.limits)
+	c.write("LIMIT.GET 00000000000000bb t=forty,d=60000,spread=1,first=0")
+	if !l.shows(l.dirA, "forty limit.get 1 0 0 0 1") {
+		l.t.Fatal("an open query is not shown")
+	}
+	l.a.cmd.Process.Kill()
+	l.a.wait()
+	if out, err := ledgerCommand(l.t, "verify", l.dirA, l.dirB); err != nil {
+		l.t.Errorf("verify, of a killed gateway and one at work: %v, %s", err, out)
 	}
+}
 
-	// Started again on its folder, it closes what was open; then both end.
-	again := exec.Command(a.cmd.Path, a.cmd.Args[1:]...)
-	again.Env = a.cmd.Env
+// restartAndEnd starts the first gateway again on its folder, which closes what was open; then both end.
+func (l *ledgerTest) restartAndEnd() {
+	again := exec.Command(l.a.cmd.Path, l.a.cmd.Args[1:]...)
+	again.Env = l.a.cmd.Env
 	var log bytes.Buffer
 	again.Stderr = &log
 	if err := again.Start(); err != nil {
-		t.Fatal(err)
+		l.t.Fatal(err)
 	}
-	if !seen(dirA, "forty limit.get 1 0 0 1 0") {
-		t.Error("what the kill left open is not closed")
+	if !l.shows(l.dirA, "forty limit.get 1 0 0 1 0") {
+		l.t.Error("what the kill left open is not closed")
 	}
 	again.Process.Signal(syscall.SIGTERM)
-	b.cmd.Process.Signal(syscall.SIGTERM)
+	l.b.cmd.Process.Signal(syscall.SIGTERM)
 	if err := again.Wait(); err != nil {
-		t.Error(err, log.String())
+		l.t.Error(err, log.String())
 	}
-	if err := b.wait(); err != nil {
-		t.Error(err)
+	if err := l.b.wait(); err != nil {
+		l.t.Error(err)
 	}
 	if !strings.Contains(log.String(), `"reqs_cut_off_by_crash":1`) {
-		t.Errorf("the start after the kill says %s", log.String())
+		l.t.Errorf("the start after the kill says %s", log.String())
 	}
-	var files []string
-	for i, dir := range []string{dirA, dirB} {
-		out, err := exec.Command(program, "ledger", "export", dir).Output()
-		if err != nil {
-			t.Fatal(err)
-		}
-		name := filepath.Join(t.TempDir(), fmt.Sprintf("%d.jsonl", i))
-		os.WriteFile(name, out, 0o600)
-		files = append(files, name)
-		table, err := books(t, "export", "--csv", dir)
-		if lines := strings.Count(table, "\n"); err != nil || lines != 1+bytes.Count(out, []byte("\n")) {
-			t.Errorf("as CSV there are %d lines, %v", lines, err)
-		}
-		rest, _ := exec.Command(program, "ledger", "export", "--after", "1", dir).Output()
-		if !bytes.HasSuffix(out, rest) || len(rest) == 0 || len(rest) == len(out) {
-			t.Error("the records behind the first are not the rest")
-		}
+}
+
+// export exports a folder to a file, and checks the same as CSV and from the second record on.
+func (l *ledgerTest) export(dir string) (file string) {
+	out, err := exec.Command(program, "ledger", "export", dir).Output()
+	if err != nil {
+		l.t.Fatal(err)
 	}
-	out, err := books(t, append([]string{"merge"}, files...)...)
-	if flat := strings.Join(strings.Fields(out), " "); err != nil || !strings.Contains(flat, "wide order 2 2 0 0 0") ||
-		!strings.Contains(flat, "bookings by key: 1; with tries through several nodes: 1, of these with two tries open at once: 1") {
-		t.Errorf("merged: %v, %s", err, out)
+	file = filepath.Join(l.t.TempDir(), "export.jsonl")
+	os.WriteFile(file, out, 0o600)
+	table, err := ledgerCommand(l.t, "export", "--csv", dir)
+	if lines := strings.Count(table, "\n"); err != nil || lines != 1+bytes.Count(out, []byte("\n")) {
+		l.t.Errorf("as CSV there are %d lines, %v", lines, err)
 	}
+	rest, _ := exec.Command(program, "ledger", "export", "--after", "1", dir).Output()
+	if !bytes.HasSuffix(out, rest) || len(rest) == 0 || len(rest) == len(out) {
+		l.t.Error("the records behind the first are not the rest")
+	}
+	return file
+}
 
-	// A record that is missing, one that comes twice and one that was changed are told.
-	text, _ := os.ReadFile(files[0])
+// checkFaults checks that a record that is missing, one that comes twice and one that was changed are reported.
+func (l *ledgerTest) checkFaults(file string) {
+	text, _ := os.ReadFile(file)
 	lines := strings.SplitAfter(strings.TrimSuffix(string(text), "\n")+"\n", "\n")
 	lines = lines[:len(lines)-1]
 	for what, c := range map[string]struct{ text, want string }{
@@ -135,14 +151,31 @@
 		"no record":      {"{}\n", "line 1: no record of a ledger"},
 		"no known event": {strings.Replace(string(text), `"taken":1`, `"token":1`, 1), `no figure is called "token"`},
 	} {
-		bad := filepath.Join(t.TempDir(), "bad.jsonl")
+		bad := filepath.Join(l.t.TempDir(), "bad.jsonl")
 		os.WriteFile(bad, []byte(c.text), 0o600)
-		if out, err := books(t, "verify", bad); err == nil || !strings.Contains(out, c.want) {
-			t.Errorf("%s: %v, %s", what, err, out)
+		if out, err := ledgerCommand(l.t, "verify", bad); err == nil || !strings.Contains(out, c.want) {
+			l.t.Errorf("%s: %v, %s", what, err, out)
 		}
 	}
 }
 
+// Two gateways get the attempts at one booking, the second while the first is open; one is killed with a request in flight. What
+// the commands print, while the gateways run and after them, is what was sent.
+func TestLedgerCommands(t *testing.T) {
+	t.Parallel()
+	l := newLedgerTest(t)
+	l.bookTwice()
+	l.killWithOpenQuery()
+	l.restartAndEnd()
+	files := []string{l.export(l.dirA), l.export(l.dirB)}
+	out, err := ledgerCommand(t, append([]string{"merge"}, files...)...)
+	if flat := strings.Join(strings.Fields(out), " "); err != nil || !strings.Contains(flat, "wide order 2 2 0 0 0") ||
+		!strings.Contains(flat, "bookings by key: 1; with tries through several nodes: 1, of these with two tries open at once: 1") {
+		t.Errorf("merged: %v, %s", err, out)
+	}
+	l.checkFaults(files[0])
+}
+
 func get(t *testing.T, addr, path string) string {
 	r, err := http.Get("http://" + addr + path)
 	if err != nil {
@@ -181,7 +214,7 @@
 		t.Fatalf("no page has all of %q; the last is\n%s", want, body)
 	}
 	if strings.Contains(body, "0000000000000007") {
-		t.Error("a haulier is a label")
+		t.Error("a customer is a label")
 	}
 	if lines := get(t, w.operator, "/ledger"); !strings.Contains(lines, `{"plan":"forty","class":"lookup","counts":{"taken":2,"served":2`) {
 		t.Error(lines)
--- a/cmd/dewhitch/limits_test.go
+++ b/cmd/dewhitch/limits_test.go
@@ -14,9 +14,10 @@
 	"time"
 
 	"dewhitch/internal/standin"
+	"dewhitch/internal/standin/zookeeper"
 )
 
-// client is a haulier's booking system on the front for limits.
+// client is a customer's booking system on the front for limits.
 type client struct {
 	t *testing.T
 	net.Conn
@@ -69,8 +70,8 @@
 	return line
 }
 
-// left reads the answer to a query.
-func (c *client) left() (left float64, more string) {
+// queryLeft reads the answer to a query.
+func (c *client) queryLeft() (left float64, more string) {
 	a := c.answer()
 	parts := strings.Fields(a)
 	if len(parts) != 3 || !strings.HasPrefix(parts[2], ":") {
@@ -86,30 +87,30 @@
 	argsOf40 = "t=forty,d=100000,spread=3,first=0"
 )
 
-func booking(haulier, i int) string {
-	return fmt.Sprintf("SVC.QUERY %016x a%d-%d c=lookup,%s", haulier, haulier, i, argsOf40)
+func booking(customer, i int) string {
+	return fmt.Sprintf("SVC.QUERY %016x a%d-%d c=lookup,%s", customer, customer, i, argsOf40)
 }
 
-func query(haulier int) string { return fmt.Sprintf("LIMIT.GET %016x %s", haulier, argsOf40) }
+func query(customer int) string { return fmt.Sprintf("LIMIT.GET %016x %s", customer, argsOf40) }
 
-func adjust(haulier, units int) string {
-	return fmt.Sprintf("LIMIT.ADJUST %016x %d %s", haulier, units, argsOf40)
+func adjust(customer, units int) string {
+	return fmt.Sprintf("LIMIT.ADJUST %016x %d %s", customer, units, argsOf40)
 }
 
-// prefix is how the names of a haulier's counts begin.
-func prefix(haulier int) string { return strconv.FormatInt(int64(haulier), 36) + "." }
+// prefix is how the names of a customer's counts begin.
+func prefix(customer int) string { return strconv.FormatInt(int64(customer), 36) + "." }
 
 // near checks an answer against the counter; 40 units come in so slowly that what comes in meanwhile does not count.
-func near(t *testing.T, w *world, haulier int, left float64) {
+func near(t *testing.T, w *world, customer int, left float64) {
 	t.Helper()
-	if want := forty - w.counter.Sum(prefix(haulier)); !(math.Abs(left-max(0, want)) <= 1) {
-		t.Errorf("haulier %d: %v left, the counter has %v left", haulier, left, want)
+	if want := forty - w.counter.Sum(prefix(customer)); !(math.Abs(left-max(0, want)) <= 1) {
+		t.Errorf("customer %d: %v left, the counter has %v left", customer, left, want)
 	}
 }
 
-// Each of 200 hauliers pipelines queries between bookings and adjustments of its own number. Every answer must be
+// Each of 200 customers pipelines queries between bookings and adjustments of its own number. Every answer must be
 // within one request of the counter, which each query has read, and which nobody else adds to.
-func TestTwoHundredHauliers(t *testing.T) {
+func TestTwoHundredCustomers(t *testing.T) {
 	t.Parallel()
 	w := newWorld(t)
 	go w.backends.serveAll()
@@ -129,35 +130,35 @@
 				if a := c.answer(); a == fmt.Sprintf("a%d-%d", h, i) {
 					served++
 				} else if !strings.HasPrefix(a, "-BUSY") {
-					t.Errorf("haulier %d: a booking is answered %q", h, a)
+					t.Errorf("customer %d: a booking is answered %q", h, a)
 				}
 			}
 			// The query has seen all that was written before it, and nothing of what was written behind it.
-			if left, _ := c.left(); !(left <= forty-float64(served)+1 && left >= forty-float64(bookings)-1) {
-				t.Errorf("haulier %d: %v left after %d to %d bookings", h, left, served, bookings)
+			if left, _ := c.queryLeft(); !(left <= forty-float64(served)+1 && left >= forty-float64(bookings)-1) {
+				t.Errorf("customer %d: %v left after %d to %d bookings", h, left, served, bookings)
 			}
 			if a := c.answer(); a != strconv.Itoa(units) {
-				t.Errorf("haulier %d: taking %d is answered %q", h, units, a)
+				t.Errorf("customer %d: taking %d is answered %q", h, units, a)
 			}
 			c.write(query(h))
-			left, _ := c.left()
+			left, _ := c.queryLeft()
 			near(t, w, h, left)
 			if left > forty-float64(served+units)+1 {
-				t.Errorf("haulier %d: %v left after %d units", h, left, served+units)
+				t.Errorf("customer %d: %v left after %d units", h, left, served+units)
 			}
 			// Beyond the quota: refused, and the query still answered.
 			c.write(adjust(h, 40), query(h), adjust(h, int(left-0.5)), query(h))
 			if a := c.answer(); !strings.HasPrefix(a, "-BUSY ") {
-				t.Errorf("haulier %d: over the quota, the answer is %q", h, a)
+				t.Errorf("customer %d: over the quota, the answer is %q", h, a)
 			}
-			c.left()
+			c.queryLeft()
 			if a := c.answer(); a != strconv.Itoa(int(left-0.5)) {
-				t.Errorf("haulier %d: taking the last %d is answered %q", h, int(left-0.5), a)
+				t.Errorf("customer %d: taking the last %d is answered %q", h, int(left-0.5), a)
 			}
-			left, more := c.left()
+			left, more := c.queryLeft()
 			near(t, w, h, left)
 			if left > 2.5 || more == ":0" {
-				t.Errorf("haulier %d: %v left of nothing, more in %q", h, left, more)
+				t.Errorf("customer %d: %v left of nothing, more in %q", h, left, more)
 			}
 		})
 	}
@@ -170,87 +171,113 @@
 	}
 }
 
-// Three planners and a forwarder: a haulier's commands keep to one planner of its set; when that loses its session
-// it is registered anew, and when it dies, what was written to it fails and what comes after goes to another.
-func TestForwarder(t *testing.T) {
-	t.Parallel()
-	earlyInWindow()
-	z := newZookeeper(t)
-	first := newWorld(t)
-	go first.backends.serveAll()
-	planners := map[string]*process{}
-	node := func(i int) string { return fmt.Sprintf("/dewhitch/planners/gateway-%d", i) }
-	for i := range 3 {
-		w := *first
-		w.listen, w.limits, w.self, w.registry = standin.OwnAddr(), standin.OwnAddr(), i, z.Addr()
-		planners[node(i)] = w.start("serve")
-		if !eventually(func() bool { return z.Owner(node(i)) != 0 }) {
-			t.Fatal("a planner is not registered\n", planners[node(i)].log())
+// forwarderTest is three gateways, a forwarder, and a client of it.
+type forwarderTest struct {
+	t         *testing.T
+	world     *world
+	registry  *zookeeper.Server
+	gateways  [3]*process
+	forwarder *process
+	client    *client
+}
+
+// registryNode is the node of a gateway in the registry.
+func registryNode(gateway int) string { return fmt.Sprintf("/dewhitch/planners/gateway-%d", gateway) }
+
+func newForwarderTest(t *testing.T) *forwarderTest {
+	f := &forwarderTest{t: t, world: newWorld(t), registry: newZookeeper(t)}
+	go f.world.backends.serveAll()
+	for i := range f.gateways {
+		w := *f.world
+		w.listen, w.limits, w.self, w.registry = standin.OwnAddr(), standin.OwnAddr(), i, f.registry.Addr()
+		f.gateways[i] = w.start("serve")
+		if !eventually(func() bool { return f.registry.Owner(registryNode(i)) != 0 }) {
+			t.Fatal("a planner is not registered\n", f.gateways[i].log())
 		}
 	}
-	front := *first
-	front.listen, front.registry = standin.OwnAddr(), z.Addr()
-	f := front.start("forward")
-	told := func(planners int) bool {
-		return eventually(func() bool {
-			log := strings.Split(strings.TrimSpace(f.log()), "\n")
-			return strings.Count(log[len(log)-1], `":"127.`) == planners && strings.Contains(log[len(log)-1], "planners")
-		})
+	front := *f.world
+	front.listen, front.registry = standin.OwnAddr(), f.registry.Addr()
+	f.forwarder = front.start("forward")
+	if !f.knows(3) {
+		t.Fatal("the forwarder does not know the planners\n", f.forwarder.log())
+	}
+	f.client = dial(t, front.listen)
+	return f
+}
+
+// knows tells whether the forwarder's last line of log has so many gateways, or will soon.
+func (f *forwarderTest) knows(gateways int) bool {
+	return eventually(func() bool {
+		log := strings.Split(strings.TrimSpace(f.forwarder.log()), "\n")
+		return strings.Count(log[len(log)-1], `":"127.`) == gateways && strings.Contains(log[len(log)-1], "planners")
+	})
+}
+
+// checkLeft checks the answer to a query of customer 3 against the counter.
+func (f *forwarderTest) checkLeft() {
+	f.t.Helper()
+	left, _ := f.client.queryLeft()
+	near(f.t, f.world, 3, left)
+}
+
+// expireSession expires the registry's session of gateway 0, which must register again.
+func (f *forwarderTest) expireSession() {
+	old := f.registry.Owner(registryNode(0))
+	f.registry.Expire(old)
+	if !eventually(func() bool { o := f.registry.Owner(registryNode(0)); return o != 0 && o != old }) {
+		f.t.Fatal("after the expiry of its session, the planner is not registered\n", f.gateways[0].log())
 	}
-	if !told(3) {
-		t.Fatal("the forwarder does not know the planners\n", f.log())
+	if !f.knows(3) {
+		f.t.Fatal("the forwarder does not know the planner's new node\n", f.forwarder.log())
 	}
+}
 
-	c := dial(t, front.listen)
+// Three gateways and a forwarder: a customer's commands keep to one gateway of its set; when that loses its session
+// it is registered again, and when it dies, what was written to it fails and what comes after goes to another.
+func TestForwarder(t *testing.T) {
+	t.Parallel()
+	earlyInWindow()
+	f := newForwarderTest(t)
+	c := f.client
 	c.write("PING", booking(3, 0), adjust(3, 4), query(3), "LIMIT.GET 3", "NOVEL")
 	for _, want := range []string{"+PONG", "a3-0", "4"} {
 		if a := c.answer(); a != want {
 			t.Errorf("answered %q, not %q", a, want)
 		}
 	}
-	left, _ := c.left()
-	near(t, first, 3, left)
+	f.checkLeft()
 	for range 2 {
 		if a := c.answer(); !strings.HasPrefix(a, "-ERR ") {
 			t.Errorf("answered %q", a)
 		}
 	}
 
-	// Haulier 3 (spread 3, first 0) is planner 0's. Its session expires: it makes its node again.
-	old := z.Owner(node(0))
-	z.Expire(old)
-	if !eventually(func() bool { o := z.Owner(node(0)); return o != 0 && o != old }) {
-		t.Fatal("after the expiry of its session, the planner is not registered\n", planners[node(0)].log())
-	}
-	if !told(3) {
-		t.Fatal("the forwarder does not know the planner's new node\n", f.log())
-	}
+	// Customer 3 (spread 3, first 0) is gateway 0's.
+	f.expireSession()
 	c.write(adjust(3, 1), query(3))
 	if a := c.answer(); a != "1" {
 		t.Errorf("answered %q", a)
 	}
-	left, _ = c.left()
-	near(t, first, 3, left)
+	f.checkLeft()
 
-	// With its counter silent, planner 0 owes an answer when it dies: that command is failed, not sent again.
-	first.counter.Mode("silent")
+	// With its counter silent, gateway 0 owes an answer when it dies: that command is failed, not sent again.
+	f.world.counter.Mode("silent")
 	c.write(query(3))
 	time.Sleep(50 * time.Millisecond)
-	planners[node(0)].cmd.Process.Kill()
+	f.gateways[0].cmd.Process.Kill()
 	if a := c.answer(); !strings.HasPrefix(a, "-ERR the planner was lost") {
 		t.Errorf("answered %q", a)
 	}
 	// Its node stands until its session expires, but it can't be reached: another of the set takes what comes.
-	first.counter.Mode("add")
+	f.world.counter.Mode("add")
 	c.write(adjust(3, 2), query(3))
 	if a := c.answer(); a != "2" {
-		t.Errorf("answered %q\n%s", a, f.log())
+		t.Errorf("answered %q\n%s", a, f.forwarder.log())
 	}
-	left, _ = c.left()
-	near(t, first, 3, left)
-	z.Expire(z.Owner(node(0)))
-	if !told(2) {
-		t.Fatal("the forwarder holds on to a planner that has gone\n", f.log())
+	f.checkLeft()
+	f.registry.Expire(f.registry.Owner(registryNode(0)))
+	if !f.knows(2) {
+		t.Fatal("the forwarder holds on to a planner that has gone\n", f.forwarder.log())
 	}
 }
 
--- a/cmd/dewhitch/redis_test.go
+++ b/cmd/dewhitch/redis_test.go
@@ -33,55 +33,64 @@
 	for front, addr := range map[string]string{"planner": w.limits, "forwarder": f.listen} {
 		for _, protocol := range []int{2, 3} {
 			t.Run(fmt.Sprintf("%s resp%d", front, protocol), func(t *testing.T) {
-				ctx, cancel := context.WithTimeout(t.Context(), 6*patience)
-				defer cancel()
-				c := redis.NewClient(&redis.Options{Addr: addr, ClientName: "lorries", Protocol: protocol,
-					ReadTimeout: patience, DialTimeout: patience, MaxRetries: -1})
-				defer c.Close()
-				check := func(what string, got any, err error, want any) {
-					t.Helper()
-					if err != nil || fmt.Sprint(got) != fmt.Sprint(want) {
-						t.Errorf("%s: %v, %v; want %v", what, got, err, want)
-					}
-				}
-				name, err := c.ClientGetName(ctx).Result()
-				check("CLIENT GETNAME", name, err, "lorries")
-				v, err := c.Ping(ctx).Result()
-				check("PING", v, err, "PONG")
-				v, err = c.Echo(ctx, "rain").Result()
-				check("ECHO", v, err, "rain")
-				id, err := c.ClientID(ctx).Result()
-				check("CLIENT ID", id > 0, err, true)
-				answer, err := c.Do(ctx, "SELECT", 0).Result()
-				check("SELECT 0", answer, err, "OK")
-				_, err = c.Do(ctx, "SELECT", 1).Result()
-				check("SELECT 1", err, nil, "ERR DB index is out of range")
-				commands, err := c.Command(ctx).Result()
-				check("COMMAND", len(commands) >= 11 && commands["limit.get"] != nil, err, true)
-				customer := fmt.Sprintf("%016x", 700+10*protocol+len(front))
-				// Far more commands of its own than a session has strikes, on one connection.
-				pipe := c.Pipeline()
-				for range 30 {
-					pipe.Do(ctx, "CLIENT", "SETINFO", "LIB-NAME", "go-redis")
-					pipe.Do(ctx, "SELECT", 0)
-				}
-				adjust := pipe.Do(ctx, "LIMIT.ADJUST", customer, 4, argsOf40)
-				left := pipe.Do(ctx, "LIMIT.GET", customer, argsOf40)
-				_, err = pipe.Exec(ctx)
-				check("a pipeline", adjust.Val(), err, "4")
-				values, _ := left.Slice()
-				check("LIMIT.GET", len(values) == 3 && values[0] == "40", left.Err(), true)
-				taken, err := c.Do(ctx, "SVC.QUERY", customer, "r"+customer[8:], "c=lookup,"+argsOf40).Result()
-				check("SVC.QUERY", taken, err, "r"+customer[8:])
-				quit := c.Conn()
-				defer quit.Close()
-				answer, err = quit.Do(ctx, "QUIT").Result()
-				check("QUIT", answer, err, "OK")
-				time.Sleep(time.Millisecond)
-				if _, err := quit.Do(ctx, "PING").Result(); err == nil {
-					t.Error("a session goes on after QUIT")
-				}
+				checkClient(t, addr, protocol, fmt.Sprintf("%016x", 700+10*protocol+len(front)))
 			})
 		}
 	}
 }
+
+// checkClient has a client work on one connection, through its commands on its own session, on limits and of the platform.
+func checkClient(t *testing.T, addr string, protocol int, customer string) {
+	ctx, cancel := context.WithTimeout(t.Context(), 6*patience)
+	defer cancel()
+	c := redis.NewClient(&redis.Options{Addr: addr, ClientName: "lorries", Protocol: protocol,
+		ReadTimeout: patience, DialTimeout: patience, MaxRetries: -1})
+	defer c.Close()
+	check := func(what string, got any, err error, want any) {
+		t.Helper()
+		if err != nil || fmt.Sprint(got) != fmt.Sprint(want) {
+			t.Errorf("%s: %v, %v; want %v", what, got, err, want)
+		}
+	}
+	checkSession(ctx, c, check)
+	// Far more commands of its own than a session has strikes, on one connection.
+	pipe := c.Pipeline()
+	for range 30 {
+		pipe.Do(ctx, "CLIENT", "SETINFO", "LIB-NAME", "go-redis")
+		pipe.Do(ctx, "SELECT", 0)
+	}
+	adjust := pipe.Do(ctx, "LIMIT.ADJUST", customer, 4, argsOf40)
+	left := pipe.Do(ctx, "LIMIT.GET", customer, argsOf40)
+	_, err := pipe.Exec(ctx)
+	check("a pipeline", adjust.Val(), err, "4")
+	values, _ := left.Slice()
+	check("LIMIT.GET", len(values) == 3 && values[0] == "40", left.Err(), true)
+	taken, err := c.Do(ctx, "SVC.QUERY", customer, "r"+customer[8:], "c=lookup,"+argsOf40).Result()
+	check("SVC.QUERY", taken, err, "r"+customer[8:])
+	quit := c.Conn()
+	defer quit.Close()
+	answer, err := quit.Do(ctx, "QUIT").Result()
+	check("QUIT", answer, err, "OK")
+	time.Sleep(time.Millisecond)
+	if _, err := quit.Do(ctx, "PING").Result(); err == nil {
+		t.Error("a session goes on after QUIT")
+	}
+}
+
+// checkSession has a client send the commands on its own session.
+func checkSession(ctx context.Context, c *redis.Client, check func(what string, got any, err error, want any)) {
+	name, err := c.ClientGetName(ctx).Result()
+	check("CLIENT GETNAME", name, err, "lorries")
+	v, err := c.Ping(ctx).Result()
+	check("PING", v, err, "PONG")
+	v, err = c.Echo(ctx, "rain").Result()
+	check("ECHO", v, err, "rain")
+	id, err := c.ClientID(ctx).Result()
+	check("CLIENT ID", id > 0, err, true)
+	answer, err := c.Do(ctx, "SELECT", 0).Result()
+	check("SELECT 0", answer, err, "OK")
+	_, err = c.Do(ctx, "SELECT", 1).Result()
+	check("SELECT 1", err, nil, "ERR DB index is out of range")
+	commands, err := c.Command(ctx).Result()
+	check("COMMAND", len(commands) >= 11 && commands["limit.get"] != nil, err, true)
+}
--- a/cmd/dewhitch/soak_test.go
+++ b/cmd/dewhitch/soak_test.go
@@ -30,7 +30,7 @@
 	soakClients  = 8               // of each gateway, that ask all the time
 	crowdSize    = 60              // idle connections, where there is a crowd
 	drainGrace   = 550 * time.Millisecond
-	heldUp       = 150 * time.Millisecond // that a process stands still between reading its clock and acting
+	stallTime    = 150 * time.Millisecond // that a process stands still between reading its clock and acting
 	countsAfter  = 700 * time.Millisecond // SIGTERM: a request that comes later must have its answer at SIGKILL
 	soakSlack    = 250 * time.Millisecond // for the machine that the test runs on
 )
@@ -38,25 +38,25 @@
 // soakRun is one run: gateways, servers that drain, and signals in series.
 type soakRun struct {
 	*drainTest
-	seed    uint64
-	rng     *rand.Rand // of the schedule
-	servers int
-	crowd   bool
-	slow    bool          // the gateways have a part of a core
-	longest time.Duration // deadline
-	whole   bool          // changes are told by the whole list
+	seed      uint64
+	rng       *rand.Rand // of the schedule
+	servers   int
+	crowd     bool
+	slow      bool          // the gateways have a part of a core
+	longest   time.Duration // deadline
+	fullLists bool          // changes come as full lists
 
 	mu      sync.Mutex
-	drained map[int]time.Time // by node: when every gateway was told
+	drained map[int]time.Time // by node: when every gateway was notified
 }
 
 func newSoakRun(t *testing.T, seed uint64) *soakRun {
 	s := &soakRun{seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), servers: soakNodes, drained: map[int]time.Time{}}
 	s.crowd = seed%2 == 1
 	if seed%4 >= 2 {
-		s.servers = mostServers
+		s.servers = maxServers
 	}
-	s.whole, s.slow = s.rng.IntN(2) == 0, s.rng.IntN(3) == 0
+	s.fullLists, s.slow = s.rng.IntN(2) == 0, s.rng.IntN(3) == 0
 	s.longest = []time.Duration{500 * time.Millisecond, time.Second, 2 * time.Second, 5 * time.Second}[s.rng.IntN(4)]
 	backends, err := standin.NewBackends(soakNodes, true, hangingSome(seed))
 	s.drainTest = &drainTest{t: t, backends: kept(t, backends, err), over: make(chan struct{})}
@@ -64,8 +64,8 @@
 }
 
 func (s *soakRun) String() string {
-	return fmt.Sprintf("seed %d: %d servers, crowd %v, longest deadline %v, told by whole lists %v, a part of a core %v", s.seed, s.servers,
-		s.crowd, s.longest, s.whole, s.slow)
+	return fmt.Sprintf("seed %d: %d servers, crowd %v, longest deadline %v, full lists %v, a part of a core %v", s.seed, s.servers,
+		s.crowd, s.longest, s.fullLists, s.slow)
 }
 
 // members is the list; the servers of the nodes that drain are in that phase.
@@ -122,7 +122,7 @@
 	w := newWorld(s.t)
 	w.self = number
 	w.override = append(w.override, s.settings(s.longest))
-	w.discovery.Whole(s.whole)
+	w.discovery.Whole(s.fullLists)
 	w.discovery.Set(s.members())
 	return &gatewayRecord{world: w, number: number, longest: s.longest, newFor: 400 * time.Millisecond}
 }
@@ -136,7 +136,7 @@
 // drainNode has the servers of a node drain, and tells every gateway.
 func (s *soakRun) drainNode(node int) {
 	s.mu.Lock()
-	s.drained[node] = time.Now().Add(time.Hour) // not told yet
+	s.drained[node] = time.Now().Add(time.Hour) // not notified yet
 	s.mu.Unlock()
 	list := s.members()
 	for _, g := range s.gateways {
@@ -160,7 +160,7 @@
 func (s *soakRun) signals(g *gatewayRecord, p *process, begin time.Time, rng *rand.Rand) {
 	send := func(what syscall.Signal) { p.cmd.Process.Signal(what) }
 	if rng.IntN(3) == 0 {
-		s.drainWhole(g)
+		s.drainForTerm(g)
 	}
 	for range 2 + rng.IntN(4) {
 		time.Sleep(time.Duration(rng.Int64N(int64(soakTime / 8))))
@@ -169,7 +169,7 @@
 			send(syscall.SIGHUP)
 		case 1:
 			send(syscall.SIGSTOP)
-			time.Sleep(heldUp)
+			time.Sleep(stallTime)
 			send(syscall.SIGCONT)
 		case 2:
 			adminCall(s.t, g.world.admin, "evacuate")
@@ -186,8 +186,8 @@
 	s.clientsOf(g, 1)
 }
 
-// drainWhole drains a gateway for the whole of the operators' term, judges what it holds then, and takes it back.
-func (s *soakRun) drainWhole(g *gatewayRecord) {
+// drainForTerm drains a gateway for the whole of the operators' term, judges what it holds then, and takes it back.
+func (s *soakRun) drainForTerm(g *gatewayRecord) {
 	s.drain(g, time.Now().Add(drainTerm/20))
 	adminCall(s.t, g.world.admin, "activate")
 	g.mu.Lock()
@@ -209,10 +209,10 @@
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	kill := called.Add(min(s.longest, longestCounted) + killMargin)
 	if rng.IntN(2) == 0 { // it is held up at some moment on its way
-		at := time.Duration(rng.Int64N(int64(kill.Sub(called) - heldUp)))
+		at := time.Duration(rng.Int64N(int64(kill.Sub(called) - stallTime)))
 		waitUntil(called.Add(at))
 		p.cmd.Process.Signal(syscall.SIGSTOP)
-		time.Sleep(heldUp)
+		time.Sleep(stallTime)
 		p.cmd.Process.Signal(syscall.SIGCONT)
 	}
 	waitUntil(kill)
@@ -270,7 +270,7 @@
 }
 
 // clientsOf starts the clients of a gateway in one of its lives.
-func (s *soakRun) clientsOf(g *gatewayRecord, life uint64) {
+func (s *soakRun) clientsOf(g *gatewayRecord, incarnation uint64) {
 	all := []behaviour{pipelining, pipelining, silent, resting, trickling, leaving}
 	for range soakClients {
 		all = append(all, paced)
@@ -281,7 +281,7 @@
 		}
 	}
 	for k, does := range all {
-		s.run(g, does, s.seed<<20+life<<16+uint64(g.number<<8+k))
+		s.run(g, does, s.seed<<20+incarnation<<16+uint64(g.number<<8+k))
 	}
 }
 
@@ -294,18 +294,18 @@
 	})
 }
 
-// judgeDrains tells of requests that came to a server too long after every gateway was told that it drains.
+// judgeDrains reports requests that came to a server too long after every gateway was notified that it drains.
 func (s *soakRun) judgeDrains() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.backends.Seen() {
-		if told, drains := s.drained[c.Backend]; drains && c.At.Sub(told) > drainGrace+soakSlack {
-			s.gateways[0].fault("request %s came to a server of node %d %v after the news that it drains", c.ID, c.Backend, c.At.Sub(told))
+		if notifiedAt, drains := s.drained[c.Backend]; drains && c.At.Sub(notifiedAt) > drainGrace+soakSlack {
+			s.gateways[0].fault("request %s came to a server of node %d %v after the watch event that it drains", c.ID, c.Backend, c.At.Sub(notifiedAt))
 		}
 	}
 }
 
-// Gateways are drained, held up, told new configurations, ended and killed as early as the platform may, one signal after the
+// Gateways are drained, stalled, reloaded, ended and killed as early as the platform may, one signal after the
 // other, while clients use every connection that is open, servers hang, and some drain. No request may be lost or answered
 // late, and none may go to a server that drains.
 func TestSoak(t *testing.T) {
--- a/cmd/dewhitch/standins_test.go
+++ b/cmd/dewhitch/standins_test.go
@@ -10,8 +10,8 @@
 	"dewhitch/internal/standin/zookeeper"
 )
 
-// byHand stands in for all backends: the recordings speak for them, one connection at a time.
-type byHand struct {
+// handBackends stands in for all backends: the recordings speak for them, one connection at a time.
+type handBackends struct {
 	*standin.Listener
 	conns chan net.Conn
 }
@@ -26,8 +26,8 @@
 	return s
 }
 
-func newByHand(t *testing.T) *byHand {
-	b := &byHand{conns: make(chan net.Conn, 1024)}
+func newHandBackends(t *testing.T) *handBackends {
+	b := &handBackends{conns: make(chan net.Conn, 1024)}
 	l, err := standin.Listen("", func(c net.Conn) {
 		b.conns <- c
 		<-t.Context().Done() // whoever took it closes it
@@ -37,7 +37,7 @@
 }
 
 // serveAll has them answer every command from now on, each with its body, or its own id if it has none.
-func (b *byHand) serveAll() {
+func (b *handBackends) serveAll() {
 	for c := range b.conns {
 		go func() {
 			for r := bufio.NewReader(c); ; {
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -153,11 +153,11 @@
 	}
 }
 
-// TestHeldConnections: callers that hold connections with half a line, more of them than there are places, keep
+// TestSilentCallersKeepNobodyOut: callers that hold connections with half a line, more of them than there are places, keep
 // nobody out; each call is still answered at once.
-func TestHeldConnections(t *testing.T) {
+func TestSilentCallersKeepNobodyOut(t *testing.T) {
 	addr := serve(t)
-	var held []net.Conn
+	var silent []net.Conn
 	for range 3 * MaxCallers {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -165,7 +165,7 @@
 		}
 		defer c.Close()
 		io.WriteString(c, "read")
-		held = append(held, c)
+		silent = append(silent, c)
 	}
 	for range 5 {
 		began := time.Now()
@@ -177,8 +177,8 @@
 		}
 	}
 	// The oldest were let go to make room.
-	held[0].SetReadDeadline(time.Now().Add(10 * time.Second))
-	if _, err := bufio.NewReader(held[0]).ReadByte(); err == nil {
+	silent[0].SetReadDeadline(time.Now().Add(10 * time.Second))
+	if _, err := bufio.NewReader(silent[0]).ReadByte(); err == nil {
 		t.Fatal("the oldest caller was kept")
 	}
 }
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -35,7 +35,7 @@
 	for _, line := range []string{"readyz", "telemetry", "exclude s-1", "exclude s-2", "include s-1", "include s-2", "evacuate",
 		"readyz", "activate", "readyz", " READYZ \r", "", "exclude", "include s-1 s-2", "telemetry now", "reboot", "readyz\x01",
 		"exclude " + strings.Repeat("x", 65), strings.Repeat("y", 255), strings.Repeat("z", 300)} {
-		answer, err := ask(s, line)
+		answer, err := callOverPipe(s, line)
 		if err != nil {
 			t.Fatalf("%q: %v", line, err)
 		}
@@ -44,8 +44,8 @@
 	golden.Compare(t, "calls", seen.Bytes())
 }
 
-// ask sends one line over a connection of its own, and reads to the end.
-func ask(s *Server, line string) ([]byte, error) {
+// callOverPipe sends one line over a connection of its own, and reads to the end.
+func callOverPipe(s *Server, line string) ([]byte, error) {
 	client, server := net.Pipe()
 	go func() {
 		defer server.Close()
--- a/internal/classtable/classtable_test.go
+++ b/internal/classtable/classtable_test.go
@@ -33,10 +33,10 @@
 	return names, cs
 }
 
-// TestRetunedTable: after any number of retunings, every name of the settings in force goes under a class of the
+// TestReloadedTable: after any number of retunings, every name of the settings in force goes under a class of the
 // module whose rules are at least as strict, or none; an equal class goes under itself; the names of earlier settings
 // stay, with what they meant; the table is bounded.
-func TestRetunedTable(t *testing.T) {
+func TestReloadedTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names, module := classes(t, "module")
 		table := Start(names, module)
@@ -109,16 +109,16 @@
 
 func TestStricter(t *testing.T) {
 	safe := dw.Class{Idempotency: dw.Idempotent}
-	keyedAll := dw.Class{Idempotency: dw.IdempotentByKey, DedupScope: dw.DedupAll, DedupWindow: 3e9}
-	keyedZone := dw.Class{Idempotency: dw.IdempotentByKey, DedupScope: dw.DedupZone, DedupWindow: 3e9}
+	byKeyAll := dw.Class{Idempotency: dw.IdempotentByKey, DedupScope: dw.DedupAll, DedupWindow: 3e9}
+	byKeyZone := dw.Class{Idempotency: dw.IdempotentByKey, DedupScope: dw.DedupZone, DedupWindow: 3e9}
 	unsafe := dw.Class{Idempotency: dw.NotIdempotent}
 	for _, c := range []struct {
 		m, c dw.Class
 		want bool
 	}{
-		{safe, safe, true}, {unsafe, safe, true}, {safe, unsafe, false}, {safe, keyedAll, false},
-		{keyedZone, keyedAll, true}, {keyedAll, keyedZone, false}, {unsafe, keyedZone, true},
-		{keyedAll, unsafe, false}, {dw.Class{Idempotency: dw.IdempotentByKey, DedupWindow: 4e9}, keyedAll, false},
+		{safe, safe, true}, {unsafe, safe, true}, {safe, unsafe, false}, {safe, byKeyAll, false},
+		{byKeyZone, byKeyAll, true}, {byKeyAll, byKeyZone, false}, {unsafe, byKeyZone, true},
+		{byKeyAll, unsafe, false}, {dw.Class{Idempotency: dw.IdempotentByKey, DedupWindow: 4e9}, byKeyAll, false},
 		{dw.Class{Idempotency: dw.Idempotent, Streaming: true}, safe, false},
 	} {
 		if got := Stricter(c.m, c.c); got != c.want {
--- a/internal/core/inbox_test.go
+++ b/internal/core/inbox_test.go
@@ -13,40 +13,40 @@
 	"dewhitch/internal/ledger"
 )
 
-// fakeWorld stands in for the backends, the counter, the ledger and the monitor of a planner, and records what it is notified of.
-type fakeWorld struct {
+// fakeEnvironment stands in for the backends, the counter, the ledger and the monitor of a planner, and records what it is notified of.
+type fakeEnvironment struct {
 	mu     sync.Mutex
 	starts []Backend
 	events []string
 }
 
-func (w *fakeWorld) note(format string, a ...any) {
+func (w *fakeEnvironment) note(format string, a ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.events = append(w.events, fmt.Sprintf(format, a...))
 }
 
-func (w *fakeWorld) Start(a Attempt, _ func(Stream), _ func(AttemptResult)) {
+func (w *fakeEnvironment) Start(a Attempt, _ func(Stream), _ func(AttemptResult)) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.starts = append(w.starts, a.Backend)
 }
-func (w *fakeWorld) Cancel(dw.RequestID, int)                   {}
-func (w *fakeWorld) Retract(dw.RequestID, int)                  {}
-func (w *fakeWorld) Withdraw(Backend)                           {}
-func (w *fakeWorld) Forget(Backend)                             {}
-func (w *fakeWorld) Add(CounterCall, func(dw.Outcome, float64)) {}
-func (w *fakeWorld) Ref() uint64                                { return 0 }
-func (w *fakeWorld) Post(ledger.Posting)                        {}
-func (w *fakeWorld) Waited(q Queue, _ time.Duration)            { w.note("%v", q) }
-func (w *fakeWorld) ListApplied(v int64, _ time.Duration)       { w.note("list %d", v) }
-func (w *fakeWorld) Answered(ledger.Event)                      {}
-func (w *fakeWorld) Retried(dw.Outcome)                         {}
+func (w *fakeEnvironment) Cancel(dw.RequestID, int)                   {}
+func (w *fakeEnvironment) Retract(dw.RequestID, int)                  {}
+func (w *fakeEnvironment) Withdraw(Backend)                           {}
+func (w *fakeEnvironment) Forget(Backend)                             {}
+func (w *fakeEnvironment) Add(CounterCall, func(dw.Outcome, float64)) {}
+func (w *fakeEnvironment) Ref() uint64                                { return 0 }
+func (w *fakeEnvironment) Post(ledger.Posting)                        {}
+func (w *fakeEnvironment) Waited(q Queue, _ time.Duration)            { w.note("%v", q) }
+func (w *fakeEnvironment) ListApplied(v int64, _ time.Duration)       { w.note("list %d", v) }
+func (w *fakeEnvironment) Answered(ledger.Event)                      {}
+func (w *fakeEnvironment) Retried(dw.Outcome)                         {}
 
 // busyPlanner is a planner whose goroutine is blocked in the answer to a first request until release.
 type busyPlanner struct {
 	*Planner
-	*fakeWorld
+	*fakeEnvironment
 	release func()
 }
 
@@ -58,7 +58,7 @@
 
 func newBusyPlanner(t *testing.T, servers int) *busyPlanner {
 	t.Helper()
-	w := &fakeWorld{}
+	w := &fakeEnvironment{}
 	p, err := NewPlanner(testSettings(), 1, NewClock(), w, w, w, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
@@ -129,11 +129,11 @@
 	for p.waiting() > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	p.fakeWorld.mu.Lock()
-	defer p.fakeWorld.mu.Unlock()
-	for _, b := range p.fakeWorld.starts {
+	p.fakeEnvironment.mu.Lock()
+	defer p.fakeEnvironment.mu.Unlock()
+	for _, b := range p.fakeEnvironment.starts {
 		if b.ID != servers {
-			t.Fatalf("%d attempts, one of them at server %d, which is draining; order of events: %.300q", len(p.fakeWorld.starts), b.ID, p.events)
+			t.Fatalf("%d attempts, one of them at server %d, which is draining; order of events: %.300q", len(p.fakeEnvironment.starts), b.ID, p.events)
 		}
 	}
 }
--- a/internal/front/closing_test.go
+++ b/internal/front/closing_test.go
@@ -54,16 +54,16 @@
 	} {
 		t.Run(reason, func(t *testing.T) {
 			t.Parallel()
-			told := &closes{ended: map[string]int{}}
+			monitor := &closes{ended: map[string]int{}}
 			l := listener(t)
-			f := &Server{Listener: l, Sessions: 8, Monitor: told}
+			f := &Server{Listener: l, Sessions: 8, Monitor: monitor}
 			servingCommands(t, f, func() Commands { return c.commands })
 			conn := client(t, l, c.says)
 			if c.does != nil {
 				conn.Read(make([]byte, 1)) // it is served
 				c.does(f, conn)
 			}
-			eventually(t, "no end was told for the reason", func() bool { return told.of(reason) == 1 })
+			eventually(t, "no end was reported for the reason", func() bool { return monitor.of(reason) == 1 })
 		})
 	}
 }
--- a/internal/front/drain_test.go
+++ b/internal/front/drain_test.go
@@ -36,8 +36,8 @@
 // sending side: what they got would be lost.
 type gated struct {
 	*net.TCPConn
-	session atomic.Pointer[session]
-	wrong   atomic.Int64 // bytes
+	session    atomic.Pointer[session]
+	wrongBytes atomic.Int64 // bytes
 }
 
 func (g *gated) Read(b []byte) (int, error) {
@@ -45,7 +45,7 @@
 	closing := s != nil && s.is(stateClosing) && !s.is(stateClosed)
 	n, err := g.TCPConn.Read(b)
 	if closing {
-		g.wrong.Add(int64(n))
+		g.wrongBytes.Add(int64(n))
 	}
 	return n, err
 }
@@ -77,7 +77,7 @@
 			c, g, s, run := gatedPair(t, d)
 			run()
 			c.Write([]byte(ping))
-			eventually(t, "the command was not taken", func() bool { return d.taken.Load() == 1 })
+			eventually(t, "the command was not taken", func() bool { return d.started.Load() == 1 })
 			end(s)
 			eventually(t, "the session goes on reading", func() bool { return s.is(stateClosing) })
 			c.Write([]byte(ping + ping))
@@ -87,15 +87,15 @@
 			if got := answers(t, c); got != "+OK\r\n" {
 				t.Errorf("%q", got)
 			}
-			if n := g.wrong.Load(); n > 0 || d.taken.Load() != 1 {
-				t.Errorf("%d bytes were read, and %d commands taken", n, d.taken.Load())
+			if n := g.wrongBytes.Load(); n > 0 || d.started.Load() != 1 {
+				t.Errorf("%d bytes were read, and %d commands taken", n, d.started.Load())
 			}
 		})
 	}
 }
 
 // A client leaves while it is owed an answer and nothing is read any more: its attempt is given up.
-func TestClientLeavesWhileItsSessionCloses(t *testing.T) {
+func TestClientLeftWhileSessionCloses(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn) error{"closes": (*net.TCPConn).Close, "half-closes": (*net.TCPConn).CloseWrite} {
 		t.Run(name, func(t *testing.T) {
 			d := &slow{answer: make(chan struct{})}
@@ -103,12 +103,12 @@
 			c, _, s, run := gatedPair(t, d)
 			run()
 			c.Write([]byte(ping))
-			eventually(t, "the command was not taken", func() bool { return d.taken.Load() == 1 })
+			eventually(t, "the command was not taken", func() bool { return d.started.Load() == 1 })
 			s.drain(drainIsLate())
 			eventually(t, "the session goes on reading", func() bool { return s.is(stateClosing) })
 			c.Write([]byte(ping))
 			leave(c)
-			eventually(t, "nobody knows that the client has gone", func() bool { return d.gone.Load() == 1 })
+			eventually(t, "nobody knows that the client has gone", func() bool { return d.clientsLeft.Load() == 1 })
 		})
 	}
 }
@@ -127,17 +127,17 @@
 		}
 		sent <- n
 	}()
-	eventually(t, "the pipeline is not full", func() bool { return d.taken.Load() == maxPipelined })
+	eventually(t, "the pipeline is not full", func() bool { return d.started.Load() == maxPipelined })
 	s.drain(drainIsLate())
 	close(d.answer)
 	got, err := io.ReadAll(c)
-	if n := int64(bytes.Count(got, []byte("+OK\r\n"))); n != d.taken.Load() || err != nil && !strings.Contains(err.Error(), "reset") {
-		t.Errorf("%d answers to %d commands, %v", n, d.taken.Load(), err)
+	if n := int64(bytes.Count(got, []byte("+OK\r\n"))); n != d.started.Load() || err != nil && !strings.Contains(err.Error(), "reset") {
+		t.Errorf("%d answers to %d commands, %v", n, d.started.Load(), err)
 	}
-	if n := d.taken.Load(); n < maxPipelined || n > maxPipelined+readBuffer/int64(len(ping))+1 {
+	if n := d.started.Load(); n < maxPipelined || n > maxPipelined+readBuffer/int64(len(ping))+1 {
 		t.Errorf("%d commands were taken: not those that had been read", n)
 	}
-	if n := g.wrong.Load(); n > 0 {
+	if n := g.wrongBytes.Load(); n > 0 {
 		t.Errorf("%d bytes were read and dropped", n)
 	}
 	c.Close()
@@ -232,7 +232,7 @@
 
 // A command that was read although its time was over, as by a process that stood still, is refused and not carried out; one
 // that was read in time is not, though it has waited since.
-func TestLateCommandIsRefused(t *testing.T) {
+func TestLateCommandIsRejected(t *testing.T) {
 	for name, c := range map[string]struct {
 		times func() drainTimes
 		want  string
@@ -240,9 +240,9 @@
 		t.Run(name, func(t *testing.T) {
 			client, h, s := pair(t, refusable{}, true)
 			client.Write([]byte(ping))
-			<-h.got
+			<-h.received
 			s.drain(c.times())
-			close(h.free)
+			close(h.release)
 			if got := answers(t, client); got != c.want {
 				t.Errorf("%q, not %q", got, c.want)
 			}
@@ -250,7 +250,7 @@
 	}
 }
 
-// refusable answers whether it was told to refuse.
+// refusable answers whether it must reject.
 type refusable struct{}
 
 func (refusable) Do(_ time.Time, _ resp.Command, s *Slot) {
@@ -380,146 +380,3 @@
 		})
 	}
 }
-
-// Connections stand in the machine's queue as the gateway is drained before it is ready: they are taken in, told so, and
-// ended. A drain that ends before readiness has new ones wait again.
-func TestDrainBeforeReadiness(t *testing.T) {
-	l := &counting{listener(t), make(chan struct{}, 8)}
-	ready := make(chan struct{})
-	f := &Server{Listener: l, Sessions: 4, Ready: ready}
-	servingCommands(t, f, func() Commands { return refusable{} })
-	waiting := client(t, l, ping)
-	f.Drain(true)
-	if got := answers(t, waiting); got != "-BUSY\r\n" {
-		t.Errorf("while it is not ready: %q", got)
-	}
-	<-l.given
-	f.Drain(false)
-	held := client(t, l, ping)
-	f.mu.Lock()
-	sessions := len(f.sessions)
-	f.mu.Unlock()
-	if sessions > 1 { // the one that ended may still be leaving
-		t.Errorf("%d sessions before readiness", sessions)
-	}
-	close(ready)
-	if line, err := bufio.NewReader(held).ReadString('\n'); line != "+taken\r\n" {
-		t.Errorf("once it is ready: %q, %v", line, err)
-	}
-	held.Close()
-}
-
-// All places are taken by sessions that are owed answers as the gateway is drained: a connection that waits for a place is
-// served without one, and ended.
-func TestNoPlaceDuringADrain(t *testing.T) {
-	l := &counting{listener(t), make(chan struct{}, 8)}
-	f := &Server{Listener: l, Sessions: 1}
-	serving(t, f)
-	first := client(t, l, "*1\r\n$4\r\nWAIT\r\n")
-	<-l.given
-	second := client(t, l, ping)
-	<-l.given
-	f.Drain(true)
-	if got := answers(t, second); got != "+OK\r\n" {
-		t.Errorf("%q", got)
-	}
-	first.Close()
-}
-
-// The drain ends while connections are ending: they end, new ones stay, and a drain that follows ends those too.
-func TestDrainEndsAndBeginsAgain(t *testing.T) {
-	l := listener(t)
-	f := &Server{Listener: l, Sessions: 8}
-	d := &slow{answer: make(chan struct{})}
-	servingCommands(t, f, func() Commands { return d })
-	owed := client(t, l, ping)
-	eventually(t, "the command was not taken", func() bool { return d.taken.Load() == 1 })
-	f.Drain(true)
-	f.Drain(false)
-	next := client(t, l, ping)
-	eventually(t, "the command was not taken", func() bool { return d.taken.Load() == 2 })
-	close(d.answer)
-	if got := answers(t, owed); got != "+OK\r\n" {
-		t.Errorf("of the drain: %q", got)
-	}
-	r := bufio.NewReader(next)
-	for i := range 3 {
-		if line, err := r.ReadString('\n'); line != "+OK\r\n" {
-			t.Fatalf("after the drain, command %d: %q, %v", i, line, err)
-		}
-		if i < 2 {
-			next.Write([]byte(ping))
-		}
-	}
-	f.Drain(true)
-	if rest, err := io.ReadAll(r); len(rest) > 0 || err != nil {
-		t.Errorf("of the second drain: %q, %v", rest, err)
-	}
-}
-
-// drainBy drains a server by given times.
-func drainBy(f *Server, d drainTimes) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.drain = &d
-}
-
-// Connections that come during a drain: each ends, and what it said whole is answered.
-func TestConnectionsThatComeDuringADrain(t *testing.T) {
-	early := newDrain(time.Now().Add(patience)) // its time to take requests does not end while the test goes on
-	for name, c := range map[string]struct {
-		times      drainTimes
-		says, want string
-	}{
-		"silent":                  {early, "", ""},
-		"whole":                   {early, ping, "+taken\r\n"},
-		"half a command":          {newDrain(time.Now()), ping[:9], ""},
-		"late and silent":         {drainIsLate(), "", ""},
-		"late and whole":          {drainIsLate(), ping, "-BUSY\r\n"},
-		"late and half a command": {drainIsLate(), ping[:9], ""},
-	} {
-		t.Run(name, func(t *testing.T) {
-			t.Parallel()
-			l := listener(t)
-			f := &Server{Listener: l, Sessions: 8}
-			servingCommands(t, f, func() Commands { return refusable{} })
-			drainBy(f, c.times)
-			if got := answers(t, client(t, l, c.says)); got != c.want {
-				t.Errorf("%q, not %q", got, c.want)
-			}
-		})
-	}
-}
-
-// Twenty connections in each of the states that a client can hold one in, ended at once by a drain: none is left.
-func TestDrainLeavesNoConnection(t *testing.T) {
-	l := listener(t)
-	f := &Server{Listener: l, Sessions: 200}
-	servingCommands(t, f, func() Commands { return refusable{} })
-	var conns []net.Conn
-	for i := range 60 {
-		conns = append(conns, client(t, l, []string{"", ping, ping[:5]}[i%3]))
-	}
-	eventually(t, "not all are taken in", func() bool {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		taken := 0
-		for s := range f.sessions {
-			s.mu.Lock()
-			taken += s.commandsRead
-			s.mu.Unlock()
-		}
-		return len(f.sessions) == len(conns) && taken == len(conns)/3
-	})
-	f.Drain(true)
-	for i, c := range conns {
-		if got := answers(t, c); i%3 == 1 && got != "+taken\r\n" || i%3 != 1 && got != "" {
-			t.Errorf("connection %d: %q", i, got)
-		}
-	}
-	eventually(t, "connections are left", func() bool {
-		f.mu.Lock()
-		defer f.mu.Unlock()
-		return len(f.sessions) == 0
-	})
-}
--- a/internal/front/ending_test.go
+++ b/internal/front/ending_test.go
@@ -24,36 +24,36 @@
 
 const ping = "*1\r\n$4\r\nPING\r\n"
 
-// held is the server's end of a connection on which what was read can be held back: it has left the machine's buffers, and
+// bufferedConn is the server's end of a connection on which what was read can be held back: it has left the machine's buffers, and
 // the session does not have it yet.
-type held struct {
+type bufferedConn struct {
 	*net.TCPConn
-	got  chan int      // bytes were read, and are held
-	free chan struct{} // closed: nothing is held any more
+	received chan int      // bytes were read, and are held
+	release  chan struct{} // closed: nothing is held any more
 }
 
-func (h *held) Read(b []byte) (int, error) {
+func (h *bufferedConn) Read(b []byte) (int, error) {
 	n, err := h.TCPConn.Read(b)
 	if n > 0 {
 		select {
-		case h.got <- n:
-		case <-h.free:
+		case h.received <- n:
+		case <-h.release:
 		}
-		<-h.free
+		<-h.release
 	}
 	return n, err
 }
 
-// slow answers each command once it is told to, and counts them.
+// slow answers each command when the test says so, and counts them.
 type slow struct {
-	answer chan struct{} // one answer each; closed: all at once
-	taken  atomic.Int64
-	gone   atomic.Int64
+	answer      chan struct{} // one answer each; closed: all at once
+	started     atomic.Int64
+	clientsLeft atomic.Int64
 }
 
 func (c *slow) Do(_ time.Time, _ resp.Command, s *Slot) {
-	c.taken.Add(1)
-	s.OnClientLeft(func() { c.gone.Add(1) })
+	c.started.Add(1)
+	s.OnClientLeft(func() { c.clientsLeft.Add(1) })
 	go func() {
 		<-c.answer
 		s.Fill(resp.AppendStatus(nil, "OK"))
@@ -74,12 +74,12 @@
 }
 
 // pair is a client's connection and the session at its other end.
-func pair(t *testing.T, c Commands, hold bool) (*net.TCPConn, *held, *session) {
+func pair(t *testing.T, c Commands, hold bool) (*net.TCPConn, *bufferedConn, *session) {
 	t.Helper()
 	client, far := connected(t)
-	h := &held{far, make(chan int), make(chan struct{})}
+	h := &bufferedConn{far, make(chan int), make(chan struct{})}
 	if !hold {
-		close(h.free)
+		close(h.release)
 	}
 	s := newSession(h, c, NewBounds(64<<20))
 	var over sync.WaitGroup
@@ -113,15 +113,15 @@
 func drainNow(s *session) { s.drain(newDrain(time.Now())) }
 
 // A command that has been read as a session at rest is asked to end is served, whoever asks.
-func TestCommandIsReadAsTheSessionIsAskedToEnd(t *testing.T) {
+func TestCommandThatCrossesTheEndIsServed(t *testing.T) {
 	for name, ask := range map[string]func(*session){"for room": (*session).evict, "at the end": (*session).stop,
 		"by a drain": drainNow} {
 		t.Run(name, func(t *testing.T) {
 			c, h, s := pair(t, echo{}, true)
 			c.Write([]byte(ping))
-			<-h.got
+			<-h.received
 			ask(s)
-			close(h.free)
+			close(h.release)
 			r := bufio.NewReader(c)
 			if line, err := r.ReadString('\n'); line != "+OK\r\n" {
 				t.Errorf("%q, %v", line, err)
@@ -136,7 +136,7 @@
 	d := &slow{answer: make(chan struct{})}
 	c, _, s := pair(t, d, false)
 	c.Write([]byte(ping + ping))
-	eventually(t, "the commands were not taken", func() bool { return d.taken.Load() == 2 })
+	eventually(t, "the commands were not taken", func() bool { return d.started.Load() == 2 })
 	s.stop()
 	eventually(t, "the session goes on taking", func() bool {
 		s.mu.Lock()
@@ -148,7 +148,7 @@
 	if got := answers(t, c); got != "+OK\r\n+OK\r\n" {
 		t.Errorf("%q", got)
 	}
-	if n := d.taken.Load(); n != 2 {
+	if n := d.started.Load(); n != 2 {
 		t.Errorf("%d commands were taken, want 2", n)
 	}
 }
@@ -159,9 +159,9 @@
 	close(d.answer)
 	c, h, s := pair(t, d, true)
 	c.Write([]byte(ping + ping + ping))
-	<-h.got
+	<-h.received
 	s.stop()
-	close(h.free)
+	close(h.release)
 	if got := answers(t, c); got != "+OK\r\n+OK\r\n+OK\r\n" {
 		t.Errorf("%q", got)
 	}
@@ -214,7 +214,7 @@
 
 // A client that sent more than is taken at once, and left, is known to have gone while what it sent is unread: what waits
 // is given up, and nothing more of it is taken.
-func TestClientLeavesBehindAFullPipeline(t *testing.T) {
+func TestClientLeftBehindAFullPipeline(t *testing.T) {
 	for name, leave := range map[string]func(*net.TCPConn) error{"closes": (*net.TCPConn).Close, "half-closes": (*net.TCPConn).CloseWrite} {
 		t.Run(name, func(t *testing.T) {
 			d := &slow{answer: make(chan struct{})}
@@ -223,45 +223,45 @@
 			for range 3 * maxPipelined {
 				c.Write([]byte(ping))
 			}
-			eventually(t, "the pipeline is not full", func() bool { return d.taken.Load() == maxPipelined })
+			eventually(t, "the pipeline is not full", func() bool { return d.started.Load() == maxPipelined })
 			leave(c)
-			eventually(t, "nobody knows that the client has gone", func() bool { return d.gone.Load() == maxPipelined })
-			if n := d.taken.Load(); n != maxPipelined {
+			eventually(t, "nobody knows that the client has gone", func() bool { return d.clientsLeft.Load() == maxPipelined })
+			if n := d.started.Load(); n != maxPipelined {
 				t.Errorf("%d commands were taken, want %d", n, maxPipelined)
 			}
 		})
 	}
 }
 
-// queue is a listener whose first connection stands in the machine's queue until the listener is told to end.
+// queue is a listener whose first connection stands in the machine's queue until the listener gets its last deadline.
 type queue struct {
 	*net.TCPListener
-	fault       error // of the first try to take it, if any
-	told, taken chan struct{}
-	tell, once  sync.Once
+	fault                 error // of the first try to take it, if any
+	deadlineSet, accepted chan struct{}
+	tell, once            sync.Once
 }
 
 func (q *queue) Accept() (net.Conn, error) {
-	<-q.told
+	<-q.deadlineSet
 	if err := q.fault; err != nil {
 		q.fault = nil
 		return nil, err
 	}
 	c, err := q.TCPListener.Accept()
-	q.once.Do(func() { close(q.taken) })
+	q.once.Do(func() { close(q.accepted) })
 	return c, err
 }
 
 func (q *queue) SetDeadline(at time.Time) error {
-	q.tell.Do(func() { close(q.told) })
-	<-q.taken
+	q.tell.Do(func() { close(q.deadlineSet) })
+	<-q.accepted
 	return q.TCPListener.SetDeadline(at)
 }
 
 func (q *queue) Close() error {
 	err := q.TCPListener.Close()
-	q.tell.Do(func() { close(q.told) })
-	q.once.Do(func() { close(q.taken) })
+	q.tell.Do(func() { close(q.deadlineSet) })
+	q.once.Do(func() { close(q.accepted) })
 	return err
 }
 
@@ -319,7 +319,7 @@
 func TestConnectionInTheQueueAtTheEnd(t *testing.T) {
 	for name, fault := range map[string]error{"at once": nil, "descriptors are short": syscall.EMFILE} {
 		t.Run(name, func(t *testing.T) {
-			q := &queue{TCPListener: listener(t), fault: fault, told: make(chan struct{}), taken: make(chan struct{})}
+			q := &queue{TCPListener: listener(t), fault: fault, deadlineSet: make(chan struct{}), accepted: make(chan struct{})}
 			stop := serving(t, &Server{Listener: q, Sessions: 4})
 			c := client(t, q, ping)
 			stop()
@@ -369,17 +369,17 @@
 }
 
 // A client leaves while a command of its waits behind a pause: it is not taken any more.
-func TestClientLeavesDuringAPause(t *testing.T) {
+func TestClientLeftDuringAPause(t *testing.T) {
 	d := &refusing{slow{answer: make(chan struct{})}}
 	defer close(d.answer)
 	c, h, s := pair(t, d, true)
 	c.Write([]byte("*1\r\n$3\r\nBAD\r\n" + ping))
-	<-h.got
+	<-h.received
 	c.Close()
 	eventually(t, "the machine does not tell that the client has gone", func() bool { return hungUp(h) })
-	close(h.free)
+	close(h.release)
 	eventually(t, "the session does not end", func() bool { return s.ctx.Err() != nil })
-	if n := d.taken.Load(); n != 0 {
+	if n := d.started.Load(); n != 0 {
 		t.Errorf("%d commands were taken for nobody", n)
 	}
 }
--- a/internal/front/fate_test.go
+++ b/internal/front/fate_test.go
@@ -13,10 +13,10 @@
 // half is a client's connection that takes so many bytes and then breaks in the middle of a write.
 type half struct {
 	net.Conn
-	in     chan []byte
-	room   int
-	mu     sync.Mutex
-	closed bool
+	in       chan []byte
+	capacity int
+	mu       sync.Mutex
+	closed   bool
 }
 
 func (h *half) Read(b []byte) (int, error) {
@@ -30,8 +30,8 @@
 func (h *half) Write(b []byte) (int, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	n := min(len(b), h.room)
-	if h.room -= n; n < len(b) {
+	n := min(len(b), h.capacity)
+	if h.capacity -= n; n < len(b) {
 		return n, errors.New("broken")
 	}
 	return n, nil
@@ -75,9 +75,9 @@
 }
 
 // Five commands are answered out of order and in one write, of which the client takes 25 bytes: two answers of ten and
-// half of a third. Each slot is told its fate once: an answer counts as written only with its last byte.
+// half of a third. Each fate is reported once: an answer counts as written only with its last byte.
 func TestFates(t *testing.T) {
-	conn := &half{in: make(chan []byte, 1), room: 25}
+	conn := &half{in: make(chan []byte, 1), capacity: 25}
 	k := &keep{fates: map[int][]Fate{}, all: make(chan struct{}), want: 5}
 	s := newSession(conn, k, NewBounds(32<<20))
 	over := make(chan struct{})
@@ -93,7 +93,7 @@
 		k.slots[i].Fill(answer)
 	}
 	<-over
-	k.slots[4].Fill(answer) // too late: it has been told
+	k.slots[4].Fill(answer) // too late: its fate is reported
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for i, want := range []Fate{Written, Written, Cut, Cut, Gone} {
--- a/internal/front/hangup_test.go
+++ b/internal/front/hangup_test.go
@@ -41,7 +41,7 @@
 			c, _, s := pair(t, d, false)
 			next := wait(t, s)
 			c.Write([]byte(ping))
-			eventually(t, "the request is not taken", func() bool { return d.taken.Load() == 1 })
+			eventually(t, "the request is not taken", func() bool { return d.started.Load() == 1 })
 			c.Write([]byte(next))
 			eventually(t, "the session still reads", func() bool {
 				s.mu.Lock()
@@ -50,7 +50,7 @@
 			})
 			closed := time.Now()
 			c.Close()
-			for d.gone.Load() == 0 && time.Since(closed) < time.Second {
+			for d.clientsLeft.Load() == 0 && time.Since(closed) < time.Second {
 				time.Sleep(time.Millisecond)
 			}
 			if elapsed := time.Since(closed); elapsed > hangUpTerm+hangUpSlack {
--- a/internal/front/lifecycle_test.go
+++ b/internal/front/lifecycle_test.go
@@ -27,7 +27,7 @@
 }
 
 // Whatever happens to a connection, in whatever order: its state never goes back, its times never move later once it
-// drains, nothing is read after its time, and a connection that was told to drain and is owed nothing is gone in time.
+// drains, nothing is read after its time, and a draining connection that is owed nothing is closed in time.
 func TestLifecycleHoldsItsTimes(t *testing.T) {
 	const seed, worlds, steps = 20261202, 20_000, 20
 	t.Logf("seed %d", seed)
--- a/internal/front/send_test.go
+++ b/internal/front/send_test.go
@@ -10,9 +10,9 @@
 // filling is a connection whose buffer takes a little of the first write, and nothing after; each wait ends at once.
 type filling struct {
 	net.Conn
-	room  int
-	until time.Time
-	waits []time.Duration // how long each write was given
+	capacity int
+	until    time.Time
+	waits    []time.Duration // how long each write was given
 }
 
 func (f *filling) SetWriteDeadline(t time.Time) error {
@@ -22,14 +22,14 @@
 
 func (f *filling) Write(b []byte) (int, error) {
 	f.waits = append(f.waits, time.Until(f.until))
-	n := min(f.room, len(b))
-	f.room -= n
+	n := min(f.capacity, len(b))
+	f.capacity -= n
 	return n, os.ErrDeadlineExceeded
 }
 
 // A client that reads nothing is given up after its time and one look more, though its machine took a little at first.
 func TestClientThatReadsNothingHasItsTimeOnce(t *testing.T) {
-	c := &filling{room: 10}
+	c := &filling{capacity: 10}
 	s := &session{conn: c}
 	if n, err := s.send(make([]byte, 100)); n != 10 || err == nil {
 		t.Errorf("%d, %v", n, err)
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -77,8 +77,8 @@
 
 func TestState(t *testing.T) {
 	var s State
-	var told []bool
-	s.Watch(func(on bool) { told = append(told, on) })
+	var notified []bool
+	s.Watch(func(on bool) { notified = append(notified, on) })
 	if s.Ready() {
 		t.Fatal("ready before the start")
 	}
@@ -93,13 +93,13 @@
 		t.Fatal("not ready after the drain")
 	}
 	s.End()
-	if s.Ready() || len(told) != 2 || !told[0] || told[1] {
-		t.Fatalf("%v %v", s.Ready(), told)
+	if s.Ready() || len(notified) != 2 || !notified[0] || notified[1] {
+		t.Fatalf("%v %v", s.Ready(), notified)
 	}
 }
 
 // Operators and the gateway itself may drain it, in any order: it is drained as long as either does, and those that watch
-// are told of each change once.
+// are notified of each change once.
 func TestDrainsOfTwo(t *testing.T) {
 	steps := map[string]func(*State){
 		"operators drain": func(s *State) { s.Drain(true) }, "operators end": func(s *State) { s.Drain(false) },
@@ -116,13 +116,13 @@
 		{[]string{"operators end", "it ends"}, nil},
 	} {
 		var s State
-		var told []bool
-		s.Watch(func(on bool) { told = append(told, on) })
+		var notified []bool
+		s.Watch(func(on bool) { notified = append(notified, on) })
 		for _, step := range c.order {
 			steps[step](&s)
 		}
-		if !slices.Equal(told, c.want) || s.Drained() != (len(c.want)%2 == 1) {
-			t.Errorf("%q: told %v, drained %v, not %v", c.order, told, s.Drained(), c.want)
+		if !slices.Equal(notified, c.want) || s.Drained() != (len(c.want)%2 == 1) {
+			t.Errorf("%q: notified %v, drained %v, not %v", c.order, notified, s.Drained(), c.want)
 		}
 	}
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -71,7 +71,7 @@
 	return err
 }
 
-func TestFaultsAreTold(t *testing.T) {
+func TestFaultsAreReported(t *testing.T) {
 	b, err := snapshot.Encode(nil, snapshot.Generation{Incarnation: 1}, image(3, 1))
 	if err != nil {
 		t.Fatal(err)
@@ -150,7 +150,7 @@
 
 // Two processes that write in the same second write two files; the newer life wins, whatever comes last, and a file that
 // is not whole gives way to the one before it.
-func TestLivesAndGenerations(t *testing.T) {
+func TestIncarnationsAndGenerations(t *testing.T) {
 	dir := t.TempDir()
 	if f, err := snapshot.Latest(dir, "n1"); err != nil || f.Image != nil || len(f.Rejected) > 0 {
 		t.Fatal(f, err)
@@ -231,11 +231,11 @@
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		var said snapshot.Generation
+		var reported snapshot.Generation
 		lines := bufio.NewScanner(out)
 		after := 1 + rng.IntN(12)
 		for lines.Scan() {
-			if n, _ := fmt.Sscanf(lines.Text(), "wrote %d %d", &said.Incarnation, &said.Number); n == 2 && said.Number == uint64(after) {
+			if n, _ := fmt.Sscanf(lines.Text(), "wrote %d %d", &reported.Incarnation, &reported.Number); n == 2 && reported.Number == uint64(after) {
 				time.Sleep(time.Duration(rng.IntN(3000)) * time.Microsecond)
 				cmd.Process.Kill()
 			}
@@ -245,8 +245,8 @@
 		if err != nil || f.Image == nil || len(f.Rejected) > 0 {
 			t.Fatalf("kill %d: %+v, %v", kill, f, err)
 		}
-		if said.Number < uint64(after) || f.Incarnation != said.Incarnation || f.Number < said.Number {
-			t.Fatalf("kill %d: found %+v, where %+v was on the disk", kill, f.Generation, said)
+		if reported.Number < uint64(after) || f.Incarnation != reported.Incarnation || f.Number < reported.Number {
+			t.Fatalf("kill %d: found %+v, where %+v was on the disk", kill, f.Generation, reported)
 		}
 		want := float64(f.Incarnation*1e6 + f.Number)
 		for _, c := range f.Image.State.Customers {
