--- a/account.go
+++ b/account.go
@@ -3,7 +3,7 @@
 const (
 	maxCounterTTL       = 60 * second // the counter forgets a name after that
 	windowBursts        = 2.0         // a window fills so many bursts: a blocked customer waits for its end
-	callsPerWindow      = 4           // ordinary calls, and the least time-outs in a window
+	callsPerWindow      = 4           // ordinary calls in a window, which lasts as many time-outs at least
 	accountExpiryPeriod = 5 * second  // between two searches for idle accounts
 )
 
--- a/account_test.go
+++ b/account_test.go
@@ -6,19 +6,18 @@
 	dw "dewhitch"
 )
 
-// A customer that comes back after its account was dropped is treated as a new one, and no better.
+// A customer whose account has expired is treated as a new one.
 func TestIdleAccountsExpire(t *testing.T) {
 	b := newHarness(t, settings(), dw.Endpoint{ID: 7})
 	for range 2 {
 		if in := b.serve(20, ms, dw.Arrival{Customer: 1}); in < 5 || in > 6 {
-			t.Errorf("%d let in at once", in)
+			t.Errorf("%d admitted at once", in)
 		}
 		b.advance(150 * sec)
 	}
 }
 
-// Many customers come only once: accounts that nothing is owed to or known of go with their windows, so that a long
-// day holds no more of them than a short one.
+// Accounts of customers that come once expire, so that a long day holds no more of them than a short one.
 func TestAccountsOfOneTimeCustomersExpire(t *testing.T) {
 	b := newHarness(t, settings(), dw.Endpoint{ID: 7})
 	for i := range 400 {
--- a/admission.go
+++ b/admission.go
@@ -39,7 +39,7 @@
 // on. The rules, in their order:
 //
 //  1. validity (checkValid);
-//  2. the quota, less what is reserved for higher priorities, checked with the counter if need be (checkQuota);
+//  2. the quota, less what is reserved for higher priorities; by the counter if need be (checkQuota);
 //  3. the hard ceiling (hardCeiling.check), and whether the request may go beyond the quota (combine);
 //  4. the capacity of the servers (loadShedder.checkCapacity); units alone need none.
 //
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -6,7 +6,7 @@
 	dw "dewhitch"
 )
 
-// Where only slow servers are left for a while, the others are not taken for slow when they are back.
+// The estimates of servers that were draining do not follow the mean of the slow servers that were left.
 func TestReturningServersAreNotTakenForSlow(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
@@ -32,8 +32,8 @@
 	}
 }
 
-// A gateway that sees little of the servers draws them by lot. Where the lot falls on a slow one, the request goes to
-// another: what one server can't do in time is no reason to refuse.
+// A gateway that sees little of the servers chooses at random. Where that falls on a slow server, the request goes to
+// another and is not rejected.
 func TestRandomChoiceAvoidsSlowServers(t *testing.T) {
 	s := manyGateways()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
@@ -42,11 +42,11 @@
 		servers = append(servers, dw.Endpoint{ID: dw.ServerID(i)})
 	}
 	b := newHarness(t, s, servers...)
-	refused := 0
+	rejected := 0
 	for range 600 {
 		id, ok := b.request(dw.Arrival{})
 		if !ok {
-			refused++
+			rejected++
 		} else {
 			e := dw.AttemptEnded{Request: id, Server: b.attempts[len(b.attempts)-1].Server, Final: true, Latency: 20 * ms}
 			if e.Server < 2 {
@@ -57,7 +57,7 @@
 		}
 		b.advance(50 * ms)
 	}
-	if refused > 0 {
-		t.Errorf("%d of 600 refused beside eighteen idle servers", refused)
+	if rejected > 0 {
+		t.Errorf("%d of 600 rejected beside eighteen idle servers", rejected)
 	}
 }
--- a/counter_sync.go
+++ b/counter_sync.go
@@ -29,7 +29,7 @@
 
 	unconfirmed []*request // counterFirst requests whose units are on the tally or on their way
 	queries     []*request // limit queries and give-backs that wait for the next call
-	sentQueries []*request // and for the one that is out
+	sentQueries []*request // those that wait for the call that is out, or waited for the last one
 }
 
 // counterSync pushes tallies to the shared counter and reads its totals. Calls are rate limited by the
--- a/counter_sync_test.go
+++ b/counter_sync_test.go
@@ -7,14 +7,14 @@
 	dw "dewhitch"
 )
 
-// A counter that is silent, refuses or forgets gives neither free passage nor a wall.
+// With a counter that is silent, rejects calls or loses its state a customer gets about its quota: no more, and not nothing.
 func TestCounterFaults(t *testing.T) {
 	timeout := func(dw.CounterAdd) *dw.CounterAnswered { return nil }
-	refuse := func(c dw.CounterAdd) *dw.CounterAnswered {
+	reject := func(c dw.CounterAdd) *dw.CounterAnswered {
 		return &dw.CounterAnswered{Name: c.Name, Outcome: dw.OutcomeRejected}
 	}
 	forget := func(c dw.CounterAdd) *dw.CounterAnswered { return &dw.CounterAnswered{Name: c.Name, Total: c.Add} }
-	for name, answer := range map[string]func(dw.CounterAdd) *dw.CounterAnswered{"silent": timeout, "refusing": refuse,
+	for name, answer := range map[string]func(dw.CounterAdd) *dw.CounterAnswered{"silent": timeout, "rejecting": reject,
 		"forgetting": forget} {
 		for _, heavy := range []bool{false, true} {
 			b := newHarness(t, settings(), dw.Endpoint{ID: 7})
@@ -25,10 +25,10 @@
 			}
 			in := b.serve(n, d, dw.Arrival{Customer: 1, Spread: 2})
 			if !heavy && in < n {
-				t.Errorf("%s: a calm customer is let in %d of %d times", name, in, n)
+				t.Errorf("%s: a calm customer is admitted %d of %d times", name, in, n)
 			}
 			if heavy && (in < 30 || in > 68) { // from half the rate for 30 s, to all of it and a burst
-				t.Errorf("%s: a heavy customer is let in %d times", name, in)
+				t.Errorf("%s: a heavy customer is admitted %d times", name, in)
 			}
 			if calls := float64(len(b.calls)); calls > 1.2*float64(n)+20 {
 				t.Errorf("%s: %v calls for %d requests", name, calls, n)
@@ -37,7 +37,8 @@
 	}
 }
 
-// First scores at full size: each of many gateways let the first request of a customer in, whatever the total.
+// Where a gateway's part of the burst is below one request, a request is admitted by the counter's total: otherwise each
+// of many gateways admits a customer's first request.
 func TestCustomerOfSmallBurstIsCountedFirst(t *testing.T) {
 	for total, want := range map[float64]bool{1: true, 9: true, 10: false, 500: false} { // a burst and a half
 		b := newHarness(t, manyGateways(), dw.Endpoint{ID: 7})
@@ -53,7 +54,7 @@
 	}
 }
 
-// A request that waits for a silent counter goes on at its time-out, or ends before a short patience does.
+// A request that waits for a silent counter is decided at the call's time-out, or at its own deadline if that is earlier.
 func TestUnconfirmedRequestIsAnswered(t *testing.T) {
 	for remaining, sent := range map[dw.Span]int{800 * ms: 1, 20 * ms: 0} {
 		b := newHarness(t, manyGateways(), dw.Endpoint{ID: 7})
@@ -66,7 +67,7 @@
 	}
 }
 
-// A long way to the counter is no line at it: calls keep their pace while their answers take as long as ever.
+// A counter that is far away is not overloaded: the call rate stays while latency does.
 func TestDistanceOfTheCounterIsNotQueueing(t *testing.T) {
 	b := newHarness(t, settings(), dw.Endpoint{ID: 1})
 	add := b.counter
@@ -83,7 +84,7 @@
 	}
 }
 
-// Where calls to the counter are short, those whose room goes down quickly are told of first: the others can wait.
+// Where the call rate is short, customers whose quota is used up quickly are called for first.
 func TestScarceCallsGoToCustomersNearTheirQuota(t *testing.T) {
 	s := settings()
 	s.Plans = append(s.Plans, dw.Plan{Rate: 20, Burst: 100, WeightFactor: 1, OverQuotaCost: 1})
@@ -109,7 +110,7 @@
 	}
 }
 
-// A listed customer waits out its window, so that is no longer than it needs to be: two bursts.
+// A blocked customer waits for its window's end, so windows last two bursts and no longer.
 func TestWindowsOfTwoBursts(t *testing.T) {
 	b := newHarness(t, settings(), dw.Endpoint{ID: 1})
 	b.serve(240, 100*ms, dw.Arrival{Customer: 1})
--- a/dedup_window_test.go
+++ b/dedup_window_test.go
@@ -12,7 +12,7 @@
 // and the repeat stays open past it. Why: the window bounded when a repeat began, and nothing ended one but the request's own
 // deadline, which may be later. What showed it: on every one of these 12 random schedules an attempt was out beyond the window of
 // another ("attempt 1 of r189 is out 153 ms after attempt 0 began, and servers forget that after 150 ms"), among them first
-// attempts that a hedged one had overtaken. Mended in repeat_window.go.
+// attempts that a hedged one had overtaken. Mended in dedup_window.go.
 //
 // An attempt that is out must not outlast the window of any other that may have run, whether it is the repeat or the one that was
 // repeated.
--- a/example_test.go
+++ b/example_test.go
@@ -27,12 +27,12 @@
 			case dw.StartAttempt:
 				fmt.Println(a.Request, "goes to server", a.Server)
 			case dw.Reject:
-				fmt.Println(a.Request, "is refused")
+				fmt.Println(a.Request, "is rejected")
 			}
 		}
 	}
 	// Output:
 	// a goes to server 7
 	// b goes to server 7
-	// c is refused
+	// c is rejected
 }
--- a/gateway_test.go
+++ b/gateway_test.go
@@ -24,7 +24,7 @@
 	for name, a := range map[string]dw.Arrival{"no time left": {Remaining: -1}, "no such class": {Class: 9},
 		"no such plan": {Plan: -1}} {
 		if id, _ := b.request(a); b.answers[id] == nil {
-			t.Errorf("%s: not refused", name)
+			t.Errorf("%s: not rejected", name)
 		}
 	}
 	if id, _ := newHarness(t, settings()).request(dw.Arrival{}); id == "" {
@@ -33,7 +33,7 @@
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
 	if in := newHarness(t, s, dw.Endpoint{ID: 7}).serve(50, ms, dw.Arrival{}); in != 50 {
-		t.Errorf("a plan with no quota lets in %d of 50", in)
+		t.Errorf("a plan with no quota admits %d of 50", in)
 	}
 }
 
--- a/harness_test.go
+++ b/harness_test.go
@@ -115,7 +115,7 @@
 	}
 }
 
-// request sends one request in and returns its id and whether an attempt started.
+// request has one request arrive and returns its identifier and whether an attempt started.
 func (b *harness) request(a dw.Arrival) (dw.RequestID, bool) {
 	b.lastID++
 	a.ID = dw.RequestID(fmt.Sprint("q", b.lastID))
@@ -133,7 +133,7 @@
 	return a.ID, len(b.attempts) > n
 }
 
-// serve asks for n requests d apart, answers each at once, and returns how many were let in.
+// serve has n requests arrive d apart, answers each at once, and returns how many were admitted.
 func (b *harness) serve(n int, d dw.Span, a dw.Arrival) (in int) {
 	for range n {
 		id, ok := b.request(a)
@@ -147,7 +147,7 @@
 	return in
 }
 
-// manyGateways are the settings of one gateway of very many, where a share of a store is under one request.
+// manyGateways are the settings of one gateway of very many, whose even part of a burst is below one request.
 func manyGateways() dw.Settings {
 	s := settings()
 	s.Instances, s.ParallelAttempts = 100, true
--- a/hedging_test.go
+++ b/hedging_test.go
@@ -6,8 +6,8 @@
 	dw "dewhitch"
 )
 
-// Incident of opnames-brabant, first score: a slow request on a server that answers others was cut off and sent
-// again, and the repeats made the overload. A silent server is another matter.
+// An attempt that is slow on a server that answers others is not hedged: hedging made the overload worse (incident of
+// opnames-brabant). One on a silent server is.
 func TestOnlySilentServersAreHedged(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		b := newHarness(t, settings(), dw.Endpoint{ID: 7})
@@ -29,9 +29,8 @@
 	}
 }
 
-// Report L2da371: of 353 gateways each sent a server something once in seconds, so every slow answer was taken for
-// silence and asked for a copy, and the copies made all slower. A server that is silent while others answer in no
-// time is still moved away from.
+// Where gateways send to each server seldom, every slow answer looks like silence, and hedging made all servers slower
+// (report L2da371): nothing is hedged while all are slow. A server that is silent while others are quick is.
 func TestNoHedgingWhenAllAreSlow(t *testing.T) {
 	for latency, want := range map[dw.Span]struct{ min, max int }{250 * ms: {0, 5}, 10 * ms: {10, 40}} {
 		s := manyGateways()
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -9,7 +9,7 @@
 	dw "dewhitch"
 )
 
-// simulation feeds several gateways seeded random legal events and checks the rules from outside, by its own books.
+// simulation feeds several gateways seeded random legal events and checks the invariants from outside, by its own records.
 type simulation struct {
 	t        *testing.T
 	rng      *rand.Rand
@@ -81,12 +81,12 @@
 	for _, a := range acts {
 		w.carryOut(g, a)
 	}
-	for c, said := range g.tally {
+	for c, announced := range g.tally {
 		if len(acts) == 0 {
 			break
 		}
-		if held, known := g.Tally(c); known && math.Abs(held-said) > 1e-6 {
-			w.t.Fatalf("customer %d has %v on the tally, after %v was drawn and not told", c, held, said)
+		if tally, known := g.Tally(c); known && math.Abs(tally-announced) > 1e-6 {
+			w.t.Fatalf("customer %d has %v on the tally, after %v was drawn and not told", c, tally, announced)
 		} else if !known {
 			delete(g.tally, c)
 		}
@@ -95,7 +95,7 @@
 
 func (w *simulation) carryOut(g *simulatedGateway, a dw.Action) {
 	t := w.t
-	final := func(id dw.RequestID, refused bool) {
+	final := func(id dw.RequestID, rejected bool) {
 		r := g.requests[id]
 		if r == nil || r.final > 0 {
 			t.Fatalf("rule 1: %T for %s, which is unknown or had a final answer", a, id)
@@ -107,9 +107,9 @@
 		r.finished, r.owed = true, false
 		class := w.settings.Classes[r.arrival.Class]
 		for _, k := range r.attempts {
-			if refused && k.mayHaveRun() && (class.Idempotency == dw.NotIdempotent ||
+			if rejected && k.mayHaveRun() && (class.Idempotency == dw.NotIdempotent ||
 				class.Idempotency == dw.IdempotentByKey && class.DedupScope != dw.DedupAll) {
-				t.Fatalf("rule 2: %s refused though an attempt may have run", id)
+				t.Fatalf("rule 2: %s rejected though an attempt may have run", id)
 			}
 		}
 	}
@@ -123,8 +123,8 @@
 	case dw.TallyChanged:
 		g.tally[a.Customer] += a.Units
 	case dw.CounterAdd:
-		if said := g.tally[a.Customer]; math.Abs(said-a.Add) > 1e-6 {
-			t.Fatalf("customer %d: %v is told, after %v was drawn", a.Customer, a.Add, said)
+		if announced := g.tally[a.Customer]; math.Abs(announced-a.Add) > 1e-6 {
+			t.Fatalf("customer %d: %v is told, after %v was drawn", a.Customer, a.Add, announced)
 		}
 		g.tally[a.Customer], g.calls[a.Name] = 0, a
 		outcome, total := dw.OutcomeOK, 0.0
@@ -207,17 +207,17 @@
 	if a.Timeout > 0 {
 		limit = min(limit, a.Timeout)
 	}
-	took, outcome := dw.Span(w.rng.ExpFloat64()*80e6)+1e6, dw.OutcomeOK
+	duration, outcome := dw.Span(w.rng.ExpFloat64()*80e6)+1e6, dw.OutcomeOK
 	if a.Server%4 == 0 && w.now/1e9%7 < 3 { // hangs now and then
-		took = 1 << 40
+		duration = 1 << 40
 	} else if w.rng.IntN(8) == 0 {
 		outcome = []dw.Outcome{dw.OutcomeError, dw.OutcomeRejected, dw.OutcomeConnectFailed, dw.OutcomeReset,
 			dw.OutcomeNotSent}[w.rng.IntN(5)]
 	}
-	if took > limit {
-		took, outcome = limit, dw.OutcomeTimeout
+	if duration > limit {
+		duration, outcome = limit, dw.OutcomeTimeout
 	}
-	w.schedule(g, took, pendingOutcome{request: r, attempt: len(r.attempts) - 1, outcome: outcome})
+	w.schedule(g, duration, pendingOutcome{request: r, attempt: len(r.attempts) - 1, outcome: outcome})
 }
 
 // pendingOutcome is an outcome under way. It travels with the events, but is never handed to a gateway.
--- a/latency_estimate_test.go
+++ b/latency_estimate_test.go
@@ -8,7 +8,7 @@
 )
 
 // Sites differ in how long their classes take and wait. A gateway that sees little of each must soon find out what a class
-// takes, and must not refuse for good what it has taken for larger than it is: a class of short waits was served a fifth
+// takes, and must not reject for good what it has taken for larger than it is: a class of short waits was served a fifth
 // of the time where it was begun with a guess from the shortest aim, and servers at ease passed for as fast as the least
 // that a few scattered answers had ever told.
 func TestClassSizeFromFewSamples(t *testing.T) {
--- a/limit_answers_test.go
+++ b/limit_answers_test.go
@@ -44,13 +44,13 @@
 	if !ok || l.Remaining >= 1 || l.Limit != 6 || l.ReplenishedAfter <= 0 || l.ReplenishedAfter > 10*sec {
 		t.Errorf("over the quota: %+v", l)
 	}
-	// The advice holds: when the time has come, one more is let in, and not before.
+	// The advice holds: when the time has come, one more is admitted, and not before.
 	if in := b.serve(1, ms, dw.Arrival{Customer: 1}); in != 0 {
-		t.Error("let in before the time")
+		t.Error("admitted before the time")
 	}
 	b.advance(l.ReplenishedAfter + 200*ms)
 	if in := b.serve(1, ms, dw.Arrival{Customer: 1}); in != 1 {
-		t.Error("not let in when the time has come")
+		t.Error("not admitted when the time has come")
 	}
 }
 
@@ -160,7 +160,7 @@
 	}
 }
 
-// Who is refused under the ceiling is told when the ceiling has room again, and is let in then.
+// Who is rejected under the ceiling is told when the ceiling has room again, and is admitted then.
 func TestCeilingRetryAfter(t *testing.T) {
 	s := settings()
 	s.MaxRetryAfter = 60 * sec
@@ -171,11 +171,11 @@
 		t.Fatalf("%+v", r)
 	}
 	if _, ok := b.adjust(1, 2, ms).(dw.Reject); !ok {
-		t.Error("let in before the time")
+		t.Error("admitted before the time")
 	}
 	b.advance(r.RetryAfter)
 	if a, ok := b.adjust(1, 2, ms).(dw.AdjustAnswer); !ok {
-		t.Errorf("not let in when the time has come: %+v", a)
+		t.Errorf("not admitted when the time has come: %+v", a)
 	}
 }
 
--- a/load.go
+++ b/load.go
@@ -18,8 +18,8 @@
 	Has       LoadFields
 	Inflight  float64 // requests that run
 	Queue     float64 // requests that wait
-	Util      float64 // utilization, from 0 to 1
-	LatencyMS float64 // milliseconds
+	Util      float64 // busy fraction of the processor, from 0 to 1
+	LatencyMS float64 // milliseconds: recent service time
 	Rate      float64 // requests a second
 	Errors    float64 // errors a second
 }
--- a/load_shedding_test.go
+++ b/load_shedding_test.go
@@ -6,8 +6,8 @@
 	dw "dewhitch"
 )
 
-// Incident i7b957a and the opnames overload: a gateway that refuses all for a bad latency must find out when the
-// servers are well again.
+// A gateway that sheds everything by its latency estimate must find out when the servers have recovered (incident
+// i7b957a).
 func TestRecoveryFromSheddingAll(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
@@ -19,7 +19,7 @@
 		b.advance(ms)
 	}
 	if _, ok := b.request(dw.Arrival{}); ok {
-		t.Fatal("slow servers do not lead to refusals")
+		t.Fatal("slow servers do not lead to rejections")
 	}
 	b.advance(4 * sec)
 	if _, ok := b.request(dw.Arrival{}); !ok {
@@ -27,8 +27,8 @@
 	}
 }
 
-// Incidents ife4101 and i0b2662: servers full of work nobody waits for were sent as much again, and further
-// attempts were budgeted by arrivals. When most attempts end badly, less is sent; it clears by itself.
+// When most attempts fail, less is sent, and recovery needs nothing else: servers full of expired work were sent as much
+// again, with retries budgeted by arrivals (incidents ife4101 and i0b2662).
 func TestThrottlingEndsCollapse(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
@@ -58,8 +58,8 @@
 	}
 }
 
-// Report L2da371 and incident ife4101: of a hundred servers there was always one whose last answer dated from better
-// times, so a gateway went on sending as if all were at ease.
+// Of a hundred servers there is always one whose last sample dates from before the overload; the gateway must shed load all
+// the same (report L2da371, incident ife4101).
 func TestOverloadIsSeenAmongManyServers(t *testing.T) {
 	s := manyGateways()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
@@ -88,8 +88,8 @@
 	}
 }
 
-// Report L2da371: thousands of clients were refused for the servers' sake with the same advice of one mean
-// latency, and came back together. Advice differs from request to request and leaves time for an answer.
+// Retry-After differs from request to request, so that clients do not come back together (report L2da371), and leaves time
+// for an answer.
 func TestRetryAfterIsSpread(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
@@ -100,7 +100,7 @@
 		if ok {
 			b.advance(220 * ms)
 			b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[len(b.attempts)-1].Server, Final: true, Latency: 220 * ms})
-		} else if r, refused := b.answers[id].(dw.Reject); refused {
+		} else if r, rejected := b.answers[id].(dw.Reject); rejected {
 			least, most = min(least, r.RetryAfter), max(most, r.RetryAfter)
 		}
 		b.advance(ms)
@@ -110,7 +110,7 @@
 	}
 }
 
-// Colleges at half load: work that takes a sixth of its aim was refused as if the servers were pressed.
+// Latency that is due to long work, not to load, does not shed: the threshold is a multiple of the idle latency.
 func TestLongWorkIsNotShed(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
--- a/many_gateways_test.go
+++ b/many_gateways_test.go
@@ -161,9 +161,8 @@
 	return s
 }
 
-// With 80 gateways on 60 servers each gateway met every server and knew of each what it had been 15 s before: requests
-// went to servers that crawled as often as to any other, and each gateway held 60 connections. A gateway uses a few
-// servers, and goes by what these say of themselves.
+// Of 80 gateways on 60 servers each uses an aperture of a few servers, and their load reports: with all 60, its estimates
+// would be 15 s old, and slow servers would get as much as others.
 func TestManyGatewaysAvoidSlowServers(t *testing.T) {
 	s := eightyGateways()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
@@ -206,8 +205,7 @@
 	}
 }
 
-// The first replay of 80 gateways spent a third of the counter's calls, which were too few, on customers whose use
-// beyond the quota costs nothing.
+// Calls are scarce: none is made to check a request that would be served beyond the quota too.
 func TestNoCallWhereUseBeyondTheQuotaCostsNothing(t *testing.T) {
 	for _, earns := range []float64{0, 0.2} {
 		s := eightyGateways()
@@ -220,7 +218,7 @@
 	}
 }
 
-// newMixedTraffic is one gateway of many that has learned what requests of two classes earn, from customers that ask little.
+// newMixedTraffic is one gateway of many that has seen requests of two priorities, from customers of low demand.
 func newMixedTraffic(t *testing.T) *harness {
 	t.Helper()
 	s := eightyGateways()
@@ -233,8 +231,8 @@
 	return b
 }
 
-// Queries, which earn least, spent the quotas of customers that ask for more than they have, and bookings came beyond
-// them: with looser limits on queries a day's score fell from 0.68 to 0.56. What earns little leaves part of the store.
+// Of a customer that asks for more than its quota, requests of low priority leave a part of the burst to those of higher
+// priority, which would otherwise come beyond the quota.
 func TestQuotaIsReservedForHigherPriority(t *testing.T) {
 	for _, spread := range []int{1, 50} { // by this gateway's account, and by the count
 		b := newMixedTraffic(t)
@@ -254,7 +252,7 @@
 	}
 }
 
-// What a query says is left can be taken, whatever classes of requests earn: it was refused like a cheap request.
+// The units that a limit query reports as left can be taken, whatever the priorities of classes are.
 func TestRemainingUnitsCanBeTaken(t *testing.T) {
 	for _, spread := range []int{1, 50} {
 		b := newMixedTraffic(t)
@@ -275,7 +273,7 @@
 	}
 }
 
-// Six in ten servers are replaced by cold ones, of which all 80 gateways are told at once. No cold server may be sent
+// Six in ten servers are replaced by warming ones, of which all 80 gateways are told at once. No warming server may be sent
 // more than a multiple of what it can do then, in any window in which that would push it over (rule 4).
 func TestManyGatewaysSpareWarmingServers(t *testing.T) {
 	s := eightyGateways()
@@ -284,11 +282,11 @@
 	f.load()
 	f.run(10 * sec)
 	var news []dw.Endpoint
-	var cold []*fleetServer
+	var warming []*fleetServer
 	for i := range 36 {
 		news = append(news, dw.Endpoint{ID: dw.ServerID(i * 7919), State: dw.Removed})
 		m := f.add(dw.Endpoint{ID: dw.ServerID(1e6 + i), StartedAt: f.now}, 600*ms)
-		cold, news = append(cold, m), append(news, m.Endpoint)
+		warming, news = append(warming, m), append(news, m.Endpoint)
 	}
 	for gate := range f.gateways {
 		f.handle(gate, dw.EndpointList{Kind: dw.ListDelta, Servers: news})
@@ -298,18 +296,18 @@
 	all, most := 0, 0
 	for range 3 { // windows from the start, each taken to bear no more than the first
 		f.run(s.OverloadSpan)
-		for _, m := range cold {
+		for _, m := range warming {
 			all, most, m.started = all+m.started, max(most, m.started), 0
 		}
 	}
-	t.Logf("%d attempts to cold servers in 6 s; %d to one in 2 s, where %.0f push it over", all, most, limit)
+	t.Logf("%d attempts to warming servers in 6 s; %d to one in 2 s, where %.0f push it over", all, most, limit)
 	if float64(most) > limit || all < 36 {
-		t.Errorf("%d attempts to cold servers in 6 s, %d to one in 2 s, where %.0f push it over", all, most, limit)
+		t.Errorf("%d attempts to warming servers in 6 s, %d to one in 2 s, where %.0f push it over", all, most, limit)
 	}
 }
 
-// Six in nine servers are replaced by cold ones, which warm up from a fifth of what they can do. Two gateways that see them
-// all the time must use them: their answers, long as they are cold, say nothing against what they will be once warm, and
+// Six in nine servers are replaced by warming ones, which warm up from a fifth of what they can do. Two gateways that see them
+// all the time must use them: their answers, long as they are warming, say nothing against what they will be once warm, and
 // count once, not in what was learnt and in the warmth by which that is divided.
 func TestWarmingServersAreUsedByBusyGateways(t *testing.T) {
 	s := eightyGateways()
--- a/outlier_detection_test.go
+++ b/outlier_detection_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-// A zone that is cut off is found out as one, not server by server.
+// The failure of a zone is detected by the zone's failure fraction, not server by server.
 func TestZoneFailureIsDetectedAsOne(t *testing.T) {
 	s := manyGateways()
 	s.Zones, s.Plans[0] = 2, dw.Plan{WeightFactor: 1}
--- a/quota_test.go
+++ b/quota_test.go
@@ -20,25 +20,25 @@
 	for _, c := range cases {
 		in := newHarness(t, settings(), dw.Endpoint{ID: 7}).serve(c.n, c.d, dw.Arrival{Customer: 1})
 		if in < c.min || in > c.max {
-			t.Errorf("%s: %d let in, want %d to %d", c.name, in, c.min, c.max)
+			t.Errorf("%s: %d admitted, want %d to %d", c.name, in, c.min, c.max)
 		}
 	}
 }
 
-// What others have used shows in the total, and is not let in again.
+// Units that other gateways have used show in the counter's total, and are not admitted again.
 func TestUseByOtherGateways(t *testing.T) {
 	b := newHarness(t, settings(), dw.Endpoint{ID: 7})
 	b.counter = func(c dw.CounterAdd) *dw.CounterAnswered { return &dw.CounterAnswered{Name: c.Name, Total: c.Add + 6} }
 	if in := b.serve(1, 500*ms, dw.Arrival{Customer: 1, Spread: 2}); in != 1 {
-		t.Fatal("the first request is refused")
+		t.Fatal("the first request is rejected")
 	}
 	if in := b.serve(20, ms, dw.Arrival{Customer: 1, Spread: 2}); in > 1 {
-		t.Errorf("%d let in though others have used the burst", in)
+		t.Errorf("%d admitted though others have used the burst", in)
 	}
 }
 
-// An attempt that is out for as long as its client reads counts itself, but says nothing of other gateways; and it counts
-// once, however often it is told to have begun.
+// An attempt whose answer is streaming counts against the limit in flight, but is not extrapolated to other gateways; and
+// it counts once, however many AnswerStarted events come.
 func TestStreamingAttemptsCountOnce(t *testing.T) {
 	s := settings()
 	s.Instances, s.Plans[0] = 4, dw.Plan{MaxInFlight: 4, WeightFactor: 1, OverQuotaCost: 1}
@@ -60,29 +60,29 @@
 	}
 	// None of them is left in the count: one that has not begun is taken for four.
 	if _, ok := b.request(dw.Arrival{Spread: 4}); !ok {
-		t.Fatal("refused with none out")
+		t.Fatal("rejected with none out")
 	}
 	if _, ok := b.request(dw.Arrival{Spread: 4}); ok {
-		t.Fatal("let in beside one that is out at each gateway")
+		t.Fatal("admitted beside one that is out at each gateway")
 	}
 }
 
-// A gateway that has just started may have spent its share of the ceiling in an earlier life.
+// A gateway that has just started may have spent its part of the ceiling in its previous incarnation.
 func TestCeilingStartsEmpty(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{Rate: 10, Burst: 20, CeilingRate: 20, CeilingBurst: 40, Tolerance: 4, WeightFactor: 1}
 	b := newHarness(t, s, dw.Endpoint{ID: 7})
 	if in := b.serve(10, ms, dw.Arrival{Customer: 1, Spread: 2}); in > 0 {
-		t.Errorf("%d let in at once", in)
+		t.Errorf("%d admitted at once", in)
 	}
 	b.advance(sec)
 	if in := b.serve(5, ms, dw.Arrival{Customer: 1, Spread: 2}); in != 5 {
-		t.Errorf("%d of 5 let in after a second", in)
+		t.Errorf("%d of 5 admitted after a second", in)
 	}
 }
 
-// Incident i4e1301: early in a window many gateways let in what a heavy customer asks, each with nothing of it out, and
-// its cap on attempts out was passed. What the count says was asked tells what the others have out.
+// Early in a window each of many gateways had nothing of a heavy customer in flight, and together they exceeded its limit
+// (incident i4e1301): what the others have in flight is estimated by the customer's demand.
 func TestInFlightLimitWhenCountedFirst(t *testing.T) {
 	for total, want := range map[float64]bool{3: true, 150: false} {
 		s := manyGateways()
@@ -103,7 +103,7 @@
 		id, _ := b.request(dw.Arrival{Customer: 1, Spread: 50})
 		b.advance(3 * ms)
 		if in := b.answers[id] == nil; in != want {
-			t.Errorf("total %v in the last window: let in %v, want %v", last, in, want)
+			t.Errorf("total %v in the last window: admitted %v, want %v", last, in, want)
 		}
 	}
 }
--- a/retry_test.go
+++ b/retry_test.go
@@ -32,7 +32,7 @@
 	}
 }
 
-// Rule 1 holds even if the outcome of the last attempt is late.
+// A request has its answer by its deadline even if the outcome of its last attempt is late (rule 1).
 func TestAnsweredByTheDeadlineWithoutAnOutcome(t *testing.T) {
 	for class := range 2 {
 		b := newHarness(t, settings(), dw.Endpoint{ID: 7})
@@ -44,16 +44,15 @@
 	}
 }
 
-// Whatever way a request ends with no answer under way, its client is told in the same batch and with advice that
-// differs: nothing is held back so that the client does not ask again.
+// A request that is given up has its answer in the same step, with a Retry-After that differs from others'.
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
-	refuse := func(b *harness, id dw.RequestID) { // every attempt is turned away until none is left
+	reject := func(b *harness, id dw.RequestID) { // every attempt is rejected until none is left
 		for i := 0; i < len(b.attempts); i++ {
 			b.handle(dw.AttemptEnded{Request: id, Attempt: i, Server: b.attempts[i].Server, Outcome: dw.OutcomeRejected, Latency: ms})
 		}
 	}
 	for name, end := range map[string]func(b *harness, id dw.RequestID){
-		"no server left": refuse,
+		"no server left": reject,
 		"may have run": func(b *harness, id dw.RequestID) {
 			b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[0].Server, Outcome: dw.OutcomeReset, Latency: ms})
 			for i := 1; i < len(b.attempts); i++ {
@@ -66,8 +65,8 @@
 			id, _ := b.request(dw.Arrival{Class: class})
 			b.advance(5 * ms)
 			end(b, id)
-			r, refused := b.answers[id].(dw.Reject)
-			if b.answers[id] == nil || refused && (r.RetryAfter <= 0 || r.RetryAfter == 400*ms) {
+			r, rejected := b.answers[id].(dw.Reject)
+			if b.answers[id] == nil || rejected && (r.RetryAfter <= 0 || r.RetryAfter == 400*ms) {
 				t.Errorf("%s, class %d: answer %+v", name, class, b.answers[id])
 			}
 		}
@@ -76,7 +75,7 @@
 	id, _ := b.request(dw.Arrival{Customer: 1, Spread: 50})
 	b.handle(dw.EndpointList{Kind: dw.ListDelta, Servers: []dw.Endpoint{{ID: 7, State: dw.Removed}}})
 	b.advance(3 * ms)
-	if r, refused := b.answers[id].(dw.Reject); !refused || r.RetryAfter <= 0 {
+	if r, rejected := b.answers[id].(dw.Reject); !rejected || r.RetryAfter <= 0 {
 		t.Errorf("no server when the count is known: answer %+v", b.answers[id])
 	}
 }
--- a/shared_bucket.go
+++ b/shared_bucket.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	rateMemoryWindows  = 2.0   // windows are so many time constants of the rates of use
+	rateMemoryWindows  = 2.0   // time constants of the rates of use in a window
 	freeRateFraction   = 0.125 // of the rate, over all gateways: least use assumed of quiet ones
 	unseenSigmas       = 0.25  // unseen use of others is reserved up to so many standard deviations
 	staleTotalFraction = 0.5   // of a window: an older total no longer tells of the others
--- a/shutdown_test.go
+++ b/shutdown_test.go
@@ -34,15 +34,15 @@
 		t.Errorf("%d were answered too soon", n)
 	}
 	b.advance(2 * ms)
-	for id, refused := range map[dw.RequestID]bool{"safe, before": true, "unsafe, before": false, "query, before": false,
+	for id, rejected := range map[dw.RequestID]bool{"safe, before": true, "unsafe, before": false, "query, before": false,
 		"safe, after": true, "query, after": false} {
 		switch b.answers[id].(type) {
 		case dw.Reject:
-			if !refused {
-				t.Errorf("%s was refused, and may have run", id)
+			if !rejected {
+				t.Errorf("%s was rejected, and may have run", id)
 			}
 		case dw.Fail:
-			if refused {
+			if rejected {
 				t.Errorf("%s was failed, and may come again", id)
 			}
 		default:
@@ -50,7 +50,7 @@
 		}
 	}
 	arrive("too late", safe)
-	if _, refused := b.answers["too late"].(dw.Reject); !refused {
-		t.Error("what comes after the end is not refused")
+	if _, rejected := b.answers["too late"].(dw.Reject); !rejected {
+		t.Error("what comes after the end is not rejected")
 	}
 }
--- a/state_test.go
+++ b/state_test.go
@@ -27,7 +27,7 @@
 }
 
 // A customer near its quota is served by a warm successor as if nothing had happened, where a cold one takes all that
-// the window holds for the others' use, and refuses what there is room for.
+// the window holds for the others' use, and rejects what there is room for.
 func TestWarmStartKeepsACustomersAccount(t *testing.T) {
 	s := settings()
 	s.Instances, s.Plans[0] = 4, dw.Plan{Rate: 4, Burst: 12, WeightFactor: 1, OverQuotaCost: 1}
