--- a/cmd/dewhitch/ledger_process.go
+++ b/cmd/dewhitch/ledger_process.go
@@ -70,11 +70,11 @@
 		SegmentBytes: o.Ledger.SegmentBytes, Segments: o.Ledger.Segments, Records: o.Ledger.Records, Sync: o.Ledger.Sync,
 		Limits: limits, Log: log})
 	if err != nil {
-		log.Error("the ledger's folder can't be used: figures end with this process", zap.Error(err))
+		log.Error("the ledger's folder can't be used: it is in memory only", zap.Error(err))
 		return nil, ledger.Names{}
 	}
 	p.store = opened
-	log.Info("the ledger goes on", zap.Uint64("life", recovery.Incarnation), zap.Int("postings_replayed", recovery.Replayed),
+	log.Info("the ledger is open", zap.Uint64("life", recovery.Incarnation), zap.Int("postings_replayed", recovery.Replayed),
 		zap.Uint64("reqs_cut_off_by_crash", recovery.Requests))
 	for _, note := range recovery.Notes {
 		log.Error("the ledger could not keep everything", zap.String("note", note))
--- a/cmd/dewhitch/run.go
+++ b/cmd/dewhitch/run.go
@@ -103,7 +103,7 @@
 	case <-g.heard:
 	case <-ctx.Done():
 	case <-time.After(firstPlanWait):
-		g.log.Warn("no plan of the fleet was heard: serving without")
+		g.log.Warn("no plan of the fleet was received in time: serving without one")
 	}
 }
 
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -49,7 +49,7 @@
 		p.addToCounter(now, a)
 	case dw.SubscribeEndpoints: // discovery is subscribed at all times
 	default:
-		p.log.Error("no such action on this platform", zap.String("action", fmt.Sprintf("%T", a)))
+		p.log.Error("unsupported action of the decision module", zap.String("action", fmt.Sprintf("%T", a)))
 	}
 }
 
--- a/internal/counter/connection.go
+++ b/internal/counter/connection.go
@@ -42,7 +42,7 @@
 			continue
 		default:
 		}
-		p.client.log.Debug("counter: no connection", zap.Error(err))
+		p.client.log.Debug("counter: connecting failed", zap.Error(err))
 		next.settle(callQueued, dw.OutcomeConnectFailed, 0)
 		next = nil
 		p.failQueued()
--- a/internal/fleet/memberregistry/memberregistry.go
+++ b/internal/fleet/memberregistry/memberregistry.go
@@ -61,7 +61,7 @@
 	for escaped, data := range nodes {
 		name, address, err := decodeNode(escaped, data)
 		if err != nil {
-			log.Warn("a node is no member's", zap.String("node", escaped), zap.Error(err))
+			log.Warn("registry node ignored: not a member's", zap.String("node", escaped), zap.Error(err))
 			continue
 		}
 		at[name] = address
--- a/internal/forward/commands.go
+++ b/internal/forward/commands.go
@@ -106,7 +106,7 @@
 			break
 		}
 		if err != nil {
-			c.log.Warn("a planner can't be reached", zap.String("planner", addr), zap.Error(err))
+			c.log.Warn("a planner is unreachable", zap.String("planner", addr), zap.Error(err))
 			continue
 		}
 		if l.send(text, k, time.Until(receivedAt.Add(r.Timeout+deadlineGrace))) {
--- a/internal/forward/link.go
+++ b/internal/forward/link.go
@@ -100,6 +100,6 @@
 		w.call.fail()
 	}
 	if len(unanswered) > 0 {
-		l.log.Warn("a planner was lost with commands out", zap.String("planner", l.addr), zap.Int("commands", len(unanswered)))
+		l.log.Warn("the connection to a planner was lost with commands in flight", zap.String("planner", l.addr), zap.Int("commands", len(unanswered)))
 	}
 }
--- a/internal/ledger/recorder/alarms.go
+++ b/internal/ledger/recorder/alarms.go
@@ -61,6 +61,6 @@
 		}
 	}
 	if err != nil {
-		rec.options.Log.Warn("an alarm is in the log alone", zap.Error(err))
+		rec.options.Log.Warn("the alarm file can't be written: the alarm is in the log only", zap.Error(err))
 	}
 }
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -56,7 +56,7 @@
 // reportSuccess logs the first success after a failure.
 func (r *Registry) reportSuccess() {
 	if r.failing.Swap(false) {
-		r.log.Info("the registry answers again")
+		r.log.Info("the registry is reachable again")
 	}
 }
 
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -21,7 +21,7 @@
 		for name, data := range nodes {
 			var p Planner
 			if err := json.Unmarshal(data, &p); err != nil || p.Address == "" || p.Gateway < 0 {
-				r.log.Warn("a node is no planner's", zap.String("node", name), zap.ByteString("data", data))
+				r.log.Warn("registry node ignored: not a planner's", zap.String("node", name), zap.ByteString("data", data))
 				continue
 			}
 			planners[p.Gateway] = p.Address
