--- a/attempt.go
+++ b/attempt.go
@@ -1,7 +1,8 @@
 package dewhitch
 
-// attemptController starts the attempts of requests and takes their outcomes. Its rules stand in retry.go,
-// hedging.go and dedup_window.go; whether an attempt may start at all, in attempt_rules.go.
+// attemptController starts the attempts of requests and takes their outcomes. It owns the counts of attempts
+// in flight of requests, servers and accounts. Its rules stand in retry.go, hedging.go and dedup_window.go;
+// whether an attempt may start at all, in attempt_rules.go.
 type attemptController struct {
 	ctx         *stepContext
 	requests    *requestTable
@@ -24,9 +25,7 @@
 		until = min(until, end)
 		c.withdrawAtWindowEnd(r)
 	}
-	if s.inFlight == 0 {
-		s.unansweredSince = c.ctx.now
-	}
+	c.outliers.recordStart(s)
 	s.inFlight++
 	r.inFlight++
 	r.account.openAttempts++
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -7,11 +7,11 @@
 	"time"
 )
 
-// Of 80 callers that begin in the same millisecond, a service that serves 25 calls a second and lets 20 wait turned all
-// but the first few away, for a whole day, as they came again in step. All are served soon.
-func TestHerdIsServed(t *testing.T) {
+// A service that serves 25 calls a second and queues 20 rejects most of 80 callers that begin in the same millisecond, and
+// rejected them for a day when they retried in step. With jitter all are served soon.
+func TestCallersThatStartTogetherAreServed(t *testing.T) {
 	const callers, perSecond, waiting = 80, 25, 20
-	var due [callers]time.Duration
+	var nextCallAt [callers]time.Duration
 	var all [callers]Backoff
 	for i := range all {
 		all[i] = Backoff{First: 100 * time.Millisecond, BusyFirst: 2 * time.Second, BusyMax: 8 * time.Second,
@@ -22,18 +22,18 @@
 	calls := 0
 	for now := time.Duration(0); now < time.Minute && len(served) < callers; now += time.Millisecond {
 		for i := range all {
-			if due[i] != now {
+			if nextCallAt[i] != now {
 				continue
 			}
 			calls++
 			free = max(free, now)
 			if free-now >= waiting*time.Second/perSecond {
-				due[i] = now + max(time.Millisecond, all[i].Next(true).Truncate(time.Millisecond))
+				nextCallAt[i] = now + max(time.Millisecond, all[i].Next(true).Truncate(time.Millisecond))
 				continue
 			}
 			free += time.Second / perSecond
 			served = append(served, free)
-			due[i] = -1
+			nextCallAt[i] = -1
 		}
 	}
 	if len(served) < callers {
@@ -48,7 +48,7 @@
 
 func TestBounds(t *testing.T) {
 	b := Backoff{First: 100, Max: 400, BusyFirst: 100, BusyMax: 1000, Rand: rand.New(rand.NewPCG(1, 1))}
-	longest := func(busy bool) (most time.Duration) {
+	longestWait := func(busy bool) (most time.Duration) {
 		for range 1000 {
 			most = max(most, b.Next(busy))
 		}
@@ -57,10 +57,10 @@
 	if d := b.Next(false); d > 100 {
 		t.Errorf("first wait %d", d)
 	}
-	if d := longest(false); d > 400 || d < 390 {
+	if d := longestWait(false); d > 400 || d < 390 {
 		t.Errorf("longest wait %d", d)
 	}
-	if d := longest(true); d > 1000 || d < 980 {
+	if d := longestWait(true); d > 1000 || d < 980 {
 		t.Errorf("longest wait for a busy service %d", d)
 	}
 	if b.Reset(); b.Next(true) > 100 {
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -5,9 +5,9 @@
 	"testing"
 )
 
-// play has callers that always want to call share a service of so many calls a second, and counts second by second. While
-// it is away, from one second to another, it answers nothing.
-func play(callers int, timeout, capacity float64, seconds int, away [2]int) (calls, late []int) {
+// simulate has callers that always want to call share a service with a capacity in calls a second, and returns the calls and
+// the late ones by second. During the outage, from one second to another, the service answers nothing.
+func simulate(callers int, timeout, capacity float64, seconds int, outage [2]int) (calls, late []int) {
 	const step = 0.001
 	rng := rand.New(rand.NewPCG(1, 2))
 	all := make([]*Limiter, callers)
@@ -19,14 +19,14 @@
 		p       *Limiter
 		latency float64
 	}
-	due := map[int][]answer{}
+	answers := map[int][]answer{}
 	free := 0.0
 	for tick := range seconds * 1000 {
 		now := float64(tick) * step
-		for _, a := range due[tick] {
+		for _, a := range answers[tick] {
 			a.p.Observe(a.latency <= timeout, a.latency)
 		}
-		delete(due, tick)
+		delete(answers, tick)
 		for _, i := range rng.Perm(callers) {
 			if !all[i].Allow(int64(now * 1e9)) {
 				continue
@@ -34,11 +34,11 @@
 			all[i].Spend()
 			free = max(free, now) + 1/capacity
 			latency := free - now + 0.004
-			if int(now) >= away[0] && int(now) < away[1] {
+			if int(now) >= outage[0] && int(now) < outage[1] {
 				free, latency = 0, 2*timeout
 			}
 			at := tick + 1 + int(min(latency, 3*timeout)/step)
-			due[at] = append(due[at], answer{all[i], latency})
+			answers[at] = append(answers[at], answer{all[i], latency})
 			if calls[int(now)]++; latency > timeout {
 				late[int(now)]++
 			}
@@ -47,10 +47,10 @@
 	return calls, late
 }
 
-// Callers that know nothing of each other find a pace that the service bears, few or many, and use what it has.
+// Callers that know nothing of each other converge on the capacity of the service, few or many.
 func TestCallersShareAService(t *testing.T) {
 	for _, callers := range []int{3, 80} {
-		calls, late := play(callers, 0.03, 400, 20, [2]int{})
+		calls, late := simulate(callers, 0.03, 400, 20, [2]int{})
 		all, slow := 0, 0
 		for i := 10; i < 20; i++ {
 			all, slow = all+calls[i], slow+late[i]
@@ -62,23 +62,23 @@
 	}
 }
 
-// Once a service that was away answers again, its callers soon use it as they did before, and no herd of them is late.
-func TestCallersComeBackAfterAnOutage(t *testing.T) {
+// Once a service answers again after an outage, its callers soon use it as before, without overloading it.
+func TestCallersRecoverAfterAnOutage(t *testing.T) {
 	for _, c := range []struct {
 		callers           int
 		timeout, capacity float64
 	}{{3, 0.03, 400}, {80, 0.03, 400}, {100, 0.05, 600}, {60, 0.1, 1000}} {
 		for _, span := range []int{2, 6, 20} {
-			calls, late := play(c.callers, c.timeout, c.capacity, 40+span, [2]int{30, 30 + span})
+			calls, late := simulate(c.callers, c.timeout, c.capacity, 40+span, [2]int{30, 30 + span})
 			before, after, slow := 0, 0, 0
 			for i := range 3 {
 				before += calls[27+i]
 				after, slow = after+calls[32+span+i], slow+late[32+span+i]
 			}
-			t.Logf("%v, away for %d s: %d calls in 3 s before, %d from the third second after, %d late; each second %v, late %v",
+			t.Logf("%v, outage of %d s: %d calls in 3 s before, %d from the third second after, %d late; each second %v, late %v",
 				c, span, before, after, slow, calls[30+span:], late[30+span:])
 			if after < before*7/10 || slow > after/5 {
-				t.Errorf("%v, away for %d s: %d calls in 3 s, %d of them late, where there were %d before", c, span, after, slow, before)
+				t.Errorf("%v, outage of %d s: %d calls in 3 s, %d of them late, where there were %d before", c, span, after, slow, before)
 			}
 		}
 	}
--- a/internal/warmstart/warmstart_test.go
+++ b/internal/warmstart/warmstart_test.go
@@ -9,7 +9,7 @@
 	"dewhitch/internal/warmstart"
 )
 
-func TestTrustFades(t *testing.T) {
+func TestTrustDecays(t *testing.T) {
 	for _, age := range []float64{-1e-9, 60.1, math.NaN(), math.Inf(1), math.Inf(-1)} {
 		if warmstart.Trust(age) != 0 || warmstart.Quota(age, math.Inf(1)) {
 			t.Errorf("believed at an age of %v", age)
--- a/limit_answers.go
+++ b/limit_answers.go
@@ -47,14 +47,14 @@
 		if r.units == 0 {
 			q.requests.finish(r, q.limit(a, a.consumed-r.consumedBefore, r.id))
 		} else {
-			q.giveBack(a, r)
+			q.returnUnits(a, r)
 		}
 	}
 }
 
-// giveBack returns units to the quota, at most what this gateway has surely added to the window: a count
+// returnUnits returns units to the quota, at most what this gateway has surely added to the window: a count
 // below that would admit more than the quota. Blocks and the ceiling stay as they are.
-func (q *limitQueries) giveBack(a *account, r *request) {
+func (q *limitQueries) returnUnits(a *account, r *request) {
 	units := max(0, min(-r.units, a.sync.own, a.sync.total))
 	if r.done {
 		return
--- a/outlier_detection.go
+++ b/outlier_detection.go
@@ -39,6 +39,13 @@
 // forget drops a server that is no longer listed.
 func (o *outlierDetector) forget(s *server) { delete(o.suspects, s) }
 
+// recordStart notes that an attempt starts on a server, before it counts as in flight.
+func (o *outlierDetector) recordStart(s *server) {
+	if s.inFlight == 0 {
+		s.unansweredSince = o.ctx.now
+	}
+}
+
 // recordSuccess clears a server's failures of a class.
 func (o *outlierDetector) recordSuccess(s *server, class int) {
 	s.unansweredSince, s.answeredAt = o.ctx.now, o.ctx.now
--- a/step_context.go
+++ b/step_context.go
@@ -9,7 +9,7 @@
 	settings  Settings
 	rng       *rand.Rand // each draw is part of the decision: a replay makes the same draws in the same order
 	now       Instant    // of the event that is handled
-	startedAt Instant    // of the first event, or of the import before it
+	startedAt Instant    // of the first event; before it, of the import
 	actions   []Action   // of the event that is handled
 	timers    timerTable
 }
