--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -140,7 +140,8 @@
 	Add(call CounterCall, onEnd func(outcome dw.Outcome, total float64))
 }
 
-// Recorder takes the planner's postings to the ledger, in their order. Its methods are called on the planner's goroutine.
+// Recorder takes the planner's postings to the ledger, in their order. Its methods are called on the planner's goroutine and do not
+// wait for a disk.
 type Recorder interface {
 	Ref() uint64 // a new number for a call to the counter
 	Post(ledger.Posting)
