--- a/internal/standin/link/conn.go
+++ b/internal/standin/link/conn.go
@@ -1,7 +1,7 @@
 package link
 
-// One connection through a link: what comes from each side is passed on in its order, as late as the way wants, and not at all if it
-// met an outage and its sender has left.
+// One connection through a link. What comes from each side is delivered in its order, delayed by the state of its direction, and not
+// at all if an outage may have held it up and its sender has closed the connection since.
 
 import (
 	"errors"
@@ -12,131 +12,139 @@
 	"time"
 )
 
-// conn is one connection through a link.
+// conn is one relayed connection.
 type conn struct {
-	near, far  *side
-	commands   commandTimes
-	nearClosed atomic.Int64 // when the side that opened it ended its sending or the connection, Unix ns; 0: it has not
-	ended      chan struct{}
-	once       sync.Once
+	near         *endpoint // of the process that opened it
+	far          *endpoint // of the target
+	commands     commandTimes
+	nearClosedAt atomic.Int64 // when the near side closed it, or its sending side, Unix ns; 0: it has not
+	done         chan struct{}
+	closeOnce    sync.Once
 }
 
-// pass carries one connection that came up when so many outages of its way were over.
-func (l *Link) pass(near *net.TCPConn, over int) {
-	c, err := l.connect(near, over)
-	if err != nil { // as near as a relay comes to a refusal
+// relay carries an accepted connection until both sides have ended it; endedOutages is of the outbound direction when it came up.
+func (l *Link) relay(near *net.TCPConn, endedOutages int) {
+	c, err := l.dialTarget(near, endedOutages)
+	if err != nil { // the connection is accepted already: a reset is the closest to a refusal
 		near.SetLinger(0)
 		near.Close()
 		return
 	}
-	name := c.far.LocalAddr().String()
+	far := c.far.LocalAddr().String()
 	l.mu.Lock()
-	l.conns[c], l.byFar[name] = struct{}{}, c
+	l.conns[c] = struct{}{}
+	l.connsByFarAddr[far] = c
 	l.mu.Unlock()
-	if l.over.Load() {
-		c.end(true)
+	if l.closed.Load() {
+		c.close(true)
 	}
 	var both sync.WaitGroup
-	both.Go(func() { l.carry(c, c.near, c.far, &c.nearClosed) })
-	both.Go(func() { l.carry(c, c.far, c.near, nil) })
+	both.Go(func() { c.forward(c.near, c.far, &c.nearClosedAt) })
+	both.Go(func() { c.forward(c.far, c.near, nil) })
 	both.Wait()
-	c.end(false)
+	c.close(false)
 	l.mu.Lock()
 	delete(l.conns, c)
 	l.mu.Unlock()
-	time.AfterFunc(10*time.Second, func() { // Left is asked a little later
+	time.AfterFunc(knownAfterClose, func() {
 		l.mu.Lock()
-		delete(l.byFar, name)
+		delete(l.connsByFarAddr, far)
 		l.mu.Unlock()
 	})
 }
 
-// connect opens the other side of a connection.
-func (l *Link) connect(accepted *net.TCPConn, over int) (*conn, error) {
-	near, err := newSide(accepted, l.there, over)
+// dialTarget opens the far side of an accepted connection.
+func (l *Link) dialTarget(accepted *net.TCPConn, endedOutages int) (*conn, error) {
+	near, err := newEndpoint(accepted, l.outbound, endedOutages)
 	if err != nil {
 		return nil, err
 	}
-	dialled, err := net.DialTimeout("tcp", l.target, dialTime)
+	dialled, err := net.DialTimeout("tcp", l.target, dialTimeout)
 	if err != nil {
 		return nil, err
 	}
-	far, err := newSide(dialled.(*net.TCPConn), l.back, l.back.outagesOver())
+	far, err := newEndpoint(dialled.(*net.TCPConn), l.inbound, l.inbound.endedOutages())
 	if err != nil {
 		dialled.Close()
 		return nil, err
 	}
-	return &conn{near: near, far: far, ended: make(chan struct{})}, nil
+	return &conn{near: near, far: far, done: make(chan struct{})}, nil
 }
 
-// end closes both sides, with a reset or not.
-func (c *conn) end(reset bool) {
-	c.once.Do(func() {
-		close(c.ended)
-		for _, s := range []*side{c.near, c.far} {
+// close closes both sides, with a TCP reset or without. Calls after the first do nothing.
+func (c *conn) close(reset bool) {
+	c.closeOnce.Do(func() {
+		close(c.done)
+		for _, e := range []*endpoint{c.near, c.far} {
 			if reset {
-				s.SetLinger(0)
+				e.SetLinger(0)
 			}
-			s.Close()
+			e.Close()
 		}
 	})
 }
 
-// parcel is what was read from one side at once, or its end.
-type parcel struct {
-	b     []byte // empty: the side sends no more
-	reset bool   // it ended so
-	due   time.Time
-	since int // outages of the way that were over before it was sent
+// segment is what one read returned.
+type segment struct {
+	data          []byte // empty: the sender has closed its sending side
+	reset         bool   // by a TCP reset
+	deliverAt     time.Time
+	outagesBefore int // outages of the direction that were over before it was sent
 }
 
-// carry passes on what comes from one side, in its order, when the way lets it.
-func (l *Link) carry(c *conn, from, to *side, closed *atomic.Int64) {
-	parcels := make(chan parcel, held)
+// forward delivers what comes from one side to the other, in its order. It sets closedAt, if not nil, when the side ends.
+func (c *conn) forward(from, to *endpoint, closedAt *atomic.Int64) {
+	segments := make(chan segment, maxQueuedSegments)
 	go func() {
-		defer close(parcels)
-		c.collect(from, parcels, closed)
+		defer close(segments)
+		c.readSegments(from, segments, closedAt)
 	}()
-	defer func() { // the reader has ended, or ends with the connection
-		for range parcels {
+	defer func() { // the reader has ended, or ends when the connection is closed
+		for range segments {
 		}
 	}()
-	for p := range parcels {
-		if !c.wait(from.way, p) {
+	for s := range segments {
+		if !c.awaitDelivery(from.outgoing, s) {
 			return
 		}
-		if len(p.b) == 0 {
-			if p.reset {
-				c.end(true)
+		if len(s.data) == 0 {
+			if s.reset {
+				c.close(true)
 			} else {
+				// A full close looks like a half close from here, so only the sending side is closed: answers may still come.
+				// If it was a full close, the other side's next write fails with a reset.
 				to.CloseWrite()
-				// Danger: a process that closes a connection whole looks here as one that ends its sending alone; what still
-				// comes for it would be read for ever. The other side's next write finds out.
 			}
 			return
 		}
-		if _, err := to.Write(p.b); err != nil {
-			c.end(true)
+		if _, err := to.Write(s.data); err != nil {
+			c.close(true)
 			return
 		}
-		from.way.count(len(p.b))
+		from.outgoing.countBytes(len(s.data))
 	}
 }
 
-// collect reads a side until its end.
-func (c *conn) collect(from *side, parcels chan<- parcel, closed *atomic.Int64) {
+// readSegments reads one side until it ends or the connection is closed.
+func (c *conn) readSegments(from *endpoint, segments chan<- segment, closedAt *atomic.Int64) {
 	for {
-		b := make([]byte, chunk)
-		n, since, err := from.receive(b)
+		b := make([]byte, chunkBytes)
+		n, outagesBefore, err := from.receive(b)
 		if n > 0 {
-			c.commands.bytes(from == c.near, time.Now())
+			c.commands.observeBytes(from == c.near, time.Now())
 		}
-		if err != nil && closed != nil {
-			closed.CompareAndSwap(0, time.Now().UnixNano())
+		if err != nil && closedAt != nil {
+			closedAt.CompareAndSwap(0, time.Now().UnixNano())
+		}
+		s := segment{
+			data:          b[:n],
+			reset:         errors.Is(err, syscall.ECONNRESET),
+			deliverAt:     from.outgoing.deliveryTime(n),
+			outagesBefore: outagesBefore,
 		}
 		select {
-		case parcels <- parcel{b[:n], errors.Is(err, syscall.ECONNRESET), from.way.due(n), since}:
-		case <-c.ended:
+		case segments <- s:
+		case <-c.done:
 			return
 		}
 		if err != nil {
@@ -145,45 +153,36 @@
 	}
 }
 
-// wait waits until a parcel is due and its way is not silent; false: the connection is over.
-func (c *conn) wait(w *Way, p parcel) bool {
-	if d := time.Until(p.due); d > 0 {
+// awaitDelivery waits until a segment's time has come and its direction is not silent; false: it is not to be delivered, as the
+// connection is closed.
+func (c *conn) awaitDelivery(d *direction, s segment) bool {
+	if wait := time.Until(s.deliverAt); wait > 0 {
 		select {
-		case <-c.ended:
+		case <-c.done:
 			return false
-		case <-time.After(d):
+		case <-time.After(wait):
 		}
 	}
 	for {
-		s, changed := w.now()
-		if !s.Silent {
-			return c.survives(w, p)
+		state, changed := d.current()
+		if !state.Silent {
+			return c.deliverable(d, s)
 		}
 		select {
-		case <-c.ended:
+		case <-c.done:
 			return false
 		case <-changed:
 		}
 	}
 }
 
-// survives tells whether a parcel that may have met an outage still arrives. It does not if the side that opened the connection has
-// left: its kernel gave up what was under way meanwhile. Danger: when this relay reads something says nothing of when it was sent. On a
-// busy machine the sender's end, and the parcel too, may be read after the outage, so that the kernel is asked.
-func (c *conn) survives(w *Way, p parcel) bool {
-	if p.since == w.outagesBegun() || !c.near.left() {
+// deliverable decides whether a segment that may have met an outage is still delivered: not if the process that opened the connection
+// has closed it, as its kernel would have stopped retransmitting; then the connection is reset. The kernel is asked, as this relay may
+// read a segment, and the sender's end, long after they were sent: the time of the read proves nothing.
+func (c *conn) deliverable(d *direction, s segment) bool {
+	if s.outagesBefore == d.startedOutages() || !c.near.peerClosed() {
 		return true
 	}
-	c.end(true)
+	c.close(true)
 	return false
 }
-
-// healed tells the connections that a way carries again.
-func (l *Link) healed() {
-	l.mu.Lock()
-	defer l.mu.Unlock()
-	for c := range l.conns {
-		c.near.healed()
-		c.far.healed()
-	}
-}
--- a/internal/standin/link/link_test.go
+++ b/internal/standin/link/link_test.go
@@ -11,8 +11,8 @@
 	"dewhitch/internal/standin"
 )
 
-// before is a link before a listener that serves each connection so.
-func before(t *testing.T, serve func(net.Conn)) (*Net, *Link) {
+// openBefore opens a link to a listener that serves each connection with serve.
+func openBefore(t *testing.T, serve func(net.Conn)) (*Net, *Link) {
 	s, err := standin.Listen("", serve)
 	if err != nil {
 		t.Fatal(err)
@@ -27,9 +27,9 @@
 	return n, l
 }
 
-// open is a link before one that answers each line with itself.
-func open(t *testing.T) (*Net, *Link) {
-	return before(t, func(c net.Conn) {
+// openBeforeEcho opens a link to a listener that answers each line with itself.
+func openBeforeEcho(t *testing.T) (*Net, *Link) {
+	return openBefore(t, func(c net.Conn) {
 		for r := bufio.NewReader(c); ; {
 			line, err := r.ReadString('\n')
 			if err != nil {
@@ -40,93 +40,93 @@
 	})
 }
 
-// says sends a line and tells whether it comes back in time.
-func says(c net.Conn, patience time.Duration) bool {
+// echoes sends a line and reports whether it comes back in time.
+func echoes(c net.Conn, patience time.Duration) bool {
 	c.SetDeadline(time.Now().Add(patience))
 	fmt.Fprintln(c, "hello")
 	_, err := bufio.NewReader(c).ReadString('\n')
 	return err == nil
 }
 
-func TestSilentWay(t *testing.T) {
+func TestSilentDirection(t *testing.T) {
 	for _, way := range [][2]string{{"a", "b"}, {"b", "a"}} {
 		t.Run(way[0]+"-"+way[1], func(t *testing.T) {
-			n, l := open(t)
+			n, l := openBeforeEcho(t)
 			c, err := net.Dial("tcp", l.Addr())
-			if err != nil || !says(c, 5*time.Second) {
-				t.Fatal("a way that is well carries nothing", err)
+			if err != nil || !echoes(c, 5*time.Second) {
+				t.Fatal("a healthy direction delivers nothing", err)
 			}
 			n.Set(way[0], way[1], func(s *State) { s.Silent = true })
-			if says(c, 200*time.Millisecond) {
-				t.Error("an open connection says something through a silent way")
+			if echoes(c, 200*time.Millisecond) {
+				t.Error("an open connection delivers through a silent direction")
 			}
 			if c, err := net.DialTimeout("tcp", l.Addr(), 300*time.Millisecond); err == nil {
-				t.Error("a new connection comes up through a silent way", c.LocalAddr())
+				t.Error("a new connection comes up through a silent direction", c.LocalAddr())
 			} else if e, ok := err.(net.Error); !ok || !e.Timeout() {
-				t.Error("it must not be refused, but never come up:", err)
+				t.Error("it must time out, not be refused:", err)
 			}
 			n.Heal()
 			c.SetDeadline(time.Now().Add(5 * time.Second))
 			if line, err := bufio.NewReader(c).ReadString('\n'); err != nil || line != "hello\n" {
-				t.Errorf("what was written meanwhile does not arrive: %q, %v", line, err)
+				t.Errorf("what was written during the outage is not delivered: %q, %v", line, err)
 			}
-			if c, err = net.DialTimeout("tcp", l.Addr(), 5*time.Second); err != nil || !says(c, 5*time.Second) {
-				t.Error("a healed way carries nothing:", err)
+			if c, err = net.DialTimeout("tcp", l.Addr(), 5*time.Second); err != nil || !echoes(c, 5*time.Second) {
+				t.Error("a healed direction delivers nothing:", err)
 			}
 		})
 	}
 }
 
-// Nobody accepts from the listener of a silent way, whatever was under way as the silence began: what fills its queue stays.
-func TestNobodyAcceptsInASilence(t *testing.T) {
-	n, l := open(t)
+// Nothing accepts from the listener of a silent direction, not even an accept that was in progress: the backlog stays full.
+func TestNothingAcceptsWhileSilent(t *testing.T) {
+	n, l := openBeforeEcho(t)
 	n.Set("a", "b", func(s *State) { s.Silent = true })
 	l.mu.Lock()
-	l.l.SetDeadline(time.Time{}) // as for an accept that does not know of the silence yet
+	l.listener.SetDeadline(time.Time{}) // as for an accept that began before the outage
 	l.mu.Unlock()
 	for range 10 {
 		if c, err := net.DialTimeout("tcp", l.Addr(), 100*time.Millisecond); err == nil {
-			t.Fatal("a new connection comes up through a silent way", c.LocalAddr())
+			t.Fatal("a new connection comes up through a silent direction", c.LocalAddr())
 		}
 	}
 }
 
-func TestRefusedWay(t *testing.T) {
-	n, l := open(t)
+func TestRefusedDirection(t *testing.T) {
+	n, l := openBeforeEcho(t)
 	c, err := net.Dial("tcp", l.Addr())
-	if err != nil || !says(c, 5*time.Second) {
+	if err != nil || !echoes(c, 5*time.Second) {
 		t.Fatal(err)
 	}
 	n.Set("b", "a", func(s *State) { s.Refused = true })
-	if says(c, 5*time.Second) {
+	if echoes(c, 5*time.Second) {
 		t.Error("an open connection was not reset")
 	}
 	if _, err := net.DialTimeout("tcp", l.Addr(), 5*time.Second); err == nil || os.IsTimeout(err) {
 		t.Error("it must be refused:", err)
 	}
 	n.Heal()
-	if c, err = net.Dial("tcp", l.Addr()); err != nil || !says(c, 5*time.Second) {
-		t.Error("a healed way carries nothing:", err)
+	if c, err = net.Dial("tcp", l.Addr()); err != nil || !echoes(c, 5*time.Second) {
+		t.Error("a healed direction delivers nothing:", err)
 	}
 }
 
 func TestDelay(t *testing.T) {
-	n, l := open(t)
+	n, l := openBeforeEcho(t)
 	n.Set("a", "b", func(s *State) { s.Delay = 150 * time.Millisecond })
 	c, err := net.Dial("tcp", l.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
-	if !says(c, 5*time.Second) || time.Since(began) < 150*time.Millisecond {
+	if !echoes(c, 5*time.Second) || time.Since(began) < 150*time.Millisecond {
 		t.Error("the answer took", time.Since(began))
 	}
 }
 
-// What a gateway has given up while a way was silent may not come to life when that heals.
+// What a gateway abandoned during an outage must not be delivered after it.
 func TestGivenUpDoesNotArrive(t *testing.T) {
 	got := make(chan string, 1)
-	n, l := before(t, func(c net.Conn) {
+	n, l := openBefore(t, func(c net.Conn) {
 		line, err := bufio.NewReader(c).ReadString('\n')
 		got <- fmt.Sprint(line, err != nil)
 	})
@@ -134,7 +134,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(5 * time.Second); l.open() == 0 && time.Now().Before(end); {
+	for end := time.Now().Add(5 * time.Second); l.connCount() == 0 && time.Now().Before(end); {
 		time.Sleep(time.Millisecond)
 	}
 	n.Set("a", "b", func(s *State) { s.Silent = true })
@@ -147,22 +147,20 @@
 	}
 }
 
-// Nor may one that was in the listener's queue when the way fell silent, and was given up there.
+// Nor may a connection that was in the listener's backlog when the outage began, and was abandoned there.
 //
-// What happened: under the race detector, beside six busy processes, "it arrived: hello" in 14 runs of 20. Why: the relay knew of its
-// sender's end by having read it. What showed it, in five of five runs that fell: "READ 6, silent: true", so the line was read while
-// the way was silent, and held; then "READ 0, silent: false", up to 4 ms after the heal, so the end was read only when the line had
-// gone on. Mended in conn.survives, which asks the kernel whether the sender has ended, for whatever may have met an outage.
+// It failed in 14 of 20 runs under the race detector beside six busy processes: the relay took the sender's end from its own reads,
+// and could read the line during the outage but the end only after the line was delivered. conn.deliverable asks the kernel since.
 func TestQueuedDoesNotArrive(t *testing.T) {
 	got := make(chan string, 100)
-	n, l := before(t, func(c net.Conn) {
+	n, l := openBefore(t, func(c net.Conn) {
 		line, _ := bufio.NewReader(c).ReadString('\n')
 		got <- line
 	})
 	for range 30 {
 		var all []net.Conn
 		up := make(chan net.Conn)
-		go func() { // one that comes up just as the way falls silent
+		go func() { // one that comes up just as the outage begins
 			c, err := net.DialTimeout("tcp", l.Addr(), 100*time.Millisecond)
 			if err != nil {
 				c = nil
@@ -191,11 +189,10 @@
 	}
 }
 
-// An outage that was over before something was sent says nothing against it: it arrives, whoever has left since, as what is on a
-// slow wire does.
+// What was sent after an outage is delivered, even if its sender has closed the connection since, as over a slow wire.
 func TestLeftBehindASlowWayArrives(t *testing.T) {
 	got := make(chan string, 2)
-	n, l := before(t, func(c net.Conn) {
+	n, l := openBefore(t, func(c net.Conn) {
 		for r := bufio.NewReader(c); ; {
 			line, err := r.ReadString('\n')
 			if err != nil {
@@ -223,15 +220,15 @@
 			t.Errorf("%q came", line)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("what was sent after an outage does not arrive")
+		t.Error("what was sent after an outage is not delivered")
 	}
 }
 
-// Left has to be known for a connection whose gateway gave up, while the server still holds its end.
+// Left is known for a connection that the gateway has closed while the server still has its end open.
 func TestLeft(t *testing.T) {
 	seen := make(chan string, 1)
 	hold := make(chan struct{})
-	_, l := before(t, func(c net.Conn) { seen <- c.RemoteAddr().String(); <-hold })
+	_, l := openBefore(t, func(c net.Conn) { seen <- c.RemoteAddr().String(); <-hold })
 	defer close(hold)
 	c, err := net.Dial("tcp", l.Addr())
 	if err != nil {
@@ -239,12 +236,12 @@
 	}
 	far := <-seen
 	if at := l.Left(far); !at.IsZero() {
-		t.Error("it has left before it did:", at)
+		t.Error("it is closed before it was:", at)
 	}
 	c.Close()
 	for end := time.Now().Add(5 * time.Second); l.Left(far).IsZero(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal("it is not seen to have left")
+			t.Fatal("its close is not seen")
 		}
 	}
 }
@@ -283,7 +280,7 @@
 	}
 }
 
-func (l *Link) open() int {
+func (l *Link) connCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return len(l.conns)
--- /dev/null
+++ b/internal/standin/link/listener.go
@@ -0,0 +1,100 @@
+package link
+
+// How new connections meet the state of the two directions: they are accepted, refused, or time out.
+
+import (
+	"net"
+	"syscall"
+	"time"
+)
+
+// backlogFillTimeout bounds the wait for the connection that fills the backlog, which may come up late on a busy machine.
+const backlogFillTimeout = 200 * time.Millisecond
+
+// applyState has the listener follow the state of the two directions: it accepts, refuses (is closed), or is blackholed.
+func (l *Link) applyState() {
+	if l.closed.Load() {
+		return
+	}
+	outbound, _ := l.outbound.current()
+	inbound, _ := l.inbound.current()
+	refuse := outbound.Refused || inbound.Refused
+	silent := outbound.Silent || inbound.Silent
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if refuse && l.listener != nil {
+		l.closeListener()
+	}
+	if !refuse && l.listener == nil && l.listen() != nil {
+		return // the next change of state retries
+	}
+	switch {
+	case l.listener == nil || silent == l.blackholed:
+	case silent:
+		l.blackhole()
+	default:
+		// A new listener, as connections in the old one's backlog may have been abandoned and must not be accepted.
+		l.closeListener()
+		_ = l.listen()
+	}
+}
+
+// listen opens the listener. l.mu is held, or the link is not shared yet.
+func (l *Link) listen() error {
+	opened, err := net.Listen("tcp", l.addr)
+	if err != nil {
+		return err
+	}
+	l.listener = opened.(*net.TCPListener)
+	l.acceptDone = make(chan struct{})
+	go l.accept(l.listener, l.acceptDone)
+	return nil
+}
+
+// accept relays each connection until the listener is closed or blackholed, then closes done.
+func (l *Link) accept(listener *net.TCPListener, done chan<- struct{}) {
+	defer close(done)
+	for {
+		c, err := listener.AcceptTCP()
+		if err != nil {
+			return
+		}
+		// The outages are counted here: counted in the goroutine, an outage that begins meanwhile could end before the count,
+		// and the connection would pass for one that came up after it.
+		go l.relay(c, l.outbound.endedOutages())
+	}
+}
+
+// blackhole has new connections time out, as over a cut wire: nothing accepts, and the backlog of one is full, so that the kernel
+// drops further SYNs. An accept in progress would take the connection that fills the backlog, so it ends first. The listener can't be
+// used again. l.mu is held.
+func (l *Link) blackhole() {
+	l.blackholed = true
+	l.listener.SetDeadline(time.Unix(1, 0))
+	<-l.acceptDone
+	setBacklog(l.listener, 0)
+	// A backlog of 0 takes one connection. If this one times out, another process's connection has filled it.
+	if c, err := net.DialTimeout("tcp", l.addr, backlogFillTimeout); err == nil {
+		l.backlogFillers = append(l.backlogFillers, c)
+	}
+}
+
+// closeListener closes the listener, which resets what waits in its backlog. l.mu is held.
+func (l *Link) closeListener() {
+	l.blackholed = false
+	for _, c := range l.backlogFillers {
+		c.(*net.TCPConn).SetLinger(0)
+		c.Close()
+	}
+	l.backlogFillers = nil
+	l.listener.Close()
+	l.listener = nil
+}
+
+// setBacklog sets how many connections may wait to be accepted.
+func setBacklog(listener *net.TCPListener, n int) {
+	raw, err := listener.SyscallConn()
+	if err == nil {
+		_ = raw.Control(func(fd uintptr) { _ = syscall.Listen(int(fd), n) })
+	}
+}
--- /dev/null
+++ b/internal/standin/link/network.go
@@ -0,0 +1,85 @@
+// Package link injects network faults between processes: each Link is a relay on loopback that drops, refuses, delays, throttles or
+// resets what passes through it, each direction on its own. It owns the relays' sockets and does not interpret the relayed bytes,
+// except that it takes the start of each command's bytes for Link.Sent.
+package link
+
+import "sync"
+
+// Net is all directions and links of one run. Its methods may be called from any goroutine.
+type Net struct {
+	mu         sync.Mutex
+	seed       uint64
+	directions map[[2]string]*direction // by the names of the sending and the receiving process
+	links      []*Link
+}
+
+// NewNet returns a net without links; the seed is that of jitter and loss.
+func NewNet(seed uint64) *Net { return &Net{seed: seed, directions: map[[2]string]*direction{}} }
+
+// direction returns the direction between two processes, by name. The order of the first calls fixes the random source of each.
+func (n *Net) direction(from, to string) *direction {
+	n.mu.Lock()
+	defer n.mu.Unlock()
+	key := [2]string{from, to}
+	d := n.directions[key]
+	if d == nil {
+		d = newDirection(from, to, n.seed, uint64(len(n.directions)))
+		n.directions[key] = d
+	}
+	return d
+}
+
+// Set changes the state of the direction between two processes, and applies it to the links that use the direction.
+func (n *Net) Set(from, to string, change func(*State)) {
+	t, changed := n.direction(from, to).change(change)
+	if !changed {
+		return
+	}
+	for _, l := range t.links {
+		l.applyState()
+		if t.refused {
+			l.Reset()
+		}
+		if t.healed {
+			l.onHealed()
+		}
+	}
+}
+
+// Reset resets the open connections from process a to process b, once.
+func (n *Net) Reset(a, b string) {
+	for _, l := range n.direction(a, b).linksNow() {
+		l.Reset()
+	}
+}
+
+// Heal returns every direction to the zero State.
+func (n *Net) Heal() {
+	n.mu.Lock()
+	var all []*direction
+	for _, d := range n.directions {
+		all = append(all, d)
+	}
+	n.mu.Unlock()
+	for _, d := range all {
+		n.Set(d.from, d.to, func(s *State) { *s = State{} })
+	}
+}
+
+// Bytes returns how many bytes were delivered from one process to another.
+func (n *Net) Bytes(from, to string) int64 {
+	d := n.direction(from, to)
+	d.mu.Lock()
+	defer d.mu.Unlock()
+	return d.bytes
+}
+
+// Close closes all links.
+func (n *Net) Close() {
+	n.mu.Lock()
+	links := n.links
+	n.mu.Unlock()
+	for _, l := range links {
+		l.Close()
+	}
+}
