--- /dev/null
+++ b/internal/standin/zookeeper/operations.go
@@ -0,0 +1,99 @@
+package zookeeper
+
+import (
+	"path"
+	"sort"
+)
+
+// handle executes one request and returns the error code and the body of the response. z.mu is held.
+func (z *Server) handle(s *session, op int32, f requestFrame) (code int32, answer []any) {
+	switch op {
+	case opPing, opSetWatches, opClose: // serve closes the session once this is answered
+		return 0, nil
+	case opCreate:
+		return z.create(s, f)
+	}
+	name := f.readString()
+	n := z.nodes[name]
+	if n == nil {
+		return errNoNode, nil
+	}
+	if op == opDelete {
+		z.remove(name)
+		return 0, nil
+	}
+	watchFlag, _ := f.ReadByte()
+	watched := watchFlag != 0
+	data := watch{watchData, name}
+	children := z.children(name)
+	switch op {
+	case opExists:
+		s.watches[data] = watched
+		return 0, stat(n, len(children))
+	case opGetData:
+		s.watches[data] = watched || s.watches[data]
+		return 0, append([]any{n.data}, stat(n, len(children))...)
+	case opChildren2:
+		s.watches[watch{watchChildren, name}] = watched
+		answer = []any{int32(len(children))}
+		for _, child := range children {
+			answer = append(answer, child)
+		}
+		return 0, append(answer, stat(n, len(children))...)
+	}
+	return errUnimplemented, nil
+}
+
+// create adds a node and notifies its watchers. z.mu is held.
+func (z *Server) create(s *session, f requestFrame) (code int32, answer []any) {
+	name := f.readString()
+	data := f.readString()
+	for range f.readInt() { // access control list: permissions, scheme, identity
+		f.readInt()
+		f.readString()
+		f.readString()
+	}
+	ephemeral := f.readInt()&flagEphemeral != 0
+	parent := path.Dir(name)
+	if z.nodes[name] != nil {
+		return errNodeExists, nil
+	}
+	if z.nodes[parent] == nil {
+		return errNoNode, nil
+	}
+	z.zxid++
+	n := &znode{data: []byte(data), createdZxid: z.zxid}
+	if ephemeral {
+		n.owner = s.id
+	}
+	z.nodes[name] = n
+	z.notify(watch{watchData, name}, eventCreated)
+	z.notify(watch{watchChildren, parent}, eventChildrenChanged)
+	return 0, []any{name}
+}
+
+// children returns the names of a node's children without their path, sorted. z.mu is held.
+func (z *Server) children(name string) []string {
+	children := []string{}
+	for child := range z.nodes {
+		if child != "/" && path.Dir(child) == name {
+			children = append(children, path.Base(child))
+		}
+	}
+	sort.Strings(children)
+	return children
+}
+
+// stat returns the fields of a node's Stat record in the order of the wire. Data never changes, and no client reads pzxid, so that all
+// zxids are of the creation.
+func stat(n *znode, children int) []any {
+	return []any{
+		n.createdZxid, n.createdZxid, // czxid, mzxid
+		int64(0), int64(0), // ctime, mtime
+		int32(0), int32(0), int32(0), // version, cversion, aversion
+		n.owner,
+		int32(len(n.data)),
+		int32(children),
+		n.createdZxid, // pzxid
+	}
+}
