--- a/internal/standin/build.go
+++ b/internal/standin/build.go
@@ -12,17 +12,31 @@
 // raceDetector is whether this program was built with the race detector.
 var raceDetector bool
 
-// Build builds one of the program's commands, such as dewhitch, into a folder, and returns where it is.
-//
-// The sources are opened for the test cache: it follows the files that a test opens, but not what a program that it
-// starts was built of, and would hand out results of an older one.
+// Build builds one of the project's commands, such as dewhitch, into a folder, and returns its path. It is built with the race detector
+// if the caller is. The error has the compiler's output.
 func Build(dir, command string) (string, error) {
 	mod, err := exec.Command("go", "env", "GOMOD").Output()
 	if err != nil {
 		return "", err
 	}
-	root := filepath.Dir(strings.TrimSpace(string(mod)))
-	err = filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
+	if err := openSources(filepath.Dir(strings.TrimSpace(string(mod)))); err != nil {
+		return "", err
+	}
+	program := filepath.Join(dir, command)
+	args := []string{"build", "-o", program}
+	if raceDetector {
+		args = append(args, "-race")
+	}
+	if out, err := exec.Command("go", append(args, "dewhitch/cmd/"+command)...).CombinedOutput(); err != nil {
+		return "", fmt.Errorf("standin: %w: %s", err, out)
+	}
+	return program, nil
+}
+
+// openSources opens each source file, so that a cached test result depends on it: go test tracks the files that a test opens, not those
+// that a program which it starts was built from.
+func openSources(root string) error {
+	return filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
 			return err
 		}
@@ -36,16 +50,4 @@
 		}
 		return nil
 	})
-	if err != nil {
-		return "", err
-	}
-	program := filepath.Join(dir, command)
-	args := []string{"build", "-o", program}
-	if raceDetector { // what a test starts is watched as the test is
-		args = append(args, "-race")
-	}
-	if out, err := exec.Command("go", append(args, "dewhitch/cmd/"+command)...).CombinedOutput(); err != nil {
-		return "", fmt.Errorf("standin: %w: %s", err, out)
-	}
-	return program, nil
 }
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -3,7 +3,6 @@
 import (
 	"bufio"
 	"fmt"
-	"io"
 	"net"
 	"os"
 	"strconv"
@@ -12,45 +11,71 @@
 	"time"
 )
 
-// Reply is an answer as a client reads it.
+// Client is one client connection to a gateway. One goroutine may send while another reads replies.
+type Client struct {
+	net.Conn
+	R *bufio.Reader
+}
+
+// Dial connects a client; the timeout bounds the connect alone.
+func Dial(addr string, timeout time.Duration) (*Client, error) {
+	c, err := net.DialTimeout("tcp", addr, timeout)
+	if err != nil {
+		return nil, err
+	}
+	return &Client{c, bufio.NewReader(c)}, nil
+}
+
+// Send pipelines commands in one write.
+func (c *Client) Send(commands ...[]string) error {
+	var b []byte
+	for _, args := range commands {
+		b = AppendCommand(b, args...)
+	}
+	_, err := c.Write(b)
+	return err
+}
+
+// Reply reads the next reply.
+func (c *Client) Reply() (Reply, error) { return ReadReply(c.R) }
+
+// Reply is a reply of a gateway or a backend, decoded.
 type Reply struct {
 	Kind  byte   // + - : $ *
 	Text  string // of all but arrays
 	Null  bool
-	Items []Reply
+	Items []Reply // of an array
 }
 
-// ReadReply reads one answer.
+// ReadReply reads one reply. The error is of the connection, or of a reply that breaks the protocol.
 func ReadReply(r *bufio.Reader) (v Reply, err error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
 		return v, err
 	}
 	if !strings.HasSuffix(line, "\r\n") || len(line) < 3 {
-		return v, fmt.Errorf("standin: %q is no line of an answer", line)
+		return v, fmt.Errorf("standin: %q is not a line of a reply", line)
 	}
-	v.Kind, v.Text = line[0], line[1:len(line)-2]
+	v.Kind = line[0]
+	v.Text = line[1 : len(line)-2]
 	switch v.Kind {
 	case '+', '-', ':':
 		return v, nil
 	case '$', '*':
 	default:
-		return v, fmt.Errorf("standin: %q is no answer", line)
+		return v, fmt.Errorf("standin: %q is not a reply", line)
 	}
 	n, err := strconv.Atoi(v.Text)
-	if err != nil || n < -1 || n > maxWord {
-		return v, fmt.Errorf("standin: %q has no length", line)
+	if err != nil || n < -1 || n > maxArgBytes {
+		return v, fmt.Errorf("standin: %q has no valid length", line)
 	}
-	if v.Null = n < 0; v.Null {
+	if n < 0 {
+		v.Null = true
 		return v, nil
 	}
 	if v.Kind == '$' {
-		b := make([]byte, n+2)
-		if _, err := io.ReadFull(r, b); err != nil {
-			return v, err
-		}
-		v.Text = string(b[:n])
-		return v, nil
+		v.Text, err = readBulk(r, n)
+		return v, err
 	}
 	for range n {
 		item, err := ReadReply(r)
@@ -62,40 +87,14 @@
 	return v, nil
 }
 
-// Client is one client session.
-type Client struct {
-	net.Conn
-	R *bufio.Reader
-}
-
-// Dial opens a client session.
-func Dial(addr string, patience time.Duration) (*Client, error) {
-	c, err := net.DialTimeout("tcp", addr, patience)
-	if err != nil {
-		return nil, err
-	}
-	return &Client{c, bufio.NewReader(c)}, nil
-}
-
-// Send writes commands, one behind another.
-func (c *Client) Send(commands ...[]string) error {
-	var b []byte
-	for _, words := range commands {
-		b = AppendCommand(b, words...)
-	}
-	_, err := c.Write(b)
-	return err
-}
-
-// Reply reads the next answer.
-func (c *Client) Reply() (Reply, error) { return ReadReply(c.R) }
-
-var hosts atomic.Int32
+// ownHosts counts the addresses that OwnAddr has returned.
+var ownHosts atomic.Int32
 
-// OwnAddr is an address that nobody else uses: a program is told where to listen, and a port that was free a moment ago
-// may not be. So each address is of a loopback host of its own, by process and number.
+// OwnAddr returns a loopback address for a process that is told where to listen. Its host differs by process and by call, as a port
+// that was free a moment ago may be taken by the time that the process listens.
 func OwnAddr() string {
-	const each = 250 // hosts; then they begin again with another port
-	pid, n := os.Getpid(), hosts.Add(1)-1
-	return fmt.Sprintf("127.%d.%d.%d:%d", 64+pid%64, pid/64%256, 1+n%each, 7379+n/each)
+	const hostsPerPort = 250
+	pid := os.Getpid()
+	n := ownHosts.Add(1) - 1
+	return fmt.Sprintf("127.%d.%d.%d:%d", 64+pid%64, pid/64%256, 1+n%hostsPerPort, 7379+n/hostsPerPort)
 }
--- a/internal/standin/counter_test.go
+++ b/internal/standin/counter_test.go
@@ -11,10 +11,10 @@
 	"time"
 )
 
-// told adds through a door and returns what is answered.
-func told(t *testing.T, door *Listener, name string, by float64) string {
+// addThrough adds to a total through a listener and returns the status and body of the answer, or nothing if there is none.
+func addThrough(t *testing.T, listener *Listener, name string, by float64) string {
 	t.Helper()
-	c, err := net.Dial("tcp", door.Addr())
+	c, err := net.Dial("tcp", listener.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -42,8 +42,8 @@
 	return strings.Fields(head)[1] + " " + string(body)
 }
 
-// Each trouble of a script does to a counter's doors what its name says.
-func TestCounterTroubles(t *testing.T) {
+// Each fault of a script acts on the counter's listeners and store as documented.
+func TestCounterFaults(t *testing.T) {
 	c, err := NewCounter()
 	if err != nil {
 		t.Fatal(err)
@@ -54,29 +54,29 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	expect := func(door *Listener, by float64, want string) {
+	expect := func(listener *Listener, by float64, want string) {
 		t.Helper()
-		if got := told(t, door, "7.a", by); got != want {
+		if got := addThrough(t, listener, "7.a", by); got != want {
 			t.Errorf("answered %q, not %q", got, want)
 		}
 	}
 	expect(near, 5, "200 5")
 	expect(far, 1, "200 6") // one store behind both
-	c.Keep()
+	c.Snapshot()
 	c.Split(1)
 	expect(near, 10, "200 16")
 	expect(far, 100, "200 106") // each knows what was before
 	c.Join(Sum)
 	expect(far, 0, "200 116")
-	c.RollBack()
+	c.Restore()
 	expect(near, 0, "200 6")
 	c.Split(1)
 	expect(far, 3, "200 9")
-	c.Join(First)
+	c.Join(JoinFirst)
 	expect(far, 0, "200 6")
 	c.Split(1)
 	expect(far, 3, "200 9")
-	c.Join(Second)
+	c.Join(JoinSecond)
 	expect(near, 0, "200 9")
 	c.Mode("full", 1)
 	expect(far, 1, "503 ")
@@ -84,13 +84,13 @@
 	c.Mode("reset", 1)
 	expect(far, 1, "nothing")
 	c.Mode("add")
-	began := time.Now()
-	c.Slow(60*time.Millisecond, 0)
+	start := time.Now()
+	c.SetLatency(60*time.Millisecond, 0)
 	expect(near, 0, "200 10")
-	if took := time.Since(began); took < 60*time.Millisecond {
-		t.Errorf("a slow answer took %v", took)
+	if elapsed := time.Since(start); elapsed < 60*time.Millisecond {
+		t.Errorf("a slow answer came after %v", elapsed)
 	}
-	c.Slow(0)
+	c.SetLatency(0)
 	c.Play(context.Background(), Trouble{time.Millisecond, (*Counter).Forget}, Trouble{2 * time.Millisecond,
 		func(c *Counter) { c.Mode("spoilt") }})
 	expect(near, 2, "200 NaN")
--- /dev/null
+++ b/internal/standin/listener.go
@@ -0,0 +1,98 @@
+package standin
+
+import (
+	"net"
+	"sync"
+)
+
+// Listener serves each connection in a goroutine of its own, and closes it when the owner's function returns. Its methods may be called
+// from any goroutine.
+type Listener struct {
+	listener net.Listener
+	mu       sync.Mutex
+	conns    map[net.Conn]struct{} // open ones
+	closed   bool                  // connections that were accepted too late are closed at once
+}
+
+// Listen listens at addr, which is of loopback; an empty one stands for a free port. It calls serve for each connection.
+func Listen(addr string, serve func(net.Conn)) (*Listener, error) {
+	if addr == "" {
+		addr = "127.0.0.1:0"
+	}
+	l, err := net.Listen("tcp", addr)
+	if err != nil {
+		return nil, err
+	}
+	s := &Listener{listener: l, conns: map[net.Conn]struct{}{}}
+	go s.acceptAll(serve)
+	return s, nil
+}
+
+// acceptAll runs until the listener is closed.
+func (l *Listener) acceptAll(serve func(net.Conn)) {
+	for {
+		c, err := l.listener.Accept()
+		if err != nil {
+			return
+		}
+		if !l.register(c) {
+			c.Close()
+			continue
+		}
+		go func() {
+			serve(c)
+			c.Close()
+			l.mu.Lock()
+			delete(l.conns, c)
+			l.mu.Unlock()
+		}()
+	}
+}
+
+// register adds a connection to the open ones; false: the listener is closed.
+func (l *Listener) register(c net.Conn) bool {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	if l.closed {
+		return false
+	}
+	l.conns[c] = struct{}{}
+	return true
+}
+
+// Addr returns where it listens.
+func (l *Listener) Addr() string { return l.listener.Addr().String() }
+
+// Refuse has new connections refused from now on; open ones stay.
+func (l *Listener) Refuse() { l.listener.Close() }
+
+// Reset resets all open connections, as the death of a process does, and continues to listen.
+func (l *Listener) Reset() {
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	for c := range l.conns {
+		resetConn(c.(*net.TCPConn))
+	}
+}
+
+// Close stops listening and closes all connections.
+func (l *Listener) Close() { l.closeAll((*net.TCPConn).Close) }
+
+// Die stops listening and resets all connections.
+func (l *Listener) Die() { l.closeAll(resetConn) }
+
+func (l *Listener) closeAll(closeConn func(*net.TCPConn) error) {
+	l.listener.Close()
+	l.mu.Lock()
+	defer l.mu.Unlock()
+	l.closed = true
+	for c := range l.conns {
+		closeConn(c.(*net.TCPConn))
+	}
+}
+
+// resetConn closes a connection with a TCP reset.
+func resetConn(c *net.TCPConn) error {
+	c.SetLinger(0)
+	return c.Close()
+}
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -11,149 +11,161 @@
 	"time"
 )
 
-// Process is one process of the program in a run of several: its folder, its files, and its lives.
+// listenPollInterval is how often Start tries whether the process listens.
+const listenPollInterval = 5 * time.Millisecond
+
+// Process is a gateway process that a run starts, ends and starts again: its folder and files, and its incarnations, one at a time.
+// Write and Forget are for one goroutine; the other methods may be called from any.
 type Process struct {
-	Name, Dir string
-	Listen    string // where it takes clients
-	Path      string // of the program
-	Args      []string
-	Env       []string     // beside the tool's own
-	Line      func(string) // told of each line of its log; may be nil
-
-	mu    sync.Mutex
-	prog  *Program
-	logs  []string // of earlier lives
-	kills int
-	given map[string]bool // the files that it was given
+	Name   string
+	Dir    string
+	Listen string // address for clients
+	Path   string // of the program
+	Args   []string
+	Env    []string     // added to the environment of this process
+	Line   func(string) // called for each line of the log; may be nil
+
+	written map[string]bool // files that Write wrote
+
+	mu        sync.Mutex
+	program   *Program
+	endedLogs []string // of earlier incarnations
+	killCount int
 }
 
-// Write writes the process's files into its folder.
+// Write writes files, by name, into the process's folder.
 func (p *Process) Write(files map[string]string) error {
 	if err := os.MkdirAll(p.Dir, 0o750); err != nil {
 		return err
 	}
-	if p.given == nil {
-		p.given = map[string]bool{}
+	if p.written == nil {
+		p.written = map[string]bool{}
 	}
 	for name, text := range files {
-		p.given[name] = true
-		if err := os.WriteFile(filepath.Join(p.Dir, name), []byte(text), 0o640); err != nil {
+		p.written[name] = true
+		if err := os.WriteFile(p.File(name), []byte(text), 0o640); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// File is the path of one of its files.
+// File returns the path of a file in the process's folder.
 func (p *Process) File(name string) string { return filepath.Join(p.Dir, name) }
 
-// Spawn starts it, and does not wait until it listens.
+// Spawn starts an incarnation and does not wait until it listens.
 func (p *Process) Spawn() (*Program, error) {
 	cmd := exec.Command(p.Path, p.Args...)
 	cmd.Env = append(append(os.Environ(), "NODE_CONFIG="+p.File("config.json")), p.Env...)
-	prog, err := Follow(cmd, p.Line)
+	program, err := Start(cmd, p.Line)
 	if err != nil {
 		return nil, err
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.prog = prog
-	return prog, nil
+	p.program = program
+	return program, nil
 }
 
-// Start starts it and waits until it listens.
-func (p *Process) Start(patience time.Duration) error {
-	prog, err := p.Spawn()
+// Start starts an incarnation and waits until it listens; the error has its log.
+func (p *Process) Start(timeout time.Duration) error {
+	program, err := p.Spawn()
 	if err != nil {
 		return err
 	}
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
+	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(listenPollInterval) {
 		if c, err := Dial(p.Listen, time.Second); err == nil {
 			c.Close()
 			return nil
 		}
-		if prog.Over() {
+		if program.Over() {
 			break
 		}
 	}
-	return fmt.Errorf("%s does not listen: %s", p.Name, prog.Log())
+	return fmt.Errorf("%s does not listen: %s", p.Name, program.Log())
 }
 
-// Program is its present life, or its last one; nil before the first.
+// Program returns the latest incarnation; nil before the first.
 func (p *Process) Program() *Program {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.prog
+	return p.program
 }
 
-// Kill ends its life outright.
+// Kill kills the incarnation (SIGKILL), if there is one.
 func (p *Process) Kill() {
-	prog := p.Program()
-	if prog == nil {
+	program := p.Program()
+	if program == nil {
 		return
 	}
-	prog.Kill()
+	program.Kill()
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.logs = append(p.logs, prog.Log())
-	p.kills++
+	p.endedLogs = append(p.endedLogs, program.Log())
+	p.killCount++
 }
 
-// End has it end as at a planned restart.
-func (p *Process) End(patience time.Duration) error {
-	prog := p.Program()
-	prog.Cmd.Process.Signal(syscall.SIGTERM)
-	return p.Gone(patience)
+// End ends the incarnation by SIGTERM, as a planned restart does, and waits for its end as Gone does.
+func (p *Process) End(timeout time.Duration) error {
+	p.Program().Cmd.Process.Signal(syscall.SIGTERM)
+	return p.Gone(timeout)
 }
 
-// Gone waits until it has ended of itself, and well.
-func (p *Process) Gone(patience time.Duration) error {
-	prog := p.Program()
-	if err := prog.Wait(patience); err != nil {
-		return fmt.Errorf("%s, at SIGTERM: %w\n%s", p.Name, err, prog.Log())
+// Gone waits until the incarnation has ended by itself. The error is of its exit, or wraps ErrStillRunning; it has the log.
+func (p *Process) Gone(timeout time.Duration) error {
+	program := p.Program()
+	if err := program.Wait(timeout); err != nil {
+		return fmt.Errorf("%s, at SIGTERM: %w\n%s", p.Name, err, program.Log())
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.logs = append(p.logs, prog.Log())
+	p.endedLogs = append(p.endedLogs, program.Log())
 	return nil
 }
 
-// Forget empties its folder of what its lives have left, but for the files that it was given.
+// Forget removes from the folder what the incarnations have stored, all but the files that Write wrote.
 func (p *Process) Forget() error {
 	entries, err := os.ReadDir(p.Dir)
 	if err != nil {
 		return err
 	}
 	for _, e := range entries {
-		if p.given[e.Name()] {
+		if p.written[e.Name()] {
 			continue
 		}
-		if err := os.RemoveAll(filepath.Join(p.Dir, e.Name())); err != nil {
+		if err := os.RemoveAll(p.File(e.Name())); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Kills is how often it was killed.
+// Kills returns how often it was killed.
 func (p *Process) Kills() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.kills
+	return p.killCount
 }
 
-// Says finds the first line of the logs of its ended lives that holds one of the words.
-func (p *Process) Says(words ...string) (string, bool) {
+// Says returns the first line in the logs of ended incarnations that has one of the texts; false: there is none.
+func (p *Process) Says(texts ...string) (string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, log := range p.logs {
+	for _, log := range p.endedLogs {
 		for line := range strings.SplitSeq(log, "\n") {
-			for _, word := range words {
-				if strings.Contains(line, word) {
-					return line, true
-				}
+			if containsAny(line, texts) {
+				return line, true
 			}
 		}
 	}
 	return "", false
 }
+
+func containsAny(line string, texts []string) bool {
+	for _, text := range texts {
+		if strings.Contains(line, text) {
+			return true
+		}
+	}
+	return false
+}
--- a/internal/standin/program.go
+++ b/internal/standin/program.go
@@ -8,95 +8,100 @@
 	"time"
 )
 
-// Program is a program that was started, with what it has written to its log.
+// maxLogBytes bounds how much of a program's output is kept in memory; the rest is dropped.
+const maxLogBytes = 8 << 20
+
+// Program is a running or ended program and its output. Its methods may be called from any goroutine.
 type Program struct {
 	Cmd  *exec.Cmd
-	mu   sync.Mutex
-	out  bytes.Buffer
-	over chan struct{}
-	err  error
-	line func(string) // of each whole line of the log; nil: nobody asks
-	part []byte
-}
+	done chan struct{} // closed once it has ended
+	err  error         // of Cmd.Wait; set before done is closed
 
-// maxLog bounds what is kept of a program's log.
-const maxLog = 8 << 20
+	mu          sync.Mutex
+	log         bytes.Buffer
+	onLine      func(string) // may be nil
+	partialLine []byte       // output after the last newline; unused without onLine
+}
 
-// Start starts a command. It is to be ended with Kill, or waited for with Wait.
-func Start(cmd *exec.Cmd) (*Program, error) { return Follow(cmd, nil) }
+// ErrStillRunning is the error of waiting for a program that has not ended in time.
+var ErrStillRunning = errors.New("standin: the program is still running")
 
-// Follow does the same, and has line told of each line of the log as it comes.
-func Follow(cmd *exec.Cmd, line func(string)) (*Program, error) {
-	p := &Program{Cmd: cmd, over: make(chan struct{}), line: line}
-	cmd.Stdout, cmd.Stderr = p, p
+// Start starts a program, which the caller ends by Kill, or awaits by Wait. onLine, if not nil, is called for each line of its output
+// and must not call the Program.
+func Start(cmd *exec.Cmd, onLine func(string)) (*Program, error) {
+	p := &Program{Cmd: cmd, done: make(chan struct{}), onLine: onLine}
+	cmd.Stdout = p
+	cmd.Stderr = p
 	if err := cmd.Start(); err != nil {
 		return nil, err
 	}
 	go func() {
 		p.err = cmd.Wait()
-		close(p.over)
+		close(p.done)
 	}()
 	return p, nil
 }
 
-// Write takes the program's log.
+// Write takes the program's output.
 func (p *Program) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.out.Len() < maxLog {
-		p.out.Write(b)
+	if p.log.Len() < maxLogBytes {
+		p.log.Write(b)
 	}
-	if p.line != nil {
-		p.part = append(p.part, b...)
-		for {
-			i := bytes.IndexByte(p.part, '\n')
-			if i < 0 {
-				break
-			}
-			p.line(string(p.part[:i]))
-			p.part = p.part[i+1:]
-		}
+	if p.onLine != nil {
+		p.partialLine = append(p.partialLine, b...)
+		p.passLines()
 	}
 	return len(b), nil
 }
 
-// Log is what the program has written.
+// passLines passes the complete lines of the output on. p.mu is held.
+func (p *Program) passLines() {
+	for {
+		i := bytes.IndexByte(p.partialLine, '\n')
+		if i < 0 {
+			return
+		}
+		p.onLine(string(p.partialLine[:i]))
+		p.partialLine = p.partialLine[i+1:]
+	}
+}
+
+// Log returns the output so far.
 func (p *Program) Log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.out.String()
+	return p.log.String()
 }
 
-// Over says whether the program has ended.
+// Over reports whether the program has ended.
 func (p *Program) Over() bool {
 	select {
-	case <-p.over:
+	case <-p.done:
 		return true
 	default:
 		return false
 	}
 }
 
-// ErrGoesOn says that a program has not ended in time.
-var ErrGoesOn = errors.New("standin: the program goes on")
-
-// Wait waits for the end, and returns the program's error.
-func (p *Program) Wait(patience time.Duration) error {
+// Wait waits for the end and returns the error of the exit, or ErrStillRunning after the timeout.
+func (p *Program) Wait(timeout time.Duration) error {
 	select {
-	case <-p.over:
+	case <-p.done:
 		return p.err
-	case <-time.After(patience):
-		return ErrGoesOn
+	case <-time.After(timeout):
+		return ErrStillRunning
 	}
 }
 
-// Kill ends the program outright and waits for that.
+// Kill kills the program (SIGKILL) and waits for its end.
 func (p *Program) Kill() {
 	p.Cmd.Process.Kill()
-	<-p.over
+	<-p.done
 }
 
-// CPU is the processor time that a program used, once it has ended.
+// CPU returns the processor time that an ended program used; 0 while it runs.
 func (p *Program) CPU() time.Duration {
 	if !p.Over() {
 		return 0
