--- a/internal/soak/quota.go
+++ b/internal/soak/quota.go
@@ -64,9 +64,9 @@
 		all.Go(func() { env.runOpenLoop(load, uint64(2+3*h)) }) // those of the plan fleet
 	}
 	began := time.Now()
-	var script []standin.Trouble
+	var script []standin.ScheduledFault
 	for i, ph := range phases {
-		script = append(script, standin.Trouble{At: time.Duration(i) * p.Phase, Do: ph.apply})
+		script = append(script, standin.ScheduledFault{At: time.Duration(i) * p.Phase, Apply: ph.apply})
 	}
 	env.counter.Play(load, script...)
 	all.Wait()
--- a/internal/standin/counter.go
+++ b/internal/standin/counter.go
@@ -103,21 +103,21 @@
 	}
 }
 
-// Trouble is one step of a script: what happens so long after its beginning.
-type Trouble struct {
-	At time.Duration
-	Do func(*Counter)
+// ScheduledFault is one step of a script: a change to the counter, so long after the script starts.
+type ScheduledFault struct {
+	At    time.Duration
+	Apply func(*Counter)
 }
 
 // Play runs a script, whose steps are in the order of their times; it returns early when the context ends.
-func (c *Counter) Play(ctx context.Context, script ...Trouble) {
+func (c *Counter) Play(ctx context.Context, script ...ScheduledFault) {
 	start := time.Now()
 	for _, step := range script {
 		select {
 		case <-ctx.Done():
 			return
 		case <-time.After(time.Until(start.Add(step.At))):
-			step.Do(c)
+			step.Apply(c)
 		}
 	}
 }
--- a/internal/standin/counter_test.go
+++ b/internal/standin/counter_test.go
@@ -91,7 +91,7 @@
 		t.Errorf("a slow answer came after %v", elapsed)
 	}
 	c.SetLatency(0)
-	c.Play(context.Background(), Trouble{time.Millisecond, (*Counter).Forget}, Trouble{2 * time.Millisecond,
+	c.Play(context.Background(), ScheduledFault{time.Millisecond, (*Counter).Forget}, ScheduledFault{2 * time.Millisecond,
 		func(c *Counter) { c.Mode("spoilt") }})
 	expect(near, 2, "200 NaN")
 	if calls, by := c.Added(); calls != 13 || by["7"] != 5+1+10+100+3+3+1+2 {
