--- a/internal/soak/quota.go
+++ b/internal/soak/quota.go
@@ -53,7 +53,7 @@
 		{"silent", func(c *standin.Counter) { c.Mode("silent") }},
 		{"well again", func(c *standin.Counter) { c.Mode("add") }},
 		{"split: one gateway, and two", func(c *standin.Counter) { c.Split(0) }},
-		{"joined, totals added up", func(c *standin.Counter) { c.Join(standin.Sum) }},
+		{"joined, totals added up", func(c *standin.Counter) { c.Join(standin.JoinSum) }},
 		{"swapped for an empty one", (*standin.Counter).Forget},
 		{"swapped again", (*standin.Counter).Forget},
 	}
--- a/internal/standin/counter_store.go
+++ b/internal/standin/counter_store.go
@@ -56,22 +56,22 @@
 	c.atSplit = maps.Clone(c.partitions[0])
 }
 
-// How says what becomes of the totals when a partition ends.
-type How int
+// JoinPolicy says what becomes of the totals when a partition ends.
+type JoinPolicy int
 
 // The ways to join two partitions.
 const (
-	Sum        How = iota // what either added since the split is added up
-	JoinFirst             // what the second added is lost
-	JoinSecond            // what the first added is lost
+	JoinSum    JoinPolicy = iota // what either added since the split is added up
+	JoinFirst                    // what the second added is lost
+	JoinSecond                   // what the first added is lost
 )
 
 // Join ends a partition of the store; all listeners use one store again.
-func (c *Counter) Join(how How) {
+func (c *Counter) Join(policy JoinPolicy) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	switch how {
-	case Sum:
+	switch policy {
+	case JoinSum:
 		for name, second := range c.partitions[1] {
 			joined := c.partitions[0][name]
 			joined.value += second.value - c.atSplit[name].value
--- a/internal/standin/counter_test.go
+++ b/internal/standin/counter_test.go
@@ -66,7 +66,7 @@
 	c.Split(1)
 	expect(near, 10, "200 16")
 	expect(far, 100, "200 106") // each knows what was before
-	c.Join(Sum)
+	c.Join(JoinSum)
 	expect(far, 0, "200 116")
 	c.Restore()
 	expect(near, 0, "200 6")
