--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -235,7 +235,7 @@
 		h, _ := strconv.ParseUint(c.Customer, 16, 64)
 		f := at(h, c.Class)
 		f.seen++
-		if c.Did == standin.Serve || c.Did == standin.Extra {
+		if c.Did == standin.Serve || c.Did == standin.TrailingBytes {
 			f.served++
 		}
 	}
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -101,7 +101,7 @@
 		Weight float64
 		Delay  time.Duration
 	}{standin.Serve: {90, 20 * time.Millisecond}, standin.Fail: {2, 0}, standin.Busy: {2, 0}, standin.Reset: {1.5, 5 * time.Millisecond},
-		standin.Stall: {0.5, 0}, standin.Spoil: {1, 0}, standin.Extra: {1, 0}, standin.Broken: {1, 0}}
+		standin.Stall: {0.5, 0}, standin.Corrupt: {1, 0}, standin.TrailingBytes: {1, 0}, standin.Truncate: {1, 0}}
 	if env.backends, err = standin.NewBackends(nodes, true, standin.Weighted(env.Seed, weights)); err != nil {
 		return err
 	}
--- a/internal/standin/backends.go
+++ b/internal/standin/backends.go
@@ -147,15 +147,15 @@
 	case Stall:
 		readUntilClosed(r)
 		return false
-	case Spoil:
+	case Corrupt:
 		reply = "*3\r\n$zwölf\r\n" + strings.Repeat("~", 24)
-	case Extra:
+	case TrailingBytes:
 		reply += "+noise\r\n"
-	case Broken:
+	case Truncate:
 		reply = reply[:strings.Index(reply, "\r\n"+value)+2+len(value)/2]
 	}
 	_, err := conn.Write([]byte(reply))
-	return err == nil && c.Did != Broken
+	return err == nil && c.Did != Truncate
 }
 
 // readUntilClosed discards what comes until the gateway ends the connection.
--- a/internal/standin/command.go
+++ b/internal/standin/command.go
@@ -10,14 +10,14 @@
 
 // The ways to answer.
 const (
-	Serve  Deed = iota
-	Fail        // -ERR failed: it may have run
-	Busy        // -BUSY: it was rejected, and has not run
-	Reset       // it has run; the connection is reset
-	Stall       // it has run; no answer comes, the connection stays open
-	Spoil       // it has run; the answer breaks the protocol
-	Extra       // served, with bytes behind the answer that belong to none
-	Broken      // it has run; the connection ends within the value
+	Serve         Deed = iota
+	Fail               // -ERR failed: it may have run
+	Busy               // -BUSY: it was rejected, and has not run
+	Reset              // it has run; the connection is reset
+	Stall              // it has run; no answer comes, the connection stays open
+	Corrupt            // it has run; the answer breaks the protocol
+	TrailingBytes      // served, with bytes behind the answer that belong to none
+	Truncate           // it has run; the connection ends within the value
 	deedCount
 )
 
