--- a/internal/backend/reset_test.go
+++ b/internal/backend/reset_test.go
@@ -25,7 +25,7 @@
 		"timed out": {300 * time.Millisecond, false, dw.OutcomeTimeout},
 	} {
 		t.Run(name, func(t *testing.T) {
-			server, err := standin.NewStuck()
+			server, err := standin.NewNonReadingPeer()
 			if err != nil {
 				t.Fatal(err)
 			}
--- a/internal/forward/reset_test.go
+++ b/internal/forward/reset_test.go
@@ -19,9 +19,9 @@
 const testTimeout = 20 * time.Second
 
 // newForwarder runs one before a planner that is stuck, and gives back a session of a client.
-func newForwarder(t *testing.T) (*Planners, net.Conn, *standin.Stuck) {
+func newForwarder(t *testing.T) (*Planners, net.Conn, *standin.NonReadingPeer) {
 	t.Helper()
-	planner, err := standin.NewStuck()
+	planner, err := standin.NewNonReadingPeer()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/nonreading.go
+++ b/internal/standin/non_reading_peer.go
@@ -7,27 +7,27 @@
 	"syscall"
 )
 
-// Stuck is a fake of a process that accepts one connection and reads nothing from it. Its receive buffer is the smallest that the
+// NonReadingPeer is a fake of a process that accepts one connection and reads nothing from it. Its receive buffer is the smallest that the
 // system allows, so that most of a long command stays in the sender's kernel, as all of it does while a network is cut.
-type Stuck struct {
+type NonReadingPeer struct {
 	Conns    chan net.Conn // receives the connection; the receiver closes it
 	listener net.Listener
 }
 
-// NewStuck starts one.
-func NewStuck() (*Stuck, error) {
+// NewNonReadingPeer starts one.
+func NewNonReadingPeer() (*NonReadingPeer, error) {
 	config := net.ListenConfig{Control: smallestReceiveBuffer}
 	l, err := config.Listen(context.Background(), "tcp", OwnAddr())
 	if err != nil {
 		return nil, err
 	}
-	s := &Stuck{Conns: make(chan net.Conn, 1), listener: l}
+	p := &NonReadingPeer{Conns: make(chan net.Conn, 1), listener: l}
 	go func() {
 		if c, err := l.Accept(); err == nil {
-			s.Conns <- c
+			p.Conns <- c
 		}
 	}()
-	return s, nil
+	return p, nil
 }
 
 // smallestReceiveBuffer asks for a receive buffer of 1 byte, which the kernel raises to its minimum.
@@ -40,7 +40,7 @@
 }
 
 // Addr returns where it listens.
-func (s *Stuck) Addr() string { return s.listener.Addr().String() }
+func (p *NonReadingPeer) Addr() string { return p.listener.Addr().String() }
 
 // Close closes the listener, not the connection.
-func (s *Stuck) Close() { s.listener.Close() }
+func (p *NonReadingPeer) Close() { p.listener.Close() }
