--- /dev/null
+++ b/internal/ledger/statement/bookings.go
@@ -0,0 +1,88 @@
+package statement
+
+import (
+	"time"
+
+	"dewhitch/internal/ledger"
+)
+
+// maxAttempts bounds the attempts that are linked to bookings; those beyond are dropped, to bound memory.
+const maxAttempts = 4 << 20
+
+// Attempt is one attempt of a client at a booking.
+type Attempt struct {
+	Node  string
+	Taken time.Time
+	Ended time.Time
+	End   string // the event that ended it
+}
+
+// bookingKey identifies a booking: attempts with the same idempotency key of the same customer.
+type bookingKey struct {
+	customer string
+	key      string
+}
+
+// attemptLog is the attempts of all nodes.
+type attemptLog struct {
+	byBooking map[bookingKey][]Attempt
+	count     int // of all attempts, linked or not
+}
+
+func (l *attemptLog) add(r Record) {
+	l.count++
+	if l.count > maxAttempts {
+		return
+	}
+	booking := bookingKey{customer: r.Haulier, key: r.Key}
+	l.byBooking[booking] = append(l.byBooking[booking], Attempt{Node: r.Node, Taken: r.From, Ended: r.To, End: r.End})
+}
+
+// Bookings links the attempts of each booking. It returns how many bookings there were, how many had attempts through more than one
+// node, in how many of those an attempt came to one node while one was open at another, and how many bookings were served more than
+// once.
+func (m *Merged) Bookings() (all, across, overlapping, servedTwice int) {
+	for _, attempts := range m.attempts.byBooking {
+		all++
+		if nodeCount(attempts) > 1 {
+			across++
+			if overlapAcrossNodes(attempts) {
+				overlapping++
+			}
+		}
+		if servedCount(attempts) > 1 {
+			servedTwice++
+		}
+	}
+	return all, across, overlapping, servedTwice
+}
+
+func nodeCount(attempts []Attempt) int {
+	nodes := map[string]bool{}
+	for _, a := range attempts {
+		nodes[a.Node] = true
+	}
+	return len(nodes)
+}
+
+func servedCount(attempts []Attempt) int {
+	n := 0
+	for _, a := range attempts {
+		if a.End == ledger.FrontServed.String() {
+			n++
+		}
+	}
+	return n
+}
+
+// overlapAcrossNodes reports whether two attempts through different nodes were open at the same time.
+func overlapAcrossNodes(attempts []Attempt) bool {
+	for i, a := range attempts {
+		for _, b := range attempts[:i] {
+			if a.Node != b.Node && b.Taken.Before(a.Ended) && a.Taken.Before(b.Ended) {
+				return true
+			}
+		}
+	}
+	return false
+}
--- a/internal/ledger/statement/golden_test.go
+++ b/internal/ledger/statement/golden_test.go
@@ -20,8 +20,8 @@
 	return c
 }
 
-// chained are records of each kind, and one with all fields, as one node writes them behind each other.
-func chained() []Record {
+// chainedRecords returns records of each kind, and one with all fields, in one node's chain.
+func chainedRecords() []Record {
 	from, to := time.Date(2026, 3, 1, 6, 0, 0, 1000, time.UTC), time.Date(2026, 3, 1, 6, 1, 2, 30, time.UTC)
 	return []Record{
 		{Seq: 1, Node: "f1", Role: Forwarder, Life: 2, Kind: Life, From: from, To: to, Note: "3 postings replayed",
@@ -38,12 +38,12 @@
 	}
 }
 
-// TestRecordForm freezes the JSON line of a record of each kind, and the chain that seals each behind the one before. Merging
-// and verifying read it, on other machines and by other versions of the program.
+// TestRecordForm freezes the JSON line of a record of each kind, and the chain over them. Merging and verifying read it, on other
+// machines and by other versions of the program.
 func TestRecordForm(t *testing.T) {
 	var lines []byte
 	before := ""
-	for _, want := range chained() {
+	for _, want := range chainedRecords() {
 		r := want
 		r.Chain = ""
 		lines = append(r.Seal(lines, before), '\n')
@@ -57,16 +57,16 @@
 	if err := Read(bytes.NewReader(golden.Read(t, "records.jsonl")), func(r Record) error {
 		got = append(got, r)
 		return chain.Next(r)
-	}); err != nil || !reflect.DeepEqual(got, chained()) {
+	}); err != nil || !reflect.DeepEqual(got, chainedRecords()) {
 		t.Errorf("read as %+v, %v", got, err)
 	}
 }
 
-// TestCSVForm freezes the head and the rows of CSV, which accounting reads outside the program.
+// TestCSVForm freezes the header and the rows of CSV, which accounting reads outside the program.
 func TestCSVForm(t *testing.T) {
 	var out bytes.Buffer
 	c, err := NewCSV(&out)
-	for _, r := range chained() {
+	for _, r := range chainedRecords() {
 		err = errors.Join(err, c.Write(r))
 	}
 	if err = errors.Join(err, c.Flush()); err != nil {
@@ -79,19 +79,19 @@
 func TestTableForm(t *testing.T) {
 	var out bytes.Buffer
 	if err := WriteTable(&out, []Sum{
-		{Name: Name{Haulier: "00000000000000aa", Plan: "fleet", Class: "booking"}, Counts: *figuresFrom(100), PassedOn: 7, Tries: 8},
-		{Name: Name{Plan: "basic", Class: "space-query"}, Counts: *figuresFrom(9000), PassedOn: 10, Tries: 11},
-		{Name: Name{Haulier: "left out", Plan: "-", Class: "account"}, Counts: *figuresFrom(200), PassedOn: 12, Tries: 13},
+		{Name: Name{Haulier: "00000000000000aa", Plan: "fleet", Class: "booking"}, Counts: *figuresFrom(100), Forwarded: 7, Tries: 8},
+		{Name: Name{Plan: "basic", Class: "space-query"}, Counts: *figuresFrom(9000), Forwarded: 10, Tries: 11},
+		{Name: Name{Haulier: "left out", Plan: "-", Class: "account"}, Counts: *figuresFrom(200), Forwarded: 12, Tries: 13},
 	}); err != nil {
 		t.Fatal(err)
 	}
 	golden.Compare(t, "table", out.Bytes())
 }
 
-// TestMergedForm freezes what the frozen records add up to, for those who verify and merge them: sums, gaps, bookings, and
-// the words for rows that do not add up and for records that are missing, changed or come twice.
+// TestMergedForm freezes what the frozen records add up to, for those who verify and merge them: sums, gaps, bookings, and the messages
+// for rows whose figures contradict each other and for records that are missing, changed or duplicates.
 func TestMergedForm(t *testing.T) {
-	records := chained()
+	records := chainedRecords()
 	changed := records[3]
 	changed.Seq = 8
 	m := NewMerged()
@@ -110,8 +110,8 @@
 		r.Figures.Set(ledger.CallAdded, 1, 3e6)
 	}))
 	var out bytes.Buffer
-	for _, hauliers := range []bool{false, true} {
-		if err := WriteTable(&out, m.Sums(hauliers)); err != nil {
+	for _, byCustomer := range []bool{false, true} {
+		if err := WriteTable(&out, m.Sums(byCustomer)); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/ledger/statement/record_test.go
+++ b/internal/ledger/statement/record_test.go
@@ -9,6 +9,7 @@
 	"dewhitch/internal/ledger"
 )
 
+// record returns a record of figures of one gateway, changed by f.
 func record(seq uint64, node string, f func(*Record)) Record {
 	at := time.Date(2026, 3, 1, 6, 0, int(seq), 0, time.UTC)
 	r := Record{Seq: seq, Node: node, Role: Gateway, Life: 1, Kind: Figures, From: at, To: at.Add(time.Second),
@@ -20,13 +21,14 @@
 	return r
 }
 
+// counts sets pairs of an event and its count; units are a million times the count.
 func counts(r *Record, of ...any) {
 	for i := 0; i < len(of); i += 2 {
 		r.Figures.Set(of[i].(ledger.Event), uint64(of[i+1].(int)), int64(of[i+1].(int))*1e6)
 	}
 }
 
-// Whatever stands in a record, what is written is read back as it was, and its hash holds.
+// Any record that parses is written in a form that parses to the same record, with the same chain.
 func FuzzRecord(f *testing.F) {
 	for _, r := range []Record{record(1, "n0", func(r *Record) { counts(r, ledger.FrontTaken, 2, ledger.FrontServed, 2) }),
 		record(9, "n\"0\n", func(r *Record) { r.Kind, r.Note = Gap, "späť <&> \\ \x00" })} {
@@ -43,16 +45,17 @@
 		}
 		again, err := Parse(r.Seal(nil, "before"))
 		if err != nil {
-			t.Fatalf("%q is written as what can't be read: %v", line, err)
+			t.Fatalf("%q is written in a form that does not parse: %v", line, err)
 		}
-		said := again.Chain
-		if again.Seal(nil, "before"); again.Chain != said || said != r.Chain {
-			t.Fatalf("%q has another hash when it is read again", line)
+		stated := again.Chain
+		if again.Seal(nil, "before"); again.Chain != stated || stated != r.Chain {
+			t.Fatalf("%q has another chain when it is written again", line)
 		}
 	})
 }
 
-func read(t *testing.T, m *Merged, records ...Record) {
+// addSealed adds records, sealed in a chain by node, as they are read from an export.
+func addSealed(t *testing.T, m *Merged, records ...Record) {
 	t.Helper()
 	var b []byte
 	chain := map[string]string{}
@@ -65,7 +68,7 @@
 	}
 }
 
-// Two gateways and a forwarder: what the forwarder took and passed on counts once as a try of a client.
+// Two gateways and a forwarder: a request that the forwarder took and a gateway took again counts as one attempt of a client.
 func TestMerge(t *testing.T) {
 	m := NewMerged()
 	served := func(n int) func(*Record) {
@@ -80,12 +83,12 @@
 			ledger.PlanServed, 6, ledger.PlanFailedExhausted, 3, ledger.PlanSent, 9, ledger.PlanHeard, 9, ledger.AttemptStarted, 9,
 			ledger.AttemptOK, 6, ledger.AttemptRejected, 1, ledger.AttemptNotSent, 2)
 	})
-	read(t, m, record(1, "n0", served(4)), record(2, "n0", served(5)), record(1, "n1", served(3)), forwarder)
+	addSealed(t, m, record(1, "n0", served(4)), record(2, "n0", served(5)), record(1, "n1", served(3)), forwarder)
 	if wrong := m.Verify(); len(wrong) > 0 {
 		t.Fatal(wrong)
 	}
 	sums := m.Sums(false)
-	if len(sums) != 1 || sums[0].Tries != 12+9-6 || sums[0].PassedOn != 6 || sums[0].N[ledger.FrontTaken] != 21 {
+	if len(sums) != 1 || sums[0].Tries != 12+9-6 || sums[0].Forwarded != 6 || sums[0].N[ledger.FrontTaken] != 21 {
 		t.Errorf("%+v", sums)
 	}
 	var out bytes.Buffer
@@ -94,7 +97,7 @@
 	}
 }
 
-// What does not add up is found in exports too, by node and row.
+// Figures of a row that contradict each other are found.
 func TestVerify(t *testing.T) {
 	for i, c := range [][]any{
 		{ledger.FrontTaken, 1, ledger.FrontServed, 2, ledger.PlanTaken, 1},
@@ -104,13 +107,13 @@
 		{ledger.PlanSent, 1, ledger.AttemptStarted, 2, ledger.AttemptOK, 2},
 	} {
 		m := NewMerged()
-		read(t, m, record(1, "n0", func(r *Record) { counts(r, c...) }))
+		addSealed(t, m, record(1, "n0", func(r *Record) { counts(r, c...) }))
 		if wrong := m.Verify(); len(wrong) == 0 {
 			t.Errorf("case %d is not found", i)
 		}
 	}
 	m := NewMerged()
-	read(t, m, record(1, "n0", func(r *Record) {
+	addSealed(t, m, record(1, "n0", func(r *Record) {
 		r.Class = "account"
 		counts(r, ledger.UnitsPushed, 1, ledger.CallBegan, 1, ledger.CallAdded, 1)
 		r.Figures.Set(ledger.CallAdded, 1, 3e6)
@@ -120,18 +123,18 @@
 	}
 }
 
-// Tries of one booking: a second through another gateway while the first is open, one after it, and one of another key.
+// Attempts at three bookings: two through different gateways at the same time, two one after the other, and a single one.
 func TestBookings(t *testing.T) {
 	m := NewMerged()
-	try := func(seq uint64, node, key string, from, to int, end ledger.Event) Record {
+	attempt := func(seq uint64, node, key string, from, to int, end ledger.Event) Record {
 		return record(seq, node, func(r *Record) {
 			r.Kind, r.Key, r.End = Try, key, end.String()
 			r.From, r.To = time.Unix(int64(from), 0), time.Unix(int64(to), 0)
 		})
 	}
-	read(t, m, try(1, "n0", "k1", 10, 14, ledger.FrontServed), try(1, "n1", "k1", 12, 15, ledger.FrontServed),
-		try(2, "n0", "k2", 10, 11, ledger.FrontRejected), try(2, "n1", "k2", 13, 15, ledger.FrontServed),
-		try(3, "n0", "k3", 10, 11, ledger.FrontServed))
+	addSealed(t, m, attempt(1, "n0", "k1", 10, 14, ledger.FrontServed), attempt(1, "n1", "k1", 12, 15, ledger.FrontServed),
+		attempt(2, "n0", "k2", 10, 11, ledger.FrontRejected), attempt(2, "n1", "k2", 13, 15, ledger.FrontServed),
+		attempt(3, "n0", "k3", 10, 11, ledger.FrontServed))
 	if got := fmt.Sprint(m.Bookings()); got != "3 2 1 1" {
 		t.Errorf("bookings, across, overlapping, served twice: %s", got)
 	}
