--- a/internal/standin/link/direction.go
+++ b/internal/standin/link/direction.go
@@ -35,9 +35,9 @@
 
 // transition is what a change of state means for the links of a direction.
 type transition struct {
-	links   []*Link
-	refused bool // it refuses connections from now on
-	healed  bool // it was silent until now
+	links      []*Link
+	resetConns bool // it refuses connections from now on, so open ones are reset
+	healed     bool // it was silent until now
 }
 
 // change applies a change to the state; false: the state is as before.
@@ -55,9 +55,9 @@
 	close(d.changed)
 	d.changed = make(chan struct{})
 	return transition{
-		links:   d.links,
-		refused: d.state.Refused && !before.Refused,
-		healed:  before.Silent && !d.state.Silent,
+		links:      d.links,
+		resetConns: d.state.Refused && !before.Refused,
+		healed:     before.Silent && !d.state.Silent,
 	}, true
 }
 
--- a/internal/standin/link/listener.go
+++ b/internal/standin/link/listener.go
@@ -18,14 +18,14 @@
 	}
 	outbound, _ := l.outbound.current()
 	inbound, _ := l.inbound.current()
-	refuse := outbound.Refused || inbound.Refused
+	reachable := !outbound.Refused && !inbound.Refused
 	silent := outbound.Silent || inbound.Silent
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if refuse && l.listener != nil {
+	if !reachable && l.listener != nil {
 		l.closeListener()
 	}
-	if !refuse && l.listener == nil && l.listen() != nil {
+	if reachable && l.listener == nil && l.listen() != nil {
 		return // the next change of state retries
 	}
 	switch {
--- a/internal/standin/link/network.go
+++ b/internal/standin/link/network.go
@@ -37,7 +37,7 @@
 	}
 	for _, l := range t.links {
 		l.applyState()
-		if t.refused {
+		if t.resetConns {
 			l.Reset()
 		}
 		if t.healed {
