--- a/comments_test.go
+++ b/comments_test.go
@@ -102,23 +102,43 @@
 }
 
 // pagePath finds the names of files and folders of this repository in a page: what stands between backticks and is a path.
-var pagePath = regexp.MustCompile("`((?:[a-z_]+/)*[a-z_]+\\.(?:go|md|toml|json)|(?:cmd|internal|docs|deploy)(?:/[a-z_0-9]+)+)`")
+var pagePath = regexp.MustCompile("`((?:[a-z0-9_-]+/)*[a-z0-9_.-]+\\.(?:go|md|toml|json|star)|(?:cmd|internal|docs|deploy)(?:/[a-z0-9_-]+)+)`")
 
 // The pages that tell a newcomer where things are name only files and folders that exist.
 func TestPagesNameFilesThatExist(t *testing.T) {
 	for _, page := range []string{"README.md", "docs/architecture.md", "docs/glossary.md"} {
-		text, err := os.ReadFile(page)
-		if err != nil {
-			t.Fatal(err)
+		if found := checkPagePaths(t, page); found < 10 {
+			t.Errorf("%s: %d paths were found: the test looks for the wrong form", page, found)
 		}
-		found := pagePath.FindAllStringSubmatch(string(text), -1)
-		if len(found) < 10 {
-			t.Errorf("%s: %d paths were found: the test looks for the wrong form", page, len(found))
+	}
+	total := 0
+	for _, folder := range []string{"docs/design", "docs/operate"} {
+		pages, err := filepath.Glob(folder + "/*.md")
+		if err != nil || len(pages) < 8 {
+			t.Fatalf("%s: %d pages, %v: the test looks in the wrong place", folder, len(pages), err)
 		}
-		for _, match := range found {
-			if _, err := os.Stat(match[1]); err != nil {
-				t.Errorf("%s: %v", page, err)
-			}
+		for _, page := range pages {
+			total += checkPagePaths(t, page)
+		}
+	}
+	if total < 40 {
+		t.Errorf("%d paths were found in the design and operating pages: the test looks for the wrong form", total)
+	}
+}
+
+// checkPagePaths fails the test for each path on a page that does not exist, and counts the paths. A path starts at the root, so a
+// file is named with its folder.
+func checkPagePaths(t *testing.T, page string) int {
+	t.Helper()
+	text, err := os.ReadFile(page)
+	if err != nil {
+		t.Fatal(err)
+	}
+	found := pagePath.FindAllStringSubmatch(string(text), -1)
+	for _, match := range found {
+		if _, err := os.Stat(match[1]); err != nil {
+			t.Errorf("%s: %v", page, err)
 		}
 	}
+	return len(found)
 }
