--- a/cmd/dewhitch/commands_test.go
+++ b/cmd/dewhitch/commands_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestCommands(t *testing.T) {
-	w := newWorld(t)
+	w := newEnvironment(t)
 	for _, c := range []struct{ args, want string }{{"check", "configuration of n0 is good"}, {"version", "dewhitch "}} {
 		out, err := w.command(c.args).CombinedOutput()
 		if err != nil || !strings.Contains(string(out), c.want) {
--- a/cmd/dewhitch/drain_calls_test.go
+++ b/cmd/dewhitch/drain_calls_test.go
@@ -16,7 +16,7 @@
 func TestDrainedGatewayIsNotRegistered(t *testing.T) {
 	t.Parallel()
 	z := newZookeeper(t)
-	w := newWorld(t)
+	w := newEnvironment(t)
 	w.registry = z.Addr()
 	p := w.start("serve")
 	const node = "/dewhitch/planners/gateway-0"
@@ -40,7 +40,7 @@
 // on: it is refused or left unread.
 func TestDrainOfAProcessThatStandsStill(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newEnvironment(t)
 	p := w.start("serve")
 	c := w.dial()
 	c.Write(patientQuery("q1"))
@@ -67,35 +67,35 @@
 // once each time, and one whose request is out gets its answer, and ends.
 func TestDrainWithConcurrentCalls(t *testing.T) {
 	t.Parallel()
-	for name, calls := range map[string]func(t *testing.T, w *world, p *process) (called time.Time){
-		"twice": func(t *testing.T, w *world, _ *process) time.Time {
+	for name, calls := range map[string]func(t *testing.T, w *environment, p *process) (called time.Time){
+		"twice": func(t *testing.T, w *environment, _ *process) time.Time {
 			called := evacuate(t, w)
 			evacuate(t, w)
 			return called
 		},
-		"during a reload": func(t *testing.T, w *world, p *process) time.Time {
+		"during a reload": func(t *testing.T, w *environment, p *process) time.Time {
 			p.cmd.Process.Signal(syscall.SIGHUP)
 			called := evacuate(t, w)
 			p.cmd.Process.Signal(syscall.SIGHUP)
 			return called
 		},
-		"over a broken configuration": func(t *testing.T, w *world, p *process) time.Time {
+		"over a broken configuration": func(t *testing.T, w *environment, p *process) time.Time {
 			os.WriteFile(p.config, []byte(`{"name"`), 0o600)
 			p.cmd.Process.Signal(syscall.SIGHUP)
 			return evacuate(t, w)
 		},
-		"after its end": func(t *testing.T, w *world, _ *process) time.Time {
+		"after its end": func(t *testing.T, w *environment, _ *process) time.Time {
 			evacuate(t, w)
 			if answer := adminCall(t, w.admin, "activate"); answer != "YES" {
 				t.Errorf("activate: %q", answer)
 			}
 			return evacuate(t, w)
 		},
-		"at SIGTERM": func(t *testing.T, w *world, p *process) time.Time {
+		"at SIGTERM": func(t *testing.T, w *environment, p *process) time.Time {
 			p.cmd.Process.Signal(syscall.SIGTERM)
 			return evacuate(t, w)
 		},
-		"before SIGTERM": func(t *testing.T, w *world, p *process) time.Time {
+		"before SIGTERM": func(t *testing.T, w *environment, p *process) time.Time {
 			called := evacuate(t, w)
 			p.cmd.Process.Signal(syscall.SIGTERM)
 			return called
@@ -103,7 +103,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t)
+			w := newEnvironment(t)
 			p := w.start("serve")
 			owed, idle := w.dial(), w.dial()
 			owed.Write(patientQuery("q1"))
@@ -128,7 +128,7 @@
 func TestBadInputDuringADrain(t *testing.T) {
 	t.Parallel()
 	const dueAdmin, dueClient = time.Second, 3 * time.Second
-	w := newWorld(t)
+	w := newEnvironment(t)
 	w.start("serve")
 	evacuate(t, w)
 	for range 40 { // more than the address has places
--- a/cmd/dewhitch/drain_fleet_test.go
+++ b/cmd/dewhitch/drain_fleet_test.go
@@ -48,7 +48,7 @@
 
 // gatewayRecord is a gateway of the test, with every connection that was made to it.
 type gatewayRecord struct {
-	world   *world
+	world   *environment
 	number  int
 	longest time.Duration // that a client waits
 	mu      sync.Mutex
@@ -298,7 +298,7 @@
 // sent are the requests that have come to a server.
 func (d *drainTest) sent() map[string]bool {
 	sent := map[string]bool{}
-	for _, c := range d.backends.Seen() {
+	for _, c := range d.backends.Commands() {
 		sent[c.ID] = true
 	}
 	return sent
@@ -366,12 +366,12 @@
 		Weight float64
 		Delay  time.Duration
 	}
-	fast := standin.Weighted(seed, map[standin.Deed]step{standin.Serve: {5, 40 * time.Millisecond}, standin.Stall: {1, 0},
+	fast := standin.Weighted(seed, map[standin.Behaviour]step{standin.Serve: {5, 40 * time.Millisecond}, standin.Stall: {1, 0},
 		standin.Fail: {0.3, 20 * time.Millisecond}})
 	rng := rand.New(rand.NewPCG(seed, 3))
 	return func(c *standin.Command) standin.Step {
 		if rng.IntN(8) == 0 {
-			return standin.Step{Deed: standin.Serve, Delay: time.Duration(rng.Int64N(int64(longestWait)))}
+			return standin.Step{Behaviour: standin.Serve, Delay: time.Duration(rng.Int64N(int64(longestWait)))}
 		}
 		return fast(c)
 	}
@@ -380,7 +380,7 @@
 // start starts the gateways, and the clients of each.
 func (d *drainTest) start(seed uint64) {
 	for i := range drainGateways {
-		w := newWorld(d.t)
+		w := newEnvironment(d.t)
 		w.self = i
 		w.override = append(w.override, fmt.Sprintf(`{"settings":{"NInstances":%d}}`, drainGateways))
 		var members []string
--- a/cmd/dewhitch/drain_test.go
+++ b/cmd/dewhitch/drain_test.go
@@ -20,7 +20,7 @@
 )
 
 // evacuate begins a drain and returns when the call was made.
-func evacuate(t *testing.T, w *world) time.Time {
+func evacuate(t *testing.T, w *environment) time.Time {
 	t.Helper()
 	called := time.Now()
 	if answer := adminCall(t, w.admin, "evacuate"); answer != "YES" {
@@ -39,7 +39,7 @@
 }
 
 // dial opens a client connection to the gateway.
-func (w *world) dial() *party {
+func (w *environment) dial() *party {
 	w.t.Helper()
 	conn, err := net.DialTimeout("tcp", w.listen, patience)
 	if err != nil {
@@ -51,7 +51,7 @@
 }
 
 // hangingServer takes the next connection to a backend and the command on it, which it leaves unanswered.
-func (w *world) hangingServer() *party {
+func (w *environment) hangingServer() *party {
 	w.t.Helper()
 	select {
 	case conn := <-w.backends.conns:
@@ -89,7 +89,7 @@
 // client writes the next at that moment: that one is not taken, as it would be out, and recent, at the end of the term.
 func TestDrainEndsBehindAHangingServer(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newEnvironment(t)
 	p := w.start("serve")
 	c := w.dial()
 	c.Write(patientQuery("q1"))
@@ -107,7 +107,7 @@
 // A client always has its next commands on their way, so that the gateway always has some of them read ahead.
 func TestDrainEndsUnderAPipeline(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newEnvironment(t)
 	w.start("serve")
 	c := w.dial()
 	go func() {
@@ -132,7 +132,7 @@
 	for name, every := range map[string]time.Duration{"left": time.Hour, "trickled": 50 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newWorld(t)
+			w := newEnvironment(t)
 			w.start("serve")
 			c := w.dial()
 			c.Write([]byte("*2\r\n$4\r\nPING\r\n$9000\r\n"))
@@ -159,7 +159,7 @@
 // A client that sends what can't be used, one command after another, is made to wait between them; not beyond the term.
 func TestDrainEndsWithinAPenalty(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newEnvironment(t)
 	w.start("serve")
 	c := w.dial()
 	c.Write([]byte(strings.Repeat("*1\r\n$3\r\nBAD\r\n", 14)))
@@ -177,7 +177,7 @@
 // Connections that come at the call and after it: one that says nothing, and one that says half a command.
 func TestDrainEndsNewConnections(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newEnvironment(t)
 	w.start("serve")
 	called := evacuate(t, w)
 	silent, half := w.dial(), w.dial()
@@ -189,7 +189,7 @@
 // After the time for taking requests, one that comes on a new connection is refused at once: it has not run.
 func TestDrainRejectsLateRequests(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newEnvironment(t)
 	w.start("serve")
 	called := evacuate(t, w)
 	waitUntil(called.Add(recentRequest))
@@ -218,7 +218,7 @@
 // writes nothing more keeps its connection until it is answered.
 func TestDrainEndsUnderAClientThatWritesBehindAHangingServer(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newEnvironment(t)
 	p := w.start("serve")
 	writes, waits := w.dial(), w.dial()
 	writes.Write(patientQuery("q1"))
--- a/cmd/dewhitch/earliest_kill_test.go
+++ b/cmd/dewhitch/earliest_kill_test.go
@@ -22,7 +22,7 @@
 // the first in time, and ends the connection.
 func TestNoConnectionIsOpenAtTheEarliestKill(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newEnvironment(t)
 	p := w.start("serve")
 	c := w.dial()
 	c.Write(patientQuery("q1"))
--- a/cmd/dewhitch/fleet.go
+++ b/cmd/dewhitch/fleet.go
@@ -19,24 +19,24 @@
 // openFleet opens the gateway's fleet agent if a fleet is configured. The agent delivers decisions to followFleet through g.acts, which
 // holds the latest one.
 func (g *gateway) openFleet() error {
-	if g.f == nil {
+	if g.fleetConfig == nil {
 		return nil
 	}
-	g.acts = make(chan agent.Decisions, 1)
-	g.heard = make(chan struct{})
+	g.decisions = make(chan agent.Decisions, 1)
+	g.planApplied = make(chan struct{})
 	a, err := agent.Open(g.fleetOptions())
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	g.fleet = a
-	g.planner.SetWatcher(&fleetWatcher{agent: a, zones: g.n.Names.Zones})
+	g.fleetAgent = a
+	g.planner.SetWatcher(&fleetWatcher{agent: a, zones: g.node.Names.Zones})
 	return nil
 }
 
 // fleetOptions are the agent's options by the settings, the fleet's file and the defaults of the fleet's policies.
 func (g *gateway) fleetOptions() agent.Options {
 	zones := evacuation.Defaults
-	zones.MaxEvacuated = g.f.MaxEvacuatedZones
+	zones.MaxEvacuated = g.fleetConfig.MaxEvacuatedZones
 	return agent.Options{
 		Maintenance: maintenance.Defaults,
 		OnDecisions: g.replaceDecisions,
@@ -44,25 +44,25 @@
 		Quiesced:    g.quiesced,
 		Zones:       zones,
 		SlowStart: slowstart.Config{
-			Start: g.n.Settings.StartCapacity,
-			Span:  time.Duration(g.n.Settings.SlowStartSpan),
+			Start: g.node.Settings.StartCapacity,
+			Span:  time.Duration(g.node.Settings.SlowStartSpan),
 		},
-		Voters: g.f.Voters,
-		Dir:    g.f.Dir,
-		Lease:  g.f.Lease,
-		Status: g.f.Status,
+		Voters: g.fleetConfig.Voters,
+		Dir:    g.fleetConfig.Dir,
+		Lease:  g.fleetConfig.Lease,
+		Status: g.fleetConfig.Status,
 		Log:    g.log,
 		Gossip: gossip.Options{
-			Fleet:   g.f.Name,
-			Name:    g.n.Name,
-			Listen:  g.f.Listen,
-			Peers:   g.f.Peers,
-			Seeds:   g.f.Seeds,
-			Keyring: g.f.Keyring,
+			Fleet:   g.fleetConfig.Name,
+			Name:    g.node.Name,
+			Listen:  g.fleetConfig.Listen,
+			Peers:   g.fleetConfig.Peers,
+			Seeds:   g.fleetConfig.Seeds,
+			Keyring: g.fleetConfig.Keyring,
 			Metadata: gossip.Metadata{
-				Zone:    zoneName(g.n.Names.Zones, g.n.Settings.Zone),
-				Region:  g.f.Region,
-				Number:  g.n.Settings.Self,
+				Zone:    zoneName(g.node.Names.Zones, g.node.Settings.Zone),
+				Region:  g.fleetConfig.Region,
+				Number:  g.node.Settings.Self,
 				Version: version,
 				Role:    "gateway",
 			},
@@ -82,23 +82,23 @@
 // so that the send never blocks.
 func (g *gateway) replaceDecisions(d agent.Decisions) {
 	select {
-	case <-g.acts:
+	case <-g.decisions:
 	default:
 	}
-	g.acts <- d
+	g.decisions <- d
 }
 
 // findMembers discovers members through the registry, if the fleet's file names one. It runs until ctx ends.
 func (g *gateway) findMembers(ctx context.Context) error {
-	r := g.f.Registry
+	r := g.fleetConfig.Registry
 	return memberregistry.Run(ctx, memberregistry.Options{
 		Servers: r.Servers,
 		Path:    r.Path,
 		Session: r.Session,
-		Name:    g.n.Name,
-		Address: g.f.Listen,
+		Name:    g.node.Name,
+		Address: g.fleetConfig.Listen,
 		Log:     g.log,
-	}, g.fleet.AddCandidates)
+	}, g.fleetAgent.AddCandidates)
 }
 
 // quiesced tells whether the gateway has drained: no clients are left and every request is answered.
@@ -112,7 +112,7 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case d := <-g.acts:
+		case d := <-g.decisions:
 			plan, err := g.fleetPlan(d)
 			if err != nil {
 				g.log.Error("zone statuses of the fleet's plan can't be decoded, the last ones hold", zap.Error(err))
@@ -121,8 +121,8 @@
 			if err := g.planner.ApplyFleetPlan(plan); err != nil {
 				return nil // the planner has ended
 			}
-			g.fleet.Applied(d.Withdrawn)
-			heard.Do(func() { close(g.heard) })
+			g.fleetAgent.Applied(d.Withdrawn)
+			heard.Do(func() { close(g.planApplied) })
 		}
 	}
 }
--- a/cmd/dewhitch/fleet_plan.go
+++ b/cmd/dewhitch/fleet_plan.go
@@ -20,7 +20,7 @@
 	now := g.planner.Instant(time.Now())
 	plan := core.FleetPlan{
 		Active:         true,
-		Zones:          zoneUses(statuses, g.n.Names.Zones, g.n.Settings.Zone, g.n.Name, now),
+		Zones:          zoneUses(statuses, g.node.Names.Zones, g.node.Settings.Zone, g.node.Name, now),
 		SlowStartRates: map[dw.ServerID]float64{},
 		InMaintenance:  map[dw.ServerID]bool{},
 	}
--- a/cmd/dewhitch/gateway.go
+++ b/cmd/dewhitch/gateway.go
@@ -39,11 +39,11 @@
 // gateway is a running gateway process. Its fields stand by concern, in the order in which openGateway opens them; run says
 // when each part ends.
 type gateway struct {
-	n          *config.Node
-	limits     *config.Limits
-	operations *config.Operations
-	f          *config.Fleet // nil: the gateway is in no fleet
-	log        *zap.Logger
+	node        *config.Node
+	limits      *config.Limits
+	operations  *config.Operations
+	fleetConfig *config.Fleet // nil: the gateway is in no fleet
+	log         *zap.Logger
 
 	// Ledger and figures.
 	ledger  *ledgerProcess
@@ -64,9 +64,9 @@
 	firstListWait  time.Duration // at the start, for discovery's first list
 
 	// The fleet.
-	fleet *agent.Agent         // nil: none
-	acts  chan agent.Decisions // the newest decisions, for followFleet
-	heard chan struct{}        // closed once a plan is applied; nil: there is no fleet
+	fleetAgent  *agent.Agent         // nil: none
+	decisions   chan agent.Decisions // the newest decisions, for followFleet
+	planApplied chan struct{}        // closed once a plan is applied; nil: there is no fleet
 
 	// Operators.
 	adminCalls       *adminCalls
@@ -86,7 +86,7 @@
 
 // openGateway opens all parts, in an order in which each finds what it needs. Nothing runs yet but the ledger.
 func openGateway(n *config.Node, l *config.Limits, o *config.Operations, f *config.Fleet, log *zap.Logger) (*gateway, error) {
-	g := &gateway{n: n, limits: l, operations: o, f: f, log: log}
+	g := &gateway{node: n, limits: l, operations: o, fleetConfig: f, log: log}
 	for _, open := range []func() error{
 		g.openLedger, g.openPlanner, g.openDiscovery, g.openFleet, g.openOperators, g.openFronts, g.openHandover,
 	} {
@@ -107,33 +107,33 @@
 
 // openLedger opens the ledger and the figures, and reserves the classes that a reload may add.
 func (g *gateway) openLedger() (err error) {
-	g.classes, g.n.Settings.Classes = classtable.WithSpareClasses(g.n.Names.Classes, g.n.Settings.Classes)
+	g.classes, g.node.Settings.Classes = classtable.WithSpareClasses(g.node.Names.Classes, g.node.Settings.Classes)
 	g.state = &ops.State{}
 	g.figures = &ops.Figures{}
 	g.metrics = telemetry.New()
-	g.figures.Classes(g.n.Names.Classes)
-	names := ledger.Names{Plans: g.n.Names.Plans, Classes: g.classes}
-	g.ledger, err = startLedger(g.operations, g.n.Name, statement.Gateway, names, g.log)
+	g.figures.Classes(g.node.Names.Classes)
+	names := ledger.Names{Plans: g.node.Names.Plans, Classes: g.classes}
+	g.ledger, err = startLedger(g.operations, g.node.Name, statement.Gateway, names, g.log)
 	return err
 }
 
 // openPlanner opens the planner, and the backends' pools and the counter that it calls.
 func (g *gateway) openPlanner() (err error) {
 	recorder := g.ledger.recorder
-	sockets := g.n.Sockets - reservedSockets - counter.Sockets - discovery.Sockets
+	sockets := g.node.Sockets - reservedSockets - counter.Sockets - discovery.Sockets
 	g.attemptSockets = int(attemptSocketsShare * float64(sockets))
 	g.sessionSockets = sockets - g.attemptSockets
-	connectTimeout := time.Duration(g.n.Settings.ConnectTimeout)
+	connectTimeout := time.Duration(g.node.Settings.ConnectTimeout)
 
-	g.pools = backend.New(backend.Names{Plans: g.n.Names.Plans},
-		backend.Limits{Conns: g.attemptSockets, Idle: g.n.Names.ConnIdle, Connect: connectTimeout}, recorder)
+	g.pools = backend.New(backend.Names{Plans: g.node.Names.Plans},
+		backend.Limits{Conns: g.attemptSockets, Idle: g.node.Names.ConnIdle, Connect: connectTimeout}, recorder)
 	g.pools.Dispatched = g.figures.Dispatched
 	g.pools.Log = g.log
 
-	counterTimeout := counterTimeoutFactor * time.Duration(g.n.Settings.CounterTimeout)
-	g.counter = counter.New(g.n.Counter, counterTimeout, connectTimeout, recorder, g.log)
+	counterTimeout := counterTimeoutFactor * time.Duration(g.node.Settings.CounterTimeout)
+	g.counter = counter.New(g.node.Counter, counterTimeout, connectTimeout, recorder, g.log)
 
-	g.planner, err = core.NewPlanner(g.n.Settings, g.n.Seed, core.NewClock(), g.pools, g.counter, recorder, g.log)
+	g.planner, err = core.NewPlanner(g.node.Settings, g.node.Seed, core.NewClock(), g.pools, g.counter, recorder, g.log)
 	if err != nil {
 		return err
 	}
@@ -146,16 +146,16 @@
 
 // openDiscovery opens the client of discovery, which starts from the endpoint list of the configuration.
 func (g *gateway) openDiscovery() (err error) {
-	g.decoder = discovery.NewDecoder(discovery.Names{Zones: g.n.Names.Zones, Kinds: g.n.Names.Kinds})
-	if g.configuredList, err = g.decoder.Known(g.n.Known); err != nil {
+	g.decoder = discovery.NewDecoder(discovery.Names{Zones: g.node.Names.Zones, Kinds: g.node.Names.Kinds})
+	if g.configuredList, err = g.decoder.Known(g.node.Known); err != nil {
 		return fmt.Errorf("configuration: known: %w", err)
 	}
-	g.discovery = discovery.New(g.n.Discovery, g.decoder, g.planner.UpdateEndpoints, g.n.Seed, g.log)
+	g.discovery = discovery.New(g.node.Discovery, g.decoder, g.planner.UpdateEndpoints, g.node.Seed, g.log)
 	g.discovery.Monitor(g.metrics)
 	g.firstListWait = firstListWait
-	if g.n.Settings.ListOnRequest {
+	if g.node.Settings.ListOnRequest {
 		hasList := len(g.configuredList.List.Servers) > 0
-		g.discovery.Shared(hasList, g.configuredList.List.Version, g.n.Settings.Instances)
+		g.discovery.Shared(hasList, g.configuredList.List.Version, g.node.Settings.Instances)
 		if hasList {
 			g.firstListWait = 0
 		}
@@ -166,27 +166,27 @@
 // openOperators opens the operators' address, and their listener.
 func (g *gateway) openOperators() (err error) {
 	parts := append(g.ledger.operatorParts(), g.metrics)
-	if g.fleet != nil {
-		parts = append(parts, g.fleet)
+	if g.fleetAgent != nil {
+		parts = append(parts, g.fleetAgent)
 	}
 	if g.operatorListener, err = operatorListener(g.operations, parts, g.log); err != nil {
 		return err
 	}
 	g.adminCalls = &adminCalls{state: g.state, figures: g.figures, metrics: g.metrics, planner: g.planner,
 		decoder: g.decoder, log: g.log}
-	g.adminServer, err = openAdmin(g.n, g.adminCalls)
+	g.adminServer, err = openAdmin(g.node, g.adminCalls)
 	return err
 }
 
 // openFronts opens the clients' addresses: the platform's protocol, and the limits protocol where the limits file has one.
 func (g *gateway) openFronts() (err error) {
 	g.ready = make(chan struct{})
-	g.commands = &platform.Commands{Planner: g.planner, Books: g.ledger.recorder, Names: g.n.Names, Settings: g.n.Settings,
+	g.commands = &platform.Commands{Planner: g.planner, Recorder: g.ledger.recorder, Names: g.node.Names, Settings: g.node.Settings,
 		Figures: g.figures, State: g.state}
-	bounds := front.NewBounds(g.n.MemoryMB << 20)
+	bounds := front.NewBounds(g.node.MemoryMB << 20)
 	platformServer := &front.Server{Open: func() front.Commands { return g.commands }, Bounds: bounds, Log: g.log,
 		Monitor: g.metrics, Ready: g.ready}
-	if platformServer.Listener, err = listenForClients(g.n); err != nil {
+	if platformServer.Listener, err = listenForClients(g.node); err != nil {
 		return err
 	}
 	g.servers = []*front.Server{platformServer}
@@ -204,14 +204,14 @@
 			s.Drain(drained)
 		}
 	})
-	g.longestDeadline.Store(int64(g.n.Longest()))
+	g.longestDeadline.Store(int64(g.node.Longest()))
 	return nil
 }
 
 // openHandover takes over the state that the process before left, and opens what this one leaves to the next. The planner
 // gets the configured endpoint list last, on top of the imported state.
 func (g *gateway) openHandover() error {
-	g.exclusions = newExclusionHandover(g.n, g.planner, g.decoder, g.log)
-	g.snapshots = openSnapshots(g.n, g.operations.Warm, g.classes, g.planner, g.figures, g.log)
+	g.exclusions = newExclusionHandover(g.node, g.planner, g.decoder, g.log)
+	g.snapshots = openSnapshots(g.node, g.operations.Warm, g.classes, g.planner, g.figures, g.log)
 	return g.planner.UpdateEndpoints(g.configuredList)
 }
--- a/cmd/dewhitch/handover_test.go
+++ b/cmd/dewhitch/handover_test.go
@@ -77,7 +77,7 @@
 
 // handing has the world's programs share a folder and the clients' listening socket, as on the platform, and returns what
 // starts one and waits until it is ready.
-func (w *world) handing() func() *process {
+func (w *environment) handing() func() *process {
 	go w.backends.serveAll()
 	w.scratch = w.t.TempDir()
 	w.limits = "" // its address would be taken twice
@@ -103,7 +103,7 @@
 // TestReplacedProcess: a process that replaces another serves on the listening socket that both were handed, takes
 // over the servers that operators excluded there, and the old one ends on SIGTERM with nothing lost.
 func TestReplacedProcess(t *testing.T) {
-	w := newWorld(t)
+	w := newEnvironment(t)
 	handed := w.handing()
 	old := handed()
 	oldAdmin := w.admin
@@ -140,7 +140,7 @@
 func TestWarmProcess(t *testing.T) {
 	served := map[string]int{}
 	for _, mode := range []string{"auto", "off"} {
-		w := newWorld(t)
+		w := newEnvironment(t)
 		w.operations = "[warm_start]\nmode = \"" + mode + "\"\nevery_ms = 50\n"
 		handed := w.handing()
 		w.override = []string{`{"settings": {"Contracts": [{"Name": "steady", "QuotaRate": 3, "Depth": 12, "OverrunCost": 1, "Pays": 1}]}}`}
@@ -186,7 +186,7 @@
 }
 
 // checkTornSnapshot cuts the newest of two snapshots short: the commands tell so, and the process after it starts from the one before.
-func checkTornSnapshot(t *testing.T, w *world, customer string, handed func() *process) {
+func checkTornSnapshot(t *testing.T, w *environment, customer string, handed func() *process) {
 	t.Helper()
 	files, _ := filepath.Glob(filepath.Join(w.scratch, "*.snapshot"))
 	if len(files) != 2 || os.Truncate(files[1], 100) != nil {
@@ -212,7 +212,7 @@
 // there once it can be.
 func TestExclusionIsWrittenOnceItCanBe(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newEnvironment(t)
 	w.scratch = filepath.Join(t.TempDir(), "scratch")
 	if err := os.Mkdir(w.scratch, 0o700); err != nil {
 		t.Fatal(err)
--- a/cmd/dewhitch/large_list_test.go
+++ b/cmd/dewhitch/large_list_test.go
@@ -23,7 +23,7 @@
 
 // largeFleet is a gateway before many servers.
 type largeFleet struct {
-	*world
+	*environment
 	servers *standin.Backends
 	n       int
 }
@@ -31,7 +31,7 @@
 // newLargeFleet makes n servers, a quarter of which can be set to drain.
 func newLargeFleet(t *testing.T, n int) *largeFleet {
 	servers, err := standin.NewBackends(groups, true, standin.Always(standin.Step{}))
-	f := &largeFleet{world: newWorld(t), servers: kept(t, servers, err), n: n}
+	f := &largeFleet{environment: newEnvironment(t), servers: kept(t, servers, err), n: n}
 	f.discovery = newDiscovery(t, f.list("up"), 41)
 	return f
 }
@@ -57,7 +57,7 @@
 }
 
 // figure reads one of the operators' figures.
-func figure(t *testing.T, w *world, name string) int64 {
+func figure(t *testing.T, w *environment, name string) int64 {
 	t.Helper()
 	line, _, _ := strings.Cut(adminCall(t, w.admin, "telemetry"), "\n")
 	figures := map[string]any{}
@@ -103,7 +103,7 @@
 
 // sentTo counts the commands that came to a group of servers.
 func (f *largeFleet) sentTo(group int) (n int) {
-	for _, c := range f.servers.Seen() {
+	for _, c := range f.servers.Commands() {
 		if c.Backend == group {
 			n++
 		}
@@ -115,15 +115,15 @@
 // that drain get nothing more.
 func TestFullListOfALargeFleetIsApplied(t *testing.T) {
 	f := newLargeFleet(t, maxServers)
-	f.discovery.Whole(true)
+	f.discovery.SetCompleteUpdates(true)
 	p := f.start("serve")
 	defer f.runClients(4)()
 	if !eventually(func() bool { return f.sentTo(drains) > 0 }) {
 		t.Fatalf("no request reached a server\n%s", p.log())
 	}
 	f.discovery.Set(f.list("draining"))
-	if !eventually(func() bool { return figure(t, f.world, "list_version_applied") == 42 }) {
-		t.Fatalf("version %d is in force, 42 was sent\n%s", figure(t, f.world, "list_version_applied"), p.log())
+	if !eventually(func() bool { return figure(t, f.environment, "list_version_applied") == 42 }) {
+		t.Fatalf("version %d is in force, 42 was sent\n%s", figure(t, f.environment, "list_version_applied"), p.log())
 	}
 	before, others := f.sentTo(drains), f.sentTo(stays)
 	if !eventually(func() bool { return f.sentTo(stays) > others+200 }) {
--- a/cmd/dewhitch/large_test.go
+++ b/cmd/dewhitch/large_test.go
@@ -111,7 +111,7 @@
 	r *bufio.Reader
 }
 
-func dialLarge(t *testing.T, w *world) *largeClient {
+func dialLarge(t *testing.T, w *environment) *largeClient {
 	c, err := net.Dial("tcp", w.listen)
 	if err != nil {
 		t.Fatal(err)
@@ -173,7 +173,7 @@
 // the byte and in the order of their commands; the connection to the backend is used again; a value that breaks off, and a
 // client that leaves within one, end no more than that.
 func TestLargeValues(t *testing.T) {
-	w := newWorld(t)
+	w := newEnvironment(t)
 	w.override = []string{`{"limits": {"memory_mb": 64, "sockets": 512}}`}
 	go w.backends.serveLarge(200 * time.Microsecond)
 	p := w.start("serve")
@@ -213,7 +213,7 @@
 
 // checkBrokenValues: of a value that breaks off the client sees the end, and nothing else; a client that leaves within its value
 // takes nothing along, and the next is served.
-func checkBrokenValues(t *testing.T, w *world) {
+func checkBrokenValues(t *testing.T, w *environment) {
 	c := dialLarge(t, w)
 	c.Write(largeQuery("x1"))
 	line, _ := c.r.ReadString('\n')
--- a/cmd/dewhitch/ledger_commands.go
+++ b/cmd/dewhitch/ledger_commands.go
@@ -48,11 +48,11 @@
 func statementSums(v *store.View, lines []ledger.Line, withCustomer bool) []statement.Sum {
 	var sums []statement.Sum
 	for _, line := range lines {
-		name := statement.Name{Plan: v.Names.Plan(line.Key.Plan), Class: v.Names.Class(line.Key.Class)}
+		name := statement.RowName{Plan: v.Names.Plan(line.Key.Plan), Class: v.Names.Class(line.Key.Class)}
 		if withCustomer {
-			name.Haulier = ledger.CustomerText(line.Key.Customer)
+			name.Customer = ledger.CustomerText(line.Key.Customer)
 		}
-		sums = append(sums, statement.Sum{Name: name, Counts: line.Counts, Tries: line.Counts.N[ledger.FrontTaken]})
+		sums = append(sums, statement.Sum{RowName: name, Counts: line.Counts, ClientAttempts: line.Counts.N[ledger.FrontTaken]})
 	}
 	return sums
 }
@@ -220,7 +220,7 @@
 func writeNodes(to io.Writer, merged *statement.Merged) {
 	var nodes []string
 	for name, n := range merged.Nodes {
-		nodes = append(nodes, fmt.Sprintf("%s (%s, %d lives)", name, n.Role, n.Lives))
+		nodes = append(nodes, fmt.Sprintf("%s (%s, %d lives)", name, n.Role, n.Incarnations))
 		if n.First > 1 {
 			fmt.Fprintf(to, "%s: its records before %d are missing\n", name, n.First)
 		}
--- a/cmd/dewhitch/ledger_process.go
+++ b/cmd/dewhitch/ledger_process.go
@@ -22,7 +22,7 @@
 
 // poster is what the parts of the process post to the ledger by. It is safe for any goroutine.
 type poster interface {
-	platform.Books
+	platform.Recorder
 	forward.Recorder
 }
 
--- a/cmd/dewhitch/ledger_test.go
+++ b/cmd/dewhitch/ledger_test.go
@@ -25,7 +25,7 @@
 // ledgerTest is two gateways with a ledger each, and one client on each.
 type ledgerTest struct {
 	t          *testing.T
-	world      *world
+	world      *environment
 	a, b       *process
 	dirA, dirB string
 	answer     chan struct{} // closed: the backends serve
@@ -33,7 +33,7 @@
 }
 
 func newLedgerTest(t *testing.T) *ledgerTest {
-	first := newWorld(t)
+	first := newEnvironment(t)
 	answer := make(chan struct{})
 	go func() {
 		<-answer
@@ -80,7 +80,7 @@
 
 // killWithOpenQuery kills the first gateway while a query is open.
 func (l *ledgerTest) killWithOpenQuery() {
-	l.world.counter.Mode("silent")
+	l.world.counter.SetMode("silent")
 	l.one.write("LIMIT.GET 00000000000000bb t=forty,d=60000,spread=1,first=0") // unknown on this front, and no request
 	l.one.answer()
 	c := dial(l.t, l.world.limits)
@@ -192,7 +192,7 @@
 // The operators' listener shows figures that a scraper can read, with bounded labels.
 func TestMetrics(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newEnvironment(t)
 	go w.backends.serveAll()
 	w.operator = standin.OwnAddr()
 	w.start("serve")
--- a/cmd/dewhitch/limits_test.go
+++ b/cmd/dewhitch/limits_test.go
@@ -101,7 +101,7 @@
 func prefix(customer int) string { return strconv.FormatInt(int64(customer), 36) + "." }
 
 // near checks an answer against the counter; 40 units come in so slowly that what comes in meanwhile does not count.
-func near(t *testing.T, w *world, customer int, left float64) {
+func near(t *testing.T, w *environment, customer int, left float64) {
 	t.Helper()
 	if want := forty - w.counter.Sum(prefix(customer)); !(math.Abs(left-max(0, want)) <= 1) {
 		t.Errorf("customer %d: %v left, the counter has %v left", customer, left, want)
@@ -112,7 +112,7 @@
 // within one request of the counter, which each query has read, and which nobody else adds to.
 func TestTwoHundredCustomers(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newEnvironment(t)
 	go w.backends.serveAll()
 	w.override = append(w.override, `{"limits": {"sockets": 1024}}`)
 	p := w.start("serve")
@@ -174,7 +174,7 @@
 // forwarderTest is three gateways, a forwarder, and a client of it.
 type forwarderTest struct {
 	t         *testing.T
-	world     *world
+	world     *environment
 	registry  *zookeeper.Server
 	gateways  [3]*process
 	forwarder *process
@@ -185,7 +185,7 @@
 func registryNode(gateway int) string { return fmt.Sprintf("/dewhitch/planners/gateway-%d", gateway) }
 
 func newForwarderTest(t *testing.T) *forwarderTest {
-	f := &forwarderTest{t: t, world: newWorld(t), registry: newZookeeper(t)}
+	f := &forwarderTest{t: t, world: newEnvironment(t), registry: newZookeeper(t)}
 	go f.world.backends.serveAll()
 	for i := range f.gateways {
 		w := *f.world
@@ -266,7 +266,7 @@
 	f.checkLeft()
 
 	// With its counter silent, gateway 0 owes an answer when it dies: that command is failed, not sent again.
-	f.world.counter.Mode("silent")
+	f.world.counter.SetMode("silent")
 	c.write(query(3))
 	time.Sleep(50 * time.Millisecond)
 	f.gateways[0].cmd.Process.Kill()
@@ -278,7 +278,7 @@
 	if err := f.gateways[0].wait(); err == nil {
 		t.Error("the planner ended by itself, not by the kill")
 	}
-	f.world.counter.Mode("add")
+	f.world.counter.SetMode("add")
 	c.write(adjust(3, 2), query(3))
 	if a := c.answer(); a != "2" {
 		t.Errorf("answered %q\n%s", a, f.forwarder.log())
@@ -293,7 +293,7 @@
 // A client that pipelines large answers and reads them late gets them all; what waits for it is bounded, as no
 // further command is taken meanwhile.
 func TestLateReader(t *testing.T) {
-	w := newWorld(t)
+	w := newEnvironment(t)
 	go w.backends.serveAll()
 	w.start("serve")
 	c := dial(t, w.listen)
@@ -324,7 +324,7 @@
 func TestForwarderEndsBeforeTheEarliestKill(t *testing.T) {
 	t.Parallel()
 	z := newZookeeper(t)
-	planner := newWorld(t)
+	planner := newEnvironment(t)
 	planner.registry = z.Addr()
 	planner.start("serve")
 	front := *planner
--- a/cmd/dewhitch/player_test.go
+++ b/cmd/dewhitch/player_test.go
@@ -57,7 +57,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := &player{t: t, world: newWorld(t), conns: map[string]*party{}}
+			p := &player{t: t, world: newEnvironment(t), conns: map[string]*party{}}
 			for i, line := range strings.Split(string(text), "\n") {
 				if line = strings.TrimSpace(line); line != "" && line[0] != '#' {
 					p.where = fmt.Sprintf("%s:%d: %s", f, i+1, line)
@@ -70,7 +70,7 @@
 
 type player struct {
 	t     *testing.T
-	world *world
+	world *environment
 	prog  *process
 	conns map[string]*party
 	where string
@@ -212,21 +212,21 @@
 		old := *p.world
 		p.world.counter, p.world.discovery = newCounter(p.t), newDiscovery(p.t, p.world.members(rest), 7)
 		p.happen("anew", "{}")
-		old.counter.Refuse()
-		old.discovery.Refuse()
+		old.counter.StopAccepting()
+		old.discovery.StopAccepting()
 	case "members": // the list that discovery has from now on, as id=phase words
 		p.world.discovery.Set(p.world.members(rest))
 	case "away": // discovery refuses connections
-		p.world.discovery.Refuse()
+		p.world.discovery.StopAccepting()
 	case "counter": // how it answers from now on: add, silent, full, late, reset, spoilt, interim, doubled
-		p.world.counter.Mode(rest)
+		p.world.counter.SetMode(rest)
 	case "counted": // the sum of all totals
 		want, _ := strconv.ParseFloat(rest, 64)
 		if !eventually(func() bool { return p.world.counter.Sum("") == want }) {
 			p.fail("the counter holds %v", p.world.counter.Sum(""))
 		}
 	case "backends": // closed: connections are refused
-		p.world.backends.Refuse()
+		p.world.backends.StopAccepting()
 	case "window":
 		earlyInWindow()
 	case "sleep":
--- a/cmd/dewhitch/process_test.go
+++ b/cmd/dewhitch/process_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// world is one gateway's surroundings: stand-ins for everything that it speaks to.
-type world struct {
+// environment is one gateway's surroundings: stand-ins for everything that it speaks to.
+type environment struct {
 	t              *testing.T
 	listen, limits string
 	admin          string // the operators' address of the program started last
@@ -67,13 +67,13 @@
 	operations     string // more of the operators' file
 }
 
-func newWorld(t *testing.T) *world {
-	w := &world{t: t, listen: standin.OwnAddr(), limits: standin.OwnAddr(), backends: newHandBackends(t), counter: newCounter(t)}
+func newEnvironment(t *testing.T) *environment {
+	w := &environment{t: t, listen: standin.OwnAddr(), limits: standin.OwnAddr(), backends: newHandBackends(t), counter: newCounter(t)}
 	w.discovery = newDiscovery(t, w.members("s-00000001=up"), 41)
 	return w
 }
 
-func (w *world) members(text string) string {
+func (w *environment) members(text string) string {
 	var list []string
 	for m := range strings.FieldsSeq(text) {
 		id, phase, _ := strings.Cut(m, "=")
@@ -83,7 +83,7 @@
 }
 
 // config is the node's configuration, with the overrides laid over it.
-func (w *world) config() []byte {
+func (w *environment) config() []byte {
 	text, err := os.ReadFile("testdata/node.json")
 	if err != nil {
 		w.t.Fatal(err)
@@ -115,7 +115,7 @@
 	}
 }
 
-func (w *world) command(args ...string) *exec.Cmd {
+func (w *environment) command(args ...string) *exec.Cmd {
 	dir := w.t.TempDir()
 	scratch := dir
 	if w.scratch != "" {
@@ -142,9 +142,9 @@
 }
 
 // start starts the program and waits until it listens.
-func (w *world) start(args ...string) *process { return w.startCommand(w.command(args...)) }
+func (w *environment) start(args ...string) *process { return w.startCommand(w.command(args...)) }
 
-func (w *world) startCommand(cmd *exec.Cmd) *process {
+func (w *environment) startCommand(cmd *exec.Cmd) *process {
 	p := &process{cmd: cmd, over: make(chan error, 1)}
 	p.config = strings.TrimPrefix(p.cmd.Env[len(p.cmd.Env)-2], "NODE_CONFIG=")
 	p.cmd.Stdout, p.cmd.Stderr = p, p
@@ -173,7 +173,7 @@
 }
 
 // run runs the program to an end that must be a failure, and returns what it says.
-func (w *world) run(args ...string) string {
+func (w *environment) run(args ...string) string {
 	out, err := w.command(args...).CombinedOutput()
 	if err == nil {
 		w.t.Fatalf("it ended well: %s", out)
--- a/cmd/dewhitch/redis_test.go
+++ b/cmd/dewhitch/redis_test.go
@@ -17,7 +17,7 @@
 func TestRealClient(t *testing.T) {
 	t.Parallel()
 	z := newZookeeper(t)
-	w := newWorld(t)
+	w := newEnvironment(t)
 	go w.backends.serveAll()
 	w.registry = z.Addr()
 	p := w.start("serve")
--- a/cmd/dewhitch/reload.go
+++ b/cmd/dewhitch/reload.go
@@ -47,17 +47,17 @@
 // applyReload applies what can change without a restart: the addresses of discovery and the counter, the classes, and the
 // maximum of attempts.
 func (g *gateway) applyReload(m *config.Node) {
-	if m.Discovery != g.n.Discovery {
+	if m.Discovery != g.node.Discovery {
 		g.discovery.Move(m.Discovery)
 	}
-	if m.Counter != g.n.Counter {
+	if m.Counter != g.node.Counter {
 		g.counter.Move(m.Counter)
 	}
 	g.applyClasses(m)
 	g.log.Info("new configuration", zap.String("discovery", m.Discovery), zap.String("counter", m.Counter),
-		zap.Strings("needs_a_restart", g.n.Fixed(m)))
-	g.n.Discovery = m.Discovery
-	g.n.Counter = m.Counter
+		zap.Strings("needs_a_restart", g.node.Fixed(m)))
+	g.node.Discovery = m.Discovery
+	g.node.Counter = m.Counter
 }
 
 // applyClasses has new requests use the classes of the new settings, and the maximum of attempts that they allow.
--- a/cmd/dewhitch/repeat_window_test.go
+++ b/cmd/dewhitch/repeat_window_test.go
@@ -28,7 +28,7 @@
 // that had been cut was healed. Mended in repeat_window.go.
 func TestRepeatEndsWithItsWindow(t *testing.T) {
 	t.Parallel()
-	w := newWorld(t)
+	w := newEnvironment(t)
 	w.override = append(w.override, `{"settings":{"RequestClasses":[{"Name":"order","Aim":4000000000,"Deadline":4000000000,
 		"DedupWindow":1000000000,"Effect":"keyed","Group":"all","Points":5}]}}`)
 	w.discovery.Set(w.members("s-00000001=up s-00000002=up s-00000003=up"))
--- a/cmd/dewhitch/run.go
+++ b/cmd/dewhitch/run.go
@@ -44,9 +44,9 @@
 		awaitShutdown(serving, terminate, g.log, g.shutDown)
 		return nil
 	})
-	g.log.Info("serving", zap.String("name", g.n.Name), zap.String("listen", g.n.Listen),
+	g.log.Info("serving", zap.String("name", g.node.Name), zap.String("listen", g.node.Listen),
 		zap.Int("fetches", g.attemptSockets), zap.Int("sessions", g.sessionSockets), zap.String("limits", g.limits.Listen),
-		zap.String("admin", g.n.Admin), zap.Int("inherited", g.n.Inherited))
+		zap.String("admin", g.node.Admin), zap.Int("inherited", g.node.Inherited))
 	err := group.Wait()
 	g.log.Info("ended", zap.Error(err))
 	return err
@@ -66,8 +66,8 @@
 	if g.operatorListener != nil {
 		services = append(services, g.operatorListener)
 	}
-	if g.fleet != nil {
-		services = append(services, g.fleet.Run, g.followFleet, g.findMembers)
+	if g.fleetAgent != nil {
+		services = append(services, g.fleetAgent.Run, g.followFleet, g.findMembers)
 	}
 	return services
 }
@@ -81,7 +81,7 @@
 		g.state.Start()
 		close(g.ready)
 	})
-	err := serveSessions(ctx, g.servers, g.sessionSockets, g.n.Sockets/idleSessionsPart)
+	err := serveSessions(ctx, g.servers, g.sessionSockets, g.node.Sockets/idleSessionsPart)
 	readiness.Wait()
 	g.snapshots.writeLast()
 	return err
@@ -96,11 +96,11 @@
 	case <-ctx.Done():
 	case <-time.After(g.firstListWait):
 	}
-	if g.heard == nil {
+	if g.planApplied == nil {
 		return
 	}
 	select {
-	case <-g.heard:
+	case <-g.planApplied:
 	case <-ctx.Done():
 	case <-time.After(firstPlanWait):
 		g.log.Warn("no plan of the fleet was received in time: serving without one")
--- a/cmd/dewhitch/soak_test.go
+++ b/cmd/dewhitch/soak_test.go
@@ -119,10 +119,10 @@
 }
 
 func (s *soakRun) newGateway(number int) *gatewayRecord {
-	w := newWorld(s.t)
+	w := newEnvironment(s.t)
 	w.self = number
 	w.override = append(w.override, s.settings(s.longest))
-	w.discovery.Whole(s.fullLists)
+	w.discovery.SetCompleteUpdates(s.fullLists)
 	w.discovery.Set(s.members())
 	return &gatewayRecord{world: w, number: number, longest: s.longest, newFor: 400 * time.Millisecond}
 }
@@ -298,7 +298,7 @@
 func (s *soakRun) judgeDrains() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, c := range s.backends.Seen() {
+	for _, c := range s.backends.Commands() {
 		if notifiedAt, drains := s.drained[c.Backend]; drains && c.At.Sub(notifiedAt) > drainGrace+soakSlack {
 			s.gateways[0].fault("request %s came to a server of node %d %v after the watch event that it drains", c.ID, c.Backend, c.At.Sub(notifiedAt))
 		}
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -109,7 +109,7 @@
 			c.happen(b, id)
 			b.connect <- struct{}{}
 			b.expectOutcome(end, c.want)
-			sent := len(b.node.Seen())
+			sent := len(b.node.Commands())
 			if want := map[bool]int{true: 1}[c.want == dw.OutcomeOK]; sent != want {
 				t.Errorf("%d commands came to the backend, want %d", sent, want)
 			}
--- a/internal/backend/client_left_test.go
+++ b/internal/backend/client_left_test.go
@@ -71,7 +71,7 @@
 		<-asked
 		b.connect <- struct{}{}
 		b.waitUntilEnded()
-		if n := len(b.node.Seen()); n != 0 {
+		if n := len(b.node.Commands()); n != 0 {
 			t.Errorf("cancelling allowed: %v: %d commands were sent for a client that had left", cancel, n)
 		}
 		b.expectNothingLeft()
@@ -115,7 +115,7 @@
 	p.Cancel(ticket)
 	b.connect <- struct{}{}
 	b.expectOutcome(end, dw.OutcomeNotSent)
-	if n := len(b.node.Seen()); n != 0 {
+	if n := len(b.node.Commands()); n != 0 {
 		t.Errorf("%d commands were sent for a client that had left", n)
 	}
 	b.expectNothingLeft()
--- a/internal/backend/dial_test.go
+++ b/internal/backend/dial_test.go
@@ -76,7 +76,7 @@
 	}
 	b.Cancel(id, 0)
 	b.expectOutcome(end, dw.OutcomeNotSent)
-	if n := len(b.node.Seen()); n != 0 {
+	if n := len(b.node.Commands()); n != 0 {
 		t.Errorf("%d commands came to the backend", n)
 	}
 	b.expectNothingLeft()
--- a/internal/backend/update_test.go
+++ b/internal/backend/update_test.go
@@ -51,7 +51,7 @@
 			}
 			b.connect <- struct{}{}
 			b.expectOutcome(end, c.want)
-			if sent, want := len(b.node.Seen()), map[bool]int{true: 1}[c.want == dw.OutcomeOK]; sent != want {
+			if sent, want := len(b.node.Commands()), map[bool]int{true: 1}[c.want == dw.OutcomeOK]; sent != want {
 				t.Errorf("%d commands came to the backend, want %d", sent, want)
 			}
 			b.expectNothingLeft()
--- a/internal/drill/front.go
+++ b/internal/drill/front.go
@@ -30,7 +30,7 @@
 	var probe frontProbe
 	defer probe.close()
 	for failures := 0; ctx.Err() == nil; wait(ctx, frontCheckInterval) {
-		if g.Program().Over() && !g.isStopExpected() {
+		if g.Program().Ended() && !g.isStopExpected() {
 			cl.checker.report(time.Now(), ruleEnded, "%s ended of itself: %s", g.name, tail(g.Program().Log()))
 			return
 		}
--- a/internal/drill/gateway.go
+++ b/internal/drill/gateway.go
@@ -90,7 +90,7 @@
 // stallGateway stops a process for a time by a signal.
 func (cl *cluster) stallGateway(g *gateway, d time.Duration) {
 	p := g.Program()
-	if p == nil || p.Over() {
+	if p == nil || p.Ended() {
 		return
 	}
 	end := g.beginFault()
@@ -114,7 +114,7 @@
 // terminateGateway shuts a process down gracefully, as a planned restart does, and starts it again after a time unless that is 0.
 func (cl *cluster) terminateGateway(g *gateway, delay time.Duration, fresh bool) {
 	p := g.Program()
-	if p == nil || p.Over() {
+	if p == nil || p.Ended() {
 		return
 	}
 	g.expectStop(true)
@@ -122,7 +122,7 @@
 	cl.background.Go(func() {
 		time.Sleep(frontRemovalDelay)
 		g.inRotation.Store(false)
-		if err := g.Process.Gone(processTimeout); err != nil {
+		if err := g.Process.AwaitExit(processTimeout); err != nil {
 			cl.checker.report(time.Now(), ruleEnded, "%v", err)
 			return
 		}
@@ -140,7 +140,7 @@
 	cl.background.Go(func() {
 		time.Sleep(delay)
 		if fresh {
-			g.Forget()
+			g.RemoveState()
 		}
 		if err := g.Start(processTimeout); err != nil {
 			cl.checker.report(time.Now(), ruleEnded, "%v", err)
--- a/internal/drill/maintenance.go
+++ b/internal/drill/maintenance.go
@@ -143,13 +143,13 @@
 // failed.
 func (cl *cluster) restartGateway(g *gateway, workTime time.Duration) bool {
 	p := g.Program()
-	if p == nil || p.Over() || cl.lengthOver() {
+	if p == nil || p.Ended() || cl.lengthOver() {
 		return false
 	}
 	g.expectStop(true)
 	g.inRotation.Store(false)
 	p.Cmd.Process.Signal(syscall.SIGTERM)
-	if err := g.Process.Gone(processTimeout); err != nil {
+	if err := g.Process.AwaitExit(processTimeout); err != nil {
 		cl.checker.report(time.Now(), ruleEnded, "%v", err)
 		return false
 	}
--- a/internal/drill/manual.go
+++ b/internal/drill/manual.go
@@ -30,7 +30,7 @@
 		cl.restartServer(s, freeAt, workTime)
 		cl.commandAll(s, "include")
 		cl.recordTurn(name, freeAt)
-		for end := time.Now().Add(standin.ColdSpan); time.Now().Before(end) && !cl.lengthOver(); {
+		for end := time.Now().Add(standin.SlowStartSpan); time.Now().Before(end) && !cl.lengthOver(); {
 			time.Sleep(workPollInterval)
 		}
 	}
--- a/internal/drill/open.go
+++ b/internal/drill/open.go
@@ -101,7 +101,7 @@
 	if cl.backends, err = standin.NewBackends(len(cl.servers), false, cl.serveCommand); err != nil {
 		return err
 	}
-	cl.backends.Watch = cl.observeCommand
+	cl.backends.OnCommand = cl.observeCommand
 	if cl.counter, err = standin.NewCounter(); err != nil {
 		return err
 	}
@@ -154,7 +154,7 @@
 	g.Path = cl.Program
 	g.Args = []string{"--log-level", cl.logLevel(), "--limits", g.File("limits.toml"), "--operations", g.File("operations.toml"), "serve"}
 	g.Env = []string{"TMPDIR=" + g.Dir}
-	g.Line = func(line string) {
+	g.OnLogLine = func(line string) {
 		cl.fleetLog.line(g, line)
 		cl.traces.add(g.name, line)
 	}
@@ -190,7 +190,7 @@
 		}
 		g.serverLinks = append(g.serverLinks, l)
 	}
-	door, err := cl.counter.Door()
+	door, err := cl.counter.AddListener()
 	if err != nil {
 		return nil, nil, err
 	}
--- a/internal/drill/rest.go
+++ b/internal/drill/rest.go
@@ -134,7 +134,7 @@
 	if r.counter, err = standin.NewCounter(); err != nil {
 		return err
 	}
-	door, err := r.counter.Door()
+	door, err := r.counter.AddListener()
 	if err != nil {
 		return err
 	}
@@ -162,7 +162,7 @@
 	p := &standin.Process{Name: name, Dir: filepath.Join(r.Dir, name), Listen: standin.OwnAddr(), Path: r.Program}
 	p.Args = []string{"--limits", p.File("limits.toml"), "--operations", p.File("operations.toml"), "serve"}
 	p.Env = []string{"TMPDIR=" + p.Dir}
-	p.Line = func(line string) { r.observeLine(name, line) }
+	p.OnLogLine = func(line string) { r.observeLine(name, line) }
 	config, err := standin.Config{
 		Name:      name,
 		Listen:    p.Listen,
--- a/internal/drill/returns.go
+++ b/internal/drill/returns.go
@@ -56,7 +56,7 @@
 	model := serverModel{cores: serverCores, meanSeconds: meanWork.Seconds(), slowFactor: 1, startedAt: r.at, slowStart: true}
 	arrivals := cl.checker.arrivalsByServer[r.server.name]
 	for t := r.at; t.Add(time.Second).Before(end); t = t.Add(measureStep) {
-		if t.Sub(r.at) < standin.ColdSpan {
+		if t.Sub(r.at) < standin.SlowStartSpan {
 			attempts := float64(countBetween(arrivals, t, t.Add(time.Second)))
 			capacity := model.capacity(t.Add(time.Second / 2))
 			result.Worst = max(result.Worst, attempts/capacity)
--- a/internal/drill/rules_test.go
+++ b/internal/drill/rules_test.go
@@ -165,7 +165,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(0, 40).Draw(t, "gap")) * time.Millisecond)
 			id := string(rune(i)) + rapid.String().Draw(t, "id")
 			step := m.accept(now, id, 1)
-			if step.Deed != standin.Serve {
+			if step.Behaviour != standin.Serve {
 				continue
 			}
 			end := now.Add(step.Delay)
@@ -193,7 +193,7 @@
 		m := newServerModel(serverCores, serverQueue, meanWork)
 		m.restart(began)
 		now := began
-		for i := 0; now.Sub(began) < standin.ColdSpan; i++ {
+		for i := 0; now.Sub(began) < standin.SlowStartSpan; i++ {
 			now = now.Add(time.Duration(1e9 / (times * m.capacity(now))))
 			m.accept(now, string(rune(i)), 1)
 		}
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -125,14 +125,14 @@
 	var stops sync.WaitGroup
 	for _, g := range cl.gateways {
 		stops.Go(func() {
-			if g.Program().Over() {
+			if g.Program().Ended() {
 				if !g.isStopExpected() {
 					cl.checker.report(time.Now(), ruleEnded, "%s ended of itself: %s", g.name, tail(g.Program().Log()))
 				}
 				return
 			}
 			g.expectStop(true)
-			if err := g.End(processTimeout); err != nil {
+			if err := g.Terminate(processTimeout); err != nil {
 				cl.checker.report(time.Now(), ruleEnded, "%v", err)
 			}
 			g.addCPU()
@@ -140,7 +140,7 @@
 	}
 	stops.Wait()
 	for _, g := range cl.gateways {
-		if line, bad := g.Says("panic:", "DATA RACE", "fatal error:"); bad {
+		if line, bad := g.FindInLogs("panic:", "DATA RACE", "fatal error:"); bad {
 			cl.checker.report(time.Now(), ruleEnded, "%s says: %s", g.name, line)
 		}
 	}
--- a/internal/drill/server.go
+++ b/internal/drill/server.go
@@ -26,12 +26,12 @@
 func (s *server) zone() string { return s.name[len("server-") : len("server-")+1] }
 
 // update changes the server's model.
-func (s *server) update(f func(*serverModel)) { s.cluster.backends.Locked(func() { f(s.model) }) }
+func (s *server) update(f func(*serverModel)) { s.cluster.backends.WithLock(func() { f(s.model) }) }
 
 // stop ends the server's process: open connections are reset, new ones are refused.
 func (s *server) stop() {
 	s.update(func(*serverModel) { s.down = true })
-	s.cluster.backends.Down(s.index)
+	s.cluster.backends.Stop(s.index)
 }
 
 // recover makes the server healthy. One that was stopped restarts in slow start, and discovery publishes its start.
@@ -51,7 +51,7 @@
 	s.cluster.mu.Lock()
 	s.cluster.restarts = append(s.cluster.restarts, serverRestart{s, at})
 	s.cluster.mu.Unlock()
-	if err := s.cluster.backends.Up(s.index); err != nil {
+	if err := s.cluster.backends.Restart(s.index); err != nil {
 		s.cluster.checker.report(time.Now(), ruleEnded, "%s could not come back: %v", s.name, err)
 	}
 	s.cluster.publishEndpoints()
@@ -67,17 +67,17 @@
 	s := cl.servers[c.Backend]
 	a := &arrival{
 		arrivedAt:  c.At,
-		remote:     c.Far,
+		remote:     c.RemoteAddr,
 		link:       noLink{},
 		server:     s.name,
-		mayHaveRun: c.Did != standin.Busy,
+		mayHaveRun: c.Behaviour != standin.Busy,
 		key:        c.Key,
 	}
 	for _, g := range cl.gateways {
-		if l := g.serverLinks[s.index]; l.Has(c.Far) {
+		if l := g.serverLinks[s.index]; l.HasConn(c.RemoteAddr) {
 			a.gateway = g.name
 			a.link = l
-			a.sentAt = l.Sent(c.Far)
+			a.sentAt = l.Sent(c.RemoteAddr)
 			break
 		}
 	}
@@ -85,7 +85,7 @@
 	cl.checker.commandArrived(c, a)
 	if overloaded && !s.down {
 		s.down = true
-		cl.checker.report(c.At, rulePushed, "%s was pushed over: %.1f times what it could do for %v", s.name, s.model.maxOverload, standin.FallSpan)
+		cl.checker.report(c.At, rulePushed, "%s was pushed over: %.1f times what it could do for %v", s.name, s.model.maxOverload, standin.OverloadSpan)
 	}
 	return func() { cl.checker.commandEnded(a, time.Now()) }
 }
@@ -126,7 +126,7 @@
 func (cl *cluster) publishEndpoints() {
 	for _, g := range cl.gateways {
 		var list string
-		cl.backends.Locked(func() {
+		cl.backends.WithLock(func() {
 			cl.mu.Lock()
 			list = cl.endpointList(g)
 			cl.mu.Unlock()
--- a/internal/drill/servermodel.go
+++ b/internal/drill/servermodel.go
@@ -76,7 +76,7 @@
 func (m *serverModel) speed(now time.Time) float64 {
 	v := 1 / m.slowFactor
 	if m.slowStart {
-		v *= standin.StartCapacity + (1-standin.StartCapacity)*min(1, now.Sub(m.startedAt).Seconds()/standin.ColdSpan.Seconds())
+		v *= standin.StartCapacity + (1-standin.StartCapacity)*min(1, now.Sub(m.startedAt).Seconds()/standin.SlowStartSpan.Seconds())
 	}
 	return v
 }
@@ -115,15 +115,15 @@
 		m.checkOverload(now)
 	}
 	if !m.fellAt.IsZero() || m.mode == silent {
-		return standin.Step{Deed: standin.Stall}
+		return standin.Step{Behaviour: standin.Stall}
 	}
 	step := standin.Step{Report: m.loadReport(now)}
 	if len(m.pendingUntil) >= m.cores+m.queueSize {
-		step.Deed = standin.Busy
+		step.Behaviour = standin.Busy
 		return step
 	}
 	if m.mode == failing && draw < m.failRatio {
-		step.Deed = standin.Fail
+		step.Behaviour = standin.Fail
 	}
 	begin := m.coreFreeAt[0]
 	if begin.Before(now) {
@@ -139,7 +139,7 @@
 
 // advance forgets the arrivals before standin.FallSpan and the requests that have ended.
 func (m *serverModel) advance(now time.Time) {
-	for len(m.arrivals) > 0 && now.Sub(m.arrivals[0]) > standin.FallSpan {
+	for len(m.arrivals) > 0 && now.Sub(m.arrivals[0]) > standin.OverloadSpan {
 		m.arrivals = m.arrivals[1:]
 	}
 	for len(m.pendingUntil) > 0 && !m.pendingUntil[0].After(now) {
@@ -150,7 +150,7 @@
 // loadReport returns the last load report, which is made again after reportInterval.
 func (m *serverModel) loadReport(now time.Time) string {
 	if now.Sub(m.reportedAt) >= reportInterval {
-		rate := float64(len(m.arrivals)) / standin.FallSpan.Seconds()
+		rate := float64(len(m.arrivals)) / standin.OverloadSpan.Seconds()
 		m.report = fmt.Sprintf("queue=%d,inflight=%d,qps=%.1f", max(0, len(m.pendingUntil)-m.cores), len(m.pendingUntil), rate)
 		m.reportedAt = now
 	}
@@ -159,12 +159,12 @@
 
 // checkOverload fails the server for good if the arrivals in slow start exceed standin.FallMultiple of its capacity.
 func (m *serverModel) checkOverload(now time.Time) {
-	if !m.slowStart || now.Sub(m.startedAt) > standin.ColdSpan {
+	if !m.slowStart || now.Sub(m.startedAt) > standin.SlowStartSpan {
 		return
 	}
-	over := float64(len(m.arrivals)) / standin.FallSpan.Seconds() / m.capacity(now)
+	over := float64(len(m.arrivals)) / standin.OverloadSpan.Seconds() / m.capacity(now)
 	m.maxOverload = max(m.maxOverload, over)
-	if over > standin.FallMultiple {
+	if over > standin.OverloadMultiple {
 		m.fellAt = now
 	}
 }
--- a/internal/fleet/agent/leader.go
+++ b/internal/fleet/agent/leader.go
@@ -80,11 +80,11 @@
 		return
 	}
 	next, changed := a.maintenance.Step(now, unix, schedule, maintenance.Observations{
-		Servers:       a.maintenanceServers(),
-		Members:       a.maintenanceMembers(now, n),
-		RejectedShare: a.zones.RejectedShare(),
-		Rate:          a.slowStart.Demand(),
-		ZonesOut:      evacuatedZones(statuses),
+		Servers:   a.maintenanceServers(),
+		Members:   a.maintenanceMembers(now, n),
+		Saturated: a.zones.Saturated(),
+		Rate:      a.slowStart.Demand(),
+		ZonesOut:  evacuatedZones(statuses),
 	})
 	if changed && n.Propose(maintenance.Set(next)) {
 		a.logMaintenanceChanges(schedule, next, p.Epoch)
--- a/internal/fleet/evacuation/detector.go
+++ b/internal/fleet/evacuation/detector.go
@@ -60,8 +60,8 @@
 	return zone, ok
 }
 
-// RejectedShare tells whether servers reject requests, as of the last evaluation.
-func (d *Detector) RejectedShare() bool {
+// Saturated tells whether servers reject requests, as of the last evaluation.
+func (d *Detector) Saturated() bool {
 	_, saturated := d.saturated(slices.Sorted(maps.Keys(d.zones)), nil, scope{gateways: d.gateways})
 	return saturated
 }
--- a/internal/fleet/maintenance/scheduler.go
+++ b/internal/fleet/maintenance/scheduler.go
@@ -27,11 +27,11 @@
 
 // Observations are what the leader observes of the fleet.
 type Observations struct {
-	Servers       map[string]Server // by name
-	Members       map[string]Member // by name, all that the leader ever heard of
-	ZonesOut      []string          // zones that are evacuated, probed or returning
-	RejectedShare bool              // servers reject requests
-	Rate          float64           // attempts a second, of all gateways
+	Servers   map[string]Server // by name
+	Members   map[string]Member // by name, all that the leader ever heard of
+	ZonesOut  []string          // zones that are evacuated, probed or returning
+	Saturated bool              // servers reject requests
+	Rate      float64           // attempts a second, of all gateways
 }
 
 // Config bounds what may be out at once.
@@ -160,12 +160,12 @@
 			inUse++
 		}
 	}
-	faultless := !e.observed.RejectedShare && len(e.observed.ZonesOut) == 0
+	faultless := !e.observed.Saturated && len(e.observed.ZonesOut) == 0
 	e.recordLoad(e.now, e.observed.Rate/float64(max(1, inUse)), faultless)
 	switch {
 	case len(e.observed.ZonesOut) > 0:
 		e.fault = "zone " + strings.Join(e.observed.ZonesOut, ", ") + " is out or returning"
-	case e.observed.RejectedShare:
+	case e.observed.Saturated:
 		e.fault = "servers turn reqs away"
 	}
 }
--- a/internal/fleet/maintenance/simulation_test.go
+++ b/internal/fleet/maintenance/simulation_test.go
@@ -115,7 +115,7 @@
 			}
 		}
 	}
-	f := Observations{Servers: sim.servers, Members: map[string]Member{}, ZonesOut: sim.zonesOut, RejectedShare: sim.rejecting, Rate: sim.rate}
+	f := Observations{Servers: sim.servers, Members: map[string]Member{}, ZonesOut: sim.zonesOut, Saturated: sim.rejecting, Rate: sim.rate}
 	for name, g := range sim.gateways {
 		f.Members[name] = Member{Reachable: g.stalled <= sim.now, Withdrawn: g.acknowledged}
 	}
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -54,9 +54,9 @@
 // postEnd posts the front's end of a call.
 func (k *call) postEnd(f front.Fate) {
 	switch f {
-	case front.Gone:
+	case front.ClientLeft:
 		k.post(ledger.FrontClientLeft)
-	case front.Cut:
+	case front.WriteFailed:
 		k.post(ledger.FrontWriteFailed)
 	default:
 		k.post(k.end)
--- a/internal/front/fate_test.go
+++ b/internal/front/fate_test.go
@@ -96,7 +96,7 @@
 	k.slots[4].Fill(answer) // too late: its fate is reported
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for i, want := range []Fate{Written, Written, Cut, Cut, Gone} {
+	for i, want := range []Fate{Written, Written, WriteFailed, WriteFailed, ClientLeft} {
 		if got := k.fates[i]; len(got) != 1 || got[0] != want {
 			t.Errorf("answer %d: %v, not %v", i, got, want)
 		}
--- a/internal/front/limits/golden_test.go
+++ b/internal/front/limits/golden_test.go
@@ -25,7 +25,7 @@
 )
 
 func goldenCommands() *Commands {
-	return &Commands{&platform.Commands{Books: recorder.Discard{}, Names: settings.Names{Plans: []string{"wide", "slim", "open"}},
+	return &Commands{&platform.Commands{Recorder: recorder.Discard{}, Names: settings.Names{Plans: []string{"wide", "slim", "open"}},
 		Settings: dw.Settings{Instances: 9, MaxUnits: 40, Plans: []dw.Plan{{Rate: 5, Burst: 10}, {Rate: 6, Burst: 20.5}, {MaxInFlight: 3}}}}}
 }
 
--- a/internal/front/platform/golden_test.go
+++ b/internal/front/platform/golden_test.go
@@ -26,7 +26,7 @@
 )
 
 func goldenCommands() *Commands {
-	return &Commands{Books: recorder.Discard{}, Names: settings.Names{Classes: []string{"quote", "order", "charge"}, Plans: []string{"wide", "slim"}},
+	return &Commands{Recorder: recorder.Discard{}, Names: settings.Names{Classes: []string{"quote", "order", "charge"}, Plans: []string{"wide", "slim"}},
 		Settings: dw.Settings{Instances: 9, MaxUnits: 40, Classes: []dw.Class{{Idempotency: dw.Idempotent, Objective: 1, Deadline: 1},
 			{Idempotency: dw.IdempotentByKey, Objective: 1, Deadline: 1}, {Idempotency: dw.NotIdempotent, Objective: 1, Deadline: 1}}}}
 }
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -22,7 +22,7 @@
 // goroutine.
 type Commands struct {
 	Planner  *core.Planner
-	Books    Books
+	Recorder Recorder
 	Names    settings.Names
 	Settings dw.Settings
 	Figures  *ops.Figures // nil: none
@@ -31,8 +31,8 @@
 	classes atomic.Pointer[classtable.Table] // in force for new requests; nil: the classes of Settings
 }
 
-// Books is the ledger as the fronts post to it. It is safe for any goroutine.
-type Books interface {
+// Recorder is the ledger as the fronts post to it. It is safe for any goroutine.
+type Recorder interface {
 	Ref() uint64 // a new number for a request
 	Post(ledger.Posting)
 	// Row is the key of a customer's row, by the indices of plan and class in the settings.
--- a/internal/front/platform/submit.go
+++ b/internal/front/platform/submit.go
@@ -41,8 +41,8 @@
 // Submit hands a request to the planner, and its answer to the slot. What it sets is the request's ledger row and its Answer. The
 // ledger has the request before the planner does.
 func (c *Commands) Submit(r *core.Request, s *front.Slot, format FormatAnswer) {
-	r.LedgerRef = c.Books.Ref()
-	r.LedgerKey = c.Books.Row(uint64(r.Customer), r.Plan, ledgerClass(r))
+	r.LedgerRef = c.Recorder.Ref()
+	r.LedgerKey = c.Recorder.Row(uint64(r.Customer), r.Plan, ledgerClass(r))
 	sub := &submission{commands: c, request: r, slot: s, format: format, result: core.ResultFailed}
 	if c.Figures != nil {
 		c.Figures.AddOpen(1)
@@ -87,9 +87,9 @@
 	r := s.request
 	s.received = ledger.Posting{Event: ledger.FrontTaken, Key: r.LedgerKey, Ref: r.LedgerRef,
 		Units: ledger.MicroUnits(r.Units), Wait: ledger.CeilSeconds(r.Timeout)}
-	s.commands.Books.Post(s.received)
+	s.commands.Recorder.Post(s.received)
 	if r.Message.Key != "" && r.Kind == core.KindForward {
-		s.commands.Books.Post(ledger.Posting{Event: ledger.FrontIdempotencyKey, Key: r.LedgerKey, Ref: r.LedgerRef,
+		s.commands.Recorder.Post(ledger.Posting{Event: ledger.FrontIdempotencyKey, Key: r.LedgerKey, Ref: r.LedgerRef,
 			Units: int64(xxhash.Sum64String(r.Message.Key))})
 	}
 }
@@ -118,14 +118,14 @@
 	case s.notHanded:
 		end = s.received
 		end.Event = ledger.FrontNotSubmitted
-	case f == front.Gone:
+	case f == front.ClientLeft:
 		end.Event = ledger.FrontClientLeft
-	case f == front.Cut:
+	case f == front.WriteFailed:
 		end.Event = ledger.FrontWriteFailed
 	default:
 		end.Event = endEvents[s.result]
 	}
-	s.commands.Books.Post(end)
+	s.commands.Recorder.Post(end)
 }
 
 // countAnswered counts a request as answered, if its client has not left before.
--- a/internal/front/session.go
+++ b/internal/front/session.go
@@ -237,9 +237,9 @@
 			notify = append(notify, o.value.Close)
 		}
 		if o.onSettled != nil {
-			fate := Gone
+			fate := ClientLeft
 			if o.filled {
-				fate = Cut
+				fate = WriteFailed
 			}
 			notify = append(notify, func() { o.onSettled(fate) })
 		}
--- a/internal/front/slot.go
+++ b/internal/front/slot.go
@@ -34,9 +34,9 @@
 
 // The fates.
 const (
-	Written Fate = iota // its last byte was written
-	Gone                // the client left before there was an answer
-	Cut                 // there was one, and its last byte could not be written
+	Written     Fate = iota // its last byte was written
+	ClientLeft              // the client left before there was an answer
+	WriteFailed             // there was one, and its last byte could not be written
 )
 
 // mark is where an answer ends in what is being written.
@@ -176,7 +176,7 @@
 		if m.end <= written {
 			m.onSettled(Written)
 		} else {
-			m.onSettled(Cut)
+			m.onSettled(WriteFailed)
 		}
 	}
 	clear(marks)
--- a/internal/front/writer.go
+++ b/internal/front/writer.go
@@ -73,7 +73,7 @@
 func (s *session) discardBatch(b batch) {
 	settleMarks(b.marks, 0)
 	if b.value != nil {
-		b.value.end(Cut)
+		b.value.end(WriteFailed)
 	}
 	if tcp, ok := s.conn.(*net.TCPConn); ok {
 		tcp.CloseWrite()
@@ -92,7 +92,7 @@
 	}
 	fate := Written
 	if err != nil {
-		fate = Cut
+		fate = WriteFailed
 	}
 	b.value.end(fate)
 	return err
--- a/internal/ledger/recorder/planted_test.go
+++ b/internal/ledger/recorder/planted_test.go
@@ -103,7 +103,7 @@
 		t.Fatal(err)
 	}
 	d.Tallies(planner.ReadTallies)
-	commands := &limits.Commands{Commands: &platform.Commands{Planner: planner, Books: plant, Settings: set,
+	commands := &limits.Commands{Commands: &platform.Commands{Planner: planner, Recorder: plant, Settings: set,
 		Names: settings.Names{Classes: o.Names.Classes, Plans: o.Names.Plans}}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -205,7 +205,7 @@
 // A session ends with all that it may have open, at backends that never answer: each request is gone, each attempt cancelled
 // and heard of, and nothing stays open.
 func TestSessionEndsWithManyOpen(t *testing.T) {
-	g := startAt(t, recorder.Options{Audit: 5 * time.Millisecond}, nil, standin.Always(standin.Step{Deed: standin.Stall}))
+	g := startAt(t, recorder.Options{Audit: 5 * time.Millisecond}, nil, standin.Always(standin.Step{Behaviour: standin.Stall}))
 	c, err := standin.Dial(g.addr, 10*time.Second)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/ledger/statement/bookings.go
+++ b/internal/ledger/statement/bookings.go
@@ -34,7 +34,7 @@
 	if l.count > maxAttempts {
 		return
 	}
-	booking := bookingKey{customer: r.Haulier, key: r.Key}
+	booking := bookingKey{customer: r.Customer, key: r.Key}
 	l.byBooking[booking] = append(l.byBooking[booking], Attempt{Node: r.Node, Taken: r.From, Ended: r.To, End: r.End})
 }
 
--- a/internal/ledger/statement/golden_test.go
+++ b/internal/ledger/statement/golden_test.go
@@ -24,15 +24,15 @@
 func chainedRecords() []Record {
 	from, to := time.Date(2026, 3, 1, 6, 0, 0, 1000, time.UTC), time.Date(2026, 3, 1, 6, 1, 2, 30, time.UTC)
 	return []Record{
-		{Seq: 1, Node: "f1", Role: Forwarder, Life: 2, Kind: Life, From: from, To: to, Note: "3 postings replayed",
+		{Seq: 1, Node: "f1", Role: Forwarder, Incarnation: 2, Kind: StartRecord, From: from, To: to, Note: "3 postings replayed",
 			Chain: "87b8e99b56c5e4d2"},
-		{Seq: 2, Node: "f1", Role: Forwarder, Life: 2, Kind: Gap, From: to, To: from,
+		{Seq: 2, Node: "f1", Role: Forwarder, Incarnation: 2, Kind: Gap, From: to, To: from,
 			Note: "späť <torn> & \"odd\" \\ \n", Chain: "f2a4f37589367be9"},
-		{Seq: 3, Node: "f1", Role: Forwarder, Life: 2, Kind: Try, From: from, To: to, Haulier: "00000000000000aa",
+		{Seq: 3, Node: "f1", Role: Forwarder, Incarnation: 2, Kind: AttemptRecord, From: from, To: to, Customer: "00000000000000aa",
 			Plan: "fleet", Class: "booking", Key: "00000000deadbeef", End: "served", Chain: "4093a5561d376168"},
-		{Seq: 4, Node: "f1", Role: Forwarder, Life: 2, Kind: Figures, From: from, To: to, Haulier: "others",
+		{Seq: 4, Node: "f1", Role: Forwarder, Incarnation: 2, Kind: Figures, From: from, To: to, Customer: "others",
 			Plan: "-", Class: "account", Figures: figuresFrom(300), Chain: "4bbfce1f718065eb"},
-		{Seq: 5, Node: "f1", Role: Gateway, Life: 4, Kind: Figures, From: from, To: to, Haulier: "00000000000000bb",
+		{Seq: 5, Node: "f1", Role: Gateway, Incarnation: 4, Kind: Figures, From: from, To: to, Customer: "00000000000000bb",
 			Plan: "basic", Class: "space-query", Figures: figuresFrom(5000), Key: "00000000feedbeef", End: "refused",
 			Note: "all fields", Chain: "0c0700360b99a8cb"},
 	}
@@ -79,9 +79,9 @@
 func TestTableForm(t *testing.T) {
 	var out bytes.Buffer
 	if err := WriteTable(&out, []Sum{
-		{Name: Name{Haulier: "00000000000000aa", Plan: "fleet", Class: "booking"}, Counts: *figuresFrom(100), Forwarded: 7, Tries: 8},
-		{Name: Name{Plan: "basic", Class: "space-query"}, Counts: *figuresFrom(9000), Forwarded: 10, Tries: 11},
-		{Name: Name{Haulier: "left out", Plan: "-", Class: "account"}, Counts: *figuresFrom(200), Forwarded: 12, Tries: 13},
+		{RowName: RowName{Customer: "00000000000000aa", Plan: "fleet", Class: "booking"}, Counts: *figuresFrom(100), Forwarded: 7, ClientAttempts: 8},
+		{RowName: RowName{Plan: "basic", Class: "space-query"}, Counts: *figuresFrom(9000), Forwarded: 10, ClientAttempts: 11},
+		{RowName: RowName{Customer: "left out", Plan: "-", Class: "account"}, Counts: *figuresFrom(200), Forwarded: 12, ClientAttempts: 13},
 	}); err != nil {
 		t.Fatal(err)
 	}
@@ -98,7 +98,7 @@
 	for _, r := range append(records, records[4], changed) {
 		m.Add(r)
 	}
-	changed.Seq, changed.Life = 9, 6
+	changed.Seq, changed.Incarnation = 9, 6
 	m.Add(changed)
 	m.Add(record(7, "g1", func(r *Record) {
 		counts(r, ledger.FrontTaken, 1, ledger.FrontServed, 1, ledger.PlanServed, 2, ledger.PlanRejectedQuota, 3)
@@ -119,7 +119,7 @@
 		out.WriteString(err.Error() + "\n")
 	}
 	n := m.Nodes["f1"]
-	if n.Name != "f1" || n.Role != Forwarder || n.Lives != 6 || n.First != 1 || !reflect.DeepEqual(n.Gaps, []string{records[1].Note}) {
+	if n.Name != "f1" || n.Role != Forwarder || n.Incarnations != 6 || n.First != 1 || !reflect.DeepEqual(n.Gaps, []string{records[1].Note}) {
 		t.Errorf("merged as %+v", n)
 	}
 	golden.Compare(t, "merged", out.Bytes())
--- a/internal/ledger/statement/merge.go
+++ b/internal/ledger/statement/merge.go
@@ -8,26 +8,26 @@
 	"dewhitch/internal/ledger"
 )
 
-// Name identifies a row of figures, as the records write it.
-type Name struct {
-	Haulier string // the customer; "": all customers
-	Plan    string
-	Class   string
+// RowName identifies a row of figures, as the records write it.
+type RowName struct {
+	Customer string // the customer; "": all customers
+	Plan     string
+	Class    string
 }
 
-func (n Name) compare(o Name) int {
-	return cmp.Or(cmp.Compare(n.Plan, o.Plan), cmp.Compare(n.Class, o.Class), cmp.Compare(n.Haulier, o.Haulier))
+func (n RowName) compare(o RowName) int {
+	return cmp.Or(cmp.Compare(n.Plan, o.Plan), cmp.Compare(n.Class, o.Class), cmp.Compare(n.Customer, o.Customer))
 }
 
 // Node is the sum of one node's records.
 type Node struct {
-	Name  string
-	Role  string
-	Lives uint64 // highest number of an incarnation
-	Rows  map[Name]*ledger.Counts
-	Gaps  []string // notes of the records of kind Gap
-	First uint64   // number of the first record that was read; above 1 the figures before it are missing
-	chain Chain
+	Name         string
+	Role         string
+	Incarnations uint64 // highest number of an incarnation
+	Rows         map[RowName]*ledger.Counts
+	Gaps         []string // notes of the records of kind Gap
+	First        uint64   // number of the first record that was read; above 1 the figures before it are missing
+	chain        Chain
 }
 
 // Merged is the sum of several nodes' records. One goroutine uses it.
@@ -46,7 +46,7 @@
 func (m *Merged) Add(r Record) {
 	n := m.Nodes[r.Node]
 	if n == nil {
-		n = &Node{Name: r.Node, Role: r.Role, Rows: map[Name]*ledger.Counts{}, First: r.Seq}
+		n = &Node{Name: r.Node, Role: r.Role, Rows: map[RowName]*ledger.Counts{}, First: r.Seq}
 		m.Nodes[r.Node] = n
 	}
 	last := n.chain.seq
@@ -57,15 +57,15 @@
 		}
 		n.chain.restart(r)
 	}
-	n.Lives = max(n.Lives, r.Life)
+	n.Incarnations = max(n.Incarnations, r.Incarnation)
 	switch r.Kind {
 	case Figures:
-		name := Name{r.Haulier, r.Plan, r.Class}
+		name := RowName{r.Customer, r.Plan, r.Class}
 		if n.Rows[name] == nil {
 			n.Rows[name] = &ledger.Counts{}
 		}
 		n.Rows[name].Add(r.Figures)
-	case Try:
+	case AttemptRecord:
 		m.attempts.add(r)
 	case Gap:
 		n.Gaps = append(n.Gaps, r.Note)
@@ -74,27 +74,27 @@
 
 // Sum is a row summed over several nodes.
 type Sum struct {
-	Name
+	RowName
 	ledger.Counts
-	Forwarded uint64 // requests that forwarders took and planners took again
-	Tries     uint64 // attempts of clients, each counted where it was taken first
+	Forwarded      uint64 // requests that forwarders took and planners took again
+	ClientAttempts uint64 // attempts of clients, each counted where it was taken first
 }
 
 // Sums adds the nodes up by plan and class, and by customer if byCustomer is set, sorted by plan, class and customer. A client's attempt
 // that came through a forwarder was taken there, and again by a planner: it counts once.
 func (m *Merged) Sums(byCustomer bool) []Sum {
-	sums := map[Name]*Sum{}
+	sums := map[RowName]*Sum{}
 	for _, n := range m.Nodes {
 		for name, c := range n.Rows {
 			if !byCustomer {
-				name.Haulier = ""
+				name.Customer = ""
 			}
 			s := sums[name]
 			if s == nil {
-				s = &Sum{Name: name}
+				s = &Sum{RowName: name}
 				sums[name] = s
 			}
-			s.Tries += c.N[ledger.FrontTaken]
+			s.ClientAttempts += c.N[ledger.FrontTaken]
 			if n.Role == Forwarder {
 				s.Forwarded += forwardedRequests(c)
 			}
@@ -102,9 +102,9 @@
 		}
 	}
 	var sorted []Sum
-	for _, name := range slices.SortedFunc(maps.Keys(sums), Name.compare) {
+	for _, name := range slices.SortedFunc(maps.Keys(sums), RowName.compare) {
 		s := sums[name]
-		s.Tries -= min(s.Tries, s.Forwarded)
+		s.ClientAttempts -= min(s.ClientAttempts, s.Forwarded)
 		sorted = append(sorted, *s)
 	}
 	return sorted
--- a/internal/ledger/statement/record.go
+++ b/internal/ledger/statement/record.go
@@ -15,10 +15,10 @@
 
 // The kinds of record.
 const (
-	Figures = "figures" // the counts of one row in a period
-	Try     = "try"     // one attempt of a client at a request that has an idempotency key
-	Life    = "life"    // the start of an incarnation; the figures that follow tell how the one before ended
-	Gap     = "gap"     // figures were lost
+	Figures       = "figures" // the counts of one row in a period
+	AttemptRecord = "try"     // one attempt of a client at a request that has an idempotency key
+	StartRecord   = "life"    // the start of an incarnation; the figures that follow tell how the one before ended
+	Gap           = "gap"     // figures were lost
 )
 
 // The roles of a node.
@@ -29,21 +29,21 @@
 
 // Record is one line of an export.
 type Record struct {
-	Seq     uint64         `json:"seq"` // by node, from 1 without gaps
-	Node    string         `json:"node"`
-	Role    string         `json:"role"`
-	Life    uint64         `json:"life"` // number of the incarnation, from 1
-	Kind    string         `json:"kind"`
-	From    time.Time      `json:"from"`
-	To      time.Time      `json:"to"`
-	Haulier string         `json:"haulier,omitempty"` // the customer, as a hash
-	Plan    string         `json:"plan,omitempty"`
-	Class   string         `json:"class,omitempty"`
-	Figures *ledger.Counts `json:"-"`                  // of kind Figures: as counts and units_millionths, by the events' names, without zeros
-	Key     string         `json:"key_hash,omitempty"` // of kind Try: the idempotency key
-	End     string         `json:"end,omitempty"`      // of kind Try: the event that ended it
-	Note    string         `json:"note,omitempty"`
-	Chain   string         `json:"chain"` // hash of the previous record's chain and this record
+	Seq         uint64         `json:"seq"` // by node, from 1 without gaps
+	Node        string         `json:"node"`
+	Role        string         `json:"role"`
+	Incarnation uint64         `json:"life"` // number of the incarnation, from 1
+	Kind        string         `json:"kind"`
+	From        time.Time      `json:"from"`
+	To          time.Time      `json:"to"`
+	Customer    string         `json:"haulier,omitempty"` // the customer, as a hash
+	Plan        string         `json:"plan,omitempty"`
+	Class       string         `json:"class,omitempty"`
+	Figures     *ledger.Counts `json:"-"`                  // of kind Figures: as counts and units_millionths, by the events' names, without zeros
+	Key         string         `json:"key_hash,omitempty"` // of kind Try: the idempotency key
+	End         string         `json:"end,omitempty"`      // of kind Try: the event that ended it
+	Note        string         `json:"note,omitempty"`
+	Chain       string         `json:"chain"` // hash of the previous record's chain and this record
 }
 
 // Seal sets the record's chain, given that of the record before it, and appends the record's line without a newline.
@@ -64,11 +64,11 @@
 	b = strconv.AppendUint(append(b, `{"seq":`...), r.Seq, 10)
 	b = appendText(b, `,"node":`, r.Node)
 	b = appendText(b, `,"role":`, r.Role)
-	b = strconv.AppendUint(append(b, `,"life":`...), r.Life, 10)
+	b = strconv.AppendUint(append(b, `,"life":`...), r.Incarnation, 10)
 	b = appendText(b, `,"kind":`, r.Kind)
 	b = appendTime(b, `,"from":`, r.From)
 	b = appendTime(b, `,"to":`, r.To)
-	b = appendOptional(b, `,"haulier":`, r.Haulier)
+	b = appendOptional(b, `,"haulier":`, r.Customer)
 	b = appendOptional(b, `,"plan":`, r.Plan)
 	b = appendOptional(b, `,"class":`, r.Class)
 	b = appendOptional(b, `,"key_hash":`, r.Key)
--- a/internal/ledger/statement/record_test.go
+++ b/internal/ledger/statement/record_test.go
@@ -12,8 +12,8 @@
 // record returns a record of figures of one gateway, changed by f.
 func record(seq uint64, node string, f func(*Record)) Record {
 	at := time.Date(2026, 3, 1, 6, 0, int(seq), 0, time.UTC)
-	r := Record{Seq: seq, Node: node, Role: Gateway, Life: 1, Kind: Figures, From: at, To: at.Add(time.Second),
-		Haulier: "00000000000000aa", Plan: "fleet", Class: "booking", Figures: &ledger.Counts{}}
+	r := Record{Seq: seq, Node: node, Role: Gateway, Incarnation: 1, Kind: Figures, From: at, To: at.Add(time.Second),
+		Customer: "00000000000000aa", Plan: "fleet", Class: "booking", Figures: &ledger.Counts{}}
 	f(&r)
 	if r.Kind != Figures {
 		r.Figures = nil
@@ -88,7 +88,7 @@
 		t.Fatal(wrong)
 	}
 	sums := m.Sums(false)
-	if len(sums) != 1 || sums[0].Tries != 12+9-6 || sums[0].Forwarded != 6 || sums[0].N[ledger.FrontTaken] != 21 {
+	if len(sums) != 1 || sums[0].ClientAttempts != 12+9-6 || sums[0].Forwarded != 6 || sums[0].N[ledger.FrontTaken] != 21 {
 		t.Errorf("%+v", sums)
 	}
 	var out bytes.Buffer
@@ -128,7 +128,7 @@
 	m := NewMerged()
 	attempt := func(seq uint64, node, key string, from, to int, end ledger.Event) Record {
 		return record(seq, node, func(r *Record) {
-			r.Kind, r.Key, r.End = Try, key, end.String()
+			r.Kind, r.Key, r.End = AttemptRecord, key, end.String()
 			r.From, r.To = time.Unix(int64(from), 0), time.Unix(int64(to), 0)
 		})
 	}
--- a/internal/ledger/statement/table.go
+++ b/internal/ledger/statement/table.go
@@ -18,7 +18,7 @@
 			continue
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%g\t%d\t%d\t\n",
-			cmp.Or(s.Haulier, "all"),
+			cmp.Or(s.Customer, "all"),
 			s.Plan,
 			s.Class,
 			s.N[ledger.FrontTaken],
@@ -29,7 +29,7 @@
 			s.N[ledger.AttemptStarted],
 			float64(s.Units(ledger.FrontTaken))/1e6,
 			s.Forwarded,
-			s.Tries)
+			s.ClientAttempts)
 	}
 	return w.Flush()
 }
--- a/internal/ledger/statement/verify.go
+++ b/internal/ledger/statement/verify.go
@@ -18,7 +18,7 @@
 // Mismatch is a row whose figures contradict each other.
 type Mismatch struct {
 	Node string
-	Name
+	RowName
 	What  string // the two figures
 	Left  uint64
 	Right uint64
@@ -27,7 +27,7 @@
 // Error returns the message with node, row and both figures.
 func (m Mismatch) Error() string {
 	return fmt.Sprintf("%s: haulier %s, plan %s, class %s: %s: %d and %d",
-		m.Node, m.Haulier, m.Plan, m.Class, m.What, int64(m.Left), int64(m.Right))
+		m.Node, m.Customer, m.Plan, m.Class, m.What, int64(m.Left), int64(m.Right))
 }
 
 // Verify returns Faults, and a Mismatch for each rule that a row breaks, sorted by node, plan, class and customer.
@@ -35,7 +35,7 @@
 	wrong := slices.Clone(m.Faults)
 	for _, node := range slices.Sorted(maps.Keys(m.Nodes)) {
 		rows := m.Nodes[node].Rows
-		for _, name := range slices.SortedFunc(maps.Keys(rows), Name.compare) {
+		for _, name := range slices.SortedFunc(maps.Keys(rows), RowName.compare) {
 			v := rowVerifier{node: node, name: name, counts: rows[name], wrong: wrong}
 			if name.Class == accountClass {
 				v.verifyCalls()
@@ -52,7 +52,7 @@
 // earlier one by what is open, and never leads it.
 type rowVerifier struct {
 	node   string
-	name   Name
+	name   RowName
 	counts *ledger.Counts
 	wrong  []error
 }
@@ -61,7 +61,7 @@
 func (v *rowVerifier) within(slack int64, what string, earlier, later uint64) {
 	trail := int64(earlier - later)
 	if trail < 0 || trail > slack {
-		v.wrong = append(v.wrong, Mismatch{Node: v.node, Name: v.name, What: what, Left: earlier, Right: later})
+		v.wrong = append(v.wrong, Mismatch{Node: v.node, RowName: v.name, What: what, Left: earlier, Right: later})
 	}
 }
 
--- a/internal/ledger/store/golden_test.go
+++ b/internal/ledger/store/golden_test.go
@@ -113,16 +113,16 @@
 func keptRecords() []statement.Record {
 	booking, account := figures(1000), figures(3000)
 	return []statement.Record{
-		{Seq: 41, Node: "n3", Role: statement.Forwarder, Life: 7, Kind: statement.Life, From: stated, To: marked,
+		{Seq: 41, Node: "n3", Role: statement.Forwarder, Incarnation: 7, Kind: statement.StartRecord, From: stated, To: marked,
 			Note: "2 postings replayed", Chain: "f702399a79ebd510"},
-		{Seq: 42, Node: "n3", Role: statement.Forwarder, Life: 7, Kind: statement.Gap, From: marked, To: stated,
+		{Seq: 42, Node: "n3", Role: statement.Forwarder, Incarnation: 7, Kind: statement.Gap, From: marked, To: stated,
 			Note: "<torn> & \"odd\" späť", Chain: "1f4080a6434d221a"},
-		{Seq: 43, Node: "n3", Role: statement.Forwarder, Life: 7, Kind: statement.Figures, From: stated, To: marked,
-			Haulier: "00000000000000aa", Plan: "fleet", Class: "booking", Figures: &booking, Chain: "2f7c2839b197afb5"},
-		{Seq: 44, Node: "n3", Role: statement.Forwarder, Life: 7, Kind: statement.Figures, From: stated, To: marked,
-			Haulier: "00000000000000bb", Plan: "-", Class: "account", Figures: &account, Chain: "9c77eae1d67da865"},
-		{Seq: 45, Node: "n3", Role: statement.Forwarder, Life: 7, Kind: statement.Try, From: time.Unix(1772344800, 5).UTC(),
-			To: time.Unix(1772344801, 6).UTC(), Haulier: "00000000000000aa", Plan: "fleet", Class: "booking",
+		{Seq: 43, Node: "n3", Role: statement.Forwarder, Incarnation: 7, Kind: statement.Figures, From: stated, To: marked,
+			Customer: "00000000000000aa", Plan: "fleet", Class: "booking", Figures: &booking, Chain: "2f7c2839b197afb5"},
+		{Seq: 44, Node: "n3", Role: statement.Forwarder, Incarnation: 7, Kind: statement.Figures, From: stated, To: marked,
+			Customer: "00000000000000bb", Plan: "-", Class: "account", Figures: &account, Chain: "9c77eae1d67da865"},
+		{Seq: 45, Node: "n3", Role: statement.Forwarder, Incarnation: 7, Kind: statement.AttemptRecord, From: time.Unix(1772344800, 5).UTC(),
+			To: time.Unix(1772344801, 6).UTC(), Customer: "00000000000000aa", Plan: "fleet", Class: "booking",
 			Key: "00000000deadbeef", End: "refused", Chain: "5ec34aeb5874f821"},
 	}
 }
@@ -198,7 +198,7 @@
 	p.open, p.segment, p.at, p.to = openEntries(), 12, 2, marked
 	p.idempotentRequests = []ledger.IdempotentRequest{{Key: bookingOf, Hash: 0xdeadbeef, Taken: 1772344800000000005, Ended: 1772344801000000006,
 		End: ledger.FrontRejected}}
-	p.notes = []statement.Record{{Kind: statement.Life, From: stated, To: marked, Note: "2 postings replayed"},
+	p.notes = []statement.Record{{Kind: statement.StartRecord, From: stated, To: marked, Note: "2 postings replayed"},
 		{Kind: statement.Gap, From: marked, To: stated, Note: "<torn> & \"odd\" späť"}}
 	got, err := s.write(p, wording)
 	if err != nil || !reflect.DeepEqual(got, head) {
--- a/internal/ledger/store/recovery.go
+++ b/internal/ledger/store/recovery.go
@@ -50,7 +50,7 @@
 	}
 	s.nextNumber = max(s.nextNumber, m.Segment) + 1
 	now := time.Now()
-	start := statement.Record{Kind: statement.Life, From: now, To: now,
+	start := statement.Record{Kind: statement.StartRecord, From: now, To: now,
 		Note: fmt.Sprintf("%d postings replayed, %d reqs cut off by a crash", found.Replayed, found.Requests)}
 	s.uncommitted = newUncommitted()
 	s.uncommitted.notes = []statement.Record{start}
--- a/internal/ledger/store/write.go
+++ b/internal/ledger/store/write.go
@@ -99,15 +99,15 @@
 		}
 	}
 	for _, k := range sortedKeys(p.deltas) {
-		r := statement.Record{Kind: statement.Figures, From: from, To: p.to, Haulier: ledger.CustomerText(k.Customer),
+		r := statement.Record{Kind: statement.Figures, From: from, To: p.to, Customer: ledger.CustomerText(k.Customer),
 			Plan: names.Plan(k.Plan), Class: names.Class(k.Class), Figures: p.deltas[k]}
 		if err := w.record(r); err != nil {
 			return err
 		}
 	}
 	for _, t := range p.idempotentRequests {
-		r := statement.Record{Kind: statement.Try, From: time.Unix(0, t.Taken).UTC(), To: time.Unix(0, t.Ended).UTC(),
-			Haulier: ledger.CustomerText(t.Key.Customer), Plan: names.Plan(t.Key.Plan), Class: names.Class(t.Key.Class),
+		r := statement.Record{Kind: statement.AttemptRecord, From: time.Unix(0, t.Taken).UTC(), To: time.Unix(0, t.Ended).UTC(),
+			Customer: ledger.CustomerText(t.Key.Customer), Plan: names.Plan(t.Key.Plan), Class: names.Class(t.Key.Class),
 			Key: fmt.Sprintf("%016x", t.Hash), End: t.End.String()}
 		if err := w.record(r); err != nil {
 			return err
@@ -120,7 +120,7 @@
 func (w *writer) record(r statement.Record) error {
 	m := &w.meta
 	m.Seq++
-	r.Seq, r.Node, r.Role, r.Life = m.Seq, m.Node, m.Role, m.Incarnation
+	r.Seq, r.Node, r.Role, r.Incarnation = m.Seq, m.Node, m.Role, m.Incarnation
 	line := r.Seal(nil, m.Chain) // the store keeps it until the end of the transaction
 	m.Chain = r.Chain
 	return w.tx.Bucket(bucketRecords).Put(recordKey(m.Seq), line)
--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -143,7 +143,7 @@
 	if m == nil {
 		return ledger.Counts{}
 	}
-	c := m.Rows[statement.Name{Haulier: ledger.CustomerText(row.Customer), Plan: row.Plan, Class: row.Class}]
+	c := m.Rows[statement.RowName{Customer: ledger.CustomerText(row.Customer), Plan: row.Plan, Class: row.Class}]
 	if c == nil {
 		return ledger.Counts{}
 	}
@@ -231,11 +231,11 @@
 		}
 		return sums[k]
 	}
-	for _, c := range env.backends.Seen() {
+	for _, c := range env.backends.Commands() {
 		h, _ := strconv.ParseUint(c.Customer, 16, 64)
 		f := at(h, c.Class)
 		f.seen++
-		if c.Did == standin.Serve || c.Did == standin.TrailingBytes {
+		if c.Behaviour == standin.Serve || c.Behaviour == standin.TrailingBytes {
 			f.served++
 		}
 	}
--- a/internal/soak/cost.go
+++ b/internal/soak/cost.go
@@ -106,7 +106,7 @@
 	if err != nil {
 		return s, err
 	}
-	if err := n.End(patience); err != nil {
+	if err := n.Terminate(patience); err != nil {
 		return s, err
 	}
 	used := n.Program().CPU()
--- a/internal/soak/quota.go
+++ b/internal/soak/quota.go
@@ -50,8 +50,8 @@
 	phases := []phase{
 		{"well, with the first burst", func(*standin.Counter) {}},
 		{"well", func(*standin.Counter) {}},
-		{"silent", func(c *standin.Counter) { c.Mode("silent") }},
-		{"well again", func(c *standin.Counter) { c.Mode("add") }},
+		{"silent", func(c *standin.Counter) { c.SetMode("silent") }},
+		{"well again", func(c *standin.Counter) { c.SetMode("add") }},
 		{"split: one gateway, and two", func(c *standin.Counter) { c.Split(0) }},
 		{"joined, totals added up", func(c *standin.Counter) { c.Join(standin.JoinSum) }},
 		{"swapped for an empty one", (*standin.Counter).Forget},
@@ -74,7 +74,7 @@
 		return err
 	}
 	for _, n := range env.nodes {
-		if err := n.End(patience); err != nil {
+		if err := n.Terminate(patience); err != nil {
 			return err
 		}
 	}
@@ -90,7 +90,7 @@
 	}
 	env.counterListeners = []*standin.Listener{env.counter.Listener}
 	for range gateways - 1 {
-		door, err := env.counter.Door()
+		door, err := env.counter.AddListener()
 		if err != nil {
 			return err
 		}
@@ -174,7 +174,7 @@
 	type figures struct{ sent, beyond, ceiling float64 }
 	got := make([]figures, len(phases))
 	quota, ceiling := map[string]*bucket{}, map[string]*bucket{}
-	for _, c := range env.backends.Seen() {
+	for _, c := range env.backends.Commands() {
 		i := int(c.At.Sub(began) / length)
 		if i < 0 || i >= len(got) {
 			continue
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -97,7 +97,7 @@
 
 // open starts the stand-ins and the programs.
 func (env *environment) open() (err error) {
-	weights := map[standin.Deed]struct {
+	weights := map[standin.Behaviour]struct {
 		Weight float64
 		Delay  time.Duration
 	}{standin.Serve: {90, 20 * time.Millisecond}, standin.Fail: {2, 0}, standin.Busy: {2, 0}, standin.Reset: {1.5, 5 * time.Millisecond},
@@ -221,13 +221,13 @@
 	modes := []string{"silent", "full", "reset", "spoilt", "late", "doubled", "interim"}
 	for ctx.Err() == nil {
 		wait(ctx, time.Duration(500+rng.IntN(2000))*time.Millisecond)
-		env.counter.Mode(modes[rng.IntN(len(modes))])
+		env.counter.SetMode(modes[rng.IntN(len(modes))])
 		env.discovery.Set(env.members(rng.IntN(nodes)))
 		wait(ctx, time.Duration(100+rng.IntN(700))*time.Millisecond)
-		env.counter.Mode("add")
+		env.counter.SetMode("add")
 		env.discovery.Set(env.members(-1))
 	}
-	env.counter.Mode("add")
+	env.counter.SetMode("add")
 }
 
 func wait(ctx context.Context, d time.Duration) {
@@ -279,12 +279,12 @@
 // endNodes has all nodes end as at a planned restart, the forwarder first.
 func (env *environment) endNodes() error {
 	for i := len(env.nodes) - 1; i >= 0; i-- {
-		if err := env.nodes[i].End(patience); err != nil {
+		if err := env.nodes[i].Terminate(patience); err != nil {
 			return err
 		}
 	}
 	for _, n := range env.nodes {
-		if line, bad := n.Says("the books do not add up", "could not keep everything", "could not be kept", "can't be used",
+		if line, bad := n.FindInLogs("the books do not add up", "could not keep everything", "could not be kept", "can't be used",
 			"panic:", "DATA RACE"); bad {
 			return fmt.Errorf("%s says: %s", n.Name, line)
 		}
--- a/internal/standin/backends.go
+++ b/internal/standin/backends.go
@@ -15,8 +15,8 @@
 // Backends is a set of fake backends, each with an address of its own, with one script and one record of commands. Its methods may be
 // called from any goroutine, except that Close may not run beside Up or Down.
 type Backends struct {
-	Nodes []*Listener
-	Watch func(*Command) (answered func()) // called for each command once its Deed is known, and answered after it; set before any comes
+	Nodes     []*Listener
+	OnCommand func(*Command) (answered func()) // called for each command once its Deed is known, and answered after it; set before any comes
 
 	mu             sync.Mutex // held while script and Watch run
 	script         Script
@@ -45,30 +45,30 @@
 	b.script = s
 }
 
-// Locked calls f while neither the script nor Watch runs.
-func (b *Backends) Locked(f func()) {
+// WithLock calls f while neither the script nor Watch runs.
+func (b *Backends) WithLock(f func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	f()
 }
 
-// Seen returns the recorded commands in the order of their arrival.
-func (b *Backends) Seen() []Command {
+// Commands returns the recorded commands in the order of their arrival.
+func (b *Backends) Commands() []Command {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return append([]Command(nil), b.commands...)
 }
 
-// Down stops one backend as the death of its process does: open connections are reset, new ones are refused.
-func (b *Backends) Down(node int) {
+// Stop stops one backend as the death of its process does: open connections are reset, new ones are refused.
+func (b *Backends) Stop(node int) {
 	b.mu.Lock()
 	l := b.Nodes[node]
 	b.mu.Unlock()
 	l.Die()
 }
 
-// Up starts a stopped backend at the same address. The error is of listening there.
-func (b *Backends) Up(node int) error {
+// Restart starts a stopped backend at the same address. The error is of listening there.
+func (b *Backends) Restart(node int) error {
 	l, err := Listen(b.Nodes[node].Addr(), func(c net.Conn) { b.serve(node, c) })
 	if err != nil {
 		return err
@@ -100,7 +100,7 @@
 		}
 		c.Backend = node
 		c.At = time.Now()
-		c.Far = conn.RemoteAddr().String()
+		c.RemoteAddr = conn.RemoteAddr().String()
 		delay, answered := b.arrive(&c)
 		time.Sleep(delay)
 		open := b.answer(conn, r, &c)
@@ -116,15 +116,15 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	step := b.script(c)
-	c.Did = step.Deed
+	c.Behaviour = step.Behaviour
 	c.loadReport = step.Report
 	if b.recordCommands {
 		b.commands = append(b.commands, *c)
 	}
-	if b.Watch == nil {
+	if b.OnCommand == nil {
 		return step.Delay, func() {}
 	}
-	return step.Delay, b.Watch(c)
+	return step.Delay, b.OnCommand(c)
 }
 
 // answer does what c.Did says; false: the connection is over.
@@ -135,7 +135,7 @@
 		report = idleLoadReport
 	}
 	reply := fmt.Sprintf("*3\r\n$%d\r\n%s\r\n$-1\r\n$%d\r\n%s\r\n", len(value), value, len(report), report)
-	switch c.Did {
+	switch c.Behaviour {
 	case Serve:
 	case Fail:
 		reply = "-ERR failed " + report + "\r\n"
@@ -155,7 +155,7 @@
 		reply = reply[:strings.Index(reply, "\r\n"+value)+2+len(value)/2]
 	}
 	_, err := conn.Write([]byte(reply))
-	return err == nil && c.Did != Truncate
+	return err == nil && c.Behaviour != Truncate
 }
 
 // readUntilClosed discards what comes until the gateway ends the connection.
--- a/internal/standin/command.go
+++ b/internal/standin/command.go
@@ -5,47 +5,47 @@
 	"time"
 )
 
-// Deed is how a backend answers a command.
-type Deed int
+// Behaviour is how a backend answers a command.
+type Behaviour int
 
 // The ways to answer.
 const (
-	Serve         Deed = iota
-	Fail               // -ERR failed: it may have run
-	Busy               // -BUSY: it was rejected, and has not run
-	Reset              // it has run; the connection is reset
-	Stall              // it has run; no answer comes, the connection stays open
-	Corrupt            // it has run; the answer breaks the protocol
-	TrailingBytes      // served, with bytes behind the answer that belong to none
-	Truncate           // it has run; the connection ends within the value
+	Serve         Behaviour = iota
+	Fail                    // -ERR failed: it may have run
+	Busy                    // -BUSY: it was rejected, and has not run
+	Reset                   // it has run; the connection is reset
+	Stall                   // it has run; no answer comes, the connection stays open
+	Corrupt                 // it has run; the answer breaks the protocol
+	TrailingBytes           // served, with bytes behind the answer that belong to none
+	Truncate                // it has run; the connection ends within the value
 	deedCount
 )
 
 var deedNames = [deedCount]string{"serve", "fail", "busy", "reset", "stall", "spoil", "extra", "broken"}
 
 // String returns the name.
-func (d Deed) String() string { return deedNames[d] }
+func (d Behaviour) String() string { return deedNames[d] }
 
 // Step is how a backend treats one command.
 type Step struct {
-	Deed   Deed
-	Delay  time.Duration // before the answer
-	Report string        // load report in the answer; empty: that of an idle backend
+	Behaviour Behaviour
+	Delay     time.Duration // before the answer
+	Report    string        // load report in the answer; empty: that of an idle backend
 }
 
 // Command is a command that a backend received.
 type Command struct {
-	Name     string
-	Customer string
-	ID       string
-	Class    string
-	Plan     string
-	Key      string // idempotency key
-	Body     string
-	Backend  int       // index in Backends.Nodes
-	At       time.Time // when it was read
-	Far      string    // remote address of its connection
-	Did      Deed      // how it is answered
+	Name       string
+	Customer   string
+	ID         string
+	Class      string
+	Plan       string
+	Key        string // idempotency key
+	Body       string
+	Backend    int       // index in Backends.Nodes
+	At         time.Time // when it was read
+	RemoteAddr string    // remote address of its connection
+	Behaviour  Behaviour // how it is answered
 
 	loadReport string
 }
@@ -78,7 +78,7 @@
 func Always(s Step) Script { return func(*Command) Step { return s } }
 
 // Weighted draws a deed by weight, and a delay uniformly up to that of the deed. The same seed draws the same steps.
-func Weighted(seed uint64, steps map[Deed]struct {
+func Weighted(seed uint64, steps map[Behaviour]struct {
 	Weight float64
 	Delay  time.Duration
 }) Script {
@@ -95,7 +95,7 @@
 				continue
 			}
 			if rest -= s.Weight; rest < 0 {
-				return Step{Deed: d, Delay: time.Duration(rng.Float64() * float64(s.Delay))}
+				return Step{Behaviour: d, Delay: time.Duration(rng.Float64() * float64(s.Delay))}
 			}
 		}
 		return Step{}
--- a/internal/standin/config.go
+++ b/internal/standin/config.go
@@ -50,11 +50,11 @@
 
 // Settings that all runs share.
 const (
-	ColdSpan      = 13 * time.Second       // slow start of a server, from its start
-	StartCapacity = 0.22                   // fraction of its capacity at its start
-	FallSpan      = 3 * time.Second        // for which a warming server bears overload
-	FallMultiple  = 3.0                    // of its present capacity: what is overload of a warming server
-	DrainGrace    = 500 * time.Millisecond // after which attempts to a draining server have to have stopped
+	SlowStartSpan    = 13 * time.Second       // slow start of a server, from its start
+	StartCapacity    = 0.22                   // fraction of its capacity at its start
+	OverloadSpan     = 3 * time.Second        // for which a warming server bears overload
+	OverloadMultiple = 3.0                    // of its present capacity: what is overload of a warming server
+	DrainGrace       = 500 * time.Millisecond // after which attempts to a draining server have to have stopped
 )
 
 // JSON returns the configuration as the program reads it.
@@ -77,7 +77,7 @@
 		"Feedback":       object{"Source": "answers", "Fields": []string{"queue", "inflight", "qps"}},
 		"RequestClasses": c.Classes,
 		"Rules": object{
-			"AnswerSlack": 16_000_000, "Cold": int64(ColdSpan), "Fall": int64(FallSpan), "FallMultiple": FallMultiple,
+			"AnswerSlack": 16_000_000, "Cold": int64(SlowStartSpan), "Fall": int64(OverloadSpan), "FallMultiple": OverloadMultiple,
 			"StartCapacity": StartCapacity, "StopSendingWithin": int64(DrainGrace),
 		},
 	}
--- a/internal/standin/counter.go
+++ b/internal/standin/counter.go
@@ -49,13 +49,13 @@
 // NewCounter starts a counter with one listener, in mode add.
 func NewCounter() (*Counter, error) {
 	c := &Counter{counterStore: newCounterStore()}
-	l, err := c.Door()
+	l, err := c.AddListener()
 	c.Listener = l
 	return c, err
 }
 
-// Door adds a listener and returns it; listeners are numbered from 0.
-func (c *Counter) Door() (*Listener, error) {
+// AddListener adds a listener and returns it; listeners are numbered from 0.
+func (c *Counter) AddListener() (*Listener, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	added := &counterListener{mode: modeAdd}
@@ -78,9 +78,9 @@
 	}
 }
 
-// Mode sets how calls are answered from now on through the listeners named, or through all: add, silent, full, late, reset, spoilt,
+// SetMode sets how calls are answered from now on through the listeners named, or through all: add, silent, full, late, reset, spoilt,
 // interim, doubled.
-func (c *Counter) Mode(mode string, listeners ...int) {
+func (c *Counter) SetMode(mode string, listeners ...int) {
 	c.forListeners(listeners, func(l *counterListener) { l.mode = mode })
 }
 
--- a/internal/standin/counter_test.go
+++ b/internal/standin/counter_test.go
@@ -50,7 +50,7 @@
 	}
 	defer c.Close()
 	near := c.Listener
-	far, err := c.Door()
+	far, err := c.AddListener()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -78,12 +78,12 @@
 	expect(far, 3, "200 9")
 	c.Join(JoinSecond)
 	expect(near, 0, "200 9")
-	c.Mode("full", 1)
+	c.SetMode("full", 1)
 	expect(far, 1, "503 ")
 	expect(near, 1, "200 10")
-	c.Mode("reset", 1)
+	c.SetMode("reset", 1)
 	expect(far, 1, "nothing")
-	c.Mode("add")
+	c.SetMode("add")
 	start := time.Now()
 	c.SetLatency(60*time.Millisecond, 0)
 	expect(near, 0, "200 10")
@@ -92,7 +92,7 @@
 	}
 	c.SetLatency(0)
 	c.Play(context.Background(), ScheduledFault{time.Millisecond, (*Counter).Forget}, ScheduledFault{2 * time.Millisecond,
-		func(c *Counter) { c.Mode("spoilt") }})
+		func(c *Counter) { c.SetMode("spoilt") }})
 	expect(near, 2, "200 NaN")
 	if calls, by := c.Added(); calls != 13 || by["7"] != 5+1+10+100+3+3+1+2 {
 		t.Errorf("%d calls added %v", calls, by)
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -48,8 +48,8 @@
 // Members returns a list.
 func Members(members ...string) string { return "[" + strings.Join(members, ",") + "]" }
 
-// Whole has the updates that watches are sent marked as the complete list (true), or as the changed members alone (false).
-func (d *Discovery) Whole(on bool) {
+// SetCompleteUpdates has the updates that watches are sent marked as the complete list (true), or as the changed members alone (false).
+func (d *Discovery) SetCompleteUpdates(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.completeUpdates = on
--- a/internal/standin/link/link.go
+++ b/internal/standin/link/link.go
@@ -85,8 +85,8 @@
 	return time.Time{}
 }
 
-// Has reports whether a connection, named by the address that the target sees, goes through this link.
-func (l *Link) Has(far string) bool { return l.connByFarAddr(far) != nil }
+// HasConn reports whether a connection, named by the address that the target sees, goes through this link.
+func (l *Link) HasConn(far string) bool { return l.connByFarAddr(far) != nil }
 
 // connByFarAddr returns a connection by the address that the target sees; nil: it is not known.
 func (l *Link) connByFarAddr(far string) *conn {
--- a/internal/standin/listener.go
+++ b/internal/standin/listener.go
@@ -63,8 +63,8 @@
 // Addr returns where it listens.
 func (l *Listener) Addr() string { return l.listener.Addr().String() }
 
-// Refuse has new connections refused from now on; open ones stay.
-func (l *Listener) Refuse() { l.listener.Close() }
+// StopAccepting has new connections refused from now on; open ones stay.
+func (l *Listener) StopAccepting() { l.listener.Close() }
 
 // Reset resets all open connections, as the death of a process does, and continues to listen.
 func (l *Listener) Reset() {
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -17,13 +17,13 @@
 // Process is a gateway process that a run starts, ends and starts again: its folder and files, and its incarnations, one at a time.
 // Write and Forget are for one goroutine; the other methods may be called from any.
 type Process struct {
-	Name   string
-	Dir    string
-	Listen string // address for clients
-	Path   string // of the program
-	Args   []string
-	Env    []string     // added to the environment of this process
-	Line   func(string) // called for each line of the log; may be nil
+	Name      string
+	Dir       string
+	Listen    string // address for clients
+	Path      string // of the program
+	Args      []string
+	Env       []string     // added to the environment of this process
+	OnLogLine func(string) // called for each line of the log; may be nil
 
 	written map[string]bool // files that Write wrote
 
@@ -57,7 +57,7 @@
 func (p *Process) Spawn() (*Program, error) {
 	cmd := exec.Command(p.Path, p.Args...)
 	cmd.Env = append(append(os.Environ(), "NODE_CONFIG="+p.File("config.json")), p.Env...)
-	program, err := Start(cmd, p.Line)
+	program, err := Start(cmd, p.OnLogLine)
 	if err != nil {
 		return nil, err
 	}
@@ -78,7 +78,7 @@
 			c.Close()
 			return nil
 		}
-		if program.Over() {
+		if program.Ended() {
 			break
 		}
 	}
@@ -105,14 +105,14 @@
 	p.killCount++
 }
 
-// End ends the incarnation by SIGTERM, as a planned restart does, and waits for its end as Gone does.
-func (p *Process) End(timeout time.Duration) error {
+// Terminate ends the incarnation by SIGTERM, as a planned restart does, and waits for its end as Gone does.
+func (p *Process) Terminate(timeout time.Duration) error {
 	p.Program().Cmd.Process.Signal(syscall.SIGTERM)
-	return p.Gone(timeout)
+	return p.AwaitExit(timeout)
 }
 
-// Gone waits until the incarnation has ended by itself. The error is of its exit, or wraps ErrStillRunning; it has the log.
-func (p *Process) Gone(timeout time.Duration) error {
+// AwaitExit waits until the incarnation has ended by itself. The error is of its exit, or wraps ErrStillRunning; it has the log.
+func (p *Process) AwaitExit(timeout time.Duration) error {
 	program := p.Program()
 	if err := program.Wait(timeout); err != nil {
 		return fmt.Errorf("%s, at SIGTERM: %w\n%s", p.Name, err, program.Log())
@@ -123,8 +123,8 @@
 	return nil
 }
 
-// Forget removes from the folder what the incarnations have stored, all but the files that Write wrote.
-func (p *Process) Forget() error {
+// RemoveState removes from the folder what the incarnations have stored, all but the files that Write wrote.
+func (p *Process) RemoveState() error {
 	entries, err := os.ReadDir(p.Dir)
 	if err != nil {
 		return err
@@ -147,8 +147,8 @@
 	return p.killCount
 }
 
-// Says returns the first line in the logs of ended incarnations that has one of the texts; false: there is none.
-func (p *Process) Says(texts ...string) (string, bool) {
+// FindInLogs returns the first line in the logs of ended incarnations that has one of the texts; false: there is none.
+func (p *Process) FindInLogs(texts ...string) (string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for _, log := range p.endedLogs {
--- a/internal/standin/program.go
+++ b/internal/standin/program.go
@@ -75,8 +75,8 @@
 	return p.log.String()
 }
 
-// Over reports whether the program has ended.
-func (p *Program) Over() bool {
+// Ended reports whether the program has ended.
+func (p *Program) Ended() bool {
 	select {
 	case <-p.done:
 		return true
@@ -103,7 +103,7 @@
 
 // CPU returns the processor time that an ended program used; 0 while it runs.
 func (p *Program) CPU() time.Duration {
-	if !p.Over() {
+	if !p.Ended() {
 		return 0
 	}
 	return p.Cmd.ProcessState.UserTime() + p.Cmd.ProcessState.SystemTime()
