--- a/internal/drill/gateway.go
+++ b/internal/drill/gateway.go
@@ -26,10 +26,11 @@
 	serverLinks     []*link.Link // by server
 	inRotation      atomic.Bool  // the clients' front sends it requests
 
-	mu           sync.Mutex
-	faults       []span // when the script had it ended, stopped or shutting down
-	stopExpected bool   // the script ended it
-	cpu          time.Duration
+	mu             sync.Mutex
+	faults         []span // when the script had it ended, stopped or shutting down
+	stopExpected   bool   // the script ended it
+	restartPlanned bool   // and starts it again
+	cpu            time.Duration
 }
 
 // span is a stretch of time; a zero end: it goes on.
@@ -64,7 +65,7 @@
 func (g *gateway) recovering() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return len(g.faults) > 0 && g.faults[len(g.faults)-1].to.IsZero() && !g.stopExpected
+	return g.restartPlanned || len(g.faults) > 0 && g.faults[len(g.faults)-1].to.IsZero() && !g.stopExpected
 }
 
 // expectStop sets whether the script wants the process to be ended.
@@ -74,6 +75,14 @@
 	g.stopExpected = on
 }
 
+// planRestart sets whether the script starts the process again. Until it serves, the drill may not end: a process that is ended
+// before it handles signals counts as one that fell.
+func (g *gateway) planRestart(on bool) {
+	g.mu.Lock()
+	defer g.mu.Unlock()
+	g.restartPlanned = on
+}
+
 func (g *gateway) isStopExpected() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -97,8 +106,9 @@
 	p.Cmd.Process.Signal(syscall.SIGSTOP)
 	cl.background.Go(func() {
 		time.Sleep(d)
-		p.Cmd.Process.Signal(syscall.SIGCONT)
+		// Recorded first: what the process does once it runs again is counted from here.
 		cl.record("%s wakes", g.name)
+		p.Cmd.Process.Signal(syscall.SIGCONT)
 		end()
 	})
 }
@@ -107,6 +117,7 @@
 func (cl *cluster) killGateway(g *gateway, delay time.Duration, fresh bool) {
 	end := g.beginFault()
 	g.expectStop(true)
+	g.planRestart(delay > 0)
 	g.Kill()
 	cl.restartAfter(g, delay, fresh, end)
 }
@@ -118,11 +129,13 @@
 		return
 	}
 	g.expectStop(true)
+	g.planRestart(delay > 0)
 	p.Cmd.Process.Signal(syscall.SIGTERM)
 	cl.background.Go(func() {
 		time.Sleep(frontRemovalDelay)
 		g.inRotation.Store(false)
 		if err := g.Process.AwaitExit(processTimeout); err != nil {
+			g.planRestart(false)
 			cl.checker.report(time.Now(), ruleEnded, "%v", err)
 			return
 		}
@@ -135,9 +148,11 @@
 func (cl *cluster) restartAfter(g *gateway, delay time.Duration, fresh bool, end func()) {
 	g.addCPU()
 	if delay == 0 {
+		g.planRestart(false)
 		return
 	}
 	cl.background.Go(func() {
+		defer g.planRestart(false)
 		time.Sleep(delay)
 		if fresh {
 			g.RemoveState()
