--- a/actions.go
+++ b/actions.go
@@ -25,7 +25,7 @@
 		Timeout     Span // 0: until the client gives up
 		StartWithin Span // after that it is not sent if its writing has not begun; 0: no such bound
 	}
-	// CancelAttempt withdraws an attempt. Its outcome still comes.
+	// CancelAttempt cancels an attempt, even if it is written. Its outcome still comes.
 	CancelAttempt struct {
 		Request RequestID
 		Attempt int
--- a/admission.go
+++ b/admission.go
@@ -68,7 +68,7 @@
 	r.withinQuota = quota.admitted
 	ad.open(r)
 	if quota.check == counterCheckFirst {
-		ad.confirm(r)
+		ad.awaitCount(r)
 	} else {
 		ad.serve(r, s)
 	}
@@ -170,10 +170,10 @@
 	})
 }
 
-// confirm has r wait until its units are counted: resume goes on with it.
-func (ad *admission) confirm(r *request) {
+// awaitCount has r wait until its units are counted: decideCounted goes on with it.
+func (ad *admission) awaitCount(r *request) {
 	a := r.account
-	a.sync.unconfirmed = append(a.sync.unconfirmed, r)
+	a.sync.awaitingCount = append(a.sync.awaitingCount, r)
 	a.consumed += r.units
 	ad.counter.addToTally(a, r.units)
 	if a.sync.calling {
@@ -195,16 +195,17 @@
 	}
 }
 
-// resume decides on the requests that waited for a call of a; counted: the call was answered. The total of
-// all that the customer asked for must be within the rate, less what is reserved for higher priority.
-// Without an answer, as many are admitted as the demand allows.
-func (ad *admission) resume(a *account, counted bool) {
-	for _, r := range a.sync.unconfirmed {
+// decideCounted decides on the requests that waited for a call of a; counted: the call was answered. The
+// window must not be blocked, and with a reservation for higher priority, the total must be within the rate
+// less that. Without an answer, as many are admitted as the demand allows. Requests that have ended while
+// they waited are ignored: balancer and requestTable pass over what is done.
+func (ad *admission) decideCounted(a *account, counted bool) {
+	for _, r := range a.sync.awaitingCount {
 		reserved := ad.priorities.reservedFor(r)
-		spent := counted && reserved > 0 && a.sync.total > (1-reserved)*a.plan.Rate*seconds(a.window)
+		reserveUsed := counted && reserved > 0 && a.sync.total > (1-reserved)*a.plan.Rate*seconds(a.window)
 		s, _ := ad.balancer.pick(r, math.Inf(1))
 		switch {
-		case spent || ad.ctx.now < a.blockedUntil:
+		case reserveUsed || ad.ctx.now < a.blockedUntil:
 			ad.requests.reject(r, deny(ReasonQuota, Span(a.windowEnd()-ad.ctx.now)))
 		case r.unitsOnly && (counted || ad.drawByDemand(a)):
 			ad.requests.finish(r, AdjustAnswer{Request: r.id, Units: r.units})
@@ -214,5 +215,5 @@
 			ad.attempts.start(r, s)
 		}
 	}
-	a.sync.unconfirmed = a.sync.unconfirmed[:0]
+	a.sync.awaitingCount = a.sync.awaitingCount[:0]
 }
--- a/attempt.go
+++ b/attempt.go
@@ -23,7 +23,7 @@
 	until := r.deadline
 	if end, bounded := r.dedupWindowEnd(); bounded {
 		until = min(until, end)
-		c.withdrawAtWindowEnd(r)
+		c.cancelAtWindowEnd(r)
 	}
 	c.outliers.recordStart(s)
 	s.inFlight++
--- a/balancer.go
+++ b/balancer.go
@@ -31,11 +31,11 @@
 // selection is the choice of a server for one request.
 type selection struct {
 	*balancer
-	request       *request
-	maxExpected   float64 // seconds: a candidate beyond it comes after those within it
-	sparsity      float64 // of the aperture
-	ejecting      bool    // outliers are left out
-	slowStartRate float64 // attempts a second of a warming server, times its warmth
+	request           *request
+	maxExpected       float64 // seconds: a candidate beyond it comes after those within it
+	sparsity          float64 // of the aperture
+	ejecting          bool    // outliers are left out
+	evenSlowStartRate float64 // attempts a second of a warming server, times its warmth
 
 	best      candidate
 	remaining int  // servers that may still be compared
@@ -51,9 +51,9 @@
 	}
 	aperture := b.aperture.size()
 	c := &selection{balancer: b, request: r, maxExpected: maxExpected, sparsity: b.aperture.sparsity(),
-		ejecting:      b.outliers.ejectionApplies(r.classIndex),
-		slowStartRate: b.slowStart.evenRate(aperture),
-		remaining:     min(aperture, maxCompared)}
+		ejecting:          b.outliers.ejectionApplies(r.classIndex),
+		evenSlowStartRate: b.slowStart.evenRate(aperture),
+		remaining:         min(aperture, maxCompared)}
 	within, start := len(ready), 0
 	if aperture > maxCompared {
 		within = min(aperture, len(ready))
@@ -68,12 +68,12 @@
 // complete tells whether no further server is visited. Servers with a slow-start rate from the fleet are
 // visited beyond the number that is compared, as their attempts are assigned to this gateway.
 func (c *selection) complete() bool {
-	return c.decided || c.remaining <= 0 && c.endpoints.slowStart == 0
+	return c.decided || c.remaining <= 0 && c.endpoints.fleetRated == 0
 }
 
 // eligible decides whether the request may go to s at all.
 func (c *selection) eligible(s *server) bool {
-	if c.remaining <= 0 && s.SlowStartRate == 0 {
+	if c.remaining <= 0 && s.FleetSlowStartRate == 0 {
 		return false
 	}
 	if c.ejecting && c.outliers.isEjected(s, c.request.classIndex) {
@@ -92,7 +92,7 @@
 		return
 	}
 	warmth := c.slowStart.warmth(s)
-	if !c.slowStart.admits(s, warmth, c.slowStartRate) {
+	if !c.slowStart.admits(s, warmth, c.evenSlowStartRate) {
 		return
 	}
 	c.remaining--
--- a/cmd/dewhitch/fleet.go
+++ b/cmd/dewhitch/fleet.go
@@ -16,7 +16,7 @@
 	"dewhitch/internal/fleet/slowstart"
 )
 
-// openFleet opens the gateway's fleet agent if a fleet is configured. The agent delivers decisions to followFleet through g.acts, which
+// openFleet opens the gateway's fleet agent if a fleet is configured. The agent delivers decisions to followFleet through g.decisions, which
 // holds the latest one.
 func (g *gateway) openFleet() error {
 	if g.fleetConfig == nil {
@@ -47,11 +47,11 @@
 			Start: g.node.Settings.StartCapacity,
 			Span:  time.Duration(g.node.Settings.SlowStartSpan),
 		},
-		Voters: g.fleetConfig.Voters,
-		Dir:    g.fleetConfig.Dir,
-		Lease:  g.fleetConfig.Lease,
-		Status: g.fleetConfig.Status,
-		Log:    g.log,
+		Voters:         g.fleetConfig.Voters,
+		Dir:            g.fleetConfig.Dir,
+		Lease:          g.fleetConfig.Lease,
+		StatusInterval: g.fleetConfig.Status,
+		Log:            g.log,
 		Gossip: gossip.Options{
 			Fleet:   g.fleetConfig.Name,
 			Name:    g.node.Name,
@@ -104,10 +104,10 @@
 // quiesced tells whether the gateway has drained: no clients are left and every request is answered.
 func (g *gateway) quiesced() bool { return g.state.Drained() && g.figures.Concurrent() == 0 }
 
-// followFleet applies the fleet's decisions to the planner until ctx ends. It closes g.heard after the first. A plan stays applied while
+// followFleet applies the fleet's decisions to the planner until ctx ends. It closes g.planApplied after the first. A plan stays applied while
 // the view of the fleet is old; servers in slow start then get nothing.
 func (g *gateway) followFleet(ctx context.Context) error {
-	var heard sync.Once
+	var firstPlan sync.Once
 	for {
 		select {
 		case <-ctx.Done():
@@ -122,7 +122,7 @@
 				return nil // the planner has ended
 			}
 			g.fleetAgent.Applied(d.Withdrawn)
-			heard.Do(func() { close(g.planApplied) })
+			firstPlan.Do(func() { close(g.planApplied) })
 		}
 	}
 }
--- a/cmd/dewhitch/fleet_command.go
+++ b/cmd/dewhitch/fleet_command.go
@@ -135,7 +135,7 @@
 		age, began := "none", ""
 		if m.Age >= 0 {
 			age = fmt.Sprint(m.Age, " ms ago")
-			began = time.Unix(0, m.Incarnation).Format(time.RFC3339)
+			began = time.Unix(0, m.ProcessStartedAt).Format(time.RFC3339)
 		}
 		fmt.Fprintf(t, "%s\t%s\t%s\t%v\t%v\t%v\t%s\t%s\n", m.Name, m.Zone, m.State, m.Voter, m.Epoch, m.Fresh, age, began)
 	}
@@ -203,14 +203,14 @@
 	for _, key := range slices.Sorted(maps.Keys(statuses)) {
 		status := statuses[key]
 		state := string(status.State)
-		if status.Hold {
+		if status.KeepInService {
 			state = "in, held"
 		}
 		by := status.By
 		if by == "" {
 			by = "the fleet"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%s\n", key, state, time.UnixMilli(status.Since).Format(time.RFC3339), status.FailedProbes,
+		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%s\n", key, state, time.UnixMilli(status.Since).Format(time.RFC3339), status.FailedReturns,
 			strings.Join(status.Probers, " "), by, status.Reason)
 	}
 	return t.Flush()
--- a/cmd/dewhitch/fleet_plan_test.go
+++ b/cmd/dewhitch/fleet_plan_test.go
@@ -12,7 +12,7 @@
 func TestZoneUses(t *testing.T) {
 	zones := []string{"hall-a", "hall-b", "hall-c"}
 	v := evacuation.Statuses{"hall-b": {State: evacuation.Probing, Probers: []string{"n1"}, Since: 5}, "hall-a>hall-c": {State: evacuation.Evacuated},
-		"hall-c": {Hold: true, State: evacuation.Returning}}
+		"hall-c": {KeepInService: true, State: evacuation.Returning}}
 	since := core.FromUnixMS(5)
 	for _, c := range []struct {
 		own  int
--- a/cmd/dewhitch/fleet_watcher.go
+++ b/cmd/dewhitch/fleet_watcher.go
@@ -14,7 +14,7 @@
 }
 
 // RequestReceived counts a request.
-func (w *fleetWatcher) RequestReceived() { w.agent.Tally().RequestReceived() }
+func (w *fleetWatcher) RequestReceived() { w.agent.AttemptCounter().RequestReceived() }
 
 // EndpointsChanged passes the servers that are ready and in a zone with a name.
 func (w *fleetWatcher) EndpointsChanged(endpoints []dw.Endpoint) {
@@ -34,14 +34,14 @@
 // AttemptStarted counts an attempt to a server in a zone with a name.
 func (w *fleetWatcher) AttemptStarted(id core.AttemptID, server dw.ServerID, zone int) {
 	if zone < len(w.zones) {
-		w.agent.Tally().AttemptStarted(fleetAttempt(id), w.zones[zone], uint32(server))
+		w.agent.AttemptCounter().AttemptStarted(fleetAttempt(id), w.zones[zone], uint32(server))
 	}
 }
 
 // AttemptEnded counts the outcome of an attempt, with the server's load report.
 func (w *fleetWatcher) AttemptEnded(id core.AttemptID, result core.AttemptResult) {
 	outcome := fleetOutcomes[result.Outcome]
-	w.agent.Tally().AttemptEnded(fleetAttempt(id), outcome, uint32(result.Load.Queue), uint32(result.Load.Inflight))
+	w.agent.AttemptCounter().AttemptEnded(fleetAttempt(id), outcome, uint32(result.Load.Queue), uint32(result.Load.Inflight))
 }
 
 func fleetAttempt(id core.AttemptID) agent.AttemptID {
--- a/cmd/dewhitch/gateway.go
+++ b/cmd/dewhitch/gateway.go
@@ -91,15 +91,15 @@
 		g.openLedger, g.openPlanner, g.openDiscovery, g.openFleet, g.openOperators, g.openFronts, g.openHandover,
 	} {
 		if err := open(); err != nil {
-			g.close()
+			g.closeLedger()
 			return nil, err
 		}
 	}
 	return g, nil
 }
 
-// close ends the ledger, after all that posts to it has ended.
-func (g *gateway) close() {
+// closeLedger ends the ledger, after all that posts to it has ended.
+func (g *gateway) closeLedger() {
 	if g.ledger != nil {
 		g.ledger.close()
 	}
@@ -137,7 +137,7 @@
 	if err != nil {
 		return err
 	}
-	g.pools.Allowed = g.planner.Serving().Allows
+	g.pools.Allowed = g.planner.ReadySet().Allows
 	g.planner.SetFigures(g.figures)
 	g.planner.SetMonitor(g.metrics)
 	g.ledger.readTallies(g.planner.ReadTallies)
--- a/cmd/dewhitch/golden_test.go
+++ b/cmd/dewhitch/golden_test.go
@@ -37,12 +37,12 @@
 			Servers: []dw.ServerStatistics{
 				{
 					Endpoint: dw.Endpoint{ID: 0x5be2a07c, Cell: 11, Zone: 1, Kind: 13, StartedAt: goldenAt - 2e9, Rating: 14.5,
-						State: dw.Draining, SlowStartRate: 15.5, HealthCheck: dw.HealthCheckAny},
+						State: dw.Draining, FleetSlowStartRate: 15.5, HealthCheck: dw.HealthCheckAny},
 					Latency: 0.071, Measured: goldenAt - 3e9, Answered: goldenAt - 4e9, SlowStartBudget: 0.81, SlowStartBudgetAt: goldenAt - 5e9,
 					Failures: []dw.FailureStatistics{{Count: 21, AnsweredAt: goldenAt - 6e9, FirstAt: goldenAt - 7e9, EjectedUntil: goldenAt + 8e9}, {}},
 				},
 				{
-					Endpoint: dw.Endpoint{ID: 9, Cell: 31, Zone: 32, Kind: 33, Rating: 34.5, State: dw.Removed, SlowStartRate: 35.5, HealthCheck: dw.HealthCheckIdempotent},
+					Endpoint: dw.Endpoint{ID: 9, Cell: 31, Zone: 32, Kind: 33, Rating: 34.5, State: dw.Removed, FleetSlowStartRate: 35.5, HealthCheck: dw.HealthCheckIdempotent},
 					Latency:  0.072, Failures: []dw.FailureStatistics{},
 				},
 			},
--- a/cmd/dewhitch/ledger_process.go
+++ b/cmd/dewhitch/ledger_process.go
@@ -43,12 +43,12 @@
 		return p, nil
 	}
 	limits := ledger.Limits{Rows: o.Ledger.Rows, Open: o.Ledger.Open, Flight: o.Ledger.Flight}
-	options := recorder.Options{Limits: limits, Names: names, Patience: overdueAlarm, Audit: o.Ledger.Audit,
-		Statement: o.Ledger.Statement, AlarmFile: o.Ledger.AlarmFile, Log: log}
+	options := recorder.Options{Limits: limits, Names: names, OverdueAfter: overdueAlarm, AuditInterval: o.Ledger.Audit,
+		StatementInterval: o.Ledger.Statement, AlarmFile: o.Ledger.AlarmFile, Log: log}
 	stored, storedNames := p.openStore(o, node, role, limits, log)
 	if p.store != nil {
 		p.active = recorder.New(stored, storedNames, p.store, options)
-		p.active.State() // the repair is durable before anything new is posted
+		p.active.CloseStatement() // the repair is durable before anything new is posted
 	} else {
 		p.active = recorder.New(ledger.New(limits, false), storedNames, nil, options)
 	}
--- a/cmd/dewhitch/reload.go
+++ b/cmd/dewhitch/reload.go
@@ -53,15 +53,15 @@
 	if m.Counter != g.node.Counter {
 		g.counter.Move(m.Counter)
 	}
-	g.applyClasses(m)
+	g.applyClassesAndAttempts(m)
 	g.log.Info("new configuration", zap.String("discovery", m.Discovery), zap.String("counter", m.Counter),
 		zap.Strings("needs_a_restart", g.node.Fixed(m)))
 	g.node.Discovery = m.Discovery
 	g.node.Counter = m.Counter
 }
 
-// applyClasses has new requests use the classes of the new settings, and the maximum of attempts that they allow.
-func (g *gateway) applyClasses(m *config.Node) {
+// applyClassesAndAttempts has new requests use the classes of the new settings, and the maximum of attempts that they allow.
+func (g *gateway) applyClassesAndAttempts(m *config.Node) {
 	table := g.commands.ReloadClasses(m.Names.Classes, m.Settings.Classes)
 	g.figures.Classes(table.Names())
 	g.longestDeadline.Store(int64(m.Longest()))
--- a/cmd/dewhitch/serve.go
+++ b/cmd/dewhitch/serve.go
@@ -63,6 +63,6 @@
 	if err != nil {
 		return err
 	}
-	defer g.close()
+	defer g.closeLedger()
 	return g.run(terminate, reload)
 }
--- a/counter_sync.go
+++ b/counter_sync.go
@@ -27,9 +27,9 @@
 	lastCallAt  Instant
 	nextCallAt  Instant // next ordinary call
 
-	unconfirmed []*request // counterFirst requests whose units are on the tally or on their way
-	queries     []*request // limit queries and give-backs that wait for the next call
-	sentQueries []*request // those that wait for the call that is out, or waited for the last one
+	awaitingCount []*request // counterFirst requests whose units are on the tally or on their way
+	queries       []*request // limit queries and give-backs that wait for the next call
+	sentQueries   []*request // those that wait for the call that is out, or waited for the last one
 }
 
 // counterSync pushes tallies to the shared counter and reads its totals. Calls are rate limited by the
@@ -102,7 +102,8 @@
 }
 
 // urgent tells whether an account's call should not wait for its period: a total is wanted, its window has
-// ended, or much is unpushed. Between two calls a time-out passes all the same, unless queries wait.
+// ended, or much is unpushed; with nothing available, any tally is much. Between two calls a time-out passes
+// all the same, unless queries wait.
 func (s *counterSync) urgent(a *account) bool {
 	wanted := a.sync.totalWanted || a.windowNumber(s.ctx.now) != a.sync.number ||
 		a.sync.tally >= earlyPushFraction*max(0, s.available(a))
@@ -154,13 +155,14 @@
 	a.sync.calling = false
 	s.limiter.Observe(e.Outcome == OutcomeOK, seconds(e.Latency))
 	if e.Outcome == OutcomeOK {
-		s.settle(a, a.sync.pushing, e.Total)
+		s.applyTotal(a, a.sync.pushing, e.Total)
 		return a
 	}
 	a.sync.queries = append(a.sync.sentQueries, a.sync.queries...)
 	if e.Outcome != OutcomeTimeout {
 		a.sync.tally += a.sync.pushing
 	} else if !a.counterFirst {
+		// Taken as added, so that the next total does not show it as use of the others.
 		a.sync.total += a.sync.pushing
 	}
 	if !a.counterFirst {
@@ -169,9 +171,9 @@
 	return a
 }
 
-// settle takes a total that includes the units just added. Gateways give back only what they added: a total
+// applyTotal takes a total that includes the units just added. Gateways give back only what they added: a total
 // below this one's own units shows that the counter has lost its state.
-func (s *counterSync) settle(a *account, added, total float64) {
+func (s *counterSync) applyTotal(a *account, added, total float64) {
 	w, now := &a.sync, s.ctx.now
 	a.bucket.advance(now)
 	before := w.total
@@ -190,7 +192,7 @@
 		}
 		return
 	}
-	a.bucket.settle(now, othersUse, s.ctx.settings.Tick)
+	a.bucket.applyTotal(now, othersUse, s.ctx.settings.Tick)
 	if total+w.tally > quota+a.plan.Burst {
 		a.blockedUntil = a.windowEnd()
 	}
--- a/dedup_window.go
+++ b/dedup_window.go
@@ -30,13 +30,13 @@
 		r.deadline <= rules.ctx.now+Instant(r.class.DedupWindow)
 }
 
-// withdrawAtWindowEnd has the attempts of r that are out withdrawn at the end of the window of one that is
+// cancelAtWindowEnd has the attempts of r that are out withdrawn at the end of the window of one that is
 // sent now, which may run before they do.
-func (c *attemptController) withdrawAtWindowEnd(r *request) {
+func (c *attemptController) cancelAtWindowEnd(r *request) {
 	end := c.ctx.now + Instant(r.class.DedupWindow)
 	if r.inFlight == 0 || !c.ctx.settings.MayCancel || end >= r.deadline {
 		return
 	}
 	earlier := len(r.attempts)
-	c.ctx.setTimer(end, func() { c.requests.withdraw(r, earlier) })
+	c.ctx.setTimer(end, func() { c.requests.cancelAttempts(r, earlier) })
 }
--- a/endpoint_set.go
+++ b/endpoint_set.go
@@ -12,23 +12,23 @@
 // server is a listed endpoint and this gateway's statistics of it since the endpoint's last start.
 type server struct {
 	Endpoint
-	rank            uint64          // place in this gateway's order; unique in a list
-	inFlight        int             // attempts out from this gateway
-	unansweredSince Instant         // since when attempts are out without any answer
-	answeredAt      Instant         // last answer of any class
-	latency         float64         // seconds: moving average, of an attempt sent alone to a warm server
-	measuredAt      Instant         // last sample in latency
-	failures        []failureRecord // by class
-	slowStartBudget bucket          // attempts that may be sent while it warms up
+	rank                uint64          // place in this gateway's order; unique in a list
+	inFlight            int             // attempts out from this gateway
+	withoutSuccessSince Instant         // since when attempts are out without any success
+	succeededAt         Instant         // last success of any class
+	latency             float64         // seconds: moving average, of an attempt sent alone to a warm server
+	measuredAt          Instant         // last sample in latency
+	failures            []failureRecord // by class
+	slowStartBudget     bucket          // attempts that may be sent while it warms up
 }
 
 // endpointSet is the endpoint list as last received, in the order in which this gateway uses it.
 type endpointSet struct {
-	ctx       *stepContext
-	servers   []*server // by rank
-	ready     []*server // of servers, those that take new attempts; by rank
-	slowStart int       // of ready, those with a slow-start rate set by the fleet
-	byID      map[ServerID]*server
+	ctx        *stepContext
+	servers    []*server // by rank
+	ready      []*server // of servers, those that take new attempts; by rank
+	fleetRated int       // of ready, those with a slow-start rate set by the fleet
+	byID       map[ServerID]*server
 }
 
 // update applies an endpoint list. A server that drains or is removed gets no new attempt from this event
@@ -92,14 +92,14 @@
 
 // indexReady finds the servers that take new attempts.
 func (set *endpointSet) indexReady() {
-	set.ready, set.slowStart = set.ready[:0], 0
+	set.ready, set.fleetRated = set.ready[:0], 0
 	for _, s := range set.servers {
 		if s.State != Ready {
 			continue
 		}
 		set.ready = append(set.ready, s)
-		if s.SlowStartRate > 0 {
-			set.slowStart++
+		if s.FleetSlowStartRate > 0 {
+			set.fleetRated++
 		}
 	}
 }
--- a/endpoints.go
+++ b/endpoints.go
@@ -23,15 +23,15 @@
 
 // Endpoint is one entry of the endpoint list. Its tags are a stored form.
 type Endpoint struct {
-	ID            ServerID        `json:"ID"`
-	Cell          int             `json:"Cell"` // for DedupCell
-	Zone          int             `json:"Zone"`
-	Kind          int             `json:"Kind"`  // of machine
-	StartedAt     Instant         `json:"Since"` // last start; 0: long ago
-	Rating        float64         `json:"Rating"`
-	State         EndpointState   `json:"State"`
-	SlowStartRate float64         `json:"Feed"` // attempts a second from this gateway in slow start; 0: unset
-	HealthCheck   HealthCheckMode `json:"Look"`
+	ID                 ServerID        `json:"ID"`
+	Cell               int             `json:"Cell"` // for DedupCell
+	Zone               int             `json:"Zone"`
+	Kind               int             `json:"Kind"`  // of machine
+	StartedAt          Instant         `json:"Since"` // last start; 0: long ago
+	Rating             float64         `json:"Rating"`
+	State              EndpointState   `json:"State"`
+	FleetSlowStartRate float64         `json:"Feed"` // attempts a second from this gateway in slow start; 0: unset
+	HealthCheck        HealthCheckMode `json:"Look"`
 }
 
 // rank is the server's place in the order in which gateway self uses servers, another one for each gateway.
--- a/gateway.go
+++ b/gateway.go
@@ -174,7 +174,7 @@
 	if counted {
 		g.limits.answer(a)
 	}
-	g.admission.resume(a, counted)
+	g.admission.decideCounted(a, counted)
 	if len(a.sync.queries) > 0 {
 		g.counter.enqueue(a, true)
 	}
--- a/hedging.go
+++ b/hedging.go
@@ -11,10 +11,17 @@
 	}
 }
 
-// hedge sends r to another server when its n-th attempt, its last, is unanswered: beside that attempt, or,
-// where no two may be out, in its place.
+// hedge sends r to another server when its n-th attempt, its last, is unanswered and its server is silent,
+// that is, has served no other request of the class since: an attempt that is only slow is left alone, as
+// hedging would add to an overload. The other attempt runs beside it, or, where no two may be out, in its
+// place.
 func (c *attemptController) hedge(r *request, n int) {
-	if !c.mayHedge(r, n) {
+	last := &r.attempts[n-1]
+	if r.done || last.ended {
+		return
+	}
+	silent := c.outliers.recordFailure(r.classIndex, last)
+	if !silent || !c.mayHedge(r, n) {
 		return
 	}
 	if c.ctx.settings.ParallelAttempts {
@@ -24,15 +31,10 @@
 	}
 }
 
-// mayHedge decides whether the n-th attempt of r is hedged: its server must be silent, that is, have
-// answered no other request of the class since; an attempt that is only slow is left alone, as hedging would
-// add to an overload. Where all servers are slow and each gets little from this gateway, every wait looks
-// like silence: so nothing is hedged while a mean attempt takes more than the least threshold of load
-// shedding.
+// mayHedge decides whether the n-th attempt of r may be followed while it is out. Where all servers are slow
+// and each gets little from this gateway, every wait looks like silence: so nothing is hedged while a mean
+// attempt takes more than the threshold of load shedding beyond the quota, at mean priority.
 func (c *attemptController) mayHedge(r *request, n int) bool {
-	if r.done || r.attempts[n-1].ended || !c.outliers.recordFailure(r.classIndex, &r.attempts[n-1]) {
-		return false
-	}
 	if !afterMayHaveRun[r.class.Idempotency].retry || len(r.attempts) != n || !c.rules.attemptsLeft(r) {
 		return false
 	}
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -92,10 +92,10 @@
 		want   dw.Outcome
 	}{
 		{"its client has left", 0, func(b *testBed, id dw.RequestID) { b.Cancel(id, 0) }, dw.OutcomeNotSent},
-		{"its backend drains", 0, func(b *testBed, _ dw.RequestID) { b.Withdraw(b.backend) }, dw.OutcomeNotSent},
+		{"its backend drains", 0, func(b *testBed, _ dw.RequestID) { b.RetractAll(b.backend) }, dw.OutcomeNotSent},
 		{"its backend is removed", 0, func(b *testBed, _ dw.RequestID) { b.Forget(b.backend) }, dw.OutcomeNotSent},
 		{"the deduplication window has ended", time.Nanosecond, func(*testBed, dw.RequestID) {}, dw.OutcomeConnectFailed},
-		{"another backend drains", 0, func(b *testBed, _ dw.RequestID) { b.Withdraw(core.Backend{ID: 2, Addr: b.backend.Addr}) }, dw.OutcomeOK},
+		{"another backend drains", 0, func(b *testBed, _ dw.RequestID) { b.RetractAll(core.Backend{ID: 2, Addr: b.backend.Addr}) }, dw.OutcomeOK},
 		{"it is still wanted", time.Minute, func(*testBed, dw.RequestID) {}, dw.OutcomeOK},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -134,7 +134,7 @@
 	close(b.connect)
 	_, end := b.start(time.Time{})
 	<-came
-	b.Withdraw(b.backend)
+	b.RetractAll(b.backend)
 	close(answer)
 	b.expectOutcome(end, dw.OutcomeOK)
 	b.expectNothingLeft()
--- a/internal/backend/pools.go
+++ b/internal/backend/pools.go
@@ -133,8 +133,8 @@
 	}
 }
 
-// Withdraw implements core.Backends.
-func (p *Pools) Withdraw(b core.Backend) {
+// RetractAll implements core.Backends.
+func (p *Pools) RetractAll(b core.Backend) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.withdraw(b)
--- a/internal/backend/update_test.go
+++ b/internal/backend/update_test.go
@@ -40,7 +40,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Allowed = p.Serving().Allows // the planner itself never runs
+			b.Allowed = p.ReadySet().Allows // the planner itself never runs
 			if err := p.UpdateEndpoints(b.update(1, dw.Ready, b.backend.Addr)); err != nil {
 				t.Fatal(err)
 			}
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -38,9 +38,9 @@
 	case dw.Fail:
 		p.fail(a)
 	case dw.LimitAnswer:
-		p.answer(a.Request, ledger.PlanServed, Answer{Limit: &a})
+		p.answer(a.Request, ledger.PlanServed, Answer{Result: ResultServed, Limit: &a})
 	case dw.AdjustAnswer:
-		p.answer(a.Request, ledger.PlanServed, Answer{Units: a.Units})
+		p.answer(a.Request, ledger.PlanServed, Answer{Result: ResultServed, Units: a.Units})
 	case dw.TallyChanged:
 		p.recordTally(a)
 	case dw.SetTimer:
--- a/internal/core/counter_calls.go
+++ b/internal/core/counter_calls.go
@@ -63,5 +63,5 @@
 }
 
 func (m tallyMessage) handle(p *Planner) {
-	m.read(func(customer uint64) (float64, bool) { return p.gateway.Tally(dw.CustomerID(customer)) })
+	m.read(func(customer uint64) (float64, bool) { return p.module.Tally(dw.CustomerID(customer)) })
 }
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -25,14 +25,14 @@
 // UpdateEndpoints posts an update. What it forbids is in force in Serving when it returns. It is called by one goroutine at
 // a time, in the order of the updates.
 func (p *Planner) UpdateEndpoints(u EndpointUpdate) error {
-	p.serving.apply(u)
+	p.readySet.apply(u)
 	return p.post(u)
 }
 
 // handle brings an update into force: addresses first, so that the module's actions find them, then the module.
 func (u EndpointUpdate) handle(p *Planner) {
 	p.updateAddresses(u)
-	p.step(p.recordList(u.List, u.Complete))
+	p.step(p.applyList(u.List, u.Complete))
 	if !u.ReadAt.IsZero() {
 		p.monitor.ListApplied(u.List.Version, time.Since(u.ReadAt))
 	}
@@ -63,9 +63,9 @@
 	}
 }
 
-// recordList records the entries of a list as discovery gave them, and returns the list that the module is notified of, with
+// applyList records the entries of a list as discovery gave them, and returns the list that the module is notified of, with
 // the overlay. A failed list changes nothing and is returned as it is.
-func (p *Planner) recordList(l dw.EndpointList, complete bool) dw.EndpointList {
+func (p *Planner) applyList(l dw.EndpointList, complete bool) dw.EndpointList {
 	if l.Kind == dw.ListFailed {
 		return l
 	}
@@ -132,7 +132,7 @@
 	e = p.overlay(e)
 	p.notified.set(e)
 	if b, known := p.backendByID[e.ID]; known && e.State != dw.Ready {
-		p.backends.Withdraw(b)
+		p.backends.RetractAll(b)
 	}
 	return e
 }
@@ -152,8 +152,8 @@
 	if e.State != dw.Ready || !p.fleetPlan.Active || !p.isWarmingUp(e.StartedAt) {
 		return e
 	}
-	e.SlowStartRate = p.fleetPlan.SlowStartRates[e.ID]
-	if e.SlowStartRate <= 0 && !p.majorityWarmingUp {
+	e.FleetSlowStartRate = p.fleetPlan.SlowStartRates[e.ID]
+	if e.FleetSlowStartRate <= 0 && !p.majorityWarmingUp {
 		e.State = dw.Draining
 	}
 	return e
--- a/internal/core/inbox_test.go
+++ b/internal/core/inbox_test.go
@@ -33,7 +33,7 @@
 }
 func (w *fakeEnvironment) Cancel(dw.RequestID, int)                   {}
 func (w *fakeEnvironment) Retract(dw.RequestID, int)                  {}
-func (w *fakeEnvironment) Withdraw(Backend)                           {}
+func (w *fakeEnvironment) RetractAll(Backend)                         {}
 func (w *fakeEnvironment) Forget(Backend)                             {}
 func (w *fakeEnvironment) Add(CounterCall, func(dw.Outcome, float64)) {}
 func (w *fakeEnvironment) Ref() uint64                                { return 0 }
--- a/internal/core/planner.go
+++ b/internal/core/planner.go
@@ -25,7 +25,7 @@
 	Clock
 	inbox
 
-	gateway  *dw.Gateway
+	module   *dw.Gateway
 	backends Backends
 	counter  Counter
 	recorder Recorder
@@ -44,7 +44,7 @@
 	maxAttempts   atomic.Int64 // attempts of a request submitted from now on; 0: as the module's settings say
 
 	// Endpoints.
-	serving           Serving
+	readySet          ReadySet
 	backendByID       map[dw.ServerID]Backend     // the listed servers with their addresses
 	listed            map[dw.ServerID]dw.Endpoint // as discovery lists them, with resolved start times
 	notified          notifiedEndpoints           // the listed, as the module was last notified of them
@@ -71,7 +71,7 @@
 	return &Planner{
 		Clock:         c,
 		inbox:         newInbox(),
-		gateway:       gateway,
+		module:        gateway,
 		backends:      b,
 		counter:       n,
 		recorder:      r,
@@ -93,8 +93,8 @@
 // further bound. It is safe for any goroutine.
 func (p *Planner) SetMaxAttempts(attempts int) { p.maxAttempts.Store(int64(attempts)) }
 
-// Run handles timers and messages until the context ends; it is called once. Afterwards every post to the planner returns
-// ErrStopped.
+// Run handles timers and messages until the context ends; it is called once. Afterwards nothing is handled: a
+// post returns ErrStopped, or its message is lost.
 func (p *Planner) Run(ctx context.Context) error {
 	defer close(p.stop)
 	wake := time.NewTimer(time.Hour)
@@ -118,7 +118,7 @@
 // further step before step returns.
 func (p *Planner) step(e dw.Event) {
 	now := time.Now()
-	actions := p.gateway.Handle(p.Instant(now), e, p.actions[:0])
+	actions := p.module.Handle(p.Instant(now), e, p.actions[:0])
 	p.actions = nil // a nested step needs a buffer of its own
 	for _, a := range actions {
 		p.carryOut(now, a)
--- a/internal/core/ready_set.go
+++ b/internal/core/ready_set.go
@@ -6,20 +6,20 @@
 	dw "dewhitch"
 )
 
-// Serving is the set of backends that new work may go to by the newest endpoint update. UpdateEndpoints changes it at once,
+// ReadySet is the set of backends that new work may go to by the newest endpoint update. UpdateEndpoints changes it at once,
 // before the planner handles the update in its turn, and whoever starts an attempt checks it last: no attempt starts at a
 // server that is known to drain, however long the planner's inbox is. The set is never older than the planner's list. It is
 // safe for any goroutine.
-type Serving struct {
+type ReadySet struct {
 	mu    sync.RWMutex
 	addrs map[dw.ServerID]string // of the servers that are ready
 }
 
-// Serving is the set of backends that new work may go to.
-func (p *Planner) Serving() *Serving { return &p.serving }
+// ReadySet is the set of backends that new work may go to.
+func (p *Planner) ReadySet() *ReadySet { return &p.readySet }
 
 // apply brings an update into the set. A failed list changes nothing.
-func (s *Serving) apply(u EndpointUpdate) {
+func (s *ReadySet) apply(u EndpointUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if u.List.Kind == dw.ListFailed {
@@ -38,7 +38,7 @@
 }
 
 // Allows reports whether new work may go to a backend now: it is ready, at this address.
-func (s *Serving) Allows(b Backend) bool {
+func (s *ReadySet) Allows(b Backend) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
 	addr, ready := s.addrs[b.ID]
--- a/internal/core/state_export.go
+++ b/internal/core/state_export.go
@@ -24,12 +24,12 @@
 }
 
 func (m exportMessage) handle(p *Planner) {
-	p.gateway.Export(m.into, m.maxCustomers)
+	p.module.Export(m.into, m.maxCustomers)
 	m.done <- nil
 }
 
 // ImportState starts the module from the state of an earlier process; before Run. It returns how many servers and customers
 // were imported.
 func (p *Planner) ImportState(state *dw.State) (servers, customers int) {
-	return p.gateway.Import(p.Instant(time.Now()), state)
+	return p.module.Import(p.Instant(time.Now()), state)
 }
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -48,7 +48,7 @@
 func (expediteMessage) queue() Queue { return QueueOutcome }
 
 // Submit hands a request over: it gets one final answer, through its Answer, unless Cancel is called before that or the
-// planner stops. With ErrBusy or ErrStopped nothing was handed over, and the caller rejects the request. It blocks for
+// planner stops. With ErrBusy or ErrStopped nothing was handed over: the caller rejects the request at ErrBusy, and fails it at ErrStopped. It blocks for
 // arrivalPatience at most, and is safe for any goroutine.
 func (p *Planner) Submit(r *Request) (*PendingRequest, error) {
 	pending := &PendingRequest{request: r}
--- a/internal/core/targets.go
+++ b/internal/core/targets.go
@@ -39,5 +39,5 @@
 	}
 	now := p.Instant(time.Now())
 	p.nextTargetsReport = now + dw.Instant(targetsReportInterval)
-	p.figures.Targets(len(p.listed), p.gateway.EjectedServers(now)+p.notified.disabled)
+	p.figures.Targets(len(p.listed), p.module.EjectedServers(now)+p.notified.disabled)
 }
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -14,7 +14,7 @@
 
 // The kinds of requests.
 const (
-	KindForward     RequestKind = iota // a booking, forwarded to a backend
+	KindForward     RequestKind = iota // a query or a booking, forwarded to a backend
 	KindQueryLimit                     // what the customer's quota has left
 	KindAdjustLimit                    // to take units from the quota, or to return them
 )
@@ -118,8 +118,8 @@
 	Cancel(request dw.RequestID, attempt int)
 	// Retract ends an attempt of which nothing is written yet; any other is unaffected.
 	Retract(request dw.RequestID, attempt int)
-	// Withdraw ends the attempts at a backend of which nothing is written yet, and starts none there until the next Start.
-	Withdraw(b Backend)
+	// RetractAll ends the attempts at a backend of which nothing is written yet; later Starts are unaffected.
+	RetractAll(b Backend)
 	// Forget withdraws, closes the idle connections to a backend, and caches none after the attempts in flight.
 	Forget(b Backend)
 }
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -17,11 +17,11 @@
 type Message struct {
 	Revision int64
 	Complete bool // it names every server; one that it leaves out is removed
-	Members  []Member
+	Members  []ListedServer
 }
 
-// Member is a server as a message has it.
-type Member struct {
+// ListedServer is a server as a message has it.
+type ListedServer struct {
 	ServerName string      // the id, as discovery words it
 	Addr       string      // as host:port; empty: removed
 	Entry      dw.Endpoint // its StartedAt is Unix time
@@ -103,8 +103,8 @@
 }
 
 // members reads the array of servers; the lock is held.
-func (d *Decoder) members(r *jsonReader) ([]Member, error) {
-	all := make([]Member, 0, d.lastCount)
+func (d *Decoder) members(r *jsonReader) ([]ListedServer, error) {
+	all := make([]ListedServer, 0, d.lastCount)
 	err := r.array(func() error {
 		m, err := d.member(r)
 		all = append(all, m)
@@ -115,17 +115,17 @@
 }
 
 // member reads one server; the lock is held.
-func (d *Decoder) member(r *jsonReader) (Member, error) {
+func (d *Decoder) member(r *jsonReader) (ListedServer, error) {
 	raw := &d.raw
 	raw.reset()
 	if err := r.object(func(key string) error { return d.readField(r, key, raw) }); err != nil {
-		return Member{}, err
+		return ListedServer{}, err
 	}
 	state, known := endpointStates[string(raw.phase)]
 	if len(raw.id) == 0 || !known || len(raw.addr) == 0 && state != dw.Removed {
-		return Member{}, fmt.Errorf("members: id %q has host_port %q, phase %q", raw.id, raw.addr, raw.phase)
+		return ListedServer{}, fmt.Errorf("members: id %q has host_port %q, phase %q", raw.id, raw.addr, raw.phase)
 	}
-	m := Member{Entry: raw.entry}
+	m := ListedServer{Entry: raw.entry}
 	m.Entry.State = state
 	m.Entry.StartedAt = core.FromUnixMS(raw.upSinceMS)
 	m.ServerName, m.Entry.ID = d.assignID(raw.id)
--- a/internal/discovery/golden_wire_test.go
+++ b/internal/discovery/golden_wire_test.go
@@ -26,7 +26,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Message{Revision: 41, Complete: true, Members: []Member{
+	want := Message{Revision: 41, Complete: true, Members: []ListedServer{
 		{ServerName: "s-5be2a07c", Addr: "10.0.0.1:1001", Entry: dw.Endpoint{ID: 0x5be2a07c, Cell: 3, Zone: 1, Kind: 1,
 			StartedAt: 1700000000001e6, Rating: 1.5, State: dw.Ready}},
 		{ServerName: "s-00000002", Addr: "10.0.0.2:1002", Entry: dw.Endpoint{ID: 2, Cell: 4, Zone: 2, StartedAt: 1700000000002e6, Rating: 2.5,
--- a/internal/discovery/long_list_test.go
+++ b/internal/discovery/long_list_test.go
@@ -112,7 +112,7 @@
 		rng := rand.New(rand.NewPCG(seed, uint64(world)))
 		d := NewDecoder(Names{})
 		v := newView(d)
-		truth, planner := map[dw.ServerID]Member{}, map[dw.ServerID]Member{}
+		truth, planner := map[dw.ServerID]ListedServer{}, map[dw.ServerID]ListedServer{}
 		for n := range messages {
 			m := randomMessage(rng, d, int64(n+1), ids)
 			var l core.EndpointUpdate
@@ -156,7 +156,7 @@
 	return m
 }
 
-func notReady(all []Member) (out []Member) {
+func notReady(all []ListedServer) (out []ListedServer) {
 	for _, s := range all {
 		if s.Entry.State != dw.Ready {
 			out = append(out, s)
@@ -166,7 +166,7 @@
 }
 
 // applyMessage takes a message into a list as its sender means it.
-func applyMessage(list map[dw.ServerID]Member, m Message) {
+func applyMessage(list map[dw.ServerID]ListedServer, m Message) {
 	if m.Complete {
 		clear(list)
 	}
@@ -178,13 +178,13 @@
 }
 
 // applyUpdate takes a listing into a list as the planner does.
-func applyUpdate(list map[dw.ServerID]Member, l core.EndpointUpdate) {
+func applyUpdate(list map[dw.ServerID]ListedServer, l core.EndpointUpdate) {
 	if l.List.Kind != dw.ListDelta {
 		clear(list)
 	}
 	for i, e := range l.List.Servers {
 		if delete(list, e.ID); e.State != dw.Removed {
-			list[e.ID] = Member{ServerName: fmt.Sprintf("s-%08x", uint32(e.ID)), Addr: l.Addrs[i], Entry: e}
+			list[e.ID] = ListedServer{ServerName: fmt.Sprintf("s-%08x", uint32(e.ID)), Addr: l.Addrs[i], Entry: e}
 		}
 	}
 }
--- a/internal/discovery/server_ids.go
+++ b/internal/discovery/server_ids.go
@@ -73,7 +73,7 @@
 }
 
 // releaseUnlisted frees the numbers of servers that are not in members: those of messages that could not be used.
-func (d *Decoder) releaseUnlisted(members map[dw.ServerID]listedMember) {
+func (d *Decoder) releaseUnlisted(members map[dw.ServerID]viewEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if len(d.servers) == len(members) {
--- a/internal/discovery/view.go
+++ b/internal/discovery/view.go
@@ -10,17 +10,17 @@
 type view struct {
 	decoder    *Decoder
 	synced     bool // the planner was given a complete list since its start
-	members    map[dw.ServerID]listedMember
+	members    map[dw.ServerID]viewEntry
 	generation uint64 // complete lists so far
 }
 
-// listedMember is a server of the view.
-type listedMember struct {
-	Member
+// viewEntry is a server of the view.
+type viewEntry struct {
+	ListedServer
 	generation uint64 // of the last complete list that named it
 }
 
-func newView(d *Decoder) *view { return &view{decoder: d, members: map[dw.ServerID]listedMember{}} }
+func newView(d *Decoder) *view { return &view{decoder: d, members: map[dw.ServerID]viewEntry{}} }
 
 // apply takes a message into the view, and returns what changes by it: a full list if it is the first complete one, as the
 // planner may hold servers that the view does not know; else a delta.
@@ -55,7 +55,7 @@
 }
 
 // put takes a server into the view, and into out if it changes.
-func (v *view) put(out *core.EndpointUpdate, s Member) {
+func (v *view) put(out *core.EndpointUpdate, s ListedServer) {
 	old, known := v.members[s.Entry.ID]
 	if s.Entry.State == dw.Removed {
 		delete(v.members, s.Entry.ID)
@@ -63,8 +63,8 @@
 		appendMember(out, s)
 		return
 	}
-	v.members[s.Entry.ID] = listedMember{s, v.generation}
-	if !known || old.Member != s || out.List.Kind == dw.ListFull {
+	v.members[s.Entry.ID] = viewEntry{s, v.generation}
+	if !known || old.ListedServer != s || out.List.Kind == dw.ListFull {
 		appendMember(out, s)
 	}
 }
@@ -78,12 +78,12 @@
 		delete(v.members, id)
 		v.decoder.release(id)
 		s.Entry.State = dw.Removed
-		appendMember(out, s.Member)
+		appendMember(out, s.ListedServer)
 	}
 	v.decoder.releaseUnlisted(v.members)
 }
 
-func appendMember(out *core.EndpointUpdate, s Member) {
+func appendMember(out *core.EndpointUpdate, s ListedServer) {
 	out.List.Servers = append(out.List.Servers, s.Entry)
 	out.Addrs = append(out.Addrs, s.Addr)
 }
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -31,18 +31,18 @@
 
 // Options configure a member. Callbacks run on the agent's goroutine and must not block.
 type Options struct {
-	Gossip      gossip.Options // Log, Receive and Changed are set by Open
-	Voters      []string       // by name, the same list at every member; the first starts the log
-	Dir         string         // of a voter's storage; empty: its state is lost with the process, and it returns as another voter
-	Lease       time.Duration  // how long the leader's confirmations and grants hold
-	Status      time.Duration  // minimum interval between two statuses
-	Log         *zap.Logger
-	Maintenance maintenance.Config // its SlowStart is set by Open
-	Zones       evacuation.Config
-	SlowStart   slowstart.Config // its Lease is set by Open
-	Quiesced    func() bool      // this gateway has drained its clients and has nothing in flight; may be nil
-	Drain       func(on bool)    // start or stop draining this gateway's clients; may be nil
-	OnDecisions func(Decisions)  // called when they change; may be nil
+	Gossip         gossip.Options // Log, Receive and Changed are set by Open
+	Voters         []string       // by name, the same list at every member; the first starts the log
+	Dir            string         // of a voter's storage; empty: its state is lost with the process, and it returns as another voter
+	Lease          time.Duration  // how long the leader's confirmations and grants hold
+	StatusInterval time.Duration  // minimum interval between two statuses
+	Log            *zap.Logger
+	Maintenance    maintenance.Config // its SlowStart is set by Open
+	Zones          evacuation.Config
+	SlowStart      slowstart.Config // its Lease is set by Open
+	Quiesced       func() bool      // this gateway has drained its clients and has nothing in flight; may be nil
+	Drain          func(on bool)    // start or stop draining this gateway's clients; may be nil
+	OnDecisions    func(Decisions)  // called when they change; may be nil
 }
 
 // Agent is a running member. Its exported methods may be called from any goroutine; unexported fields belong
@@ -54,7 +54,7 @@
 	node    *fleet.Node
 	gossip  *gossip.Gossip // safe for concurrent use
 	storage storageWriter
-	tally   *Tally // safe for concurrent use
+	tally   *AttemptCounter // safe for concurrent use
 
 	// Inputs of Run.
 	inbox         chan []byte
@@ -144,21 +144,21 @@
 	maps.Copy(commands, maintenance.Commands())
 	o := a.options
 	return fleet.Config{
-		Fleet:       o.Gossip.Fleet,
-		Name:        o.Gossip.Name,
-		Zone:        o.Gossip.Metadata.Zone,
-		Region:      o.Gossip.Metadata.Region,
-		Voters:      o.Voters,
-		StartedAt:   a.startedAt.UnixNano(),
-		Incarnation: random63(),
-		Seed:        random63(),
-		Tick:        logTick,
-		Status:      o.Status,
-		Lease:       o.Lease,
-		Commands:    commands,
-		Observe:     a.observe,
-		LeaderTick:  a.leaderTick,
-		GrantFor:    a.grantFor,
+		Fleet:          o.Gossip.Fleet,
+		Name:           o.Gossip.Name,
+		Zone:           o.Gossip.Metadata.Zone,
+		Region:         o.Gossip.Metadata.Region,
+		Voters:         o.Voters,
+		StartedAt:      a.startedAt.UnixNano(),
+		Incarnation:    random63(),
+		Seed:           random63(),
+		Tick:           logTick,
+		StatusInterval: o.StatusInterval,
+		Lease:          o.Lease,
+		Commands:       commands,
+		Observe:        a.observe,
+		LeaderTick:     a.leaderTick,
+		GrantFor:       a.grantFor,
 	}
 }
 
@@ -195,8 +195,8 @@
 // not named stay known.
 func (a *Agent) AddCandidates(at map[string]string) { a.gossip.AddCandidates(at) }
 
-// Tally counts this process's attempts, for its reports.
-func (a *Agent) Tally() *Tally { return a.tally }
+// AttemptCounter counts this process's attempts, for its reports.
+func (a *Agent) AttemptCounter() *AttemptCounter { return a.tally }
 
 // now is the time since the process started, and Unix ms derived from it. The system's clock is read once
 // only, as a step of it would end the lease of a machine in maintenance, or a slow start.
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -53,7 +53,7 @@
 	}
 	for i := range n {
 		name := fmt.Sprintf("g%d", i)
-		o := Options{Zones: evacuation.Defaults, Voters: voters, Lease: 2 * time.Second, Status: 200 * time.Millisecond, Log: zap.NewNop(),
+		o := Options{Zones: evacuation.Defaults, Voters: voters, Lease: 2 * time.Second, StatusInterval: 200 * time.Millisecond, Log: zap.NewNop(),
 			Gossip: gossip.Options{Fleet: "test", Name: name, Listen: peers[name], Peers: peers, Seeds: []string{"g0"},
 				Metadata: gossip.Metadata{Zone: "a", Role: "gateway"}}}
 		if dirs {
--- a/internal/fleet/agent/decisions.go
+++ b/internal/fleet/agent/decisions.go
@@ -49,7 +49,7 @@
 func (a *Agent) followPlan(p *fleet.Plan) {
 	statuses, err := zoneStatuses(p)
 	status, ok := statuses[a.options.Gossip.Metadata.Zone]
-	a.drain.zoneEvacuated = err == nil && ok && !status.Hold && status.State != evacuation.Returning
+	a.drain.zoneEvacuated = err == nil && ok && !status.KeepInService && status.State != evacuation.Returning
 	if schedule, err := maintenance.Read(p); err == nil {
 		_, a.drain.inMaintenance = schedule.Withdrawn()[a.options.Gossip.Name]
 	}
--- a/internal/fleet/agent/drain.go
+++ b/internal/fleet/agent/drain.go
@@ -20,7 +20,7 @@
 // do not all come back at once.
 func (a *Agent) updateDrain(now time.Duration) {
 	d := &a.drain
-	cutOff := d.monitor.ShouldDrain(now, d.zoneEvacuated, a.node.Fresh(), d.turn)
+	cutOff := d.monitor.Update(now, d.zoneEvacuated, a.node.Fresh(), d.turn)
 	if d.inMaintenance != d.wasInMaintenance {
 		d.wasInMaintenance = d.inMaintenance
 		a.setDraining(d.inMaintenance || cutOff)
--- a/internal/fleet/agent/golden_fleet_test.go
+++ b/internal/fleet/agent/golden_fleet_test.go
@@ -29,7 +29,7 @@
 		Sections: []string{"freeze", "voters"}, Frozen: &fleet.OperatorMark{By: "alice", Reason: "night", At: 1700000000014},
 		Unacknowledged: []string{"g3"}, Members: []MemberStatus{{Member: gossip.Member{Name: "g4", State: "alive", Address: "127.0.0.4:7004",
 			Metadata: gossip.Metadata{Zone: "hall-a", Region: "north", Number: 15, Version: "1.2.3", Role: "gateway"}},
-			Epoch: fleet.Epoch{Generation: 16, Index: 17}, Incarnation: 1700000000000000018, Age: 19, Fresh: true, Voter: true}},
+			Epoch: fleet.Epoch{Generation: 16, Index: 17}, ProcessStartedAt: 1700000000000000018, Age: 19, Fresh: true, Voter: true}},
 		PassedOver: 20, Folder: "kept"}
 	golden.Filled(t, full)
 	for name, s := range map[string]Status{"status.json": full, "status-least.json": {}} {
--- a/internal/fleet/agent/leader.go
+++ b/internal/fleet/agent/leader.go
@@ -63,7 +63,7 @@
 		if status.State == evacuation.Evacuated && was.State == evacuation.Probing {
 			state = "is not well yet"
 		}
-		a.options.Log.Info("fleet: zone "+key+" "+state, zap.String("why", status.Reason), zap.Int("fails", status.FailedProbes),
+		a.options.Log.Info("fleet: zone "+key+" "+state, zap.String("why", status.Reason), zap.Int("fails", status.FailedReturns),
 			zap.Strings("probers", status.Probers), zap.Stringer("on_epoch", on))
 	}
 	for key := range old {
@@ -80,11 +80,11 @@
 		return
 	}
 	next, changed := a.maintenance.Step(now, unix, schedule, maintenance.Observations{
-		Servers:   a.maintenanceServers(),
-		Members:   a.maintenanceMembers(now, n),
-		Saturated: a.zones.Saturated(),
-		Rate:      a.slowStart.Demand(),
-		ZonesOut:  evacuatedZones(statuses),
+		Servers:           a.maintenanceServers(),
+		Members:           a.maintenanceMembers(now, n),
+		Saturated:         a.zones.Saturated(),
+		Rate:              a.slowStart.Demand(),
+		ZonesNotInService: evacuatedZones(statuses),
 	})
 	if changed && n.Propose(maintenance.Set(next)) {
 		a.logMaintenanceChanges(schedule, next, p.Epoch)
@@ -95,7 +95,7 @@
 // operators hold are.
 func evacuatedZones(statuses evacuation.Statuses) (zones []string) {
 	for key, status := range statuses {
-		if !strings.Contains(key, ">") && !status.Hold {
+		if !strings.Contains(key, ">") && !status.KeepInService {
 			zones = append(zones, key)
 		}
 	}
@@ -121,24 +121,24 @@
 	members := map[string]maintenance.Member{}
 	for _, p := range n.Peers() {
 		members[p.Name] = maintenance.Member{
-			Left:        left[p.Name],
-			Reachable:   p.HasStatus && now-p.LastStatusAt < a.options.Lease,
-			Fresh:       p.Status.Fresh,
-			Withdrawn:   p.Status.Withdrawn,
-			Zone:        p.Status.Zone,
-			Voter:       slices.Contains(a.options.Voters, p.Name),
-			Incarnation: p.StartedAt,
+			Left:             left[p.Name],
+			Reachable:        p.HasStatus && now-p.LastStatusAt < a.options.Lease,
+			Fresh:            p.Status.Fresh,
+			Withdrawn:        p.Status.Withdrawn,
+			Zone:             p.Status.Zone,
+			Voter:            slices.Contains(a.options.Voters, p.Name),
+			ProcessStartedAt: p.StartedAt,
 		}
 	}
 	own := a.options.Gossip
 	members[own.Name] = maintenance.Member{
-		Reachable:   true,
-		Fresh:       true,
-		Withdrawn:   a.acknowledged(),
-		Zone:        own.Metadata.Zone,
-		Voter:       slices.Contains(a.options.Voters, own.Name),
-		Leader:      true,
-		Incarnation: a.startedAt.UnixNano(),
+		Reachable:        true,
+		Fresh:            true,
+		Withdrawn:        a.acknowledged(),
+		Zone:             own.Metadata.Zone,
+		Voter:            slices.Contains(a.options.Voters, own.Name),
+		Leader:           true,
+		ProcessStartedAt: a.startedAt.UnixNano(),
 	}
 	return members
 }
--- a/internal/fleet/agent/slow_start.go
+++ b/internal/fleet/agent/slow_start.go
@@ -55,7 +55,7 @@
 	for i := range servers {
 		s := &servers[i]
 		status, ok := statuses[s.Zone]
-		if !ok || status.Hold {
+		if !ok || status.KeepInService {
 			continue
 		}
 		s.Since = max(s.Since, status.Since)
--- a/internal/fleet/agent/status.go
+++ b/internal/fleet/agent/status.go
@@ -18,11 +18,11 @@
 // MemberStatus is a member on the status page.
 type MemberStatus struct {
 	gossip.Member
-	Epoch       fleet.Epoch `json:"epoch"`          // of the plan that it acts on, by its last status
-	Incarnation int64       `json:"incarnation"`    // when its process started, Unix ns; 0: there is no status of it yet
-	Age         int64       `json:"last_report_ms"` // since its last status; -1: there is none
-	Fresh       bool        `json:"fresh"`          // its view, by its last status
-	Voter       bool        `json:"voter"`          // by configuration
+	Epoch            fleet.Epoch `json:"epoch"`          // of the plan that it acts on, by its last status
+	ProcessStartedAt int64       `json:"incarnation"`    // when its process started, Unix ns; 0: there is no status of it yet
+	Age              int64       `json:"last_report_ms"` // since its last status; -1: there is none
+	Fresh            bool        `json:"fresh"`          // its view, by its last status
+	Voter            bool        `json:"voter"`          // by configuration
 }
 
 // Status is the status page.
@@ -86,7 +86,7 @@
 	s := MemberStatus{Member: m, Age: -1, Voter: slices.Contains(a.options.Voters, m.Name)}
 	if m.Name == a.options.Gossip.Name {
 		s.Epoch = a.node.Plan().Epoch
-		s.Incarnation = a.startedAt.UnixNano()
+		s.ProcessStartedAt = a.startedAt.UnixNano()
 		s.Age = 0
 		s.Fresh = a.node.Fresh()
 		return s
@@ -94,7 +94,7 @@
 	if p, ok := a.node.Peer(m.Name); ok && p.HasStatus {
 		now, _ := a.now()
 		s.Epoch = p.Status.Epoch
-		s.Incarnation = p.StartedAt
+		s.ProcessStartedAt = p.StartedAt
 		s.Age = (now - p.LastStatusAt).Milliseconds()
 		s.Fresh = p.Status.Fresh
 	}
--- a/internal/fleet/agent/tally.go
+++ b/internal/fleet/agent/tally.go
@@ -38,10 +38,10 @@
 	Attempt int
 }
 
-// Tally counts this process's attempts by zone and server, for its reports. An attempt counts as timed out as
+// AttemptCounter counts this process's attempts by zone and server, for its reports. An attempt counts as timed out as
 // soon as it takes much longer than usual, not when a client or deadline gives it up, so that evidence of an
 // outage is early. All methods may be called from any goroutine.
-type Tally struct {
+type AttemptCounter struct {
 	mu          sync.Mutex
 	now         func() time.Time
 	zones       map[string]fleet.AttemptCounts
@@ -64,8 +64,8 @@
 	queued bool // in changed
 }
 
-func newTally(now func() time.Time) *Tally {
-	return &Tally{
+func newTally(now func() time.Time) *AttemptCounter {
+	return &AttemptCounter{
 		now:      now,
 		zones:    map[string]fleet.AttemptCounts{},
 		servers:  map[uint32]*tallyServer{},
@@ -74,14 +74,14 @@
 }
 
 // RequestReceived counts a client's request.
-func (t *Tally) RequestReceived() {
+func (t *AttemptCounter) RequestReceived() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.requests++
 }
 
 // AttemptStarted records that an attempt is in flight.
-func (t *Tally) AttemptStarted(id AttemptID, zone string, server uint32) {
+func (t *AttemptCounter) AttemptStarted(id AttemptID, zone string, server uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.attempts) < maxAttempts {
@@ -90,7 +90,7 @@
 }
 
 // AttemptEnded counts an attempt's outcome. queue and inFlight are the load that the server last reported.
-func (t *Tally) AttemptEnded(id AttemptID, o Outcome, queue, inFlight uint32) {
+func (t *AttemptCounter) AttemptEnded(id AttemptID, o Outcome, queue, inFlight uint32) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	attempt := t.attempts[id]
@@ -136,7 +136,7 @@
 	return c
 }
 
-func (t *Tally) observeLatency(seconds float64) {
+func (t *AttemptCounter) observeLatency(seconds float64) {
 	if t.meanLatency == 0 {
 		t.meanLatency = seconds
 	}
@@ -144,7 +144,7 @@
 }
 
 // add adds to the counters of an attempt's zone and server.
-func (t *Tally) add(attempt *openAttempt, c fleet.AttemptCounts) {
+func (t *AttemptCounter) add(attempt *openAttempt, c fleet.AttemptCounts) {
 	zone := t.zones[attempt.zone]
 	zone.Add(c)
 	t.zones[attempt.zone] = zone
@@ -166,7 +166,7 @@
 }
 
 // serversInFlight are the servers that attempts are in flight to.
-func (t *Tally) serversInFlight() map[uint32]bool {
+func (t *AttemptCounter) serversInFlight() map[uint32]bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	servers := map[uint32]bool{}
@@ -177,12 +177,12 @@
 }
 
 // lateAfter is how long an attempt may take before it counts as timed out.
-func (t *Tally) lateAfter() time.Duration {
+func (t *AttemptCounter) lateAfter() time.Duration {
 	return max(minLateAfter, time.Duration(lateFactor*t.meanLatency*float64(time.Second)))
 }
 
 // countLate counts attempts in flight as timed out once they are late.
-func (t *Tally) countLate() {
+func (t *AttemptCounter) countLate() {
 	now := t.now()
 	limit := t.lateAfter()
 	for _, attempt := range t.attempts {
@@ -195,7 +195,7 @@
 
 // report returns the next report; a full one has the servers that changed, up to MaxReportedServers in turns.
 // Nil: there is nothing to report yet.
-func (t *Tally) report(full bool) *fleet.Report {
+func (t *AttemptCounter) report(full bool) *fleet.Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.countLate()
--- a/internal/fleet/evacuation/command.go
+++ b/internal/fleet/evacuation/command.go
@@ -117,18 +117,18 @@
 // returnByCommand returns an evacuated zone by the recovery ramp, sets a hold, or ends one.
 func returnByCommand(c Command, current *Status, unix int64) (*Status, error) {
 	switch {
-	case c.Hold && current != nil && current.Hold && current.orderedBy(c):
+	case c.Hold && current != nil && current.KeepInService && current.orderedBy(c):
 		return current, nil
 	case c.Hold:
-		return &Status{State: Returning, Since: unix, By: c.By, Reason: c.Reason, Hold: true}, nil
+		return &Status{State: Returning, Since: unix, By: c.By, Reason: c.Reason, KeepInService: true}, nil
 	case current == nil:
 		return nil, fmt.Errorf("zone: %q %w", c.Zone, ErrNotEvacuated)
-	case current.Hold:
+	case current.KeepInService:
 		return nil, nil
 	case current.State == Returning:
 		return current, nil
 	}
-	return &Status{State: Returning, Since: unix, FailedProbes: current.FailedProbes, By: c.By, Reason: c.Reason}, nil
+	return &Status{State: Returning, Since: unix, FailedReturns: current.FailedReturns, By: c.By, Reason: c.Reason}, nil
 }
 
 // orderedBy tells whether a status is the result of the same operator's command for the same reason.
--- a/internal/fleet/evacuation/command_test.go
+++ b/internal/fleet/evacuation/command_test.go
@@ -45,7 +45,7 @@
 	if v, err := call("return", Command{Zone: "a", By: "me", Reason: "done"}); err != nil || v["a"].State != Returning {
 		t.Errorf("%+v, %v", v, err)
 	}
-	if v, err := call("return", Command{Zone: "b", By: "me", Reason: "no", Hold: true}); err != nil || !v["b"].Hold {
+	if v, err := call("return", Command{Zone: "b", By: "me", Reason: "no", Hold: true}); err != nil || !v["b"].KeepInService {
 		t.Errorf("%+v, %v", v, err)
 	}
 	if v, _ := call("return", Command{Zone: "b", By: "me", Reason: "done"}); len(v) != 1 {
@@ -57,10 +57,10 @@
 func TestOperatorsCommandTakesPrecedence(t *testing.T) {
 	sim := newSimulation(8, 3, 2, 20)
 	sim.statuses = Statuses{"a": {State: Evacuated, By: "me", Reason: "so", Since: sim.unix(), Until: sim.unix() + 20_000},
-		"b": {State: Returning, Hold: true, By: "me", Reason: "no", Since: sim.unix()}}
+		"b": {State: Returning, KeepInService: true, By: "me", Reason: "no", Since: sim.unix()}}
 	sim.failing = unhealthyZone("b")
 	sim.run(15 * 1e9)
-	if sim.statuses["a"].State != Evacuated || !sim.statuses["b"].Hold || len(sim.statuses) != 2 {
+	if sim.statuses["a"].State != Evacuated || !sim.statuses["b"].KeepInService || len(sim.statuses) != 2 {
 		t.Errorf("%+v", sim.statuses)
 	}
 	sim.failing = unhealthyZone("")
--- a/internal/fleet/evacuation/evacuate.go
+++ b/internal/fleet/evacuation/evacuate.go
@@ -12,7 +12,7 @@
 	for _, zone := range e.zones {
 		status, ok := e.next[zone]
 		switch {
-		case ok && !status.Hold:
+		case ok && !status.KeepInService:
 			evacuated++
 		case !ok:
 			if v, bad := e.judge(zone, e.changedAt, e.gateways); bad {
@@ -107,7 +107,7 @@
 // evacuatePath evacuates one zone for one scope if the path is cut.
 func (e *evaluation) evacuatePath(s scope, to string) bool {
 	_, settled := e.next.For(s.from, to)
-	if settled || s.from == to || e.next[to].Hold {
+	if settled || s.from == to || e.next[to].KeepInService {
 		return false
 	}
 	v, unhealthy := e.judge(to, e.changedAt, s.gateways)
@@ -125,7 +125,7 @@
 		return false
 	}
 	elsewhere := slices.DeleteFunc(slices.Clone(e.gateways), func(gateway string) bool { return e.homes[gateway] == s.from })
-	others := e.tally(to, v.since, slowFactor, elsewhere)
+	others := e.sumEvidence(to, v.since, slowFactor, elsewhere)
 	if others.served <= 2*others.failed {
 		return false
 	}
--- a/internal/fleet/evacuation/evidence.go
+++ b/internal/fleet/evacuation/evidence.go
@@ -93,8 +93,8 @@
 	}
 }
 
-// tally is what several gateways saw of a zone.
-type tally struct {
+// zoneEvidence is what several gateways saw of a zone.
+type zoneEvidence struct {
 	served      uint64 // attempts
 	failed      uint64 // attempts
 	rejected    uint64 // attempts
@@ -103,9 +103,9 @@
 	slowBy      int    // gateways whose attempts all count as failed, by latency
 }
 
-// tally adds up what gateways saw of a zone since a time. A gateway whose mean latency is above factor times its baseline counts all
+// sumEvidence adds up what gateways saw of a zone since a time. A gateway whose mean latency is above factor times its baseline counts all
 // its attempts as failed.
-func (d *Detector) tally(zone string, since time.Duration, factor float64, gateways []string) (t tally) {
+func (d *Detector) sumEvidence(zone string, since time.Duration, factor float64, gateways []string) (t zoneEvidence) {
 	for _, gateway := range gateways {
 		seen := d.total(path{gateway, zone}, since)
 		t.rejected += seen.rejected
@@ -151,7 +151,7 @@
 }
 
 // String is the text of the evidence in Status.Reason.
-func (t tally) String() string {
+func (t zoneEvidence) String() string {
 	text := fmt.Sprintf("%d of %d fetches ill, by %d of %d gateways", t.failed, t.failed+t.served, t.unhealthyBy, t.unhealthyBy+t.healthyBy)
 	if t.slowBy > 0 {
 		text += fmt.Sprintf(", slow for %d", t.slowBy)
--- a/internal/fleet/evacuation/golden_test.go
+++ b/internal/fleet/evacuation/golden_test.go
@@ -14,8 +14,8 @@
 	"dewhitch/internal/golden"
 )
 
-var goldenVerdicts = Statuses{"hall-a>hall-b": {State: Probing, Since: 1700000000001, FailedProbes: 2, Reason: "ill", Probers: []string{"g1", "g2"},
-	By: "alice", Until: 1700000000003, Hold: true, Probes: 4, Partial: true, AnyRequest: true}}
+var goldenVerdicts = Statuses{"hall-a>hall-b": {State: Probing, Since: 1700000000001, FailedReturns: 2, Reason: "ill", Probers: []string{"g1", "g2"},
+	By: "alice", Until: 1700000000003, KeepInService: true, FailedProbes: 4, Partial: true, AnyRequest: true}}
 
 // TestGoldenVerdicts freezes the section of the plan that voters store and members read, and the page of it that operators read.
 func TestGoldenVerdicts(t *testing.T) {
--- a/internal/fleet/evacuation/probe.go
+++ b/internal/fleet/evacuation/probe.go
@@ -33,8 +33,8 @@
 // together; it is a hash of the status, so that every leader computes the same delay.
 func (d *Detector) probeDelay(key string, status Status) time.Duration {
 	delay := float64(d.cfg.ProbeDelay) *
-		math.Pow(returnBackoff, float64(min(status.FailedProbes, maxReturnBackoff))) *
-		math.Pow(probeBackoff, float64(min(status.Probes, maxProbeBackoff)))
+		math.Pow(returnBackoff, float64(min(status.FailedReturns, maxReturnBackoff))) *
+		math.Pow(probeBackoff, float64(min(status.FailedProbes, maxProbeBackoff)))
 	jitter := float64(xxhash.Sum64String(fmt.Sprint(key, status.Since))%1000) / 1000
 	return time.Duration(min(float64(d.cfg.MaxProbeDelay), delay) * (1 + backoffJitter*jitter))
 }
--- a/internal/fleet/evacuation/selfmonitor.go
+++ b/internal/fleet/evacuation/selfmonitor.go
@@ -50,13 +50,13 @@
 		last-first >= selfMinSpan
 }
 
-// ShouldDrain tells whether the gateway's clients should be sent elsewhere now. evacuated: the fleet has evacuated the servers of its
+// Update tells whether the gateway's clients should be sent elsewhere now. evacuated: the fleet has evacuated the servers of its
 // zone; fresh: its view of the fleet is not older than the lease; turn: its index among the gateways of its zone, which return one
 // after the other.
 //
 // Where the fault is shared by all zones the fleet evacuates none and views stay fresh, so no gateway drains. Without a quorum every
 // gateway may drain, hence the bound selfMaxDrain.
-func (m *SelfMonitor) ShouldDrain(now time.Duration, evacuated, fresh bool, turn int) bool {
+func (m *SelfMonitor) Update(now time.Duration, evacuated, fresh bool, turn int) bool {
 	if !m.drained {
 		if m.isolated() && (evacuated || !fresh) {
 			m.enter(now, true)
--- a/internal/fleet/evacuation/selfmonitor_test.go
+++ b/internal/fleet/evacuation/selfmonitor_test.go
@@ -12,7 +12,7 @@
 		if !drained {
 			o.Observe(*now, served, failed)
 		}
-		drained = o.ShouldDrain(*now, evacuated, fresh, turn)
+		drained = o.Update(*now, evacuated, fresh, turn)
 	}
 	return drained
 }
@@ -46,7 +46,7 @@
 		}
 		runSelfMonitor(o, &now, 4*s, 0, 0, true, true, turn)
 		began := now
-		for o.ShouldDrain(now, false, true, turn) {
+		for o.Update(now, false, true, turn) {
 			now += 200 * time.Millisecond
 		}
 		if elapsed := now - began; elapsed < time.Duration(turn)*selfReturnDelay || elapsed > time.Duration(turn)*selfReturnDelay+2*s {
--- a/internal/fleet/evacuation/status.go
+++ b/internal/fleet/evacuation/status.go
@@ -23,17 +23,17 @@
 // Status is the settled state of a zone's servers, for all gateways or for the gateways of one zone. It is durable as part of the
 // plan; the order of the fields is the order of the encoding.
 type Status struct {
-	State        State    `cbor:"1,keyasint" json:"state"`
-	Since        int64    `cbor:"2,keyasint" json:"since"` // start of this state, Unix ms by the leader's clock
-	FailedProbes int      `cbor:"3,keyasint" json:"fails"` // consecutive returns that failed
-	Reason       string   `cbor:"4,keyasint" json:"why"`   // shown to operators
-	Probers      []string `cbor:"5,keyasint,omitempty" json:"probers,omitempty"`
-	By           string   `cbor:"6,keyasint,omitempty" json:"by,omitempty"`       // the operator; empty: the fleet itself
-	Until        int64    `cbor:"7,keyasint,omitempty" json:"until,omitempty"`    // end of an operator's evacuation, Unix ms; 0: until the return command
-	Hold         bool     `cbor:"8,keyasint,omitempty" json:"hold,omitempty"`     // set by an operator: the fleet does not evacuate the zone
-	Probes       int      `cbor:"9,keyasint,omitempty" json:"probes,omitempty"`   // probes that failed since the evacuation or the last return
-	Partial      bool     `cbor:"11,keyasint,omitempty" json:"partial,omitempty"` // the zone still served some requests when it was evacuated
-	AnyRequest   bool     `cbor:"10,keyasint,omitempty" json:"any,omitempty"`     // probes use requests of any class, as no idempotent ones reached the prober
+	State         State    `cbor:"1,keyasint" json:"state"`
+	Since         int64    `cbor:"2,keyasint" json:"since"` // start of this state, Unix ms by the leader's clock
+	FailedReturns int      `cbor:"3,keyasint" json:"fails"` // consecutive returns that failed
+	Reason        string   `cbor:"4,keyasint" json:"why"`   // shown to operators
+	Probers       []string `cbor:"5,keyasint,omitempty" json:"probers,omitempty"`
+	By            string   `cbor:"6,keyasint,omitempty" json:"by,omitempty"`       // the operator; empty: the fleet itself
+	Until         int64    `cbor:"7,keyasint,omitempty" json:"until,omitempty"`    // end of an operator's evacuation, Unix ms; 0: until the return command
+	KeepInService bool     `cbor:"8,keyasint,omitempty" json:"hold,omitempty"`     // set by an operator: the fleet does not evacuate the zone
+	FailedProbes  int      `cbor:"9,keyasint,omitempty" json:"probes,omitempty"`   // probes that failed since the evacuation or the last return
+	Partial       bool     `cbor:"11,keyasint,omitempty" json:"partial,omitempty"` // the zone still served some requests when it was evacuated
+	AnyRequest    bool     `cbor:"10,keyasint,omitempty" json:"any,omitempty"`     // probes use requests of any class, as no idempotent ones reached the prober
 }
 
 // Statuses holds every settled status by key: the zone of the servers, or "FROM>TO" for the gateways of zone FROM alone.
@@ -43,7 +43,7 @@
 // false when the zone is in service or held by an operator.
 func (v Statuses) For(from, to string) (Status, bool) {
 	if status, ok := v[to]; ok {
-		return status, !status.Hold // an operator's hold covers the paths to the zone as well
+		return status, !status.KeepInService // an operator's hold covers the paths to the zone as well
 	}
 	status, ok := v[pathKey(from, to)]
 	return status, ok
@@ -89,13 +89,13 @@
 func equal(a, b Status) bool {
 	return a.State == b.State &&
 		a.Since == b.Since &&
+		a.FailedReturns == b.FailedReturns &&
 		a.FailedProbes == b.FailedProbes &&
-		a.Probes == b.Probes &&
 		a.AnyRequest == b.AnyRequest &&
 		a.Partial == b.Partial &&
 		a.Reason == b.Reason &&
 		a.By == b.By &&
 		a.Until == b.Until &&
-		a.Hold == b.Hold &&
+		a.KeepInService == b.KeepInService &&
 		slices.Equal(a.Probers, b.Probers)
 }
--- a/internal/fleet/evacuation/transition.go
+++ b/internal/fleet/evacuation/transition.go
@@ -26,7 +26,7 @@
 func (e *evaluation) advance() {
 	for _, key := range slices.Sorted(maps.Keys(e.next)) {
 		status := e.next[key]
-		if status.Hold {
+		if status.KeepInService {
 			continue
 		}
 		s := e.subject(key, status)
@@ -66,11 +66,11 @@
 	rest, saturated := e.saturated(e.zones, e.next, s.scope)
 	if saturated && s.status.State != Returning {
 		e.next[s.key] = Status{
-			State:        Returning,
-			Since:        e.unix,
-			FailedProbes: s.status.FailedProbes,
-			Partial:      true,
-			Reason:       fmt.Sprintf("the rest can't bear it: %d of %d turned away", rest.rejected, rest.rejected+rest.served),
+			State:         Returning,
+			Since:         e.unix,
+			FailedReturns: s.status.FailedReturns,
+			Partial:       true,
+			Reason:        fmt.Sprintf("the rest can't bear it: %d of %d turned away", rest.rejected, rest.rejected+rest.served),
 		}
 	}
 	return saturated
@@ -81,44 +81,45 @@
 	if !e.mayProbe(s) {
 		return
 	}
-	probers := e.chooseProber(s, s.status.FailedProbes+s.status.Probes)
+	probers := e.chooseProber(s, s.status.FailedReturns+s.status.FailedProbes)
 	if len(probers) == 0 {
 		return
 	}
 	e.next[s.key] = Status{
-		State:        Probing,
-		Since:        e.unix,
-		FailedProbes: s.status.FailedProbes,
-		Probes:       s.status.Probes,
-		Reason:       s.status.Reason,
-		Probers:      probers,
-		Partial:      s.status.Partial,
+		State:         Probing,
+		Since:         e.unix,
+		FailedReturns: s.status.FailedReturns,
+		FailedProbes:  s.status.FailedProbes,
+		Reason:        s.status.Reason,
+		Probers:       probers,
+		Partial:       s.status.Partial,
 	}
 }
 
-// endProbe settles a probe: enough attempts served, the zone returns; two failed, it stays evacuated; neither in time, or the prober
-// lost, another gateway probes.
+// endProbe settles a probe. Enough served (probeMinServed, and probeServedFactor for each failure), or at ProbeTimeout any served and
+// none failed: the zone returns. More than probeMaxFailed failed: it is evacuated again. Otherwise at ProbeTimeout, or if the prober is
+// gone: another gateway probes.
 func (e *evaluation) endProbe(s subject) {
-	seen := e.tally(s.zone, s.since+bucketSpan, slowFactor, s.status.Probers)
+	seen := e.sumEvidence(s.zone, s.since+bucketSpan, slowFactor, s.status.Probers)
 	expired := s.age > e.cfg.ProbeTimeout
 	enough := seen.served >= probeMinServed && seen.served >= probeServedFactor*seen.failed
 	switch {
 	case enough, expired && seen.served > 0 && seen.failed == 0:
 		e.next[s.key] = Status{
-			State:        Returning,
-			Since:        e.unix,
-			FailedProbes: s.status.FailedProbes,
-			Partial:      s.status.Partial,
-			Reason:       "a probe: " + seen.String(),
+			State:         Returning,
+			Since:         e.unix,
+			FailedReturns: s.status.FailedReturns,
+			Partial:       s.status.Partial,
+			Reason:        "a probe: " + seen.String(),
 		}
 	case seen.failed > probeMaxFailed:
 		e.next[s.key] = Status{
-			State:        Evacuated,
-			Since:        e.unix,
-			FailedProbes: s.status.FailedProbes,
-			Probes:       s.status.Probes + 1,
-			Reason:       "a probe: " + seen.String(),
-			Partial:      s.status.Partial,
+			State:         Evacuated,
+			Since:         e.unix,
+			FailedReturns: s.status.FailedReturns,
+			FailedProbes:  s.status.FailedProbes + 1,
+			Reason:        "a probe: " + seen.String(),
+			Partial:       s.status.Partial,
 		}
 	case expired || !slices.ContainsFunc(s.status.Probers, e.alive):
 		e.moveProbe(s, expired)
@@ -133,14 +134,14 @@
 		return
 	}
 	e.next[s.key] = Status{
-		State:        Probing,
-		Since:        e.unix,
-		FailedProbes: s.status.FailedProbes,
-		Probes:       s.status.Probes,
-		Reason:       s.status.Reason,
-		Probers:      probers,
-		AnyRequest:   s.status.AnyRequest || expired,
-		Partial:      s.status.Partial,
+		State:         Probing,
+		Since:         e.unix,
+		FailedReturns: s.status.FailedReturns,
+		FailedProbes:  s.status.FailedProbes,
+		Reason:        s.status.Reason,
+		Probers:       probers,
+		AnyRequest:    s.status.AnyRequest || expired,
+		Partial:       s.status.Partial,
 	}
 }
 
@@ -151,11 +152,11 @@
 	switch {
 	case unhealthy:
 		e.next[s.key] = Status{
-			State:        Evacuated,
-			Since:        e.unix,
-			FailedProbes: s.status.FailedProbes + 1,
-			Reason:       "ill on its return: " + v.String(),
-			Partial:      v.partial(),
+			State:         Evacuated,
+			Since:         e.unix,
+			FailedReturns: s.status.FailedReturns + 1,
+			Reason:        "ill on its return: " + v.String(),
+			Partial:       v.partial(),
 		}
 	case s.age > 2*e.cfg.RecoveryTime:
 		delete(e.next, s.key)
--- a/internal/fleet/evacuation/verdict.go
+++ b/internal/fleet/evacuation/verdict.go
@@ -4,7 +4,7 @@
 
 // verdict is the evidence against a zone.
 type verdict struct {
-	tally
+	zoneEvidence
 	since time.Duration // start of the window that was decisive
 }
 
@@ -13,7 +13,7 @@
 func (d *Detector) judge(zone string, since time.Duration, gateways []string) (v verdict, unhealthy bool) {
 	for _, window := range d.cfg.Windows {
 		v.since = max(d.now-window, since)
-		v.tally = d.tally(zone, v.since, slowFactor, gateways)
+		v.zoneEvidence = d.sumEvidence(zone, v.since, slowFactor, gateways)
 		if v.unhealthy(len(gateways)) {
 			return v, true
 		}
@@ -23,7 +23,7 @@
 
 // unhealthy tells whether what a number of gateways saw is enough against a zone: minFailed attempts, half of all, and a quorum of
 // the gateways that saw the zone, so that the fault of one gateway or its path is not taken for one of the zone.
-func (t tally) unhealthy(gateways int) bool {
+func (t zoneEvidence) unhealthy(gateways int) bool {
 	if t.slowBy > 0 && t.failed < minSlowFailed {
 		return false // a few slow answers are within the noise
 	}
@@ -34,16 +34,16 @@
 }
 
 // partial tells whether an unhealthy zone still serves some requests.
-func (t tally) partial() bool { return t.slowBy > 0 || 2*t.served >= t.failed }
+func (t zoneEvidence) partial() bool { return t.slowBy > 0 || 2*t.served >= t.failed }
 
 // saturated tells whether the zones that a scope sends to reject requests, by the longest window.
-func (d *Detector) saturated(zones []string, statuses Statuses, s scope) (rest tally, saturated bool) {
+func (d *Detector) saturated(zones []string, statuses Statuses, s scope) (rest zoneEvidence, saturated bool) {
 	since := d.now - d.cfg.Windows[len(d.cfg.Windows)-1]
 	for _, zone := range zones {
 		if statuses.avoids(s.from, zone) {
 			continue
 		}
-		t := d.tally(zone, since, neverSlow, s.gateways)
+		t := d.sumEvidence(zone, since, neverSlow, s.gateways)
 		rest.served += t.served
 		rest.rejected += t.rejected
 	}
@@ -62,12 +62,12 @@
 	if v.slowBy == 0 {
 		factor = neverSlow // the load of a zone that answers nothing has moved, and makes the others slow
 	}
-	var rest tally
+	var rest zoneEvidence
 	for _, zone := range e.zones {
 		if excluded(zone) || e.next.avoids(s.from, zone) {
 			continue
 		}
-		t := e.tally(zone, v.since, factor, s.gateways)
+		t := e.sumEvidence(zone, v.since, factor, s.gateways)
 		rest.served += t.served
 		rest.failed += t.failed
 	}
--- a/internal/fleet/generation.go
+++ b/internal/fleet/generation.go
@@ -34,7 +34,7 @@
 // recentVoterStatus returns the status of a configured voter; false unless it is recent.
 func (n *Node) recentVoterStatus(name string) (Status, bool) {
 	if name == n.config.Name {
-		return n.Self(), n.identity != nil && n.replacement == nil
+		return n.Self(), n.voterHeader != nil && n.replacement == nil
 	}
 	p := n.peers.byName[name]
 	if p == nil || !p.HasStatus || n.now-p.LastStatusAt > statusFreshFor || p.Status.Identity == 0 {
@@ -143,7 +143,7 @@
 	number := n.generationStart.number
 	n.generationStart.number = 0
 	first := Plan{Epoch: Epoch{number, 1}, Sections: newest.Sections}
-	n.restartVoter(newGenerationState(n.identity.Identity, number, first))
+	n.replaceVoter(newGenerationState(n.voterHeader.Identity, number, first))
 	n.leader = n.config.Name
 	n.leaderHeardAt = n.now
 	n.afterReplacement = append(n.afterReplacement, func() {
@@ -184,17 +184,17 @@
 // handlePromiseRequest promises a generation if it is newer than any held or promised, and this voter holds
 // no log or sees for itself that none can commit. The promise is sent once it is stored.
 func (n *Node) handlePromiseRequest(from string, number uint64) {
-	if number < n.identity.Promised || n.identity.Generation >= number {
+	if number < n.voterHeader.Promised || n.voterHeader.Generation >= number {
 		return
 	}
 	promise := func() {
 		n.send(from, envelope{Generation: &generationMessage{Generation: number, Promise: true, Plan: &n.plan}})
 	}
-	if number == n.identity.Promised && n.identity.Generation == 0 {
+	if number == n.voterHeader.Promised && n.voterHeader.Generation == 0 {
 		promise() // again, as the first one may have been lost
 		return
 	}
-	if n.identity.Generation != 0 {
+	if n.voterHeader.Generation != 0 {
 		if _, lost := n.quorumLost(); !lost {
 			return
 		}
--- a/internal/fleet/log.go
+++ b/internal/fleet/log.go
@@ -12,16 +12,16 @@
 // resetVoter turns the voter into one that has never voted, under a new identity, and that ignores
 // generations older than promised.
 func (n *Node) resetVoter(promised uint64) {
-	n.restartVoter(&VoterState{Identity: n.rng.Uint64()>>1 | 1, Promised: promised})
+	n.replaceVoter(&VoterState{Identity: n.rng.Uint64()>>1 | 1, Promised: promised})
 }
 
-// restartVoter has the voter go on from a state, once that is stored.
-func (n *Node) restartVoter(s *VoterState) {
+// replaceVoter has the voter go on from a state, once that is stored.
+func (n *Node) replaceVoter(s *VoterState) {
 	v, err := newVoter(s, n.rng)
 	if err != nil {
 		panic("fleet: " + err.Error()) // only a stored state can be invalid, and this one was made here
 	}
-	n.identity = s.withoutLog()
+	n.voterHeader = s.withoutLog()
 	n.voter = v
 	n.replacement = s
 	n.afterReplacement = nil
@@ -58,14 +58,14 @@
 
 // handleRaft passes a message of the log to the voter, if it is for its present identity and generation.
 func (n *Node) handleRaft(m *raftMessage) {
-	if !n.voterActive() || m.To != n.identity.Identity || m.Generation < n.identity.Promised {
+	if !n.voterActive() || m.To != n.voterHeader.Identity || m.Generation < n.voterHeader.Promised {
 		return
 	}
-	if n.identity.Generation == 0 { // a leader adds this voter: join its generation; the leader sends the message again
-		n.restartVoter(&VoterState{Identity: n.identity.Identity, Generation: m.Generation, Promised: m.Generation})
+	if n.voterHeader.Generation == 0 { // a leader adds this voter: join its generation; the leader sends the message again
+		n.replaceVoter(&VoterState{Identity: n.voterHeader.Identity, Generation: m.Generation, Promised: m.Generation})
 		return
 	}
-	if m.Generation != n.identity.Generation {
+	if m.Generation != n.voterHeader.Generation {
 		return
 	}
 	var r raftpb.Message
--- a/internal/fleet/maintenance/command.go
+++ b/internal/fleet/maintenance/command.go
@@ -192,9 +192,9 @@
 
 // add appends a request. Its machines are no longer off for good.
 func (b *Schedule) add(c Command, unix int64) {
-	b.Next++
+	b.LastID++
 	r := Request{
-		ID:          b.Next,
+		ID:          b.LastID,
 		Key:         c.Key,
 		By:          c.By,
 		Reason:      c.Reason,
@@ -255,7 +255,7 @@
 			continue
 		}
 		switch {
-		case m.State == Free || m.onHoldAfterTurn():
+		case m.State == Released || m.onHoldAfterTurn():
 			b.endWork(r, m, unix, "done, says "+c.By)
 			completed = true
 		case named && m.State != Returned && m.State != Done:
--- a/internal/fleet/maintenance/forecast.go
+++ b/internal/fleet/maintenance/forecast.go
@@ -111,7 +111,7 @@
 			if age >= forecastAckTime {
 				f.acknowledged[m.Name] = m.Turn
 			}
-		case Free:
+		case Released:
 			f.workOn(r, m, age)
 		case Returned:
 			if f.now%forecastInterval == 0 {
--- a/internal/fleet/maintenance/health.go
+++ b/internal/fleet/maintenance/health.go
@@ -25,7 +25,7 @@
 func (e *evaluation) proveGateway(m *Machine, g Member) {
 	age := e.age(m)
 	switch {
-	case g.Reachable && g.Fresh && g.Incarnation != m.Incarnation && age >= e.cfg.MinHealthyTime:
+	case g.Reachable && g.Fresh && g.ProcessStartedAt != m.ProcessStartedAt && age >= e.cfg.MinHealthyTime:
 		m.enter(Done, e.unix, "")
 	case age > e.cfg.ReturnTimeout:
 		m.enter(OnHold, e.unix, "no new process of it is in the fleet: look at it, then resume")
--- a/internal/fleet/maintenance/schedule.go
+++ b/internal/fleet/maintenance/schedule.go
@@ -29,7 +29,7 @@
 const (
 	Waiting   State = ""          // in service, until the machine's turn
 	Announced State = "announced" // gateways that have acknowledged the turn send nothing new to the machine
-	Free      State = "free"      // no gateway sends to the machine; maintenance may begin
+	Released  State = "free"      // no gateway sends to the machine; maintenance may begin
 	Returned  State = "back"      // in service again, until it has proved its health
 	OnHold    State = "held"      // an operator has to decide
 	Done      State = "done"
@@ -56,13 +56,13 @@
 
 // Machine is one machine of a request.
 type Machine struct {
-	Name        string `cbor:"1,keyasint" json:"name"`
-	State       State  `cbor:"2,keyasint,omitempty" json:"state,omitempty"`
-	Since       int64  `cbor:"3,keyasint,omitempty" json:"since,omitempty"` // start of this state, Unix ms
-	Until       int64  `cbor:"4,keyasint,omitempty" json:"until,omitempty"` // end of Free, Unix ms
-	Turn        uint64 `cbor:"5,keyasint,omitempty" json:"turn,omitempty"`  // number of the announcement; an acknowledgement of another one does not count
-	Note        string `cbor:"6,keyasint,omitempty" json:"note,omitempty"`  // why it waits and for which gateways, for operators
-	Incarnation int64  `cbor:"7,keyasint,omitempty" json:"life,omitempty"`  // of a gateway: the process that was announced; a different one has returned
+	Name             string `cbor:"1,keyasint" json:"name"`
+	State            State  `cbor:"2,keyasint,omitempty" json:"state,omitempty"`
+	Since            int64  `cbor:"3,keyasint,omitempty" json:"since,omitempty"` // start of this state, Unix ms
+	Until            int64  `cbor:"4,keyasint,omitempty" json:"until,omitempty"` // end of Free, Unix ms
+	Turn             uint64 `cbor:"5,keyasint,omitempty" json:"turn,omitempty"`  // number of the announcement; an acknowledgement of another one does not count
+	Note             string `cbor:"6,keyasint,omitempty" json:"note,omitempty"`  // why it waits and for which gateways, for operators
+	ProcessStartedAt int64  `cbor:"7,keyasint,omitempty" json:"life,omitempty"`  // of a gateway: the process that was announced; a different one has returned
 }
 
 // enter changes the state of the machine.
@@ -74,7 +74,7 @@
 
 // withdrawn tells whether nothing new may be sent to the machine.
 func (m *Machine) withdrawn() bool {
-	return m.State == Announced || m.State == Free || m.onHoldAfterTurn()
+	return m.State == Announced || m.State == Released || m.onHoldAfterTurn()
 }
 
 // out tells whether the machine is withdrawn, or has returned and not proved its health yet.
@@ -129,8 +129,8 @@
 
 // Schedule is the section of the plan. It is durable as part of it.
 type Schedule struct {
-	Next     uint64           `cbor:"1,keyasint" json:"next"`  // last ID that was given to a request
-	Turns    uint64           `cbor:"2,keyasint" json:"turns"` // last number that was given to an announcement
+	LastID   uint64           `cbor:"1,keyasint" json:"next"`  // last ID that was given to a request
+	LastTurn uint64           `cbor:"2,keyasint" json:"turns"` // last number that was given to an announcement
 	Requests []Request        `cbor:"3,keyasint" json:"requests"`
 	Roster   map[string]int64 `cbor:"4,keyasint" json:"roster"` // gateways that may send to servers, and since when they are known, Unix ms
 	Off      []string         `cbor:"5,keyasint" json:"off"`    // machines that were taken out for good
--- a/internal/fleet/maintenance/scheduler.go
+++ b/internal/fleet/maintenance/scheduler.go
@@ -15,23 +15,23 @@
 
 // Member is a gateway, as the leader knows it.
 type Member struct {
-	Left        bool // it shut down gracefully, and sends nothing any more
-	Reachable   bool // it reported within the lease
-	Fresh       bool // its view of the fleet is not older than the lease
-	Zone        string
-	Voter       bool
-	Leader      bool
-	Incarnation int64             // start of its process
-	Withdrawn   map[string]uint64 // machines that it has no attempt open to and sends nothing new, with the turn that it acknowledges
+	Left             bool // it shut down gracefully, and sends nothing any more
+	Reachable        bool // it reported within the lease
+	Fresh            bool // its view of the fleet is not older than the lease
+	Zone             string
+	Voter            bool
+	Leader           bool
+	ProcessStartedAt int64             // start of its process
+	Withdrawn        map[string]uint64 // machines that it has no attempt open to and sends nothing new, with the turn that it acknowledges
 }
 
 // Observations are what the leader observes of the fleet.
 type Observations struct {
-	Servers   map[string]Server // by name
-	Members   map[string]Member // by name, all that the leader ever heard of
-	ZonesOut  []string          // zones that are evacuated, probed or returning
-	Saturated bool              // servers reject requests
-	Rate      float64           // attempts a second, of all gateways
+	Servers           map[string]Server // by name
+	Members           map[string]Member // by name, all that the leader ever heard of
+	ZonesNotInService []string          // zones that are evacuated, probed or returning
+	Saturated         bool              // servers reject requests
+	Rate              float64           // attempts a second, of all gateways
 }
 
 // Config bounds what may be out at once.
@@ -156,15 +156,15 @@
 	inUse := 0
 	withdrawn := e.schedule.Withdrawn()
 	for name, v := range e.observed.Servers {
-		if _, out := withdrawn[name]; v.Ready && !out && !slices.Contains(e.observed.ZonesOut, v.Zone) {
+		if _, out := withdrawn[name]; v.Ready && !out && !slices.Contains(e.observed.ZonesNotInService, v.Zone) {
 			inUse++
 		}
 	}
-	faultless := !e.observed.Saturated && len(e.observed.ZonesOut) == 0
+	faultless := !e.observed.Saturated && len(e.observed.ZonesNotInService) == 0
 	e.recordLoad(e.now, e.observed.Rate/float64(max(1, inUse)), faultless)
 	switch {
-	case len(e.observed.ZonesOut) > 0:
-		e.fault = "zone " + strings.Join(e.observed.ZonesOut, ", ") + " is out or returning"
+	case len(e.observed.ZonesNotInService) > 0:
+		e.fault = "zone " + strings.Join(e.observed.ZonesNotInService, ", ") + " is out or returning"
 	case e.observed.Saturated:
 		e.fault = "servers turn reqs away"
 	}
--- a/internal/fleet/maintenance/scheduler_test.go
+++ b/internal/fleet/maintenance/scheduler_test.go
@@ -30,7 +30,7 @@
 	for i := range 6 {
 		name := fmt.Sprint("g", i)
 		all = append(all, name)
-		f.Members[name] = Member{Reachable: true, Fresh: true, Zone: string(rune('a' + i%3)), Voter: i < 3, Leader: i == 1, Incarnation: 1}
+		f.Members[name] = Member{Reachable: true, Fresh: true, Zone: string(rune('a' + i%3)), Voter: i < 3, Leader: i == 1, ProcessStartedAt: 1}
 	}
 	c := Command{By: "ann", Reason: "release", Key: "k", Kind: Restart, ForMS: 60_000, Machines: all}
 	if err := submitRequest(&b, c, 0); err != nil {
@@ -46,11 +46,11 @@
 			case Announced:
 				g.Withdrawn = map[string]uint64{m.Name: m.Turn} // it has no clients
 				out++
-			case Free:
-				if g.Incarnation == 1 {
+			case Released:
+				if g.ProcessStartedAt == 1 {
 					order = append(order, m.Name)
 				}
-				g = Member{Reachable: true, Fresh: true, Zone: g.Zone, Voter: g.Voter, Leader: g.Leader, Incarnation: 2, Withdrawn: g.Withdrawn}
+				g = Member{Reachable: true, Fresh: true, Zone: g.Zone, Voter: g.Voter, Leader: g.Leader, ProcessStartedAt: 2, Withdrawn: g.Withdrawn}
 				f.Members[m.Name] = g
 				if err := completeWork(&b, Command{ID: 1, Machines: []string{m.Name}}, 1_700_000_000_000+now.Milliseconds()); err != nil {
 					t.Fatal(err)
@@ -95,7 +95,7 @@
 	}
 	delete(sim.gateways, "g2")
 	sim.run(2 * time.Second)
-	if m := sim.schedule.Requests[1].Machines[0]; m.State != Free {
+	if m := sim.schedule.Requests[1].Machines[0]; m.State != Released {
 		t.Errorf("%+v", m)
 	}
 }
@@ -204,10 +204,10 @@
 		t.Error("done before it is free")
 	}
 	sim.run(3 * time.Second)
-	if sim.schedule.Requests[0].Machines[0].State != Free {
+	if sim.schedule.Requests[0].Machines[0].State != Released {
 		t.Fatalf("%+v", sim.schedule.Requests[0])
 	}
-	if err := sim.call(cancelRequest, Command{ID: 1}); err != nil || sim.schedule.Requests[0].Machines[0].State != Free {
+	if err := sim.call(cancelRequest, Command{ID: 1}); err != nil || sim.schedule.Requests[0].Machines[0].State != Released {
 		t.Errorf("a free machine is cancelled: %+v %v", sim.schedule.Requests[0], err)
 	}
 	sim.submit("gone", Off, "s-b1")
--- a/internal/fleet/maintenance/simulation_test.go
+++ b/internal/fleet/maintenance/simulation_test.go
@@ -79,7 +79,7 @@
 	free := map[string]bool{}
 	for _, r := range sim.schedule.Requests {
 		for _, m := range r.Machines {
-			if m.State == Free {
+			if m.State == Released {
 				free[m.Name] = true
 			}
 		}
@@ -115,7 +115,7 @@
 			}
 		}
 	}
-	f := Observations{Servers: sim.servers, Members: map[string]Member{}, ZonesOut: sim.zonesOut, Saturated: sim.rejecting, Rate: sim.rate}
+	f := Observations{Servers: sim.servers, Members: map[string]Member{}, ZonesNotInService: sim.zonesOut, Saturated: sim.rejecting, Rate: sim.rate}
 	for name, g := range sim.gateways {
 		f.Members[name] = Member{Reachable: g.stalled <= sim.now, Withdrawn: g.acknowledged}
 	}
@@ -128,10 +128,10 @@
 		r := &sim.schedule.Requests[i]
 		for j := range r.Machines {
 			m := &r.Machines[j]
-			if m.State == Announced || m.State == Free {
+			if m.State == Announced || m.State == Released {
 				out++
 			}
-			if m.State != Free {
+			if m.State != Released {
 				continue
 			}
 			if !free[m.Name] {
--- a/internal/fleet/maintenance/transition.go
+++ b/internal/fleet/maintenance/transition.go
@@ -19,7 +19,7 @@
 		switch m.State {
 		case Announced:
 			e.release(r, m)
-		case Free:
+		case Released:
 			e.expire(r, m)
 		case Returned:
 			e.proveHealth(m)
@@ -43,7 +43,7 @@
 		m.Note = "waits for " + strings.Join(missing, ", ")
 		return
 	}
-	m.enter(Free, e.unix, "")
+	m.enter(Released, e.unix, "")
 	m.Until = e.unix + r.ForMS
 }
 
@@ -126,8 +126,8 @@
 
 // announce begins the turn of a machine.
 func (e *evaluation) announce(m *Machine) {
-	e.schedule.Turns++
+	e.schedule.LastTurn++
 	m.enter(Announced, e.unix, "")
-	m.Turn = e.schedule.Turns
-	m.Incarnation = e.observed.Members[m.Name].Incarnation
+	m.Turn = e.schedule.LastTurn
+	m.ProcessStartedAt = e.observed.Members[m.Name].ProcessStartedAt
 }
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -23,7 +23,7 @@
 	Incarnation               uint64        // random; orders two processes of one name that started in the same nanosecond
 	Seed                      uint64        // of all random draws, together with Incarnation
 	Tick                      time.Duration // of the log's clock
-	Status                    time.Duration // minimum interval between two statuses
+	StatusInterval            time.Duration // minimum interval between two statuses
 	Lease                     time.Duration // how long a confirmation or grant by the leader holds, from the status it answers
 	Commands                  map[string]CommandHandler
 
@@ -67,7 +67,7 @@
 
 	// The voter's part of the log. All are nil at a member that is no voter.
 	voter            *voter
-	identity         *VoterState // Identity, Generation and Promised only
+	voterHeader      *VoterState // Identity, Generation and Promised only
 	replacement      *VoterState // must replace the stored state before the voter does anything
 	afterReplacement []func()    // run once replacement is stored
 	generationStart  generationStart
@@ -113,7 +113,7 @@
 		n.resetVoter(0)
 		return n, nil
 	}
-	n.identity = saved.withoutLog()
+	n.voterHeader = saved.withoutLog()
 	var err error
 	if n.voter, err = newVoter(saved, n.rng); err != nil {
 		return nil, err
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -338,7 +338,7 @@
 	f.Add([]byte(encode(envelope{Version: wireVersion, Fleet: "test", From: "m00", Status: &Status{Zone: "a"}})))
 	f.Add([]byte(encode(envelope{Version: wireVersion, Fleet: "test", From: "m01", Raft: &raftMessage{1, 2, []byte("x")}})))
 	f.Fuzz(func(t *testing.T, b []byte) {
-		n, err := New(Config{Fleet: "test", Name: "m00", Voters: []string{"m00", "m01"}, Tick: simTick, Status: simStatus, Lease: simLease}, nil)
+		n, err := New(Config{Fleet: "test", Name: "m00", Voters: []string{"m00", "m01"}, Tick: simTick, StatusInterval: simStatus, Lease: simLease}, nil)
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/fleet/reconfigure.go
+++ b/internal/fleet/reconfigure.go
@@ -47,7 +47,7 @@
 
 // identityOwners maps identities in the log to members' names, by the plan.
 func (n *Node) identityOwners() map[uint64]string {
-	owners := map[uint64]string{n.identity.Identity: n.config.Name}
+	owners := map[uint64]string{n.voterHeader.Identity: n.config.Name}
 	for name, id := range n.voter.plan.voters() {
 		if owners[id] == "" {
 			owners[id] = name
--- a/internal/fleet/sim_test.go
+++ b/internal/fleet/sim_test.go
@@ -94,15 +94,15 @@
 	}
 	for i := range members {
 		m := &member{index: i, config: Config{
-			Fleet:    "test",
-			Name:     fmt.Sprintf("m%02d", i),
-			Zone:     string(rune('a' + i%3)),
-			Voters:   s.voters,
-			Seed:     seed + uint64(i),
-			Tick:     simTick,
-			Status:   simStatus,
-			Lease:    simLease,
-			Commands: map[string]CommandHandler{"freeze": freezeAlways},
+			Fleet:          "test",
+			Name:           fmt.Sprintf("m%02d", i),
+			Zone:           string(rune('a' + i%3)),
+			Voters:         s.voters,
+			Seed:           seed + uint64(i),
+			Tick:           simTick,
+			StatusInterval: simStatus,
+			Lease:          simLease,
+			Commands:       map[string]CommandHandler{"freeze": freezeAlways},
 		}}
 		s.members = append(s.members, m)
 	}
@@ -372,7 +372,7 @@
 			n.Fresh(), m.down, n.fenced)
 		if v := n.voter; v != nil {
 			s.t.Logf("  %x, generation %d, promised %d, conf %x/%x, lead %x, term %d, %v, starting generation %d, replacement %v, pending %v", v.identity,
-				v.generation, n.identity.Promised, v.confState.GetVoters(), v.confState.GetVotersOutgoing(), v.leader, v.term,
+				v.generation, n.voterHeader.Promised, v.confState.GetVoters(), v.confState.GetVotersOutgoing(), v.leader, v.term,
 				v.raftNode.BasicStatus().RaftState, n.generationStart.number, n.replacement != nil, v.pendingReady != nil)
 		}
 	}
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -20,10 +20,10 @@
 		Leader:   n.leader,
 		GrantSeq: n.lease.grantSeq,
 	}
-	if n.identity != nil && n.replacement == nil {
-		s.Identity = n.identity.Identity
-		s.Generation = n.identity.Generation
-		s.Promised = n.identity.Promised
+	if n.voterHeader != nil && n.replacement == nil {
+		s.Identity = n.voterHeader.Identity
+		s.Generation = n.voterHeader.Generation
+		s.Promised = n.voterHeader.Promised
 		s.Term = n.voter.term
 		s.Voters = n.voter.confState.GetVoters()
 		s.OutgoingVoters = n.voter.confState.GetVotersOutgoing()
@@ -34,7 +34,7 @@
 // nextStatusAfter is when the status after one at now is due. A voter's coincides with a tick of the log, to
 // save a wakeup.
 func (n *Node) nextStatusAfter(now time.Duration) time.Duration {
-	next := now + max(n.config.Status, time.Duration(len(n.peers.byName))*statusPerPeer)
+	next := now + max(n.config.StatusInterval, time.Duration(len(n.peers.byName))*statusPerPeer)
 	if n.voter != nil {
 		tick := n.config.Tick
 		next = n.lastLogTick + (next-n.lastLogTick+tick/2)/tick*tick
--- a/internal/front/reader.go
+++ b/internal/front/reader.go
@@ -12,7 +12,7 @@
 // How long a session waits for its client.
 const (
 	readBuffer      = 2 << 10                 // bytes
-	helloTime       = 1500 * time.Millisecond // from the connection to the first byte
+	firstByteTime   = 1500 * time.Millisecond // from the connection to the first byte
 	byteTime        = 2500 * time.Millisecond // between two bytes of a command: a client may send a head for 2 s
 	commandTime     = 10 * time.Second        // from a command's first byte to its last
 	idleTime        = 5 * time.Second         // between two commands: a client can reconnect
@@ -134,7 +134,7 @@
 
 // awaitCommand waits for the first byte of a command. The wait is bounded, as idle clients must not take the places of others.
 func (s *session) awaitCommand(r *resp.Reader) error {
-	for limit := helloTime; r.Buffered() == 0; {
+	for limit := firstByteTime; r.Buffered() == 0; {
 		if s.commandsRead > 0 {
 			limit = idleTime
 		}
--- a/internal/ledger/counts.go
+++ b/internal/ledger/counts.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// Less is what these figures are beyond earlier ones.
-func (c *Counts) Less(o *Counts) (d Counts) {
+// Minus is what these figures are beyond earlier ones.
+func (c *Counts) Minus(o *Counts) (d Counts) {
 	for e, n := range c.N {
 		d.N[e] = n - o.N[e]
 	}
--- a/internal/ledger/posting.go
+++ b/internal/ledger/posting.go
@@ -10,7 +10,7 @@
 	Event Event
 	Key   Key
 	Ref   uint64 // of the request or of the call, the same in all books; 0: of neither
-	Units int64  // in millionths; of FrontKeyed, a hash
+	Units int64  // in millionths; of FrontIdempotencyKey, a hash
 	At    int64  // Unix time in nanoseconds
 	Wait  uint16 // of FrontTaken: for how many seconds more its client waits, rounded up
 }
--- a/internal/ledger/recorder/audit.go
+++ b/internal/ledger/recorder/audit.go
@@ -12,17 +12,17 @@
 	if visit == nil {
 		return
 	}
-	rec.enterNow()                                          // here, so that little is left to do on the planner
+	rec.drainQueueNow()                                     // here, so that little is left to do on the planner
 	_ = (*visit)(func(tally func(uint64) (float64, bool)) { // a planner that has stopped has no tallies
 		rec.mu.Lock()
-		rec.enter(nil)
+		rec.drainQueue(nil)
 		keys := rec.ledger.Accounts()
 		for _, k := range keys {
 			rec.readAccounts[k] = true
 		}
 		found, forgotten := rec.ledger.AuditAccounts(keys, tally)
 		rec.accountMismatches = append(rec.accountMismatches, found...)
-		rec.mu.Unlock() // Danger: whoever posts may have to book the queue, which takes the lock
+		rec.mu.Unlock() // before Post, which may have to enter the queue and takes the lock
 		for _, p := range forgotten {
 			rec.Post(p)
 		}
@@ -55,7 +55,7 @@
 // mismatches books what waits and audits the books: all rows, or those that have changed and those with an alarm. The lock mu is
 // held.
 func (rec *Recorder) mismatches(all bool) []ledger.Mismatch {
-	rec.enter(nil)
+	rec.drainQueue(nil)
 	watched := make([]ledger.Key, 0, len(rec.alarms))
 	for a := range rec.alarms {
 		if !a.all {
@@ -63,7 +63,7 @@
 		}
 	}
 	found := append(rec.ledger.Audit(all, watched...), rec.accountMismatches...)
-	return append(found, rec.ledger.Overdue(rec.time()-int64(rec.options.Patience))...)
+	return append(found, rec.ledger.Overdue(rec.time()-int64(rec.options.OverdueAfter))...)
 }
 
 // updateAlarms compares what was found with the alarms that stand. The lock mu is held.
--- a/internal/ledger/recorder/bench_test.go
+++ b/internal/ledger/recorder/bench_test.go
@@ -15,7 +15,7 @@
 func BenchmarkReq(b *testing.B) {
 	for _, mode := range []string{"memory", "disk"} {
 		b.Run(mode, func(b *testing.B) {
-			o := recorder.Options{Limits: ledger.Limits{Rows: 20000, Open: 65536, Flight: 4096}, Patience: time.Second,
+			o := recorder.Options{Limits: ledger.Limits{Rows: 20000, Open: 65536, Flight: 4096}, OverdueAfter: time.Second,
 				Names: ledger.Names{Plans: []string{"basic"}, Classes: []string{"space-query"}}, Log: zap.NewNop()}
 			l := ledger.New(o.Limits, mode == "disk")
 			var k recorder.Keeper
@@ -29,14 +29,14 @@
 				k, l = s, kept
 			}
 			d := recorder.New(l, ledger.Names{}, k, o)
-			d.State()
+			d.CloseStatement()
 			events := []ledger.Event{ledger.FrontTaken, ledger.PlanTaken, ledger.UnitsDrawn, ledger.PlanSent, ledger.AttemptStarted,
 				ledger.AttemptOK, ledger.PlanHeard, ledger.PlanServed, ledger.FrontServed}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				if i%10000 == 9999 {
 					b.StopTimer()
-					d.State()
+					d.CloseStatement()
 					time.Sleep(time.Millisecond)
 					b.StartTimer()
 				}
--- a/internal/ledger/recorder/names.go
+++ b/internal/ledger/recorder/names.go
@@ -8,7 +8,7 @@
 	"dewhitch/internal/ledger"
 )
 
-// intern numbers a name. Danger: at a forwarder names are what clients write, and they become labels and columns.
+// intern numbers a name, bounded and checked: at a forwarder names are what clients write, and they become labels and columns.
 func (rec *Recorder) intern(which int, names *[]string, s string) int16 {
 	if s == "" || len(s) > maxNameBytes || !utf8.ValidString(s) || strings.ContainsFunc(s, unicode.IsControl) {
 		s = Overflow
--- a/internal/ledger/recorder/names_test.go
+++ b/internal/ledger/recorder/names_test.go
@@ -66,8 +66,8 @@
 // fills it books it. It must not wait for itself.
 func TestForgottenWithAFullQueue(t *testing.T) {
 	limits := ledger.Limits{Rows: 16, Open: 16, Flight: 16}
-	d := recorder.New(ledger.New(limits, false), ledger.Names{}, nil, recorder.Options{Limits: limits, Audit: time.Millisecond,
-		Patience: time.Hour, Log: zap.NewNop()})
+	d := recorder.New(ledger.New(limits, false), ledger.Names{}, nil, recorder.Options{Limits: limits, AuditInterval: time.Millisecond,
+		OverdueAfter: time.Hour, Log: zap.NewNop()})
 	d.Post(ledger.Posting{Event: ledger.UnitsDrawn, Key: ledger.Account(7), Units: 5e6})
 	full := sync.OnceFunc(func() {
 		for range 1<<16 - 1 {
--- a/internal/ledger/recorder/planted_test.go
+++ b/internal/ledger/recorder/planted_test.go
@@ -84,7 +84,7 @@
 	o.Log = zap.New(level)
 	o.Names = ledger.Names{Plans: []string{"basic", "fleet"}, Classes: []string{"space-query", "booking"}}
 	o.Limits = ledger.Limits{Rows: 1000, Open: 1000, Flight: 1000}
-	o.Patience = 5 * time.Second
+	o.OverdueAfter = 5 * time.Second
 	d := recorder.New(ledger.New(o.Limits, false), ledger.Names{}, nil, o)
 	if plant == nil {
 		plant = &crooked{}
@@ -173,7 +173,7 @@
 
 // With nothing planted there is no alarm, whatever the moment of an audit.
 func TestHonest(t *testing.T) {
-	g := start(t, recorder.Options{Audit: 5 * time.Millisecond}, nil)
+	g := start(t, recorder.Options{AuditInterval: 5 * time.Millisecond}, nil)
 	g.work(t, 8)
 	// The front books what became of an answer once that is written, which its client may see first.
 	g.eventually(t, "the last answers", func(r recorder.Report) bool { return r.Open == 0 })
@@ -205,7 +205,7 @@
 // A session ends with all that it may have open, at backends that never answer: each request is gone, each attempt cancelled
 // and heard of, and nothing stays open.
 func TestSessionEndsWithManyOpen(t *testing.T) {
-	g := startAt(t, recorder.Options{Audit: 5 * time.Millisecond}, nil, standin.Always(standin.Step{Behaviour: standin.Stall}))
+	g := startAt(t, recorder.Options{AuditInterval: 5 * time.Millisecond}, nil, standin.Always(standin.Step{Behaviour: standin.Stall}))
 	c, err := standin.Dial(g.addr, 10*time.Second)
 	if err != nil {
 		t.Fatal(err)
@@ -231,7 +231,7 @@
 // A client asks for more than it reads, until the gateway ends it: what was written whole is served, the rest is cut or
 // gone, and no audit on the way finds anything.
 func TestClientReadsNothing(t *testing.T) {
-	g := start(t, recorder.Options{Audit: 20 * time.Millisecond}, nil)
+	g := start(t, recorder.Options{AuditInterval: 20 * time.Millisecond}, nil)
 	c, err := standin.Dial(g.addr, 10*time.Second)
 	if err != nil {
 		t.Fatal(err)
@@ -275,7 +275,7 @@
 			t.Parallel()
 			file := filepath.Join(t.TempDir(), "alarms.jsonl")
 			plant := &crooked{event: c.event, haulier: 3, how: c.how}
-			g := start(t, recorder.Options{Audit: time.Second, AlarmFile: file}, plant)
+			g := start(t, recorder.Options{AuditInterval: time.Second, AlarmFile: file}, plant)
 			g.work(t, 2)
 			if !plant.done.Load() {
 				t.Fatal("nothing was planted")
@@ -319,7 +319,7 @@
 
 // An alarm that is over is said to be: here one on what the module's tally holds, which the next account sets right.
 func TestCleared(t *testing.T) {
-	g := start(t, recorder.Options{Audit: 20 * time.Millisecond}, nil)
+	g := start(t, recorder.Options{AuditInterval: 20 * time.Millisecond}, nil)
 	g.work(t, 1)
 	p := ledger.Posting{Event: ledger.FrontTaken, Key: g.desk.Row(9, 0, 0), Ref: g.desk.Ref(), Units: 1e6}
 	g.desk.Post(p)
--- a/internal/ledger/recorder/post.go
+++ b/internal/ledger/recorder/post.go
@@ -29,15 +29,15 @@
 		default:
 		}
 	} else if n >= maxBatch { // Run does not come to it
-		rec.enterNow()
+		rec.drainQueueNow()
 	}
 }
 
-// enterNow books what waits.
-func (rec *Recorder) enterNow() {
+// drainQueueNow books what waits.
+func (rec *Recorder) drainQueueNow() {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
-	rec.enter(nil)
+	rec.drainQueue(nil)
 }
 
 func (rec *Recorder) time() int64 { return rec.start.UnixNano() + int64(time.Since(rec.start)) }
@@ -46,8 +46,8 @@
 var timed = [ledger.EventCount]bool{ledger.FrontTaken: true, ledger.FrontServed: true, ledger.FrontRejected: true,
 	ledger.FrontFailed: true, ledger.FrontClientLeft: true, ledger.FrontWriteFailed: true, ledger.FrontNotSubmitted: true, ledger.UnitsPushed: true}
 
-// enter books what waits; mark, if any, is called where the next posting begins anew. The lock mu is held.
-func (rec *Recorder) enter(mark func()) {
+// drainQueue books what waits; mark, if any, is called where the next posting begins anew. The lock mu is held.
+func (rec *Recorder) drainQueue(mark func()) {
 	rec.posting.Lock()
 	waiting := rec.queue
 	rec.queue = rec.spareQueue[:0]
--- a/internal/ledger/recorder/recorder.go
+++ b/internal/ledger/recorder/recorder.go
@@ -30,13 +30,13 @@
 
 // Options say how the books are kept.
 type Options struct {
-	Limits    ledger.Limits
-	Names     ledger.Names  // of the settings; the numbers that owners use for them are their places here
-	Patience  time.Duration // beyond a request's own deadline: by then nothing of it can be open
-	Audit     time.Duration // between two audits
-	Statement time.Duration // between two statements, if there is a keeper
-	AlarmFile string        // JSON lines; none if empty
-	Log       *zap.Logger
+	Limits            ledger.Limits
+	Names             ledger.Names  // of the settings; the numbers that owners use for them are their places here
+	OverdueAfter      time.Duration // beyond a request's own deadline: by then nothing of it can be open
+	AuditInterval     time.Duration // between two audits
+	StatementInterval time.Duration // between two statements, if there is a keeper
+	AlarmFile         string        // JSON lines; none if empty
+	Log               *zap.Logger
 }
 
 // The bounds.
@@ -120,11 +120,11 @@
 
 // Run audits and states until the context ends, and then once more.
 func (rec *Recorder) Run(ctx context.Context) error {
-	audit := time.NewTicker(rec.options.Audit)
+	audit := time.NewTicker(rec.options.AuditInterval)
 	defer audit.Stop()
 	var state <-chan time.Time
 	if rec.keeper != nil {
-		t := time.NewTicker(rec.options.Statement)
+		t := time.NewTicker(rec.options.StatementInterval)
 		defer t.Stop()
 		state = t.C
 	}
@@ -132,16 +132,16 @@
 		select {
 		case <-ctx.Done():
 			rec.Audit(true)
-			rec.State()
+			rec.CloseStatement()
 			return nil
 		case <-audit.C:
 			rec.readTallies()
 			rec.audits++
 			rec.Audit(rec.audits%fullAuditEvery == 0)
 		case <-state:
-			rec.State()
+			rec.CloseStatement()
 		case <-rec.full:
-			rec.enterNow()
+			rec.drainQueueNow()
 		}
 	}
 }
--- a/internal/ledger/recorder/report.go
+++ b/internal/ledger/recorder/report.go
@@ -8,13 +8,13 @@
 	"dewhitch/internal/ledger"
 )
 
-// State closes a period and makes it last.
-func (rec *Recorder) State() {
+// CloseStatement closes a period and makes it last.
+func (rec *Recorder) CloseStatement() {
 	if rec.keeper == nil {
 		return
 	}
 	rec.mu.Lock()
-	rec.enter(rec.keeper.Mark)
+	rec.drainQueue(rec.keeper.Mark)
 	rec.keeper.Cut(rec.ledger.Statement())
 	names := ledger.Names{Plans: slices.Clone(rec.names.Plans), Classes: slices.Clone(rec.names.Classes)}
 	rec.mu.Unlock()
@@ -41,7 +41,7 @@
 func (rec *Recorder) Report() Report {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
-	rec.enter(nil)
+	rec.drainQueue(nil)
 	r := Report{Names: rec.names, Total: rec.ledger.Total(), Open: rec.ledger.Open(), Evictions: rec.ledger.Evictions, Abandoned: rec.ledger.Abandoned,
 		Alarms: len(rec.alarms), Raised: rec.raised.Load(), Cleared: rec.cleared.Load()}
 	r.Rows, r.Lines = rec.ledger.Sums()
--- a/internal/ledger/rows.go
+++ b/internal/ledger/rows.go
@@ -135,7 +135,7 @@
 func (l *Ledger) stateEvicted(r, rolledUp *row) {
 	delta := r.counts
 	if r.stated != nil {
-		delta = r.counts.Less(r.stated)
+		delta = r.counts.Minus(r.stated)
 		l.evictedKeys = append(l.evictedKeys, r.key)
 	}
 	if rolledUp.stated == nil {
--- a/internal/ledger/statement.go
+++ b/internal/ledger/statement.go
@@ -45,7 +45,7 @@
 		if r.stated == nil {
 			r.stated = &Counts{}
 		} else {
-			delta = r.counts.Less(r.stated)
+			delta = r.counts.Minus(r.stated)
 		}
 		*r.stated = r.counts
 		if !delta.Zero() {
--- a/internal/ledger/store/commit.go
+++ b/internal/ledger/store/commit.go
@@ -36,13 +36,13 @@
 			"the log did not hold %d postings for a while; they are in the figures, as no crash came", s.unlogged)})
 	}
 	s.unlogged = 0
-	if !s.logIntact.Load() || s.broken.Load() { // this statement holds all that the log lacks: it can be taken up again behind it
+	if !s.logIntact.Load() || s.behindGap.Load() { // this statement holds all that the log lacks: it can be taken up again behind it
 		s.resumed = s.rotate()
 		if s.resumed {
 			s.current.takeUp(s.meta.Statements + 1)
 		}
 		s.logIntact.Store(s.resumed)
-		s.broken.Store(false)
+		s.behindGap.Store(false)
 	}
 	switch {
 	case s.logIntact.Load():
@@ -76,7 +76,7 @@
 	m, err := s.write(p, names)
 	if err != nil {
 		if s.resumed {
-			s.broken.Store(true) // the log goes on behind a gap that no statement on the disk bridges
+			s.behindGap.Store(true) // the log goes on behind a gap that no statement on the disk bridges
 		}
 		p.bound()
 		s.wantSegment()
@@ -97,7 +97,7 @@
 	return nil
 }
 
-// bound keeps what waits for the disk from growing: tries are the first to go, and then the names of customers.
+// bound keeps what waits for the disk from growing: requests with an idempotency key are dropped first, and then the names of customers.
 func (p *uncommitted) bound() {
 	const maxWaiting = 1 << 16
 	if n := len(p.idempotentRequests) - maxWaiting; n > 0 {
--- a/internal/ledger/store/log.go
+++ b/internal/ledger/store/log.go
@@ -12,7 +12,7 @@
 func (s *Store) prepare() {
 	failed := false
 	for {
-		seg, err := s.make()
+		seg, err := s.newSegment()
 		if err != nil && !failed {
 			s.options.Log.Error("the ledger's log has no room on the disk", zap.Error(err))
 		}
@@ -33,8 +33,8 @@
 	}
 }
 
-// make makes a segment, if one more may wait for the disk; else it returns nil.
-func (s *Store) make() (*segment, error) {
+// newSegment makes a segment, if one more may wait for the disk; else it returns nil.
+func (s *Store) newSegment() (*segment, error) {
 	s.mu.Lock()
 	n := s.nextNumber
 	mayWait := len(s.full)+1 < s.options.Segments
@@ -65,7 +65,7 @@
 
 // Append implements recorder.Keeper.
 func (s *Store) Append(p ledger.Posting) {
-	if !s.logIntact.Load() || s.broken.Load() {
+	if !s.logIntact.Load() || s.behindGap.Load() {
 		s.unlogged++
 		return
 	}
--- a/internal/ledger/store/recovery.go
+++ b/internal/ledger/store/recovery.go
@@ -12,8 +12,8 @@
 	"dewhitch/internal/ledger/statement"
 )
 
-// recover makes the ledger of what the folder holds.
-func (s *Store) recover() (*ledger.Ledger, *Recovered, error) {
+// openFolder makes the ledger of what the folder holds.
+func (s *Store) openFolder() (*ledger.Ledger, *Recovered, error) {
 	found := &Recovered{}
 	m, stored, err := load(filepath.Join(s.options.Dir, dbName))
 	if errors.Is(err, errCorrupt) {
@@ -59,7 +59,7 @@
 	}
 	// From here on the log begins anew, and what it holds counts once the repair is on the disk. A crash before that
 	// finds all as it was, and repairs it again.
-	s.broken.Store(true)
+	s.behindGap.Store(true)
 	return l, found, nil
 }
 
--- a/internal/ledger/store/store.go
+++ b/internal/ledger/store/store.go
@@ -77,8 +77,8 @@
 	unlogged    uint64 // postings that are in no log
 	uncommitted *uncommitted
 
-	broken  atomic.Bool // what follows in the log must not be counted on: it stands behind a gap
-	resumed bool        // the log was taken up again, by a statement that is not on the disk yet
+	behindGap atomic.Bool // what follows in the log must not be counted on: it stands behind a gap
+	resumed   bool        // the log was taken up again, by a statement that is not on the disk yet
 
 	mu            sync.Mutex
 	full          []*segment // full, and not yet covered by a statement on the disk
@@ -119,12 +119,12 @@
 		return nil, nil, ledger.Names{}, nil, fmt.Errorf("%s: %w", o.Dir, ErrInUse)
 	}
 	s := &Store{options: o, lock: lock, spares: make(chan *segment, 1), segmentWanted: make(chan struct{}, 1), closing: make(chan struct{})}
-	l, found, err := s.recover()
+	l, found, err := s.openFolder()
 	if err != nil {
 		lock.Close()
 		return nil, nil, ledger.Names{}, nil, err
 	}
-	if seg, err := s.make(); err != nil {
+	if seg, err := s.newSegment(); err != nil {
 		o.Log.Error("the ledger's log has no room on the disk", zap.Error(err))
 	} else if seg != nil {
 		s.spares <- seg
@@ -150,4 +150,4 @@
 }
 
 // LogIntact says whether what is posted now survives a crash of the process.
-func (s *Store) LogIntact() bool { return s.logIntact.Load() && !s.broken.Load() }
+func (s *Store) LogIntact() bool { return s.logIntact.Load() && !s.behindGap.Load() }
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -29,7 +29,7 @@
 			Servers: []dw.ServerStatistics{
 				{
 					Endpoint: dw.Endpoint{ID: 0x5be2a07c, Cell: 11, Zone: 1, Kind: 13, StartedAt: 1_790_000_000_000_000_003,
-						Rating: 14.5, State: dw.Draining, SlowStartRate: 15.5, HealthCheck: dw.HealthCheckAny},
+						Rating: 14.5, State: dw.Draining, FleetSlowStartRate: 15.5, HealthCheck: dw.HealthCheckAny},
 					Latency: 0.071, Measured: 1_790_000_000_000_000_004, Answered: 1_790_000_000_000_000_005, SlowStartBudget: 0.81,
 					SlowStartBudgetAt: 1_790_000_000_000_000_006,
 					Failures: []dw.FailureStatistics{
@@ -39,7 +39,7 @@
 				},
 				{
 					Endpoint: dw.Endpoint{ID: 0x00000009, Cell: 31, Zone: 32, Kind: 33, StartedAt: 1_790_000_000_000_000_013,
-						Rating: 34.5, State: dw.Removed, SlowStartRate: 35.5, HealthCheck: dw.HealthCheckIdempotent},
+						Rating: 34.5, State: dw.Removed, FleetSlowStartRate: 35.5, HealthCheck: dw.HealthCheckIdempotent},
 					Latency: 0.072, Measured: 1_790_000_000_000_000_014, Answered: 1_790_000_000_000_000_015, SlowStartBudget: 0.82,
 					SlowStartBudgetAt: 1_790_000_000_000_000_016, Failures: []dw.FailureStatistics{
 						{Count: 23, AnsweredAt: 1_790_000_000_000_000_017, FirstAt: 1_790_000_000_000_000_018, EjectedUntil: 1_790_000_000_000_000_019},
--- a/latency_estimate.go
+++ b/latency_estimate.go
@@ -15,7 +15,7 @@
 	initialLatency       = 0.15   // of the classes' mean latency objective
 	idleLatencySamples   = 1000.0 // time constant, in samples, of the rise of the idle latency
 	failurePenalty       = 2.0    // factor of the latency of an attempt that failed
-	parallelAttempts     = 2.0    // attempts that a server is assumed to run side by side
+	serverParallelism    = 2.0    // attempts that a server is assumed to run side by side
 	reportWeight         = 0.8    // of a load report in a server's latency, at full sparsity
 	idleRecoveryTime     = second // over which an idle server's estimate returns to the mean
 	idleRecoveryInterval = 3.0    // or over so many intervals between two attempts on it, if that is longer
@@ -58,7 +58,7 @@
 func (l *latencyEstimator) reset(s *server) { s.latency = l.mean }
 
 // congestion is how much longer an attempt takes beside n others from this gateway.
-func congestion(n int) float64 { return (float64(n) + parallelAttempts) / parallelAttempts }
+func congestion(n int) float64 { return (float64(n) + serverParallelism) / serverParallelism }
 
 // observeClassSize takes the latency of an answered attempt, in seconds, into the size of its class. It is
 // called before observe, which moves the mean that the size is relative to.
@@ -101,7 +101,7 @@
 func (l *latencyEstimator) expected(s *server) float64 {
 	latency := s.latency * congestion(s.inFlight)
 	if s.inFlight > 0 {
-		latency = max(latency, seconds(l.ctx.now-s.unansweredSince))
+		latency = max(latency, seconds(l.ctx.now-s.withoutSuccessSince))
 	}
 	return latency / l.slowStart.warmth(s)
 }
--- a/outlier_detection.go
+++ b/outlier_detection.go
@@ -12,14 +12,15 @@
 
 // failureRecord is what speaks against a server for one class. Its zero value is a server without failures.
 type failureRecord struct {
-	answeredAt   Instant // last answer of the class
+	succeededAt  Instant // last success of the class
 	count        int     // consecutive failures since
 	firstAt      Instant // of the first of them
-	ejectedUntil Instant // then the server is half-open: one attempt at a time, until one is answered
+	ejectedUntil Instant // then the server is half-open: one attempt at a time, until one succeeds
 }
 
-// outlierDetector ejects servers that do not answer. It owns the servers' failures, answeredAt and
-// unansweredSince.
+// outlierDetector ejects servers whose attempts fail while no attempt of the class succeeds; an error and a
+// rejection count as failures, as silence does. It owns the servers' failures, succeededAt and
+// withoutSuccessSince.
 type outlierDetector struct {
 	ctx       *stepContext
 	endpoints *endpointSet
@@ -42,24 +43,24 @@
 // recordStart notes that an attempt starts on a server, before it counts as in flight.
 func (o *outlierDetector) recordStart(s *server) {
 	if s.inFlight == 0 {
-		s.unansweredSince = o.ctx.now
+		s.withoutSuccessSince = o.ctx.now
 	}
 }
 
 // recordSuccess clears a server's failures of a class.
 func (o *outlierDetector) recordSuccess(s *server, class int) {
-	s.unansweredSince, s.answeredAt = o.ctx.now, o.ctx.now
-	s.failures[class] = failureRecord{answeredAt: o.ctx.now}
+	s.withoutSuccessSince, s.succeededAt = o.ctx.now, o.ctx.now
+	s.failures[class] = failureRecord{succeededAt: o.ctx.now}
 	o.traffic.recordZoneSuccess(s.Zone)
 }
 
 // recordFailure counts an attempt that failed or is unanswered as a failure of its server, once. It returns
-// false, and counts nothing, if the server has answered another request of the class since the attempt
-// began: then the attempt is slow, not the server silent.
-func (o *outlierDetector) recordFailure(class int, a *attempt) (silent bool) {
+// false, and counts nothing, if the server has served another request of the class since the attempt began:
+// then the attempt is slow, and the server is not to blame.
+func (o *outlierDetector) recordFailure(class int, a *attempt) (blamed bool) {
 	s := a.server
 	record := &s.failures[class]
-	if record.answeredAt > a.startedAt {
+	if record.succeededAt > a.startedAt {
 		return false
 	}
 	if a.failureCounted {
@@ -81,10 +82,10 @@
 
 // isEjected decides whether a server is left out for a request of a class: while it is ejected, and,
 // half-open after that, while an attempt is out there. Failures of one class eject it for all classes until
-// it has answered any of them.
+// it has served any of them.
 func (o *outlierDetector) isEjected(s *server, class int) bool {
 	for k, record := range s.failures {
-		applies := record.count > 0 && (k == class || s.answeredAt <= record.firstAt)
+		applies := record.count > 0 && (k == class || s.succeededAt <= record.firstAt)
 		if applies && (o.ctx.now < record.ejectedUntil || s.inFlight > 0) {
 			return true
 		}
@@ -98,8 +99,8 @@
 	return float64(o.countEjected(class)) <= maxEjected*float64(len(o.endpoints.ready))
 }
 
-// countEjected counts the ready servers that are outliers for a class. With very many suspects the last
-// count is used for the length of a sweep.
+// countEjected counts the ready servers that are outliers for a class, and drops suspects without failures.
+// With very many suspects the last count is used for the length of a sweep.
 func (o *outlierDetector) countEjected(class int) int {
 	counted := o.countedAt[class]
 	recent := counted != 0 && o.ctx.now-counted < Instant(o.ctx.sweepInterval())
@@ -118,7 +119,7 @@
 	return n
 }
 
-// hasFailures tells whether s has unanswered failures of any class.
+// hasFailures tells whether s has failures of any class since its last success of that class.
 func (s *server) hasFailures() bool {
 	for _, record := range s.failures {
 		if record.count > 0 {
@@ -145,7 +146,7 @@
 // ejectedForAll tells whether a failure of one class ejects s for all of them.
 func (s *server) ejectedForAll(now Instant) bool {
 	for _, record := range s.failures {
-		if record.count > 0 && now < record.ejectedUntil && s.answeredAt <= record.firstAt {
+		if record.count > 0 && now < record.ejectedUntil && s.succeededAt <= record.firstAt {
 			return true
 		}
 	}
--- a/request.go
+++ b/request.go
@@ -57,13 +57,13 @@
 		t.ctx.emit(answer)
 	}
 	if t.ctx.settings.MayCancel {
-		t.withdraw(r, len(r.attempts))
+		t.cancelAttempts(r, len(r.attempts))
 	}
 	t.forgetIfIdle(r)
 }
 
-// withdraw cancels those of r's first n attempts that are out. The settings must allow it.
-func (t *requestTable) withdraw(r *request, n int) {
+// cancelAttempts cancels those of r's first n attempts that are out. The settings must allow it.
+func (t *requestTable) cancelAttempts(r *request, n int) {
 	for i := range n {
 		if !r.attempts[i].ended {
 			t.ctx.emit(CancelAttempt{Request: r.id, Attempt: i})
--- a/settings.go
+++ b/settings.go
@@ -40,6 +40,11 @@
 
 // Settings are the facts a gateway is given at its start. They hold no names. Defaults are the caller's: the
 // zero value of Settings does not pass Check.
+//
+// The module decides nothing by Class.ObjectiveStretch and LateWeight, Plan.WeightFactor, CounterFee,
+// MeterPeriod, MayProbe, MayMessagePeers, ConnectTimeout, Reports, ReportFields, RatingsDiffer, AnswerSlack,
+// DrainGrace, PollWithin, OverloadSpan, OverloadMultiple and the prices: they are facts for its caller, or
+// are only checked.
 type Settings struct {
 	Instances int // number of gateways
 	Self      int // index of this one, from 0
@@ -50,7 +55,7 @@
 	Plans     []Plan
 
 	Counter        bool    // CounterAdd is possible
-	CounterTimeout Span    // after it a call ends with OutcomeTimeout
+	CounterTimeout Span    // in which a call should be answered; the caller may wait for longer
 	CounterFee     float64 // of the result, times counter calls by requests
 	MeterPeriod    Span    // over which AttemptEnded.Used is metered; 0: it is not
 	MaxUnits       float64 // of one request
--- a/shared_bucket.go
+++ b/shared_bucket.go
@@ -74,9 +74,9 @@
 	b.ownRate = max(0, b.ownRate+units/b.rateMemory())
 }
 
-// settle replaces the predicted use of the others since the last total by what a total shows. The bucket
+// applyTotal replaces the predicted use of the others since the last total by what a total shows. The bucket
 // must have been advanced to now. Tick is the least time between two totals.
-func (b *sharedBucket) settle(now Instant, othersUse float64, tick Span) {
+func (b *sharedBucket) applyTotal(now Instant, othersUse float64, tick Span) {
 	elapsed := max(seconds(now-b.lastTotalAt), seconds(tick))
 	b.level = min(b.burst, max(min(b.level, 0), b.level-(othersUse-b.predicted)))
 	b.othersRate += (max(0, othersUse)/elapsed - b.othersRate) * (1 - math.Exp(-elapsed/b.rateMemory()))
--- a/slow_start.go
+++ b/slow_start.go
@@ -45,7 +45,7 @@
 	if warmth >= 1 {
 		return true
 	}
-	s.slowStartBudget.fill(w.ctx.now, cmp.Or(s.SlowStartRate, warmth*evenRate), slowStartBurst)
+	s.slowStartBudget.fill(w.ctx.now, cmp.Or(s.FleetSlowStartRate, warmth*evenRate), slowStartBurst)
 	return s.slowStartBudget.level >= 1
 }
 
--- a/state.go
+++ b/state.go
@@ -123,12 +123,12 @@
 		Endpoint:          s.Endpoint,
 		Latency:           s.latency,
 		Measured:          s.measuredAt,
-		Answered:          s.answeredAt,
+		Answered:          s.succeededAt,
 		SlowStartBudget:   s.slowStartBudget.level,
 		SlowStartBudgetAt: s.slowStartBudget.at,
 	}
 	for _, f := range s.failures {
-		e.Failures = append(e.Failures, FailureStatistics{Count: f.count, AnsweredAt: f.answeredAt,
+		e.Failures = append(e.Failures, FailureStatistics{Count: f.count, AnsweredAt: f.succeededAt,
 			FirstAt: f.firstAt, EjectedUntil: f.ejectedUntil})
 	}
 	return e
@@ -233,11 +233,11 @@
 		v := g.endpoints.byID[e.ID]
 		v.latency = warmstart.Latency(e.Latency, g.latency.mean, trust)
 		v.measuredAt = e.Measured
-		v.answeredAt = e.Answered
+		v.succeededAt = e.Answered
 		v.slowStartBudget.level = min(slowStartBurst, e.SlowStartBudget)
 		v.slowStartBudget.at = max(e.SlowStartBudgetAt, s.At)
 		for k, f := range e.Failures[:min(len(e.Failures), len(v.failures))] {
-			v.failures[k] = failureRecord{answeredAt: f.AnsweredAt, count: f.Count, firstAt: f.FirstAt,
+			v.failures[k] = failureRecord{succeededAt: f.AnsweredAt, count: f.Count, firstAt: f.FirstAt,
 				ejectedUntil: f.EjectedUntil}
 			if f.Count > 0 {
 				g.outliers.suspects[v] = true
--- a/types.go
+++ b/types.go
@@ -58,7 +58,7 @@
 	OutcomeTimeout               // no answer in time; it may have run, or still run
 	OutcomeConnectFailed         // no connection; it never ran
 	OutcomeReset                 // the connection broke; it may have run
-	OutcomeCancelled             // withdrawn; it may have run
+	OutcomeCancelled             // cancelled by the gateway; it may have run
 	OutcomeNotSent               // never left the gateway
 	OutcomeCount                 // the number of outcomes
 )
