--- a/counter_sync.go
+++ b/counter_sync.go
@@ -171,8 +171,8 @@
 	return a
 }
 
-// applyTotal takes a total that includes the units just added. Gateways give back only what they added: a total
-// below this one's own units shows that the counter has lost its state.
+// applyTotal takes a total that includes the units just added. Gateways give back only what they added: a
+// total below this one's own units shows that the counter has lost its state.
 func (s *counterSync) applyTotal(a *account, added, total float64) {
 	w, now := &a.sync, s.ctx.now
 	a.bucket.advance(now)
