--- a/account.go
+++ b/account.go
@@ -57,7 +57,7 @@
 	a.counterFirst = set.Counter && plan.Rate > 0 && plan.Burst < gateways*max(1, set.MaxUnits)
 	a.window = counterWindowLength(set, plan, a.counterFirst)
 	a.ceiling = hardCeiling{bucket: bucket{level: -plan.Tolerance / gateways, at: ctx.startedAt}, plan: plan,
-		gateways: gateways, assigned: (set.Self-e.First%set.Instances+set.Instances)%set.Instances < n}
+		gateways: gateways, assigned: (set.Self-e.FirstGateway%set.Instances+set.Instances)%set.Instances < n}
 	a.bucket = sharedBucket{rate: plan.Rate, burst: plan.Burst, gateways: gateways, window: a.window,
 		level: plan.Burst, updatedAt: ctx.now}
 	a.bucket.lastTotalAt = ctx.now - Instant(a.bucket.rateMemory()*1e9)
--- a/actions.go
+++ b/actions.go
@@ -5,12 +5,12 @@
 
 // The reasons.
 const (
-	ReasonInvalid       Reason = iota // no such class or plan, or no time left
-	ReasonQuota                       // the quota is used up, or the limit of attempts in flight is reached
-	ReasonCeiling                     // the hard ceiling is reached
-	ReasonOverload                    // load shedding, or no server may take it
-	ReasonExhausted                   // no attempt or no time is left
-	ReasonCounterUnread               // the counter gave no exact answer in time
+	ReasonInvalid            Reason = iota // no such class or plan, or no time left
+	ReasonQuota                            // the quota is used up, or the limit of attempts in flight is reached
+	ReasonCeiling                          // the hard ceiling is reached
+	ReasonOverload                         // load shedding, or no server may take it
+	ReasonExhausted                        // no attempt or no time is left
+	ReasonCounterUnavailable               // the counter gave no exact answer in time
 )
 
 // Action is something that the caller must do. Actions are carried out in the order given.
--- a/events.go
+++ b/events.go
@@ -24,25 +24,25 @@
 	}
 	// Arrival is a request that this gateway must answer exactly once.
 	Arrival struct {
-		ID        RequestID
-		Class     int // index into Settings.Classes
-		Plan      int // index into Settings.Plans
-		Customer  CustomerID
-		Remaining Span    // until the client gives up
-		Units     float64 // of the customer's quota
-		Spread    int     // number of gateways that serve the customer
-		First     int     // index of the first of them; the others follow it
-		Repeat    bool    // the client marks it as a retry
-		Write     bool
+		ID           RequestID
+		Class        int // index into Settings.Classes
+		Plan         int // index into Settings.Plans
+		Customer     CustomerID
+		Remaining    Span    // until the client gives up
+		Units        float64 // of the customer's quota
+		Spread       int     // number of gateways that serve the customer
+		FirstGateway int     // index of the first of them; the others follow it
+		Repeat       bool    // the client marks it as a retry
+		Write        bool
 	}
 	// LimitQuery asks what is left of a customer's quota; it takes no units. Its fields are those of Arrival.
 	LimitQuery struct {
-		ID        RequestID
-		Plan      int
-		Customer  CustomerID
-		Remaining Span
-		Spread    int
-		First     int
+		ID           RequestID
+		Plan         int
+		Customer     CustomerID
+		Remaining    Span
+		Spread       int
+		FirstGateway int
 	}
 	// LimitAdjust takes units from a customer's quota, or gives them back. Nothing is forwarded.
 	LimitAdjust struct {
@@ -68,8 +68,8 @@
 		TrueUnits float64 // units that the request turned out to use; 0: unknown
 		Load      Load
 	}
-	// ClientLeft says that a client has left; no answer is owed.
-	ClientLeft struct{ Request RequestID }
+	// ClientDeparted says that a client has left; no answer is owed.
+	ClientDeparted struct{ Request RequestID }
 	// Expedite says that a request must have its answer now, whatever its deadline.
 	Expedite struct{ Request RequestID }
 	// Shutdown says that this gateway ends: every request must have its answer by then, whatever its deadline.
@@ -102,7 +102,7 @@
 func (LimitQuery) event()      {}
 func (AnswerStarted) event()   {}
 func (AttemptEnded) event()    {}
-func (ClientLeft) event()      {}
+func (ClientDeparted) event()  {}
 func (Expedite) event()        {}
 func (Shutdown) event()        {}
 func (TimerFired) event()      {}
@@ -113,5 +113,5 @@
 // arrival is the query as an arrival of so many units.
 func (q LimitQuery) arrival(units float64) Arrival {
 	return Arrival{ID: q.ID, Plan: q.Plan, Customer: q.Customer, Remaining: q.Remaining, Units: units,
-		Spread: q.Spread, First: q.First}
+		Spread: q.Spread, FirstGateway: q.FirstGateway}
 }
--- a/gateway.go
+++ b/gateway.go
@@ -138,7 +138,7 @@
 		g.requests.answerStarted(e.Request)
 	case AttemptEnded:
 		g.attempts.ended(e)
-	case ClientLeft:
+	case ClientDeparted:
 		g.requests.clientLeft(e.Request)
 	case Expedite:
 		g.shutdown.expedite(e.Request)
--- a/gateway_test.go
+++ b/gateway_test.go
@@ -9,7 +9,7 @@
 
 func TestUnknownEventsAreIgnored(t *testing.T) {
 	odd := []dw.Event{
-		dw.AttemptEnded{Request: "none", Attempt: 3}, dw.ClientLeft{Request: "none"}, dw.TimerFired{ID: "none"},
+		dw.AttemptEnded{Request: "none", Attempt: 3}, dw.ClientDeparted{Request: "none"}, dw.TimerFired{ID: "none"},
 		dw.CounterAnswered{Name: "none", Total: 3}, dw.AnswerStarted{Request: "none"}, dw.HealthChecked{Server: 5}, dw.PeerMessage{From: 1},
 		dw.EndpointList{Kind: dw.ListFull}, dw.EndpointList{Kind: dw.ListFailed},
 		dw.EndpointList{Kind: dw.ListDelta, Servers: []dw.Endpoint{{ID: 7}, {ID: 7}}},
@@ -18,7 +18,7 @@
 	for _, e := range odd {
 		b.handle(e)
 	}
-	if _, ok := b.request(dw.Arrival{Spread: 9, First: 5}); !ok {
+	if _, ok := b.request(dw.Arrival{Spread: 9, FirstGateway: 5}); !ok {
 		t.Error("nothing is served after odd events")
 	}
 	for name, a := range map[string]dw.Arrival{"no time left": {Remaining: -1}, "no such class": {Class: 9},
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -21,8 +21,8 @@
 		dw.ReasonExhausted: ledger.PlanRejectedExhausted,
 	}
 	failureEvents = map[dw.Reason]ledger.Event{
-		dw.ReasonExhausted:     ledger.PlanFailedExhausted,
-		dw.ReasonCounterUnread: ledger.PlanFailedCounterUnread,
+		dw.ReasonExhausted:          ledger.PlanFailedExhausted,
+		dw.ReasonCounterUnavailable: ledger.PlanFailedCounterUnread,
 	}
 )
 
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -121,7 +121,7 @@
 	r := s.request
 	remaining := dw.Span(r.Timeout - time.Since(r.ReceivedAt))
 	query := dw.LimitQuery{ID: s.id, Plan: r.Plan, Customer: r.Customer, Remaining: remaining, Spread: r.Spread,
-		First: r.FirstGateway}
+		FirstGateway: r.FirstGateway}
 	switch r.Kind {
 	case KindQueryLimit:
 		p.step(query)
@@ -129,7 +129,7 @@
 		p.step(dw.LimitAdjust{LimitQuery: query, Units: r.Units})
 	default:
 		p.step(dw.Arrival{ID: s.id, Class: r.Class, Plan: r.Plan, Customer: r.Customer, Remaining: remaining, Units: r.Units,
-			Spread: r.Spread, First: r.FirstGateway, Repeat: r.Repeat})
+			Spread: r.Spread, FirstGateway: r.FirstGateway, Repeat: r.Repeat})
 	}
 }
 
@@ -144,7 +144,7 @@
 	}
 	p.closeRequest(s)
 	p.recordEnd(s, ledger.PlanClientLeft)
-	p.step(dw.ClientLeft{Request: s.id})
+	p.step(dw.ClientDeparted{Request: s.id})
 	p.forgetIfEnded(s)
 }
 
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -31,7 +31,7 @@
 	"submit":       {10, bodyOf((*fields).arrival)},
 	"established":  {5, bodyOf((*fields).answerStarted)},
 	"response":     {10, bodyOf((*fields).attemptEnded)},
-	"vanished":     {2, bodyOf(func(f *fields) dw.ClientLeft { return dw.ClientLeft{Request: f.request()} })},
+	"vanished":     {2, bodyOf(func(f *fields) dw.ClientDeparted { return dw.ClientDeparted{Request: f.request()} })},
 	"ring":         {2, bodyOf(func(f *fields) dw.TimerFired { return dw.TimerFired{ID: dw.TimerID(f.need("Ref"))} })},
 	"health":       {5, bodyOf((*fields).healthChecked)},
 	"peer":         {3, bodyOf((*fields).peerMessage)},
@@ -158,7 +158,7 @@
 	a.Remaining = dw.Span(f.int64("Remaining"))
 	a.Units = f.float("SizeUnits")
 	a.Spread = int(f.float("NEntries"))
-	a.First = int(f.float("First"))
+	a.FirstGateway = int(f.float("First"))
 	options := f.int64("Options")
 	a.Repeat = options&optionRepeat != 0
 	a.Write = options&optionWrite != 0
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -25,12 +25,12 @@
 	probed := dw.Load{Has: load.Has, Inflight: 11.5, Queue: 12.5, Util: 0.75, LatencyMS: 13.25, Rate: 14.5, Errors: 0.125}
 	want := []any{
 		Kill{},
-		dw.Arrival{ID: "r-1", Class: 2, Plan: 3, Customer: 0x91f03b7c55d20a64, Remaining: 240000001, Units: 2.5, Spread: 4, First: 5, Repeat: true, Write: true},
+		dw.Arrival{ID: "r-1", Class: 2, Plan: 3, Customer: 0x91f03b7c55d20a64, Remaining: 240000001, Units: 2.5, Spread: 4, FirstGateway: 5, Repeat: true, Write: true},
 		dw.Arrival{ID: "r-2", Customer: 1, Remaining: 1, Units: 1, Spread: 1, Repeat: true},
 		dw.Arrival{ID: "r-3", Customer: 2, Remaining: 1, Units: 1, Spread: 1, Write: true},
 		dw.AnswerStarted{Request: "r-4", Attempt: 6, Server: 51, Latency: 9000001},
 		dw.AttemptEnded{Request: "r-5", Attempt: 7, Server: 52, Outcome: dw.OutcomeOK, Final: true, Latency: 18500001, Used: 86, TrueUnits: 3.5, Load: load},
-		dw.ClientLeft{Request: "r-6"},
+		dw.ClientDeparted{Request: "r-6"},
 		dw.TimerFired{ID: "sweep-1"},
 		dw.HealthChecked{Server: 747, Outcome: dw.OutcomeTimeout, Latency: 1400001, Load: probed},
 		dw.PeerMessage{From: 8, Data: []byte("hi")},
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -308,7 +308,7 @@
 		w.handle(g, a)
 		if w.rng.IntN(20) == 0 {
 			g.requests[a.ID].finished, g.requests[a.ID].owed = true, false
-			w.handle(g, dw.ClientLeft{Request: a.ID})
+			w.handle(g, dw.ClientDeparted{Request: a.ID})
 		}
 	}
 	switch g := w.gateways[w.rng.IntN(len(w.gateways))]; w.rng.IntN(400) {
--- a/limit_answers.go
+++ b/limit_answers.go
@@ -21,7 +21,7 @@
 	e.Remaining = q.shutdown.limit(e.Remaining)
 	limited := e.Plan >= 0 && e.Plan < len(set.Plans) && set.Plans[e.Plan].Rate > 0
 	if !set.Counter || !limited || e.Remaining <= 0 {
-		q.ctx.emit(Fail{Request: e.ID, Reason: ReasonCounterUnread})
+		q.ctx.emit(Fail{Request: e.ID, Reason: ReasonCounterUnavailable})
 		return
 	}
 	a := q.accounts.get(e, &set.Plans[e.Plan])
@@ -38,7 +38,7 @@
 
 // fail ends a query that got no total.
 func (q *limitQueries) fail(r *request) {
-	q.requests.finish(r, Fail{Request: r.id, Reason: ReasonCounterUnread})
+	q.requests.finish(r, Fail{Request: r.id, Reason: ReasonCounterUnavailable})
 }
 
 // answer answers the queries that waited for the call that a total has just come for.
--- a/limit_answers_test.go
+++ b/limit_answers_test.go
@@ -153,7 +153,7 @@
 	if sent || len(b.calls) == 0 {
 		t.Fatal("it does not wait for the count")
 	}
-	b.handle(dw.ClientLeft{Request: id})
+	b.handle(dw.ClientDeparted{Request: id})
 	b.advance(100 * ms)
 	if len(b.attempts) > 0 {
 		t.Error("sent on for a client that has left")
--- a/shutdown.go
+++ b/shutdown.go
@@ -41,7 +41,7 @@
 	switch {
 	case r == nil || r.done:
 	case r.class == nil: // a limit query, or units given back
-		sd.requests.finish(r, Fail{Request: r.id, Reason: ReasonCounterUnread})
+		sd.requests.finish(r, Fail{Request: r.id, Reason: ReasonCounterUnavailable})
 	default:
 		sd.attempts.giveUp(r)
 	}
--- a/shutdown_test.go
+++ b/shutdown_test.go
@@ -14,7 +14,7 @@
 	b.counter = func(dw.CounterAdd) *dw.CounterAnswered { return nil }
 	by := b.now + dw.Instant(300*ms)
 	arrive := func(id dw.RequestID, class int) {
-		b.handle(dw.Arrival{ID: id, Class: class, Customer: dw.CustomerID(b.now), Remaining: 10 * sec, Units: 1, Spread: 1, First: 0})
+		b.handle(dw.Arrival{ID: id, Class: class, Customer: dw.CustomerID(b.now), Remaining: 10 * sec, Units: 1, Spread: 1, FirstGateway: 0})
 	}
 	arrive("safe, before", safe)
 	arrive("unsafe, before", unsafe)
--- a/state.go
+++ b/state.go
@@ -250,7 +250,7 @@
 // whether it did. Of a window that has ended since, nothing is taken but the level.
 func (g *Gateway) importAccount(e *AccountState) bool {
 	now := g.ctx.now
-	a := g.accounts.get(Arrival{Customer: e.ID, Spread: e.Spread, First: g.ctx.settings.Self},
+	a := g.accounts.get(Arrival{Customer: e.ID, Spread: e.Spread, FirstGateway: g.ctx.settings.Self},
 		&g.ctx.settings.Plans[e.Plan])
 	if a.window != e.Window || a.gateways != float64(e.Spread) {
 		delete(g.accounts.byID, e.ID)
