--- a/account_test.go
+++ b/account_test.go
@@ -10,10 +10,10 @@
 func TestIdleAccountsExpire(t *testing.T) {
 	b := newHarness(t, settings(), dw.Endpoint{ID: 7})
 	for range 2 {
-		if in := b.serve(20, ms, dw.Arrival{Customer: 1}); in < 5 || in > 6 {
+		if in := b.serve(20, millisecond, dw.Arrival{Customer: 1}); in < 5 || in > 6 {
 			t.Errorf("%d admitted at once", in)
 		}
-		b.advance(150 * sec)
+		b.advance(150 * second)
 	}
 }
 
@@ -21,9 +21,9 @@
 func TestAccountsOfOneTimeCustomersExpire(t *testing.T) {
 	b := newHarness(t, settings(), dw.Endpoint{ID: 7})
 	for i := range 400 {
-		b.serve(1, 100*ms, dw.Arrival{Customer: dw.CustomerID(1000 + i)})
+		b.serve(1, 100*millisecond, dw.Arrival{Customer: dw.CustomerID(1000 + i)})
 	}
-	if n := b.g.Accounts(); n > 250 {
+	if n := b.gateway.Accounts(); n > 250 {
 		t.Errorf("%d accounts after 400 customers in 40 s, whose windows last 6 s", n)
 	}
 }
--- a/attempt.go
+++ b/attempt.go
@@ -36,9 +36,9 @@
 	c.ctx.emit(StartAttempt{Request: r.id, Server: s.ID, Timeout: left, StartWithin: left})
 }
 
-// ended takes the outcome of an attempt. A request that still owes its answer then gets another attempt, or
+// handleOutcome takes the outcome of an attempt. A request that still owes its answer then gets another attempt, or
 // is given up. An outcome that is unknown or known already is ignored.
-func (c *attemptController) ended(e AttemptEnded) {
+func (c *attemptController) handleOutcome(e AttemptEnded) {
 	r := c.requests.byID[e.Request]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
 		return
--- a/balancer.go
+++ b/balancer.go
@@ -112,7 +112,7 @@
 	r := c.request
 	expected := c.latency.expected(s)
 	cost := expected * math.Pow(expected*warmth*c.ctx.rng.ExpFloat64(), c.sparsity)
-	expected = (expected + c.sparsity*max(0, c.latency.mean-expected)) * c.latency.classSize[r.classIndex]
+	expected = (expected + c.sparsity*max(0, c.latency.mean-expected)) * c.latency.classLatencyRatio[r.classIndex]
 	if n := len(r.attempts); n > 0 && r.attempts[n-1].server == s {
 		cost += seconds(r.class.Objective)
 	}
--- a/balancer_test.go
+++ b/balancer_test.go
@@ -18,16 +18,16 @@
 		}
 	}
 	b := newHarness(t, s, all...)
-	b.serve(500, 10*ms, dw.Arrival{})
+	b.serve(500, 10*millisecond, dw.Arrival{})
 	b.handle(dw.EndpointList{Kind: dw.ListDelta, Servers: away})
 	for i := range 500 { // the two that are left are too slow for what earns less
 		if id, ok := b.request(dw.Arrival{Class: i % 2}); ok {
-			b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[len(b.attempts)-1].Server, Final: true, Latency: 95 * ms})
+			b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[len(b.attempts)-1].Server, Final: true, Latency: 95 * millisecond})
 		}
-		b.advance(10 * ms)
+		b.advance(10 * millisecond)
 	}
 	b.handle(dw.EndpointList{Kind: dw.ListDelta, Servers: all[2:]})
-	if in := b.serve(50, 10*ms, dw.Arrival{}); in < 48 {
+	if in := b.serve(50, 10*millisecond, dw.Arrival{}); in < 48 {
 		t.Errorf("of 50 requests %d went on", in)
 	}
 }
@@ -48,14 +48,14 @@
 		if !ok {
 			rejected++
 		} else {
-			e := dw.AttemptEnded{Request: id, Server: b.attempts[len(b.attempts)-1].Server, Final: true, Latency: 20 * ms}
+			e := dw.AttemptEnded{Request: id, Server: b.attempts[len(b.attempts)-1].Server, Final: true, Latency: 20 * millisecond}
 			if e.Server < 2 {
-				e.Latency = 350 * ms // and the others are as quick as ever
+				e.Latency = 350 * millisecond // and the others are as quick as ever
 			}
 			b.advance(e.Latency)
 			b.handle(e)
 		}
-		b.advance(50 * ms)
+		b.advance(50 * millisecond)
 	}
 	if rejected > 0 {
 		t.Errorf("%d of 600 rejected beside eighteen idle servers", rejected)
--- a/cmd/dewhitch/golden_test.go
+++ b/cmd/dewhitch/golden_test.go
@@ -32,14 +32,14 @@
 		Plans: []snapshot.Plan{{Name: "fleet", Rate: 8.1, Burst: 16.2, Ceiling: 24.3}, {Name: "basic", Rate: 4.4, Burst: 9.5, Ceiling: 12.6}},
 		State: dw.State{
 			At: goldenAt, SentAttempts: 101.1, EndpointRequests: 102.2, ThrottleRequests: 103.3, ThrottleAccepts: 104.4, RetryBudget: 105.5, Latency: 0.061, IdleLatency: 0.052,
-			MeanWeight: 2.3, Measured: goldenAt - 1e9, CounterCallRate: 106.6, CounterMinLatency: 0.0017, ClassSizes: []float64{1.25, 3.75},
+			MeanPriority: 2.3, MeasuredAt: goldenAt - 1e9, CounterCallRate: 106.6, CounterMinLatency: 0.0017, ClassLatencyRatios: []float64{1.25, 3.75},
 			ZoneFailureShare: []float64{0.125, 0.625},
 			Servers: []dw.ServerStatistics{
 				{
 					Endpoint: dw.Endpoint{ID: 0x5be2a07c, Cell: 11, Zone: 1, Kind: 13, StartedAt: goldenAt - 2e9, Rating: 14.5,
 						State: dw.Draining, FleetSlowStartRate: 15.5, HealthCheck: dw.HealthCheckAny},
-					Latency: 0.071, Measured: goldenAt - 3e9, Answered: goldenAt - 4e9, SlowStartBudget: 0.81, SlowStartBudgetAt: goldenAt - 5e9,
-					Failures: []dw.FailureStatistics{{Count: 21, AnsweredAt: goldenAt - 6e9, FirstAt: goldenAt - 7e9, EjectedUntil: goldenAt + 8e9}, {}},
+					Latency: 0.071, MeasuredAt: goldenAt - 3e9, SucceededAt: goldenAt - 4e9, SlowStartBudget: 0.81, SlowStartBudgetAt: goldenAt - 5e9,
+					Failures: []dw.FailureStatistics{{Count: 21, SucceededAt: goldenAt - 6e9, FirstFailedAt: goldenAt - 7e9, EjectedUntil: goldenAt + 8e9}, {}},
 				},
 				{
 					Endpoint: dw.Endpoint{ID: 9, Cell: 31, Zone: 32, Kind: 33, Rating: 34.5, State: dw.Removed, FleetSlowStartRate: 35.5, HealthCheck: dw.HealthCheckIdempotent},
@@ -48,7 +48,7 @@
 			},
 			Customers: []dw.AccountState{
 				{
-					ID: 0xfedcba9876543210, Plan: 1, Spread: 4, InSet: true, Window: 4e9, Level: 41.1, Predicted: 42.2, OwnRate: 43.3,
+					ID: 0xfedcba9876543210, Plan: 1, Spread: 4, Assigned: true, Window: 4e9, Level: 41.1, PredictedUse: 42.2, OwnRate: 43.3,
 					OthersRate: 44.4, Demand: 45.5, DemandSpan: 46.6, UpdatedAt: goldenAt - 9e9, LastTotalAt: goldenAt - 10e9,
 					BlockedUntil: goldenAt + 11e9, LastRequestAt: goldenAt - 12e9, WindowNumber: 447_500_000, WindowTotal: 47.7, OwnInWindow: 48.8, WindowElapsed: 49.9,
 				},
--- a/cmd/dewhitch/snapshot_commands.go
+++ b/cmd/dewhitch/snapshot_commands.go
@@ -62,8 +62,8 @@
 			failed += min(1, f.Count)
 		}
 		measured := "never"
-		if s.Measured > 0 {
-			age := time.Unix(0, int64(state.At)).Sub(time.Unix(0, int64(s.Measured)))
+		if s.MeasuredAt > 0 {
+			age := time.Unix(0, int64(state.At)).Sub(time.Unix(0, int64(s.MeasuredAt)))
 			measured = age.Round(time.Millisecond).String()
 		}
 		fmt.Fprintf(w, "s-%08x\t%.1f ms\t%s\t%d\n", uint32(s.ID), 1000*s.Latency, measured, failed)
--- a/counter_sync_test.go
+++ b/counter_sync_test.go
@@ -19,9 +19,9 @@
 		for _, heavy := range []bool{false, true} {
 			b := newHarness(t, settings(), dw.Endpoint{ID: 7})
 			b.counter = answer
-			d, n := 1500*ms, 20 // a third of the rate
+			d, n := 1500*millisecond, 20 // a third of the rate
 			if heavy {
-				d, n = 100*ms, 300 // five times the rate
+				d, n = 100*millisecond, 300 // five times the rate
 			}
 			in := b.serve(n, d, dw.Arrival{Customer: 1, Spread: 2})
 			if !heavy && in < n {
@@ -30,7 +30,7 @@
 			if heavy && (in < 30 || in > 68) { // from half the rate for 30 s, to all of it and a burst
 				t.Errorf("%s: a heavy customer is admitted %d times", name, in)
 			}
-			if calls := float64(len(b.calls)); calls > 1.2*float64(n)+20 {
+			if calls := float64(len(b.counterCalls)); calls > 1.2*float64(n)+20 {
 				t.Errorf("%s: %v calls for %d requests", name, calls, n)
 			}
 		}
@@ -44,10 +44,10 @@
 		b := newHarness(t, manyGateways(), dw.Endpoint{ID: 7})
 		b.counter = func(c dw.CounterAdd) *dw.CounterAnswered { return &dw.CounterAnswered{Name: c.Name, Total: total} }
 		id, _ := b.request(dw.Arrival{Customer: 1, Spread: 50})
-		if len(b.attempts) > 0 || len(b.calls) != 1 || b.calls[0].Add != 1 {
-			t.Fatalf("total %v: sent %v before the count told, calls %v", total, b.attempts, b.calls)
+		if len(b.attempts) > 0 || len(b.counterCalls) != 1 || b.counterCalls[0].Add != 1 {
+			t.Fatalf("total %v: sent %v before the count told, calls %v", total, b.attempts, b.counterCalls)
 		}
-		b.advance(3 * ms)
+		b.advance(3 * millisecond)
 		if in := len(b.attempts) == 1; in != want || in == (b.answers[id] != nil) {
 			t.Errorf("total %v: sent on %v, want %v; answer %v", total, in, want, b.answers[id])
 		}
@@ -56,11 +56,11 @@
 
 // A request that waits for a silent counter is decided at the call's time-out, or at its own deadline if that is earlier.
 func TestUnconfirmedRequestIsAnswered(t *testing.T) {
-	for remaining, sent := range map[dw.Span]int{800 * ms: 1, 20 * ms: 0} {
+	for remaining, sent := range map[dw.Span]int{800 * millisecond: 1, 20 * millisecond: 0} {
 		b := newHarness(t, manyGateways(), dw.Endpoint{ID: 7})
 		b.counter = func(dw.CounterAdd) *dw.CounterAnswered { return nil }
 		id, _ := b.request(dw.Arrival{Customer: 1, Spread: 50, Remaining: remaining})
-		b.advance(min(remaining, 60*ms))
+		b.advance(min(remaining, 60*millisecond))
 		if len(b.attempts) != sent || sent == 0 && b.answers[id] == nil {
 			t.Errorf("patience %v: %d sent, answer %v", remaining, len(b.attempts), b.answers[id])
 		}
@@ -73,13 +73,13 @@
 	add := b.counter
 	b.counter = func(c dw.CounterAdd) *dw.CounterAnswered {
 		e := add(c)
-		e.Latency = 20 * ms // of 50 after which a call is given up
+		e.Latency = 20 * millisecond // of 50 after which a call is given up
 		return e
 	}
 	for i := range 200 {
-		b.serve(1, 50*ms, dw.Arrival{Customer: dw.CustomerID(i % 20)})
+		b.serve(1, 50*millisecond, dw.Arrival{Customer: dw.CustomerID(i % 20)})
 	}
-	if n := len(b.calls); n < 60 {
+	if n := len(b.counterCalls); n < 60 {
 		t.Errorf("%d calls in 10 s for 20 customers", n)
 	}
 }
@@ -92,30 +92,30 @@
 	add := b.counter
 	b.counter = func(c dw.CounterAdd) *dw.CounterAnswered {
 		e := add(c)
-		e.Latency = 45 * ms * dw.Span(len(b.calls)%2)
+		e.Latency = 45 * millisecond * dw.Span(len(b.counterCalls)%2)
 		return e
 	}
 	for i := range 400 {
-		b.serve(1, 10*ms, dw.Arrival{Customer: dw.CustomerID(2 + i%100), Plan: 1})
-		b.serve(1, 10*ms, dw.Arrival{Customer: 1})
+		b.serve(1, 10*millisecond, dw.Arrival{Customer: dw.CustomerID(2 + i%100), Plan: 1})
+		b.serve(1, 10*millisecond, dw.Arrival{Customer: 1})
 	}
 	near := 0
-	for _, c := range b.calls {
+	for _, c := range b.counterCalls {
 		if strings.HasPrefix(c.Name, "1.") {
 			near++
 		}
 	}
 	if near < 25 {
-		t.Errorf("%d of %d calls for the one that asks for more than its quota", near, len(b.calls))
+		t.Errorf("%d of %d calls for the one that asks for more than its quota", near, len(b.counterCalls))
 	}
 }
 
 // A blocked customer waits for its window's end, so windows last two bursts and no longer.
 func TestWindowsOfTwoBursts(t *testing.T) {
 	b := newHarness(t, settings(), dw.Endpoint{ID: 1})
-	b.serve(240, 100*ms, dw.Arrival{Customer: 1})
+	b.serve(240, 100*millisecond, dw.Arrival{Customer: 1})
 	windows := map[string]bool{}
-	for _, c := range b.calls {
+	for _, c := range b.counterCalls {
 		windows[c.Name] = true
 	}
 	if len(windows) < 4 { // of 6 s each, as the burst is 6 and the rate 2 a second
--- a/dedup_window_test.go
+++ b/dedup_window_test.go
@@ -17,13 +17,13 @@
 // An attempt that is out must not outlast the window of any other that may have run, whether it is the repeat or the one that was
 // repeated.
 func TestNoAttemptOutlastsTheWindowOfAnother(t *testing.T) {
-	const window = 150 * ms
+	const window = 150 * millisecond
 	for seed := range uint64(12) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := settings()
 			s.Zones, s.Instances, s.MaxUnits, s.MaxAttempts = 2, 1, 4, 4
 			s.ParallelAttempts, s.MayCancel = seed%2 == 0, seed%3 > 0
-			s.Classes = []dw.Class{{Objective: 200 * ms, Deadline: 800 * ms, Weight: 5, Idempotency: dw.IdempotentByKey, DedupWindow: window}}
+			s.Classes = []dw.Class{{Objective: 200 * millisecond, Deadline: 800 * millisecond, Weight: 5, Idempotency: dw.IdempotentByKey, DedupWindow: window}}
 			s.Plans = []dw.Plan{{Rate: 1000, Burst: 1000, WeightFactor: 1}}
 			w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 3)), settings: s, now: 1e9, totals: map[string]float64{},
 				ceilings: map[dw.CustomerID]*trueCeiling{}}
@@ -58,7 +58,7 @@
 					// A timer or a time-out is told with the round after it.
 					if age := dw.Span(w.now - other.startedAt); age > window+2*w.settings.Tick {
 						w.t.Fatalf("attempt %d of %s is out %d ms after attempt %d began, and servers forget that after %d ms",
-							i, id, age/ms, j, window/ms)
+							i, id, age/millisecond, j, window/millisecond)
 					}
 				}
 			}
--- a/gateway.go
+++ b/gateway.go
@@ -137,9 +137,9 @@
 	case AnswerStarted:
 		g.requests.answerStarted(e.Request)
 	case AttemptEnded:
-		g.attempts.ended(e)
+		g.attempts.handleOutcome(e)
 	case ClientLeft:
-		g.requests.clientLeft(e.Request)
+		g.requests.clientDeparted(e.Request)
 	case Expedite:
 		g.shutdown.expedite(e.Request)
 	case Shutdown:
@@ -192,4 +192,4 @@
 
 // EjectedServers counts the ready servers that get nothing new because their attempts fail; 0 where so many
 // fail that none is left out.
-func (g *Gateway) EjectedServers(now Instant) int { return g.outliers.ejectedNow(now) }
+func (g *Gateway) EjectedServers(now Instant) int { return g.outliers.countEjectedForAll(now) }
--- a/gateway_test.go
+++ b/gateway_test.go
@@ -32,7 +32,7 @@
 	}
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
-	if in := newHarness(t, s, dw.Endpoint{ID: 7}).serve(50, ms, dw.Arrival{}); in != 50 {
+	if in := newHarness(t, s, dw.Endpoint{ID: 7}).serve(50, millisecond, dw.Arrival{}); in != 50 {
 		t.Errorf("a plan with no quota admits %d of 50", in)
 	}
 }
@@ -41,7 +41,7 @@
 	run := func() []dw.StartAttempt {
 		b := newHarness(t, settings(), dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8}, dw.Endpoint{ID: 9})
 		for c := range dw.CustomerID(5) {
-			b.serve(20, 30*ms, dw.Arrival{Customer: c, Spread: 2})
+			b.serve(20, 30*millisecond, dw.Arrival{Customer: c, Spread: 2})
 		}
 		return b.attempts
 	}
--- a/harness_test.go
+++ b/harness_test.go
@@ -8,32 +8,32 @@
 )
 
 const (
-	ms  = dw.Span(1e6)
-	sec = dw.Span(1e9)
+	millisecond = dw.Span(1e6)
+	second      = dw.Span(1e9)
 )
 
 func settings() dw.Settings {
-	return dw.Settings{Instances: 2, Zones: 1, Tick: ms, Counter: true, CounterTimeout: 50 * ms, MaxUnits: 1,
-		MaxAttempts: 3, MayCancel: true, MaxRetryAfter: 500 * ms, AnswerSlack: 16 * ms, DrainGrace: sec,
-		SlowStartSpan: 15 * sec, OverloadSpan: 2 * sec, StartCapacity: 0.2, OverloadMultiple: 2.5,
-		Classes: []dw.Class{{Objective: 400 * ms, Deadline: 800 * ms, Weight: 3, Idempotency: dw.Idempotent},
-			{Objective: 400 * ms, Deadline: 800 * ms, Weight: 5, Idempotency: dw.NotIdempotent}},
+	return dw.Settings{Instances: 2, Zones: 1, Tick: millisecond, Counter: true, CounterTimeout: 50 * millisecond, MaxUnits: 1,
+		MaxAttempts: 3, MayCancel: true, MaxRetryAfter: 500 * millisecond, AnswerSlack: 16 * millisecond, DrainGrace: second,
+		SlowStartSpan: 15 * second, OverloadSpan: 2 * second, StartCapacity: 0.2, OverloadMultiple: 2.5,
+		Classes: []dw.Class{{Objective: 400 * millisecond, Deadline: 800 * millisecond, Weight: 3, Idempotency: dw.Idempotent},
+			{Objective: 400 * millisecond, Deadline: 800 * millisecond, Weight: 5, Idempotency: dw.NotIdempotent}},
 		Plans: []dw.Plan{{Rate: 2, Burst: 6, WeightFactor: 1, OverQuotaCost: 1}}}
 }
 
 // harness drives one gateway by hand: it keeps its timers and answers its counter calls as it is told to.
 type harness struct {
-	t        *testing.T
-	g        *dw.Gateway
-	now      dw.Instant
-	timers   []dw.SetTimer
-	attempts []dw.StartAttempt
-	answers  map[dw.RequestID]dw.Action // final answers
-	cancels  []dw.CancelAttempt
-	calls    []dw.CounterAdd
-	counter  func(dw.CounterAdd) *dw.CounterAnswered // nil: silence until the time-out
-	replies  []counterReply
-	lastID   int
+	t              *testing.T
+	gateway        *dw.Gateway
+	now            dw.Instant
+	timers         []dw.SetTimer
+	attempts       []dw.StartAttempt
+	answers        map[dw.RequestID]dw.Action // final answers
+	cancels        []dw.CancelAttempt
+	counterCalls   []dw.CounterAdd
+	counter        func(dw.CounterAdd) *dw.CounterAnswered // nil: silence until the time-out
+	counterReplies []counterReply
+	lastID         int
 }
 
 type counterReply struct {
@@ -48,7 +48,7 @@
 		t.Fatal(err)
 	}
 	totals := map[string]float64{}
-	b := &harness{t: t, g: g, now: dw.Instant(100 * sec), answers: map[dw.RequestID]dw.Action{}}
+	b := &harness{t: t, gateway: g, now: dw.Instant(100 * second), answers: map[dw.RequestID]dw.Action{}}
 	b.counter = func(c dw.CounterAdd) *dw.CounterAnswered {
 		totals[c.Name] += c.Add
 		return &dw.CounterAnswered{Name: c.Name, Total: totals[c.Name]}
@@ -58,7 +58,7 @@
 }
 
 func (b *harness) handle(e dw.Event) {
-	for _, a := range b.g.Handle(b.now, e, nil) {
+	for _, a := range b.gateway.Handle(b.now, e, nil) {
 		switch a := a.(type) {
 		case dw.SetTimer:
 			b.timers = append(b.timers, a)
@@ -75,12 +75,12 @@
 		case dw.CancelAttempt:
 			b.cancels = append(b.cancels, a)
 		case dw.CounterAdd:
-			b.calls = append(b.calls, a)
-			r := counterReply{b.now + dw.Instant(50*ms), dw.CounterAnswered{Name: a.Name, Outcome: dw.OutcomeTimeout}}
+			b.counterCalls = append(b.counterCalls, a)
+			r := counterReply{b.now + dw.Instant(50*millisecond), dw.CounterAnswered{Name: a.Name, Outcome: dw.OutcomeTimeout}}
 			if e := b.counter(a); e != nil {
-				r = counterReply{b.now + dw.Instant(2*ms), *e}
+				r = counterReply{b.now + dw.Instant(2*millisecond), *e}
 			}
-			b.replies = append(b.replies, r)
+			b.counterReplies = append(b.counterReplies, r)
 		}
 	}
 }
@@ -101,15 +101,15 @@
 // advance lets time go by, with timers and counter answers coming when they are due.
 func (b *harness) advance(d dw.Span) {
 	for end := b.now + dw.Instant(d); b.now < end; {
-		b.now += dw.Instant(ms)
+		b.now += dw.Instant(millisecond)
 		b.fireTimers()
-		replys := b.replies
-		b.replies = nil
+		replys := b.counterReplies
+		b.counterReplies = nil
 		for _, r := range replys {
 			if r.at <= b.now {
 				b.handle(r.e)
 			} else {
-				b.replies = append(b.replies, r)
+				b.counterReplies = append(b.counterReplies, r)
 			}
 		}
 	}
@@ -120,7 +120,7 @@
 	b.lastID++
 	a.ID = dw.RequestID(fmt.Sprint("q", b.lastID))
 	if a.Remaining == 0 {
-		a.Remaining = 800 * ms
+		a.Remaining = 800 * millisecond
 	}
 	if a.Units == 0 {
 		a.Units = 1
@@ -140,7 +140,7 @@
 		if ok {
 			in++
 			s := b.attempts[len(b.attempts)-1]
-			b.handle(dw.AttemptEnded{Request: id, Server: s.Server, Final: true, Latency: 10 * ms})
+			b.handle(dw.AttemptEnded{Request: id, Server: s.Server, Final: true, Latency: 10 * millisecond})
 		}
 		b.advance(d)
 	}
--- a/hedging.go
+++ b/hedging.go
@@ -38,6 +38,6 @@
 	if !afterMayHaveRun[r.class.Idempotency].retry || len(r.attempts) != n || !c.rules.attemptsLeft(r) {
 		return false
 	}
-	expected := c.latency.mean * c.latency.classSize[r.classIndex]
+	expected := c.latency.mean * c.latency.classLatencyRatio[r.classIndex]
 	return expected <= beyondQuotaFraction*objectiveFraction*seconds(r.class.Objective)
 }
--- a/internal/snapshot/fit.go
+++ b/internal/snapshot/fit.go
@@ -57,10 +57,10 @@
 	for i, old := range before {
 		sizes[i] = 1
 		if old >= 0 {
-			sizes[i] = state.ClassSizes[old]
+			sizes[i] = state.ClassLatencyRatios[old]
 		}
 	}
-	state.ClassSizes = sizes
+	state.ClassLatencyRatios = sizes
 	for i := range state.Servers {
 		server := &state.Servers[i]
 		failures := make([]dw.FailureStatistics, len(before))
@@ -99,11 +99,11 @@
 // Check fails with ErrBroken unless all numbers are such as a gateway can have, as the module uses them unchecked.
 func Check(m *Image) error {
 	state := &m.State
-	ok := len(state.ClassSizes) == len(m.Classes) && len(state.ZoneFailureShare) <= m.Zones &&
+	ok := len(state.ClassLatencyRatios) == len(m.Classes) && len(state.ZoneFailureShare) <= m.Zones &&
 		within(0, maxAmount, state.SentAttempts, state.EndpointRequests, state.ThrottleRequests, state.ThrottleAccepts) &&
 		within(0, maxAmount, state.RetryBudget, state.CounterCallRate, state.CounterMinLatency) &&
-		within(minPositive, maxAmount, state.Latency, state.IdleLatency, state.MeanWeight) &&
-		within(minPositive, maxAmount, state.ClassSizes...) &&
+		within(minPositive, maxAmount, state.Latency, state.IdleLatency, state.MeanPriority) &&
+		within(minPositive, maxAmount, state.ClassLatencyRatios...) &&
 		within(0, 1-1e-9, state.ZoneFailureShare...)
 	for i := range state.Servers {
 		ok = ok && isValidServer(&state.Servers[i])
@@ -128,7 +128,7 @@
 
 func isValidCustomer(c *dw.AccountState, m *Image) bool {
 	return c.Plan >= 0 && c.Plan < len(m.Plans) && c.Spread > 0 && c.Spread <= m.Instances && c.Window > 0 &&
-		within(-maxAmount, maxAmount, c.Level, c.WindowTotal, c.OwnInWindow, c.Predicted) &&
+		within(-maxAmount, maxAmount, c.Level, c.WindowTotal, c.OwnInWindow, c.PredictedUse) &&
 		within(0, maxAmount, c.OwnRate, c.OthersRate, c.Demand, c.DemandSpan) &&
 		within(-maxWindow, maxWindow, c.WindowElapsed)
 }
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -24,37 +24,37 @@
 		},
 		State: dw.State{
 			At: 1_790_000_000_000_000_001, SentAttempts: 101.1, EndpointRequests: 102.2, ThrottleRequests: 103.3, ThrottleAccepts: 104.4, RetryBudget: 105.5,
-			Latency: 0.061, IdleLatency: 0.052, MeanWeight: 2.3, Measured: 1_790_000_000_000_000_002,
-			CounterCallRate: 106.6, CounterMinLatency: 0.0017, ClassSizes: []float64{1.25, 3.75}, ZoneFailureShare: []float64{0.125, 0.625},
+			Latency: 0.061, IdleLatency: 0.052, MeanPriority: 2.3, MeasuredAt: 1_790_000_000_000_000_002,
+			CounterCallRate: 106.6, CounterMinLatency: 0.0017, ClassLatencyRatios: []float64{1.25, 3.75}, ZoneFailureShare: []float64{0.125, 0.625},
 			Servers: []dw.ServerStatistics{
 				{
 					Endpoint: dw.Endpoint{ID: 0x5be2a07c, Cell: 11, Zone: 1, Kind: 13, StartedAt: 1_790_000_000_000_000_003,
 						Rating: 14.5, State: dw.Draining, FleetSlowStartRate: 15.5, HealthCheck: dw.HealthCheckAny},
-					Latency: 0.071, Measured: 1_790_000_000_000_000_004, Answered: 1_790_000_000_000_000_005, SlowStartBudget: 0.81,
+					Latency: 0.071, MeasuredAt: 1_790_000_000_000_000_004, SucceededAt: 1_790_000_000_000_000_005, SlowStartBudget: 0.81,
 					SlowStartBudgetAt: 1_790_000_000_000_000_006,
 					Failures: []dw.FailureStatistics{
-						{Count: 21, AnsweredAt: 1_790_000_000_000_000_007, FirstAt: 1_790_000_000_000_000_008, EjectedUntil: 1_790_000_000_000_000_009},
-						{Count: 22, AnsweredAt: 1_790_000_000_000_000_010, FirstAt: 1_790_000_000_000_000_011, EjectedUntil: 1_790_000_000_000_000_012},
+						{Count: 21, SucceededAt: 1_790_000_000_000_000_007, FirstFailedAt: 1_790_000_000_000_000_008, EjectedUntil: 1_790_000_000_000_000_009},
+						{Count: 22, SucceededAt: 1_790_000_000_000_000_010, FirstFailedAt: 1_790_000_000_000_000_011, EjectedUntil: 1_790_000_000_000_000_012},
 					},
 				},
 				{
 					Endpoint: dw.Endpoint{ID: 0x00000009, Cell: 31, Zone: 32, Kind: 33, StartedAt: 1_790_000_000_000_000_013,
 						Rating: 34.5, State: dw.Removed, FleetSlowStartRate: 35.5, HealthCheck: dw.HealthCheckIdempotent},
-					Latency: 0.072, Measured: 1_790_000_000_000_000_014, Answered: 1_790_000_000_000_000_015, SlowStartBudget: 0.82,
+					Latency: 0.072, MeasuredAt: 1_790_000_000_000_000_014, SucceededAt: 1_790_000_000_000_000_015, SlowStartBudget: 0.82,
 					SlowStartBudgetAt: 1_790_000_000_000_000_016, Failures: []dw.FailureStatistics{
-						{Count: 23, AnsweredAt: 1_790_000_000_000_000_017, FirstAt: 1_790_000_000_000_000_018, EjectedUntil: 1_790_000_000_000_000_019},
+						{Count: 23, SucceededAt: 1_790_000_000_000_000_017, FirstFailedAt: 1_790_000_000_000_000_018, EjectedUntil: 1_790_000_000_000_000_019},
 					},
 				},
 			},
 			Customers: []dw.AccountState{
 				{
-					ID: 0xfedcba9876543210, Plan: 1, Spread: 4, InSet: true, Window: 4_000_000_001, Level: 41.1, Predicted: 42.2,
+					ID: 0xfedcba9876543210, Plan: 1, Spread: 4, Assigned: true, Window: 4_000_000_001, Level: 41.1, PredictedUse: 42.2,
 					OwnRate: 43.3, OthersRate: 44.4, Demand: 45.5, DemandSpan: 46.6, UpdatedAt: 1_790_000_000_000_000_020,
 					LastTotalAt: 1_790_000_000_000_000_021, BlockedUntil: 1_790_000_000_000_000_022, LastRequestAt: 1_790_000_000_000_000_023,
 					WindowNumber: 447_500_000, WindowTotal: 47.7, OwnInWindow: 48.8, WindowElapsed: 49.9,
 				},
 				{
-					ID: 0x0000000000000abc, Plan: 0, Spread: 2, InSet: false, Window: 8_000_000_002, Level: -51.1, Predicted: -52.2,
+					ID: 0x0000000000000abc, Plan: 0, Spread: 2, Assigned: false, Window: 8_000_000_002, Level: -51.1, PredictedUse: -52.2,
 					OwnRate: 53.3, OthersRate: 54.4, Demand: 55.5, DemandSpan: 56.6, UpdatedAt: 1_790_000_000_000_000_024,
 					LastTotalAt: 1_790_000_000_000_000_025, BlockedUntil: 1_790_000_000_000_000_000, LastRequestAt: 1_790_000_000_000_000_026,
 					WindowNumber: 223_750_000, WindowTotal: 57.7, OwnInWindow: 58.8, WindowElapsed: 59.9,
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -25,14 +25,14 @@
 func image(n int, v float64) *snapshot.Image {
 	m := &snapshot.Image{Node: "n1", Instances: 4, Self: 1, Zones: 2, Classes: []string{"query", "booking"},
 		Plans: []snapshot.Plan{{Name: "fleet", Rate: 8, Burst: 16}, {Name: "basic", Rate: 4, Burst: 8}}}
-	m.State = dw.State{At: 1e18, Latency: 0.05, IdleLatency: 0.04, MeanWeight: 2, ClassSizes: []float64{1, v + 1}, ZoneFailureShare: []float64{0, 0.5}}
+	m.State = dw.State{At: 1e18, Latency: 0.05, IdleLatency: 0.04, MeanPriority: 2, ClassLatencyRatios: []float64{1, v + 1}, ZoneFailureShare: []float64{0, 0.5}}
 	for i := range 10 {
 		m.State.Servers = append(m.State.Servers, dw.ServerStatistics{Endpoint: dw.Endpoint{ID: dw.ServerID(i)},
 			Latency: 0.1, Failures: []dw.FailureStatistics{{Count: 1}, {Count: 2}}})
 	}
 	for i := range n {
 		m.State.Customers = append(m.State.Customers, dw.AccountState{ID: dw.CustomerID(rand.Uint64()), Plan: i % 2,
-			Spread: 4, InSet: true, Window: 4e9, Level: v, OwnRate: v, OthersRate: 1.7 * v, UpdatedAt: 1e18, LastTotalAt: 1e18 - 3e8,
+			Spread: 4, Assigned: true, Window: 4e9, Level: v, OwnRate: v, OthersRate: 1.7 * v, UpdatedAt: 1e18, LastTotalAt: 1e18 - 3e8,
 			LastRequestAt: 1e18 - 7, WindowNumber: 12345678, WindowTotal: v, OwnInWindow: v / 3, WindowElapsed: 1.234})
 	}
 	return m
@@ -118,12 +118,12 @@
 	if err != nil || dropped != 6 || len(l.Customers) != 5 || l.Customers[0].Plan != 0 {
 		t.Fatalf("%v: %d dropped, %+v", err, dropped, l)
 	}
-	if want := []float64{2, 1}; !reflect.DeepEqual(l.ClassSizes, want) || l.Servers[0].Failures[0].Count != 2 || l.Servers[0].Failures[1].Count != 0 {
-		t.Fatalf("%v, %+v", l.ClassSizes, l.Servers[0])
+	if want := []float64{2, 1}; !reflect.DeepEqual(l.ClassLatencyRatios, want) || l.Servers[0].Failures[0].Count != 2 || l.Servers[0].Failures[1].Count != 0 {
+		t.Fatalf("%v, %+v", l.ClassLatencyRatios, l.Servers[0])
 	}
 	for i, spoil := range []func(m *snapshot.Image){func(m *snapshot.Image) { m.Node = "n2" }, func(m *snapshot.Image) { m.Instances++ },
-		func(m *snapshot.Image) { m.State.Latency = 0 }, func(m *snapshot.Image) { m.State.ClassSizes = nil },
-		func(m *snapshot.Image) { m.State.MeanWeight = math.NaN() }, func(m *snapshot.Image) { m.State.Customers[3].Plan = 2 },
+		func(m *snapshot.Image) { m.State.Latency = 0 }, func(m *snapshot.Image) { m.State.ClassLatencyRatios = nil },
+		func(m *snapshot.Image) { m.State.MeanPriority = math.NaN() }, func(m *snapshot.Image) { m.State.Customers[3].Plan = 2 },
 		func(m *snapshot.Image) { m.State.Customers[3].Level = math.Inf(1) }, func(m *snapshot.Image) { m.State.ZoneFailureShare[1] = 1 },
 		func(m *snapshot.Image) { m.State.Servers[3].Latency = -1 }} {
 		m := image(10, 1)
--- a/latency_estimate.go
+++ b/latency_estimate.go
@@ -26,17 +26,17 @@
 // latency and measuredAt. Samples are corrected for the class's size, for the server's warmth and for the
 // other attempts that this gateway had out there, so that servers can be compared.
 type latencyEstimator struct {
-	ctx           *stepContext
-	endpoints     *endpointSet
-	aperture      *aperture
-	slowStart     *slowStart
-	mean          float64   // over all servers
-	measuredAt    Instant   // last sample
-	idle          float64   // baseline: least mean of late, taken as that of servers without load
-	classSize     []float64 // by class: its latency, as a multiple of the mean
-	classSamples  []float64 // by class: samples in its size
-	minObjective  Span      // least latency objective of all classes
-	lastRecovered int       // index of the server that the last sweep ended with
+	ctx               *stepContext
+	endpoints         *endpointSet
+	aperture          *aperture
+	slowStart         *slowStart
+	mean              float64   // over all servers
+	measuredAt        Instant   // last sample
+	idle              float64   // baseline: least mean of late, taken as that of servers without load
+	classLatencyRatio []float64 // by class: its latency, as a multiple of the mean
+	classSamples      []float64 // by class: samples in its size
+	minObjective      Span      // least latency objective of all classes
+	lastRecovered     int       // index of the server that the last sweep ended with
 }
 
 // newLatencyEstimator starts from the classes' latency objectives.
@@ -45,7 +45,7 @@
 	l := &latencyEstimator{ctx: ctx, endpoints: set, aperture: ap, slowStart: ss}
 	l.minObjective = classes[0].Objective
 	for _, c := range classes {
-		l.classSize = append(l.classSize, 1)
+		l.classLatencyRatio = append(l.classLatencyRatio, 1)
 		l.classSamples = append(l.classSamples, priorSizeSamples)
 		l.minObjective = min(l.minObjective, c.Objective)
 		l.mean += initialLatency * seconds(c.Objective) / float64(len(classes))
@@ -65,7 +65,7 @@
 func (l *latencyEstimator) observeClassSize(class int, latency float64, concurrent int) {
 	size := min(latency/congestion(concurrent)/l.mean, maxClassSize)
 	l.classSamples[class]++
-	l.classSize[class] += max(classSizeWeight, 1/l.classSamples[class]) * (size - l.classSize[class])
+	l.classLatencyRatio[class] += max(classSizeWeight, 1/l.classSamples[class]) * (size - l.classLatencyRatio[class])
 }
 
 // failureLatency is what a failed attempt counts as, in seconds: an early error must not make its server
@@ -81,7 +81,7 @@
 	sample := latency / congestion(a.concurrent)
 	l.mean += l.sampleWeight(l.measuredAt, meanLatencyWeight) * (min(sample, maxSampleRatio*l.mean) - l.mean)
 	s.latency += l.sampleWeight(s.measuredAt, serverLatencyWeight) *
-		(sample*l.slowStart.warmth(s)/l.classSize[class] - s.latency)
+		(sample*l.slowStart.warmth(s)/l.classLatencyRatio[class] - s.latency)
 	if report.Has&HasInflight != 0 && report.Has&HasRate != 0 {
 		// Little's law, with one more request of the mean latency.
 		reported := (report.Inflight + report.Queue + 1) / (report.Rate + 1/l.mean)
--- a/latency_estimate_test.go
+++ b/latency_estimate_test.go
@@ -45,7 +45,7 @@
 						b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[len(b.attempts)-1].Server, Final: true,
 							Latency: dw.Span(c.classes[k].work * (0.3 + 0.7*rng.ExpFloat64()) * 1e9)})
 					}
-					b.advance(200 * ms)
+					b.advance(200 * millisecond)
 				}
 			}
 			for k := range c.classes {
--- a/limit_answers_test.go
+++ b/limit_answers_test.go
@@ -10,7 +10,7 @@
 // adjust sends a command on a limit and returns its answer, once time has gone by.
 func (b *harness) adjust(units float64, spread int, wait dw.Span) any {
 	b.lastID++
-	q := dw.LimitQuery{ID: dw.RequestID("limit" + string(rune('a'+b.lastID))), Customer: 1, Remaining: 800 * ms, Spread: spread}
+	q := dw.LimitQuery{ID: dw.RequestID("limit" + string(rune('a'+b.lastID))), Customer: 1, Remaining: 800 * millisecond, Spread: spread}
 	if units == 0 {
 		b.handle(q)
 	} else {
@@ -22,7 +22,7 @@
 
 func (b *harness) expectRemaining(t *testing.T, want float64) {
 	t.Helper()
-	if l, ok := b.adjust(0, 1, 300*ms).(dw.LimitAnswer); !ok || math.Abs(l.Remaining-want) > 1 {
+	if l, ok := b.adjust(0, 1, 300*millisecond).(dw.LimitAnswer); !ok || math.Abs(l.Remaining-want) > 1 {
 		t.Errorf("%+v, want %v left", l, want)
 	}
 }
@@ -37,19 +37,19 @@
 func TestQuery(t *testing.T) {
 	b := newHarness(t, limitedPlans(), dw.Endpoint{ID: 7})
 	b.expectRemaining(t, 6)
-	b.serve(3, ms, dw.Arrival{Customer: 1})
+	b.serve(3, millisecond, dw.Arrival{Customer: 1})
 	b.expectRemaining(t, 3)
-	b.serve(9, ms, dw.Arrival{Customer: 1})
-	l, ok := b.adjust(0, 1, 300*ms).(dw.LimitAnswer)
-	if !ok || l.Remaining >= 1 || l.Limit != 6 || l.ReplenishedAfter <= 0 || l.ReplenishedAfter > 10*sec {
+	b.serve(9, millisecond, dw.Arrival{Customer: 1})
+	l, ok := b.adjust(0, 1, 300*millisecond).(dw.LimitAnswer)
+	if !ok || l.Remaining >= 1 || l.Limit != 6 || l.ReplenishedAfter <= 0 || l.ReplenishedAfter > 10*second {
 		t.Errorf("over the quota: %+v", l)
 	}
 	// The advice holds: when the time has come, one more is admitted, and not before.
-	if in := b.serve(1, ms, dw.Arrival{Customer: 1}); in != 0 {
+	if in := b.serve(1, millisecond, dw.Arrival{Customer: 1}); in != 0 {
 		t.Error("admitted before the time")
 	}
-	b.advance(l.ReplenishedAfter + 200*ms)
-	if in := b.serve(1, ms, dw.Arrival{Customer: 1}); in != 1 {
+	b.advance(l.ReplenishedAfter + 200*millisecond)
+	if in := b.serve(1, millisecond, dw.Arrival{Customer: 1}); in != 1 {
 		t.Error("not admitted when the time has come")
 	}
 }
@@ -57,10 +57,10 @@
 // What is taken after a query came is not in its answer, though its own call may push it.
 func TestQuerySeesNothingLater(t *testing.T) {
 	b := newHarness(t, limitedPlans(), dw.Endpoint{ID: 7})
-	b.serve(1, ms, dw.Arrival{Customer: 1})
-	b.handle(dw.LimitQuery{ID: "early", Customer: 1, Remaining: 800 * ms, Spread: 1})
-	b.serve(3, ms, dw.Arrival{Customer: 1})
-	b.advance(300 * ms)
+	b.serve(1, millisecond, dw.Arrival{Customer: 1})
+	b.handle(dw.LimitQuery{ID: "early", Customer: 1, Remaining: 800 * millisecond, Spread: 1})
+	b.serve(3, millisecond, dw.Arrival{Customer: 1})
+	b.advance(300 * millisecond)
 	if l, ok := b.answers["early"].(dw.LimitAnswer); !ok || math.Abs(l.Remaining-5) > 0.5 {
 		t.Errorf("%+v, want 5 left", l)
 	}
@@ -74,7 +74,7 @@
 	}{{-2, dw.AdjustAnswer{Units: 0}}, {5, dw.AdjustAnswer{Units: 5}}, {2, nil}, {-2, dw.AdjustAnswer{Units: -2}},
 		{-9, dw.AdjustAnswer{Units: -3}}, {-1, dw.AdjustAnswer{Units: 0}}}
 	for i, step := range steps {
-		got := b.adjust(step.units, 1, 300*ms)
+		got := b.adjust(step.units, 1, 300*millisecond)
 		switch got := got.(type) {
 		case dw.AdjustAnswer:
 			if want, ok := step.want.(dw.AdjustAnswer); !ok || math.Abs(got.Units-want.Units) > 1e-9 {
@@ -88,9 +88,9 @@
 			t.Errorf("step %d, %v: %+v", i, step.units, got)
 		}
 	}
-	b.advance(sec)
+	b.advance(second)
 	sum := 0.0
-	for _, c := range b.calls {
+	for _, c := range b.counterCalls {
 		if sum += c.Add; sum < 0 {
 			t.Errorf("the count falls to %v", sum)
 		}
@@ -105,10 +105,10 @@
 	for _, o := range []dw.Outcome{dw.OutcomeTimeout, dw.OutcomeRejected, dw.OutcomeConnectFailed} {
 		b := newHarness(t, limitedPlans(), dw.Endpoint{ID: 7})
 		b.counter = func(c dw.CounterAdd) *dw.CounterAnswered { return &dw.CounterAnswered{Name: c.Name, Outcome: o} }
-		if a, ok := b.adjust(0, 1, 790*ms).(dw.Fail); !ok {
+		if a, ok := b.adjust(0, 1, 790*millisecond).(dw.Fail); !ok {
 			t.Errorf("outcome %v: %+v", o, a)
 		}
-		if calls := len(b.calls); calls > 20 {
+		if calls := len(b.counterCalls); calls > 20 {
 			t.Errorf("outcome %v: %d calls for one query", o, calls)
 		}
 	}
@@ -119,11 +119,11 @@
 	b := newHarness(t, limitedPlans(), dw.Endpoint{ID: 7})
 	add := b.counter
 	b.expectRemaining(t, 6)
-	b.serve(2, ms, dw.Arrival{Customer: 1})
+	b.serve(2, millisecond, dw.Arrival{Customer: 1})
 	b.counter = func(c dw.CounterAdd) *dw.CounterAnswered { add(c); return nil }
-	b.adjust(0, 1, 100*ms)
+	b.adjust(0, 1, 100*millisecond)
 	b.counter = add
-	b.advance(sec)
+	b.advance(second)
 	b.expectRemaining(t, 4)
 }
 
@@ -135,7 +135,7 @@
 		total += c.Add
 		return &dw.CounterAnswered{Name: c.Name, Total: total}
 	}
-	b.serve(2, ms, dw.Arrival{Customer: 1, Spread: 2})
+	b.serve(2, millisecond, dw.Arrival{Customer: 1, Spread: 2})
 	total += 3 // by the other gateway
 	b.expectRemaining(t, 1)
 	total -= 3 // given back there
@@ -150,11 +150,11 @@
 	s.Plans[0] = dw.Plan{Rate: 1, Burst: 1, WeightFactor: 1, OverQuotaCost: 1} // thin: the push comes first
 	b := newHarness(t, s, dw.Endpoint{ID: 7})
 	id, sent := b.request(dw.Arrival{Customer: 1, Spread: 2})
-	if sent || len(b.calls) == 0 {
+	if sent || len(b.counterCalls) == 0 {
 		t.Fatal("it does not wait for the count")
 	}
 	b.handle(dw.ClientLeft{Request: id})
-	b.advance(100 * ms)
+	b.advance(100 * millisecond)
 	if len(b.attempts) > 0 {
 		t.Error("sent on for a client that has left")
 	}
@@ -163,18 +163,18 @@
 // Who is rejected under the ceiling is told when the ceiling has room again, and is admitted then.
 func TestCeilingRetryAfter(t *testing.T) {
 	s := settings()
-	s.MaxRetryAfter = 60 * sec
+	s.MaxRetryAfter = 60 * second
 	s.Plans[0].CeilingRate, s.Plans[0].CeilingBurst, s.Plans[0].Tolerance = 0.5, 6, 1
 	b := newHarness(t, s, dw.Endpoint{ID: 7})
-	r, ok := b.adjust(1, 2, ms).(dw.Reject)
-	if !ok || r.RetryAfter < sec || r.RetryAfter > 8*sec {
+	r, ok := b.adjust(1, 2, millisecond).(dw.Reject)
+	if !ok || r.RetryAfter < second || r.RetryAfter > 8*second {
 		t.Fatalf("%+v", r)
 	}
-	if _, ok := b.adjust(1, 2, ms).(dw.Reject); !ok {
+	if _, ok := b.adjust(1, 2, millisecond).(dw.Reject); !ok {
 		t.Error("admitted before the time")
 	}
 	b.advance(r.RetryAfter)
-	if a, ok := b.adjust(1, 2, ms).(dw.AdjustAnswer); !ok {
+	if a, ok := b.adjust(1, 2, millisecond).(dw.AdjustAnswer); !ok {
 		t.Errorf("not admitted when the time has come: %+v", a)
 	}
 }
@@ -186,12 +186,12 @@
 	s.Plans[0] = dw.Plan{Rate: 50, Burst: 100, MaxInFlight: 6, WeightFactor: 1, OverQuotaCost: 1}
 	in := 0
 	b := newHarness(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8}, dw.Endpoint{ID: 9})
-	b.serve(100, 20*ms, dw.Arrival{Customer: 1, Spread: 2}) // at ease, all seen here: others use nothing
+	b.serve(100, 20*millisecond, dw.Arrival{Customer: 1, Spread: 2}) // at ease, all seen here: others use nothing
 	for range 12 {
 		if _, sent := b.request(dw.Arrival{Customer: 1, Spread: 2}); sent { // no server answers these
 			in++
 		}
-		b.advance(10 * ms)
+		b.advance(10 * millisecond)
 	}
 	if in != 3 {
 		t.Errorf("%d are out, want half of 6", in)
--- a/load_shedding.go
+++ b/load_shedding.go
@@ -25,7 +25,7 @@
 // or a multiple of what idle servers take, which is no sign of load, scaled by the root of its priority.
 func (l *loadShedder) latencyThreshold(r *request, withinQuota bool) float64 {
 	byObjective := objectiveFraction * seconds(r.objective-l.ctx.now)
-	byIdle := idleMultiple * l.latency.idle * l.latency.classSize[r.classIndex]
+	byIdle := idleMultiple * l.latency.idle * l.latency.classLatencyRatio[r.classIndex]
 	threshold := max(byObjective, byIdle) * math.Sqrt(l.priorities.of(r)/l.priorities.mean)
 	if !withinQuota {
 		threshold *= beyondQuotaFraction
--- a/load_shedding_test.go
+++ b/load_shedding_test.go
@@ -14,14 +14,14 @@
 	b := newHarness(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8})
 	for range 100 {
 		if id, ok := b.request(dw.Arrival{}); ok {
-			b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[len(b.attempts)-1].Server, Final: true, Latency: 390 * ms})
+			b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[len(b.attempts)-1].Server, Final: true, Latency: 390 * millisecond})
 		}
-		b.advance(ms)
+		b.advance(millisecond)
 	}
 	if _, ok := b.request(dw.Arrival{}); ok {
 		t.Fatal("slow servers do not lead to rejections")
 	}
-	b.advance(4 * sec)
+	b.advance(4 * second)
 	if _, ok := b.request(dw.Arrival{}); !ok {
 		t.Error("no way back")
 	}
@@ -38,12 +38,12 @@
 		for range 500 {
 			id, ok := b.request(dw.Arrival{})
 			for attempt := 0; ok && seen < len(b.attempts); attempt++ {
-				e := dw.AttemptEnded{Request: id, Attempt: attempt, Server: b.attempts[seen].Server, Outcome: outcome, Latency: 5 * ms}
+				e := dw.AttemptEnded{Request: id, Attempt: attempt, Server: b.attempts[seen].Server, Outcome: outcome, Latency: 5 * millisecond}
 				e.Final = outcome == dw.OutcomeOK
 				seen++
 				b.handle(e)
 			}
-			b.advance(20 * ms)
+			b.advance(20 * millisecond)
 		}
 		return len(b.attempts) - before
 	}
@@ -70,9 +70,9 @@
 	b := newHarness(t, s, servers...)
 	in := 0
 	for i := range 300 {
-		latency := 10 * ms
+		latency := 10 * millisecond
 		if i >= 200 {
-			latency = 300 * ms
+			latency = 300 * millisecond
 		}
 		if id, ok := b.request(dw.Arrival{}); ok {
 			b.advance(latency)
@@ -81,7 +81,7 @@
 				in++
 			}
 		}
-		b.advance(100 * ms)
+		b.advance(100 * millisecond)
 	}
 	if in > 20 || in == 0 {
 		t.Errorf("%d of 70 requests go on to servers that all take three quarters of the aim", in)
@@ -94,18 +94,18 @@
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
 	b := newHarness(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8})
-	least, most := sec, dw.Span(0)
+	least, most := second, dw.Span(0)
 	for range 200 {
 		id, ok := b.request(dw.Arrival{})
 		if ok {
-			b.advance(220 * ms)
-			b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[len(b.attempts)-1].Server, Final: true, Latency: 220 * ms})
+			b.advance(220 * millisecond)
+			b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[len(b.attempts)-1].Server, Final: true, Latency: 220 * millisecond})
 		} else if r, rejected := b.answers[id].(dw.Reject); rejected {
 			least, most = min(least, r.RetryAfter), max(most, r.RetryAfter)
 		}
-		b.advance(ms)
+		b.advance(millisecond)
 	}
-	if least <= 0 || most < 2*least || most > 400*ms {
+	if least <= 0 || most < 2*least || most > 400*millisecond {
 		t.Errorf("advice of %v to %v", least, most)
 	}
 }
@@ -118,7 +118,7 @@
 	for _, c := range []struct {
 		latency  dw.Span
 		min, max int
-	}{{70 * ms, 95, 100}, {130 * ms, 95, 100}, {300 * ms, 1, 60}} {
+	}{{70 * millisecond, 95, 100}, {130 * millisecond, 95, 100}, {300 * millisecond, 1, 60}} {
 		in := 0
 		for i := range 200 {
 			if id, ok := b.request(dw.Arrival{}); ok {
@@ -128,7 +128,7 @@
 					in++
 				}
 			}
-			b.advance(10 * ms)
+			b.advance(10 * millisecond)
 		}
 		if in < c.min || in > c.max {
 			t.Errorf("answers in %v: %d of 100 go on, want %d to %d", c.latency, in, c.min, c.max)
--- a/many_gateways_test.go
+++ b/many_gateways_test.go
@@ -54,10 +54,10 @@
 // newFleet makes gateways that differ in number and seed alone, and servers of three cores that take 150 ms a request.
 func newFleet(t *testing.T, s dw.Settings, servers int) *fleet {
 	t.Helper()
-	f := &fleet{now: dw.Instant(1000 * sec), rng: rand.New(rand.NewPCG(1, 2)), servers: map[dw.ServerID]*fleetServer{}}
+	f := &fleet{now: dw.Instant(1000 * second), rng: rand.New(rand.NewPCG(1, 2)), servers: map[dw.ServerID]*fleetServer{}}
 	var list []dw.Endpoint
 	for i := range servers {
-		m := f.add(dw.Endpoint{ID: dw.ServerID(i * 7919), Zone: i % max(1, s.Zones)}, 150*ms)
+		m := f.add(dw.Endpoint{ID: dw.ServerID(i * 7919), Zone: i % max(1, s.Zones)}, 150*millisecond)
 		list = append(list, m.Endpoint)
 	}
 	for i := range s.Instances {
@@ -92,7 +92,7 @@
 	m.report.Inflight = float64(min(m.inFlight, len(m.cores)))
 	m.report.Queue = float64(m.inFlight) - m.report.Inflight
 	m.ended = 0
-	f.after(sec/2, func() { f.refresh(m) })
+	f.after(second/2, func() { f.refresh(m) })
 }
 
 // load has each gateway asked five times a second.
@@ -100,10 +100,10 @@
 	for gate := range f.gateways {
 		var next func()
 		next = func() {
-			f.request(gate, dw.Arrival{Remaining: 4 * sec, Spread: 1})
-			f.after(dw.Span(f.rng.ExpFloat64()*float64(sec/5)), next)
+			f.request(gate, dw.Arrival{Remaining: 4 * second, Spread: 1})
+			f.after(dw.Span(f.rng.ExpFloat64()*float64(second/5)), next)
 		}
-		f.after(dw.Span(f.rng.Float64()*float64(sec)), next)
+		f.after(dw.Span(f.rng.Float64()*float64(second)), next)
 	}
 }
 
@@ -157,7 +157,7 @@
 func eightyGateways() dw.Settings {
 	s := manyGateways()
 	s.Instances, s.ParallelAttempts = 80, false
-	s.Classes = []dw.Class{{Objective: 1500 * ms, Deadline: 4 * sec, Weight: 1, Idempotency: dw.Idempotent}}
+	s.Classes = []dw.Class{{Objective: 1500 * millisecond, Deadline: 4 * second, Weight: 1, Idempotency: dw.Idempotent}}
 	return s
 }
 
@@ -170,15 +170,15 @@
 	slow := map[dw.ServerID]bool{}
 	for id, m := range f.servers {
 		if id%(7919*6) == 0 {
-			m.work, slow[id] = 1200*ms, true
+			m.work, slow[id] = 1200*millisecond, true
 		}
 	}
 	f.load()
-	f.run(10 * sec)
+	f.run(10 * second)
 	for _, m := range f.servers {
 		m.started = 0
 	}
-	f.run(10 * sec)
+	f.run(10 * second)
 	bad, all, most := 0, 0, 0
 	for id, m := range f.servers {
 		if all += m.started; slow[id] {
@@ -212,7 +212,7 @@
 		s.Plans[0].OverQuotaValue, s.Plans[0].OverQuotaCost = earns, 0.1
 		b := newHarness(t, s, dw.Endpoint{ID: 7})
 		b.request(dw.Arrival{Customer: 1, Spread: 50})
-		if calls, sent := len(b.calls), len(b.attempts); calls+sent != 1 || sent != int(5*earns) {
+		if calls, sent := len(b.counterCalls), len(b.attempts); calls+sent != 1 || sent != int(5*earns) {
 			t.Errorf("beyond the quota earning %v: %d calls, and sent on %d times, before an answer", earns, calls, sent)
 		}
 	}
@@ -226,7 +226,7 @@
 	s.Classes[1].Weight = 5
 	b := newHarness(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8})
 	for i := range 400 {
-		b.serve(1, 20*ms, dw.Arrival{Customer: dw.CustomerID(100 + i), Class: i % 2, Remaining: sec})
+		b.serve(1, 20*millisecond, dw.Arrival{Customer: dw.CustomerID(100 + i), Class: i % 2, Remaining: second})
 	}
 	return b
 }
@@ -238,12 +238,12 @@
 		b := newMixedTraffic(t)
 		in := [2]int{}
 		for i := range 200 { // five a second, where the quota is two
-			id, ok := b.request(dw.Arrival{Customer: 1, Class: i % 2, Spread: spread, Remaining: sec})
-			if b.advance(5 * ms); ok || b.answers[id] == nil {
+			id, ok := b.request(dw.Arrival{Customer: 1, Class: i % 2, Spread: spread, Remaining: second})
+			if b.advance(5 * millisecond); ok || b.answers[id] == nil {
 				in[i%2]++
-				b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[len(b.attempts)-1].Server, Final: true, Latency: 10 * ms})
+				b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[len(b.attempts)-1].Server, Final: true, Latency: 10 * millisecond})
 			}
-			b.advance(195 * ms)
+			b.advance(195 * millisecond)
 		}
 		t.Logf("spread %d: %d queries and %d bookings go on", spread, in[0], in[1])
 		if in[1] < 2*in[0] || in[0]+in[1] < 60 {
@@ -256,16 +256,16 @@
 func TestRemainingUnitsCanBeTaken(t *testing.T) {
 	for _, spread := range []int{1, 50} {
 		b := newMixedTraffic(t)
-		q := dw.LimitQuery{Customer: 1, Remaining: sec, Spread: spread}
+		q := dw.LimitQuery{Customer: 1, Remaining: second, Spread: spread}
 		for i := range 20 { // until nothing is left
 			q.ID = dw.RequestID(fmt.Sprint("ask", i))
 			b.handle(q)
-			b.advance(10 * ms)
+			b.advance(10 * millisecond)
 			left := b.answers[q.ID].(dw.LimitAnswer).Remaining
 			take := dw.LimitAdjust{LimitQuery: q, Units: 1}
 			take.ID = dw.RequestID(fmt.Sprint("take", i))
 			b.handle(take)
-			b.advance(10 * ms)
+			b.advance(10 * millisecond)
 			if _, taken := b.answers[take.ID].(dw.AdjustAnswer); taken != (left >= 1) {
 				t.Errorf("spread %d: %.2f are left, and one can be taken: %v", spread, left, taken)
 			}
@@ -280,19 +280,19 @@
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
 	f := newFleet(t, s, 60)
 	f.load()
-	f.run(10 * sec)
+	f.run(10 * second)
 	var news []dw.Endpoint
 	var warming []*fleetServer
 	for i := range 36 {
 		news = append(news, dw.Endpoint{ID: dw.ServerID(i * 7919), State: dw.Removed})
-		m := f.add(dw.Endpoint{ID: dw.ServerID(1e6 + i), StartedAt: f.now}, 600*ms)
+		m := f.add(dw.Endpoint{ID: dw.ServerID(1e6 + i), StartedAt: f.now}, 600*millisecond)
 		warming, news = append(warming, m), append(news, m.Endpoint)
 	}
 	for gate := range f.gateways {
 		f.handle(gate, dw.EndpointList{Kind: dw.ListDelta, Servers: news})
 	}
 	begins := s.StartCapacity * 3 / 0.15 // requests a second
-	limit := s.OverloadMultiple * begins * float64(s.OverloadSpan) / float64(sec)
+	limit := s.OverloadMultiple * begins * float64(s.OverloadSpan) / float64(second)
 	all, most := 0, 0
 	for range 3 { // windows from the start, each taken to bear no more than the first
 		f.run(s.OverloadSpan)
@@ -312,14 +312,14 @@
 func TestWarmingServersAreUsedByBusyGateways(t *testing.T) {
 	s := eightyGateways()
 	s.Instances, s.Plans[0] = 2, dw.Plan{WeightFactor: 1}
-	s.Classes[0].Objective = sec
+	s.Classes[0].Objective = second
 	asked, begun := 0, 0
 	const seeds = 12
 	for seed := range uint64(seeds) {
 		f := newFleet(t, s, 9)
 		f.rng = rand.New(rand.NewPCG(seed, 2))
 		for _, m := range f.servers {
-			m.work = 100 * ms
+			m.work = 100 * millisecond
 		}
 		counts := false
 		for gate := range f.gateways {
@@ -328,12 +328,12 @@
 				if counts {
 					asked++
 				}
-				f.request(gate, dw.Arrival{Remaining: 4 * sec, Spread: 1})
-				f.after(dw.Span(f.rng.ExpFloat64()*float64(sec/65)), next)
+				f.request(gate, dw.Arrival{Remaining: 4 * second, Spread: 1})
+				f.after(dw.Span(f.rng.ExpFloat64()*float64(second/65)), next)
 			}
 			f.after(0, next)
 		}
-		f.run(10 * sec)
+		f.run(10 * second)
 		var news []dw.Endpoint
 		for i := range 6 {
 			news = append(news, dw.Endpoint{ID: dw.ServerID(i * 7919), State: dw.Removed})
@@ -341,8 +341,8 @@
 			var warm func()
 			warm = func() {
 				part := min(1, s.StartCapacity+(1-s.StartCapacity)*float64(f.now-m.StartedAt)/float64(s.SlowStartSpan))
-				m.work = dw.Span(float64(100*ms) / part)
-				f.after(sec/4, warm)
+				m.work = dw.Span(float64(100*millisecond) / part)
+				f.after(second/4, warm)
 			}
 			warm()
 			news = append(news, m.Endpoint)
--- a/outlier_detection.go
+++ b/outlier_detection.go
@@ -129,8 +129,8 @@
 	return false
 }
 
-// ejectedNow counts the ready servers that get no attempt of any class; 0 where outliers are not left out.
-func (o *outlierDetector) ejectedNow(now Instant) int {
+// countEjectedForAll counts the ready servers that get no attempt of any class; 0 where outliers are not left out.
+func (o *outlierDetector) countEjectedForAll(now Instant) int {
 	n := 0
 	for s := range o.suspects { // in any order
 		if s.State == Ready && s.ejectedForAll(now) {
--- a/outlier_detection_test.go
+++ b/outlier_detection_test.go
@@ -20,14 +20,14 @@
 				got[to-7][class]++
 			}
 			if to == 8 || class == 1 {
-				b.advance(10 * ms)
-				b.handle(dw.AttemptEnded{Request: id, Server: to, Final: true, Latency: 10 * ms})
+				b.advance(10 * millisecond)
+				b.handle(dw.AttemptEnded{Request: id, Server: to, Final: true, Latency: 10 * millisecond})
 			} else {
-				b.advance(800 * ms)
-				b.handle(dw.AttemptEnded{Request: id, Server: to, Outcome: dw.OutcomeTimeout, Final: true, Latency: 800 * ms})
+				b.advance(800 * millisecond)
+				b.handle(dw.AttemptEnded{Request: id, Server: to, Outcome: dw.OutcomeTimeout, Final: true, Latency: 800 * millisecond})
 			}
 		}
-		b.advance(20 * ms)
+		b.advance(20 * millisecond)
 	}
 	if got[0][0] > 10 || got[0][1] < 30 {
 		t.Errorf("server 7 got %d requests of the class that it fails and %d of the other", got[0][0], got[0][1])
@@ -48,13 +48,13 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := &harness{t: t, g: g, now: dw.Instant(100 * sec), answers: map[dw.RequestID]dw.Action{}}
+		b := &harness{t: t, gateway: g, now: dw.Instant(100 * second), answers: map[dw.RequestID]dw.Action{}}
 		b.handle(dw.EndpointList{Kind: dw.ListCached, Servers: servers})
 		for range 60 {
 			id, ok := b.request(dw.Arrival{})
 			for attempt := 0; ok && b.answers[id] == nil && attempt < 3; attempt++ {
 				to := b.attempts[len(b.attempts)-1]
-				e := dw.AttemptEnded{Request: id, Attempt: attempt, Server: to.Server, Final: true, Latency: 30 * ms}
+				e := dw.AttemptEnded{Request: id, Attempt: attempt, Server: to.Server, Final: true, Latency: 30 * millisecond}
 				if to.Request != id {
 					break
 				} else if to.Server%2 == 1 {
@@ -65,7 +65,7 @@
 					break
 				}
 			}
-			b.advance(100 * ms)
+			b.advance(100 * millisecond)
 		}
 	}
 	if lost > 400 { // of 1,200 requests; found out server by server it is 457
--- a/priority.go
+++ b/priority.go
@@ -14,7 +14,7 @@
 
 // of is the priority of a request.
 func (p *priorities) of(r *request) float64 {
-	return max(r.class.Weight, minPriority) / p.latency.classSize[r.classIndex]
+	return max(r.class.Weight, minPriority) / p.latency.classLatencyRatio[r.classIndex]
 }
 
 // observe takes a request into the mean.
--- a/quota_test.go
+++ b/quota_test.go
@@ -13,9 +13,9 @@
 		d        dw.Span
 		min, max int
 	}{
-		{"a burst", 20, ms, 5, 6},
-		{"within the rate", 40, 600 * ms, 40, 40},
-		{"three times the rate, over two windows' edges", 150, 166 * ms, 50, 57}, // 6 + 2 a second for 25 s
+		{"a burst", 20, millisecond, 5, 6},
+		{"within the rate", 40, 600 * millisecond, 40, 40},
+		{"three times the rate, over two windows' edges", 150, 166 * millisecond, 50, 57}, // 6 + 2 a second for 25 s
 	}
 	for _, c := range cases {
 		in := newHarness(t, settings(), dw.Endpoint{ID: 7}).serve(c.n, c.d, dw.Arrival{Customer: 1})
@@ -29,10 +29,10 @@
 func TestUseByOtherGateways(t *testing.T) {
 	b := newHarness(t, settings(), dw.Endpoint{ID: 7})
 	b.counter = func(c dw.CounterAdd) *dw.CounterAnswered { return &dw.CounterAnswered{Name: c.Name, Total: c.Add + 6} }
-	if in := b.serve(1, 500*ms, dw.Arrival{Customer: 1, Spread: 2}); in != 1 {
+	if in := b.serve(1, 500*millisecond, dw.Arrival{Customer: 1, Spread: 2}); in != 1 {
 		t.Fatal("the first request is rejected")
 	}
-	if in := b.serve(20, ms, dw.Arrival{Customer: 1, Spread: 2}); in > 1 {
+	if in := b.serve(20, millisecond, dw.Arrival{Customer: 1, Spread: 2}); in > 1 {
 		t.Errorf("%d admitted though others have used the burst", in)
 	}
 }
@@ -56,7 +56,7 @@
 		}
 	}
 	for _, id := range began {
-		b.handle(dw.AttemptEnded{Request: id, Server: 7, Final: true, Latency: 10 * ms})
+		b.handle(dw.AttemptEnded{Request: id, Server: 7, Final: true, Latency: 10 * millisecond})
 	}
 	// None of them is left in the count: one that has not begun is taken for four.
 	if _, ok := b.request(dw.Arrival{Spread: 4}); !ok {
@@ -72,11 +72,11 @@
 	s := settings()
 	s.Plans[0] = dw.Plan{Rate: 10, Burst: 20, CeilingRate: 20, CeilingBurst: 40, Tolerance: 4, WeightFactor: 1}
 	b := newHarness(t, s, dw.Endpoint{ID: 7})
-	if in := b.serve(10, ms, dw.Arrival{Customer: 1, Spread: 2}); in > 0 {
+	if in := b.serve(10, millisecond, dw.Arrival{Customer: 1, Spread: 2}); in > 0 {
 		t.Errorf("%d admitted at once", in)
 	}
-	b.advance(sec)
-	if in := b.serve(5, ms, dw.Arrival{Customer: 1, Spread: 2}); in != 5 {
+	b.advance(second)
+	if in := b.serve(5, millisecond, dw.Arrival{Customer: 1, Spread: 2}); in != 5 {
 		t.Errorf("%d of 5 admitted after a second", in)
 	}
 }
@@ -95,13 +95,13 @@
 		}
 		last := total
 		first, _ := b.request(dw.Arrival{Customer: 1, Spread: 50})
-		b.advance(10 * ms)
+		b.advance(10 * millisecond)
 		if len(b.attempts) == 1 {
-			b.handle(dw.AttemptEnded{Request: first, Server: 7, Final: true, Latency: 10 * ms})
+			b.handle(dw.AttemptEnded{Request: first, Server: 7, Final: true, Latency: 10 * millisecond})
 		}
-		b.advance(2100 * ms) // into the next window
+		b.advance(2100 * millisecond) // into the next window
 		id, _ := b.request(dw.Arrival{Customer: 1, Spread: 50})
-		b.advance(3 * ms)
+		b.advance(3 * millisecond)
 		if in := b.answers[id] == nil; in != want {
 			t.Errorf("total %v in the last window: admitted %v, want %v", last, in, want)
 		}
--- a/request.go
+++ b/request.go
@@ -97,8 +97,8 @@
 	r.done = true
 }
 
-// clientLeft ends a request without an answer.
-func (t *requestTable) clientLeft(id RequestID) {
+// clientDeparted ends a request without an answer.
+func (t *requestTable) clientDeparted(id RequestID) {
 	if r := t.byID[id]; r != nil {
 		t.finish(r, nil)
 	}
--- a/retry_test.go
+++ b/retry_test.go
@@ -18,8 +18,8 @@
 	} {
 		b := newHarness(t, settings(), dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8})
 		id, _ := b.request(dw.Arrival{Class: c.class})
-		b.advance(5 * ms)
-		b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[0].Server, Outcome: c.outcome, Latency: 5 * ms})
+		b.advance(5 * millisecond)
+		b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[0].Server, Outcome: c.outcome, Latency: 5 * millisecond})
 		got := "nothing"
 		if len(b.attempts) == 2 && b.attempts[1].Server != b.attempts[0].Server {
 			got = "sent"
@@ -37,7 +37,7 @@
 	for class := range 2 {
 		b := newHarness(t, settings(), dw.Endpoint{ID: 7})
 		id, _ := b.request(dw.Arrival{Class: class})
-		b.advance(816 * ms)
+		b.advance(816 * millisecond)
 		if _, failed := b.answers[id].(dw.Fail); b.answers[id] == nil || class == 1 && !failed {
 			t.Errorf("class %d: got %v", class, b.answers[id])
 		}
@@ -48,25 +48,25 @@
 func TestGivenUpIsAnsweredAtOnce(t *testing.T) {
 	reject := func(b *harness, id dw.RequestID) { // every attempt is rejected until none is left
 		for i := 0; i < len(b.attempts); i++ {
-			b.handle(dw.AttemptEnded{Request: id, Attempt: i, Server: b.attempts[i].Server, Outcome: dw.OutcomeRejected, Latency: ms})
+			b.handle(dw.AttemptEnded{Request: id, Attempt: i, Server: b.attempts[i].Server, Outcome: dw.OutcomeRejected, Latency: millisecond})
 		}
 	}
 	for name, end := range map[string]func(b *harness, id dw.RequestID){
 		"no server left": reject,
 		"may have run": func(b *harness, id dw.RequestID) {
-			b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[0].Server, Outcome: dw.OutcomeReset, Latency: ms})
+			b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[0].Server, Outcome: dw.OutcomeReset, Latency: millisecond})
 			for i := 1; i < len(b.attempts); i++ {
-				b.handle(dw.AttemptEnded{Request: id, Attempt: i, Server: b.attempts[i].Server, Outcome: dw.OutcomeError, Latency: ms})
+				b.handle(dw.AttemptEnded{Request: id, Attempt: i, Server: b.attempts[i].Server, Outcome: dw.OutcomeError, Latency: millisecond})
 			}
 		},
 	} {
 		for class := range 2 {
 			b := newHarness(t, settings(), dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8})
 			id, _ := b.request(dw.Arrival{Class: class})
-			b.advance(5 * ms)
+			b.advance(5 * millisecond)
 			end(b, id)
 			r, rejected := b.answers[id].(dw.Reject)
-			if b.answers[id] == nil || rejected && (r.RetryAfter <= 0 || r.RetryAfter == 400*ms) {
+			if b.answers[id] == nil || rejected && (r.RetryAfter <= 0 || r.RetryAfter == 400*millisecond) {
 				t.Errorf("%s, class %d: answer %+v", name, class, b.answers[id])
 			}
 		}
@@ -74,7 +74,7 @@
 	b := newHarness(t, manyGateways(), dw.Endpoint{ID: 7}) // the server goes while the request waits for its count
 	id, _ := b.request(dw.Arrival{Customer: 1, Spread: 50})
 	b.handle(dw.EndpointList{Kind: dw.ListDelta, Servers: []dw.Endpoint{{ID: 7, State: dw.Removed}}})
-	b.advance(3 * ms)
+	b.advance(3 * millisecond)
 	if r, rejected := b.answers[id].(dw.Reject); !rejected || r.RetryAfter <= 0 {
 		t.Errorf("no server when the count is known: answer %+v", b.answers[id])
 	}
--- a/scale_test.go
+++ b/scale_test.go
@@ -33,7 +33,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &scaleHarness{harness: &harness{g: g, now: dw.Instant(100 * sec), answers: map[dw.RequestID]dw.Action{}}, interval: sec / dw.Span(rate),
+	f := &scaleHarness{harness: &harness{gateway: g, now: dw.Instant(100 * second), answers: map[dw.RequestID]dw.Action{}}, interval: second / dw.Span(rate),
 		used: map[dw.ServerID]int{}}
 	l := dw.EndpointList{Kind: dw.ListFull}
 	for i := range servers {
@@ -50,10 +50,10 @@
 		f.fireTimers()
 		f.requests++
 		f.attempts = f.attempts[:0]
-		f.handle(dw.Arrival{ID: dw.RequestID(fmt.Sprint(f.requests)), Customer: 1, Remaining: 100 * ms, Units: 1, Spread: 1})
+		f.handle(dw.Arrival{ID: dw.RequestID(fmt.Sprint(f.requests)), Customer: 1, Remaining: 100 * millisecond, Units: 1, Spread: 1})
 		for _, s := range f.attempts {
 			f.used[s.Server]++
-			f.handle(dw.AttemptEnded{Request: s.Request, Server: s.Server, Latency: 20 * ms, Final: true})
+			f.handle(dw.AttemptEnded{Request: s.Request, Server: s.Server, Latency: 20 * millisecond, Final: true})
 		}
 	}
 }
@@ -128,7 +128,7 @@
 	for n := range 20_000 {
 		f.now += dw.Instant(f.interval)
 		f.attempts = f.attempts[:0]
-		f.handle(dw.Arrival{ID: dw.RequestID(fmt.Sprint("f", n)), Customer: 1, Remaining: 100 * ms, Units: 1, Spread: 1})
+		f.handle(dw.Arrival{ID: dw.RequestID(fmt.Sprint("f", n)), Customer: 1, Remaining: 100 * millisecond, Units: 1, Spread: 1})
 		for _, s := range f.attempts {
 			f.used[s.Server]++
 			outcome := dw.OutcomeOK
@@ -137,7 +137,7 @@
 					late++
 				}
 			}
-			f.handle(dw.AttemptEnded{Request: s.Request, Server: s.Server, Outcome: outcome, Latency: 20 * ms, Final: true})
+			f.handle(dw.AttemptEnded{Request: s.Request, Server: s.Server, Outcome: outcome, Latency: 20 * millisecond, Final: true})
 		}
 	}
 	for id, n := range f.used {
@@ -148,7 +148,7 @@
 	if late > 10_000/20 {
 		t.Errorf("%d of the last 10,000 requests went to servers that had failed", late)
 	}
-	if out := f.g.EjectedServers(f.now); out == 0 {
+	if out := f.gateway.EjectedServers(f.now); out == 0 {
 		t.Error("no server is left out")
 	}
 }
--- a/shutdown_test.go
+++ b/shutdown_test.go
@@ -12,28 +12,28 @@
 	const safe, unsafe = 0, 1
 	b := newHarness(t, settings(), dw.Endpoint{ID: 1, Rating: 1})
 	b.counter = func(dw.CounterAdd) *dw.CounterAnswered { return nil }
-	by := b.now + dw.Instant(300*ms)
+	by := b.now + dw.Instant(300*millisecond)
 	arrive := func(id dw.RequestID, class int) {
-		b.handle(dw.Arrival{ID: id, Class: class, Customer: dw.CustomerID(b.now), Remaining: 10 * sec, Units: 1, Spread: 1, First: 0})
+		b.handle(dw.Arrival{ID: id, Class: class, Customer: dw.CustomerID(b.now), Remaining: 10 * second, Units: 1, Spread: 1, First: 0})
 	}
 	arrive("safe, before", safe)
 	arrive("unsafe, before", unsafe)
-	b.handle(dw.LimitQuery{ID: "query, before", Customer: 7, Remaining: 10 * sec, Spread: 1})
+	b.handle(dw.LimitQuery{ID: "query, before", Customer: 7, Remaining: 10 * second, Spread: 1})
 	b.handle(dw.Shutdown{By: by})
-	b.advance(100 * ms)
+	b.advance(100 * millisecond)
 	arrive("safe, after", safe)
-	b.handle(dw.LimitQuery{ID: "query, after", Customer: 8, Remaining: 10 * sec, Spread: 1})
+	b.handle(dw.LimitQuery{ID: "query, after", Customer: 8, Remaining: 10 * second, Spread: 1})
 	if len(b.attempts) != 3 {
 		t.Fatalf("%d attempts", len(b.attempts))
 	}
 	if left := b.attempts[2].Timeout; left > dw.Span(by-b.now) {
 		t.Errorf("an attempt may take %v, and the gateway has %v", left, dw.Span(by-b.now))
 	}
-	b.advance(198 * ms)
+	b.advance(198 * millisecond)
 	if n := len(b.answers); n > 2 { // queries are answered a little before
 		t.Errorf("%d were answered too soon", n)
 	}
-	b.advance(2 * ms)
+	b.advance(2 * millisecond)
 	for id, rejected := range map[dw.RequestID]bool{"safe, before": true, "unsafe, before": false, "query, before": false,
 		"safe, after": true, "query, after": false} {
 		switch b.answers[id].(type) {
--- a/state.go
+++ b/state.go
@@ -12,41 +12,41 @@
 	// State is what a gateway knew at an instant. Classes and plans are indices into its settings. Rates are per
 	// second, latencies in seconds; counts decay over some seconds, as of At.
 	State struct {
-		At                Instant            `json:"At"`
-		SentAttempts      float64            `json:"Sent"`
-		EndpointRequests  float64            `json:"Wanted"` // requests that asked the balancer for a server
-		ThrottleRequests  float64            `json:"Tried"`
-		ThrottleAccepts   float64            `json:"Good"`
-		RetryBudget       float64            `json:"Budget"` // retries
-		Latency           float64            `json:"Latency"`
-		IdleLatency       float64            `json:"Idle"`
-		MeanWeight        float64            `json:"Worth"` // mean priority of requests
-		Measured          Instant            `json:"Measured"`
-		CounterCallRate   float64            `json:"CallRate"`     // of the counter
-		CounterMinLatency float64            `json:"CallQuickest"` // of the counter
-		ClassSizes        []float64          `json:"Sizes"`        // by class: its latency, by the mean
-		ZoneFailureShare  []float64          `json:"Cut"`          // by zone: from 0 to 1
-		Servers           []ServerStatistics `json:"Servers"`
-		Customers         []AccountState     `json:"Customers"`
+		At                 Instant            `json:"At"`
+		SentAttempts       float64            `json:"Sent"`
+		EndpointRequests   float64            `json:"Wanted"` // requests that asked the balancer for a server
+		ThrottleRequests   float64            `json:"Tried"`
+		ThrottleAccepts    float64            `json:"Good"`
+		RetryBudget        float64            `json:"Budget"` // retries
+		Latency            float64            `json:"Latency"`
+		IdleLatency        float64            `json:"Idle"`
+		MeanPriority       float64            `json:"Worth"` // mean priority of requests
+		MeasuredAt         Instant            `json:"Measured"`
+		CounterCallRate    float64            `json:"CallRate"`     // of the counter
+		CounterMinLatency  float64            `json:"CallQuickest"` // of the counter
+		ClassLatencyRatios []float64          `json:"Sizes"`        // by class: its latency, by the mean
+		ZoneFailureShare   []float64          `json:"Cut"`          // by zone: from 0 to 1
+		Servers            []ServerStatistics `json:"Servers"`
+		Customers          []AccountState     `json:"Customers"`
 	}
 	// ServerStatistics is what it knew of a server since the server's last start.
 	ServerStatistics struct {
 		_ struct{} `cbor:",toarray"` // there are many, and their fields' names would be most of the bytes
 		Endpoint
 		Latency           float64             `json:"Latency"` // seconds
-		Measured          Instant             `json:"Measured"`
-		Answered          Instant             `json:"Answered"`
+		MeasuredAt        Instant             `json:"Measured"`
+		SucceededAt       Instant             `json:"Answered"`
 		SlowStartBudget   float64             `json:"Fed"` // attempts
 		SlowStartBudgetAt Instant             `json:"FedAt"`
 		Failures          []FailureStatistics `json:"Verdicts"` // by class
 	}
 	// FailureStatistics is what speaks against a server for a class.
 	FailureStatistics struct {
-		_            struct{} `cbor:",toarray"`
-		Count        int      `json:"Failed"` // consecutive failures
-		AnsweredAt   Instant  `json:"Answered"`
-		FirstAt      Instant  `json:"At"`
-		EjectedUntil Instant  `json:"Ejected"`
+		_             struct{} `cbor:",toarray"`
+		Count         int      `json:"Failed"` // consecutive failures
+		SucceededAt   Instant  `json:"Answered"`
+		FirstFailedAt Instant  `json:"At"`
+		EjectedUntil  Instant  `json:"Ejected"`
 	}
 	// AccountState is a customer's account. Units are those of the customer's quota.
 	AccountState struct {
@@ -54,10 +54,10 @@
 		ID            CustomerID `json:"ID"`
 		Plan          int        `json:"Plan"`
 		Spread        int        `json:"Spread"` // gateways that serve the customer
-		InSet         bool       `json:"InSet"`  // this gateway is one of them
+		Assigned      bool       `json:"InSet"`  // this gateway is one of them
 		Window        Span       `json:"Window"`
 		Level         float64    `json:"Level"`     // units
-		Predicted     float64    `json:"Predicted"` // units of the other gateways' use, as predicted
+		PredictedUse  float64    `json:"Predicted"` // units of the other gateways' use, as predicted
 		OwnRate       float64    `json:"Own"`       // units a second
 		OthersRate    float64    `json:"Others"`    // units a second
 		Demand        float64    `json:"Asked"`     // units
@@ -80,22 +80,22 @@
 	g.traffic.decay()
 	callRate, minLatency := g.counter.limiter.Export()
 	*s = State{
-		At:                g.ctx.now,
-		SentAttempts:      g.traffic.sentAttempts,
-		EndpointRequests:  g.traffic.endpointRequests,
-		ThrottleRequests:  g.traffic.throttleRequests,
-		ThrottleAccepts:   g.traffic.throttleAccepts,
-		RetryBudget:       g.retryBudget.tokens,
-		Latency:           g.latency.mean,
-		IdleLatency:       g.latency.idle,
-		MeanWeight:        g.priorities.mean,
-		Measured:          g.latency.measuredAt,
-		CounterCallRate:   callRate,
-		CounterMinLatency: minLatency,
-		ClassSizes:        append(s.ClassSizes[:0], g.latency.classSize...),
-		ZoneFailureShare:  s.ZoneFailureShare[:0],
-		Servers:           s.Servers[:0],
-		Customers:         s.Customers[:0],
+		At:                 g.ctx.now,
+		SentAttempts:       g.traffic.sentAttempts,
+		EndpointRequests:   g.traffic.endpointRequests,
+		ThrottleRequests:   g.traffic.throttleRequests,
+		ThrottleAccepts:    g.traffic.throttleAccepts,
+		RetryBudget:        g.retryBudget.tokens,
+		Latency:            g.latency.mean,
+		IdleLatency:        g.latency.idle,
+		MeanPriority:       g.priorities.mean,
+		MeasuredAt:         g.latency.measuredAt,
+		CounterCallRate:    callRate,
+		CounterMinLatency:  minLatency,
+		ClassLatencyRatios: append(s.ClassLatencyRatios[:0], g.latency.classLatencyRatio...),
+		ZoneFailureShare:   s.ZoneFailureShare[:0],
+		Servers:            s.Servers[:0],
+		Customers:          s.Customers[:0],
 	}
 	for zone := range g.ctx.settings.Zones {
 		s.ZoneFailureShare = append(s.ZoneFailureShare, g.traffic.zoneFailures[zone])
@@ -122,14 +122,14 @@
 	e := ServerStatistics{
 		Endpoint:          s.Endpoint,
 		Latency:           s.latency,
-		Measured:          s.measuredAt,
-		Answered:          s.succeededAt,
+		MeasuredAt:        s.measuredAt,
+		SucceededAt:       s.succeededAt,
 		SlowStartBudget:   s.slowStartBudget.level,
 		SlowStartBudgetAt: s.slowStartBudget.at,
 	}
 	for _, f := range s.failures {
-		e.Failures = append(e.Failures, FailureStatistics{Count: f.count, AnsweredAt: f.succeededAt,
-			FirstAt: f.firstAt, EjectedUntil: f.ejectedUntil})
+		e.Failures = append(e.Failures, FailureStatistics{Count: f.count, SucceededAt: f.succeededAt,
+			FirstFailedAt: f.firstAt, EjectedUntil: f.ejectedUntil})
 	}
 	return e
 }
@@ -140,10 +140,10 @@
 	e := AccountState{
 		ID:            a.id,
 		Spread:        int(a.gateways),
-		InSet:         a.ceiling.assigned,
+		Assigned:      a.ceiling.assigned,
 		Window:        a.window,
 		Level:         a.bucket.level,
-		Predicted:     a.bucket.predicted + a.sync.tally,
+		PredictedUse:  a.bucket.predicted + a.sync.tally,
 		OwnRate:       a.bucket.ownRate,
 		OthersRate:    a.bucket.othersRate,
 		Demand:        a.demand.units,
@@ -158,7 +158,7 @@
 		WindowElapsed: a.demand.windowElapsed,
 	}
 	if a.sync.calling {
-		e.Predicted += a.sync.pushing
+		e.PredictedUse += a.sync.pushing
 	}
 	for i := range plans {
 		if a.plan == &plans[i] {
@@ -202,7 +202,7 @@
 		t.zoneFailures[zone] = failures * trust
 	}
 	g.retryBudget.tokens = min(maxRetryBudget, s.RetryBudget)
-	g.priorities.mean = s.MeanWeight
+	g.priorities.mean = s.MeanPriority
 	g.counter.limiter.Resume(s.CounterCallRate, s.CounterMinLatency)
 }
 
@@ -211,9 +211,9 @@
 	l := g.latency
 	l.mean = s.Latency
 	l.idle = s.IdleLatency
-	l.measuredAt = s.Measured
-	copy(l.classSize, s.ClassSizes)
-	for i, size := range l.classSize {
+	l.measuredAt = s.MeasuredAt
+	copy(l.classLatencyRatio, s.ClassLatencyRatios)
+	for i, size := range l.classLatencyRatio {
 		if size != 1 { // it was measured
 			l.classSamples[i] = importedSizeSamples
 		}
@@ -232,12 +232,12 @@
 	for _, e := range s.Servers {
 		v := g.endpoints.byID[e.ID]
 		v.latency = warmstart.Latency(e.Latency, g.latency.mean, trust)
-		v.measuredAt = e.Measured
-		v.succeededAt = e.Answered
+		v.measuredAt = e.MeasuredAt
+		v.succeededAt = e.SucceededAt
 		v.slowStartBudget.level = min(slowStartBurst, e.SlowStartBudget)
 		v.slowStartBudget.at = max(e.SlowStartBudgetAt, s.At)
 		for k, f := range e.Failures[:min(len(e.Failures), len(v.failures))] {
-			v.failures[k] = failureRecord{succeededAt: f.AnsweredAt, count: f.Count, firstAt: f.FirstAt,
+			v.failures[k] = failureRecord{succeededAt: f.SucceededAt, count: f.Count, firstAt: f.FirstFailedAt,
 				ejectedUntil: f.EjectedUntil}
 			if f.Count > 0 {
 				g.outliers.suspects[v] = true
@@ -256,7 +256,7 @@
 		delete(g.accounts.byID, e.ID)
 		return false
 	}
-	a.ceiling.assigned = e.InSet
+	a.ceiling.assigned = e.Assigned
 	a.lastRequestAt = min(e.LastRequestAt, now)
 	a.blockedUntil = min(e.BlockedUntil, now+Instant(a.window))
 	a.bucket.level = min(e.Level, a.plan.Burst)
@@ -270,7 +270,7 @@
 		a.sync.total = e.WindowTotal
 		a.sync.own = e.OwnInWindow
 		a.demand.windowElapsed = e.WindowElapsed
-		a.bucket.predicted = e.Predicted
+		a.bucket.predicted = e.PredictedUse
 	}
 	return true
 }
