--- a/cmd/dewhitch/gateway.go
+++ b/cmd/dewhitch/gateway.go
@@ -126,7 +126,7 @@
 	connectTimeout := time.Duration(g.node.Settings.ConnectTimeout)
 
 	g.pools = backend.New(backend.Names{Plans: g.node.Names.Plans},
-		backend.Limits{Conns: g.attemptSockets, Idle: g.node.Names.ConnIdle, Connect: connectTimeout}, recorder)
+		backend.Limits{MaxConns: g.attemptSockets, BackendIdleTimeout: g.node.Names.ConnIdle, ConnectTimeout: connectTimeout}, recorder)
 	g.pools.Dispatched = g.figures.Dispatched
 	g.pools.Log = g.log
 
@@ -138,7 +138,7 @@
 		return err
 	}
 	g.pools.Allowed = g.planner.ReadySet().Allows
-	g.planner.SetFigures(g.figures)
+	g.planner.SetTargetsReporter(g.figures)
 	g.planner.SetMonitor(g.metrics)
 	g.ledger.readTallies(g.planner.ReadTallies)
 	return nil
--- a/internal/backend/attempt_test.go
+++ b/internal/backend/attempt_test.go
@@ -39,7 +39,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(node.Close)
-	b := &testBed{Pools: New(Names{Plans: []string{"basic"}}, Limits{Conns: 8, Idle: time.Minute, Connect: testTimeout}, noRecorder{}),
+	b := &testBed{Pools: New(Names{Plans: []string{"basic"}}, Limits{MaxConns: 8, BackendIdleTimeout: time.Minute, ConnectTimeout: testTimeout}, noRecorder{}),
 		t: t, node: node, backend: core.Backend{ID: 1, Addr: node.Nodes[0].Addr()}, dialled: make(chan struct{}, 8), connect: make(chan struct{}, 8)}
 	b.dial = func(context.Context, string, time.Time) (net.Conn, error) {
 		b.dialled <- struct{}{}
--- a/internal/backend/connections.go
+++ b/internal/backend/connections.go
@@ -67,7 +67,7 @@
 // reserve takes a descriptor of the budget for a new connection. If there is none, the connection that has been idle longest
 // is evicted, to whichever backend it goes; the caller closes it. The lock is held.
 func (p *Pools) reserve() (evicted *conn, err error) {
-	if p.openCount >= p.limits.Conns {
+	if p.openCount >= p.limits.MaxConns {
 		evicted = p.takeOldest()
 		if evicted == nil {
 			return nil, errNoDescriptor
@@ -98,7 +98,7 @@
 // connect dials an attempt's backend. A dial that fails for a shortage of this machine is repeated, for as long as a
 // connection may take to come up: the shortage may be over in a moment, and nothing was sent.
 func (p *Pools) connect(a *attempt) (net.Conn, error) {
-	until := p.now().Add(p.limits.Connect)
+	until := p.now().Add(p.limits.ConnectTimeout)
 	for {
 		c, err := p.dial(a.ctx, a.Backend.Addr, a.StartBy)
 		if sockets.DialClass(err) != sockets.Shortage || !p.now().Before(until) {
--- a/internal/backend/dial_test.go
+++ b/internal/backend/dial_test.go
@@ -53,7 +53,7 @@
 			t.Parallel()
 			b := newBed(t, standin.Always(standin.Step{}))
 			if c.times == forGood {
-				b.limits.Connect = 50 * time.Millisecond
+				b.limits.ConnectTimeout = 50 * time.Millisecond
 			}
 			dials := b.failDials(c.call, c.errno, c.times)
 			_, end := b.start(time.Time{})
--- a/internal/backend/idle.go
+++ b/internal/backend/idle.go
@@ -16,7 +16,7 @@
 
 // maxIdleTime is how long a connection may be idle and still be used.
 func (p *Pools) maxIdleTime() time.Duration {
-	return time.Duration(idleFraction * float64(p.limits.Idle))
+	return time.Duration(idleFraction * float64(p.limits.BackendIdleTimeout))
 }
 
 // Run closes connections that are idle for too long, until the context ends; it returns nil. A backend closes them too, and
--- a/internal/backend/idle_test.go
+++ b/internal/backend/idle_test.go
@@ -33,7 +33,7 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	b := &testBed{Pools: New(Names{Plans: []string{"basic"}}, Limits{Conns: 8, Idle: time.Minute, Connect: testTimeout}, noRecorder{}),
+	b := &testBed{Pools: New(Names{Plans: []string{"basic"}}, Limits{MaxConns: 8, BackendIdleTimeout: time.Minute, ConnectTimeout: testTimeout}, noRecorder{}),
 		t: t, backend: core.Backend{ID: 1, Addr: l.Addr()}}
 	var mu sync.Mutex
 	now := time.Unix(1000, 0)
--- a/internal/backend/pools.go
+++ b/internal/backend/pools.go
@@ -26,9 +26,9 @@
 
 // Limits bound the pools.
 type Limits struct {
-	Conns   int           // connections open or being opened, to all backends together
-	Idle    time.Duration // after which a backend closes an idle connection
-	Connect time.Duration // for a connection to come up
+	MaxConns           int           // connections open or being opened, to all backends together
+	BackendIdleTimeout time.Duration // after which a backend closes an idle connection
+	ConnectTimeout     time.Duration // for a connection to come up
 }
 
 // Recorder is the ledger that the pools post each attempt to, once when it begins and once at its end. Post is called from
@@ -71,7 +71,7 @@
 		idle:     list.New(),
 		now:      time.Now,
 		dial: func(ctx context.Context, addr string, by time.Time) (net.Conn, error) {
-			return (&net.Dialer{Timeout: l.Connect, Deadline: by, KeepAlive: -1}).DialContext(ctx, "tcp", addr)
+			return (&net.Dialer{Timeout: l.ConnectTimeout, Deadline: by, KeepAlive: -1}).DialContext(ctx, "tcp", addr)
 		},
 	}
 }
--- a/internal/backend/reset_test.go
+++ b/internal/backend/reset_test.go
@@ -30,7 +30,7 @@
 				t.Fatal(err)
 			}
 			defer server.Close()
-			p := New(Names{Plans: []string{"basic"}}, Limits{Conns: 8, Idle: time.Minute, Connect: testTimeout}, noRecorder{})
+			p := New(Names{Plans: []string{"basic"}}, Limits{MaxConns: 8, BackendIdleTimeout: time.Minute, ConnectTimeout: testTimeout}, noRecorder{})
 			written := make(chan struct{})
 			p.Dispatched = func(string) { close(written) }
 			ended := make(chan core.AttemptResult, 1)
--- a/internal/core/planner.go
+++ b/internal/core/planner.go
@@ -19,7 +19,7 @@
 )
 
 // Planner owns one Gateway of the decision module, its timers and its clock. All of its state belongs to the goroutine of
-// Run, except what is marked as atomic; other goroutines reach it by messages through its inbox. The setters (SetFigures,
+// Run, except what is marked as atomic; other goroutines reach it by messages through its inbox. The setters (SetTargetsReporter,
 // SetMonitor, SetWatcher, OnExcluded) and ImportState are called before Run only.
 type Planner struct {
 	Clock
@@ -29,9 +29,9 @@
 	backends Backends
 	counter  Counter
 	recorder Recorder
-	monitor  Monitor // never nil
-	figures  Figures // nil: none
-	watcher  Watcher // nil: none
+	monitor  Monitor         // never nil
+	figures  TargetsReporter // nil: none
+	watcher  Watcher         // nil: none
 	log      *zap.Logger
 
 	timers  timers
--- a/internal/ledger/recorder/planted_test.go
+++ b/internal/ledger/recorder/planted_test.go
@@ -96,7 +96,7 @@
 		Classes: []dw.Class{{Objective: 5e9, Deadline: 1e10, Weight: 1}, {Objective: 5e9, Deadline: 1e10, Weight: 5, Idempotency: dw.IdempotentByKey, DedupWindow: 3e9}},
 		Plans:   []dw.Plan{{Rate: 5, Burst: 10, WeightFactor: 1, OverQuotaCost: 1}, {Rate: 500, Burst: 1000, WeightFactor: 1, OverQuotaCost: 1}}}
 	names := backend.Names{Plans: o.Names.Plans}
-	pools := backend.New(names, backend.Limits{Conns: 64, Idle: 15 * time.Second, Connect: time.Second}, plant)
+	pools := backend.New(names, backend.Limits{MaxConns: 64, BackendIdleTimeout: 15 * time.Second, ConnectTimeout: time.Second}, plant)
 	count := counter.New(shared.Addr(), 3*time.Second, time.Second, plant, o.Log)
 	planner, err := core.NewPlanner(set, 1, core.NewClock(), pools, count, plant, o.Log)
 	if err != nil {
