--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -134,7 +134,7 @@
 		return err
 	}
 	a.node.SetReporter(a.tally.report)
-	a.node.SetAcknowledged(a.acknowledged)
+	a.node.SetWithdrawnSource(a.acknowledged)
 	return nil
 }
 
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -223,12 +223,12 @@
 		t.Errorf("storage that is open elsewhere: %v", err)
 	}
 	stop() // from here on the test may read what its goroutine owned
-	was := all[0].node.Self().Identity
+	was := all[0].node.SelfStatus().Identity
 	again, err := Open(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := again.node.Self(); s.Identity != was {
+	if s := again.node.SelfStatus(); s.Identity != was {
 		t.Errorf("it votes as %x, and voted as %x", s.Identity, was)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
--- a/internal/fleet/agent/decisions.go
+++ b/internal/fleet/agent/decisions.go
@@ -33,7 +33,7 @@
 func (a *Agent) logEvent(e fleet.Event, current fleet.Epoch) {
 	text := "fleet: " + e.Text
 	switch e.Kind {
-	case fleet.Fenced, fleet.Fault:
+	case fleet.Fenced, fleet.InvalidReport:
 		a.options.Log.Warn(text, zap.Stringer("epoch", current))
 	case fleet.GrantChanged: // too frequent to log
 	case fleet.PlanChanged:
--- a/internal/fleet/agent/status.go
+++ b/internal/fleet/agent/status.go
@@ -56,7 +56,7 @@
 		Fleet:          a.options.Gossip.Fleet,
 		Leader:         leader,
 		LeaderAge:      ago.Milliseconds(),
-		Quorum:         a.node.Self().Fresh,
+		Quorum:         a.node.SelfStatus().Fresh,
 		Epoch:          p.Epoch,
 		Sections:       slices.Sorted(maps.Keys(p.Sections)),
 		Unacknowledged: a.node.Unacknowledged(p.Epoch),
--- a/internal/fleet/generation.go
+++ b/internal/fleet/generation.go
@@ -34,7 +34,7 @@
 // recentVoterStatus returns the status of a configured voter; false unless it is recent.
 func (n *Node) recentVoterStatus(name string) (Status, bool) {
 	if name == n.config.Name {
-		return n.Self(), n.voterHeader != nil && n.replacement == nil
+		return n.SelfStatus(), n.voterHeader != nil && n.replacement == nil
 	}
 	p := n.peers.byName[name]
 	if p == nil || !p.HasStatus || n.now-p.LastStatusAt > statusFreshFor || p.Status.Identity == 0 {
@@ -156,7 +156,7 @@
 // promiseGeneration gives up the voter's identity and log in favor of a generation.
 func (n *Node) promiseGeneration(number uint64) {
 	n.resetVoter(number)
-	n.emit(Promised, "generation %d of the log is promised; older ones are ignored", number)
+	n.emit(GenerationPromised, "generation %d of the log is promised; older ones are ignored", number)
 }
 
 // handleGeneration handles the first voter's request for a promise, or another voter's promise.
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -128,9 +128,9 @@
 // before the first Tick.
 func (n *Node) SetReporter(f func(full bool) *Report) { n.reporter = f }
 
-// SetAcknowledged sets the source of the machines that each status lists as withdrawn: this member has
+// SetWithdrawnSource sets the source of the machines that each status lists as withdrawn: this member has
 // nothing in flight there and sends nothing new. Call it before the first Tick.
-func (n *Node) SetAcknowledged(f func() map[string]uint64) { n.acknowledged = f }
+func (n *Node) SetWithdrawnSource(f func() map[string]uint64) { n.acknowledged = f }
 
 // Dropped counts messages and reports that were ignored as unreadable, invalid or of another fleet or version.
 func (n *Node) Dropped() uint64 { return n.dropped }
--- a/internal/fleet/output.go
+++ b/internal/fleet/output.go
@@ -24,15 +24,15 @@
 
 // The kinds.
 const (
-	PlanChanged       EventKind = iota // a newer plan is acted on
-	LeaderChanged                      // another member is taken for the leader
-	FreshChanged                       // the view became fresh, or its lease ran out
-	GrantChanged                       // Grant returns something else
-	GenerationStarted                  // this voter started a generation of the log
-	Promised                           // this voter ignores older generations of the log
-	Fenced                             // a later process has this name: this one neither sends nor handles anything
-	VotersChanged                      // the leader proposed another set of voters
-	Fault                              // a peer sent an invalid report
+	PlanChanged        EventKind = iota // a newer plan is acted on
+	LeaderChanged                       // another member is taken for the leader
+	FreshChanged                        // the view became fresh, or its lease ran out
+	GrantChanged                        // Grant returns something else
+	GenerationStarted                   // this voter started a generation of the log
+	GenerationPromised                  // this voter ignores older generations of the log
+	Fenced                              // a later process has this name: this one neither sends nor handles anything
+	VotersChanged                       // the leader proposed another set of voters
+	InvalidReport                       // a peer sent an invalid report
 )
 
 // TakeOutput returns the messages to send and the events since the last call, each in order, and forgets them.
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -10,8 +10,8 @@
 	fullStatusPeriod = 3                // every third status goes to all voters, with servers
 )
 
-// Self returns this member's own status, without report and withdrawn machines.
-func (n *Node) Self() Status {
+// SelfStatus returns this member's own status, without report and withdrawn machines.
+func (n *Node) SelfStatus() Status {
 	s := Status{
 		Zone:     n.config.Zone,
 		Region:   n.config.Region,
@@ -46,7 +46,7 @@
 // fresh, goes to all voters and one other member, and reports servers too: they are most of its bytes, and no
 // decision on them takes less than a second.
 func (n *Node) sendStatuses() {
-	status := n.Self()
+	status := n.SelfStatus()
 	if n.acknowledged != nil {
 		status.Withdrawn = n.acknowledged()
 	}
@@ -114,7 +114,7 @@
 	case e.Status.Epoch.Less(n.plan.Epoch):
 		n.sendPlan(p)
 	case n.plan.Epoch.Less(e.Status.Epoch):
-		s := n.Self()
+		s := n.SelfStatus()
 		n.send(p.Name, envelope{Status: &s}) // to which it answers with its plan
 	}
 	if n.shouldGrant(p) {
@@ -132,7 +132,7 @@
 	delta, err := p.reports.delta(r)
 	if err != nil {
 		n.dropped++
-		n.emit(Fault, "%s: %v", p.Name, err)
+		n.emit(InvalidReport, "%s: %v", p.Name, err)
 	} else if n.config.Observe != nil {
 		n.config.Observe(n.now, *p, delta)
 	}
