--- a/cmd/dewhitch/forward.go
+++ b/cmd/dewhitch/forward.go
@@ -140,7 +140,7 @@
 
 // followRegistry takes the gateways' addresses from the registry until the context ends.
 func (f *forwarder) followRegistry(ctx context.Context) error {
-	return f.registry.Watch(ctx, func(addresses map[int]string) {
+	return f.registry.WatchPlanners(ctx, func(addresses map[int]string) {
 		f.planners.Set(addresses)
 		f.log.Info("planners", zap.Any("by_gateway", addresses))
 	})
--- a/cmd/dewhitch/gateway.go
+++ b/cmd/dewhitch/gateway.go
@@ -147,15 +147,15 @@
 // openDiscovery opens the client of discovery, which starts from the endpoint list of the configuration.
 func (g *gateway) openDiscovery() (err error) {
 	g.decoder = discovery.NewDecoder(discovery.Names{Zones: g.node.Names.Zones, Kinds: g.node.Names.Kinds})
-	if g.configuredList, err = g.decoder.Known(g.node.Known); err != nil {
+	if g.configuredList, err = g.decoder.DecodeConfigured(g.node.Known); err != nil {
 		return fmt.Errorf("configuration: known: %w", err)
 	}
 	g.discovery = discovery.New(g.node.Discovery, g.decoder, g.planner.UpdateEndpoints, g.node.Seed, g.log)
-	g.discovery.Monitor(g.metrics)
+	g.discovery.SetMonitor(g.metrics)
 	g.firstListWait = firstListWait
 	if g.node.Settings.ListOnRequest {
 		hasList := len(g.configuredList.List.Servers) > 0
-		g.discovery.Shared(hasList, g.configuredList.List.Version, g.node.Settings.Instances)
+		g.discovery.ConfigureShared(hasList, g.configuredList.List.Version, g.node.Settings.Instances)
 		if hasList {
 			g.firstListWait = 0
 		}
--- a/cmd/dewhitch/registration.go
+++ b/cmd/dewhitch/registration.go
@@ -50,5 +50,5 @@
 		case <-ctx.Done():
 		}
 	}()
-	return r.Register(ctx, registry.Planner{Address: g.limits.Listen, Gateway: g.node.Settings.Self})
+	return r.RegisterPlanner(ctx, registry.Planner{Address: g.limits.Listen, Gateway: g.node.Settings.Self})
 }
--- a/cmd/dewhitch/run.go
+++ b/cmd/dewhitch/run.go
@@ -92,7 +92,7 @@
 // maintenance. Neither wait is unbounded, as discovery and the fleet may be down.
 func (g *gateway) awaitReady(ctx context.Context) {
 	select {
-	case <-g.discovery.First:
+	case <-g.discovery.Synced:
 	case <-ctx.Done():
 	case <-time.After(g.firstListWait):
 	}
--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -38,7 +38,7 @@
 		return errStale
 	}
 	d.staleSince = time.Time{}
-	d.firstOnce.Do(func() { close(d.First) })
+	d.firstOnce.Do(func() { close(d.Synced) })
 	return nil
 }
 
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -42,10 +42,10 @@
 const Sockets = 1
 
 // Client keeps a planner informed of the list: first of all of it, then of each change as it comes. Its fields belong to the
-// goroutine of Run, but for First and what Move uses.
+// goroutine of Run, but for Synced and what Move uses.
 type Client struct {
-	First     chan struct{} // closed when a complete list has been read
-	firstOnce sync.Once     // closes First
+	Synced    chan struct{} // closed when a complete list has been read
+	firstOnce sync.Once     // closes Synced
 
 	addr    *dynaddr.Address
 	decoder *Decoder
@@ -70,7 +70,7 @@
 // Run; an error of it breaks the list off. The seed is for the delays.
 func New(addr string, d *Decoder, update func(core.EndpointUpdate) error, seed uint64, log *zap.Logger) *Client {
 	return &Client{
-		First:        make(chan struct{}),
+		Synced:       make(chan struct{}),
 		addr:         dynaddr.New(addr),
 		decoder:      d,
 		view:         newView(d),
@@ -85,14 +85,14 @@
 	}
 }
 
-// Shared says that so many gateways share one discovery service, and whether the planner holds a list already, and of which
+// ConfigureShared says that so many gateways share one discovery service, and whether the planner holds a list already, and of which
 // revision. It is to be called before Run.
 //
 // Gateways that start together would all request in the same moment, more than such a service bears. So the first request
 // is delayed at random, it is a watch from the revision held and not a poll, and the backoff of a rejected request grows
 // with the number of gateways. The service queues requests and goes on serving those that were given up, so a client that
 // leaves early and comes again is never served: the poll timeout is longer.
-func (d *Client) Shared(hasList bool, revision int64, gateways int) {
+func (d *Client) ConfigureShared(hasList bool, revision int64, gateways int) {
 	d.hasList = hasList
 	d.revision = revision
 	d.pollTimeout = sharedPollTimeout
@@ -151,7 +151,7 @@
 	var rejected statusError
 	pause := d.backoff.Next(errors.As(err, &rejected))
 	reason := breakReason(err)
-	d.monitor.ListBroke(reason)
+	d.monitor.ListInterrupted(reason)
 	d.log.Warn("the director's list broke off", zap.String("director", addr), zap.Error(err),
 		zap.String("reason", reason), zap.Int64("revision", d.revision), zap.Bool("whole_next", !d.hasList),
 		zap.Duration("again_in", pause))
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -55,7 +55,7 @@
 		}, 1, zap.NewNop())
 		want := []string{poll, poll, "/api/targets?follow=1&since=42"}
 		if shared {
-			d.Shared(true, 41, 3)
+			d.ConfigureShared(true, 41, 3)
 			want = []string{watch, watch}
 		}
 		ctx, cancel := context.WithCancel(context.Background())
@@ -83,7 +83,7 @@
 	for _, gateways := range []int{1, 3, 80, 900} {
 		for seed := range uint64(50) {
 			d := New("127.0.0.1:1", NewDecoder(Names{}), nil, seed, zap.NewNop())
-			d.Shared(true, 41, gateways)
+			d.ConfigureShared(true, 41, gateways)
 			if d.initialDelay > countsAsDelivered-pollTimeout || d.backoff.BusyFirst > countsAsDelivered-pollTimeout {
 				t.Fatalf("seed %d, %d gateways: the first request after %v, the next %v after a rejection", seed, gateways, d.initialDelay,
 					d.backoff.BusyFirst)
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// Known decodes the list that the configuration holds, which may be out of date, or missing.
-func (d *Decoder) Known(text []byte) (core.EndpointUpdate, error) {
+// DecodeConfigured decodes the list that the configuration holds, which may be out of date, or missing.
+func (d *Decoder) DecodeConfigured(text []byte) (core.EndpointUpdate, error) {
 	out := core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListCached}}
 	if len(text) == 0 {
 		return out, nil
--- a/internal/discovery/golden_wire_test.go
+++ b/internal/discovery/golden_wire_test.go
@@ -37,7 +37,7 @@
 	if !reflect.DeepEqual(got, want) {
 		t.Errorf("\n got %+v\nwant %+v", got, want)
 	}
-	known, err := NewDecoder(names).Known(golden.Read(t, "list.json"))
+	known, err := NewDecoder(names).DecodeConfigured(golden.Read(t, "list.json"))
 	listing := core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListCached, Version: 41}}
 	for _, m := range want.Members {
 		appendMember(&listing, m)
--- a/internal/discovery/monitor.go
+++ b/internal/discovery/monitor.go
@@ -6,15 +6,15 @@
 type Monitor interface {
 	// ListRead is called when a message of so many bytes was read and decoded; age is the time since its first byte.
 	ListRead(version int64, bytes int, age time.Duration)
-	// ListBroke is called when the list broke off, for a reason of a fixed set (breakReason).
-	ListBroke(reason string)
+	// ListInterrupted is called when the list broke off, for a reason of a fixed set (breakReason).
+	ListInterrupted(reason string)
 }
 
 // noMonitor ignores everything.
 type noMonitor struct{}
 
 func (noMonitor) ListRead(int64, int, time.Duration) {}
-func (noMonitor) ListBroke(string)                   {}
+func (noMonitor) ListInterrupted(string)             {}
 
-// Monitor sets the monitor; it is to be called before Run.
-func (d *Client) Monitor(m Monitor) { d.monitor = m }
+// SetMonitor sets the monitor; it is to be called before Run.
+func (d *Client) SetMonitor(m Monitor) { d.monitor = m }
--- a/internal/discovery/sync_test.go
+++ b/internal/discovery/sync_test.go
@@ -239,7 +239,7 @@
 func TestSharedDiscoveryIsWaitedFor(t *testing.T) {
 	for _, hasList := range []bool{true, false} {
 		b := newBed(t)
-		b.Shared(hasList, 41, 3)
+		b.ConfigureShared(hasList, 41, 3)
 		if b.pollTimeout != sharedPollTimeout {
 			t.Errorf("has a list %v: %v", hasList, b.pollTimeout)
 		}
--- a/internal/fleet/memberregistry/golden_test.go
+++ b/internal/fleet/memberregistry/golden_test.go
@@ -45,7 +45,7 @@
 	nodes := make(chan string, 1)
 	seen, seenEnough := context.WithCancel(ctx)
 	running.Go(func() { run("/written", "hall a/g1", "127.0.0.1:7001", func(map[string]string) {}) })
-	_ = open("/written").Follow(seen, func(all map[string][]byte) {
+	_ = open("/written").WatchNodes(seen, func(all map[string][]byte) {
 		for name, data := range all {
 			seenEnough()
 			select {
@@ -63,7 +63,7 @@
 
 	name, data, _ := strings.Cut(string(golden.Read(t, "node.txt")), " ")
 	read := open("/read")
-	running.Go(func() { _ = read.Keep(ctx, name, []byte(data)) })
+	running.Go(func() { _ = read.MaintainNode(ctx, name, []byte(data)) })
 	members := make(chan map[string]string, 1)
 	running.Go(func() {
 		run("/read", "g2", "127.0.0.1:7002", func(at map[string]string) {
--- a/internal/fleet/memberregistry/memberregistry.go
+++ b/internal/fleet/memberregistry/memberregistry.go
@@ -48,9 +48,9 @@
 		return err
 	}
 	group, ctx := errgroup.WithContext(ctx)
-	group.Go(func() error { return r.Keep(ctx, url.PathEscape(o.Name), data) })
+	group.Go(func() error { return r.MaintainNode(ctx, url.PathEscape(o.Name), data) })
 	group.Go(func() error {
-		return r.Follow(ctx, func(nodes map[string][]byte) { found(addresses(nodes, o.Log)) })
+		return r.WatchNodes(ctx, func(nodes map[string][]byte) { found(addresses(nodes, o.Log)) })
 	})
 	return group.Wait()
 }
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -16,7 +16,7 @@
 )
 
 // TestGoldenNode freezes the name and the data of a gateway's node in the registry, as forwarders find it there, and has
-// such a node, written as bytes, read by Watch.
+// such a node, written as bytes, read by WatchPlanners.
 func TestGoldenNode(t *testing.T) {
 	z, err := zookeeper.New()
 	if err != nil {
@@ -39,9 +39,9 @@
 	p := registry.Planner{Address: "127.0.0.1:7001", Gateway: 17}
 	golden.Filled(t, p)
 	written, line := open("/written"), ""
-	running.Go(func() { _ = written.Register(ctx, p) })
+	running.Go(func() { _ = written.RegisterPlanner(ctx, p) })
 	seen, enough := context.WithCancel(ctx)
-	_ = written.Follow(seen, func(all map[string][]byte) {
+	_ = written.WatchNodes(seen, func(all map[string][]byte) {
 		for name, data := range all {
 			line = name + " " + string(data)
 			enough()
@@ -51,11 +51,11 @@
 
 	name, data, _ := strings.Cut(string(golden.Read(t, "node.txt")), " ")
 	read := open("/read")
-	running.Go(func() { _ = read.Keep(ctx, name, []byte(data)) })
+	running.Go(func() { _ = read.MaintainNode(ctx, name, []byte(data)) })
 	got := map[int]string{}
 	seen, enough = context.WithCancel(ctx)
 	defer enough()
-	_ = read.Watch(seen, func(planners map[int]string) {
+	_ = read.WatchPlanners(seen, func(planners map[int]string) {
 		if len(planners) > 0 {
 			got = planners
 			enough()
--- a/internal/registry/register.go
+++ b/internal/registry/register.go
@@ -22,18 +22,18 @@
 	Gateway int    `json:"gateway"` // the gateway's number
 }
 
-// Register keeps a node for p until the context ends. It fails only if p can't be encoded.
-func (r *Registry) Register(ctx context.Context, p Planner) error {
+// RegisterPlanner keeps a node for p until the context ends. It fails only if p can't be encoded.
+func (r *Registry) RegisterPlanner(ctx context.Context, p Planner) error {
 	data, err := json.Marshal(p)
 	if err != nil {
 		return err
 	}
-	return r.Keep(ctx, "gateway-"+strconv.Itoa(p.Gateway), data)
+	return r.MaintainNode(ctx, "gateway-"+strconv.Itoa(p.Gateway), data)
 }
 
-// Keep keeps a node with data until the context ends, and returns nil. The node is made again whenever it was removed, as
+// MaintainNode keeps a node with data until the context ends, and returns nil. The node is made again whenever it was removed, as
 // after the expiry of the session; failures are logged and repeated.
-func (r *Registry) Keep(ctx context.Context, node string, data []byte) error {
+func (r *Registry) MaintainNode(ctx context.Context, node string, data []byte) error {
 	for ctx.Err() == nil {
 		removed, err := r.ensureNode(path.Join(r.path, node), data)
 		if err != nil {
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -19,7 +19,7 @@
 const retryInterval = 200 * time.Millisecond
 
 // Registry is a session with ZooKeeper. The client reconnects by itself; a session that has expired takes its ephemeral
-// nodes with it, and Keep makes them again. It is safe for concurrent use.
+// nodes with it, and MaintainNode makes them again. It is safe for concurrent use.
 type Registry struct {
 	conn    *zk.Conn
 	path    string // of the folder of nodes
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -13,10 +13,10 @@
 // errNoFolder says that no process had registered yet; the folder of nodes was made, and the next attempt can watch it.
 var errNoFolder = errors.New("the registry was empty")
 
-// Watch calls changed with the planners' addresses by gateway number, at once and at every change, until the context ends.
+// WatchPlanners calls changed with the planners' addresses by gateway number, at once and at every change, until the context ends.
 // While the registry can't be read, the last call stands. It returns nil.
-func (r *Registry) Watch(ctx context.Context, changed func(map[int]string)) error {
-	return r.Follow(ctx, func(nodes map[string][]byte) {
+func (r *Registry) WatchPlanners(ctx context.Context, changed func(map[int]string)) error {
+	return r.WatchNodes(ctx, func(nodes map[string][]byte) {
 		planners := map[int]string{}
 		for name, data := range nodes {
 			var p Planner
@@ -30,9 +30,9 @@
 	})
 }
 
-// Follow calls changed with the data of all nodes by name, at once and at every change, until the context ends. While the
+// WatchNodes calls changed with the data of all nodes by name, at once and at every change, until the context ends. While the
 // registry can't be read, the last call stands. It returns nil.
-func (r *Registry) Follow(ctx context.Context, changed func(map[string][]byte)) error {
+func (r *Registry) WatchNodes(ctx context.Context, changed func(map[string][]byte)) error {
 	for ctx.Err() == nil {
 		nodes, event, err := r.readNodes()
 		if err != nil {
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -23,7 +23,7 @@
 	for q := range core.QueueCount {
 		m.Waited(q, time.Duration(201+int(q))*time.Millisecond)
 	}
-	m.ListBroke("too_long")
+	m.ListInterrupted("too_long")
 	m.ConnectionClosed("drained")
 	m.ConnectionsOverdue(2)
 	for e := ledger.None + 1; e < ledger.EventCount; e++ {
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -122,8 +122,8 @@
 	storeMax(&m.maxAges[s], int64(age))
 }
 
-// ListBroke implements discovery.Monitor.
-func (m *Metrics) ListBroke(reason string) { m.listBreaks.WithLabelValues(reason).Inc() }
+// ListInterrupted implements discovery.Monitor.
+func (m *Metrics) ListInterrupted(reason string) { m.listBreaks.WithLabelValues(reason).Inc() }
 
 // Answered implements core.Monitor.
 func (m *Metrics) Answered(why ledger.Event) {
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -21,7 +21,7 @@
 	m.ListRead(7, 450_000, 20*time.Millisecond)
 	m.ListApplied(6, 30*time.Millisecond)
 	m.ListApplied(7, 25*time.Millisecond)
-	m.ListBroke("too_long")
+	m.ListInterrupted("too_long")
 	m.Waited(core.QueueEndpoints, 3*time.Millisecond)
 	m.Waited(core.QueueEndpoints, time.Millisecond)
 	m.Answered(ledger.PlanRejectedQuota)
