--- a/internal/counter/answers.go
+++ b/internal/counter/answers.go
@@ -13,16 +13,16 @@
 	"dewhitch/internal/http1"
 )
 
-// readAnswers reads answers and settles the calls in flight with them, in order, until the connection is of no more use. It
-// returns the call whose answer it then waited for, if any. A connection is dead if a call was in flight for silenceLimit
-// without an answer; that finds a peer that has vanished.
+// readAnswers reads answers and settles the calls in flight with them, in order, until no further answer can be read from the
+// connection. It returns the call whose answer was outstanding at that time, or nil. If a call gets no answer within
+// silenceLimit, readAnswers gives the connection up: this detects a peer that has vanished.
 func readAnswers(conn net.Conn, inFlight <-chan *call, silenceLimit time.Duration) (unanswered *call) {
 	r := bufio.NewReaderSize(conn, http1.MaxLine+2)
 	deadline := time.Now()
-	var oldest *call // in flight
+	var oldest *call // oldest call in flight; nil if none is known
 	for {
-		// The end of an idle connection can come before a call does, so wait for either: the deadline makes this
-		// goroutine look for a call.
+		// An idle connection can end before the next call arrives, so this goroutine waits for both: at the read deadline
+		// it checks inFlight for a call.
 		conn.SetReadDeadline(deadline)
 		_, err := r.Peek(1)
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
@@ -35,10 +35,10 @@
 			}
 		}
 		switch {
-		case err == nil && oldest == nil: // unsolicited: it would be taken for the answer to the next call
+		case err == nil && oldest == nil: // an unsolicited answer, which would be paired with the next call
 			return nil
 		case err == nil:
-			conn.SetReadDeadline(time.Now().Add(answerTimeout)) // a malformed answer need have no end
+			conn.SetReadDeadline(time.Now().Add(answerTimeout)) // a malformed answer may never end
 			a := readAnswer(r)
 			oldest.settle(callWritten, a.outcome, a.total)
 			if !a.reusable {
@@ -48,7 +48,8 @@
 		case oldest != nil && time.Since(oldest.writtenAt) >= silenceLimit:
 			return oldest
 		}
-		// The limit counts from when the oldest call was written: one written just before a deadline is not overdue.
+		// The limit counts from the time when the oldest call was written, so a call that was written just before a read
+		// deadline is not overdue at that deadline.
 		deadline = time.Now().Add(silenceLimit)
 		if oldest != nil {
 			deadline = oldest.writtenAt.Add(silenceLimit)
@@ -56,36 +57,36 @@
 	}
 }
 
-// answer is what an answer says of its call.
+// answer is the decoded answer to a call.
 type answer struct {
 	outcome  dw.Outcome
-	total    float64 // of the counter, in units; if the outcome is dw.OutcomeOK
-	reusable bool    // further answers can be read from the connection
+	total    float64 // the counter's new total in units; only valid if the outcome is dw.OutcomeOK
+	reusable bool    // true if further answers can be read from the connection
 }
 
-// unknown is the outcome of an answer that can't be understood: the amount may have been added, and nobody knows where the
-// next answer begins.
-var unknown = answer{outcome: dw.OutcomeTimeout}
+// unknownAnswer stands for an answer that can't be parsed: the amount may have been added, and the start of the next answer
+// can't be found.
+var unknownAnswer = answer{outcome: dw.OutcomeTimeout}
 
-// readAnswer reads one answer.
+// readAnswer reads one answer. It returns unknownAnswer if the answer can't be read or parsed.
 func readAnswer(r *bufio.Reader) answer {
 	head, err := http1.ReadAnswer(r)
 	if err != nil {
-		return unknown
+		return unknownAnswer
 	}
 	body, err := http1.ReadBody(r, head)
 	if err != nil {
-		return unknown
+		return unknownAnswer
 	}
 	switch head.Status {
 	case 200:
 		total, err := strconv.ParseFloat(string(bytes.TrimSpace(body)), 64)
 		if err != nil || total-total != 0 { // ParseFloat accepts NaN and infinity
-			return unknown
+			return unknownAnswer
 		}
 		return answer{outcome: dw.OutcomeOK, total: total, reusable: !head.Close}
-	case 503, 400, 404: // nothing was added
+	case 503, 400, 404: // the counter added nothing
 		return answer{outcome: dw.OutcomeRejected, reusable: !head.Close}
 	}
-	return unknown
+	return unknownAnswer
 }
--- a/internal/counter/call.go
+++ b/internal/counter/call.go
@@ -8,37 +8,37 @@
 	"dewhitch/internal/ledger"
 )
 
-// The states of a call. It begins as queued and moves forward only:
+// The states of a call. A call starts as queued and only moves forward:
 //
-//	queued  -> written: the writer, before it writes the first byte of the call
-//	queued  -> settled: Add (the queue is full), the pipeline (no connection), the timer
-//	written -> settled: the writer (not all bytes were written), the reader, the timer
+//	queued  -> written: by the writer, before it writes the first byte of the call
+//	queued  -> settled: by Add (the queue is full), the pipeline (no connection) or the timer
+//	written -> settled: by the writer (not all bytes were written), the reader or the timer
 //
-// Whoever moves a call to settled, and nobody else, posts its end to the ledger and calls done.
+// Only the goroutine that moves a call to settled posts the call's end to the ledger and calls done.
 const (
 	callQueued  int32 = iota // nothing was written, so nothing was added
-	callWritten              // some or all of it was written: the amount may have been added, or may be later
-	callSettled
+	callWritten              // part or all of the call was written: the amount may have been added or may still be added
+	callSettled              // the outcome is final and was reported
 )
 
-// call is one call to the counter. What its outcome promises of the amount:
+// call is one call to the counter. Its outcome guarantees the following about the amount:
 //
-//	dw.OutcomeOK             added once; the total includes it
-//	dw.OutcomeRejected       not added, nor will it be: the queue was full, or the counter rejected the call
-//	dw.OutcomeConnectFailed  not added, nor will it be: not all of the call was written
-//	dw.OutcomeTimeout        unknown: it was written, and no answer was understood in time
+//	dw.OutcomeOK             the amount was added once; the total includes it
+//	dw.OutcomeRejected       the amount was not and will not be added: the queue was full, or the counter rejected the call
+//	dw.OutcomeConnectFailed  the amount was not and will not be added: the call was not written completely
+//	dw.OutcomeTimeout        unknown: the call was written, and no valid answer was received in time
 type call struct {
-	target    string    // request target
-	size      int       // of the request in bytes; the writer's, set with writtenAt
-	writtenAt time.Time // when its batch was made up; set before the call is handed to the reader
+	target    string    // HTTP request target
+	size      int       // size of the encoded request in bytes; set and read by the writer only
+	writtenAt time.Time // time when the batch that contains the call was assembled; set before the reader receives the call
 	state     atomic.Int32
-	timer     *time.Timer // runs expire
+	timer     *time.Timer // runs expire at the call's timeout
 	done      func(outcome dw.Outcome, total float64)
 	recorder  Recorder
-	posting   ledger.Posting // of its begin, then of its end
+	posting   ledger.Posting // posting of the call's begin; when the call is settled, of its end
 }
 
-// settlementEvents are the ledger's events for the outcomes that a call may have.
+// settlementEvents maps the outcome of a call to the ledger event that records it.
 var settlementEvents = [dw.OutcomeCount]ledger.Event{
 	dw.OutcomeOK:            ledger.CallAdded,
 	dw.OutcomeTimeout:       ledger.CallUnknown,
@@ -46,7 +46,8 @@
 	dw.OutcomeConnectFailed: ledger.CallRejected,
 }
 
-// settle ends the call if it is in the state given, and reports whether it did. The end is posted before done is called.
+// settle ends the call if it is in the given state, and returns true if it did. It posts the end to the ledger before it calls
+// done.
 func (c *call) settle(from int32, outcome dw.Outcome, total float64) bool {
 	if !c.state.CompareAndSwap(from, callSettled) {
 		return false
@@ -58,8 +59,8 @@
 	return true
 }
 
-// expire settles the call at its timeout. The answer to a call that was written is still to come; the reader pairs it
-// with this call and discards it, so that later answers stay with their calls.
+// expire settles the call at its timeout. If the call was written, its answer may still arrive. The reader pairs that answer
+// with this call and discards it, so that later answers are paired with the right calls.
 func (c *call) expire() {
 	if !c.settle(callQueued, dw.OutcomeConnectFailed, 0) {
 		c.settle(callWritten, dw.OutcomeTimeout, 0)
--- a/internal/counter/client.go
+++ b/internal/counter/client.go
@@ -1,7 +1,7 @@
-// Package counter is the client of the shared quota counter. Calls are pipelined over a fixed number of connections.
+// Package counter implements the client of the shared quota counter. It pipelines calls over a fixed number of connections.
 //
-// client.go has the interface, call.go the state machine of a call, connection.go the goroutine that connects and writes
-// calls, answers.go the goroutine that reads the answers of one connection.
+// client.go contains the exported interface, call.go the state machine of a call, connection.go the goroutine that connects
+// and writes calls, and answers.go the goroutine that reads the answers of one connection.
 package counter
 
 import (
@@ -19,35 +19,35 @@
 )
 
 const (
-	pipelineCount  = 2                      // pipelines of a client
-	queueLimit     = 512                    // calls that wait to be written, for each pipeline; further ones are rejected
-	batchLimit     = queueLimit / 2         // calls in one write
-	redialInterval = 100 * time.Millisecond // between two attempts to connect
-	writeTimeout   = time.Second            // of one write
-	answerTimeout  = 100 * time.Millisecond // from the first byte of an answer to its last
-	// silenceFactor is how many call timeouts a call may be in flight without any answer before its connection is dead.
+	pipelineCount  = 2                      // number of pipelines of a client
+	queueLimit     = 512                    // maximum number of unwritten calls per pipeline; further calls are rejected
+	batchLimit     = queueLimit / 2         // maximum number of calls in one write
+	redialInterval = 100 * time.Millisecond // time between two attempts to connect
+	writeTimeout   = time.Second            // maximum duration of one write
+	answerTimeout  = 100 * time.Millisecond // maximum time from the first byte of an answer to its last
+	// silenceFactor is the number of call timeouts after which a connection is given up if the oldest call got no answer.
 	silenceFactor = 7
 )
 
-// Sockets is how many descriptors a client holds at most: for each pipeline its connection, and one at the former address
-// on which answers are outstanding.
+// Sockets is the maximum number of descriptors that a client holds: for each pipeline its connection, and one connection to the
+// former address on which answers are outstanding.
 const Sockets = 2 * pipelineCount
 
-// Recorder is the ledger that the client posts each call to, once when it begins and once when it is settled. Post is
-// called from any goroutine and may not block.
+// Recorder is the ledger to which the client posts each call, once when it begins and once when it is settled. Post is called
+// from several goroutines at once and must not block.
 type Recorder interface{ Post(ledger.Posting) }
 
 // Client sends calls to the counter. It implements core.Counter and is safe for concurrent use.
 type Client struct {
 	addr        *dynaddr.Address
-	timeout     time.Duration // of a call, from Add until it is settled
+	timeout     time.Duration // time from Add until a call is settled at the latest
 	dialTimeout time.Duration
 	recorder    Recorder
 	log         *zap.Logger
 	pipelines   [pipelineCount]pipeline
 }
 
-// New makes a client of the counter at addr, as host:port. Calls are sent while Run runs; until then they are queued.
+// New returns a client of the counter at addr, as host:port. Calls are sent while Run runs; until then they are queued.
 func New(addr string, timeout, dialTimeout time.Duration, r Recorder, log *zap.Logger) *Client {
 	c := &Client{addr: dynaddr.New(addr), timeout: timeout, dialTimeout: dialTimeout, log: log, recorder: r}
 	for i := range c.pipelines {
@@ -57,38 +57,38 @@
 	return c
 }
 
-// Move sends the calls that are not written yet, and all later ones, to another address. Calls that are written get their
-// answers from the former address.
+// Move changes the counter's address. Calls that are not written yet, and all later calls, go to the new address; answers to
+// calls that were already written are still read from the former address.
 func (c *Client) Move(addr string) { c.addr.Move(addr) }
 
-// Add implements core.Counter: it adds an amount to a named counter and does not block. done is called once, from another
-// goroutine, with the outcome (call.go says what each promises) and, if that is dw.OutcomeOK, the counter's new total.
-func (c *Client) Add(o core.CounterCall, done func(outcome dw.Outcome, total float64)) {
-	k := &call{
-		target:   requestTarget(o),
+// Add implements core.Counter: it adds an amount to a named counter and does not block. It calls done once, from another
+// goroutine, with the outcome (see call for what each one guarantees) and, if that is dw.OutcomeOK, the counter's new total.
+func (c *Client) Add(op core.CounterCall, done func(outcome dw.Outcome, total float64)) {
+	queued := &call{
+		target:   requestTarget(op),
 		done:     done,
 		recorder: c.recorder,
-		posting: ledger.Posting{Event: ledger.CallBegan, Key: o.LedgerKey, Ref: o.LedgerRef,
-			Units: ledger.MicroUnits(o.Amount)},
+		posting: ledger.Posting{Event: ledger.CallBegan, Key: op.LedgerKey, Ref: op.LedgerRef,
+			Units: ledger.MicroUnits(op.Amount)},
 	}
-	c.recorder.Post(k.posting)
-	k.timer = time.AfterFunc(c.timeout, k.expire)
+	c.recorder.Post(queued.posting)
+	queued.timer = time.AfterFunc(c.timeout, queued.expire)
 	select {
-	case c.pipelineOf(o.Name).queue <- k:
+	case c.pipelineFor(op.Name).queue <- queued:
 	default:
-		go k.settle(callQueued, dw.OutcomeRejected, 0)
+		go queued.settle(callQueued, dw.OutcomeRejected, 0)
 	}
 }
 
-// requestTarget is the request target of a call; its amount is in units, its expiry at least 1 ms.
-func requestTarget(o core.CounterCall) string {
-	return "/counters/" + o.Name + "?by=" + strconv.FormatFloat(o.Amount, 'f', -1, 64) +
-		"&expire_ms=" + strconv.FormatInt(max(1, o.TTL.Milliseconds()), 10)
+// requestTarget returns the HTTP request target of a call. Its amount is in units; its expiry is at least 1 ms.
+func requestTarget(op core.CounterCall) string {
+	return "/counters/" + op.Name + "?by=" + strconv.FormatFloat(op.Amount, 'f', -1, 64) +
+		"&expire_ms=" + strconv.FormatInt(max(1, op.TTL.Milliseconds()), 10)
 }
 
-// pipelineOf assigns a counter to a pipeline. All calls of one name use the same one, so that they are applied and
+// pipelineFor returns the pipeline for a counter. All calls to one counter use the same pipeline, so that they are applied and
 // answered in the order of the calls to Add.
-func (c *Client) pipelineOf(name string) *pipeline {
+func (c *Client) pipelineFor(name string) *pipeline {
 	hash := uint32(0)
 	for i := range len(name) {
 		hash = hash*31 + uint32(name[i])
@@ -96,7 +96,7 @@
 	return &c.pipelines[hash%pipelineCount]
 }
 
-// Run keeps the pipelines connected until the context ends.
+// Run connects the pipelines and sends calls until the context ends. It returns nil.
 func (c *Client) Run(ctx context.Context) error {
 	var running sync.WaitGroup
 	for i := range c.pipelines {
--- a/internal/counter/connection.go
+++ b/internal/counter/connection.go
@@ -11,18 +11,19 @@
 	"dewhitch/internal/http1"
 )
 
-// pipeline is a queue of calls and the one connection at a time that they are written to. Its fields but queue belong to
-// the goroutine of run, which is also the writer of the connection.
+// pipeline is a queue of calls and the connection to which they are written; there is one such connection at a time. The
+// goroutine of run, which is also the writer of the connection, owns all fields except queue.
 type pipeline struct {
 	client *Client
 	queue  chan *call
-	// draining is closed once the connection to a former address is closed; nil: there was none.
+	// draining is closed once the connection to the former address is closed; it is nil if the counter has not moved.
 	draining chan struct{}
 }
 
-// run connects when there is a call to write, and again when the connection is lost, until the context ends.
+// run connects when there is a call to write, and reconnects for the next call when the connection is lost, until the context
+// ends.
 func (p *pipeline) run(ctx context.Context) {
-	var next *call // taken off the queue, not written
+	var next *call // call that was taken off the queue and is not written yet
 	for {
 		if next == nil {
 			select {
@@ -55,22 +56,22 @@
 	}
 }
 
-// failQueued settles all queued calls as not sent.
+// failQueued settles all queued calls with dw.OutcomeConnectFailed.
 func (p *pipeline) failQueued() {
 	for {
 		select {
-		case k := <-p.queue:
-			k.settle(callQueued, dw.OutcomeConnectFailed, 0)
+		case queued := <-p.queue:
+			queued.settle(callQueued, dw.OutcomeConnectFailed, 0)
 		default:
 			return
 		}
 	}
 }
 
-// serve writes calls to conn until that is lost or the counter has moved. It returns a call that was taken off the queue
-// and not written, or nil.
+// serve writes calls to conn until conn is lost or the counter has moved. It returns a call that was taken off the queue and
+// not written, or nil.
 func (p *pipeline) serve(ctx context.Context, conn net.Conn, first *call, addr string, moved <-chan struct{}) *call {
-	c := open(ctx, p, conn, addr, moved)
+	c := startConnection(ctx, p, conn, addr, moved)
 	next, hasMoved := c.writeCalls(first)
 	close(c.inFlight)
 	if !hasMoved {
@@ -78,8 +79,8 @@
 		<-c.closed
 		return next
 	}
-	// The calls that were written get their answers for as long as anyone waits for them. Repeated moves must not add up
-	// connections, so the one before has to be closed first; that takes one call timeout at most.
+	// The former connection stays open for one call timeout, so that calls that were written still get their answers. Repeated
+	// moves must not accumulate connections, so the one before has to be closed first; that takes one call timeout at most.
 	time.AfterFunc(p.client.timeout, c.cancel)
 	if p.draining != nil {
 		<-p.draining
@@ -88,40 +89,40 @@
 	return next
 }
 
-// connection is one connection to the counter. The pipeline's goroutine writes to it and a goroutine of its own reads; it
-// is closed when its context ends, which either of the two causes.
+// connection is one connection to the counter. The pipeline's goroutine writes to it, and a goroutine of its own reads from it.
+// It is closed when its context ends; either goroutine may cancel that context.
 type connection struct {
 	net.Conn
 	pipeline *pipeline
-	addr     string          // as host:port, for the requests
-	moved    <-chan struct{} // closed when the counter has another address
+	addr     string          // counter's address as host:port, for the Host header
+	moved    <-chan struct{} // closed when the counter's address changes
 	ctx      context.Context
 	cancel   context.CancelFunc
-	inFlight chan *call    // being written or written, in order; the writer closes it
+	inFlight chan *call    // calls that are written or being written, in order; closed by the writer
 	closed   chan struct{} // closed once the reader has ended and all calls in flight are settled
 
-	buf   []byte  // the writer's: requests of the batch
-	batch []*call // the writer's: calls of buf
+	buf   []byte  // encoded requests of the current batch; used by the writer only
+	batch []*call // calls whose requests buf contains; used by the writer only
 }
 
-// open takes a new connection over and starts its reader.
-func open(ctx context.Context, p *pipeline, conn net.Conn, addr string, moved <-chan struct{}) *connection {
+// startConnection takes ownership of conn and starts its reader.
+func startConnection(ctx context.Context, p *pipeline, conn net.Conn, addr string, moved <-chan struct{}) *connection {
 	c := &connection{Conn: conn, pipeline: p, addr: addr, moved: moved,
 		inFlight: make(chan *call, queueLimit), closed: make(chan struct{})}
 	c.ctx, c.cancel = context.WithCancel(ctx)
 	go c.readUntilClosed()
-	context.AfterFunc(c.ctx, func() { conn.Close() }) // the one place where it is closed
+	context.AfterFunc(c.ctx, func() { conn.Close() }) // the only place that closes conn
 	return c
 }
 
-// readUntilClosed is the reader's goroutine. Once there is no more to read, it settles what is in flight as unknown: what was
-// written completely may have been added. A call that was written in part is settled by the writer as not added; should
-// this goroutine be first, unknown is true of it too.
+// readUntilClosed is the reader's goroutine. Once no more answers can be read, it settles the calls in flight as unknown, as a
+// completely written call may have been added. The writer settles a partly written call as not added; if this goroutine settles
+// it first, the outcome unknown is correct for it as well.
 func (c *connection) readUntilClosed() {
 	unanswered := readAnswers(c.Conn, c.inFlight, silenceFactor*c.pipeline.client.timeout)
 	c.cancel()
-	for k := range c.inFlight {
-		k.settle(callWritten, dw.OutcomeTimeout, 0)
+	for pending := range c.inFlight {
+		pending.settle(callWritten, dw.OutcomeTimeout, 0)
 	}
 	if unanswered != nil {
 		unanswered.settle(callWritten, dw.OutcomeTimeout, 0)
@@ -129,8 +130,8 @@
 	close(c.closed)
 }
 
-// writeCalls writes calls in batches, beginning with next, until the connection is lost or the counter has moved. It
-// returns a call that was taken off the queue and not written, or nil.
+// writeCalls writes calls in batches, beginning with next, until the connection is lost or the counter has moved. It returns
+// a call that was taken off the queue and not written, or nil, and true if the counter has moved.
 func (c *connection) writeCalls(next *call) (unwritten *call, moved bool) {
 	for {
 		if next == nil {
@@ -140,7 +141,7 @@
 			case next = <-c.pipeline.queue:
 			}
 		}
-		select { // before anything of next is written
+		select { // checked before any byte of next is written
 		case <-c.ctx.Done():
 			return next, false
 		case <-c.moved:
@@ -155,7 +156,8 @@
 	}
 }
 
-// fillBatch makes up the batch of next and what is queued behind it. It returns a call that the batch had no room for.
+// fillBatch fills the batch with next and the calls queued behind it. It returns the call that did not fit into the batch, or
+// nil.
 func (c *connection) fillBatch(next *call, now time.Time) *call {
 	c.buf = c.buf[:0]
 	c.batch = c.batch[:0]
@@ -172,30 +174,30 @@
 	return next
 }
 
-// appendCall adds a call to the batch and hands it to the reader. The reader must have it before its bytes are written, as
-// an answer for which no call is in flight is a breach of the protocol.
-func (c *connection) appendCall(k *call, now time.Time) {
+// appendCall adds a call to the batch and passes it to the reader. The reader must receive the call before its bytes are
+// written, because it treats an answer for which no call is in flight as a protocol violation.
+func (c *connection) appendCall(next *call, now time.Time) {
 	start := len(c.buf)
-	c.buf = http1.AppendRequest(c.buf, "POST", k.target, c.addr)
-	k.size = len(c.buf) - start
-	k.writtenAt = now
-	c.batch = append(c.batch, k)
+	c.buf = http1.AppendRequest(c.buf, "POST", next.target, c.addr)
+	next.size = len(c.buf) - start
+	next.writtenAt = now
+	c.batch = append(c.batch, next)
 	select {
-	case c.inFlight <- k:
+	case c.inFlight <- next:
 	case <-c.ctx.Done():
-		k.settle(callWritten, dw.OutcomeConnectFailed, 0)
+		next.settle(callWritten, dw.OutcomeConnectFailed, 0)
 	}
 }
 
-// writeBatch writes the batch. The calls whose last byte was not written are settled as not added: the counter applies
-// complete requests alone.
+// writeBatch writes the batch. It settles the calls whose last byte was not written as not added, because the counter applies
+// complete requests only.
 func (c *connection) writeBatch(now time.Time) error {
 	c.SetWriteDeadline(now.Add(writeTimeout))
 	written, err := c.Write(c.buf)
-	for _, k := range c.batch {
-		written -= k.size
+	for _, batched := range c.batch {
+		written -= batched.size
 		if written < 0 {
-			k.settle(callWritten, dw.OutcomeConnectFailed, 0)
+			batched.settle(callWritten, dw.OutcomeConnectFailed, 0)
 		}
 	}
 	return err
--- a/internal/counter/golden_test.go
+++ b/internal/counter/golden_test.go
@@ -20,18 +20,18 @@
 	"dewhitch/internal/standin"
 )
 
-// The calls that the counter is sent. It reads their bytes.
+// TestGoldenCalls freezes the bytes of the requests that the client sends to the counter.
 func TestGoldenCalls(t *testing.T) {
-	asked := make(chan []byte, 1)
+	requests := make(chan []byte, 1)
 	l, err := standin.Listen("", func(c net.Conn) {
 		for {
-			var b []byte
-			for one := make([]byte, 1); !bytes.HasSuffix(b, []byte("\r\n\r\n")); b = append(b, one...) {
-				if _, err := io.ReadFull(c, one); err != nil {
+			var request []byte
+			for next := make([]byte, 1); !bytes.HasSuffix(request, []byte("\r\n\r\n")); request = append(request, next...) {
+				if _, err := io.ReadFull(c, next); err != nil {
 					return
 				}
 			}
-			asked <- b
+			requests <- request
 			io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\n7.5")
 		}
 	})
@@ -41,9 +41,9 @@
 	defer l.Close()
 	c := New(l.Addr(), 20*time.Second, 20*time.Second, recorder.Discard{}, zap.NewNop())
 	ctx, stop := context.WithCancel(context.Background())
-	over := make(chan error)
-	go func() { over <- c.Run(ctx) }()
-	var b []byte
+	ended := make(chan error)
+	go func() { ended <- c.Run(ctx) }()
+	var sent []byte
 	for _, call := range []core.CounterCall{
 		{Name: "q-00000001b4d65521", Amount: 2.5, TTL: 4001 * time.Millisecond},
 		{Name: "q.2", Amount: -0.125, TTL: 1},
@@ -52,41 +52,42 @@
 		total := make(chan float64, 1)
 		c.Add(call, func(o dw.Outcome, v float64) {
 			if o != dw.OutcomeOK {
-				t.Errorf("%s: %v", call.Name, o)
+				t.Errorf("%s: got outcome %v, expected dw.OutcomeOK", call.Name, o)
 			}
 			total <- v
 		})
-		b = append(b, <-asked...)
+		sent = append(sent, <-requests...)
 		if v := <-total; v != 7.5 {
-			t.Errorf("%s: %v", call.Name, v)
+			t.Errorf("%s: got total %v, expected 7.5", call.Name, v)
 		}
 	}
 	stop()
-	<-over
-	golden.Compare(t, "calls.txt", bytes.ReplaceAll(b, []byte(l.Addr()), []byte("HOST:PORT")))
+	<-ended
+	golden.Compare(t, "calls.txt", bytes.ReplaceAll(sent, []byte(l.Addr()), []byte("HOST:PORT")))
 }
 
-// The answers that the counter gives. The gateway reads them: each line is one answer, with \r\n for a line's end.
+// TestGoldenAnswers freezes how the client reads the counter's answers. Each line of the file is one answer, in which the text
+// \r\n stands for a line end.
 func TestGoldenAnswers(t *testing.T) {
 	want := []answer{
 		{dw.OutcomeOK, 38.5, true},
 		{dw.OutcomeOK, -1.25, false},
 		{dw.OutcomeOK, 7, true},
-		{dw.OutcomeTimeout, 0, false}, // no number
-		{dw.OutcomeRejected, 0, true}, // 503
-		{dw.OutcomeRejected, 0, true}, // 400
-		{dw.OutcomeRejected, 0, true}, // 404
-		{dw.OutcomeTimeout, 0, false}, // 500
-		{dw.OutcomeTimeout, 0, false}, // no answer
+		{dw.OutcomeTimeout, 0, false}, // the body is not a number
+		{dw.OutcomeRejected, 0, true}, // status 503
+		{dw.OutcomeRejected, 0, true}, // status 400
+		{dw.OutcomeRejected, 0, true}, // status 404
+		{dw.OutcomeTimeout, 0, false}, // status 500
+		{dw.OutcomeTimeout, 0, false}, // not an HTTP answer
 	}
 	lines := strings.Split(strings.TrimSpace(string(golden.Read(t, "answers.txt"))), "\n")
 	if len(lines) != len(want) {
-		t.Fatalf("%d answers, want %d", len(lines), len(want))
+		t.Fatalf("got %d answers, expected %d", len(lines), len(want))
 	}
 	for i, line := range lines {
 		r := bufio.NewReaderSize(strings.NewReader(strings.ReplaceAll(line, `\r\n`, "\r\n")), http1.MaxLine+2)
 		if got := readAnswer(r); got != want[i] {
-			t.Errorf("%s: got %+v, want %+v", line, got, want[i])
+			t.Errorf("%s: got %+v, expected %+v", line, got, want[i])
 		}
 	}
 }
