--- a/internal/discovery/apply.go
+++ b/internal/discovery/apply.go
@@ -9,12 +9,12 @@
 	"dewhitch/internal/core"
 )
 
-// rollbackAfter is for how long messages of older revisions are taken for those of a lagging service. After that, the service
-// was restarted or put back, and its list is the list now.
+// rollbackAfter is how long messages of older revisions are attributed to a lagging director. After that time, the director is
+// assumed to have been restarted or rolled back, and its list is accepted.
 const rollbackAfter = 2 * time.Second
 
-// apply decodes a message, whose first byte was read at readAt, and passes on what changes by it. Of a stale message only
-// restrictions are applied, and the error is errStale: it may show a server as it was before it drained.
+// apply decodes a message, whose first byte was read at readAt, and passes the changes to the planner. A stale message may show
+// a server as ready that is draining by now, so apply passes on only its servers that are not ready and returns errStale.
 func (d *Client) apply(text []byte, readAt time.Time) error {
 	m, err := d.decoder.Decode(text)
 	if err != nil {
@@ -38,12 +38,13 @@
 		return errStale
 	}
 	d.staleSince = time.Time{}
-	d.firstOnce.Do(func() { close(d.Synced) })
+	d.syncedOnce.Do(func() { close(d.Synced) })
 	return nil
 }
 
-// isStale reports whether a message is not to be trusted, as its revision is older than that held. A complete list of such a
-// revision is trusted once there was nothing newer for rollbackAfter; a delta never is, as its base is unknown.
+// isStale returns true if a message must not be trusted because its revision is older than the current one. A complete list of
+// an older revision is trusted once no newer message has arrived for rollbackAfter. A delta of an older revision is never
+// trusted, as its base is unknown.
 func (d *Client) isStale(m Message) bool {
 	if m.Revision >= d.revision {
 		d.staleSince = time.Time{}
@@ -55,7 +56,7 @@
 	return !m.Complete || d.now().Sub(d.staleSince) < rollbackAfter
 }
 
-// logUpdate logs what a message changed.
+// logUpdate logs the changes that a message made.
 func (d *Client) logUpdate(m Message, update core.EndpointUpdate, stale bool, bytes int) {
 	ready := 0
 	for _, s := range update.List.Servers {
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -1,8 +1,9 @@
-// Package discovery follows the discovery service's endpoint list: a poll reads the complete list, and a watch then gives
-// each change. The list may be long: each byte of it is looked at once, and only what changes in it goes on to the planner.
+// Package discovery follows the endpoint list of the director, the platform's discovery service. A poll reads the complete
+// list; a watch then receives each change. As the list may be long, each byte of it is scanned once, and only changes are
+// passed to the planner.
 //
-// client.go decides when to connect, sync.go what to request, apply.go which messages to accept. connection.go and
-// message_reader.go read from the network, decode.go and json.go decode, view.go works out the changes.
+// client.go decides when to connect, sync.go what to request, and apply.go which messages to accept. connection.go and
+// message_reader.go read from the network, decode.go and json.go decode messages, and view.go computes the changes.
 package discovery
 
 import (
@@ -21,31 +22,35 @@
 
 const (
 	dialTimeout = time.Second
-	// pollTimeout is how long a service of the gateway's own may keep an answer back: it answers at once.
+	// pollTimeout limits the wait for an answer of a director that serves only this gateway: it answers at once.
 	pollTimeout = time.Second
-	// sharedPollTimeout is the same for a service that all gateways share: it queues requests, and goes on serving those
-	// whose gateway has left.
+	// sharedPollTimeout limits the wait for an answer of a director that all gateways share: it queues requests, and also
+	// serves queued requests whose gateway has closed the connection.
 	sharedPollTimeout = 6 * time.Second
-	// watchTimeout is how long a watch may be silent: the service writes at least an empty line every 2 s.
+	// watchTimeout limits the silence of a watch: the director writes at least an empty line every 2 s.
 	watchTimeout = 3 * time.Second
-	// messageTimeout is from a message's first byte to its last: a long list may come slowly.
+	// messageTimeout limits the time from a message's first byte to its last: a long list may arrive slowly.
 	messageTimeout = 10 * time.Second
 
-	backoffFirst = 100 * time.Millisecond // bound of the first backoff
-	backoffMax   = 500 * time.Millisecond // of the last: a drain is in force at the service whether it was read or not
+	backoffFirst = 100 * time.Millisecond // upper bound of the first backoff delay
+	// backoffMax is the upper bound of any backoff delay. It is short because a drain takes effect at the director whether
+	// or not the gateway has read it.
+	backoffMax = 500 * time.Millisecond
 
-	initialDelayStep = 50 * time.Millisecond // for each gateway that shares the service: it bears so much at a start
-	initialDelayMax  = 4 * time.Second       // however many gateways share it
+	// initialDelayStep is how much each gateway that shares a director adds to the maximum initial delay. It spreads the
+	// requests of gateways that start together to a rate that the director can serve.
+	initialDelayStep = 50 * time.Millisecond
+	initialDelayMax  = 4 * time.Second // upper bound of the initial delay for any number of gateways
 )
 
-// Sockets is how many descriptors a client holds at most.
+// Sockets is the maximum number of descriptors that a client holds.
 const Sockets = 1
 
-// Client keeps a planner informed of the list: first of all of it, then of each change as it comes. Its fields belong to the
-// goroutine of Run, but for Synced and what Move uses.
+// Client passes the endpoint list to a planner: first the complete list, then each change when it arrives. Its fields are
+// owned by the goroutine of Run, except Synced and those that Move uses.
 type Client struct {
-	Synced    chan struct{} // closed when a complete list has been read
-	firstOnce sync.Once     // closes Synced
+	Synced     chan struct{} // closed once the planner has accepted a message that is not stale
+	syncedOnce sync.Once     // guards the close of Synced
 
 	addr    *dynaddr.Address
 	decoder *Decoder
@@ -55,19 +60,19 @@
 	log     *zap.Logger
 	now     func() time.Time
 
-	hasList    bool      // the planner holds a list of revision, so a watch can start there; else the next request is a poll
-	revision   int64     // of the last message that was accepted
-	staleSince time.Time // when the first of the latest run of stale messages came; zero: the last one was not stale
-	broken     bool      // the list broke off, and no watch has begun since
+	hasList     bool      // true if the planner holds a list of revision, so that a watch can start; otherwise a poll is next
+	revision    int64     // revision of the last accepted message
+	staleSince  time.Time // arrival of the first in the latest run of stale messages; zero if the last message was not stale
+	interrupted bool      // true if following the list was interrupted and no watch has begun since
 
-	initialDelay time.Duration // before the first request
-	pollTimeout  time.Duration // for an answer
-	watchTimeout time.Duration // of silence in a watch
+	initialDelay time.Duration // delay before the first request
+	pollTimeout  time.Duration // maximum wait for an answer
+	watchTimeout time.Duration // maximum silence of a watch
 	backoff      backoff.Backoff
 }
 
-// New makes a client of the service at addr, as host:port. update is called for each message, in order, by the goroutine of
-// Run; an error of it breaks the list off. The seed is for the delays.
+// New returns a client of the director at addr, as host:port. The goroutine of Run calls update for each message, in order;
+// if update returns an error, the client closes the connection and reconnects. The seed determines the random delays.
 func New(addr string, d *Decoder, update func(core.EndpointUpdate) error, seed uint64, log *zap.Logger) *Client {
 	return &Client{
 		Synced:       make(chan struct{}),
@@ -85,25 +90,25 @@
 	}
 }
 
-// ConfigureShared says that so many gateways share one discovery service, and whether the planner holds a list already, and of which
-// revision. It is to be called before Run.
+// ConfigureShared configures the client for a director that the given number of gateways share. If hasList is true, the planner
+// already holds a list of the given revision. It must be called before Run.
 //
-// Gateways that start together would all request in the same moment, more than such a service bears. So the first request
-// is delayed at random, it is a watch from the revision held and not a poll, and the backoff of a rejected request grows
-// with the number of gateways. The service queues requests and goes on serving those that were given up, so a client that
-// leaves early and comes again is never served: the poll timeout is longer.
+// Gateways that start together would all send requests at the same time and overload such a director. So the first request
+// is delayed at random and, if the planner holds a list, is a watch instead of a poll, and the backoff of rejected requests
+// grows with the number of gateways. The director queues requests and also serves abandoned ones, so a client that closes the
+// connection early and tries again is never served: the poll timeout is longer.
 func (d *Client) ConfigureShared(hasList bool, revision int64, gateways int) {
 	d.hasList = hasList
 	d.revision = revision
 	d.pollTimeout = sharedPollTimeout
-	// A change counts as delivered 6 s after the service had it, so the first request may not be later than that.
+	// A change counts as delivered 6 s after it took effect at the director, so the first request must not be later.
 	span := min(time.Duration(gateways)*initialDelayStep, initialDelayMax)
 	d.initialDelay = time.Duration(d.backoff.Rand.Int64N(int64(span)))
 	d.backoff.BusyFirst = span / 2
 	d.backoff.BusyMax = max(backoffMax, 2*span)
 }
 
-// Move follows the list at another address from now on, beginning with a poll. It is safe for concurrent use.
+// Move changes the director's address. The client reconnects to it and begins with a poll. It is safe for concurrent use.
 func (d *Client) Move(addr string) { d.addr.Move(addr) }
 
 // Run follows the list until the context ends. It returns nil.
@@ -123,18 +128,18 @@
 		if ctx.Err() != nil {
 			return nil
 		}
-		pause := d.breakOff(addr, progress, err)
+		delay := d.recordInterruption(addr, progress, err)
 		select {
 		case <-ctx.Done():
 		case <-moved:
-		case <-time.After(pause):
+		case <-time.After(delay):
 		}
 	}
 	return nil
 }
 
-// resetAfterMove has the next request be a poll without backoff. Revisions of two services need not match: a watch from
-// the former one's could miss changes, and a list of the new one could pass for stale.
+// resetAfterMove makes the next request a poll without backoff. Revisions of two directors need not match: a watch from the
+// former one's revision could miss changes, and a list of the new one could be mistaken for stale.
 func (d *Client) resetAfterMove() {
 	d.backoff.Reset()
 	d.hasList = false
@@ -142,23 +147,25 @@
 	d.staleSince = time.Time{}
 }
 
-// breakOff records that the list broke off at addr by err, and returns the backoff before the next request.
-func (d *Client) breakOff(addr string, progress bool, err error) time.Duration {
+// recordInterruption records that err interrupted following the list at addr, and returns the delay before the next request.
+// progress is true if anything was read.
+func (d *Client) recordInterruption(addr string, progress bool, err error) time.Duration {
 	if progress {
 		d.backoff.Reset()
 	}
-	d.broken = true
+	d.interrupted = true
 	var rejected statusError
-	pause := d.backoff.Next(errors.As(err, &rejected))
-	reason := breakReason(err)
+	delay := d.backoff.Next(errors.As(err, &rejected))
+	reason := interruptionReason(err)
 	d.monitor.ListInterrupted(reason)
 	d.log.Warn("the director's list broke off", zap.String("director", addr), zap.Error(err),
 		zap.String("reason", reason), zap.Int64("revision", d.revision), zap.Bool("whole_next", !d.hasList),
-		zap.Duration("again_in", pause))
-	return pause
+		zap.Duration("again_in", delay))
+	return delay
 }
 
-// syncUntilMoved follows the list at addr until it breaks off or the client has moved. It reports whether anything was read.
+// syncUntilMoved follows the list at addr until that is interrupted or the director's address changes. progress is true if
+// anything was read.
 func (d *Client) syncUntilMoved(ctx context.Context, addr string, moved <-chan struct{}) (progress bool, err error) {
 	ctx, cancel := context.WithCancel(ctx)
 	var canceller sync.WaitGroup
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -15,8 +15,8 @@
 	"dewhitch/internal/standin"
 )
 
-// A discovery service that gateways share is requests to watch, not polled, and again after it rejected that. One of a gateway's
-// own is polled at once.
+// TestFirstRequest guards against a poll of a shared director by a gateway that holds a list. Such a director receives a watch,
+// and a watch again after it rejected the first one. A director that serves only one gateway is polled.
 func TestFirstRequest(t *testing.T) {
 	const poll, watch = "/api/targets", "/api/targets?follow=1&since=41"
 	for _, shared := range []bool{false, true} {
@@ -25,11 +25,11 @@
 		reject <- struct{}{}
 		l, err := standin.Listen("", func(conn net.Conn) {
 			for r := bufio.NewReader(conn); ; {
-				q, err := http.ReadRequest(r)
+				request, err := http.ReadRequest(r)
 				if err != nil {
 					return
 				}
-				requests <- q.URL.String()
+				requests <- request.URL.String()
 				select {
 				case <-reject:
 					fmt.Fprint(conn, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
@@ -37,7 +37,7 @@
 				default:
 				}
 				text := `{"revision":43,"complete":false,"members":[]}` + "\n"
-				if q.URL.RawQuery == "" {
+				if request.URL.RawQuery == "" {
 					text = `{"revision":42,"complete":true,"members":[]}`
 					fmt.Fprintf(conn, "HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(text), text)
 					continue
@@ -63,7 +63,7 @@
 		go func() { ended <- d.Run(ctx) }()
 		for i, w := range want {
 			if got := <-requests; got != w {
-				t.Errorf("shared %v: request %d is %s, want %s", shared, i+1, got, w)
+				t.Errorf("shared %v: request %d is %s, expected %s", shared, i+1, got, w)
 			}
 		}
 		for v := int64(0); v != 43; v = <-versions {
@@ -76,16 +76,16 @@
 	}
 }
 
-// However many gateways share a discovery service, each sends its request, and its next after a rejection, before the changes that
-// it misses count as delivered.
+// TestInitialDelayIsBounded guards against a delay that is too long if many gateways share a director. Each gateway must send its
+// first request, and the next one after a rejection, before the changes that it has missed count as delivered.
 func TestInitialDelayIsBounded(t *testing.T) {
-	const countsAsDelivered = 6 * time.Second
+	const deliveryTime = 6 * time.Second
 	for _, gateways := range []int{1, 3, 80, 900} {
 		for seed := range uint64(50) {
 			d := New("127.0.0.1:1", NewDecoder(Names{}), nil, seed, zap.NewNop())
 			d.ConfigureShared(true, 41, gateways)
-			if d.initialDelay > countsAsDelivered-pollTimeout || d.backoff.BusyFirst > countsAsDelivered-pollTimeout {
-				t.Fatalf("seed %d, %d gateways: the first request after %v, the next %v after a rejection", seed, gateways, d.initialDelay,
+			if d.initialDelay > deliveryTime-pollTimeout || d.backoff.BusyFirst > deliveryTime-pollTimeout {
+				t.Fatalf("seed %d, %d gateways: the first request is sent after %v, the next within %v of a rejection", seed, gateways, d.initialDelay,
 					d.backoff.BusyFirst)
 			}
 		}
--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// connection is one connection to discovery. A read waits for idleTimeout at most, and not beyond the message's deadline: a list
-// that is long, or comes slowly, has its time as long as it comes. It is not safe for concurrent use.
+// connection is one connection to the director. A read waits for at most idleTimeout, and not beyond the message's deadline, so
+// a long or slow list is read as long as its bytes keep arriving. It is not safe for concurrent use.
 type connection struct {
 	net.Conn
 	idleTimeout     time.Duration
-	messageDeadline time.Time // zero: no bound yet
-	firstByte       time.Time // when the message's first byte was read; zero: none was
+	messageDeadline time.Time // time by which the message must be complete; zero before its first byte
+	firstByte       time.Time // time when the message's first byte was read; zero before that
 }
 
-// Read implements io.Reader.
+// Read implements io.Reader. It returns a contentError of errTooSlow if the message's deadline has passed.
 func (c *connection) Read(b []byte) (int, error) {
 	deadline := time.Now().Add(c.idleTimeout)
 	if !c.messageDeadline.IsZero() && c.messageDeadline.Before(deadline) {
@@ -36,14 +36,15 @@
 	return n, err
 }
 
-// beginMessage has the next byte count as the first of a message.
+// beginMessage makes the next byte count as the first of a message.
 func (c *connection) beginMessage() {
 	c.firstByte = time.Time{}
 	c.messageDeadline = time.Time{}
 }
 
-// messageBegan is when the message's first byte was read. What was read ahead of a message counts as read now.
-func (c *connection) messageBegan() time.Time {
+// messageReadAt returns the time when the message's first byte was read. If the message was read ahead, together with the one
+// before it, that is the current time.
+func (c *connection) messageReadAt() time.Time {
 	if c.firstByte.IsZero() {
 		return time.Now()
 	}
--- a/internal/discovery/decode.go
+++ b/internal/discovery/decode.go
@@ -13,49 +13,49 @@
 	"dewhitch/internal/core"
 )
 
-// Message is one message of discovery's, decoded: a list, or a change of it.
+// Message is a decoded message of the director: a complete list or a delta.
 type Message struct {
 	Revision int64
-	Complete bool // it names every server; one that it leaves out is removed
+	Complete bool // true if the message lists every server, so that servers missing from it are removed
 	Members  []ListedServer
 }
 
-// ListedServer is a server as a message has it.
+// ListedServer is a server as listed in a message.
 type ListedServer struct {
-	ServerName string      // the id, as discovery words it
-	Addr       string      // as host:port; empty: removed
-	Entry      dw.Endpoint // its StartedAt is Unix time
+	ServerName string      // server's id in the director's form
+	Addr       string      // server's address as host:port; may be empty if the server is removed
+	Entry      dw.Endpoint // server's entry in the endpoint list; its StartedAt is Unix time
 }
 
-// endpointStates are the states of servers by discovery's names for them.
+// endpointStates maps the director's phases to states of servers.
 var endpointStates = map[string]dw.EndpointState{"up": dw.Ready, "draining": dw.Draining, "removed": dw.Removed}
 
-// Names are the settings' words for zones and kinds, in their order.
+// Names holds the names of zones and kinds from the settings, in their order.
 type Names struct{ Zones, Kinds []string }
 
-// Decoder turns discovery's messages into the module's terms, and assigns numbers to servers. It is safe for concurrent use:
-// operators look ids up while the client decodes.
+// Decoder decodes the director's messages and assigns numbers to servers. It is safe for concurrent use: operators' calls look
+// ids up while the client decodes.
 type Decoder struct {
-	mu        sync.Mutex // guards all of it
+	mu        sync.Mutex // guards all fields
 	zones     nameIndex
 	kinds     nameIndex
-	ids       map[string]dw.ServerID // by the id as discovery words it
-	servers   map[dw.ServerID]serverName
-	lastCount int       // members of the last message
-	raw       rawMember // buffers of the member that is being decoded
+	ids       map[string]dw.ServerID // server's number by its id in the director's form
+	servers   map[dw.ServerID]serverStrings
+	lastCount int       // number of members in the last message
+	raw       rawMember // fields of the member that is being decoded
 }
 
-// NewDecoder makes a decoder.
+// NewDecoder returns a decoder for lists that use the given names.
 func NewDecoder(n Names) *Decoder {
 	return &Decoder{
 		zones:   newNameIndex(n.Zones),
 		kinds:   newNameIndex(n.Kinds),
 		ids:     map[string]dw.ServerID{},
-		servers: map[dw.ServerID]serverName{},
+		servers: map[dw.ServerID]serverStrings{},
 	}
 }
 
-// DecodeConfigured decodes the list that the configuration holds, which may be out of date, or missing.
+// DecodeConfigured decodes the list in the configuration, which may be out of date. Empty text gives an empty list.
 func (d *Decoder) DecodeConfigured(text []byte) (core.EndpointUpdate, error) {
 	out := core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListCached}}
 	if len(text) == 0 {
@@ -72,8 +72,8 @@
 	return out, nil
 }
 
-// Decode reads one message. It is an error if any member can't be used, as a list with a part missing would remove servers;
-// nothing of the message is returned then.
+// Decode decodes one message. If any member is invalid, it returns an error and an empty message, as a partly decoded list would
+// remove servers.
 func (d *Decoder) Decode(text []byte) (Message, error) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -102,7 +102,7 @@
 	return m, nil
 }
 
-// members reads the array of servers; the lock is held.
+// members reads the array of servers. The caller holds the lock.
 func (d *Decoder) members(r *jsonReader) ([]ListedServer, error) {
 	all := make([]ListedServer, 0, d.lastCount)
 	err := r.array(func() error {
@@ -114,7 +114,7 @@
 	return all, err
 }
 
-// member reads one server; the lock is held.
+// member reads one server. The caller holds the lock.
 func (d *Decoder) member(r *jsonReader) (ListedServer, error) {
 	raw := &d.raw
 	raw.reset()
@@ -133,21 +133,21 @@
 	return m, nil
 }
 
-// rawMember is a member as its fields have been read. Its buffers are reused, so that nothing is allocated for servers that
-// are known.
+// rawMember holds the fields of a member while it is read. Its buffers are reused, so that decoding a known server allocates
+// nothing.
 type rawMember struct {
 	id, addr, phase []byte
-	name            []byte // of the zone or kind that is being read
+	name            []byte // name of the zone or kind that is being read
 	entry           dw.Endpoint
-	upSinceMS       int64 // Unix time in milliseconds
+	upSinceMS       int64 // server's start as Unix time in milliseconds
 }
 
-// reset empties it, and keeps the buffers.
+// reset clears the fields and keeps their buffers.
 func (m *rawMember) reset() {
 	*m = rawMember{id: m.id[:0], addr: m.addr[:0], phase: m.phase[:0], name: m.name[:0]}
 }
 
-// readField reads the value of one key of a server into raw; the lock is held.
+// readField reads the value of one key of a server into raw. The caller holds the lock.
 func (d *Decoder) readField(r *jsonReader, key string, raw *rawMember) (err error) {
 	switch key {
 	case "id":
--- a/internal/discovery/errors.go
+++ b/internal/discovery/errors.go
@@ -11,38 +11,38 @@
 	"dewhitch/internal/http1"
 )
 
-// The errors by which the list breaks off, besides those of the network.
+// The errors that interrupt following the list, besides network errors.
 var (
-	// errStale says that a message is of an older revision than what the planner holds.
+	// errStale is returned for a message whose revision is older than that of the planner's list.
 	errStale = errors.New("an older list")
-	// errPollEnds says that the connection ended with the list, as its answer said it would.
-	errPollEnds = errors.New("the connection ended with the list")
-	// errEnded says that a watch ended between two messages.
+	// errPollClosedConn is returned if the answer to a poll was complete and its head announced that the connection closes.
+	errPollClosedConn = errors.New("the connection ended with the list")
+	// errEnded is returned if a watch ended between two messages.
 	errEnded = errors.New("the watch ended")
-	// errTruncated says that a watch ended within a message.
+	// errTruncated is returned if a watch ended within a message.
 	errTruncated = errors.New("the watch ended within a message")
-	// errTooLong says that a message is too long to be read.
+	// errTooLong is returned for a message of more than maxMessage bytes.
 	errTooLong = fmt.Errorf("a message is over %d bytes", maxMessage)
-	// errTooSlow says that a message was not complete in time, though bytes of it went on coming.
-	errTooSlow = errors.New("a message is not whole in time")
-	// errTrailing says that something follows the one object that a message is.
-	errTrailing = errors.New("more follows the list")
+	// errTooSlow is returned for a message that was not complete within messageTimeout, although its bytes kept arriving.
+	errTooSlow = fmt.Errorf("a message was not complete within %v", messageTimeout)
+	// errTrailing is returned if data follows the JSON object of a message.
+	errTrailing = errors.New("data follows the JSON object of the list")
 )
 
-// statusError is an answer of another status than 200: the service is there, and rejected the request.
+// statusError is the status of an answer other than 200: the director is reachable and rejected the request.
 type statusError int
 
 // Error implements error.
 func (e statusError) Error() string { return fmt.Sprintf("status %d", int(e)) }
 
-// contentError wraps the fault of a message that can't be used: the same request would bring the same message again.
+// contentError wraps the error of a message that can't be used. The same request would get the same message again.
 type contentError struct{ error }
 
-// Unwrap gives the fault.
+// Unwrap returns the wrapped error.
 func (e contentError) Unwrap() error { return e.error }
 
-// breakReason classifies the errors by which the list breaks off, as a label for metrics and the log.
-func breakReason(err error) string {
+// interruptionReason classifies an error that interrupted following the list, as a label for metrics and the log.
+func interruptionReason(err error) string {
 	var status statusError
 	var op *net.OpError
 	switch {
--- a/internal/discovery/golden_wire_test.go
+++ b/internal/discovery/golden_wire_test.go
@@ -18,8 +18,8 @@
 	"dewhitch/internal/standin"
 )
 
-// The list of servers with each of its keys, each phase, and a zone and a kind by complete names and by their parts behind a dash. The
-// discovery service writes it; the gateway reads it, and its configuration holds one in the same form.
+// TestGoldenList freezes how a list of the director is decoded, both from the director and from the gateway's configuration. The
+// file contains each key, each phase, and zones and kinds by complete names and by their parts after a dash.
 func TestGoldenList(t *testing.T) {
 	names := Names{Zones: []string{"lake-a", "lake-b", "lake-c"}, Kinds: []string{"size-small", "size-large"}}
 	got, err := NewDecoder(names).Decode(golden.Read(t, "list.json"))
@@ -35,31 +35,31 @@
 		{ServerName: "node-x", Addr: "10.0.0.4:1004", Entry: dw.Endpoint{ID: 1, Cell: 5, Rating: 3.5, State: dw.Ready}},
 	}}
 	if !reflect.DeepEqual(got, want) {
-		t.Errorf("\n got %+v\nwant %+v", got, want)
+		t.Errorf("\ngot      %+v\nexpected %+v", got, want)
 	}
 	known, err := NewDecoder(names).DecodeConfigured(golden.Read(t, "list.json"))
-	listing := core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListCached, Version: 41}}
+	listed := core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListCached, Version: 41}}
 	for _, m := range want.Members {
-		appendMember(&listing, m)
+		appendMember(&listed, m)
 	}
-	if err != nil || !reflect.DeepEqual(known, listing) {
-		t.Errorf("%v\n got %+v\nwant %+v", err, known, listing)
+	if err != nil || !reflect.DeepEqual(known, listed) {
+		t.Errorf("error %v\ngot      %+v\nexpected %+v", err, known, listed)
 	}
 }
 
-// The requests to a discovery service: a poll, and a watch from a revision. It reads their bytes.
+// TestGoldenRequests freezes the bytes of the requests to the director: a poll, and a watch from a revision.
 func TestGoldenRequests(t *testing.T) {
 	requests := make(chan []byte, 2)
 	l, err := standin.Listen("", func(c net.Conn) {
 		for _, answer := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 45\r\n\r\n" + `{"revision":42,"complete":true, "members":[]}`,
 			"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"} {
-			var b []byte
-			for one := make([]byte, 1); !bytes.HasSuffix(b, []byte("\r\n\r\n")); b = append(b, one...) {
-				if _, err := io.ReadFull(c, one); err != nil {
+			var request []byte
+			for next := make([]byte, 1); !bytes.HasSuffix(request, []byte("\r\n\r\n")); request = append(request, next...) {
+				if _, err := io.ReadFull(c, next); err != nil {
 					return
 				}
 			}
-			requests <- b
+			requests <- request
 			fmt.Fprint(c, answer)
 		}
 	})
@@ -75,12 +75,12 @@
 	golden.Compare(t, "questions.txt", bytes.ReplaceAll(text, []byte(l.Addr()), []byte("HOST:PORT")))
 }
 
-// The reasons for which the list broke off, which are a label of the metrics. Operators read them.
+// TestGoldenReasons freezes the reasons for interruptions of the list, which operators read as values of a metric's label.
 func TestGoldenReasons(t *testing.T) {
-	var b strings.Builder
+	var reasons strings.Builder
 	for _, err := range []error{statusError(503), net.ErrClosed, &net.OpError{Op: "dial", Err: io.EOF}, errStale, errTooLong, errTooSlow, errEnded, errTruncated,
 		&net.OpError{Op: "read", Err: io.ErrNoProgress}, io.ErrNoProgress} {
-		fmt.Fprintln(&b, breakReason(err))
+		fmt.Fprintln(&reasons, interruptionReason(err))
 	}
-	golden.Compare(t, "reasons.txt", []byte(b.String()))
+	golden.Compare(t, "reasons.txt", []byte(reasons.String()))
 }
--- a/internal/discovery/json.go
+++ b/internal/discovery/json.go
@@ -8,10 +8,11 @@
 	"github.com/go-json-experiment/json/jsontext"
 )
 
-// jsonReader reads values of the kinds that a list has. Null stands for a value that is left out. An error says where it is.
+// jsonReader reads the JSON values that occur in a list. It treats null like an omitted value. Its errors contain the position
+// of the value.
 type jsonReader struct{ *jsontext.Decoder }
 
-// object reads an object, and calls field with the reader at the value of each key.
+// object reads an object. For each key it calls field, which must read the key's value.
 func (r *jsonReader) object(field func(key string) error) error {
 	return r.each('{', func() error {
 		key, err := r.ReadValue()
@@ -28,10 +29,10 @@
 	})
 }
 
-// array reads an array, and calls item with the reader at each value.
+// array reads an array. For each value it calls item, which must read the value.
 func (r *jsonReader) array(item func() error) error { return r.each('[', item) }
 
-// each reads an object or array, and calls next while there is more in it.
+// each reads an object or array that starts with open, and calls next until its end is reached. It reads null as empty.
 func (r *jsonReader) each(open jsontext.Kind, next func() error) error {
 	first, err := r.ReadToken()
 	if err != nil {
@@ -53,12 +54,12 @@
 	return err
 }
 
-// kindError says that a value is of another kind than its place takes.
+// kindError returns an error that the next value has the wrong JSON type.
 func (r *jsonReader) kindError(want string, got jsontext.Kind) error {
-	return fmt.Errorf("%s: %s does not belong here, but %s", r.StackPointer(), got, want)
+	return fmt.Errorf("%s: got %s, expected %s", r.StackPointer(), got, want)
 }
 
-// scalar reads a value of one of the kinds, given by their first bytes; null gives none.
+// scalar reads a value of one of the given kinds, each of which is the first byte of its values. It returns nil for null.
 func (r *jsonReader) scalar(kinds string) (jsontext.Value, error) {
 	v, err := r.ReadValue()
 	if err != nil || v.Kind() == 'n' {
@@ -70,7 +71,7 @@
 	return v, nil
 }
 
-// text appends a string's text to b.
+// text reads a string and appends its unquoted text to b; null appends nothing.
 func (r *jsonReader) text(b []byte) ([]byte, error) {
 	v, err := r.scalar(`"`)
 	if err != nil || v == nil {
@@ -82,7 +83,7 @@
 	return jsontext.AppendUnquote(b, v)
 }
 
-// integer reads an integer; null gives 0.
+// integer reads an integer. It returns 0 for null.
 func (r *jsonReader) integer() (int64, error) {
 	v, err := r.scalar("0")
 	if err != nil || v == nil {
@@ -95,7 +96,7 @@
 	return n, nil
 }
 
-// number reads a number; null gives 0.
+// number reads a number. It returns 0 for null.
 func (r *jsonReader) number() (float64, error) {
 	v, err := r.scalar("0")
 	if err != nil || v == nil {
@@ -108,7 +109,7 @@
 	return n, nil
 }
 
-// boolean reads true or false; null gives false.
+// boolean reads a boolean. It returns false for null.
 func (r *jsonReader) boolean() (bool, error) {
 	v, err := r.scalar("tf")
 	return v != nil && v.Kind() == 't', err
--- a/internal/discovery/long_list_test.go
+++ b/internal/discovery/long_list_test.go
@@ -15,50 +15,51 @@
 	"dewhitch/internal/standin"
 )
 
-// longMessage is a message that names so many servers, of which those at every fourth place have the phase.
-func longMessage(revision, servers int, complete bool, phase string, between string) string {
+// longMessageJSON returns a message for a list with the given number of servers. Every fourth server has the given phase; a delta
+// contains only these.
+func longMessageJSON(revision, servers int, complete bool, phase string, separator string) string {
 	var members []string
 	for i := range servers {
-		at := "up"
+		memberPhase := "up"
 		if i%4 == 0 {
-			at = phase
+			memberPhase = phase
 		}
 		if complete || i%4 == 0 {
-			members = append(members, standin.Member(fmt.Sprintf("s-%08x", uint32(i+1)*2654435761), "127.0.0.1:1", at))
+			members = append(members, standin.Member(fmt.Sprintf("s-%08x", uint32(i+1)*2654435761), "127.0.0.1:1", memberPhase))
 		}
 	}
-	return fmt.Sprintf("{%[1]s\"revision\":%[2]d,%[1]s\"complete\":%[3]v,%[1]s\"members\":[%[1]s%[4]s]}", between, revision, complete,
-		strings.Join(members, ","+between))
+	return fmt.Sprintf("{%[1]s\"revision\":%[2]d,%[1]s\"complete\":%[3]v,%[1]s\"members\":[%[1]s%[4]s]}", separator, revision, complete,
+		strings.Join(members, ","+separator))
 }
 
-// A change reaches the planner whatever the number of servers and its form: the complete list or a delta,
-// in the watch or in answer to a poll, on a line or indented, in one piece or in small ones.
+// TestLongListsAreRead guards against changes of long lists that don't reach the planner. It reads complete lists and deltas of
+// several lengths, from a watch or a poll, on one line or indented, in one piece or in many small ones.
 func TestLongListsAreRead(t *testing.T) {
-	inPieces := func(text string) []string {
-		var all []string
+	split := func(text string) []string {
+		var pieces []string
 		for size := 1; len(text) > 0; size = size*2%40_961 + 1 {
 			n := min(size, len(text))
-			all, text = append(all, text[:n]), text[n:]
+			pieces, text = append(pieces, text[:n]), text[n:]
 		}
-		return all
+		return pieces
 	}
 	for _, servers := range []int{200, 1_860, 1_880, 3_200, 12_800} {
-		for form, between := range map[string]string{"on a line": "", "indented": "\n                "} {
-			first := complete(longMessage(41, servers, true, "up", between))
-			all, some := longMessage(42, servers, true, "draining", between), longMessage(42, servers, false, "draining", between)
-			for how, answers := range map[string][]answerFunc{
-				"all in the watch":             {first, watch(silent, all+"\n")},
-				"all in the watch, in pieces":  {first, watch(silent, append(inPieces(all), "\n")...)},
-				"what changed":                 {first, watch(silent, some+"\n")},
-				"what changed, in pieces":      {first, watch(silent, append(inPieces(some), "\n")...)},
-				"the watch ends, then all":     {first, watch(ends), watch(silent, "\n", all+"\n")},
-				"the watch ends within all":    {first, watch(closes, all[:len(all)/2]), watch(silent, all+"\n")},
-				"unreadable, then all again":   {first, watch(silent, "nonsense\n"), complete(all)},
-				"again of no length, by a cut": {first, watch(silent, "nonsense\n"), unbounded(all, closes)},
+		for layout, separator := range map[string]string{"on a line": "", "indented": "\n                "} {
+			first := completeAnswer(longMessageJSON(41, servers, true, "up", separator))
+			full, delta := longMessageJSON(42, servers, true, "draining", separator), longMessageJSON(42, servers, false, "draining", separator)
+			for name, answers := range map[string][]answerFunc{
+				"all in the watch":             {first, watchAnswer(stall, full+"\n")},
+				"all in the watch, in pieces":  {first, watchAnswer(stall, append(split(full), "\n")...)},
+				"what changed":                 {first, watchAnswer(stall, delta+"\n")},
+				"what changed, in pieces":      {first, watchAnswer(stall, append(split(delta), "\n")...)},
+				"the watch ends, then all":     {first, watchAnswer(endChunks), watchAnswer(stall, "\n", full+"\n")},
+				"the watch ends within all":    {first, watchAnswer(closeConn, full[:len(full)/2]), watchAnswer(stall, full+"\n")},
+				"unreadable, then all again":   {first, watchAnswer(stall, "nonsense\n"), completeAnswer(full)},
+				"again of no length, by a cut": {first, watchAnswer(stall, "nonsense\n"), unboundedAnswer(full, closeConn)},
 			} {
-				t.Run(fmt.Sprintf("%d/%s/%s", servers, form, how), func(t *testing.T) {
+				t.Run(fmt.Sprintf("%d/%s/%s", servers, layout, name), func(t *testing.T) {
 					t.Parallel()
-					b := newBed(t, answers...)
+					b := newTestBed(t, answers...)
 					b.watchTimeout, b.pollTimeout = testTimeout, testTimeout
 					b.expectUpdates(t, "41 up", "42 draining")
 				})
@@ -67,7 +68,8 @@
 	}
 }
 
-// A request whose answer can't be used is followed by one of the other kind: a watch, then a poll, then a watch.
+// TestUnusableAnswerIsNotRequestedAgain guards against repeating a request whose answer can't be used, as the answer would be the
+// same. The next request is of the other kind: a watch, then a poll, then a watch.
 func TestUnusableAnswerIsNotRequestedAgain(t *testing.T) {
 	tooLong := func(c *net.TCPConn) bool {
 		fmt.Fprint(c, "HTTP/1.1 200 OK\r\n\r\n{")
@@ -77,64 +79,66 @@
 			}
 		}
 	}
-	const all, since = "/api/targets", "/api/targets?follow=1&since=41"
-	b := newBed(t, complete(message(41, true, "up")), tooLong, tooLong, watch(silent, message(42, false, "draining")+"\n"))
+	const poll, watch = "/api/targets", "/api/targets?follow=1&since=41"
+	b := newTestBed(t, completeAnswer(messageJSON(41, true, "up")), tooLong, tooLong,
+		watchAnswer(stall, messageJSON(42, false, "draining")+"\n"))
 	b.watchTimeout, b.pollTimeout = testTimeout, testTimeout
 	b.expectUpdates(t, "41 up", "42 draining")
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if got := strings.Join(b.requests, " "); got != strings.Join([]string{all, since, all, since}, " ") {
-		t.Errorf("requests %s", got)
+	if got := strings.Join(b.requests, " "); got != strings.Join([]string{poll, watch, poll, watch}, " ") {
+		t.Errorf("got requests %s, expected a poll, a watch, a poll and a watch", got)
 	}
 }
 
-// A message that comes a byte at a time, and ids that were never seen, cost no more than their number: done in any other way,
-// these would take hours.
+// TestCostOfALongListIsLinear guards against quadratic cost for messages that arrive one byte at a time and for unknown ids. With
+// quadratic cost, this test would take hours.
 func TestCostOfALongListIsLinear(t *testing.T) {
 	const servers = 60_000
-	text := longMessage(1, servers, true, "up", "")
-	m := &messageReader{r: &steps{[]byte(text), 1}}
+	text := longMessageJSON(1, servers, true, "up", "")
+	m := &messageReader{r: &stepReader{[]byte(text), 1}}
 	got, err := m.next()
 	if err != nil || string(got) != text {
-		t.Fatalf("%d bytes of %d, %v", len(got), len(text), err)
+		t.Fatalf("got %d of %d bytes, error %v", len(got), len(text), err)
 	}
 	d := NewDecoder(Names{})
-	if l, err := d.Decode(got); err != nil || len(l.Members) != servers {
-		t.Fatalf("%d of %d servers, %v", len(l.Members), servers, err)
+	if decoded, err := d.Decode(got); err != nil || len(decoded.Members) != servers {
+		t.Fatalf("got %d of %d servers, error %v", len(decoded.Members), servers, err)
 	}
 }
 
-// The planner's list, by the changes that a view gives, is always what the messages say, in random orders of them; and the
-// decoder knows of no others.
+// TestViewMatchesMessages applies random sequences of messages to a view. It checks that the planner's list, built from the view's
+// updates, always equals the list described by the messages, and that the decoder keeps no ids of other servers.
 func TestViewMatchesMessages(t *testing.T) {
-	const seed, worlds, messages, ids = 42, 300, 60, 12
-	for world := range worlds {
-		rng := rand.New(rand.NewPCG(seed, uint64(world)))
+	const seed, runs, messages, ids = 42, 300, 60, 12
+	for run := range runs {
+		rng := rand.New(rand.NewPCG(seed, uint64(run)))
 		d := NewDecoder(Names{})
 		v := newView(d)
-		truth, planner := map[dw.ServerID]ListedServer{}, map[dw.ServerID]ListedServer{}
+		expected, received := map[dw.ServerID]ListedServer{}, map[dw.ServerID]ListedServer{}
 		for n := range messages {
 			m := randomMessage(rng, d, int64(n+1), ids)
-			var l core.EndpointUpdate
-			if older := rng.IntN(6) == 0; older {
-				l = v.applyRestrictions(m, int64(n))
+			var update core.EndpointUpdate
+			if stale := rng.IntN(6) == 0; stale {
+				update = v.applyRestrictions(m, int64(n))
 				m.Complete = false
 				m.Members = notReady(m.Members)
 			} else {
-				l = v.apply(m)
+				update = v.apply(m)
 			}
-			applyMessage(truth, m)
-			applyUpdate(planner, l)
-			if !maps.Equal(truth, planner) {
-				t.Fatalf("seed %d, world %d, message %d: the planner holds %v, and the messages say %v", seed, world, n, planner, truth)
+			applyMessage(expected, m)
+			applyUpdate(received, update)
+			if !maps.Equal(expected, received) {
+				t.Fatalf("seed %d, run %d, message %d: the planner holds %v, expected %v", seed, run, n, received, expected)
 			}
-			if m.Complete && len(d.ids) != len(truth) {
-				t.Fatalf("seed %d, world %d, message %d: %d ids for %d servers", seed, world, n, len(d.ids), len(truth))
+			if m.Complete && len(d.ids) != len(expected) {
+				t.Fatalf("seed %d, run %d, message %d: the decoder holds %d ids for %d servers", seed, run, n, len(d.ids), len(expected))
 			}
 		}
 	}
 }
 
+// randomMessage returns a random message about up to the given number of servers.
 func randomMessage(rng *rand.Rand, d *Decoder, revision int64, ids int) Message {
 	m := Message{Revision: revision, Complete: rng.IntN(3) == 0}
 	phases := []string{"up", "up", "draining", "removed"}
@@ -156,8 +160,9 @@
 	return m
 }
 
-func notReady(all []ListedServer) (out []ListedServer) {
-	for _, s := range all {
+// notReady returns the servers that are not ready.
+func notReady(servers []ListedServer) (out []ListedServer) {
+	for _, s := range servers {
 		if s.Entry.State != dw.Ready {
 			out = append(out, s)
 		}
@@ -165,7 +170,7 @@
 	return out
 }
 
-// applyMessage takes a message into a list as its sender means it.
+// applyMessage applies a message to a list as the director specifies it.
 func applyMessage(list map[dw.ServerID]ListedServer, m Message) {
 	if m.Complete {
 		clear(list)
@@ -177,23 +182,23 @@
 	}
 }
 
-// applyUpdate takes a listing into a list as the planner does.
-func applyUpdate(list map[dw.ServerID]ListedServer, l core.EndpointUpdate) {
-	if l.List.Kind != dw.ListDelta {
+// applyUpdate applies an update to a list as the planner does.
+func applyUpdate(list map[dw.ServerID]ListedServer, update core.EndpointUpdate) {
+	if update.List.Kind != dw.ListDelta {
 		clear(list)
 	}
-	for i, e := range l.List.Servers {
+	for i, e := range update.List.Servers {
 		if delete(list, e.ID); e.State != dw.Removed {
-			list[e.ID] = ListedServer{ServerName: fmt.Sprintf("s-%08x", uint32(e.ID)), Addr: l.Addrs[i], Entry: e}
+			list[e.ID] = ListedServer{ServerName: fmt.Sprintf("s-%08x", uint32(e.ID)), Addr: update.Addrs[i], Entry: e}
 		}
 	}
 }
 
-// What the decoder takes for a list is JSON, and says the same to the standard library; nothing makes it fail otherwise than by
-// an error.
+// FuzzDecode checks that each text that the decoder accepts is valid JSON with the same content according to the standard
+// library, and that the decoder doesn't panic on any text.
 func FuzzDecode(f *testing.F) {
-	f.Add([]byte(message(41, true, "up")))
-	f.Add([]byte(indented(42, "draining")))
+	f.Add([]byte(messageJSON(41, true, "up")))
+	f.Add([]byte(indentedJSON(42, "draining")))
 	f.Add([]byte(`{"members":[{"id":"x","host_port":"a","phase":"up","size":1e400}],"complete":tru}`))
 	f.Add([]byte(`{"revision":1,"members":[{"id":"s-1\u00e9","phase":"removed","more":[{}]},]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -202,7 +207,7 @@
 		if err != nil {
 			return
 		}
-		var same struct {
+		var reference struct {
 			Revision int64
 			Complete bool
 			Members  []struct {
@@ -211,25 +216,26 @@
 			}
 		}
 		if !json.Valid(text) {
-			t.Fatalf("%q is no JSON, and was taken for %+v", text, m)
+			t.Fatalf("%q is not valid JSON, but was decoded as %+v", text, m)
 		}
-		if json.Unmarshal(text, &same) != nil || !unambiguous(text) {
-			return // the library is stricter in ranges, and laxer in the case of keys, and takes the last of two
+		if json.Unmarshal(text, &reference) != nil || !unambiguous(text) {
+			return // the library is stricter about ranges, ignores the case of keys and uses the last of duplicate keys
 		}
 		var ids, want []string
 		for _, s := range m.Members {
 			ids = append(ids, s.ServerName)
 		}
-		for _, s := range same.Members {
+		for _, s := range reference.Members {
 			want = append(want, s.ID)
 		}
-		if m.Revision != same.Revision || m.Complete != same.Complete || !reflect.DeepEqual(ids, want) {
-			t.Errorf("%q: %+v, and by the library %+v", text, m, same)
+		if m.Revision != reference.Revision || m.Complete != reference.Complete || !reflect.DeepEqual(ids, want) {
+			t.Errorf("%q: got %+v, expected %+v as decoded by the standard library", text, m, reference)
 		}
 	})
 }
 
-// unambiguous tells whether no key stands twice or in another case, as far as letters tell.
+// unambiguous returns true if the text contains no duplicate keys and no keys in another case. It only counts occurrences, and so
+// may also return false for a text without such keys.
 func unambiguous(text []byte) bool {
 	s := string(text)
 	return s == strings.ToLower(s) && strings.Count(s, `"revision"`) <= 1 && strings.Count(s, `"complete"`) <= 1 &&
--- a/internal/discovery/message_reader.go
+++ b/internal/discovery/message_reader.go
@@ -7,28 +7,28 @@
 )
 
 const (
-	maxMessage      = 8 << 20  // bytes of one message or list: eight times what 3,200 servers take, indented
-	firstBufferSize = 16 << 10 // bytes; the buffer grows as messages need
-	idleBufferSize  = 64 << 10 // bytes that the buffer may have between two messages
+	maxMessage      = 8 << 20  // maximum bytes of a message or list: eight times an indented list of 3,200 servers
+	firstBufferSize = 16 << 10 // initial buffer size in bytes; the buffer grows with the messages
+	idleBufferSize  = 64 << 10 // maximum buffer size in bytes that is kept between two messages
 )
 
-// messageReader finds the messages of a watch: one JSON object each, on a line or indented over many. What is no object
-// goes up to the end of its line, for the decoder to reject. Each byte is looked at once, however many reads a message
-// takes to come. It is not safe for concurrent use.
+// messageReader splits a watch into messages. Each message is one JSON object, on one line or indented over several. Any other
+// text forms a message up to the end of its line, which the decoder rejects. Each byte is scanned once, regardless of how many
+// reads a message takes. It is not safe for concurrent use.
 type messageReader struct {
 	r   io.Reader
-	buf []byte // read, and not returned yet
-	err error  // of the last read
+	buf []byte // bytes that were read and not returned yet
+	err error  // error of the last read
 
-	// The state of the scan of the message that buf begins with.
-	scanned int  // bytes of buf that were looked at
-	depth   int  // of open braces and brackets
-	quoted  bool // within a string
-	escaped bool // after a backslash in one
+	// The state of scanning the message at the start of buf.
+	scanned int  // number of scanned bytes of buf
+	depth   int  // number of open braces and brackets
+	quoted  bool // true within a string
+	escaped bool // true after a backslash within a string
 }
 
-// next returns the next message, which is valid until the next call. One of no length is white space: it shows that the
-// watch is alive.
+// next returns the next message, which is valid until the next call. It returns an empty message for white space, which shows
+// that the watch is alive.
 func (m *messageReader) next() ([]byte, error) {
 	if m.scanned == 0 && cap(m.buf) > idleBufferSize && len(m.buf) <= idleBufferSize {
 		m.buf = append(make([]byte, 0, idleBufferSize), m.buf...)
@@ -46,7 +46,8 @@
 	}
 }
 
-// takeMessage takes a message off the buffer, if it is there completely.
+// takeMessage removes the first message from the buffer. complete is true if the buffer contained all of it. An empty message
+// stands for white space.
 func (m *messageReader) takeMessage() (text []byte, complete bool) {
 	if m.scanned == 0 {
 		if rest := bytes.TrimLeft(m.buf, " \t\r\n"); len(rest) < len(m.buf) {
@@ -67,7 +68,7 @@
 	return text, true
 }
 
-// endError is why no more messages come, after a read failed.
+// endError returns the error that ends the watch after a read failed.
 func (m *messageReader) endError() error {
 	switch {
 	case !errors.Is(m.err, io.EOF):
@@ -78,7 +79,8 @@
 	return errEnded
 }
 
-// fill reads more behind what is in the buffer.
+// fill reads more bytes to the end of the buffer. It returns errTooLong if the buffer holds maxMessage bytes, and stores a read
+// error in m.err.
 func (m *messageReader) fill() error {
 	if len(m.buf) >= maxMessage {
 		return errTooLong
@@ -92,7 +94,7 @@
 	return nil
 }
 
-// scan looks at the bytes that came, and returns where the message ends that the buffer begins with; 0: not in the buffer.
+// scan scans the new bytes and returns the end of the message at the start of the buffer, or 0 if its end is not in the buffer.
 func (m *messageReader) scan() int {
 	if len(m.buf) > 0 && m.buf[0] != '{' {
 		return m.scanLine()
@@ -105,7 +107,7 @@
 	return 0
 }
 
-// scanLine is scan for what is no object.
+// scanLine does what scan does for a message that is not an object and ends with its line.
 func (m *messageReader) scanLine() int {
 	end := bytes.IndexByte(m.buf[m.scanned:], '\n') + 1
 	if end > 0 {
@@ -115,7 +117,7 @@
 	return end
 }
 
-// closesObject takes the next byte of an object into the state, and reports whether the object ends with it.
+// closesObject updates the state with the next byte of an object, and returns true if this byte ends the object.
 func (m *messageReader) closesObject(c byte) bool {
 	switch {
 	case m.escaped:
--- a/internal/discovery/names.go
+++ b/internal/discovery/names.go
@@ -5,24 +5,24 @@
 	"strings"
 )
 
-// maxCachedNames bounds the names that a nameIndex caches, as they come from outside.
+// maxCachedNames bounds the cache of a nameIndex, as the director may send any number of names.
 const maxCachedNames = 1024
 
-// nameIndex finds the index of a zone or kind by its name. It is not safe for concurrent use.
+// nameIndex maps the name of a zone or kind to its index. It is not safe for concurrent use.
 type nameIndex struct {
-	names  []string       // the settings', in their order
-	cached map[string]int // by the name as discovery has it
+	names  []string       // names from the settings, in their order
+	cached map[string]int // index by the director's name
 }
 
 func newNameIndex(names []string) nameIndex { return nameIndex{names: names, cached: map[string]int{}} }
 
-// index is the index of a zone or kind, 0 of one that is not known. Discovery may give the whole name, or its part after a
-// dash.
-func (x *nameIndex) index(text []byte) int {
-	if i, ok := x.cached[string(text)]; ok {
+// index returns the index of a zone or kind, or 0 if its name is unknown. The director may send the complete name, or the
+// part of it after a dash.
+func (x *nameIndex) index(directorName []byte) int {
+	if i, ok := x.cached[string(directorName)]; ok {
 		return i
 	}
-	name := string(text)
+	name := string(directorName)
 	i := max(0, slices.IndexFunc(x.names, func(n string) bool { return n == name || strings.HasSuffix(n, "-"+name) }))
 	if len(x.cached) < maxCachedNames {
 		x.cached[name] = i
--- a/internal/discovery/server_ids.go
+++ b/internal/discovery/server_ids.go
@@ -7,18 +7,18 @@
 	dw "dewhitch"
 )
 
-// serverName is what is known of a server by its number.
-type serverName struct{ id, addr string }
+// serverStrings holds the interned id and address of a server.
+type serverStrings struct{ id, addr string }
 
-// assignID gives the server of an id its number, and the id as an interned string. The number is the one in an id such as
-// s-5be2a07c, which is the same at all gateways; an id of another form gets the next number that is free. The lock is held.
-func (d *Decoder) assignID(text []byte) (string, dw.ServerID) {
-	if n, ok := d.ids[string(text)]; ok {
+// assignID returns an id as an interned string and the server's number. For an id such as s-5be2a07c, that is the number in it,
+// so that it is the same at all gateways; an id of any other form gets the next free number. The caller holds the lock.
+func (d *Decoder) assignID(rawID []byte) (string, dw.ServerID) {
+	if n, ok := d.ids[string(rawID)]; ok {
 		return d.servers[n].id, n
 	}
-	id := string(text)
-	v, err := parseServerID(id)
-	n := dw.ServerID(v)
+	id := string(rawID)
+	parsed, err := parseServerID(id)
+	n := dw.ServerID(parsed)
 	if err != nil {
 		n++
 	}
@@ -26,11 +26,11 @@
 		n++
 	}
 	d.ids[id] = n
-	d.servers[n] = serverName{id: id}
+	d.servers[n] = serverStrings{id: id}
 	return id, n
 }
 
-// internAddr is a server's address as an interned string; the lock is held.
+// internAddr stores a server's address and returns it as an interned string. The caller holds the lock.
 func (d *Decoder) internAddr(n dw.ServerID, addr []byte) string {
 	s := d.servers[n]
 	if s.addr != string(addr) {
@@ -40,31 +40,32 @@
 	return s.addr
 }
 
-// parseServerID is the number in an id such as s-5be2a07c.
+// parseServerID returns the number in an id such as s-5be2a07c, or an error for an id of any other form.
 func parseServerID(id string) (uint64, error) {
 	_, digits, _ := strings.Cut(id, "-")
 	return strconv.ParseUint(digits, 16, 32)
 }
 
-// Lookup finds the number of an id as discovery gives it: one of the form s-5be2a07c whether or not it is listed now,
-// another only while it is.
+// Lookup returns the number of a server by its id in the director's form, and true if it found the number. An id such as
+// s-5be2a07c contains its number, which is found whether or not the server is listed, unless another server uses it. Any other
+// id is found only while its server is listed.
 func (d *Decoder) Lookup(id string) (dw.ServerID, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	if n, ok := d.ids[id]; ok {
 		return n, true
 	}
-	v, err := parseServerID(id)
-	return dw.ServerID(v), err == nil && !d.inUse(dw.ServerID(v))
+	parsed, err := parseServerID(id)
+	return dw.ServerID(parsed), err == nil && !d.inUse(dw.ServerID(parsed))
 }
 
-// inUse reports whether a server has the number; the lock is held.
+// inUse returns true if a server has the number. The caller holds the lock.
 func (d *Decoder) inUse(n dw.ServerID) bool {
 	_, used := d.servers[n]
 	return used
 }
 
-// release frees the number of a server that was removed. Otherwise the numbers would pile up, as new servers have new ids.
+// release frees the number of a removed server. As new servers have new ids, numbers would accumulate otherwise.
 func (d *Decoder) release(n dw.ServerID) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -72,7 +73,7 @@
 	delete(d.servers, n)
 }
 
-// releaseUnlisted frees the numbers of servers that are not in members: those of messages that could not be used.
+// releaseUnlisted frees the numbers of servers that are not in members. Messages that could not be used leave such numbers.
 func (d *Decoder) releaseUnlisted(members map[dw.ServerID]viewEntry) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/discovery/sync.go
+++ b/internal/discovery/sync.go
@@ -17,13 +17,13 @@
 )
 
 const (
-	path = "/api/targets"
-	// readBufferSize is large, as each read of a long list costs a turn of the scheduler.
+	targetsPath = "/api/targets"
+	// readBufferSize is the size of the read buffer in bytes. It is large, as each read of a long list costs a goroutine switch.
 	readBufferSize = 64 << 10
 )
 
-// sync connects to addr, polls the list unless the planner holds one, and then watches it until the watch ends. It reports
-// whether anything was read.
+// sync connects to addr, polls the list unless the planner holds one, and then watches it until the watch ends. progress is
+// true if anything was read.
 func (d *Client) sync(ctx context.Context, addr string) (progress bool, err error) {
 	conn, err := (&net.Dialer{Timeout: dialTimeout}).DialContext(ctx, "tcp", addr)
 	if err != nil {
@@ -36,20 +36,20 @@
 	polled := false
 	if !d.hasList {
 		if err := d.poll(c, r, addr); err != nil {
-			d.planResync(err, true)
+			d.chooseNextRequest(err, true)
 			return false, err
 		}
 		polled = true
 	}
 	progress, err = d.watch(c, r, addr)
-	d.planResync(err, false)
+	d.chooseNextRequest(err, false)
 	return progress || polled, err
 }
 
-// planResync chooses whether the next request is a poll or a watch, after a poll or a watch that ended with err. A request
-// whose answer could not be used would get the same answer again, so it is followed by one of the other kind. After any
-// other error, the watch resumes from the revision held.
-func (d *Client) planResync(err error, polled bool) {
+// chooseNextRequest chooses whether the next request is a poll or a watch, after a poll (polled is true) or a watch that ended
+// with err. Repeating a request whose answer could not be used would get the same answer, so the next request is of the other
+// kind. After any other error, the watch resumes from the current revision.
+func (d *Client) chooseNextRequest(err error, polled bool) {
 	switch {
 	case errors.Is(err, errStale):
 		d.hasList = false
@@ -61,10 +61,10 @@
 // poll requests and applies the complete list.
 func (d *Client) poll(c *connection, r *bufio.Reader, addr string) error {
 	idleTimeout := c.idleTimeout
-	c.idleTimeout = d.pollTimeout // an answer to a poll is not as quiet as a watch may be
+	c.idleTimeout = d.pollTimeout // unlike a watch, the answer to a poll has no idle periods
 	defer func() { c.idleTimeout = idleTimeout }()
 	c.beginMessage()
-	head, err := d.request(c, r, addr, path)
+	head, err := d.request(c, r, addr, targetsPath)
 	if err != nil {
 		return err
 	}
@@ -75,26 +75,26 @@
 	if err != nil {
 		return err
 	}
-	if err := d.apply(text, c.messageBegan()); err != nil {
+	if err := d.apply(text, c.messageReadAt()); err != nil {
 		return err
 	}
 	d.hasList = true
 	if head.Close || head.Length < 0 && !head.Chunked {
-		return errPollEnds
+		return errPollClosedConn
 	}
 	return nil
 }
 
-// watch requests the changes since the revision held, and applies them until the watch breaks off. It reports whether
-// anything came, be it white space.
+// watch requests the changes since the current revision, and applies them until the watch fails or ends. progress is true if
+// anything was received, including white space.
 func (d *Client) watch(c *connection, r *bufio.Reader, addr string) (progress bool, err error) {
 	c.beginMessage()
-	head, err := d.request(c, r, addr, path+"?follow=1&since="+strconv.FormatInt(d.revision, 10))
+	head, err := d.request(c, r, addr, targetsPath+"?follow=1&since="+strconv.FormatInt(d.revision, 10))
 	if err != nil {
 		return false, err
 	}
-	if d.broken {
-		d.broken = false
+	if d.interrupted {
+		d.interrupted = false
 		d.log.Info("the director's list is followed", zap.Int64("revision", d.revision))
 	}
 	messages := &messageReader{r: http1.Body(r, head)}
@@ -108,7 +108,7 @@
 			return progress, err
 		}
 		if len(text) > 0 {
-			if err := d.apply(text, c.messageBegan()); err != nil {
+			if err := d.apply(text, c.messageReadAt()); err != nil {
 				return progress, err
 			}
 		}
@@ -116,7 +116,7 @@
 	}
 }
 
-// request writes a request, and reads the head of its answer. An answer other than 200 is a statusError.
+// request writes a request and reads the head of its answer. It returns a statusError if the status is not 200.
 func (d *Client) request(c *connection, r *bufio.Reader, addr, target string) (http1.Answer, error) {
 	c.SetWriteDeadline(time.Now().Add(d.pollTimeout))
 	if _, err := c.Write(http1.AppendRequest(nil, "GET", target, addr)); err != nil {
@@ -127,7 +127,7 @@
 	head, err := http1.ReadAnswer(r)
 	c.idleTimeout = idleTimeout
 	if errors.Is(err, io.EOF) {
-		return head, fmt.Errorf("no answer: %w", io.ErrUnexpectedEOF)
+		return head, fmt.Errorf("the connection closed without an answer: %w", io.ErrUnexpectedEOF)
 	}
 	if err == nil && head.Status != http.StatusOK {
 		return head, statusError(head.Status)
--- a/internal/discovery/view.go
+++ b/internal/discovery/view.go
@@ -5,25 +5,25 @@
 	"dewhitch/internal/core"
 )
 
-// view is the list as the planner has been given it. From a message it works out what changes, so that a complete list costs
-// the rest of the gateway no more than the changes in it. It belongs to the goroutine of Client.Run.
+// view holds the list that the planner has received. It computes the changes that a message makes to this list, so that
+// a complete list costs the rest of the gateway no more than the changes in it. It is owned by the goroutine of Client.Run.
 type view struct {
 	decoder    *Decoder
-	synced     bool // the planner was given a complete list since its start
+	synced     bool // true once the planner has received a complete list from the director
 	members    map[dw.ServerID]viewEntry
-	generation uint64 // complete lists so far
+	generation uint64 // number of complete lists applied so far
 }
 
 // viewEntry is a server of the view.
 type viewEntry struct {
 	ListedServer
-	generation uint64 // of the last complete list that named it
+	generation uint64 // view's generation when a message last listed this server
 }
 
 func newView(d *Decoder) *view { return &view{decoder: d, members: map[dw.ServerID]viewEntry{}} }
 
-// apply takes a message into the view, and returns what changes by it: a full list if it is the first complete one, as the
-// planner may hold servers that the view does not know; else a delta.
+// apply applies a message to the view and returns the changes. For the first complete list it returns a full list, as the
+// planner may hold servers that the view doesn't know; for any other message it returns a delta.
 func (v *view) apply(m Message) core.EndpointUpdate {
 	out := core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListDelta, Version: m.Revision}, Complete: m.Complete}
 	if m.Complete {
@@ -33,7 +33,7 @@
 		}
 	}
 	for _, s := range m.Members {
-		v.put(&out, s)
+		v.applyMember(&out, s)
 	}
 	if m.Complete {
 		v.removeUnlisted(&out)
@@ -42,20 +42,20 @@
 	return out
 }
 
-// applyRestrictions takes of a stale message the servers alone that are not ready: to send them nothing new is safe, be it true
-// or not. What it says of ready servers is ignored. The update keeps the version given.
+// applyRestrictions applies only those servers of a stale message that are not ready, and ignores the ready ones. Sending no
+// new requests to a server is safe even if its state in the message is out of date. The update has the given version.
 func (v *view) applyRestrictions(m Message, version int64) core.EndpointUpdate {
 	out := core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListDelta, Version: version}}
 	for _, s := range m.Members {
 		if s.Entry.State != dw.Ready {
-			v.put(&out, s)
+			v.applyMember(&out, s)
 		}
 	}
 	return out
 }
 
-// put takes a server into the view, and into out if it changes.
-func (v *view) put(out *core.EndpointUpdate, s ListedServer) {
+// applyMember updates the view with a server, and appends the server to out if it changed.
+func (v *view) applyMember(out *core.EndpointUpdate, s ListedServer) {
 	old, known := v.members[s.Entry.ID]
 	if s.Entry.State == dw.Removed {
 		delete(v.members, s.Entry.ID)
@@ -69,7 +69,7 @@
 	}
 }
 
-// removeUnlisted removes the servers that the last complete list has left out.
+// removeUnlisted removes the servers that are missing from the last complete list, and appends them to out as removed.
 func (v *view) removeUnlisted(out *core.EndpointUpdate) {
 	for id, s := range v.members {
 		if s.generation == v.generation {
