--- a/internal/dynaddr/dynaddr.go
+++ b/internal/dynaddr/dynaddr.go
@@ -1,4 +1,4 @@
-// Package dynaddr has the address of a service that operators may move while others use it.
+// Package dynaddr provides the address of a service that operators may change while clients use it.
 package dynaddr
 
 import "sync"
@@ -6,15 +6,15 @@
 // Address is an address that can change. It is safe for concurrent use.
 type Address struct {
 	mu    sync.Mutex
-	addr  string        // as host:port
-	moved chan struct{} // closed by Move
+	addr  string        // current address as host:port
+	moved chan struct{} // closed by the next Move
 }
 
-// New is an address that has not moved yet.
+// New returns an Address with the given initial value, as host:port.
 func New(addr string) *Address { return &Address{addr: addr, moved: make(chan struct{})} }
 
-// Move changes the address and notifies everybody who has asked for the current one. A move to the same address notifies
-// too: what is there may be another process.
+// Move changes the address and closes the channels that Current has returned. It also does so if the address is the same, as
+// another process may listen there.
 func (a *Address) Move(addr string) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -23,7 +23,7 @@
 	a.moved = make(chan struct{})
 }
 
-// Current is the address, and a channel that is closed at the next Move.
+// Current returns the address and a channel that the next Move closes.
 func (a *Address) Current() (addr string, moved <-chan struct{}) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/internal/dynaddr/dynaddr_test.go
+++ b/internal/dynaddr/dynaddr_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Each move notifies once whoever asked before it, and nobody who asked after.
+// TestMove checks that a move closes the channels that were returned before it, and no channel that was returned after it.
 func TestMove(t *testing.T) {
 	a := New("one")
 	addr, first := a.Current()
@@ -17,9 +17,9 @@
 	}
 	select {
 	case <-second:
-		t.Error("a move notifies who asked after it")
+		t.Error("the first move closed a channel that was returned after it")
 	default:
 	}
-	a.Move("two") // to the same address: what is there may be another process
+	a.Move("two") // the same address: another process may listen there
 	<-second
 }
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -5,40 +5,40 @@
 	"testing"
 )
 
-// simulate has callers that always want to call share a service with a capacity in calls a second, and returns the calls and
-// the late ones by second. During the outage, from one second to another, the service answers nothing.
+// simulate simulates callers that always have a call to make to a shared service, whose capacity is in calls per second. It returns
+// the number of calls and of late calls in each second. The service answers no calls from second outage[0] to second outage[1].
 func simulate(callers int, timeout, capacity float64, seconds int, outage [2]int) (calls, late []int) {
 	const step = 0.001
 	rng := rand.New(rand.NewPCG(1, 2))
-	all := make([]*Limiter, callers)
-	for i := range all {
-		all[i] = New(timeout, callers)
+	limiters := make([]*Limiter, callers)
+	for i := range limiters {
+		limiters[i] = New(timeout, callers)
 	}
 	calls, late = make([]int, seconds), make([]int, seconds)
 	type answer struct {
-		p       *Limiter
+		caller  *Limiter
 		latency float64
 	}
 	answers := map[int][]answer{}
-	free := 0.0
+	freeAt := 0.0
 	for tick := range seconds * 1000 {
 		now := float64(tick) * step
 		for _, a := range answers[tick] {
-			a.p.Observe(a.latency <= timeout, a.latency)
+			a.caller.Observe(a.latency <= timeout, a.latency)
 		}
 		delete(answers, tick)
 		for _, i := range rng.Perm(callers) {
-			if !all[i].Allow(int64(now * 1e9)) {
+			if !limiters[i].Allow(int64(now * 1e9)) {
 				continue
 			}
-			all[i].Spend()
-			free = max(free, now) + 1/capacity
-			latency := free - now + 0.004
+			limiters[i].Spend()
+			freeAt = max(freeAt, now) + 1/capacity
+			latency := freeAt - now + 0.004
 			if int(now) >= outage[0] && int(now) < outage[1] {
-				free, latency = 0, 2*timeout
+				freeAt, latency = 0, 2*timeout
 			}
-			at := tick + 1 + int(min(latency, 3*timeout)/step)
-			answers[at] = append(answers[at], answer{all[i], latency})
+			answeredAt := tick + 1 + int(min(latency, 3*timeout)/step)
+			answers[answeredAt] = append(answers[answeredAt], answer{limiters[i], latency})
 			if calls[int(now)]++; latency > timeout {
 				late[int(now)]++
 			}
@@ -47,22 +47,25 @@
 	return calls, late
 }
 
-// Callers that know nothing of each other converge on the capacity of the service, few or many.
+// TestCallersShareAService checks that few or many callers that can't communicate converge on the capacity of the service.
 func TestCallersShareAService(t *testing.T) {
 	for _, callers := range []int{3, 80} {
 		calls, late := simulate(callers, 0.03, 400, 20, [2]int{})
-		all, slow := 0, 0
+		allCalls, lateCalls := 0, 0
 		for i := 10; i < 20; i++ {
-			all, slow = all+calls[i], slow+late[i]
+			allCalls, lateCalls = allCalls+calls[i], lateCalls+late[i]
 		}
-		t.Logf("%d callers: %d calls in 10 s, %d late; in the first second %d, %d late", callers, all, slow, calls[0], late[0])
-		if all < 2000 || all > 4400 || slow > all/10 {
-			t.Errorf("%d callers: %d calls in 10 s, %d of them late, where 4000 are served", callers, all, slow)
+		t.Logf("%d callers: %d calls in 10 s, %d of them late; %d calls in the first second, %d of them late", callers, allCalls, lateCalls, calls[0],
+			late[0])
+		if allCalls < 2000 || allCalls > 4400 || lateCalls > allCalls/10 {
+			t.Errorf("%d callers: got %d calls in 10 s, %d of them late; expected 2000 to 4400 calls, at most a tenth of them late",
+				callers, allCalls, lateCalls)
 		}
 	}
 }
 
-// Once a service answers again after an outage, its callers soon use it as before, without overloading it.
+// TestCallersRecoverAfterAnOutage guards against slow recovery and overload after an outage. When the service answers again, its
+// callers soon call it at the former rate without overloading it.
 func TestCallersRecoverAfterAnOutage(t *testing.T) {
 	for _, c := range []struct {
 		callers           int
@@ -70,15 +73,16 @@
 	}{{3, 0.03, 400}, {80, 0.03, 400}, {100, 0.05, 600}, {60, 0.1, 1000}} {
 		for _, span := range []int{2, 6, 20} {
 			calls, late := simulate(c.callers, c.timeout, c.capacity, 40+span, [2]int{30, 30 + span})
-			before, after, slow := 0, 0, 0
+			before, after, lateCalls := 0, 0, 0
 			for i := range 3 {
 				before += calls[27+i]
-				after, slow = after+calls[32+span+i], slow+late[32+span+i]
+				after, lateCalls = after+calls[32+span+i], lateCalls+late[32+span+i]
 			}
-			t.Logf("%v, outage of %d s: %d calls in 3 s before, %d from the third second after, %d late; each second %v, late %v",
-				c, span, before, after, slow, calls[30+span:], late[30+span:])
-			if after < before*7/10 || slow > after/5 {
-				t.Errorf("%v, outage of %d s: %d calls in 3 s, %d of them late, where there were %d before", c, span, after, slow, before)
+			t.Logf("%v, outage of %d s: %d calls in 3 s before, %d in 3 s from the third second after, %d late; by second %v, late %v",
+				c, span, before, after, lateCalls, calls[30+span:], late[30+span:])
+			if after < before*7/10 || lateCalls > after/5 {
+				t.Errorf("%v, outage of %d s: got %d calls in 3 s, %d of them late; expected at least 7/10 of the %d before, at most a fifth late",
+					c, span, after, lateCalls, before)
 			}
 		}
 	}
--- a/internal/registry/golden_test.go
+++ b/internal/registry/golden_test.go
@@ -15,20 +15,20 @@
 	"dewhitch/internal/standin/zookeeper"
 )
 
-// TestGoldenNode freezes the name and the data of a gateway's node in the registry, as forwarders find it there, and has
-// such a node, written as bytes, read by WatchPlanners.
+// TestGoldenNode freezes the name and data of a planner's node as forwarders find it in the registry. It also checks that
+// WatchPlanners reads a node that contains the frozen data.
 func TestGoldenNode(t *testing.T) {
-	z, err := zookeeper.New()
+	server, err := zookeeper.New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer z.Close()
+	defer server.Close()
 	ctx, stop := context.WithTimeout(t.Context(), 30*time.Second)
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer stop()
 	open := func(path string) *registry.Registry {
-		r, err := registry.Open([]string{z.Addr()}, path, 4*time.Second, zap.NewNop())
+		r, err := registry.Open([]string{server.Addr()}, path, 4*time.Second, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -40,11 +40,11 @@
 	golden.Filled(t, p)
 	written, line := open("/written"), ""
 	running.Go(func() { _ = written.RegisterPlanner(ctx, p) })
-	seen, enough := context.WithCancel(ctx)
-	_ = written.WatchNodes(seen, func(all map[string][]byte) {
+	readCtx, stopReading := context.WithCancel(ctx)
+	_ = written.WatchNodes(readCtx, func(all map[string][]byte) {
 		for name, data := range all {
 			line = name + " " + string(data)
-			enough()
+			stopReading()
 		}
 	})
 	golden.Compare(t, "node.txt", []byte(line))
@@ -53,15 +53,15 @@
 	read := open("/read")
 	running.Go(func() { _ = read.MaintainNode(ctx, name, []byte(data)) })
 	got := map[int]string{}
-	seen, enough = context.WithCancel(ctx)
-	defer enough()
-	_ = read.WatchPlanners(seen, func(planners map[int]string) {
+	readCtx, stopReading = context.WithCancel(ctx)
+	defer stopReading()
+	_ = read.WatchPlanners(readCtx, func(planners map[int]string) {
 		if len(planners) > 0 {
 			got = planners
-			enough()
+			stopReading()
 		}
 	})
 	if !maps.Equal(got, map[int]string{p.Gateway: p.Address}) {
-		t.Errorf("read as %v", got)
+		t.Errorf("got planners %v, expected only the planner of the frozen node", got)
 	}
 }
--- a/internal/registry/register.go
+++ b/internal/registry/register.go
@@ -12,17 +12,17 @@
 	"go.uber.org/zap"
 )
 
-// errOldIncarnation says that the node that an earlier incarnation of this process left was removed; the next attempt makes
-// a new one.
+// errOldIncarnation is returned after the node of an earlier incarnation of this process was removed. The next attempt creates a
+// new node.
 var errOldIncarnation = errors.New("the node of an earlier incarnation was removed")
 
-// Planner is the data of a planner's node.
+// Planner is the data of a planner's node, encoded as JSON.
 type Planner struct {
-	Address string `json:"address"` // as host:port
-	Gateway int    `json:"gateway"` // the gateway's number
+	Address string `json:"address"` // planner's address as host:port
+	Gateway int    `json:"gateway"` // number of the planner's gateway
 }
 
-// RegisterPlanner keeps a node for p until the context ends. It fails only if p can't be encoded.
+// RegisterPlanner maintains a node for p until the context ends. It returns an error only if p can't be encoded.
 func (r *Registry) RegisterPlanner(ctx context.Context, p Planner) error {
 	data, err := json.Marshal(p)
 	if err != nil {
@@ -31,8 +31,8 @@
 	return r.MaintainNode(ctx, "gateway-"+strconv.Itoa(p.Gateway), data)
 }
 
-// MaintainNode keeps a node with data until the context ends, and returns nil. The node is made again whenever it was removed, as
-// after the expiry of the session; failures are logged and repeated.
+// MaintainNode maintains a node with the given data until the context ends, and returns nil. It creates the node again whenever
+// the node was removed, for example because the session expired. It logs failures and retries after retryInterval.
 func (r *Registry) MaintainNode(ctx context.Context, node string, data []byte) error {
 	for ctx.Err() == nil {
 		removed, err := r.ensureNode(path.Join(r.path, node), data)
@@ -47,7 +47,8 @@
 	return nil
 }
 
-// ensureNode makes the node if it is not this session's already, and returns a watch on it.
+// ensureNode creates the node unless this session owns it already, and returns a channel that receives the next event of the
+// node.
 func (r *Registry) ensureNode(name string, data []byte) (<-chan zk.Event, error) {
 	if err := r.createFolder(); err != nil {
 		return nil, err
@@ -66,9 +67,9 @@
 		return removed, nil
 	}
 	if string(existing) != string(data) {
-		return nil, fmt.Errorf("%s is held by another process: %.200s", name, existing)
+		return nil, fmt.Errorf("node %s belongs to another process: %.200s", name, existing)
 	}
-	// The node would go with the session of the earlier incarnation that made it, and this process be unknown.
+	// The node disappears with the session of the earlier incarnation that created it; this process would then be unregistered.
 	if err := r.conn.Delete(name, stat.Version); err != nil && !errors.Is(err, zk.ErrNoNode) {
 		return nil, err
 	}
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -1,7 +1,7 @@
-// Package registry makes processes known to one another by ephemeral nodes in ZooKeeper: planners to forwarders, with
-// address and gateway's number, and members of a fleet among themselves.
+// Package registry lets processes find one another through ephemeral nodes in ZooKeeper. Forwarders find the address and gateway
+// number of each planner, and the members of a fleet find one another.
 //
-// registry.go has the session, register.go keeps a node, watch.go reads the nodes of all.
+// registry.go implements the session, register.go maintains a node, and watch.go reads the nodes of all processes.
 package registry
 
 import (
@@ -15,41 +15,41 @@
 	"go.uber.org/zap"
 )
 
-// retryInterval is between two attempts at a call to the registry.
+// retryInterval is the time between two attempts to read or write the registry.
 const retryInterval = 200 * time.Millisecond
 
-// Registry is a session with ZooKeeper. The client reconnects by itself; a session that has expired takes its ephemeral
-// nodes with it, and MaintainNode makes them again. It is safe for concurrent use.
+// Registry is a session with ZooKeeper. The ZooKeeper client reconnects automatically. When a session expires, its ephemeral nodes
+// are removed, and MaintainNode creates them again. It is safe for concurrent use.
 type Registry struct {
 	conn    *zk.Conn
-	path    string // of the folder of nodes
+	path    string // path of the folder that contains the nodes
 	log     *zap.Logger
-	failing atomic.Bool // the last call failed, and that was logged
+	failing atomic.Bool // true if the last call failed, which was logged
 }
 
-// Open starts a session with one of the servers, as host:port; it does not wait for the connection. Nodes outlive the
-// connection by session at most. Close ends the session, and with it its nodes.
-func Open(servers []string, path string, session time.Duration, log *zap.Logger) (*Registry, error) {
-	conn, _, err := zk.Connect(servers, session, zk.WithLogger(zkLogger{log.Sugar()}))
+// Open starts a session with one of the servers, given as host:port, without waiting for the connection. After the connection is
+// lost, the session and its nodes remain for at most sessionTimeout. Close ends the session and removes its nodes.
+func Open(servers []string, path string, sessionTimeout time.Duration, log *zap.Logger) (*Registry, error) {
+	conn, _, err := zk.Connect(servers, sessionTimeout, zk.WithLogger(zkLogger{log.Sugar()}))
 	if err != nil {
 		return nil, err
 	}
 	return &Registry{conn: conn, path: path, log: log}, nil
 }
 
-// Close ends the session.
+// Close ends the session, which removes its nodes.
 func (r *Registry) Close() { r.conn.Close() }
 
-// zkLogger passes the ZooKeeper client's own lines on.
+// zkLogger logs the ZooKeeper client's messages at level debug.
 type zkLogger struct{ log *zap.SugaredLogger }
 
 // Printf implements zk.Logger.
 func (l zkLogger) Printf(format string, a ...any) { l.log.Debugf(format, a...) }
 
 // reportFailure logs the first failure after a success.
-func (r *Registry) reportFailure(what string, err error) {
+func (r *Registry) reportFailure(message string, err error) {
 	if !r.failing.Swap(true) {
-		r.log.Warn(what, zap.Error(err))
+		r.log.Warn(message, zap.Error(err))
 	}
 }
 
@@ -60,7 +60,7 @@
 	}
 }
 
-// createFolder creates the folder of nodes and those above it, if they don't exist.
+// createFolder creates the folder that contains the nodes, and its parent folders, unless they exist.
 func (r *Registry) createFolder() error {
 	folder := ""
 	for name := range strings.SplitSeq(strings.Trim(r.path, "/"), "/") {
@@ -73,7 +73,7 @@
 	return nil
 }
 
-// waitForEvent returns at an event, or when the context ends.
+// waitForEvent returns when an event is received or the context ends.
 func waitForEvent(ctx context.Context, event <-chan zk.Event) {
 	select {
 	case <-ctx.Done():
@@ -81,7 +81,7 @@
 	}
 }
 
-// waitForRetry returns after retryInterval, or when the context ends.
+// waitForRetry returns after retryInterval or when the context ends.
 func waitForRetry(ctx context.Context) {
 	select {
 	case <-ctx.Done():
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -10,29 +10,30 @@
 	"go.uber.org/zap"
 )
 
-// errNoFolder says that no process had registered yet; the folder of nodes was made, and the next attempt can watch it.
-var errNoFolder = errors.New("the registry was empty")
+// errNoFolder is returned if no process has registered yet. The folder for the nodes was created, and the next attempt can watch
+// it.
+var errNoFolder = errors.New("the registry's folder did not exist and was created")
 
-// WatchPlanners calls changed with the planners' addresses by gateway number, at once and at every change, until the context ends.
-// While the registry can't be read, the last call stands. It returns nil.
-func (r *Registry) WatchPlanners(ctx context.Context, changed func(map[int]string)) error {
+// WatchPlanners calls onChange with the planners' addresses by gateway number, initially and after every change, until the context
+// ends. It does not call onChange while the registry can't be read. It returns nil.
+func (r *Registry) WatchPlanners(ctx context.Context, onChange func(map[int]string)) error {
 	return r.WatchNodes(ctx, func(nodes map[string][]byte) {
 		planners := map[int]string{}
 		for name, data := range nodes {
 			var p Planner
 			if err := json.Unmarshal(data, &p); err != nil || p.Address == "" || p.Gateway < 0 {
-				r.log.Warn("registry node ignored: not a planner's", zap.String("node", name), zap.ByteString("data", data))
+				r.log.Warn("registry node ignored: invalid planner data", zap.String("node", name), zap.ByteString("data", data))
 				continue
 			}
 			planners[p.Gateway] = p.Address
 		}
-		changed(planners)
+		onChange(planners)
 	})
 }
 
-// WatchNodes calls changed with the data of all nodes by name, at once and at every change, until the context ends. While the
-// registry can't be read, the last call stands. It returns nil.
-func (r *Registry) WatchNodes(ctx context.Context, changed func(map[string][]byte)) error {
+// WatchNodes calls onChange with the data of all nodes by name, initially and after every change, until the context ends. It does
+// not call onChange while the registry can't be read. It returns nil.
+func (r *Registry) WatchNodes(ctx context.Context, onChange func(map[string][]byte)) error {
 	for ctx.Err() == nil {
 		nodes, event, err := r.readNodes()
 		if err != nil {
@@ -41,14 +42,14 @@
 			continue
 		}
 		r.reportSuccess()
-		changed(nodes)
+		onChange(nodes)
 		waitForEvent(ctx, event)
 	}
 	return nil
 }
 
-// readNodes returns the nodes' data, and a watch on their names. The data of a node never changes while it exists: a process
-// that moves makes a new one.
+// readNodes returns the data of all nodes by name, and a channel that receives an event when the set of nodes changes. The data of
+// an existing node never changes: a process whose address changes creates a new node.
 func (r *Registry) readNodes() (map[string][]byte, <-chan zk.Event, error) {
 	names, _, event, err := r.conn.ChildrenW(r.path)
 	if errors.Is(err, zk.ErrNoNode) {
@@ -64,7 +65,7 @@
 	for _, name := range names {
 		data, _, err := r.conn.Get(path.Join(r.path, name))
 		if errors.Is(err, zk.ErrNoNode) {
-			continue // it was removed since; the watch fires
+			continue // removed after its name was read; an event follows
 		}
 		if err != nil {
 			return nil, nil, err
