--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -12,61 +12,62 @@
 	"dewhitch/internal/ledger"
 )
 
-// The errors for which an attempt is not begun.
+// Errors for which the command of an attempt is not written.
 var (
-	errNoDescriptor = errors.New("backend: no descriptor is free")
-	errTooLate      = errors.New("backend: the connection came up too late")
-	errClientLeft   = errors.New("backend: the client has left")
-	// errNotAllowed says that a backend is draining or removed, by an update that the planner had not applied when it
-	// started the attempt.
-	errNotAllowed = errors.New("backend: no new work may go to this backend")
+	errNoDescriptor       = errors.New("backend: no free descriptor in the budget")
+	errTooLate            = errors.New("backend: connection established too late")
+	errClientDisconnected = errors.New("backend: client disconnected")
+	// errNotAllowed reports that a backend is draining or removed according to an update that the planner had not applied
+	// when it started the attempt.
+	errNotAllowed = errors.New("backend: backend is draining or removed")
 )
 
-// The states of an attempt, guarded by Pools.mu. It moves once at most:
+// The states of an attempt, guarded by Pools.mu. The state changes at most once:
 //
-//	waiting -> begun:     begin, by the attempt's goroutine
-//	waiting -> withdrawn: Cancel, Retract, Withdraw and Forget, and begin if it refuses
+//	waiting -> begun:     by begin, on the attempt's goroutine
+//	waiting -> withdrawn: by Cancel, Retract, RetractAll and Forget, and by begin if it fails
 //
-// A connection belongs to the pool until acquire, then to the attempt's goroutine, which gives it back by release or
-// discard once the exchange is over; a value that is streamed is read by its consumer meanwhile.
+// A connection belongs to the pool until acquire returns it to the attempt's goroutine, which returns it with release or
+// discard after the exchange. While a value is streamed, its consumer reads from the connection.
 const (
-	attemptWaiting   attemptState = iota // for a connection: nothing is written
-	attemptBegun                         // its command is being written, or was
-	attemptWithdrawn                     // nothing was written, nor will be
+	attemptWaiting   attemptState = iota // waits for a connection; nothing is written
+	attemptBegun                         // the command is being written or was written
+	attemptWithdrawn                     // nothing was or will be written
 )
 
+// attemptState states whether the command of an attempt may have been written.
 type attemptState int
 
-// attemptKey identifies an attempt: the one of that number at a request.
+// attemptKey identifies an attempt by its request and its number within the request.
 type attemptKey struct {
 	request dw.RequestID
 	number  int
 }
 
-// attempt is one attempt at a request, from Start to its result.
+// attempt is the state of one attempt, from Start to its result.
 type attempt struct {
 	core.Attempt
-	pool    *pool
-	state   attemptState
-	began   func(core.Stream)
-	posting ledger.Posting  // of its end; its event is None once that is posted
-	ctx     context.Context // ends at the deadline, and when the planner gives the attempt up
-	cancel  context.CancelFunc
+	pool     *pool
+	state    attemptState
+	onStream func(core.Stream) // called with a value that is streamed
+	posting  ledger.Posting    // posting of the begin, reused for the end; its Event is ledger.None once the end is posted
+	ctx      context.Context   // ends at the deadline and when the attempt is withdrawn or cancelled
+	cancel   context.CancelFunc
 }
 
 func (a *attempt) key() attemptKey { return attemptKey{a.RequestID, a.Number} }
 
-// giveUp ends an attempt: if it has not begun, it never will. The lock is held.
-func (a *attempt) giveUp() {
+// abort ends an attempt. An attempt that has not begun is withdrawn and never begins. Pools.mu must be held.
+func (a *attempt) abort() {
 	if a.state == attemptWaiting {
 		a.state = attemptWithdrawn
 	}
 	a.cancel()
 }
 
-// begin decides whether an attempt may be written, now that its connection is up. That may be long after the planner started
-// it, and what forbids it may still be queued for the planner: so the state, the deadline, the client and the backend are
-// checked here, under the lock that every withdrawal takes.
+// begin decides whether the command of an attempt may be written, now that its connection is established. This may be long
+// after the planner started the attempt, and a message that forbids it may still be queued for the planner. So begin checks the
+// state, the deadline, the client and the backend, under the lock that every withdrawal takes.
 func (p *Pools) begin(a *attempt) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -77,7 +78,7 @@
 		return errTooLate
 	case a.Request.ClientLeft():
 		a.state = attemptWithdrawn
-		return errClientLeft
+		return errClientDisconnected
 	case p.Allowed != nil && !p.Allowed(a.Backend):
 		a.state = attemptWithdrawn
 		return errNotAllowed
@@ -87,34 +88,34 @@
 	return nil
 }
 
-// logBegun logs the moment before the first byte of a command is written.
+// logBegun logs an attempt just before the first byte of its command is written.
 func (p *Pools) logBegun(a *attempt) {
 	if p.Log == nil {
 		return
 	}
-	if e := p.Log.Check(zap.DebugLevel, "an attempt begins"); e != nil {
+	if e := p.Log.Check(zap.DebugLevel, "attempt begins"); e != nil {
 		e.Write(zap.String("request", a.Request.Message.Name), zap.Int("attempt", a.Number), zap.String("address", a.Backend.Addr))
 	}
 }
 
-// run carries out one attempt, on a goroutine of its own.
+// run executes one attempt and returns its result. It runs on a goroutine of its own.
 func (p *Pools) run(a *attempt) core.AttemptResult {
 	c, err := p.acquire(a)
 	if err == nil {
 		err = p.begin(a)
 		if err != nil {
-			p.release(c) // nothing was written on it
+			p.release(c) // nothing was written to it
 		}
 	}
 	if err != nil {
 		return core.AttemptResult{Outcome: unsentOutcome(a.ctx, err)}
 	}
-	// When time is up or the attempt is given up, the reads and writes of the connection fail, and it is closed, which
-	// tells the backend.
-	unhook := context.AfterFunc(a.ctx, func() { c.SetDeadline(expired) })
-	result, reusable := p.exchange(a, c, unhook)
-	streamed := !result.FirstByteAt.IsZero() // then the stream has taken the hook off
-	if (unhook() || streamed) && reusable {
+	// At the deadline, or when the attempt is cancelled, reads and writes on the connection fail and the connection is
+	// closed, so that the backend notices.
+	detachContext := context.AfterFunc(a.ctx, func() { c.SetDeadline(expired) })
+	result, reusable := p.exchange(a, c, detachContext)
+	streamed := !result.FirstByteAt.IsZero() // exchange has already called detachContext
+	if (detachContext() || streamed) && reusable {
 		p.release(c)
 	} else {
 		p.discard(c)
@@ -122,5 +123,5 @@
 	return result
 }
 
-// expired is a deadline that makes reads and writes fail at once.
+// expired is a deadline in the past, which makes reads and writes fail at once.
 var expired = time.Unix(1, 0)
--- a/internal/backend/client_left_test.go
+++ b/internal/backend/client_left_test.go
@@ -20,22 +20,22 @@
 
 func (noRefs) Ref() uint64 { return 0 }
 
-// planner is one that runs on these pools, and knows their backend.
-func (b *testBed) planner(set dw.Settings) *core.Planner {
+// planner starts a planner that uses the pools and has their backend on its list.
+func (b *testBed) planner(s dw.Settings) *core.Planner {
 	b.t.Helper()
-	p, err := core.NewPlanner(set, 1, core.NewClock(), b.Pools, noCounter{}, noRefs{}, zap.NewNop())
+	p, err := core.NewPlanner(s, 1, core.NewClock(), b.Pools, noCounter{}, noRefs{}, zap.NewNop())
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(context.Background())
-	over := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(done)
 		p.Run(ctx)
 	}()
 	b.t.Cleanup(func() {
 		stop()
-		<-over
+		<-done
 	})
 	list := core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListFull, Version: 1, Servers: []dw.Endpoint{{ID: b.backend.ID}}}, Addrs: []string{b.backend.Addr}}
 	if err := p.UpdateEndpoints(list); err != nil {
@@ -44,9 +44,9 @@
 	return p
 }
 
-func settings(cancel bool, e dw.Idempotency) dw.Settings {
+func settings(cancel bool, idempotency dw.Idempotency) dw.Settings {
 	return dw.Settings{Instances: 1, Zones: 1, Tick: 1e6, MaxAttempts: 3, MayCancel: cancel,
-		Classes: []dw.Class{{Objective: 10e9, Deadline: 20e9, Weight: 1, Idempotency: e, DedupWindow: 10e9}}, Plans: []dw.Plan{{Rate: 100, Burst: 100, WeightFactor: 1}}}
+		Classes: []dw.Class{{Objective: 10e9, Deadline: 20e9, Weight: 1, Idempotency: idempotency, DedupWindow: 10e9}}, Plans: []dw.Plan{{Rate: 100, Burst: 100, WeightFactor: 1}}}
 }
 
 func (b *testBed) request(answer func(core.Answer)) *core.Request {
@@ -54,69 +54,69 @@
 		Message: core.Message{Name: "n", Key: "k"}, Answer: answer}
 }
 
-// A client leaves while its request waits for a connection: when that comes up nothing is sent on it, whether or not the
-// settings allow attempts to be cancelled.
-func TestClientLeavesWhileItsConnectionComesUp(t *testing.T) {
+// Guards against a command that is sent for a disconnected client. The client disconnects while its request waits for a
+// connection; once that is established, nothing may be sent, whether or not the settings allow attempts to be cancelled.
+func TestClientDisconnectsDuringDial(t *testing.T) {
 	for _, cancel := range []bool{true, false} {
 		b := newBed(t, standin.Always(standin.Step{}))
 		p := b.planner(settings(cancel, dw.Idempotent))
-		ticket, err := p.Submit(b.request(func(a core.Answer) { t.Errorf("an answer for nobody: %+v", a) }))
+		pending, err := p.Submit(b.request(func(a core.Answer) { t.Errorf("got an answer for a disconnected client: %+v", a) }))
 		if err != nil {
 			t.Fatal(err)
 		}
 		<-b.dialled
-		p.Cancel(ticket)
-		asked := make(chan struct{})
-		p.ReadTallies(func(func(uint64) (float64, bool)) { close(asked) }) // the planner has taken the cancellation in
-		<-asked
+		p.Cancel(pending)
+		handled := make(chan struct{})
+		p.ReadTallies(func(func(uint64) (float64, bool)) { close(handled) }) // the planner has then handled the cancellation
+		<-handled
 		b.connect <- struct{}{}
 		b.waitUntilEnded()
-		if n := len(b.node.Commands()); n != 0 {
-			t.Errorf("cancelling allowed: %v: %d commands were sent for a client that had left", cancel, n)
+		if n := len(b.server.Commands()); n != 0 {
+			t.Errorf("cancelling allowed: %v: %d commands were sent for a disconnected client, expected none", cancel, n)
 		}
-		b.expectNothingLeft()
+		b.expectNoLeaks()
 	}
 }
 
 // waitUntilEnded waits until no attempt is in flight.
 func (b *testBed) waitUntilEnded() {
 	b.t.Helper()
-	for end := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
+	for deadline := time.Now().Add(testTimeout); ; time.Sleep(time.Millisecond) {
 		b.mu.Lock()
 		n := len(b.attempts)
 		b.mu.Unlock()
 		if n == 0 {
 			return
 		}
-		if time.Now().After(end) {
-			b.t.Fatalf("%d attempts do not end", n)
+		if time.Now().After(deadline) {
+			b.t.Fatalf("%d attempts did not end in time", n)
 		}
 	}
 }
 
-// What happens: a client leaves while its request waits for a connection, and the connection comes up before the planner has heard of
-// it; the command is written for nobody. Why: only the planner withdrew an attempt, and news of the close waits for it like any other.
-// What showed it: with a planner that stands still "1 commands were sent for a client that had gone". Mended in Pools.begin, which
-// asks the request itself.
-func TestLeavingIsInForceBeforeThePlannerHearsIt(t *testing.T) {
+// Guards against a command that is sent because the planner has not handled its client's disconnection yet. The cancellation waits
+// in the planner's inbox like any other message; while only the planner withdrew attempts, a connection that was established
+// meanwhile was used. With a planner that does not run, this test then failed with 1 command sent. Pools.begin now checks the
+// request itself.
+func TestCancelBeforePlannerHandlesIt(t *testing.T) {
 	b := newBed(t, standin.Always(standin.Step{}))
 	p, err := core.NewPlanner(settings(true, dw.Idempotent), 1, core.NewClock(), b.Pools, noCounter{}, noRefs{}, zap.NewNop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := b.request(func(core.Answer) {})
-	ticket, err := p.Submit(r) // the planner itself never runs
+	pending, err := p.Submit(r) // the planner does not run
 	if err != nil {
 		t.Fatal(err)
 	}
-	end := make(chan core.AttemptResult, 1)
-	b.Start(core.Attempt{RequestID: "a", Backend: b.backend, Deadline: time.Now().Add(testTimeout), Request: r}, nil, func(e core.AttemptResult) { end <- e })
+	ended := make(chan core.AttemptResult, 1)
+	b.Start(core.Attempt{RequestID: "a", Backend: b.backend, Deadline: time.Now().Add(testTimeout), Request: r}, nil, func(e core.AttemptResult) { ended <- e })
 	<-b.dialled
-	p.Cancel(ticket)
+	p.Cancel(pending)
 	b.connect <- struct{}{}
-	b.expectOutcome(end, dw.OutcomeNotSent)
-	if n := len(b.node.Commands()); n != 0 {
-		t.Errorf("%d commands were sent for a client that had left", n)
+	b.expectOutcome(ended, dw.OutcomeNotSent)
+	if n := len(b.server.Commands()); n != 0 {
+		t.Errorf("%d commands were sent for a disconnected client, expected none", n)
 	}
-	b.expectNothingLeft()
+	b.expectNoLeaks()
 }
--- a/internal/backend/codec.go
+++ b/internal/backend/codec.go
@@ -10,14 +10,15 @@
 	"dewhitch/internal/resp"
 )
 
-// An answer of a backend is an array of the value, the figures on use and the load report.
+// Indexes into the array of a backend's answer, which consists of the value, usage figures and the load report.
 const (
 	valuePart   = 0
 	loadPart    = 2
-	answerParts = 3
+	answerParts = 3 // length of the array
 )
 
-// command encodes an attempt as the client worded its request, but for the time that is left, in milliseconds.
+// command encodes the command of an attempt. It contains the request as the client sent it, except that the time to the
+// deadline, in milliseconds, is the remaining one.
 func (p *Pools) command(a *attempt) []byte {
 	r := a.Request
 	name := "SVC.SUBMIT"
@@ -41,7 +42,7 @@
 	return b
 }
 
-// commandArgs are the names and values of a command.
+// commandArgs encodes the names and values of a command.
 func (p *Pools) commandArgs(a *attempt) []byte {
 	r := a.Request
 	b := append([]byte("c="), r.ClassName...)
@@ -58,14 +59,15 @@
 	return strconv.AppendInt(append(b, ",first="...), int64(r.FirstGateway), 10)
 }
 
-// customerText is a customer as commands have it: 16 hexadecimal digits.
+// customerText returns a customer id as commands contain it: 16 hexadecimal digits.
 func customerText(id dw.CustomerID) string {
 	s := strconv.FormatUint(uint64(id), 16)
 	return "0000000000000000"[len(s):] + s
 }
 
-// decodeAnswer decodes a backend's answer, or as much of it as could be read; complete says that all was. The connection is
-// reusable if the answer is one that a backend gives: after any other, nobody knows where the next answer begins.
+// decodeAnswer decodes a backend's answer, or the part of it that could be read; complete is true if all of it was read. It
+// returns true if the connection can be reused. This requires a complete, valid answer: after any other, the start of the next
+// answer can't be found.
 func decodeAnswer(v resp.Value, complete bool) (result core.AttemptResult, reusable bool) {
 	switch {
 	case v.Kind == resp.Array && v.Len == answerParts && len(v.Items) > 0:
@@ -73,10 +75,10 @@
 	case v.Kind == resp.Failure && complete:
 		return decodeFailure(v.Text)
 	}
-	return core.AttemptResult{Outcome: dw.OutcomeError}, false // it may have run
+	return core.AttemptResult{Outcome: dw.OutcomeError}, false // the backend may have executed the command
 }
 
-// decodeValue decodes an answer that has a value. What can't be read after the value takes nothing from it.
+// decodeValue decodes an answer that contains a value. The value is valid even if the parts after it could not be read.
 func decodeValue(v resp.Value, complete bool) (result core.AttemptResult, reusable bool) {
 	value := v.Items[valuePart]
 	if value.Kind != resp.Bulk || value.Null {
@@ -89,8 +91,8 @@
 	return result, complete
 }
 
-// decodeFailure decodes an error line: BUSY rejects the command, ERR says that it failed, and may have run. The last word may
-// be a load report.
+// decodeFailure decodes an error line. BUSY means that the backend rejected the command, ERR that the command failed but may have
+// been executed. The last word of the line may be a load report.
 func decodeFailure(text []byte) (result core.AttemptResult, reusable bool) {
 	result.Outcome = dw.OutcomeError
 	fields := bytes.Fields(text)
@@ -110,7 +112,7 @@
 	return result, reusable
 }
 
-// decodeLoad decodes a load report, such as queue=2,inflight=7,qps=14.5; what is no number of 0 or more is ignored.
+// decodeLoad decodes a load report, such as queue=2,inflight=7,qps=14.5. It ignores values that are not numbers of 0 or more.
 func decodeLoad(text []byte) (l dw.Load) {
 	for pair := range bytes.SplitSeq(text, []byte(",")) {
 		name, value, _ := bytes.Cut(pair, []byte("="))
--- a/internal/backend/connections.go
+++ b/internal/backend/connections.go
@@ -13,41 +13,42 @@
 )
 
 const (
-	readBufferSize        = 4 << 10 // bytes
-	shortageRetryInterval = 5 * time.Millisecond
+	readBufferSize        = 4 << 10              // size of a connection's read buffer in bytes
+	shortageRetryInterval = 5 * time.Millisecond // time between two dials during a local shortage
 )
 
-// pool has the connections to one backend, by id and address: an address may come back under another id, and connections to
-// the backend that was removed are not for the new one. Pools.mu guards it.
+// pool holds the idle connections to one backend and its attempts. A backend is identified by id and address, because an
+// address may be listed again under another id, and connections to the removed backend must not be used for the new one.
+// Pools.mu guards it.
 type pool struct {
 	core.Backend
-	idle      []*conn               // the last used at the end
-	attempts  map[*attempt]struct{} // that have not ended
-	forgotten bool                  // connections are closed after the attempts that are in flight
+	idle      []*conn               // idle connections, the most recently used last
+	attempts  map[*attempt]struct{} // attempts that have not ended
+	forgotten bool                  // true if released connections are closed instead of kept
 }
 
-// conn is one connection. It carries one attempt at a time, as answers come in the order of the commands.
+// conn is one connection to a backend. It serves one attempt at a time, because answers arrive in the order of the commands.
 type conn struct {
 	*net.TCPConn
 	pool        *pool
-	r           *resp.Reader
-	raw         syscall.RawConn
-	idleSince   time.Time
-	idleElement *list.Element // in Pools.idle
+	reader      *resp.Reader
+	rawConn     syscall.RawConn
+	idleSince   time.Time     // time of the last release
+	idleElement *list.Element // element of an idle connection in Pools.idle
 }
 
-// acquire gives an attempt an idle connection that is still good, or opens one within the descriptor budget.
+// acquire returns an idle connection that is still usable, or opens a new one within the descriptor budget.
 func (p *Pools) acquire(a *attempt) (*conn, error) {
 	for {
 		now := p.now()
 		p.mu.Lock()
-		c := p.takeRested(a.pool, now)
+		c := p.takeReusable(a.pool, now)
 		if c == nil {
 			break
 		}
 		p.mu.Unlock()
-		// The backend may have closed it meanwhile: a command written to it would be lost as a reset. And what has come
-		// since its last answer is no answer to the next command.
+		// If the backend has closed the connection meanwhile, a command written to it would fail with a reset. Bytes received
+		// since the last answer are not an answer to the next command.
 		if now.Sub(c.idleSince) < p.maxIdleTime() && c.nothingReceived() {
 			return c, nil
 		}
@@ -64,11 +65,11 @@
 	return p.open(a)
 }
 
-// reserve takes a descriptor of the budget for a new connection. If there is none, the connection that has been idle longest
-// is evicted, to whichever backend it goes; the caller closes it. The lock is held.
+// reserve takes a descriptor from the budget for a new connection. If none is free, it removes the longest idle connection,
+// to any backend, from its pool and returns it as evicted; the caller must close it. Pools.mu must be held.
 func (p *Pools) reserve() (evicted *conn, err error) {
 	if p.openCount >= p.limits.MaxConns {
-		evicted = p.takeOldest()
+		evicted = p.takeLongestIdle()
 		if evicted == nil {
 			return nil, errNoDescriptor
 		}
@@ -77,16 +78,16 @@
 	return evicted, nil
 }
 
-// open opens a connection for an attempt, with a descriptor that was reserved, and gives that back on an error.
+// open opens a connection for an attempt. It uses a descriptor that was reserved before, and returns it to the budget on error.
 func (p *Pools) open(a *attempt) (*conn, error) {
-	n, err := p.connect(a)
+	netConn, err := p.connect(a)
 	if err != nil {
 		p.unreserve()
 		return nil, err
 	}
-	c := &conn{TCPConn: n.(*net.TCPConn), pool: a.pool, r: resp.NewReader(n, readBufferSize)}
+	c := &conn{TCPConn: netConn.(*net.TCPConn), pool: a.pool, reader: resp.NewReader(netConn, readBufferSize)}
 	if err = c.resetOnClose(); err == nil {
-		c.raw, err = c.SyscallConn()
+		c.rawConn, err = c.SyscallConn()
 	}
 	if err != nil {
 		p.discard(c)
@@ -95,13 +96,13 @@
 	return c, nil
 }
 
-// connect dials an attempt's backend. A dial that fails for a shortage of this machine is repeated, for as long as a
-// connection may take to come up: the shortage may be over in a moment, and nothing was sent.
+// connect dials an attempt's backend. It repeats a dial that fails because this machine is short of a resource, for at most
+// the connect timeout: such a shortage may be brief, and nothing was sent.
 func (p *Pools) connect(a *attempt) (net.Conn, error) {
-	until := p.now().Add(p.limits.ConnectTimeout)
+	retryUntil := p.now().Add(p.limits.ConnectTimeout)
 	for {
 		c, err := p.dial(a.ctx, a.Backend.Addr, a.StartBy)
-		if sockets.DialClass(err) != sockets.Shortage || !p.now().Before(until) {
+		if sockets.DialClass(err) != sockets.Shortage || !p.now().Before(retryUntil) {
 			return c, err
 		}
 		select {
@@ -112,33 +113,33 @@
 	}
 }
 
-// discard closes a connection with a reset and gives its descriptor back.
+// discard closes a connection with a reset and returns its descriptor to the budget.
 func (p *Pools) discard(c *conn) {
 	c.Close()
 	p.unreserve()
 }
 
-// unreserve gives a descriptor back to the budget.
+// unreserve returns a descriptor to the budget.
 func (p *Pools) unreserve() {
 	p.mu.Lock()
 	p.openCount--
 	p.mu.Unlock()
 }
 
-// resetOnClose has a close of the connection, or the end of this process, discard what the kernel has not delivered yet, and reset
-// the connection. Otherwise the kernel goes on sending a command after its attempt was given up: behind a partition or a
-// server that hangs it would run late, for a client that has its answer or has left, or as a duplicate after the window for
-// them has ended.
+// resetOnClose makes the close of the connection, or the exit of this process, discard the data that the kernel has not
+// delivered yet and reset the connection. Otherwise the kernel would go on sending a command after its attempt was cancelled.
+// Behind a partition or a hanging server, the command would then be executed late: for a client that already has its answer or
+// has disconnected, or as a duplicate after the deduplication window has ended.
 func (c *conn) resetOnClose() error { return c.SetLinger(0) }
 
-// nothingReceived reports whether nothing has come on an idle connection, its end included.
+// nothingReceived reports whether an idle connection has received neither data nor its end.
 func (c *conn) nothingReceived() bool {
-	nothing := false
-	err := c.raw.Read(func(fd uintptr) bool {
+	noData := false
+	err := c.rawConn.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		nothing = errors.Is(err, syscall.EAGAIN)
+		noData = errors.Is(err, syscall.EAGAIN)
 		return true
 	})
-	return err == nil && nothing
+	return err == nil && noData
 }
--- a/internal/backend/golden_test.go
+++ b/internal/backend/golden_test.go
@@ -14,14 +14,15 @@
 	"dewhitch/internal/resp"
 )
 
-// The commands that servers are sent. Servers read the words, and each name of the list of names and values. The clock is a fixed one.
+// Guards against changes of the commands that are sent to servers. Servers parse the arguments of a command and each name in its
+// list of names and values. The clock is fixed.
 func TestGoldenCommands(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := New(Names{Plans: []string{"wide", "slim"}}, Limits{}, noRecorder{})
 		var b []byte
 		for _, c := range []struct {
-			left    time.Duration
-			request *core.Request
+			remaining time.Duration
+			request   *core.Request
 		}{
 			{1500 * time.Millisecond, &core.Request{ClassName: "order", Plan: 1, Customer: 0x1b4d65521, Units: 2.5, Spread: 3, FirstGateway: 4, Repeat: true,
 				Message: core.Message{Name: "name-1", Key: "key-1", Body: []byte("body\r\n1")}}},
@@ -29,14 +30,15 @@
 			{-time.Second, &core.Request{ClassName: "charge", Customer: 0xfedcba9876543210, Units: 1e6, Spread: 5, FirstGateway: 6,
 				Message: core.Message{Name: "name-3", Body: []byte{}}}},
 		} {
-			b = append(b, p.command(&attempt{Attempt: core.Attempt{Deadline: time.Now().Add(c.left), Request: c.request}})...)
+			b = append(b, p.command(&attempt{Attempt: core.Attempt{Deadline: time.Now().Add(c.remaining), Request: c.request}})...)
 		}
 		golden.Compare(t, "commands.txt", b)
 	})
 }
 
-// The answers that servers give: an array of the value, the figures on use and the load report; or a failure with a load report as its
-// last word. The gateway reads them. One golden line is one answer, with \r\n for a line's end.
+// Guards against changes in how servers' answers are decoded. An answer is an array of the value, usage figures and the load report,
+// or a failure whose last word is a load report. Each line of the golden file is one answer, in which the text \r\n stands for a line
+// end.
 func TestGoldenAnswers(t *testing.T) {
 	full := dw.Load{Has: dw.HasInflight | dw.HasQueue | dw.HasUtil | dw.HasLatency | dw.HasRate | dw.HasErrors,
 		Inflight: 1.5, Queue: 2.5, Util: 0.5, LatencyMS: 3.25, Rate: 4.5, Errors: 0.25}
@@ -50,14 +52,14 @@
 		{core.AttemptResult{Outcome: dw.OutcomeRejected, Load: full}, true},
 		{core.AttemptResult{Outcome: dw.OutcomeError}, true},
 		{core.AttemptResult{Outcome: dw.OutcomeError, Load: dw.Load{Has: dw.HasInflight, Inflight: 9}}, true},
-		{core.AttemptResult{Outcome: dw.OutcomeError}, false}, // of no such word
-		{core.AttemptResult{Outcome: dw.OutcomeError}, false}, // no value
-		{core.AttemptResult{Outcome: dw.OutcomeError}, false}, // not of three parts
-		{core.AttemptResult{Outcome: dw.OutcomeError}, false}, // of another kind
+		{core.AttemptResult{Outcome: dw.OutcomeError}, false}, // unknown error word
+		{core.AttemptResult{Outcome: dw.OutcomeError}, false}, // null value
+		{core.AttemptResult{Outcome: dw.OutcomeError}, false}, // array of the wrong length
+		{core.AttemptResult{Outcome: dw.OutcomeError}, false}, // neither an array nor a failure
 	}
 	lines := strings.Split(strings.TrimSpace(string(golden.Read(t, "answers.txt"))), "\n")
 	if len(lines) != len(want) {
-		t.Fatalf("%d answers, want %d", len(lines), len(want))
+		t.Fatalf("the golden file has %d answers, expected %d", len(lines), len(want))
 	}
 	for i, line := range lines {
 		v, err := resp.NewReader(bytes.NewReader([]byte(strings.ReplaceAll(line, `\r\n`, "\r\n"))), 0).ReadValue()
@@ -65,7 +67,7 @@
 			t.Fatal(line, err)
 		}
 		if result, reusable := decodeAnswer(v, true); reusable != want[i].reusable || !reflect.DeepEqual(result, want[i].result) {
-			t.Errorf("%s\n got %+v, %v\nwant %+v, %v", line, result, reusable, want[i].result, want[i].reusable)
+			t.Errorf("%s\n     got %+v, reusable %v\nexpected %+v, reusable %v", line, result, reusable, want[i].result, want[i].reusable)
 		}
 	}
 }
--- a/internal/backend/idle.go
+++ b/internal/backend/idle.go
@@ -7,20 +7,20 @@
 )
 
 const (
-	idleFraction  = 0.8         // of the time after which a backend closes an idle connection: none is used after that
-	sweepInterval = time.Second // between two searches for connections that are idle for too long
-	// restTime is how long a connection must be idle before it is used again: what comes after an answer, some milliseconds
-	// late, shows by then.
-	restTime = 20 * time.Millisecond
+	idleFraction  = 0.8         // fraction of a backend's idle timeout after which a connection is not reused
+	sweepInterval = time.Second // time between two searches for connections that are idle for too long
+	// minIdleTime is how long a connection must be idle before it is reused. Unexpected data that a backend sends some
+	// milliseconds after an answer has arrived by then.
+	minIdleTime = 20 * time.Millisecond
 )
 
-// maxIdleTime is how long a connection may be idle and still be used.
+// maxIdleTime returns how long a connection may be idle and still be reused.
 func (p *Pools) maxIdleTime() time.Duration {
 	return time.Duration(idleFraction * float64(p.limits.BackendIdleTimeout))
 }
 
-// Run closes connections that are idle for too long, until the context ends; it returns nil. A backend closes them too, and
-// what it has closed still takes a descriptor here.
+// Run closes connections that are idle for too long, until the context ends; it returns nil. A backend closes such connections
+// as well, but each of them still occupies a descriptor here.
 func (p *Pools) Run(ctx context.Context) error {
 	tick := time.NewTicker(sweepInterval)
 	defer tick.Stop()
@@ -34,57 +34,58 @@
 	}
 }
 
-// sweep closes what has been idle since before then.
-func (p *Pools) sweep(then time.Time) {
-	var old []*conn
+// sweep closes the connections that have been idle since before cutoff.
+func (p *Pools) sweep(cutoff time.Time) {
+	var overdue []*conn
 	p.mu.Lock()
-	for e := p.idle.Front(); e != nil && e.Value.(*conn).idleSince.Before(then); e = p.idle.Front() {
-		old = append(old, p.takeIdle(e.Value.(*conn)))
+	for e := p.idle.Front(); e != nil && e.Value.(*conn).idleSince.Before(cutoff); e = p.idle.Front() {
+		overdue = append(overdue, p.takeIdle(e.Value.(*conn)))
 	}
 	p.mu.Unlock()
-	for _, c := range old {
+	for _, c := range overdue {
 		p.closeIdle(c)
 	}
 }
 
-// takeRested takes the last used connection of a pool that has been idle for restTime; the lock is held.
-func (p *Pools) takeRested(l *pool, now time.Time) *conn {
-	for _, c := range slices.Backward(l.idle) {
-		if now.Sub(c.idleSince) >= restTime {
+// takeReusable takes the most recently used connection that has been idle for minIdleTime out of a pool. It returns nil if there
+// is none. Pools.mu must be held.
+func (p *Pools) takeReusable(backendPool *pool, now time.Time) *conn {
+	for _, c := range slices.Backward(backendPool.idle) {
+		if now.Sub(c.idleSince) >= minIdleTime {
 			return p.takeIdle(c)
 		}
 	}
 	return nil
 }
 
-// takeOldest takes the connection that has been idle longest out of its pool; the lock is held.
-func (p *Pools) takeOldest() *conn {
+// takeLongestIdle takes the longest idle connection out of its pool, or returns nil. Pools.mu must be held.
+func (p *Pools) takeLongestIdle() *conn {
 	if e := p.idle.Front(); e != nil {
 		return p.takeIdle(e.Value.(*conn))
 	}
 	return nil
 }
 
-// takeIdle takes an idle connection out of its pool; the lock is held.
+// takeIdle takes an idle connection out of its pool and returns it. Pools.mu must be held.
 func (p *Pools) takeIdle(c *conn) *conn {
-	l := c.pool
-	at := slices.Index(l.idle, c)
-	l.idle = slices.Delete(l.idle, at, at+1)
+	backendPool := c.pool
+	index := slices.Index(backendPool.idle, c)
+	backendPool.idle = slices.Delete(backendPool.idle, index, index+1)
 	p.idle.Remove(c.idleElement)
-	p.removeIfUnused(l)
+	p.removeIfUnused(backendPool)
 	return c
 }
 
-// removeIfUnused removes a pool without connections and attempts; the lock is held.
-func (p *Pools) removeIfUnused(l *pool) {
-	if len(l.attempts) == 0 && len(l.idle) == 0 && p.pools[l.Backend] == l {
-		delete(p.pools, l.Backend)
+// removeIfUnused deletes a pool that has no idle connections and no attempts. Pools.mu must be held.
+func (p *Pools) removeIfUnused(backendPool *pool) {
+	if len(backendPool.attempts) == 0 && len(backendPool.idle) == 0 && p.pools[backendPool.Backend] == backendPool {
+		delete(p.pools, backendPool.Backend)
 	}
 }
 
-// release gives a connection back to its pool, or closes it if its backend was forgotten.
+// release returns a connection to its pool, or closes it if its backend was forgotten.
 func (p *Pools) release(c *conn) {
-	c.SetDeadline(time.Time{}) // of the attempt that is over
+	c.SetDeadline(time.Time{}) // removes the deadline of the attempt that has ended
 	c.idleSince = p.now()
 	p.mu.Lock()
 	reuse := !c.pool.forgotten
@@ -98,7 +99,8 @@
 	}
 }
 
-// closeIdle closes an idle connection, in order, as everything written on it was answered, and gives its descriptor back.
+// closeIdle closes an idle connection normally, without a reset, because everything written to it was answered. It returns the
+// descriptor to the budget.
 func (p *Pools) closeIdle(c *conn) {
 	c.SetLinger(-1)
 	p.discard(c)
--- a/internal/backend/outcomes.go
+++ b/internal/backend/outcomes.go
@@ -11,24 +11,24 @@
 	"dewhitch/internal/sockets"
 )
 
-// Whether an attempt may have run depends on one thing: whether its command was written completely. A backend runs complete
-// commands alone, and a connection that is given up is reset, so that the kernel delivers nothing more (resetOnClose). Of a
-// command that was written, only a rejection tells that it did not run.
+// Whether a backend may have executed an attempt depends only on whether its command was written completely. A backend executes
+// complete commands only, and a connection is reset when its attempt fails, so that the kernel delivers nothing more
+// (resetOnClose). Once a command was written completely, only a rejection shows that it was not executed.
 
-// unsentOutcome is the outcome of an attempt whose command was not written completely, whatever the reason: it did not run.
-// What this machine lacks, and an end that the planner or the client caused, is no fault of the backend's: blamed, every
-// backend would be avoided for it.
+// unsentOutcome returns the outcome of an attempt whose command was not written completely, and which was therefore not
+// executed. A shortage on this machine, or an end that the planner or the client caused, is not attributed to the backend;
+// otherwise the gateway would avoid every backend because of it.
 func unsentOutcome(ctx context.Context, err error) dw.Outcome {
 	ownFault := errors.Is(err, errNoDescriptor) || sockets.DialClass(err) == sockets.Shortage
-	notWanted := errors.Is(err, errClientLeft) || errors.Is(err, errNotAllowed) || errors.Is(ctx.Err(), context.Canceled)
+	notWanted := errors.Is(err, errClientDisconnected) || errors.Is(err, errNotAllowed) || errors.Is(ctx.Err(), context.Canceled)
 	if ownFault || notWanted {
 		return dw.OutcomeNotSent
 	}
 	return dw.OutcomeConnectFailed
 }
 
-// sentOutcome is the outcome of an attempt whose command was written completely and whose answer could not be read: it may
-// have run.
+// sentOutcome returns the outcome of an attempt whose command was written completely and whose answer could not be read. The
+// backend may have executed it.
 func sentOutcome(ctx context.Context, err error) dw.Outcome {
 	switch {
 	case errors.Is(ctx.Err(), context.Canceled):
@@ -41,7 +41,7 @@
 	return dw.OutcomeReset
 }
 
-// outcomeEvents are the ledger's events for the outcomes of attempts.
+// outcomeEvents maps the outcomes of attempts to ledger events.
 var outcomeEvents = [dw.OutcomeCount]ledger.Event{
 	dw.OutcomeOK:            ledger.AttemptOK,
 	dw.OutcomeError:         ledger.AttemptError,
@@ -53,7 +53,7 @@
 	dw.OutcomeNotSent:       ledger.AttemptNotSent,
 }
 
-// postEnd posts the end of an attempt, the first time that it is called. Only the attempt's goroutine calls it.
+// postEnd posts the end of an attempt when it is first called, and does nothing afterwards. Only the attempt's goroutine calls it.
 func (p *Pools) postEnd(a *attempt, o dw.Outcome) {
 	if a.posting.Event != ledger.None {
 		a.posting.Event = outcomeEvents[o]
--- a/internal/backend/pools.go
+++ b/internal/backend/pools.go
@@ -1,8 +1,8 @@
-// Package backend carries out attempts over pools of connections to the backends.
+// Package backend executes attempts over pools of connections to the backends.
 //
-// pools.go has the interface, attempt.go the states of an attempt, exchange.go command and answer on a connection,
-// outcomes.go what an end tells of the backend, connections.go and idle.go the connections, stream.go large values, and
-// codec.go the bytes.
+// pools.go contains the exported interface, attempt.go the states of an attempt, exchange.go the exchange of command and answer
+// on a connection, outcomes.go the outcomes of attempts, connections.go and idle.go the connections, stream.go large values,
+// and codec.go the encoding of commands and answers.
 package backend
 
 import (
@@ -19,48 +19,48 @@
 	"dewhitch/internal/ledger"
 )
 
-// Names are the settings' words that stand in a command.
+// Names holds the names from the settings that commands contain.
 type Names struct {
-	Plans []string // by the index of the plan; classes are named by each request, as its client named them
+	Plans []string // names of the plans by index; a request has the name of its class from its client
 }
 
-// Limits bound the pools.
+// Limits holds the limits of the pools.
 type Limits struct {
-	MaxConns           int           // connections open or being opened, to all backends together
-	BackendIdleTimeout time.Duration // after which a backend closes an idle connection
-	ConnectTimeout     time.Duration // for a connection to come up
+	MaxConns           int           // maximum number of open and opening connections to all backends together
+	BackendIdleTimeout time.Duration // time after which a backend closes an idle connection
+	ConnectTimeout     time.Duration // maximum time to establish a connection
 }
 
-// Recorder is the ledger that the pools post each attempt to, once when it begins and once at its end. Post is called from
-// any goroutine and may not block.
+// Recorder is the ledger to which the pools post each attempt, once when it is started and once at its end. Post is called
+// from several goroutines at once and must not block.
 type Recorder interface{ Post(ledger.Posting) }
 
-// Pools owns every connection to the backends, and implements core.Backends. A connection is given back in release or in
-// discard, nowhere else. Its methods are safe for concurrent use.
+// Pools owns all connections to the backends and implements core.Backends. Only release and discard return a
+// connection that an attempt has acquired. The methods of Pools are safe for concurrent use.
 type Pools struct {
 	names    Names
 	limits   Limits
 	recorder Recorder
 
 	// Dispatched is called with the class of each attempt whose command was written completely. It is set before the first
-	// attempt, or nil.
+	// attempt and may be nil.
 	Dispatched func(class string)
-	// Log gets, at debug level, each attempt that begins. It is set before the first attempt; nil: nothing is logged.
+	// Log receives a debug entry for each attempt that begins. It is set before the first attempt; if nil, nothing is logged.
 	Log *zap.Logger
-	// Allowed reports whether new work may go to a backend now. It is set before the first attempt; nil: to each.
+	// Allowed reports whether a backend may get new work now. It is set before the first attempt; if nil, every backend may.
 	Allowed func(core.Backend) bool
 
 	now  func() time.Time
-	dial func(ctx context.Context, addr string, by time.Time) (net.Conn, error)
+	dial func(ctx context.Context, addr string, startBy time.Time) (net.Conn, error)
 
-	mu        sync.Mutex // guards what follows, and the state of attempts
+	mu        sync.Mutex // guards the fields below, the pools and the state of attempts
 	pools     map[core.Backend]*pool
-	attempts  map[attemptKey]*attempt // that have not ended
-	openCount int                     // connections open or being opened
-	idle      *list.List              // of *conn, over all pools, the longest idle first
+	attempts  map[attemptKey]*attempt // attempts that have not ended
+	openCount int                     // number of open and opening connections
+	idle      *list.List              // idle connections (*conn) of all pools, the longest idle first
 }
 
-// New makes empty pools.
+// New returns empty pools.
 func New(n Names, l Limits, r Recorder) *Pools {
 	return &Pools{
 		names:    n,
@@ -70,16 +70,16 @@
 		attempts: map[attemptKey]*attempt{},
 		idle:     list.New(),
 		now:      time.Now,
-		dial: func(ctx context.Context, addr string, by time.Time) (net.Conn, error) {
-			return (&net.Dialer{Timeout: l.ConnectTimeout, Deadline: by, KeepAlive: -1}).DialContext(ctx, "tcp", addr)
+		dial: func(ctx context.Context, addr string, startBy time.Time) (net.Conn, error) {
+			return (&net.Dialer{Timeout: l.ConnectTimeout, Deadline: startBy, KeepAlive: -1}).DialContext(ctx, "tcp", addr)
 		},
 	}
 }
 
 // Start implements core.Backends.
-func (p *Pools) Start(spec core.Attempt, began func(core.Stream), done func(core.AttemptResult)) {
+func (p *Pools) Start(spec core.Attempt, onStream func(core.Stream), onEnd func(core.AttemptResult)) {
 	ctx, cancel := context.WithDeadline(context.Background(), spec.Deadline)
-	a := &attempt{Attempt: spec, began: began, ctx: ctx, cancel: cancel}
+	a := &attempt{Attempt: spec, onStream: onStream, ctx: ctx, cancel: cancel}
 	p.register(a)
 	a.posting = ledger.Posting{Event: ledger.AttemptStarted, Key: spec.Request.LedgerKey, Ref: spec.Request.LedgerRef}
 	p.recorder.Post(a.posting)
@@ -88,11 +88,12 @@
 		p.postEnd(a, result.Outcome)
 		cancel()
 		p.unregister(a)
-		done(result)
+		onEnd(result)
 	}()
 }
 
-// register takes an attempt into the pool of its backend, which is on the list, or nothing would be sent there.
+// register adds an attempt to the pool of its backend. The backend is listed, as the planner starts no attempt otherwise, so
+// its connections are kept again.
 func (p *Pools) register(a *attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -106,7 +107,7 @@
 	a.pool.attempts[a] = struct{}{}
 }
 
-// unregister takes an attempt that has ended out again.
+// unregister removes an attempt that has ended from its pool.
 func (p *Pools) unregister(a *attempt) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -120,7 +121,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if a := p.attempts[attemptKey{request, number}]; a != nil {
-		a.giveUp()
+		a.abort()
 	}
 }
 
@@ -129,7 +130,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if a := p.attempts[attemptKey{request, number}]; a != nil && a.state == attemptWaiting {
-		a.giveUp()
+		a.abort()
 	}
 }
 
@@ -140,15 +141,15 @@
 	p.withdraw(b)
 }
 
-// withdraw gives the attempts at a backend up that have not begun; the lock is held.
+// withdraw withdraws the attempts at a backend that have not begun. Pools.mu must be held.
 func (p *Pools) withdraw(b core.Backend) {
-	l := p.pools[b]
-	if l == nil {
+	backendPool := p.pools[b]
+	if backendPool == nil {
 		return
 	}
-	for a := range l.attempts {
+	for a := range backendPool.attempts {
 		if a.state == attemptWaiting {
-			a.giveUp()
+			a.abort()
 		}
 	}
 }
@@ -158,12 +159,12 @@
 	p.mu.Lock()
 	var idle []*conn
 	p.withdraw(b)
-	if l := p.pools[b]; l != nil {
-		l.forgotten = true
-		for len(l.idle) > 0 {
-			idle = append(idle, p.takeIdle(l.idle[0]))
+	if backendPool := p.pools[b]; backendPool != nil {
+		backendPool.forgotten = true
+		for len(backendPool.idle) > 0 {
+			idle = append(idle, p.takeIdle(backendPool.idle[0]))
 		}
-		p.removeIfUnused(l)
+		p.removeIfUnused(backendPool)
 	}
 	p.mu.Unlock()
 	for _, c := range idle {
--- a/internal/backend/stream.go
+++ b/internal/backend/stream.go
@@ -11,35 +11,35 @@
 	"dewhitch/internal/resp"
 )
 
-// streamIdleTimeout is how long a backend may send nothing within a value.
+// streamIdleTimeout is the maximum time for which a backend may send nothing within a value.
 const streamIdleTimeout = 5 * time.Second
 
-// errStreamClosed says that the consumer closed a stream before its end.
-var errStreamClosed = errors.New("backend: the stream was closed")
+// errStreamClosed reports that the consumer closed a stream before its end.
+var errStreamClosed = errors.New("backend: stream closed before its end")
 
-// stream is a large value that is passed on as it comes, and implements core.Stream. From its making until it is closed, its
-// consumer reads the backend's connection; the attempt's goroutine waits for closed.
+// stream passes a large value on while it is received, and implements core.Stream. From its creation until it is closed, its
+// consumer reads from the backend's connection and the attempt's goroutine waits for closed.
 type stream struct {
 	c    *conn
-	size int // bytes of the value
+	size int // size of the value in bytes
 
 	mu        sync.Mutex // guards remaining and err
-	remaining int        // bytes that were not read yet
-	err       error      // why no more of it can be read; nil: more can, or all was read
+	remaining int        // number of bytes that were not read yet
+	err       error      // reason why the rest can't be read; nil if it can or if all was read
 
-	closed    chan struct{}
+	closed    chan struct{} // closed by Close
 	closeOnce sync.Once
 }
 
 // Size implements core.Stream.
 func (s *stream) Size() int { return s.size }
 
-// Read implements core.Stream. Only one goroutine may read.
+// Read implements core.Stream. Only one goroutine at a time may call it.
 func (s *stream) Read(b []byte) (int, error) {
 	s.mu.Lock()
 	remaining, err := s.remaining, s.err
 	if remaining > 0 && err == nil {
-		s.c.SetReadDeadline(time.Now().Add(streamIdleTimeout)) // under the lock: the deadline that Close sets stays
+		s.c.SetReadDeadline(time.Now().Add(streamIdleTimeout)) // set under the lock, so that it does not replace the deadline of Close
 	}
 	s.mu.Unlock()
 	if err != nil {
@@ -48,7 +48,7 @@
 	if remaining == 0 {
 		return 0, io.EOF
 	}
-	n, err := s.c.r.Read(b[:min(len(b), remaining)])
+	n, err := s.c.reader.Read(b[:min(len(b), remaining)])
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.remaining -= n
@@ -69,32 +69,33 @@
 	s.mu.Lock()
 	if s.err == nil && s.remaining > 0 {
 		s.err = errStreamClosed
-		s.c.SetReadDeadline(expired) // a pending Read ends
+		s.c.SetReadDeadline(expired) // ends a pending Read
 	}
 	s.mu.Unlock()
 	s.closeOnce.Do(func() { close(s.closed) })
 }
 
-// stream passes a large value on, waits until its consumer has closed it, and reads what follows it in the answer.
+// stream passes a large value on as a stream, waits until its consumer has closed it, and reads the rest of the answer. It
+// returns true if the connection can be reused.
 func (p *Pools) stream(a *attempt, c *conn, v resp.Value, size int) (result core.AttemptResult, reusable bool) {
 	s := &stream{c: c, size: size, remaining: size, closed: make(chan struct{})}
 	result = core.AttemptResult{Outcome: dw.OutcomeOK, FirstByteAt: time.Now()}
-	p.postEnd(a, dw.OutcomeOK) // before the request's end is: whatever becomes of the value, the attempt ran
-	a.began(s)
+	p.postEnd(a, dw.OutcomeOK) // posted before the request's end: the attempt was executed, even if the value is lost
+	a.onStream(s)
 	<-s.closed
 	s.mu.Lock()
 	remaining, err := s.remaining, s.err
 	s.mu.Unlock()
 	if remaining > 0 {
-		if !errors.Is(err, errStreamClosed) { // a client that left is no fault of the backend's
+		if !errors.Is(err, errStreamClosed) { // the backend did not cause the end if the consumer closed the stream
 			result.Outcome = dw.OutcomeReset
 		}
 		return result, false
 	}
 	c.SetReadDeadline(time.Now().Add(answerTimeout))
-	if c.r.ReadRest(&v) != nil || len(v.Items) != answerParts {
-		return result, false // what can't be read after the value takes nothing from it
+	if c.reader.ReadRest(&v) != nil || len(v.Items) != answerParts {
+		return result, false // the value is valid even if the rest of the answer can't be read
 	}
 	result.Load = decodeLoad(v.Items[loadPart].Text)
-	return result, c.r.Buffered() == 0
+	return result, c.reader.Buffered() == 0
 }
--- a/internal/backend/update_test.go
+++ b/internal/backend/update_test.go
@@ -13,15 +13,16 @@
 	"dewhitch/internal/standin"
 )
 
-// update is a whole list of one backend, in a state.
+// update returns a full list with the bed's backend in the given state.
 func (b *testBed) update(version int64, state dw.EndpointState, addr string) core.EndpointUpdate {
 	return core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListFull, Version: version,
 		Servers: []dw.Endpoint{{ID: b.backend.ID, Rating: 1, State: state}}}, Addrs: []string{addr}, ReadAt: time.Now()}
 }
 
-// The planner stands still, as it would on a loaded machine, when the list says that a backend drains, or is removed, or is another
-// at the same id: what waits for its connection is not written, though nobody has withdrawn it.
-func TestUpdateIsInForceBeforeThePlannerAppliesIt(t *testing.T) {
+// Guards against a command that is sent to a backend although an endpoint update forbids it, because the planner has not handled the
+// update yet, as on a loaded machine. The planner does not run here, so it withdraws no attempt. An attempt that waits for its
+// connection must not be written if the backend is draining, removed, or listed at another address.
+func TestUpdateBeforePlannerHandlesIt(t *testing.T) {
 	for name, c := range map[string]struct {
 		update func(b *testBed) core.EndpointUpdate
 		want   dw.Outcome
@@ -32,7 +33,7 @@
 			return core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListFull, Version: 2}}
 		}, dw.OutcomeNotSent},
 		"another address": {func(b *testBed) core.EndpointUpdate { return b.update(2, dw.Ready, "127.0.0.1:1") }, dw.OutcomeNotSent},
-		"as it was":       {func(b *testBed) core.EndpointUpdate { return b.update(2, dw.Ready, b.backend.Addr) }, dw.OutcomeOK},
+		"unchanged":       {func(b *testBed) core.EndpointUpdate { return b.update(2, dw.Ready, b.backend.Addr) }, dw.OutcomeOK},
 	} {
 		t.Run(name, func(t *testing.T) {
 			b := newBed(t, standin.Always(standin.Step{}))
@@ -40,34 +41,35 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			b.Allowed = p.ReadySet().Allows // the planner itself never runs
+			b.Allowed = p.ReadySet().Allows // the planner does not run
 			if err := p.UpdateEndpoints(b.update(1, dw.Ready, b.backend.Addr)); err != nil {
 				t.Fatal(err)
 			}
-			_, end := b.start(time.Time{})
+			_, ended := b.start(time.Time{})
 			<-b.dialled
 			if err := p.UpdateEndpoints(c.update(b)); err != nil {
 				t.Fatal(err)
 			}
 			b.connect <- struct{}{}
-			b.expectOutcome(end, c.want)
-			if sent, want := len(b.node.Commands()), map[bool]int{true: 1}[c.want == dw.OutcomeOK]; sent != want {
-				t.Errorf("%d commands came to the backend, want %d", sent, want)
+			b.expectOutcome(ended, c.want)
+			if sent, want := len(b.server.Commands()), map[bool]int{true: 1}[c.want == dw.OutcomeOK]; sent != want {
+				t.Errorf("the backend received %d commands, expected %d", sent, want)
 			}
-			b.expectNothingLeft()
+			b.expectNoLeaks()
 		})
 	}
 }
 
-// Updates without end, of every size, do not keep the planner from answering.
+// Guards against a planner that handles endpoint updates only. Updates of 100 servers are posted continuously, ahead of client work
+// by priority, and a request must still be answered.
 func TestUpdatesDoNotStarveClients(t *testing.T) {
 	b := newBed(t, standin.Always(standin.Step{}))
 	close(b.connect)
 	p := b.planner(settings(true, dw.Idempotent))
 	ctx, stop := context.WithCancel(t.Context())
-	over := make(chan struct{})
+	done := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(done)
 		for v := int64(2); ctx.Err() == nil; v++ {
 			l := core.EndpointUpdate{List: dw.EndpointList{Kind: dw.ListDelta, Version: v}, ReadAt: time.Now()}
 			for i := range 100 {
@@ -86,8 +88,8 @@
 	select {
 	case <-answered:
 	case <-time.After(testTimeout):
-		t.Error("no answer came")
+		t.Error("the request was not answered in time")
 	}
 	stop()
-	<-over
+	<-done
 }
--- a/internal/backoff/backoff.go
+++ b/internal/backoff/backoff.go
@@ -1,7 +1,7 @@
-// Package backoff says how long to wait before a call that failed is made again. It never waits, calls or reads a clock.
+// Package backoff computes how long to wait before a failed call is retried. It does not wait, make calls or read a clock.
 //
-// Callers that start together, or lose the same service together, and wait for fixed times would retry in the same
-// millisecond every time: a service that could bear all of them within a second then serves none.
+// Callers that start together, or lose the same service together, would retry in the same millisecond every time if they
+// waited for fixed times. A service that could serve all of them within a second would then serve none.
 package backoff
 
 import (
@@ -13,15 +13,16 @@
 // failure in a row (Brooker, "Exponential Backoff And Jitter", 2015). It belongs to one caller and is not safe for
 // concurrent use. The exported fields are set before the first Next.
 type Backoff struct {
-	First     time.Duration // bound of the first wait
-	Max       time.Duration // bound of any wait
-	BusyFirst time.Duration // like First, where the service rejected the call as overloaded; First if less
-	BusyMax   time.Duration // like Max, where it did
-	Rand      *rand.Rand    // of the jitter; required
-	bound     time.Duration // of the last wait; 0: no failure since the last success
+	First     time.Duration // upper bound of the first wait
+	Max       time.Duration // upper bound of any wait
+	BusyFirst time.Duration // like First, for calls that an overloaded service rejected; First applies if it is greater
+	BusyMax   time.Duration // like Max, for calls that an overloaded service rejected
+	Rand      *rand.Rand    // source of the jitter; required
+	bound     time.Duration // upper bound of the last wait; 0 if no call has failed since the last success
 }
 
-// Next is the wait after a failure. Busy: the service answered, and rejected the call as overloaded.
+// Next returns how long to wait after a failure. busy is true if the service answered and rejected the call because it is
+// overloaded.
 func (b *Backoff) Next(busy bool) time.Duration {
 	first, bound := b.First, b.Max
 	if busy {
@@ -31,5 +32,5 @@
 	return time.Duration(b.Rand.Int64N(int64(b.bound) + 1))
 }
 
-// Reset forgets the failures, after a success.
+// Reset starts a new sequence of waits. It is called after a success.
 func (b *Backoff) Reset() { b.bound = 0 }
--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -7,42 +7,42 @@
 	"time"
 )
 
-// A service that serves 25 calls a second and queues 20 rejects most of 80 callers that begin in the same millisecond, and
-// rejected them for a day when they retried in step. With jitter all are served soon.
+// Guards against callers that retry in step. A service that serves 25 calls per second and queues 20 rejects most of 80 callers
+// that start in the same millisecond; without jitter, it rejected them for a day. With jitter, all must be served soon.
 func TestCallersThatStartTogetherAreServed(t *testing.T) {
-	const callers, perSecond, waiting = 80, 25, 20
+	const callers, perSecond, queueSize = 80, 25, 20
 	var nextCallAt [callers]time.Duration
-	var all [callers]Backoff
-	for i := range all {
-		all[i] = Backoff{First: 100 * time.Millisecond, BusyFirst: 2 * time.Second, BusyMax: 8 * time.Second,
+	var backoffs [callers]Backoff
+	for i := range backoffs {
+		backoffs[i] = Backoff{First: 100 * time.Millisecond, BusyFirst: 2 * time.Second, BusyMax: 8 * time.Second,
 			Rand: rand.New(rand.NewPCG(1, uint64(i)))}
 	}
 	var served []time.Duration
-	var free time.Duration
+	var freeAt time.Duration
 	calls := 0
 	for now := time.Duration(0); now < time.Minute && len(served) < callers; now += time.Millisecond {
-		for i := range all {
+		for i := range backoffs {
 			if nextCallAt[i] != now {
 				continue
 			}
 			calls++
-			free = max(free, now)
-			if free-now >= waiting*time.Second/perSecond {
-				nextCallAt[i] = now + max(time.Millisecond, all[i].Next(true).Truncate(time.Millisecond))
+			freeAt = max(freeAt, now)
+			if freeAt-now >= queueSize*time.Second/perSecond {
+				nextCallAt[i] = now + max(time.Millisecond, backoffs[i].Next(true).Truncate(time.Millisecond))
 				continue
 			}
-			free += time.Second / perSecond
-			served = append(served, free)
+			freeAt += time.Second / perSecond
+			served = append(served, freeAt)
 			nextCallAt[i] = -1
 		}
 	}
 	if len(served) < callers {
-		t.Fatalf("%d of %d callers served in a minute, with %d calls", len(served), callers, calls)
+		t.Fatalf("only %d of %d callers were served within a minute, with %d calls", len(served), callers, calls)
 	}
 	slices.Sort(served)
-	t.Logf("half are served after %v, all after %v, with %d calls", served[callers/2], served[callers-1], calls)
-	if served[callers-1] > 8*time.Second || calls > 5*callers/2 { // without jitter, 14.8 s; with short waits, 343 calls
-		t.Errorf("the last of %d callers was served after %v, with %d calls", callers, served[callers-1], calls)
+	t.Logf("half of the callers were served after %v, all after %v, with %d calls", served[callers/2], served[callers-1], calls)
+	if served[callers-1] > 8*time.Second || calls > 5*callers/2 { // 14.8 s without jitter; 343 calls with short waits
+		t.Errorf("the last of %d callers was served after %v, with %d calls; expected at most 8 s and 200 calls", callers, served[callers-1], calls)
 	}
 }
 
@@ -55,15 +55,15 @@
 		return most
 	}
 	if d := b.Next(false); d > 100 {
-		t.Errorf("first wait %d", d)
+		t.Errorf("got a first wait of %d, expected at most 100", d)
 	}
 	if d := longestWait(false); d > 400 || d < 390 {
-		t.Errorf("longest wait %d", d)
+		t.Errorf("got a longest wait of %d, expected 390 to 400", d)
 	}
 	if d := longestWait(true); d > 1000 || d < 980 {
-		t.Errorf("longest wait for a busy service %d", d)
+		t.Errorf("got a longest wait of %d for an overloaded service, expected 980 to 1000", d)
 	}
 	if b.Reset(); b.Next(true) > 100 {
-		t.Error("failures are not forgotten")
+		t.Error("the wait after Reset is longer than the bound of the first wait")
 	}
 }
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -11,7 +11,7 @@
 	"dewhitch/internal/ledger"
 )
 
-// Ledger events by the module's reasons.
+// Ledger events of rejected and failed requests, by the reason that the module gives.
 var (
 	rejectionEvents = map[dw.Reason]ledger.Event{
 		dw.ReasonInvalid:   ledger.PlanRejectedInvalid,
@@ -26,8 +26,8 @@
 	}
 )
 
-// carryOut carries out one action of the module; now is when the module was asked.
-func (p *Planner) carryOut(now time.Time, action dw.Action) {
+// executeAction executes one action of the module. now is the time of the event to which the module responded.
+func (p *Planner) executeAction(now time.Time, action dw.Action) {
 	switch a := action.(type) {
 	case dw.StartAttempt:
 		p.startAttempt(now, a)
@@ -47,7 +47,7 @@
 		heap.Push(&p.timers, a)
 	case dw.CounterAdd:
 		p.addToCounter(now, a)
-	case dw.SubscribeEndpoints: // discovery is subscribed at all times
+	case dw.SubscribeEndpoints: // nothing to do: the discovery client is always subscribed
 	default:
 		p.log.Error("unsupported action of the decision module", zap.String("action", fmt.Sprintf("%T", a)))
 	}
@@ -61,7 +61,7 @@
 	p.answer(a.Request, failureEvents[a.Reason], Answer{Result: ResultFailed})
 }
 
-// recordTally posts units that the module has added to a customer's tally, or taken off.
+// recordTally posts the units that the module has added to a customer's tally, or removed from it, to the ledger.
 func (p *Planner) recordTally(a dw.TallyChanged) {
 	p.recorder.Post(ledger.Posting{Event: ledger.UnitsDrawn, Key: ledger.Account(uint64(a.Customer)),
 		Units: ledger.MicroUnits(a.Units)})
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -7,28 +7,29 @@
 	"dewhitch/internal/ledger"
 )
 
-// answerStartedMessage says that a backend has started a value that is streamed. It comes from a goroutine of Backends,
-// at most once for an attempt, and before its attemptEndedMessage. Its handler takes the stream, or closes it.
+// answerStartedMessage reports that a backend has begun to send a value that is streamed. A goroutine of Backends posts it,
+// at most once per attempt and before the attemptEndedMessage. Its handler passes the stream to the client or closes it.
 type answerStartedMessage struct {
 	attempt   Attempt
 	startedAt time.Time
 	value     Stream
 }
 
-// attemptEndedMessage says that an attempt has ended, exactly once for each. It comes from a goroutine of Backends, or, for
-// an attempt that was not sent, from one of startAttempt.
+// attemptEndedMessage reports that an attempt has ended. It is posted exactly once per attempt: by a goroutine of Backends
+// or, if the attempt was not sent, by a goroutine that startAttempt starts.
 type attemptEndedMessage struct {
 	attempt   Attempt
 	startedAt time.Time
 	result    AttemptResult
-	unsent    bool // Backends never had it
+	unsent    bool // true if the attempt was never passed to Backends
 }
 
 func (answerStartedMessage) queue() Queue { return QueueOutcome }
 func (attemptEndedMessage) queue() Queue  { return QueueOutcome }
 
-// startAttempt starts an attempt that the module has decided on. The module alone decides on retries: nothing here starts
-// another. An attempt that may not start ends as not sent, by a message, as the module expects the end of each attempt later.
+// startAttempt starts an attempt that the module has decided on. Only the module decides on retries; nothing here starts
+// another attempt. An attempt that may not start ends with dw.OutcomeNotSent. Its end is posted as a message because the
+// module expects the end of each attempt in a later event.
 func (p *Planner) startAttempt(now time.Time, a dw.StartAttempt) {
 	s := p.requests[a.Request]
 	if s == nil {
@@ -60,7 +61,7 @@
 	p.backends.Start(attempt, onStream, onEnd)
 }
 
-// newAttempt is the next attempt at a request. Its deadline is the client's, or the module's if that is earlier.
+// newAttempt returns the next attempt of a request. Its deadline is the earlier of the client's and the module's.
 func newAttempt(now time.Time, s *requestState, a dw.StartAttempt, backend Backend) Attempt {
 	attempt := Attempt{
 		RequestID: s.id,
@@ -78,16 +79,16 @@
 	return attempt
 }
 
-// mayStart tells whether an attempt that the module has decided on may still be sent: its answer is owed, its client waits,
-// its deadline is ahead, and it is within the attempts that the settings allowed when the request was submitted, which may
-// be fewer than the module allows. The attempt is already counted in s.attempts.
+// mayStart reports whether an attempt that the module has decided on may still be sent. It returns true if the request is
+// unanswered, its client is still connected, the deadline has not passed, and the number of attempts does not exceed the
+// maximum at the request's submission, which may be lower than the module's. s.attempts already includes the attempt.
 func (s *requestState) mayStart(attempt Attempt, now time.Time) bool {
 	withinMax := s.maxAttempts <= 0 || s.attempts <= s.maxAttempts
 	return !s.answered && !s.request.ClientLeft() && now.Before(attempt.Deadline) && withinMax
 }
 
-// handle passes a value that is still being streamed on to the client, whose reading ends the attempt from now on. The
-// module is notified first, so that it starts no further attempt.
+// handle passes a value that is still being streamed to the client. From then on, the attempt ends when the consumer closes
+// the stream. The module is notified first, so that it starts no further attempt.
 func (m answerStartedMessage) handle(p *Planner) {
 	s := p.requests[m.attempt.RequestID]
 	if s == nil || s.answered {
@@ -103,7 +104,7 @@
 	p.answer(s.id, ledger.PlanServed, Answer{Result: ResultServed, Stream: m.value})
 }
 
-// handle answers the client if the attempt succeeded, and notifies the module afterwards, which may decide on a retry.
+// handle answers the client if the attempt succeeded, and then notifies the module, which may decide on a retry.
 func (m attemptEndedMessage) handle(p *Planner) {
 	s := p.requests[m.attempt.RequestID]
 	if s == nil {
@@ -132,7 +133,7 @@
 	p.forgetIfEnded(s)
 }
 
-// latency is the time to the first byte of a streamed value; of any other end, the time until now.
+// latency returns the time from the start of the attempt to the first byte of a streamed value or, without one, until now.
 func (m attemptEndedMessage) latency() dw.Span {
 	if m.result.FirstByteAt.IsZero() {
 		return dw.Span(time.Since(m.startedAt))
--- a/internal/core/clock.go
+++ b/internal/core/clock.go
@@ -6,15 +6,15 @@
 	dw "dewhitch"
 )
 
-// Clock is the planner's time: Unix time, read once at the start and monotonic from there on. It is immutable and safe for
-// any goroutine.
+// Clock converts between times and the module's instants. It reads Unix time once, when it is created, and is monotonic from
+// then on. It is immutable and safe for concurrent use.
 //
-// It is Unix time because gateways name the counter's windows by their time: clocks of different origins would have every
-// gateway count alone. It is monotonic because a step of the system's clock would make the same start of a server look like
-// a new one.
+// Instants are Unix time because gateways derive the names of the shared counter's windows from them: with clocks of
+// different origins, each gateway would count on its own. They are monotonic because a step of the system clock would make
+// an unchanged start time of a server look like a new start.
 type Clock struct{ start time.Time }
 
-// NewClock starts a clock.
+// NewClock returns a clock that starts at the current time.
 func NewClock() Clock { return Clock{time.Now()} }
 
 // Instant converts a time to an instant of this clock.
@@ -27,5 +27,5 @@
 	return c.start.Add(time.Duration(int64(i) - c.start.UnixNano()))
 }
 
-// FromUnixMS converts Unix time in milliseconds to an instant; 0 and less become 0, which stands for long ago.
+// FromUnixMS converts Unix time in milliseconds to an instant. Values of 0 or less become 0, which means long ago.
 func FromUnixMS(ms int64) dw.Instant { return dw.Instant(max(0, ms) * 1e6) }
--- a/internal/core/counter_calls.go
+++ b/internal/core/counter_calls.go
@@ -7,13 +7,13 @@
 	"dewhitch/internal/ledger"
 )
 
-// counterAnsweredMessage is the end of one call to the counter. It comes from a goroutine of Counter, once for each call.
+// counterAnsweredMessage reports the end of one call to the counter. A goroutine of Counter posts it once per call.
 type counterAnsweredMessage struct {
 	dw.CounterAnswered
-	returned ledger.Posting // of units that were certainly not added; its event is ledger.None if there are none
+	returned ledger.Posting // posting of units that were certainly not added; its Event is ledger.None if there are none
 }
 
-// tallyMessage has a function read the module's tallies. It comes from any goroutine.
+// tallyMessage has a function read the module's tallies. Any goroutine may post it.
 type tallyMessage struct {
 	read func(tally func(customer uint64) (units float64, known bool))
 }
@@ -21,7 +21,7 @@
 func (counterAnsweredMessage) queue() Queue { return QueueOutcome }
 func (tallyMessage) queue() Queue           { return QueueControl }
 
-// addToCounter adds a customer's units to the shared counter. The ledger has the units as notified before the call.
+// addToCounter adds a customer's units to the shared counter. The ledger records them as pushed before the call.
 func (p *Planner) addToCounter(now time.Time, a dw.CounterAdd) {
 	call := CounterCall{
 		Name:      a.Name,
@@ -30,19 +30,19 @@
 		LedgerRef: p.recorder.Ref(),
 		LedgerKey: ledger.Account(uint64(a.Customer)),
 	}
-	notified := ledger.Posting{
+	pushed := ledger.Posting{
 		Event: ledger.UnitsPushed,
 		Key:   call.LedgerKey,
 		Ref:   call.LedgerRef,
 		Units: ledger.MicroUnits(a.Add),
 	}
-	p.recorder.Post(notified)
+	p.recorder.Post(pushed)
 	p.counter.Add(call, func(outcome dw.Outcome, total float64) {
 		latency := dw.Span(time.Since(now))
 		m := counterAnsweredMessage{CounterAnswered: dw.CounterAnswered{Name: a.Name, Outcome: outcome, Latency: latency,
 			Total: total}}
-		if outcome != dw.OutcomeOK && outcome != dw.OutcomeTimeout { // nothing was added: the module returns it to the tally
-			m.returned = notified
+		if outcome != dw.OutcomeOK && outcome != dw.OutcomeTimeout { // nothing was added: the module returns the units to the tally
+			m.returned = pushed
 			m.returned.Event = ledger.UnitsReturned
 		}
 		_ = p.post(m)
@@ -56,8 +56,8 @@
 	p.step(m.CounterAnswered)
 }
 
-// ReadTallies has read called on the planner's goroutine, where no tally changes meanwhile; read may not block. It returns
-// before read is called, or with ErrStopped. It is safe for any goroutine.
+// ReadTallies has read called on the planner's goroutine, so that no tally changes during the call; read must not block.
+// ReadTallies does not wait for read. It fails only with ErrStopped, and is safe for concurrent use.
 func (p *Planner) ReadTallies(read func(tally func(customer uint64) (units float64, known bool))) error {
 	return p.post(tallyMessage{read})
 }
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -8,28 +8,28 @@
 	dw "dewhitch"
 )
 
-// maxRememberedServers bounds the ids of servers that were ever listed, which Exclude accepts.
+// maxRememberedServers is the maximum number of ids kept of servers that were ever listed. Exclude accepts these ids.
 const maxRememberedServers = 1 << 14
 
-// EndpointUpdate is a list or a watch event of discovery, with the addresses of the servers in it. It is posted by the
-// discovery client's goroutine; updates are handled in the order in which they were posted, before any other message.
+// EndpointUpdate is an endpoint list or a watch event from discovery, with the addresses of its servers. The discovery
+// client's goroutine posts updates. They are handled in the order in which they were posted, before any other message.
 type EndpointUpdate struct {
 	List     dw.EndpointList
-	Addrs    []string  // in the order of List.Servers
-	Complete bool      // it stands for a list that names every server: what a delta leaves out is unchanged
-	ReadAt   time.Time // when its first byte was read; zero: it did not come from discovery
+	Addrs    []string  // addresses of List.Servers as host:port, in the same order
+	Complete bool      // true if a list of every server was read; servers missing from a delta are unchanged
+	ReadAt   time.Time // time when the first byte was read; zero if discovery did not send the update
 }
 
 func (u EndpointUpdate) queue() Queue { return QueueEndpoints }
 
-// UpdateEndpoints posts an update. What it forbids is in force in Serving when it returns. It is called by one goroutine at
-// a time, in the order of the updates.
+// UpdateEndpoints applies an update to the ReadySet and then posts it for the planner. It must be called by one goroutine at
+// a time, in the order of the updates. It fails only with ErrStopped.
 func (p *Planner) UpdateEndpoints(u EndpointUpdate) error {
 	p.readySet.apply(u)
 	return p.post(u)
 }
 
-// handle brings an update into force: addresses first, so that the module's actions find them, then the module.
+// handle applies an update. It updates the addresses before it notifies the module, whose actions need them.
 func (u EndpointUpdate) handle(p *Planner) {
 	p.updateAddresses(u)
 	p.step(p.applyList(u.List, u.Complete))
@@ -38,7 +38,8 @@
 	}
 }
 
-// updateAddresses records the servers' addresses, and has Backends forget those that have moved or are no longer listed.
+// updateAddresses records the servers' addresses, and has Backends forget each server that is no longer listed or has a new
+// address.
 func (p *Planner) updateAddresses(u EndpointUpdate) {
 	inUpdate := make(map[dw.ServerID]bool, len(u.List.Servers))
 	for i, s := range u.List.Servers {
@@ -63,8 +64,8 @@
 	}
 }
 
-// applyList records the entries of a list as discovery gave them, and returns the list that the module is notified of, with
-// the overlay. A failed list changes nothing and is returned as it is.
+// applyList records the entries of a list as discovery sent them, and returns the list for the module, with the overlay
+// applied. A failed list changes nothing and is returned unchanged.
 func (p *Planner) applyList(l dw.EndpointList, complete bool) dw.EndpointList {
 	if l.Kind == dw.ListFailed {
 		return l
@@ -81,7 +82,7 @@
 	if l.Kind != dw.ListDelta {
 		p.startTimes.retain(p.listed)
 	}
-	p.majorityWarmingUp = p.isMajorityWarmingUp() // the overlay depends on it
+	p.majorityWarmingUp = p.isMajorityWarmingUp() // used by overlay
 	overlaid := dw.EndpointList{Kind: l.Kind, Version: l.Version, Servers: make([]dw.Endpoint, len(l.Servers))}
 	for i, e := range l.Servers {
 		overlaid.Servers[i] = e
@@ -96,7 +97,7 @@
 	return overlaid
 }
 
-// recordEntry records one entry of a list.
+// recordEntry stores one entry of a list, or deletes the entry if the server is removed.
 func (p *Planner) recordEntry(e dw.Endpoint) {
 	if e.State == dw.Removed {
 		delete(p.listed, e.ID)
@@ -110,24 +111,25 @@
 	}
 }
 
-// resolveStartTimes returns the list with the servers' start times on the planner's clock.
+// resolveStartTimes returns a copy of the list with the servers' start times converted to the planner's clock.
 func (p *Planner) resolveStartTimes(l dw.EndpointList, complete bool) dw.EndpointList {
-	read := time.Now()
-	now := p.Instant(read)
-	wall := dw.Instant(read.UnixNano())
+	currentTime := time.Now()
+	now := p.Instant(currentTime)
+	wall := dw.Instant(currentTime.UnixNano())
 	l.Servers = slices.Clone(l.Servers)
 	for i := range l.Servers {
 		e := &l.Servers[i]
 		e.StartedAt = p.startTimes.resolve(e.ID, e.StartedAt, now, wall)
 	}
 	if complete {
-		p.startTimes.completeListAt = now
+		p.startTimes.lastCompleteListAt = now
 	}
 	return l
 }
 
-// applyOverlay returns a listed entry as the module is to be notified of it, and records it as notified. If the server may
-// get no new work, attempts that wait for a connection to it are withdrawn: they would be written whenever it connects.
+// applyOverlay returns a listed entry with the overlay, and records it as the entry that the module is notified of. If the
+// server may get no new work, applyOverlay retracts the attempts that wait for a connection to it, which would otherwise be
+// written as soon as the connection is established.
 func (p *Planner) applyOverlay(e dw.Endpoint) dw.Endpoint {
 	e = p.overlay(e)
 	p.notified.set(e)
@@ -137,11 +139,11 @@
 	return e
 }
 
-// overlay is a listed entry with the use of the server that operators and the fleet have decided on. A server that is
-// excluded, in maintenance, or in a zone that is avoided, is draining, with its own start time, so that slow start applies by
-// the module's rules when it returns. In a fleet a server that is warming up gets the rate of the fleet plan, and drains
-// without one, unless the majority is warming up: a new fleet or leader allots no rates for a while, which would be an
-// outage then; the module's own slow start applies instead.
+// overlay returns a listed entry as changed by the operators' exclusions and the fleet plan. A server that is excluded, in
+// maintenance or in an avoided zone becomes draining. It keeps its own start time, so that the module's slow start rules
+// apply when it returns. In a fleet, a server that is warming up gets its rate from the fleet plan and drains if the plan has
+// none. The exception is a majority of servers that are warming up: a new fleet or leader allots no rates for a while, and
+// draining all of these servers would be an outage, so the module's own slow start applies instead.
 func (p *Planner) overlay(e dw.Endpoint) dw.Endpoint {
 	use := p.fleetPlan.Zones[e.Zone]
 	if e.State == dw.Ready && p.isOutOfUse(e) {
@@ -159,18 +161,18 @@
 	return e
 }
 
-// isOutOfUse tells whether a server gets no new work by an operator's exclusion or by the fleet plan.
+// isOutOfUse reports whether an operator's exclusion or the fleet plan withholds new work from a server.
 func (p *Planner) isOutOfUse(e dw.Endpoint) bool {
 	return p.excluded[e.ID] || p.fleetPlan.InMaintenance[e.ID] || p.fleetPlan.Zones[e.Zone].Avoid
 }
 
-// isWarmingUp tells whether a server that started at an instant is in its slow start; 0 is long ago.
+// isWarmingUp reports whether a server that started at startedAt is still in its slow start; 0 means long ago.
 func (p *Planner) isWarmingUp(startedAt dw.Instant) bool {
 	return startedAt > 0 && p.Instant(time.Now())-startedAt < dw.Instant(p.slowStartSpan)
 }
 
-// isMajorityWarmingUp tells whether fewer than half of the servers in use are warm. It matters in a fleet only, and is false
-// without one.
+// isMajorityWarmingUp reports whether fewer than half of the servers in use have finished their slow start. It matters only
+// in a fleet and returns false without one.
 func (p *Planner) isMajorityWarmingUp() bool {
 	if !p.fleetPlan.Active {
 		return false
@@ -188,7 +190,7 @@
 	return 2*warm < inUse
 }
 
-// notifyChangedEndpoints notifies the module of the listed servers whose overlay has changed since it was last notified.
+// notifyChangedEndpoints notifies the module of the listed servers whose overlay has changed since the last notification.
 func (p *Planner) notifyChangedEndpoints() {
 	delta := dw.EndpointList{Kind: dw.ListDelta, Version: p.listVersion}
 	p.majorityWarmingUp = p.isMajorityWarmingUp()
@@ -202,10 +204,10 @@
 	}
 }
 
-// notifiedEndpoints are the listed servers as the module was last notified of them.
+// notifiedEndpoints holds the entries of listed servers of which the module was last notified.
 type notifiedEndpoints struct {
 	entries  map[dw.ServerID]dw.Endpoint
-	disabled int // entries that are not ready
+	disabled int // number of entries that are not ready
 }
 
 func (n *notifiedEndpoints) set(e dw.Endpoint) {
--- a/internal/core/inbox.go
+++ b/internal/core/inbox.go
@@ -6,105 +6,105 @@
 	"time"
 )
 
-// Capacities of the inbox's queues, in messages. Whoever posts to a full queue waits; a client's session reads nothing
-// meanwhile.
+// Capacities of the inbox's queues, in messages. A goroutine that posts to a full queue waits; while a client's session
+// waits, it reads no further requests.
 const (
 	endpointsQueueSize = 16
 	controlQueueSize   = 8
 	outcomeQueueSize   = 512
-	arrivalQueueSize   = 256 // 16 MiB at most, with bodies of 64 KiB
+	arrivalQueueSize   = 256 // at most 16 MiB with bodies of 64 KiB
 )
 
-// arrivalPatience is how long a request waits for capacity in its queue before it is rejected: an overloaded gateway
-// rejects early, at little cost.
-const arrivalPatience = 100 * time.Millisecond
+// arrivalTimeout is how long a request waits for space in its queue before it is rejected, so that an overloaded gateway
+// rejects requests early and at little cost.
+const arrivalTimeout = 100 * time.Millisecond
 
-// ErrStopped says that Run has returned: the planner handles no message any more.
+// ErrStopped reports that Run has returned and the planner handles no more messages.
 var ErrStopped = errors.New("core: the planner has stopped")
 
-// ErrBusy says that a request was not submitted, as its queue stayed full for arrivalPatience.
+// ErrBusy reports that a request was not submitted because its queue stayed full for arrivalTimeout.
 var ErrBusy = errors.New("core: the planner is busy")
 
-// inboxMessage is an event for the planner. It is posted by any goroutine, unless its type says otherwise, and handled on
-// the planner's; messages of one queue are handled in the order in which they were posted.
+// inboxMessage is an event for the planner. Any goroutine may post it, unless its type says otherwise; the planner's
+// goroutine handles it. Messages of one queue are handled in the order in which they were posted.
 type inboxMessage interface {
 	handle(*Planner)
 	queue() Queue
 }
 
-// posted is a message that waits for the planner.
-type posted struct {
+// queuedMessage is a message that waits for the planner.
+type queuedMessage struct {
 	inboxMessage
 	postedAt time.Time
 }
 
-// inbox holds the messages that wait for the planner, in queues of strict priority, highest first: endpoint updates and
-// control go before clients' work; ends of attempts go before new requests, as they answer a client and release what the
-// attempt held.
+// inbox holds the messages that wait for the planner, in queues of strict priority, highest first. Endpoint updates and
+// control messages go before client work. Ends of attempts go before new requests because they answer a client and release
+// the resources of the attempt.
 type inbox struct {
-	queues [QueueCount]chan posted
-	stop   chan struct{} // closed when Run returns: nobody may wait for the planner then
+	queues  [QueueCount]chan queuedMessage
+	stopped chan struct{} // closed when Run returns, so that no goroutine waits for the planner any longer
 }
 
 func newInbox() inbox {
 	return inbox{
-		queues: [QueueCount]chan posted{
-			QueueEndpoints: make(chan posted, endpointsQueueSize),
-			QueueControl:   make(chan posted, controlQueueSize),
-			QueueOutcome:   make(chan posted, outcomeQueueSize),
-			QueueArrival:   make(chan posted, arrivalQueueSize),
+		queues: [QueueCount]chan queuedMessage{
+			QueueEndpoints: make(chan queuedMessage, endpointsQueueSize),
+			QueueControl:   make(chan queuedMessage, controlQueueSize),
+			QueueOutcome:   make(chan queuedMessage, outcomeQueueSize),
+			QueueArrival:   make(chan queuedMessage, arrivalQueueSize),
 		},
-		stop: make(chan struct{}),
+		stopped: make(chan struct{}),
 	}
 }
 
-// post hands over a message, and waits while its queue is full. It fails with ErrStopped only. It is never called on the
-// planner's goroutine, which would wait for itself.
+// post adds a message to its queue, and waits while the queue is full. It fails only with ErrStopped. It must not be called
+// on the planner's goroutine, which would wait for itself.
 func (b *inbox) post(m inboxMessage) error {
 	select {
-	case b.queues[m.queue()] <- posted{m, time.Now()}:
+	case b.queues[m.queue()] <- queuedMessage{m, time.Now()}:
 		return nil
-	case <-b.stop:
+	case <-b.stopped:
 		return ErrStopped
 	}
 }
 
-// postWithin is post that fails with ErrBusy if the queue stays full for so long.
-func (b *inbox) postWithin(m inboxMessage, patience time.Duration) error {
-	p := posted{m, time.Now()}
+// postWithin is like post, but fails with ErrBusy if the queue stays full for the given time.
+func (b *inbox) postWithin(m inboxMessage, timeout time.Duration) error {
+	p := queuedMessage{m, time.Now()}
 	select {
 	case b.queues[m.queue()] <- p:
 		return nil
 	default:
 	}
-	expired := time.NewTimer(patience)
+	expired := time.NewTimer(timeout)
 	defer expired.Stop()
 	select {
 	case b.queues[m.queue()] <- p:
 		return nil
 	case <-expired.C:
 		return ErrBusy
-	case <-b.stop:
+	case <-b.stopped:
 		return ErrStopped
 	}
 }
 
-// call posts a message and waits until its handler sends on done, which must have a buffer of one. It fails with the
-// handler's error, or with ErrStopped.
-func (b *inbox) call(m inboxMessage, done <-chan error) error {
+// postAndWait posts a message and waits until its handler sends on done, which must have a buffer of one. It returns the handler's
+// error, or ErrStopped.
+func (b *inbox) postAndWait(m inboxMessage, done <-chan error) error {
 	if err := b.post(m); err != nil {
 		return err
 	}
 	select {
 	case err := <-done:
 		return err
-	case <-b.stop:
+	case <-b.stopped:
 		return ErrStopped
 	}
 }
 
-// poll takes the first message of the highest queue that has one.
-func (b *inbox) poll() (posted, bool) {
+// poll takes the first message of the highest-priority queue that is not empty. It returns false if all queues are empty.
+func (b *inbox) poll() (queuedMessage, bool) {
 	for _, q := range b.queues {
 		select {
 		case m := <-q:
@@ -112,12 +112,12 @@
 		default:
 		}
 	}
-	return posted{}, false
+	return queuedMessage{}, false
 }
 
-// next takes the message that is to be handled next. If there is none it waits for one, until wake or the end of the
-// context, which give false.
-func (b *inbox) next(ctx context.Context, wake <-chan time.Time) (m posted, ok bool) {
+// next takes the message to be handled next. If there is none, it waits for one until wake fires or the context ends, and
+// then returns false.
+func (b *inbox) next(ctx context.Context, wake <-chan time.Time) (m queuedMessage, ok bool) {
 	if m, ok = b.poll(); ok {
 		return m, true
 	}
@@ -133,5 +133,5 @@
 	case m = <-b.queues[QueueArrival]:
 		return m, true
 	}
-	return posted{}, false
+	return queuedMessage{}, false
 }
--- a/internal/core/inbox_test.go
+++ b/internal/core/inbox_test.go
@@ -13,14 +13,14 @@
 	"dewhitch/internal/ledger"
 )
 
-// fakeEnvironment stands in for the backends, the counter, the ledger and the monitor of a planner, and records what it is notified of.
+// fakeEnvironment implements Backends, Counter, Recorder and Monitor for a planner. It records started attempts and monitor reports.
 type fakeEnvironment struct {
 	mu     sync.Mutex
 	starts []Backend
 	events []string
 }
 
-func (w *fakeEnvironment) note(format string, a ...any) {
+func (w *fakeEnvironment) record(format string, a ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.events = append(w.events, fmt.Sprintf(format, a...))
@@ -38,12 +38,12 @@
 func (w *fakeEnvironment) Add(CounterCall, func(dw.Outcome, float64)) {}
 func (w *fakeEnvironment) Ref() uint64                                { return 0 }
 func (w *fakeEnvironment) Post(ledger.Posting)                        {}
-func (w *fakeEnvironment) Waited(q Queue, _ time.Duration)            { w.note("%v", q) }
-func (w *fakeEnvironment) ListApplied(v int64, _ time.Duration)       { w.note("list %d", v) }
+func (w *fakeEnvironment) Waited(q Queue, _ time.Duration)            { w.record("%v", q) }
+func (w *fakeEnvironment) ListApplied(v int64, _ time.Duration)       { w.record("list %d", v) }
 func (w *fakeEnvironment) Answered(ledger.Event)                      {}
 func (w *fakeEnvironment) Retried(dw.Outcome)                         {}
 
-// busyPlanner is a planner whose goroutine is blocked in the answer to a first request until release.
+// busyPlanner is a planner whose goroutine is blocked in the answer to a first request until release is called.
 type busyPlanner struct {
 	*Planner
 	*fakeEnvironment
@@ -64,7 +64,7 @@
 		t.Fatal(err)
 	}
 	p.SetMonitor(w)
-	listing(1, servers, func(int) dw.EndpointState { return dw.Ready }).handle(p)
+	fullList(1, servers, func(int) dw.EndpointState { return dw.Ready }).handle(p)
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	running.Go(func() { p.Run(ctx) })
@@ -88,8 +88,8 @@
 	return b
 }
 
-// listing is a full list of servers in the given states.
-func listing(version int64, servers int, state func(int) dw.EndpointState) EndpointUpdate {
+// fullList returns a full list of servers in the given states.
+func fullList(version int64, servers int, state func(int) dw.EndpointState) EndpointUpdate {
 	l := EndpointUpdate{List: dw.EndpointList{Kind: dw.ListFull, Version: version}, ReadAt: time.Now()}
 	for i := range servers {
 		l.List.Servers = append(l.List.Servers, dw.Endpoint{ID: dw.ServerID(i + 1), Rating: 1, State: state(i)})
@@ -98,21 +98,21 @@
 	return l
 }
 
-// request is one that any server may serve.
-func request(name string, answer func(Answer)) *Request {
+// newRequest returns a request that any server may serve.
+func newRequest(name string, answer func(Answer)) *Request {
 	return &Request{Kind: KindForward, ReceivedAt: time.Now(), Timeout: time.Minute, Units: 1, Spread: 1, Message: Message{Name: name}, Answer: answer}
 }
 
-// The planner is blocked while clients submit more requests than its inbox takes, and servers start to drain: it handles the
-// endpoint update before any of the requests, and no attempt goes to a draining server.
+// Guards against attempts at draining servers while the planner is behind. The planner is blocked, clients submit more requests
+// than its inbox holds, and all servers but one start to drain. It must handle the endpoint update before any of the requests.
 func TestEndpointUpdatesPrecedeArrivals(t *testing.T) {
-	const servers, submitted = 40, arrivalQueueSize + 50
+	const servers, requests = 40, arrivalQueueSize + 50
 	p := newBusyPlanner(t, servers)
 	var clients sync.WaitGroup
-	for i := range submitted {
-		clients.Go(func() { p.Submit(request(fmt.Sprint("r", i), func(Answer) {})) })
+	for i := range requests {
+		clients.Go(func() { p.Submit(newRequest(fmt.Sprint("r", i), func(Answer) {})) })
 	}
-	for p.waiting() < arrivalQueueSize { // the rest waits for capacity
+	for p.queuedArrivals() < arrivalQueueSize { // the other requests wait for space in the queue
 		time.Sleep(time.Millisecond)
 	}
 	draining := func(i int) dw.EndpointState {
@@ -121,22 +121,22 @@
 		}
 		return dw.Ready
 	}
-	if err := p.UpdateEndpoints(listing(2, servers, draining)); err != nil {
+	if err := p.UpdateEndpoints(fullList(2, servers, draining)); err != nil {
 		t.Fatal(err)
 	}
 	p.release()
 	clients.Wait()
-	for p.waiting() > 0 {
+	for p.queuedArrivals() > 0 {
 		time.Sleep(time.Millisecond)
 	}
 	p.fakeEnvironment.mu.Lock()
 	defer p.fakeEnvironment.mu.Unlock()
 	for _, b := range p.fakeEnvironment.starts {
 		if b.ID != servers {
-			t.Fatalf("%d attempts, one of them at server %d, which is draining; order of events: %.300q", len(p.fakeEnvironment.starts), b.ID, p.events)
+			t.Fatalf("one of %d attempts went to server %d, which is draining; order of events: %.300q", len(p.fakeEnvironment.starts), b.ID, p.events)
 		}
 	}
 }
 
-// waiting is how many requests wait for the planner.
-func (b *busyPlanner) waiting() int { return len(b.queues[QueueArrival]) }
+// queuedArrivals returns the number of requests in the arrival queue.
+func (b *busyPlanner) queuedArrivals() int { return len(b.queues[QueueArrival]) }
--- a/internal/core/monitor.go
+++ b/internal/core/monitor.go
@@ -7,34 +7,34 @@
 	"dewhitch/internal/ledger"
 )
 
-// Queue is a queue of the planner's inbox.
+// Queue identifies a queue of the planner's inbox.
 type Queue int
 
-// The queues, in the order of their priority, highest first.
+// The queues of the planner's inbox, in order of priority, highest first.
 const (
 	QueueEndpoints Queue = iota // endpoint updates
-	QueueControl                // operators' calls, fleet plans, the end of the process
-	QueueOutcome                // ends of attempts and of calls to the counter; cancelled and expedited requests
+	QueueControl                // operators' calls, fleet plans and other calls, shutdown
+	QueueOutcome                // ends of attempts and counter calls; cancelled and expedited requests
 	QueueArrival                // new requests
-	QueueCount                  // the number of queues
+	QueueCount                  // number of queues
 )
 
-// String is the queue's name in metrics and logs.
+// String returns the queue's name in metrics and logs.
 func (q Queue) String() string { return [...]string{"news", "control", "outcome", "arrival"}[q] }
 
-// Monitor observes the planner. Its methods are called on the planner's goroutine and may not block.
+// Monitor observes the planner. Its methods are called on the planner's goroutine and must not block.
 type Monitor interface {
-	// Waited reports how long a message waited in its queue.
+	// Waited reports the time that a message waited in its queue.
 	Waited(q Queue, wait time.Duration)
-	// ListApplied reports that an endpoint update is in force, and how long ago its first byte was read.
+	// ListApplied reports that an endpoint update was applied, and the time since its first byte was read.
 	ListApplied(version int64, age time.Duration)
-	// Answered reports how a request ended, as the ledger has it.
+	// Answered reports the ledger event with which a request ended.
 	Answered(event ledger.Event)
-	// Retried reports that a further attempt at a request starts; after is the outcome of the attempt that ended last.
+	// Retried reports that another attempt of a request starts. after is the outcome of the request's attempt that ended last.
 	Retried(after dw.Outcome)
 }
 
-// SetMonitor has the planner report to m; before Run.
+// SetMonitor sets the monitor. It must be called before Run.
 func (p *Planner) SetMonitor(m Monitor) { p.monitor = m }
 
 // noMonitor discards all reports.
@@ -45,17 +45,18 @@
 func (noMonitor) Answered(ledger.Event)            {}
 func (noMonitor) Retried(dw.Outcome)               {}
 
-// Watcher follows requests, attempts and the endpoint list. Its methods are called on the planner's goroutine and may not
+// Watcher observes requests, attempts and the endpoint list. Its methods are called on the planner's goroutine and must not
 // block.
 type Watcher interface {
+	// RequestReceived reports that the planner has accepted a request.
 	RequestReceived()
-	// AttemptStarted reports an attempt that was handed to Backends.
+	// AttemptStarted reports an attempt just before it is passed to Backends.
 	AttemptStarted(id AttemptID, server dw.ServerID, zone int)
-	// AttemptEnded reports the end of an attempt that was started, exactly once, unless the planner stops before.
+	// AttemptEnded reports the end of a started attempt. It is called exactly once per attempt unless the planner stops first.
 	AttemptEnded(id AttemptID, result AttemptResult)
-	// EndpointsChanged reports all listed servers after each update of the list; the slice is the watcher's.
+	// EndpointsChanged reports all listed servers after each update of the list. The watcher owns the slice.
 	EndpointsChanged(servers []dw.Endpoint)
 }
 
-// SetWatcher has the planner report to w; before Run.
+// SetWatcher sets the watcher. It must be called before Run.
 func (p *Planner) SetWatcher(w Watcher) { p.watcher = w }
--- a/internal/core/planner.go
+++ b/internal/core/planner.go
@@ -1,9 +1,10 @@
 // Package core runs the decision module of a gateway. The module (package dewhitch) is a pure state machine: the Planner
-// feeds it events, carries out the actions that it returns, and owns its timers. The package knows no wire protocol: the
-// fronts submit a Request, and what the planner needs of the world it reaches through Backends, Counter and Recorder.
+// passes it events, executes the actions that it returns, and runs its timers. The package knows no wire protocol: the
+// packages under internal/front submit a Request, and the planner reaches the backends, the shared counter and the ledger
+// through the interfaces Backends, Counter and Recorder.
 //
-// A request runs through submit.go (submission, cancellation, its one answer), actions.go (the module's actions) and
-// attempts.go (attempts at backends). endpoints.go holds the endpoint list, with the overlay of exclusions, maintenance
+// A request passes through submit.go (submission, cancellation, its single answer), actions.go (the module's actions) and
+// attempts.go (attempts at backends). endpoints.go maintains the endpoint list, with the overlay of exclusions, maintenance
 // and slow start.
 package core
 
@@ -19,50 +20,50 @@
 )
 
 // Planner owns one Gateway of the decision module, its timers and its clock. All of its state belongs to the goroutine of
-// Run, except what is marked as atomic; other goroutines reach it by messages through its inbox. The setters (SetTargetsReporter,
-// SetMonitor, SetWatcher, OnExcluded) and ImportState are called before Run only.
+// Run, except the atomic fields and readySet, which has a lock of its own; other goroutines send messages through the inbox.
+// The setters (SetTargetsReporter, SetMonitor, SetWatcher, OnExcluded) and ImportState must be called before Run.
 type Planner struct {
 	Clock
 	inbox
 
-	module   *dw.Gateway
-	backends Backends
-	counter  Counter
-	recorder Recorder
-	monitor  Monitor         // never nil
-	figures  TargetsReporter // nil: none
-	watcher  Watcher         // nil: none
-	log      *zap.Logger
+	module          *dw.Gateway
+	backends        Backends
+	counter         Counter
+	recorder        Recorder
+	monitor         Monitor         // never nil
+	targetsReporter TargetsReporter // nil if not set
+	watcher         Watcher         // nil if not set
+	log             *zap.Logger
 
 	timers  timers
-	actions []dw.Action // the buffer of the module's actions, reused; nil while they are carried out
+	actions []dw.Action // buffer for the module's actions, reused by each step; nil while a step executes them
 
-	// Requests.
+	// State of requests.
 	requests      map[dw.RequestID]*requestState
-	openNames     map[string]bool // the client's names of the requests of KindForward among requests
+	openNames     map[string]bool // client-given names of the requests of KindForward that are in requests
 	lastRequestID uint64
-	maxAttempts   atomic.Int64 // attempts of a request submitted from now on; 0: as the module's settings say
+	maxAttempts   atomic.Int64 // maximum number of attempts of a newly submitted request; 0 if only the module limits it
 
-	// Endpoints.
+	// State of endpoints.
 	readySet          ReadySet
-	backendByID       map[dw.ServerID]Backend     // the listed servers with their addresses
-	listed            map[dw.ServerID]dw.Endpoint // as discovery lists them, with resolved start times
-	notified          notifiedEndpoints           // the listed, as the module was last notified of them
+	backendByID       map[dw.ServerID]Backend     // ids and addresses of the listed servers
+	listed            map[dw.ServerID]dw.Endpoint // entries as discovery lists them, with resolved start times
+	notified          notifiedEndpoints           // entries of which the module was last notified
 	listVersion       int64
 	startTimes        startTimes
-	slowStartSpan     dw.Span // a server is warming up for so long after its start
-	majorityWarmingUp bool    // by the last evaluation of isMajorityWarmingUp
+	slowStartSpan     dw.Span // time for which a server is warming up after its start
+	majorityWarmingUp bool    // last result of isMajorityWarmingUp
 	fleetPlan         FleetPlan
 
 	// Exclusions by operators.
-	everListed        map[dw.ServerID]bool // up to maxRememberedServers
+	everListed        map[dw.ServerID]bool // servers that were ever listed, up to maxRememberedServers
 	excluded          map[dw.ServerID]bool
-	onExcluded        func([]dw.ServerID) // nil: none
-	nextTargetsReport dw.Instant
+	onExcluded        func([]dw.ServerID) // called after each change of excluded; nil if not set
+	nextTargetsReport dw.Instant          // time of the next periodic report to targetsReporter
 }
 
-// NewPlanner makes a planner with an empty endpoint list. The seed is that of the module's random numbers. It fails if the
-// module refuses the settings.
+// NewPlanner returns a planner with an empty endpoint list. The seed initializes the module's random numbers. NewPlanner fails
+// if the module rejects the settings.
 func NewPlanner(s dw.Settings, seed uint64, c Clock, b Backends, n Counter, r Recorder, log *zap.Logger) (*Planner, error) {
 	gateway, err := dw.New(s, seed)
 	if err != nil {
@@ -89,14 +90,14 @@
 	}, nil
 }
 
-// SetMaxAttempts bounds the attempts of requests submitted from now on, below what the module's settings allow; 0 is no
-// further bound. It is safe for any goroutine.
+// SetMaxAttempts limits the attempts of each request submitted from now on, in addition to the limit in the module's settings;
+// 0 sets no additional limit. It is safe for concurrent use.
 func (p *Planner) SetMaxAttempts(attempts int) { p.maxAttempts.Store(int64(attempts)) }
 
-// Run handles timers and messages until the context ends; it is called once. Afterwards nothing is handled: a
-// post returns ErrStopped, or its message is lost.
+// Run handles timers and messages until the context ends, and returns nil. It must be called once only. Messages that are
+// posted after it has returned fail with ErrStopped or are lost.
 func (p *Planner) Run(ctx context.Context) error {
-	defer close(p.stop)
+	defer close(p.stopped)
 	wake := time.NewTimer(time.Hour)
 	defer wake.Stop()
 	for ctx.Err() == nil {
@@ -114,14 +115,14 @@
 	return nil
 }
 
-// step feeds the module one event and carries out the actions that it returns, in their order. An action may cause a
-// further step before step returns.
+// step passes one event to the module and executes the returned actions in order. An action may cause a nested step before
+// step returns.
 func (p *Planner) step(e dw.Event) {
 	now := time.Now()
 	actions := p.module.Handle(p.Instant(now), e, p.actions[:0])
-	p.actions = nil // a nested step needs a buffer of its own
+	p.actions = nil // a nested step needs its own buffer
 	for _, a := range actions {
-		p.carryOut(now, a)
+		p.executeAction(now, a)
 	}
 	clear(actions)
 	p.actions = actions
--- a/internal/core/ready_set.go
+++ b/internal/core/ready_set.go
@@ -6,19 +6,19 @@
 	dw "dewhitch"
 )
 
-// ReadySet is the set of backends that new work may go to by the newest endpoint update. UpdateEndpoints changes it at once,
-// before the planner handles the update in its turn, and whoever starts an attempt checks it last: no attempt starts at a
-// server that is known to drain, however long the planner's inbox is. The set is never older than the planner's list. It is
-// safe for any goroutine.
+// ReadySet is the set of backends that may get new work according to the newest endpoint update. UpdateEndpoints changes it
+// before the planner handles the update, and the pools check it just before they write an attempt. So no attempt starts at a
+// server that is known to drain, regardless of the length of the planner's inbox. The set is never older than the planner's
+// list. It is safe for concurrent use.
 type ReadySet struct {
 	mu    sync.RWMutex
-	addrs map[dw.ServerID]string // of the servers that are ready
+	addrs map[dw.ServerID]string // addresses of the servers that are ready
 }
 
-// ReadySet is the set of backends that new work may go to.
+// ReadySet returns the set of backends that may get new work.
 func (p *Planner) ReadySet() *ReadySet { return &p.readySet }
 
-// apply brings an update into the set. A failed list changes nothing.
+// apply applies an endpoint update to the set. A failed list changes nothing.
 func (s *ReadySet) apply(u EndpointUpdate) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -37,7 +37,7 @@
 	}
 }
 
-// Allows reports whether new work may go to a backend now: it is ready, at this address.
+// Allows reports whether a backend may get new work now: its server is ready and has this address.
 func (s *ReadySet) Allows(b Backend) bool {
 	s.mu.RLock()
 	defer s.mu.RUnlock()
--- a/internal/core/shutdown.go
+++ b/internal/core/shutdown.go
@@ -6,7 +6,7 @@
 	dw "dewhitch"
 )
 
-// shutdownMessage says that the process ends. It comes from the goroutine of the shutdown sequence, which waits on done.
+// shutdownMessage reports that the process is shutting down. The goroutine of the shutdown sequence posts it and waits on done.
 type shutdownMessage struct {
 	deadline time.Time
 	done     chan error
@@ -14,11 +14,11 @@
 
 func (shutdownMessage) queue() Queue { return QueueControl }
 
-// Shutdown has every request answered by the deadline: those that are open, and those that are still submitted. It returns
-// once the module is notified, or with ErrStopped. Run goes on until its context ends. It is safe for any goroutine.
+// Shutdown has every open request, and every request submitted later, answered by the deadline. It returns when the module has
+// been notified, or fails with ErrStopped. Run continues until its context ends. Shutdown is safe for concurrent use.
 func (p *Planner) Shutdown(deadline time.Time) error {
 	m := shutdownMessage{deadline, make(chan error, 1)}
-	return p.call(m, m.done)
+	return p.postAndWait(m, m.done)
 }
 
 func (m shutdownMessage) handle(p *Planner) {
--- a/internal/core/start_times.go
+++ b/internal/core/start_times.go
@@ -7,48 +7,48 @@
 	dw "dewhitch"
 )
 
-// clockStep is the difference between the wall clock and the planner's clock from which on the wall clock counts as
-// stepped. A smaller difference is ignored, and puts a server's slow start wrong by at most that.
-const clockStep = time.Second
+// maxClockSkew is the difference between the wall clock and the planner's clock above which the wall clock counts as stepped.
+// Differences up to maxClockSkew are ignored; they shift a server's slow start by at most that much.
+const maxClockSkew = time.Second
 
-// startTimes converts the start times of servers, which discovery gives by the wall clock, to instants of the planner's
-// clock, which is monotonic. Without a step of the wall clock the two are the same. After a step back by an hour, a server
-// that has just started would otherwise count as started an hour ago, and skip its slow start.
+// startTimes converts the servers' start times, which discovery reports by the wall clock, to instants of the planner's
+// clock, which is monotonic. Without a step of the wall clock the two are equal. Without the conversion, a server that starts
+// just after the wall clock was set back by an hour would seem to have started an hour ago, and would skip its slow start.
 //
-// A start time is converted once, when it is first listed: a step does not move servers that are known. A start before a
-// step forward, of an unknown server that is first listed after the step, stays wrong by the step.
+// A start time is converted once, when it is first listed, so a step does not change the start times of known servers. One
+// error remains: if a server starts before a forward step and is first listed after it, its start time is wrong by the step.
 //
-// It belongs to the planner's goroutine.
+// startTimes belongs to the planner's goroutine.
 type startTimes struct {
-	servers        map[dw.ServerID]startTime
-	completeListAt dw.Instant // when the last list that names every server was read
+	servers            map[dw.ServerID]startTime
+	lastCompleteListAt dw.Instant // time when the last list of every server was read
 }
 
-// startTime is the start of one server.
+// startTime is the start time of one server.
 type startTime struct {
-	listed     dw.Instant // Unix time, as discovery lists it
-	resolved   dw.Instant // on the planner's clock
-	lastListed dw.Instant // when the server was last listed
+	listed     dw.Instant // start in Unix time, as discovery lists it
+	resolved   dw.Instant // start on the planner's clock
+	lastListed dw.Instant // time when the server was last listed
 }
 
 func newStartTimes() startTimes { return startTimes{servers: map[dw.ServerID]startTime{}} }
 
-// resolve returns a listed start time on the planner's clock; 0 is long ago, and stays 0. now and wall are the same moment by
-// the planner's clock and by the wall clock.
+// resolve returns a listed start time on the planner's clock; 0 means long ago and stays 0. now and wall are the current time
+// on the planner's clock and on the wall clock.
 func (s *startTimes) resolve(id dw.ServerID, listed, now, wall dw.Instant) dw.Instant {
 	previous, known := s.servers[id]
-	previous.lastListed = max(previous.lastListed, s.completeListAt)
+	previous.lastListed = max(previous.lastListed, s.lastCompleteListAt)
 	if known && previous.listed == listed {
 		previous.lastListed = now
 		s.servers[id] = previous
 		return previous.resolved
 	}
 	resolved := listed
-	ahead := wall - now
-	stepped := ahead > dw.Instant(clockStep) || ahead < -dw.Instant(clockStep)
+	wallAhead := wall - now
+	stepped := wallAhead > dw.Instant(maxClockSkew) || wallAhead < -dw.Instant(maxClockSkew)
 	if listed != 0 && stepped {
-		resolved = min(listed-ahead, now)
-		if known && resolved < previous.lastListed { // its start time changed after that, so it started after that
+		resolved = min(listed-wallAhead, now)
+		if known && resolved < previous.lastListed { // the listed time has changed since then, so the server started after it
 			resolved = now
 		}
 		resolved = max(resolved, 1)
@@ -57,10 +57,10 @@
 	return resolved
 }
 
-// remove forgets a server.
+// remove deletes the start time of a server.
 func (s *startTimes) remove(id dw.ServerID) { delete(s.servers, id) }
 
-// retain forgets the servers that are not listed.
+// retain deletes the start times of servers that are not listed.
 func (s *startTimes) retain(listed map[dw.ServerID]dw.Endpoint) {
 	maps.DeleteFunc(s.servers, func(id dw.ServerID, _ startTime) bool {
 		_, isListed := listed[id]
--- a/internal/core/state_export.go
+++ b/internal/core/state_export.go
@@ -6,8 +6,8 @@
 	dw "dewhitch"
 )
 
-// exportMessage has the module's state copied out. It comes from any goroutine, which waits on done and does not touch into
-// meanwhile.
+// exportMessage has the module's state copied to a State. Any goroutine may post it; the goroutine waits on done and does not
+// use the State before that.
 type exportMessage struct {
 	into         *dw.State
 	maxCustomers int
@@ -16,11 +16,11 @@
 
 func (exportMessage) queue() Queue { return QueueControl }
 
-// ExportState copies the module's state, with maxCustomers at most, into a State, as it stands between two events. If it
-// fails, with ErrStopped, the contents of into are undefined. It is safe for any goroutine.
+// ExportState copies the module's state, with at most maxCustomers customers, to a State. The copy is made between two events.
+// ExportState fails only with ErrStopped; the contents of into are then undefined. It is safe for concurrent use.
 func (p *Planner) ExportState(into *dw.State, maxCustomers int) error {
 	m := exportMessage{into, maxCustomers, make(chan error, 1)}
-	return p.call(m, m.done)
+	return p.postAndWait(m, m.done)
 }
 
 func (m exportMessage) handle(p *Planner) {
@@ -28,8 +28,8 @@
 	m.done <- nil
 }
 
-// ImportState starts the module from the state of an earlier process; before Run. It returns how many servers and customers
-// were imported.
+// ImportState initializes the module with the state of an earlier process. It must be called before Run. It returns the numbers
+// of imported servers and customers.
 func (p *Planner) ImportState(state *dw.State) (servers, customers int) {
 	return p.module.Import(p.Instant(time.Now()), state)
 }
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -16,79 +16,79 @@
 type requestState struct {
 	id          dw.RequestID
 	request     *Request
-	attempts    int        // started so far, including those that were not sent
-	maxAttempts int        // by the settings at the submission; 0: as the module decides
-	inFlight    int        // attempts that have not ended
-	lastOutcome dw.Outcome // of the attempt that ended last
-	answered    bool       // no answer is owed any more: it was given, or the client has left
+	attempts    int        // number of attempts started, including those that were not sent
+	maxAttempts int        // maximum number of attempts, fixed at submission; 0 if only the module limits it
+	inFlight    int        // number of attempts that have not ended
+	lastOutcome dw.Outcome // outcome of the attempt that ended last
+	answered    bool       // true if no answer may be given any more: one was given, or the client has disconnected
 }
 
-// PendingRequest identifies a submitted request, for Cancel and Expedite. It is safe for any goroutine.
+// PendingRequest identifies a submitted request for Cancel and Expedite. It is safe for concurrent use.
 type PendingRequest struct {
-	id        dw.RequestID // set and read on the planner's goroutine; empty until it handles the submission
+	id        dw.RequestID // used on the planner's goroutine only; empty until the planner handles the submission
 	request   *Request
-	expedited atomic.Bool
+	expedited atomic.Bool // true if Expedite was called
 }
 
-// submitMessage submits a request. It comes from the goroutine of a client's session.
+// submitMessage submits a request. The goroutine of a client's session posts it.
 type submitMessage struct {
 	request *Request
 	pending *PendingRequest
 }
 
-// cancelMessage says that a client has left. It comes from the goroutine of the client's session, and may overtake the
-// request's submitMessage, as its queue goes first.
+// cancelMessage reports that a request's client has disconnected. The goroutine of the client's session posts it. It may
+// overtake the request's submitMessage, because its queue has a higher priority.
 type cancelMessage struct{ pending *PendingRequest }
 
-// expediteMessage says that a request must be answered at once. As cancelMessage, it may overtake the submitMessage.
+// expediteMessage has a request answered at once. Like cancelMessage, it may overtake the request's submitMessage.
 type expediteMessage struct{ pending *PendingRequest }
 
 func (submitMessage) queue() Queue   { return QueueArrival }
 func (cancelMessage) queue() Queue   { return QueueOutcome }
 func (expediteMessage) queue() Queue { return QueueOutcome }
 
-// Submit hands a request over: it gets one final answer, through its Answer, unless Cancel is called before that or the
-// planner stops. With ErrBusy or ErrStopped nothing was handed over: the caller rejects the request at ErrBusy, and fails it at ErrStopped. It blocks for
-// arrivalPatience at most, and is safe for any goroutine.
+// Submit passes a request to the planner. The request gets one final answer, through its Answer function, unless Cancel is
+// called first or the planner stops. On ErrBusy and ErrStopped the planner has not accepted the request; the caller rejects
+// the request on ErrBusy and fails it on ErrStopped. Submit blocks for arrivalTimeout at most, and is safe for concurrent use.
 func (p *Planner) Submit(r *Request) (*PendingRequest, error) {
 	pending := &PendingRequest{request: r}
-	return pending, p.postWithin(submitMessage{r, pending}, arrivalPatience)
+	return pending, p.postWithin(submitMessage{r, pending}, arrivalTimeout)
 }
 
-// Cancel says that the client has left: no answer is owed any more, and no attempt starts from now on. It is safe for any
-// goroutine.
+// Cancel reports that the request's client has disconnected: the request gets no answer, and none of its attempts starts from
+// now on. It is safe for concurrent use.
 func (p *Planner) Cancel(pending *PendingRequest) {
 	pending.request.clientLeft.Store(true)
-	if e := p.log.Check(zap.DebugLevel, "a client has left"); e != nil {
+	if e := p.log.Check(zap.DebugLevel, "client disconnected"); e != nil {
 		e.Write(zap.String("request", pending.request.Message.Name))
 	}
-	_ = p.post(cancelMessage{pending}) // a planner that has stopped owes nothing
+	_ = p.post(cancelMessage{pending}) // a stopped planner has nothing to cancel
 }
 
-// Expedite has a request answered now, in the best way that is still allowed, as its client's connection must end. It is
-// safe for any goroutine.
+// Expedite has a request answered now, with the best answer that is still allowed, because its client's connection must end.
+// It is safe for concurrent use.
 func (p *Planner) Expedite(pending *PendingRequest) {
 	pending.expedited.Store(true)
-	_ = p.post(expediteMessage{pending}) // a planner that has stopped owes nothing
+	_ = p.post(expediteMessage{pending}) // a stopped planner answers nothing
 }
 
-// handle records a request and asks the module for a decision on it. It ends the request at once if its client has left, if
-// it must be answered already, or if another request of the same name is open.
+// handle records a request and requests the module's decision on it. It ends the request at once if the client has
+// disconnected, if Expedite was already called, or if another request with the same name is open.
 func (m submitMessage) handle(p *Planner) {
 	m.pending.id = p.nextRequestID()
 	s := &requestState{id: m.pending.id, request: m.request, maxAttempts: int(p.maxAttempts.Load())}
 	p.recorder.Post(ledger.Posting{Event: ledger.PlanTaken, Key: m.request.LedgerKey, Ref: m.request.LedgerRef,
 		Units: ledger.MicroUnits(m.request.Units)})
-	if m.request.ClientLeft() { // its cancelMessage may have been handled before
+	if m.request.ClientLeft() { // its cancelMessage may already have been handled
 		p.recordEnd(s, ledger.PlanClientLeft)
 		return
 	}
-	if m.pending.expedited.Load() { // nothing has been done for it yet: a rejection is safe
+	if m.pending.expedited.Load() { // no attempt was started, so a rejection is safe
 		p.recordEnd(s, ledger.PlanRejectedExhausted)
 		m.request.Answer(Answer{Result: ResultRejected})
 		return
 	}
-	if m.request.Kind == KindForward && !p.claimName(m.request.Message.Name) {
+	if m.request.Kind == KindForward && !p.reserveName(m.request.Message.Name) {
 		p.recordEnd(s, ledger.PlanFailedDuplicateID)
 		m.request.Answer(Answer{Result: ResultFailed})
 		return
@@ -100,15 +100,17 @@
 	p.requestDecision(s)
 }
 
-// nextRequestID names a request for the module. The clients' names are not used for that: two clients could send the same.
+// nextRequestID returns a new request id for the module. Client-given names can't serve as ids, because two clients may use the
+// same name.
 func (p *Planner) nextRequestID() dw.RequestID {
 	p.lastRequestID++
 	return dw.RequestID(strconv.FormatUint(p.lastRequestID, 36))
 }
 
-// claimName reserves a client's name until the request ends, and fails if a request of this name is open. A backend that was
-// sent two requests of one name would take the second for a copy of the first, and the customer's quota would pay for one.
-func (p *Planner) claimName(name string) bool {
+// reserveName reserves a client-given name until the request ends. It returns false if a request with this name is open: a
+// backend that receives two requests with one name would treat the second as a copy of the first, and the customer's quota
+// would be charged for one only.
+func (p *Planner) reserveName(name string) bool {
 	if p.openNames[name] {
 		return false
 	}
@@ -116,7 +118,7 @@
 	return true
 }
 
-// requestDecision feeds the module the event that a request stands for.
+// requestDecision passes a request to the module, as the event that matches its kind.
 func (p *Planner) requestDecision(s *requestState) {
 	r := s.request
 	remaining := dw.Span(r.Timeout - time.Since(r.ReceivedAt))
@@ -133,13 +135,14 @@
 	}
 }
 
-// handle ends a request whose client has left. The posting goes before the module's event, whose actions may post.
+// handle ends a request whose client has disconnected. It posts the end to the ledger before it notifies the module, whose
+// actions may cause further postings.
 func (m cancelMessage) handle(p *Planner) {
 	s := p.requests[m.pending.id]
 	if s == nil || s.answered {
 		return
 	}
-	if e := p.log.Check(zap.DebugLevel, "a request is withdrawn, as its client has left"); e != nil {
+	if e := p.log.Check(zap.DebugLevel, "request withdrawn after client disconnected"); e != nil {
 		e.Write(zap.String("request", s.request.Message.Name), zap.Int("attempts", s.attempts), zap.Int("out", s.inFlight))
 	}
 	p.closeRequest(s)
@@ -154,8 +157,8 @@
 	}
 }
 
-// answer gives a request its one final answer at once. Any later answer to the same request is ignored. The ledger has the
-// answer before the client.
+// answer gives a request its single final answer. Later answers to the same request are ignored. The answer is posted to the
+// ledger before the client gets it.
 func (p *Planner) answer(id dw.RequestID, event ledger.Event, a Answer) {
 	s := p.requests[id]
 	if s == nil || s.answered {
@@ -167,8 +170,8 @@
 	p.forgetIfEnded(s)
 }
 
-// closeRequest marks that no answer is owed any more, and retracts the attempts of which nothing is written yet. The module's
-// cancellations don't do that where the settings forbid cancelling; an unwritten attempt can be taken back in any case.
+// closeRequest marks a request as answered and retracts its attempts of which nothing is written yet. The module does not
+// cancel these if the settings forbid cancelling, but an unwritten attempt can be withdrawn in any case.
 func (p *Planner) closeRequest(s *requestState) {
 	s.answered = true
 	for number := 0; s.inFlight > 0 && number < s.attempts; number++ {
@@ -187,7 +190,7 @@
 	p.recorder.Post(ledger.Posting{Event: event, Key: s.request.LedgerKey, Ref: s.request.LedgerRef})
 }
 
-// forgetIfEnded removes a request that is owed no answer and has no attempt in flight, and releases its name.
+// forgetIfEnded deletes a request and releases its name if the request is marked as answered and has no attempt in flight.
 func (p *Planner) forgetIfEnded(s *requestState) {
 	if !s.answered || s.inFlight > 0 || p.requests[s.id] != s {
 		return
--- a/internal/core/targets.go
+++ b/internal/core/targets.go
@@ -6,22 +6,23 @@
 	dw "dewhitch"
 )
 
-// targetsReportInterval is the time between two reports to TargetsReporter. The module ejects servers by itself, so that a report
-// at changes of the list is not enough; the operators' figures may lag by 0.5 s.
+// targetsReportInterval is the time between two reports to the TargetsReporter. Reports at changes of the list are not enough,
+// because the module ejects servers by itself. The figures that operators read may lag by 0.5 s.
 const targetsReportInterval = dw.Span(200 * time.Millisecond)
 
-// TargetsReporter takes counts for operators. Its methods are called on the planner's goroutine and may not block.
+// TargetsReporter receives counts of servers for operators. Its method is called on the planner's goroutine and must not
+// block.
 type TargetsReporter interface {
-	// Targets reports the listed servers, and those of them that get no new work: by an exclusion, by the fleet plan, by
-	// the list, or by the module's choice.
+	// Targets reports the number of listed servers, and how many of them get no new work because of an exclusion, the fleet
+	// plan, their listed state, or an ejection by the module.
 	Targets(listed, disabled int)
 }
 
-// SetTargetsReporter has the planner report to f; before Run.
-func (p *Planner) SetTargetsReporter(f TargetsReporter) { p.figures = f }
+// SetTargetsReporter sets the receiver of the counts. It must be called before Run.
+func (p *Planner) SetTargetsReporter(r TargetsReporter) { p.targetsReporter = r }
 
-// reportPeriodically reports the targets when targetsReportInterval has passed. In a fleet it first renews the overlay, as
-// servers may have ended their slow start.
+// reportPeriodically reports the targets if targetsReportInterval has passed. In a fleet it first updates the overlay, as
+// servers may have finished their slow start.
 func (p *Planner) reportPeriodically(now dw.Instant) {
 	if now < p.nextTargetsReport {
 		return
@@ -32,12 +33,12 @@
 	p.reportTargets()
 }
 
-// reportTargets reports the targets to TargetsReporter now.
+// reportTargets reports the current counts of servers, and schedules the next periodic report.
 func (p *Planner) reportTargets() {
-	if p.figures == nil {
+	if p.targetsReporter == nil {
 		return
 	}
 	now := p.Instant(time.Now())
 	p.nextTargetsReport = now + dw.Instant(targetsReportInterval)
-	p.figures.Targets(len(p.listed), p.module.EjectedServers(now)+p.notified.disabled)
+	p.targetsReporter.Targets(len(p.listed), p.module.EjectedServers(now)+p.notified.disabled)
 }
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -6,20 +6,20 @@
 	dw "dewhitch"
 )
 
-// timersAtOnce bounds the timers that fire before the planner looks at its inbox again, so that an endpoint update does not
-// wait behind the deadlines of many requests.
-const timersAtOnce = 32
+// maxTimersPerRound is the maximum number of timers that fire before the planner checks its inbox again, so that an endpoint update
+// does not wait behind the deadlines of many requests.
+const maxTimersPerRound = 32
 
-// fireTimers notifies the module of the timers that have expired by now, the earliest first, up to timersAtOnce.
+// fireTimers notifies the module of the timers that have expired by now, earliest first, up to maxTimersPerRound of them.
 func (p *Planner) fireTimers(now dw.Instant) {
-	for n := 0; n < timersAtOnce && len(p.timers) > 0 && p.timers[0].At <= now; n++ {
+	for n := 0; n < maxTimersPerRound && len(p.timers) > 0 && p.timers[0].At <= now; n++ {
 		t := heap.Pop(&p.timers).(dw.SetTimer)
 		p.step(dw.TimerFired{ID: t.ID})
 	}
 }
 
-// timers is a heap (container/heap), the earliest first. The module never cancels a timer: it ignores those that it no
-// longer needs.
+// timers is a heap (container/heap) with the earliest timer first. The module never cancels a timer; it ignores those that it
+// no longer needs.
 type timers []dw.SetTimer
 
 func (t timers) Len() int           { return len(t) }
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -9,77 +9,77 @@
 	"dewhitch/internal/ledger"
 )
 
-// RequestKind is what a request asks for.
+// RequestKind is the kind of operation that a request requests.
 type RequestKind int
 
-// The kinds of requests.
+// The kinds of client requests.
 const (
-	KindForward     RequestKind = iota // a query or a booking, forwarded to a backend
-	KindQueryLimit                     // what the customer's quota has left
-	KindAdjustLimit                    // to take units from the quota, or to return them
+	KindForward     RequestKind = iota // query or booking that is forwarded to a backend
+	KindQueryLimit                     // returns the remaining quota of the customer
+	KindAdjustLimit                    // takes units from the customer's quota or returns units to it
 )
 
-// Request is one request of a client. It is the planner's from Submit on: nobody changes it.
+// Request is one request of a client. It must not be modified once it is submitted.
 type Request struct {
 	Kind            RequestKind
-	ReceivedAt      time.Time // when its last byte had been read
-	Class           int       // index in the module's settings; of KindForward only
-	ClassName       string    // of KindForward only: as the client named it; a class added by a reload has no index of its own
-	IdempotentQuery bool      // of KindForward only: it came as a query, which is idempotent
-	Plan            int       // index in the module's settings
+	ReceivedAt      time.Time // time when the last byte was read
+	Class           int       // index of the class in the module's settings; KindForward only
+	ClassName       string    // class name from the client; KindForward only. A class added by a reload has no index of its own
+	IdempotentQuery bool      // true if the client sent a query, which is idempotent; KindForward only
+	Plan            int       // index of the customer's plan in the module's settings
 	Customer        dw.CustomerID
-	Timeout         time.Duration // from ReceivedAt on, how long the client waits
-	Units           float64       // cost; below 0, of KindAdjustLimit only: units to return
-	Spread          int           // the number of consecutive gateways that the customer uses
-	FirstGateway    int           // the first of them
-	Repeat          bool          // the client says that it has sent this request before
-	Message         Message       // of KindForward only
-	LedgerRef       uint64        // its number in the ledger
-	LedgerKey       ledger.Key    // its row in the ledger
-	Answer          func(Answer)  // called once at most, on the planner's goroutine; it may not block
+	Timeout         time.Duration // how long the client waits, from ReceivedAt on
+	Units           float64       // cost in units; negative if units are returned, with KindAdjustLimit only
+	Spread          int           // number of consecutive gateways that the customer uses
+	FirstGateway    int           // first of the gateways that the customer uses
+	Repeat          bool          // true if the client marked the request as sent before
+	Message         Message       // contents for the backend; KindForward only
+	LedgerRef       uint64        // number of the request in the ledger
+	LedgerKey       ledger.Key    // row of the request in the ledger
+	Answer          func(Answer)  // called at most once, on the planner's goroutine; must not block
 	clientLeft      atomic.Bool
 }
 
-// ClientLeft reports whether the client has left, which is known here before the planner has handled the cancellation:
-// whoever starts an attempt checks it last. It is safe for any goroutine.
+// ClientLeft reports whether the client has disconnected. It returns true as soon as Cancel is called, before the planner
+// handles the cancellation, so the pools check it just before they write an attempt. It is safe for concurrent use.
 func (r *Request) ClientLeft() bool { return r.clientLeft.Load() }
 
-// Message is what a backend is sent, which no gateway changes.
+// Message is the part of a request that gateways pass to a backend unchanged.
 type Message struct {
-	Name string // the client's name of the request
-	Key  string // idempotency key; empty: none
-	Body []byte // nil: none
+	Name string // name that the client gave the request
+	Key  string // idempotency key; empty if there is none
+	Body []byte // nil if there is none
 }
 
-// Result is how a request ended.
+// Result is the way in which a request ended.
 type Result int
 
-// The results.
+// The results of requests.
 const (
-	ResultServed   Result = iota
-	ResultRejected        // nothing was done: a retry by the client is safe
-	ResultFailed          // it may have been done
+	ResultServed   Result = iota // the request was served
+	ResultRejected               // the request was not executed; the client may safely retry
+	ResultFailed                 // the request may have been executed
 )
 
-// Stream is a value that is too large for memory, while it is read. Whoever has it closes it, whether or not it was read to
-// its end. It is read by one goroutine at a time.
+// Stream reads a value that is too large to be held in memory. Its consumer must close it, whether or not it was read to the
+// end. Only one goroutine at a time may read it; Close may be called from any goroutine.
 type Stream interface {
-	io.Reader  // io.EOF after the last byte; any other error if the rest is lost
-	Size() int // of the complete value, in bytes
-	Close()    // from any goroutine; repeated calls do nothing
+	io.Reader  // returns io.EOF after the last byte, and another error if the rest is lost
+	Size() int // returns the size of the complete value in bytes
+	Close()    // releases the connection; repeated calls do nothing
 }
 
-// Answer is the one final answer to a request.
+// Answer is the single final answer to a request.
 type Answer struct {
 	Result     Result
-	Value      []byte          // of a served request, if it is in memory
-	Stream     Stream          // of a served request, if it is not; nil otherwise
-	RetryAfter time.Duration   // of a rejected request; 0: no advice
-	Limit      *dw.LimitAnswer // of a served KindQueryLimit
-	Units      float64         // of a served KindAdjustLimit: those taken
+	Value      []byte          // value of a served request, unless it is streamed
+	Stream     Stream          // value of a served request that is streamed; nil otherwise
+	RetryAfter time.Duration   // time after which a rejected client may retry; 0 if not known
+	Limit      *dw.LimitAnswer // limit of a served request of KindQueryLimit
+	Units      float64         // units taken by a served request of KindAdjustLimit
 }
 
-// Backend is a server of the endpoint list.
+// Backend is a server of the endpoint list and its address.
 type Backend struct {
 	ID   dw.ServerID
 	Addr string // host:port
@@ -88,61 +88,62 @@
 // AttemptID identifies an attempt.
 type AttemptID struct {
 	RequestID dw.RequestID
-	Number    int // from 0
+	Number    int // number of the attempt within the request, from 0
 }
 
-// Attempt is one attempt at a request.
+// Attempt is one attempt to have a backend execute a request.
 type Attempt struct {
 	RequestID dw.RequestID
-	Number    int // from 0
+	Number    int // number of the attempt within the request, from 0
 	Backend   Backend
-	Deadline  time.Time // when to stop waiting
-	StartBy   time.Time // when to give up if no byte is written yet; zero: Deadline
+	Deadline  time.Time // time at which the attempt ends without an answer
+	StartBy   time.Time // time by which the first byte must be written; zero if only Deadline applies
 	Request   *Request
 }
 
-// AttemptResult is the end of an attempt.
+// AttemptResult is the result of an attempt that has ended.
 type AttemptResult struct {
-	Outcome     dw.Outcome // says reliably whether the attempt may have run at the backend
+	Outcome     dw.Outcome // states reliably whether the backend may have executed the attempt
 	Value       []byte
 	Load        dw.Load
-	FirstByteAt time.Time // of a value that was streamed: when it started; zero: now
+	FirstByteAt time.Time // time of the first byte of a streamed value; zero if the value was not streamed
 }
 
-// Backends carries out attempts. All methods are called on the planner's goroutine and may not block.
+// Backends executes attempts. All methods are called on the planner's goroutine and must not block.
 type Backends interface {
 	// Start starts an attempt and calls onEnd exactly once, on a goroutine other than the caller's. If the value is too large
-	// for memory, it calls onStream before that: whoever has the stream ends the attempt by closing it.
+	// for memory, it calls onStream first; the attempt then ends when the consumer closes the stream.
 	Start(attempt Attempt, onStream func(Stream), onEnd func(AttemptResult))
-	// Cancel gives an attempt up, if it is in flight.
+	// Cancel ends an attempt if it is in flight.
 	Cancel(request dw.RequestID, attempt int)
-	// Retract ends an attempt of which nothing is written yet; any other is unaffected.
+	// Retract ends an attempt if nothing of it is written yet, and otherwise does nothing.
 	Retract(request dw.RequestID, attempt int)
-	// RetractAll ends the attempts at a backend of which nothing is written yet; later Starts are unaffected.
+	// RetractAll ends all attempts at a backend of which nothing is written yet. It does not affect attempts started later.
 	RetractAll(b Backend)
-	// Forget withdraws, closes the idle connections to a backend, and caches none after the attempts in flight.
+	// Forget does what RetractAll does, closes the idle connections to a backend, and has the connections of the attempts in
+	// flight closed when these end.
 	Forget(b Backend)
 }
 
 // CounterCall is one call to the shared counter.
 type CounterCall struct {
-	Name      string
+	Name      string        // name of the counter
 	Amount    float64       // units to add
-	TTL       time.Duration // of the name, if it is new
-	LedgerRef uint64        // its number in the ledger
-	LedgerKey ledger.Key    // its account in the ledger
+	TTL       time.Duration // time until the counter expires, if the call creates it
+	LedgerRef uint64        // number of the call in the ledger
+	LedgerKey ledger.Key    // customer's account in the ledger
 }
 
-// Counter adds to numbers that all gateways share. Its method is called on the planner's goroutine and may not block.
+// Counter adds to counters that all gateways share. Its method is called on the planner's goroutine and must not block.
 type Counter interface {
-	// Add calls onEnd once with the outcome and the new total, on a goroutine other than the caller's; for one name, in the
-	// order of the calls.
+	// Add adds an amount to a counter. It calls onEnd once with the outcome and the new total, on a goroutine other than the
+	// caller's. For one counter, onEnd is called in the order of the calls.
 	Add(call CounterCall, onEnd func(outcome dw.Outcome, total float64))
 }
 
-// Recorder takes the planner's postings to the ledger, in their order. Its methods are called on the planner's goroutine and do not
-// wait for a disk.
+// Recorder records the planner's postings in the ledger, in the order of the calls. Its methods are called on the planner's
+// goroutine and must not wait for a disk.
 type Recorder interface {
-	Ref() uint64 // a new number for a call to the counter
-	Post(ledger.Posting)
+	Ref() uint64         // returns a new number for a call to the counter
+	Post(ledger.Posting) // records a posting
 }
