--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -14,9 +14,9 @@
 
 // Errors for which the command of an attempt is not written.
 var (
-	errNoDescriptor       = errors.New("backend: no free descriptor in the budget")
-	errTooLate            = errors.New("backend: connection established too late")
-	errClientDisconnected = errors.New("backend: client disconnected")
+	errNoDescriptor   = errors.New("backend: no free descriptor in the budget")
+	errTooLate        = errors.New("backend: connection established too late")
+	errClientDeparted = errors.New("backend: client disconnected")
 	// errNotAllowed reports that a backend is draining or removed according to an update that the planner had not applied
 	// when it started the attempt.
 	errNotAllowed = errors.New("backend: backend is draining or removed")
@@ -49,7 +49,7 @@
 	core.Attempt
 	pool     *pool
 	state    attemptState
-	onStream func(core.Stream) // called with a value that is streamed
+	onStream func(core.Stream) // called if the value is streamed
 	posting  ledger.Posting    // posting of the begin, reused for the end; its Event is ledger.None once the end is posted
 	ctx      context.Context   // ends at the deadline and when the attempt is withdrawn or cancelled
 	cancel   context.CancelFunc
@@ -76,9 +76,9 @@
 		return errTooLate
 	case !a.StartBy.IsZero() && !p.now().Before(a.StartBy):
 		return errTooLate
-	case a.Request.ClientLeft():
+	case a.Request.ClientDeparted():
 		a.state = attemptWithdrawn
-		return errClientDisconnected
+		return errClientDeparted
 	case p.Allowed != nil && !p.Allowed(a.Backend):
 		a.state = attemptWithdrawn
 		return errNotAllowed
--- a/internal/backend/golden_test.go
+++ b/internal/backend/golden_test.go
@@ -36,9 +36,9 @@
 	})
 }
 
-// Guards against changes in how servers' answers are decoded. An answer is an array of the value, usage figures and the load report,
-// or a failure whose last word is a load report. Each line of the golden file is one answer, in which the text \r\n stands for a line
-// end.
+// Guards against changes in how servers' answers are decoded. An answer is an array of the value, usage figures and the load
+// report, or a failure whose last word is a load report. Each line of the golden file is one answer, in which the text \r\n
+// stands for a line end.
 func TestGoldenAnswers(t *testing.T) {
 	full := dw.Load{Has: dw.HasInflight | dw.HasQueue | dw.HasUtil | dw.HasLatency | dw.HasRate | dw.HasErrors,
 		Inflight: 1.5, Queue: 2.5, Util: 0.5, LatencyMS: 3.25, Rate: 4.5, Errors: 0.25}
--- a/internal/backend/outcomes.go
+++ b/internal/backend/outcomes.go
@@ -20,7 +20,7 @@
 // otherwise the gateway would avoid every backend because of it.
 func unsentOutcome(ctx context.Context, err error) dw.Outcome {
 	ownFault := errors.Is(err, errNoDescriptor) || sockets.DialClass(err) == sockets.Shortage
-	notWanted := errors.Is(err, errClientDisconnected) || errors.Is(err, errNotAllowed) || errors.Is(ctx.Err(), context.Canceled)
+	notWanted := errors.Is(err, errClientDeparted) || errors.Is(err, errNotAllowed) || errors.Is(ctx.Err(), context.Canceled)
 	if ownFault || notWanted {
 		return dw.OutcomeNotSent
 	}
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -84,7 +84,7 @@
 // maximum at the request's submission, which may be lower than the module's. s.attempts already includes the attempt.
 func (s *requestState) mayStart(attempt Attempt, now time.Time) bool {
 	withinMax := s.maxAttempts <= 0 || s.attempts <= s.maxAttempts
-	return !s.answered && !s.request.ClientLeft() && now.Before(attempt.Deadline) && withinMax
+	return !s.answered && !s.request.ClientDeparted() && now.Before(attempt.Deadline) && withinMax
 }
 
 // handle passes a value that is still being streamed to the client. From then on, the attempt ends when the consumer closes
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -16,7 +16,7 @@
 type EndpointUpdate struct {
 	List     dw.EndpointList
 	Addrs    []string  // addresses of List.Servers as host:port, in the same order
-	Complete bool      // true if a list of every server was read; servers missing from a delta are unchanged
+	Complete bool      // true if the update results from a complete list; a delta then omits unchanged servers
 	ReadAt   time.Time // time when the first byte was read; zero if discovery did not send the update
 }
 
--- a/internal/core/monitor.go
+++ b/internal/core/monitor.go
@@ -13,7 +13,7 @@
 // The queues of the planner's inbox, in order of priority, highest first.
 const (
 	QueueEndpoints Queue = iota // endpoint updates
-	QueueControl                // operators' calls, fleet plans and other calls, shutdown
+	QueueControl                // operators' calls, fleet plans, reads of the module's state, shutdown
 	QueueOutcome                // ends of attempts and counter calls; cancelled and expedited requests
 	QueueArrival                // new requests
 	QueueCount                  // number of queues
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -58,7 +58,7 @@
 // Cancel reports that the request's client has disconnected: the request gets no answer, and none of its attempts starts from
 // now on. It is safe for concurrent use.
 func (p *Planner) Cancel(pending *PendingRequest) {
-	pending.request.clientLeft.Store(true)
+	pending.request.clientDeparted.Store(true)
 	if e := p.log.Check(zap.DebugLevel, "client disconnected"); e != nil {
 		e.Write(zap.String("request", pending.request.Message.Name))
 	}
@@ -79,7 +79,7 @@
 	s := &requestState{id: m.pending.id, request: m.request, maxAttempts: int(p.maxAttempts.Load())}
 	p.recorder.Post(ledger.Posting{Event: ledger.PlanTaken, Key: m.request.LedgerKey, Ref: m.request.LedgerRef,
 		Units: ledger.MicroUnits(m.request.Units)})
-	if m.request.ClientLeft() { // its cancelMessage may already have been handled
+	if m.request.ClientDeparted() { // its cancelMessage may already have been handled
 		p.recordEnd(s, ledger.PlanClientLeft)
 		return
 	}
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -9,14 +9,14 @@
 	"dewhitch/internal/ledger"
 )
 
-// RequestKind is the kind of operation that a request requests.
+// RequestKind is the operation that a client requests.
 type RequestKind int
 
 // The kinds of client requests.
 const (
 	KindForward     RequestKind = iota // query or booking that is forwarded to a backend
-	KindQueryLimit                     // returns the remaining quota of the customer
-	KindAdjustLimit                    // takes units from the customer's quota or returns units to it
+	KindQueryLimit                     // query of the customer's remaining quota
+	KindAdjustLimit                    // adjustment of the customer's quota by units taken or returned
 )
 
 // Request is one request of a client. It must not be modified once it is submitted.
@@ -37,12 +37,12 @@
 	LedgerRef       uint64        // number of the request in the ledger
 	LedgerKey       ledger.Key    // row of the request in the ledger
 	Answer          func(Answer)  // called at most once, on the planner's goroutine; must not block
-	clientLeft      atomic.Bool
+	clientDeparted  atomic.Bool   // true once the client has disconnected
 }
 
-// ClientLeft reports whether the client has disconnected. It returns true as soon as Cancel is called, before the planner
+// ClientDeparted reports whether the client has disconnected. It returns true as soon as Cancel is called, before the planner
 // handles the cancellation, so the pools check it just before they write an attempt. It is safe for concurrent use.
-func (r *Request) ClientLeft() bool { return r.clientLeft.Load() }
+func (r *Request) ClientDeparted() bool { return r.clientDeparted.Load() }
 
 // Message is the part of a request that gateways pass to a backend unchanged.
 type Message struct {
