--- a/internal/fleet/voterstore/golden_test.go
+++ b/internal/fleet/voterstore/golden_test.go
@@ -19,7 +19,8 @@
 	"dewhitch/internal/golden"
 )
 
-// goldenState has every field set, and those of raft's messages that this program uses.
+// goldenState returns a state that has every field set, including the fields of raft's messages that this program
+// uses.
 func goldenState() *fleet.VoterState {
 	kind := raftpb.EntryConfChangeV2
 	return &fleet.VoterState{Identity: 1<<63 + 11, Generation: 1700000000012, Promised: 1700000000013,
@@ -30,12 +31,12 @@
 			{Index: proto.Uint64(25), Term: proto.Uint64(21), Type: &kind, Data: []byte{5, 6}}}}
 }
 
-// checkState fails the test unless what was read is goldenSaved.
+// checkState fails the test unless the state that was read equals goldenState.
 func checkState(t *testing.T, got *fleet.VoterState, err error) {
 	t.Helper()
 	want := goldenState()
 	if err != nil || got == nil {
-		t.Fatalf("%+v, %v", got, err)
+		t.Fatalf("read %+v, error %v", got, err)
 	}
 	if got.Identity != want.Identity || got.Generation != want.Generation || got.Promised != want.Promised ||
 		!proto.Equal(got.HardState, want.HardState) || !proto.Equal(got.Snapshot, want.Snapshot) ||
@@ -44,7 +45,7 @@
 	}
 }
 
-// dump lists the buckets, keys and values of a store in their order, keys and values in hex, one a line.
+// dump lists the entries of a store in order, one per line: bucket, key in hex, value in hex.
 func dump(t *testing.T, path string) []byte {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o640, &bbolt.Options{ReadOnly: true})
@@ -66,8 +67,8 @@
 	return b.Bytes()
 }
 
-// TestGoldenStore freezes what a voter stores, written as a replacement and as a sequence of updates; another
-// version's voter reads it.
+// TestGoldenStore fixes the content of a voter's store, written as one replacement and as a sequence of updates. A
+// voter of another version must be able to read it.
 func TestGoldenStore(t *testing.T) {
 	s := goldenState()
 	blank := *s
@@ -78,27 +79,27 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			dir := t.TempDir()
-			v, found, err := Open(dir)
+			store, found, err := Open(dir)
 			if err != nil || found != nil {
 				t.Fatal(found, err)
 			}
-			for _, p := range saves {
-				if err := v.Save(p); err != nil {
+			for _, update := range saves {
+				if err := store.Save(update); err != nil {
 					t.Fatal(err)
 				}
 			}
-			if err := v.Close(); err != nil {
+			if err := store.Close(); err != nil {
 				t.Fatal(err)
 			}
 			golden.Compare(t, "store.txt", dump(t, filepath.Join(dir, "fleet.db")))
-			v, got, err := Open(dir)
+			store, got, err := Open(dir)
 			checkState(t, got, err)
-			v.Close()
+			store.Close()
 		})
 	}
 }
 
-// TestGoldenStoreIsRead has Open read the store of the golden file, which nothing of this package wrote.
+// TestGoldenStoreIsRead checks that Open reads the store in the golden file, which this package has not written.
 func TestGoldenStoreIsRead(t *testing.T) {
 	dir := t.TempDir()
 	db, err := bbolt.Open(filepath.Join(dir, "fleet.db"), 0o640, nil)
@@ -107,16 +108,16 @@
 	}
 	if err := db.Update(func(tx *bbolt.Tx) error {
 		for lines := bufio.NewScanner(bytes.NewReader(golden.Read(t, "store.txt"))); lines.Scan(); {
-			part := strings.Split(lines.Text(), " ")
-			bucket, err := tx.CreateBucketIfNotExists([]byte(part[0]))
+			fields := strings.Split(lines.Text(), " ")
+			bucket, err := tx.CreateBucketIfNotExists([]byte(fields[0]))
 			if err != nil {
 				return err
 			}
-			k, err := hex.DecodeString(part[1])
+			k, err := hex.DecodeString(fields[1])
 			if err != nil {
 				return err
 			}
-			v, err := hex.DecodeString(part[2])
+			v, err := hex.DecodeString(fields[2])
 			if err != nil {
 				return err
 			}
@@ -131,10 +132,10 @@
 	if err := db.Close(); err != nil {
 		t.Fatal(err)
 	}
-	v, got, err := Open(dir)
+	store, got, err := Open(dir)
 	checkState(t, got, err)
-	v.Close()
-	if left, err := os.ReadDir(dir); err != nil || len(left) != 1 {
-		t.Errorf("the folder holds %v, %v", left, err)
+	store.Close()
+	if files, err := os.ReadDir(dir); err != nil || len(files) != 1 {
+		t.Errorf("the folder holds %v, expected one file; error %v", files, err)
 	}
 }
--- a/internal/fleet/voterstore/voterstore.go
+++ b/internal/fleet/voterstore/voterstore.go
@@ -1,6 +1,6 @@
-// Package voterstore is the stable storage of a fleet's voter: identity, promise and log, in one bbolt file
-// of a folder. A process that has it open locks others out. docs/design/fleet.md tells why a voter without
-// its storage is another voter.
+// Package voterstore implements the stable storage of a fleet's voter. It keeps the voter's identity, promise
+// and log in one bbolt file in a folder. A process that has the file open locks out other processes.
+// docs/design/fleet.md explains why a voter that lost its storage becomes another voter.
 package voterstore
 
 import (
@@ -21,10 +21,10 @@
 
 const (
 	fileName    = "fleet.db"
-	lockTimeout = 2 * time.Second // for a process that is being replaced to end
+	lockTimeout = 2 * time.Second // time for a process that is being replaced to exit
 )
 
-// Buckets and keys. The log's keys are entries' indexes; numbers are big-endian.
+// Buckets and keys of the file. The keys of the log are the indexes of its entries. Numbers are big-endian.
 var (
 	bucketVoter = []byte("voter")
 	bucketLog   = []byte("log")
@@ -36,16 +36,17 @@
 	keySnapshot   = []byte("snapshot")
 )
 
-// Errors of Open, beside those of the file system and of decoding.
+// Errors of Open, in addition to those of the file system and of decoding.
 var (
 	ErrLocked     = errors.New("voterstore: another process has the folder")
-	errNoIdentity = errors.New("it has no identity")
+	errNoIdentity = errors.New("the voter has no identity")
 )
 
-// Store is an open folder. Its methods must not be called at the same time.
+// Store is an open voter store. Its methods must not be called concurrently.
 type Store struct{ db *bbolt.DB }
 
-// Open opens a folder, which is created if need be, and reads the state stored there; nil: there is none.
+// Open opens the store in a folder, which it creates if necessary, and returns the stored state. The state is
+// nil if none is stored.
 func Open(dir string) (*Store, *fleet.VoterState, error) {
 	if err := os.MkdirAll(dir, 0o750); err != nil {
 		return nil, nil, err
@@ -66,10 +67,10 @@
 	return s, state, nil
 }
 
-// Close closes the file and gives up its lock.
+// Close closes the file and releases its lock.
 func (s *Store) Close() error { return s.db.Close() }
 
-// Save writes an update and syncs it: all of it, or with an error nothing.
+// Save writes an update atomically and syncs it. If it returns an error, nothing is written.
 func (s *Store) Save(u fleet.StorageUpdate) error {
 	return s.db.Update(func(tx *bbolt.Tx) error {
 		if u.Replacement != nil {
@@ -94,7 +95,7 @@
 	return state, err
 }
 
-// readVoter reads everything but the entries.
+// readVoter reads the state except its entries.
 func readVoter(b *bbolt.Bucket) (*fleet.VoterState, error) {
 	s := &fleet.VoterState{
 		Identity:   decodeNumber(b.Get(keyIdentity)),
@@ -104,31 +105,31 @@
 	if s.Identity == 0 {
 		return nil, errNoIdentity
 	}
-	if text := b.Get(keyHardState); text != nil {
+	if data := b.Get(keyHardState); data != nil {
 		s.HardState = &raftpb.HardState{}
-		if err := proto.Unmarshal(text, s.HardState); err != nil {
+		if err := proto.Unmarshal(data, s.HardState); err != nil {
 			return nil, err
 		}
 	}
-	if text := b.Get(keySnapshot); text != nil {
+	if data := b.Get(keySnapshot); data != nil {
 		s.Snapshot = &raftpb.Snapshot{}
-		if err := proto.Unmarshal(text, s.Snapshot); err != nil {
+		if err := proto.Unmarshal(data, s.Snapshot); err != nil {
 			return nil, err
 		}
 	}
 	return s, nil
 }
 
-// readLog reads the entries, which must follow a snapshot's index without a gap.
+// readLog reads the entries, which must follow the snapshot's index without a gap.
 func readLog(b *bbolt.Bucket, index uint64) (entries []*raftpb.Entry, err error) {
-	err = b.ForEach(func(k, text []byte) error {
+	err = b.ForEach(func(k, data []byte) error {
 		e := &raftpb.Entry{}
-		if err := proto.Unmarshal(text, e); err != nil {
+		if err := proto.Unmarshal(data, e); err != nil {
 			return err
 		}
 		index++
 		if e.GetIndex() != index || decodeNumber(k) != index {
-			return fmt.Errorf("entry %d stands where %d should", e.GetIndex(), index)
+			return fmt.Errorf("found log entry %d, expected entry %d", e.GetIndex(), index)
 		}
 		entries = append(entries, e)
 		return nil
@@ -158,8 +159,8 @@
 	return updateLog(tx, s.HardState, s.Snapshot, s.Entries)
 }
 
-// updateLog writes what is not nil: a snapshot replaces the entries up to its index, entries replace those
-// from their first index on.
+// updateLog writes each argument that is not nil. A snapshot replaces the entries up to its index. Entries replace
+// the stored ones from their first index on.
 func updateLog(tx *bbolt.Tx, hardState *raftpb.HardState, snapshot *raftpb.Snapshot, entries []*raftpb.Entry) error {
 	voter, log := tx.Bucket(bucketVoter), tx.Bucket(bucketLog)
 	if hardState != nil {
@@ -188,7 +189,7 @@
 	return nil
 }
 
-// deleteUpTo deletes the entries up to an index. The cursor starts anew after each deletion, as that moves it.
+// deleteUpTo deletes the entries up to an index. The cursor restarts after each deletion, which moves it.
 func deleteUpTo(log *bbolt.Bucket, index uint64) error {
 	c := log.Cursor()
 	for k, _ := c.First(); k != nil && decodeNumber(k) <= index; k, _ = c.First() {
@@ -211,14 +212,14 @@
 }
 
 func putMessage(b *bbolt.Bucket, key []byte, m proto.Message) error {
-	text, err := proto.Marshal(m)
+	data, err := proto.Marshal(m)
 	if err != nil {
 		return err
 	}
-	return b.Put(key, text)
+	return b.Put(key, data)
 }
 
-// decodeNumber is 0 for what is no number.
+// decodeNumber decodes a number. It returns 0 if b has the wrong length.
 func decodeNumber(b []byte) uint64 {
 	if len(b) != 8 {
 		return 0
