--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -9,14 +9,16 @@
 )
 
 const (
-	maxCommands     = 256 // queued at the leader, results kept there, and submissions pending at a member; each
-	proposalTimeout = commandTimeout
+	// maxCommands limits each of the commands queued at the leader, the results kept there and the submissions
+	// pending at a member.
+	maxCommands     = 256
+	proposalTimeout = commandTimeout // after which the leader considers a proposal lost
 )
 
 var errUnknownCommand = errors.New("fleet: no such verb")
 
-// commandQueue is the leader's queue of commands: they run one after the other, each on the plan that the one
-// before made. Results are kept for retries by members whose answer was lost.
+// commandQueue is the leader's queue of commands. Commands run one at a time, each on the plan that the
+// previous one produced. Results are kept so that a member whose answer was lost can retry.
 type commandQueue struct {
 	waiting     []queuedCommand
 	proposal    proposal
@@ -25,30 +27,31 @@
 }
 
 type queuedCommand struct {
-	command command
-	from    string // the member to answer
+	command   command
+	submitter string // member that receives the result
 }
 
-// proposal is the one change that this leader has proposed and not yet seen committed.
+// proposal is the change that this leader has proposed and whose commit is pending. There is at most one.
 type proposal struct {
-	id   string // of the change; empty: there is none
-	from string // the member to answer; empty: the leader proposed it of its own accord
-	at   time.Duration
+	id         string // ID of the change; empty if no proposal is pending
+	submitter  string // member that receives the result; empty if the leader proposed the change itself
+	proposedAt time.Duration
 }
 
-// clear forgets what a voter queued and proposed; results stay.
+// clear drops the queued commands and the pending proposal, and keeps the results.
 func (q *commandQueue) clear() {
 	q.waiting = nil
 	q.proposal.id = ""
 }
 
-// admits tells whether a command may be queued: it is not there already, and the queue has room.
+// admits returns true if a command may be queued: it is neither queued nor proposed, and the queue has room.
 func (q *commandQueue) admits(id string) bool {
 	return q.proposal.id != id && len(q.waiting) < maxCommands &&
 		!slices.ContainsFunc(q.waiting, func(c queuedCommand) bool { return c.command.ID == id })
 }
 
-// next takes the oldest command, unless a proposal is pending.
+// next removes and returns the oldest queued command. ok is false if a proposal is pending or the queue is
+// empty.
 func (q *commandQueue) next() (c queuedCommand, ok bool) {
 	if q.proposal.id != "" || len(q.waiting) == 0 {
 		return c, false
@@ -58,7 +61,7 @@
 	return c, true
 }
 
-// record keeps a result, and forgets the oldest beyond the bound.
+// record stores a result and evicts the oldest one beyond maxCommands.
 func (q *commandQueue) record(r commandResult) {
 	q.results[r.ID] = r
 	q.resultOrder = append(q.resultOrder, r.ID)
@@ -68,46 +71,46 @@
 	}
 }
 
-// enqueueCommand queues a command at the leader, or answers at once one whose result is known. Elsewhere it
-// is dropped: whoever submitted it retries.
-func (n *Node) enqueueCommand(c command, from string) {
+// enqueueCommand queues a command at the leader, or sends the result again if the command has already run. A
+// member that does not lead drops the command; the submitter retries.
+func (n *Node) enqueueCommand(c command, submitter string) {
 	if r, ok := n.commands.results[c.ID]; ok {
-		n.sendResult(from, r)
+		n.sendResult(submitter, r)
 		return
 	}
 	if n.Leads() && n.commands.admits(c.ID) {
-		n.commands.waiting = append(n.commands.waiting, queuedCommand{command: c, from: from})
+		n.commands.waiting = append(n.commands.waiting, queuedCommand{command: c, submitter: submitter})
 	}
 }
 
-// Propose has the leader change sections of its own accord, on the plan as it stands. It reports whether the
-// change was proposed; it is not while another change is pending or commands wait. Whether it is committed
-// shows in the plan.
-func (n *Node) Propose(set map[string]cbor.RawMessage) bool {
+// Propose has the leader change sections of the current plan on its own initiative. It returns true if the
+// change was proposed, and false if this member does not lead, another change is pending, commands are queued
+// or raft rejects the proposal. Once committed, the change shows in the plan.
+func (n *Node) Propose(sections map[string]cbor.RawMessage) bool {
 	if !n.Leads() || n.commands.proposal.id != "" || len(n.commands.waiting) > 0 {
 		return false
 	}
-	n.propose(n.newCommandID(), "", set)
+	n.propose(n.newCommandID(), "", sections)
 	return n.commands.proposal.id != ""
 }
 
-// propose hands a change of the plan to the log.
-func (n *Node) propose(id, from string, set map[string]cbor.RawMessage) {
-	n.commands.proposal = proposal{id: id, from: from, at: n.now}
-	if n.voter.proposeChange(change{Base: n.voter.plan.Epoch, Set: set, ID: id}) != nil {
+// propose submits a change of the plan to the log. No proposal is pending if raft rejects it.
+func (n *Node) propose(id, submitter string, sections map[string]cbor.RawMessage) {
+	n.commands.proposal = proposal{id: id, submitter: submitter, proposedAt: n.now}
+	if n.voter.proposeChange(change{Base: n.voter.plan.Epoch, Set: sections, ID: id}) != nil {
 		n.commands.proposal.id = ""
 	}
 	n.takeVoterOutput()
 }
 
-// runCommands has the leader run commands until one needs the log.
+// runCommands has the leader run queued commands until one of them proposes a change or the queue is empty.
 func (n *Node) runCommands() {
 	if !n.Leads() {
-		n.commands.waiting = nil // whoever submitted them retries
+		n.commands.waiting = nil // the submitters retry
 		return
 	}
-	if n.commands.proposal.id != "" && n.now-n.commands.proposal.at > proposalTimeout {
-		n.commands.proposal.id = "" // the log dropped it
+	if n.commands.proposal.id != "" && n.now-n.commands.proposal.proposedAt > proposalTimeout {
+		n.commands.proposal.id = "" // raft dropped the proposal
 	}
 	for {
 		c, ok := n.commands.next()
@@ -118,24 +121,25 @@
 	}
 }
 
-// runCommand has a command's handler compute the change, and proposes it if there is any.
+// runCommand calls the command's handler and proposes the change that it returns. If there is no change or the
+// handler fails, the command is answered immediately.
 func (n *Node) runCommand(c queuedCommand) {
 	err := errUnknownCommand
-	var set map[string]cbor.RawMessage
+	var sections map[string]cbor.RawMessage
 	if handle := n.config.Commands[c.command.Name]; handle != nil {
-		set, err = handle(&n.voter.plan, c.command.Args, n.unixMS)
+		sections, err = handle(&n.voter.plan, c.command.Args, n.unixMS)
 	}
 	switch {
 	case err != nil:
-		n.recordResult(commandResult{ID: c.command.ID, Error: err.Error()}, c.from)
-	case len(set) == 0:
-		n.recordResult(commandResult{ID: c.command.ID, Epoch: n.voter.plan.Epoch}, c.from)
+		n.recordResult(commandResult{ID: c.command.ID, Error: err.Error()}, c.submitter)
+	case len(sections) == 0:
+		n.recordResult(commandResult{ID: c.command.ID, Epoch: n.voter.plan.Epoch}, c.submitter)
 	default:
-		n.propose(c.command.ID, c.from, set)
+		n.propose(c.command.ID, c.submitter, sections)
 	}
 }
 
-// finishProposal answers the pending command once its entry is applied.
+// finishProposal answers the pending command once its log entry is applied.
 func (n *Node) finishProposal(c committedChange) {
 	if c.change.ID == "" || c.change.ID != n.commands.proposal.id {
 		return
@@ -145,7 +149,7 @@
 	if c.err != nil {
 		r.Error = c.err.Error()
 	}
-	n.recordResult(r, n.commands.proposal.from)
+	n.recordResult(r, n.commands.proposal.submitter)
 }
 
 func (n *Node) recordResult(r commandResult, to string) {
@@ -153,7 +157,8 @@
 	n.sendResult(to, r)
 }
 
-// sendResult answers the member that submitted a command; to is empty if no member did.
+// sendResult sends a command's result to the member that submitted it. to is empty if the leader proposed the
+// change itself.
 func (n *Node) sendResult(to string, r commandResult) {
 	if to == n.config.Name || n.submissions.pending[r.ID] != nil {
 		n.handleCommandResult(r)
--- a/internal/fleet/dissemination.go
+++ b/internal/fleet/dissemination.go
@@ -3,16 +3,16 @@
 import "time"
 
 const (
-	relayFanout        = 3  // members to which whoever receives a plan relays it
-	leaderFanout       = 32 // members to which the leader pushes a plan
-	planResendInterval = 400 * time.Millisecond
+	relayFanout        = 3                      // members to which a member relays a received plan
+	leaderFanout       = 32                     // members to which the leader sends a committed plan
+	planResendInterval = 400 * time.Millisecond // minimum interval between sends of one plan to one peer
 )
 
-// Plan is the plan on which this member acts. Its sections are shared and must not be changed.
+// Plan returns the plan that this member applies. Its sections are shared and must not be modified.
 func (n *Node) Plan() Plan { return n.plan }
 
-// adoptPlan acts on a plan if it is newer than the known one, and relays it to random live members that may
-// lack it. from is the sender, or empty for a plan from this voter's own log.
+// adoptPlan applies a plan if it is newer than the current one, and relays it to random live members whose
+// last status shows an older plan. from names the sender and is empty for a plan from this voter's own log.
 func (n *Node) adoptPlan(p Plan, from string) {
 	if !n.plan.Epoch.Less(p.Epoch) || !p.withinBounds() {
 		return
@@ -35,7 +35,7 @@
 	}
 }
 
-// sendPlan sends a peer the plan, unless it was sent within planResendInterval.
+// sendPlan sends a peer the current plan, unless the peer was sent it within planResendInterval.
 func (n *Node) sendPlan(p *Peer) {
 	if p.sentPlanEpoch == n.plan.Epoch && n.now-p.sentPlanAt < planResendInterval {
 		return
@@ -45,8 +45,8 @@
 	n.send(p.Name, envelope{Plan: &n.plan})
 }
 
-// Unacknowledged names the live members, sorted, that have not confirmed within a lease that they act on an
-// epoch or a later one.
+// Unacknowledged returns the sorted names of the live members that have not confirmed within one lease that
+// they apply epoch e or a later one.
 func (n *Node) Unacknowledged(e Epoch) (names []string) {
 	for _, name := range n.peers.names {
 		p := n.peers.byName[name]
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -1,7 +1,8 @@
-// Package fleet is the replicated state machine of a fleet of gateways: membership and reports of all
-// members, and a plan that a quorum of voters commits by raft and every member acts on.
+// Package fleet implements the replicated state machine of a fleet of gateways. It tracks the membership and
+// the load reports of all members, and a plan that a quorum of voters commits through raft and that every
+// member applies.
 //
-// It is pure, like raft's own package: no I/O, no clock, no goroutines. The owner of a Node hands it time and
-// messages, stores and sends what it returns, and learns of changes by events. docs/design/fleet.md states
-// what the fleet guarantees.
+// Like raft's own package it does no I/O, reads no clock and starts no goroutines. The owner of a Node passes
+// it the time and the received messages, stores and sends what it returns, and learns of changes from its
+// events. docs/design/fleet.md describes the guarantees of the fleet.
 package fleet
--- a/internal/fleet/epoch.go
+++ b/internal/fleet/epoch.go
@@ -6,19 +6,19 @@
 	"strings"
 )
 
-// Epoch orders plans: the generation of the log that committed one, then its index in that log. It never goes
-// back at any member.
+// Epoch identifies a plan by the generation of the log that committed it and its index in that log, and orders
+// plans in this order. The epoch that a member applies never decreases.
 type Epoch struct {
 	Generation uint64 `cbor:"1,keyasint"`
 	Index      uint64 `cbor:"2,keyasint"`
 }
 
-// Less tells whether e comes before o.
+// Less returns true if e precedes o.
 func (e Epoch) Less(o Epoch) bool {
 	return e.Generation < o.Generation || e.Generation == o.Generation && e.Index < o.Index
 }
 
-// String is GENERATION.INDEX.
+// String formats the epoch as GENERATION.INDEX.
 func (e Epoch) String() string { return fmt.Sprintf("%d.%d", e.Generation, e.Index) }
 
 // MarshalText implements encoding.TextMarshaler.
@@ -28,7 +28,7 @@
 func (e *Epoch) UnmarshalText(b []byte) (err error) {
 	generation, index, ok := strings.Cut(string(b), ".")
 	if !ok {
-		return fmt.Errorf("fleet: %q is no epoch", b)
+		return fmt.Errorf("fleet: %q is not an epoch; expected GENERATION.INDEX", b)
 	}
 	if e.Generation, err = strconv.ParseUint(generation, 10, 64); err != nil {
 		return err
--- a/internal/fleet/generation.go
+++ b/internal/fleet/generation.go
@@ -6,32 +6,33 @@
 	"time"
 )
 
-// A generation is one incarnation of the replicated log. If a quorum of its voters lost their storage,
-// nothing can be committed in it any more, and the first configured voter starts a new one, in two phases as
-// in Paxos:
+// A generation is one instance of the replicated log. If a quorum of its voters loses its storage, that log
+// can't commit anything any more. The first configured voter then starts a new generation in two phases, as in
+// Paxos:
 //
-//  1. prepare: every configured voter promises the new generation's number. By its promise it gives up its
-//     identity, so that the old log can't regain a quorum, and ignores older generations. So no two
-//     generations ever commit side by side.
-//  2. start: the new log begins with the newest plan that any of them knows, with the first voter alone; the
-//     others are added one by one (reconfigureVoters).
+//  1. Prepare: every configured voter promises the number of the new generation. With its promise a voter
+//     discards its identity, so that the old log can't regain a quorum, and ignores older generations. So two
+//     generations never commit concurrently.
+//  2. Start: the new log begins with the newest plan that any of these voters knows, and with the first voter
+//     as its only voter. reconfigureVoters then adds the others one by one.
 //
-// Promises of all configured voters are needed, not of a majority: one that is missing may know a newer plan.
+// All configured voters must promise, not only a majority, because a missing voter may know a newer plan.
 
 const (
-	statusFreshFor    = 1500 * time.Millisecond // an older status proves nothing about its voter now
-	leaderLossTimeout = 2 * time.Second         // without a leader, before a log may be given up
-	generationTimeout = 3 * time.Second         // to collect all promises, before a new number is tried
+	statusFreshFor    = 1500 * time.Millisecond // age up to which a status is evidence of its voter's current state
+	leaderLossTimeout = 2 * time.Second         // time without a leader after which a log may be abandoned
+	generationTimeout = 3 * time.Second         // time to collect all promises before a new number is tried
 )
 
 // generationStart is the first voter's attempt to start a generation.
 type generationStart struct {
-	number   uint64           // 0: none is under way
-	since    time.Duration    // when the number was chosen
-	promises map[string]*Plan // by voter: the newest plan that it knows
+	number    uint64           // number of the new generation; 0 if no attempt is in progress
+	startedAt time.Duration    // when the number was chosen
+	promises  map[string]*Plan // newest plan known to each voter that promised, by voter name
 }
 
-// recentVoterStatus returns the status of a configured voter; false unless it is recent.
+// recentVoterStatus returns the status of a configured voter. It returns false if the status is older than
+// statusFreshFor or shows no identity.
 func (n *Node) recentVoterStatus(name string) (Status, bool) {
 	if name == n.config.Name {
 		return n.SelfStatus(), n.voterHeader != nil && n.replacement == nil
@@ -43,7 +44,7 @@
 	return p.Status, true
 }
 
-// recentVoterStatuses returns the statuses of all configured voters; false unless all are recent.
+// recentVoterStatuses returns the statuses of all configured voters. ok is true if all of them are recent.
 func (n *Node) recentVoterStatuses() (all []Status, ok bool) {
 	for _, name := range n.config.Voters {
 		s, ok := n.recentVoterStatus(name)
@@ -55,17 +56,18 @@
 	return all, true
 }
 
-// quorumLost tells whether no log can commit any more, by recent statuses of all configured voters: there was
-// no leader for leaderLossTimeout, and in no log that any of them holds do a majority of its voters (of both
-// sets during a change) still have the identities under which they vote there. newest is the newest
-// generation that any of them holds or promised.
+// quorumLost determines from recent statuses of all configured voters whether any log can still commit. lost
+// is true if there was no leader for leaderLossTimeout and every log that they hold has lost its quorum: less
+// than a majority of its voters (of either voter set during a joint change) still has the identity under which
+// it votes there. lost is false unless all these statuses are recent. newest is the newest generation that any of
+// these voters holds, has promised or has a plan of.
 func (n *Node) quorumLost() (newest uint64, lost bool) {
 	statuses, ok := n.recentVoterStatuses()
 	if !ok {
 		return 0, false
 	}
 	newest = n.plan.Epoch.Generation
-	present := map[uint64]bool{} // identities
+	present := map[uint64]bool{} // current identities of the configured voters
 	logExists := false
 	for _, s := range statuses {
 		newest = max(newest, s.Promised, s.Generation, s.Epoch.Generation)
@@ -77,13 +79,13 @@
 			return 0, false
 		}
 	}
-	if logExists && n.leader != "" && n.now-n.leaderHeardAt < leaderLossTimeout {
+	if logExists && n.leader != "" && n.now-n.lastLeaderContact < leaderLossTimeout {
 		return 0, false
 	}
 	return newest, true
 }
 
-// majorityPresent tells whether more than half of the voters are present; true if there are none.
+// majorityPresent returns true if more than half of the voters are present, or if there are no voters.
 func majorityPresent(voters []uint64, present map[uint64]bool) bool {
 	count := 0
 	for _, id := range voters {
@@ -94,33 +96,35 @@
 	return len(voters) == 0 || count > len(voters)/2
 }
 
-// startGeneration has the first voter start a generation where no log can commit.
+// startGeneration has the first configured voter start a generation, or continue to start it, if no log can
+// commit any more.
 func (n *Node) startGeneration() {
 	if !n.voterActive() || n.fenced || n.config.Voters[0] != n.config.Name {
 		return
 	}
-	start := &n.generationStart
-	if start.number != 0 && n.now-start.since > generationTimeout {
-		start.number = 0
+	attempt := &n.generationStart
+	if attempt.number != 0 && n.now-attempt.startedAt > generationTimeout {
+		attempt.number = 0
 	}
-	if start.number == 0 {
+	if attempt.number == 0 {
 		newest, lost := n.quorumLost()
 		if !lost {
 			return
 		}
-		// Where every voter lost its storage, the clock alone tells two generations apart; hence Unix
+		// If every voter lost its storage, only the clock keeps generation numbers distinct; hence Unix
 		// milliseconds.
-		start.number = max(newest+1, uint64(max(0, n.unixMS)))
-		start.since = n.now
-		clear(start.promises)
-		n.promiseGeneration(start.number)
+		attempt.number = max(newest+1, uint64(max(0, n.unixMS)))
+		attempt.startedAt = n.now
+		clear(attempt.promises)
+		n.promiseGeneration(attempt.number)
 	}
 	if n.requestPromises() {
 		n.completeGeneration()
 	}
 }
 
-// requestPromises asks the voters whose promise is missing; true: none is.
+// requestPromises sends a request to each voter whose promise is missing. It returns true if every voter has
+// promised.
 func (n *Node) requestPromises() bool {
 	complete := true
 	for _, name := range n.config.Voters {
@@ -132,7 +136,8 @@
 	return complete
 }
 
-// completeGeneration starts the log with this voter alone, on the newest plan known to those that promised.
+// completeGeneration starts the log with this voter as its only voter, on the newest plan known to any voter
+// that promised.
 func (n *Node) completeGeneration() {
 	newest := n.plan
 	for _, name := range slices.Sorted(maps.Keys(n.generationStart.promises)) {
@@ -145,21 +150,21 @@
 	first := Plan{Epoch: Epoch{number, 1}, Sections: newest.Sections}
 	n.replaceVoter(newGenerationState(n.voterHeader.Identity, number, first))
 	n.leader = n.config.Name
-	n.leaderHeardAt = n.now
+	n.lastLeaderContact = n.now
 	n.afterReplacement = append(n.afterReplacement, func() {
-		_ = n.voter.raftNode.Campaign() // the only voter wins at once
+		_ = n.voter.raftNode.Campaign() // the only voter wins immediately
 		n.voter.processReady()
 		n.emit(GenerationStarted, "generation %d of the log starts from plan %v", number, newest.Epoch)
 	})
 }
 
-// promiseGeneration gives up the voter's identity and log in favor of a generation.
+// promiseGeneration discards the voter's identity and log in favor of a new generation.
 func (n *Node) promiseGeneration(number uint64) {
 	n.resetVoter(number)
-	n.emit(GenerationPromised, "generation %d of the log is promised; older ones are ignored", number)
+	n.emit(GenerationPromised, "promised generation %d of the log; older generations are ignored", number)
 }
 
-// handleGeneration handles the first voter's request for a promise, or another voter's promise.
+// handleGeneration handles a request for a promise from the first configured voter, or a voter's promise.
 func (n *Node) handleGeneration(from string, m *generationMessage) {
 	switch {
 	case !n.voterActive() || len(n.config.Voters) == 0:
@@ -181,17 +186,18 @@
 	n.generationStart.promises[from] = plan
 }
 
-// handlePromiseRequest promises a generation if it is newer than any held or promised, and this voter holds
-// no log or sees for itself that none can commit. The promise is sent once it is stored.
+// handlePromiseRequest promises a generation if it is newer than any that this voter holds or has promised,
+// and this voter holds no log or detects itself that no log can commit. The promise is sent once it is on
+// stable storage.
 func (n *Node) handlePromiseRequest(from string, number uint64) {
 	if number < n.voterHeader.Promised || n.voterHeader.Generation >= number {
 		return
 	}
-	promise := func() {
+	sendPromise := func() {
 		n.send(from, envelope{Generation: &generationMessage{Generation: number, Promise: true, Plan: &n.plan}})
 	}
 	if number == n.voterHeader.Promised && n.voterHeader.Generation == 0 {
-		promise() // again, as the first one may have been lost
+		sendPromise() // the first one may have been lost
 		return
 	}
 	if n.voterHeader.Generation != 0 {
@@ -200,5 +206,5 @@
 		}
 	}
 	n.promiseGeneration(number)
-	n.afterReplacement = append(n.afterReplacement, promise)
+	n.afterReplacement = append(n.afterReplacement, sendPromise)
 }
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -24,8 +24,8 @@
 	goldenMark = OperatorMark{By: "alice", Reason: "night", At: 1700000000123}
 )
 
-// TestGoldenMessages freezes the messages that members send one another, one of each kind; decode of another
-// version reads them.
+// TestGoldenMessages fixes the encoding of each kind of message between members, which members of another version
+// must be able to decode.
 func TestGoldenMessages(t *testing.T) {
 	for name, e := range map[string]envelope{
 		"status": {Status: &goldenStatus},
@@ -36,7 +36,7 @@
 		"told":   {CommandResult: &commandResult{ID: "g2/1/2", Error: "no", Epoch: Epoch{92, 93}}},
 		"found":  {Generation: &generationMessage{Generation: 94, Promise: true, Plan: &goldenPlan}},
 		"later":  {LaterIncarnation: &incarnation{StartedAt: 95, Number: 96}},
-		// What is left out of a message has a form as well.
+		// Messages whose optional fields are all omitted.
 		"status-least": {Status: &Status{}},
 		"grant-least":  {Grant: &grant{}},
 		"told-least":   {CommandResult: &commandResult{}},
@@ -54,25 +54,25 @@
 		file := "message-" + name + ".cbor"
 		golden.Compare(t, file, encode(e))
 		if got, err := decode("north-fleet", golden.Read(t, file)); err != nil || !reflect.DeepEqual(*got, e) {
-			t.Errorf("%s: read as %+v, %v", name, got, err)
+			t.Errorf("%s: decoded as %+v, error %v", name, got, err)
 		}
 	}
 }
 
-// goldenCBOR compares the encoded form of a value that has every field set, and has its golden file read into
-// a new one.
+// goldenCBOR compares the encoding of a value that has every field set with its golden file, and checks that the
+// file decodes to an equal value.
 func goldenCBOR[T any](t *testing.T, file string, v T, read func([]byte, any) error) {
 	t.Helper()
 	golden.Filled(t, v)
 	golden.Compare(t, file, encode(v))
 	var got T
 	if err := read(golden.Read(t, file), &got); err != nil || !reflect.DeepEqual(got, v) {
-		t.Errorf("%s: read as %+v, %v", file, got, err)
+		t.Errorf("%s: decoded as %+v, error %v", file, got, err)
 	}
 }
 
-// TestGoldenLog freezes the entry of the log, which voters store and send; the plan, which snapshots and
-// members have; and the sections and operators' notes of this package.
+// TestGoldenLog fixes the encoding of a log entry, which voters store and send, of the plan, which snapshots and
+// members hold, and of this package's sections and operator notes.
 func TestGoldenLog(t *testing.T) {
 	goldenCBOR(t, "change.cbor", change{Base: Epoch{31, 32}, Set: map[string]cbor.RawMessage{"work": {0x81, 5}}, ID: "g1/a/7"}, cbor.Unmarshal)
 	goldenCBOR(t, "change-removes.cbor", change{Base: Epoch{33, 34}, Set: map[string]cbor.RawMessage{"freeze": {cborNull}}, ID: "g1/a/8"}, cbor.Unmarshal)
@@ -81,60 +81,60 @@
 	goldenCBOR(t, "mark.cbor", goldenMark, cbor.Unmarshal)
 	goldenCBOR(t, "said.cbor", OperatorNote{By: "bob", Reason: "day"}, decoder.Unmarshal)
 	golden.Compare(t, "said.cbor", EncodeNote("bob", "day"))
-	var s OperatorNote
-	if err := s.Read(golden.Read(t, "said.cbor")); err != nil || s != (OperatorNote{"bob", "day"}) {
-		t.Errorf("%+v, %v", s, err)
+	var note OperatorNote
+	if err := note.decode(golden.Read(t, "said.cbor")); err != nil || note != (OperatorNote{"bob", "day"}) {
+		t.Errorf("decoded as %+v, error %v", note, err)
 	}
 	if got := encode(change{Set: map[string]cbor.RawMessage{"freeze": nil}}); !slices.Contains([]byte(got), cborNull) {
-		t.Errorf("a section that is removed: %x", got)
+		t.Errorf("the encoding of a removed section contains no null: %x", got)
 	}
 }
 
-// TestGoldenSections freezes the names of the sections, the commands, and the digest of a plan, and reads
-// each section by its name.
+// TestGoldenSections fixes the names of the sections and the commands, and the digest of a plan. It reads each
+// section by its name.
 func TestGoldenSections(t *testing.T) {
 	p := Plan{Epoch: Epoch{11, 12}, Sections: map[string]cbor.RawMessage{"voters": golden.Read(t, "voters.cbor"), "freeze": golden.Read(t, "mark.cbor")}}
 	if m, ok := p.Frozen(); !ok || m != goldenMark {
-		t.Errorf("frozen: %+v, %v", m, ok)
+		t.Errorf("got freeze mark %+v, ok %v", m, ok)
 	}
 	if v := p.voters(); !maps.Equal(v, map[string]uint64{"g3": 1<<63 + 9}) {
-		t.Errorf("voters: %v", v)
+		t.Errorf("got voters %v", v)
 	}
 	if got := p.Digest(); got != goldenDigest {
-		t.Errorf("digest: %#x", got)
+		t.Errorf("got digest %#x", got)
 	}
 	if got := slices.Sorted(maps.Keys(FreezeCommands())); !slices.Equal(got, []string{"freeze", "thaw"}) {
-		t.Error("commands:", got)
+		t.Error("got commands", got)
 	}
 	set, err := FreezeCommands()["freeze"](&Plan{}, golden.Read(t, "said.cbor"), 1700000000123)
 	if err != nil || !reflect.DeepEqual(set, map[string]cbor.RawMessage{"freeze": encode(OperatorMark{"bob", "day", 1700000000123})}) {
-		t.Errorf("freeze: %v, %v", set, err)
+		t.Errorf("freeze returned sections %v, error %v", set, err)
 	}
 	set, err = FreezeCommands()["thaw"](&p, golden.Read(t, "said.cbor"), 1)
 	if err != nil || !reflect.DeepEqual(set, map[string]cbor.RawMessage{"freeze": nil}) {
-		t.Errorf("thaw: %v, %v", set, err)
+		t.Errorf("thaw returned sections %v, error %v", set, err)
 	}
 }
 
-// TestGoldenNewGeneration freezes the snapshot with which a log begins, as voters store and send it.
+// TestGoldenNewGeneration fixes the snapshot with which a log starts, as voters store and send it.
 func TestGoldenNewGeneration(t *testing.T) {
 	s := newGenerationState(21, 22, goldenPlan)
 	golden.Compare(t, "plan.cbor", s.Snapshot.GetData())
 	var v voter
 	if err := v.restoreSnapshot(s.Snapshot); err != nil || !reflect.DeepEqual(v.plan, goldenPlan) || v.applied != 1 {
-		t.Errorf("%+v, %v", v.plan, err)
+		t.Errorf("restored plan %+v, error %v", v.plan, err)
 	}
 	if s.Identity != 21 || s.Generation != 22 || s.Promised != 22 || s.HardState.GetTerm() != 1 || s.HardState.GetCommit() != 1 {
-		t.Errorf("%+v", s)
+		t.Errorf("got state %+v", s)
 	}
 }
 
-// TestGoldenJSON freezes what operators are shown of this package's types, and the epoch as text.
+// TestGoldenJSON fixes the JSON of this package's types, which operators see, and the text form of an epoch.
 func TestGoldenJSON(t *testing.T) {
 	type page struct {
 		Epoch  Epoch        `json:"epoch"`
 		Mark   OperatorMark `json:"mark"`
-		Said   OperatorNote `json:"said"`
+		Note   OperatorNote `json:"said"`
 		Report Report       `json:"report"`
 	}
 	v := page{Epoch{1234567890123, 45}, goldenMark, OperatorNote{"bob", "day"}, goldenReport}
@@ -146,16 +146,16 @@
 	golden.Compare(t, "shown.json", text)
 	var got page
 	if err := json.Unmarshal(golden.Read(t, "shown.json"), &got); err != nil || !reflect.DeepEqual(got, v) {
-		t.Errorf("read as %+v, %v", got, err)
+		t.Errorf("decoded as %+v, error %v", got, err)
 	}
 	if got := v.Epoch.String(); got != "1234567890123.45" {
 		t.Error(got)
 	}
 	for _, bad := range []string{"", "1", "1.", ".1", "a.1", "1.b", "1.2.3"} {
 		if err := new(Epoch).UnmarshalText([]byte(bad)); err == nil {
-			t.Errorf("%q is read as an epoch", bad)
+			t.Errorf("%q was accepted as an epoch", bad)
 		}
 	}
 }
 
-const goldenDigest = 0x3182e3d5e93bb1a3 // of the plan in TestGoldenSections
+const goldenDigest = 0x3182e3d5e93bb1a3 // digest of the plan in TestGoldenSections
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -6,25 +6,25 @@
 )
 
 const (
-	statusRingSize = 64 // statuses whose send times are kept; an answer to an older one is ignored
-	grantsPerLease = 5  // renewals within a lease, so that a few may be lost
+	statusRingSize = 64 // statuses whose send times are kept; a grant for an older status is ignored
+	grantsPerLease = 5  // grants to one member within a lease, so that some may be lost
 )
 
 // leaseHolder is a member's side of the leader's leases.
 //
-// The leader answers a status with a grant: "at some time after you sent status seq, I led with a quorum, and
-// epoch E was the newest plan". The lease runs from the sending of that status by the member's own monotonic
-// clock, so a delayed answer or a stalled process can only shorten it. While it runs the view is fresh: it
-// lacks no plan that was committed before the lease began. The grant's payload (what this member may send to
-// servers in slow start) holds for one lease as well.
+// The leader answers a status with a grant. The grant states that, at some time after status seq was sent, the
+// leader had a quorum and epoch E was the newest plan. The lease starts at the time at which that status was
+// sent, by the member's own monotonic clock, so a delayed answer or a stalled process can only shorten it.
+// While the lease is valid the view is fresh: it lacks no plan that was committed before the lease began. The
+// payload of the grant (what this member may send to servers in slow start) is valid for one lease as well.
 type leaseHolder struct {
-	duration   time.Duration
-	sent       [statusRingSize]sentStatus // by seq modulo the size
-	freshUntil time.Duration
-	grant      []byte
-	grantSeq   uint64 // the status that grant answers; 0: there never was a grant
-	grantUntil time.Duration
-	expired    bool // as of the last check
+	duration     time.Duration
+	sentStatuses [statusRingSize]sentStatus // indexed by sequence number modulo statusRingSize
+	freshUntil   time.Duration
+	payload      []byte // payload of the last accepted grant
+	grantSeq     uint64 // sequence number of the status that the grant answers; 0 before the first grant
+	grantUntil   time.Duration
+	expired      bool // whether the grant was expired at the last check
 }
 
 type sentStatus struct {
@@ -32,57 +32,59 @@
 	at  time.Duration
 }
 
-// statusSent records when a status was sent.
-func (l *leaseHolder) statusSent(seq uint64, at time.Duration) {
-	l.sent[seq%statusRingSize] = sentStatus{seq, at}
+// recordStatus records the time at which a status was sent.
+func (l *leaseHolder) recordStatus(seq uint64, at time.Duration) {
+	l.sentStatuses[seq%statusRingSize] = sentStatus{seq, at}
 }
 
-// sentAt is when a status was sent; false if that is too long ago to know.
+// sentAt returns the time at which a status was sent. It returns false if that time is no longer kept.
 func (l *leaseHolder) sentAt(seq uint64) (time.Duration, bool) {
-	s := l.sent[seq%statusRingSize]
+	s := l.sentStatuses[seq%statusRingSize]
 	return s.at, s.seq == seq
 }
 
-// renew extends the lease to one that began at the sending of a status.
+// renew extends the lease to one that began when a status was sent.
 func (l *leaseHolder) renew(sentAt time.Duration) {
 	l.freshUntil = max(l.freshUntil, sentAt+l.duration)
 }
 
-// accept takes the grant that answers a status, unless a later one was accepted; changed: the holder may do
-// something else now.
-func (l *leaseHolder) accept(grant []byte, seq uint64, sentAt, now time.Duration) (changed bool) {
+// accept stores the grant that answers status seq, unless one for the same or a later status was accepted
+// before. changed is true if the payload differs from the last one or the last grant had expired.
+func (l *leaseHolder) accept(payload []byte, seq uint64, sentAt, now time.Duration) (changed bool) {
 	if seq <= l.grantSeq {
-		return false // late, or duplicate
+		return false // late or duplicate
 	}
-	changed = !bytes.Equal(grant, l.grant) || now >= l.grantUntil
-	l.grant = grant
+	changed = !bytes.Equal(payload, l.payload) || now >= l.grantUntil
+	l.payload = payload
 	l.grantSeq = seq
 	l.grantUntil = sentAt + l.duration
 	return changed
 }
 
-// justExpired tells whether the grant expired since the last call.
+// justExpired returns true if the grant has expired since the last call.
 func (l *leaseHolder) justExpired(now time.Duration) bool {
-	was := l.expired
+	wasExpired := l.expired
 	l.expired = now >= l.grantUntil
-	return l.expired && !was && l.grantSeq > 0
+	return l.expired && !wasExpired && l.grantSeq > 0
 }
 
-// Fresh tells whether the leader confirmed this member's plan as the newest within the lease.
+// Fresh returns true if this member leads, or if the leader has confirmed this member's plan as the newest
+// within the lease.
 func (n *Node) Fresh() bool { return !n.fenced && (n.Leads() || n.now < n.lease.freshUntil) }
 
-// Grant returns what the leader lets this member do; false if it has no grant, or its lease is over.
+// Grant returns the payload of the leader's grant to this member. It returns false if there is no grant or its
+// lease has expired.
 func (n *Node) Grant() ([]byte, bool) {
-	return n.lease.grant, n.lease.grantSeq > 0 && n.now < n.lease.grantUntil && !n.fenced
+	return n.lease.payload, n.lease.grantSeq > 0 && n.now < n.lease.grantUntil && !n.fenced
 }
 
-// shouldGrant tells whether the leader is to answer a peer's status with a grant: always one that has no
-// lease, else several times a lease.
+// shouldGrant returns true if this member leads and must answer a peer's status with a grant: always if the
+// peer has no valid lease, otherwise grantsPerLease times per lease.
 func (n *Node) shouldGrant(p *Peer) bool {
 	return n.Leads() && (!p.Status.Fresh || n.now-p.lastGrantAt >= n.config.Lease/grantsPerLease)
 }
 
-// grantFor is the payload of the leader's grant to a member.
+// grantFor returns the payload of the leader's grant to a member that answers its status seq.
 func (n *Node) grantFor(to Peer, seq uint64) []byte {
 	if n.config.GrantFor == nil {
 		return nil
@@ -90,8 +92,8 @@
 	return n.config.GrantFor(n.now, to, seq)
 }
 
-// handleGrant renews the lease, unless the status is long past or the plan that the leader confirms has not
-// arrived yet.
+// handleGrant renews the lease, unless the send time of the status is no longer kept or the plan that the
+// leader confirms has not arrived yet.
 func (n *Node) handleGrant(from string, g *grant) {
 	sentAt, known := n.lease.sentAt(g.Seq)
 	if !known || n.plan.Epoch.Less(g.Epoch) {
@@ -108,19 +110,19 @@
 	}
 }
 
-// checkLease emits events when the grant expires, and when the view becomes fresh or stale.
+// checkLease emits an event when the grant expires, and when the view becomes fresh or stale.
 func (n *Node) checkLease() {
 	if n.lease.justExpired(n.now) {
 		n.events = append(n.events, Event{At: n.now, Kind: GrantChanged})
 	}
 	fresh := n.Fresh()
-	if fresh == n.wasFresh {
+	if fresh == n.reportedFresh {
 		return
 	}
-	n.wasFresh = fresh
+	n.reportedFresh = fresh
 	if fresh {
 		n.emit(FreshChanged, "the view is fresh")
 	} else {
-		n.emit(FreshChanged, "the view is older than its lease; the last plan holds")
+		n.emit(FreshChanged, "the view is older than its lease; the last plan stays in effect")
 	}
 }
--- a/internal/fleet/log.go
+++ b/internal/fleet/log.go
@@ -6,20 +6,20 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// voterActive tells whether this member has a voter whose state is not waiting to be replaced.
+// voterActive returns true if this member is a voter and no replacement of its state is waiting to be stored.
 func (n *Node) voterActive() bool { return n.voter != nil && n.replacement == nil }
 
-// resetVoter turns the voter into one that has never voted, under a new identity, and that ignores
-// generations older than promised.
+// resetVoter replaces the voter by one without a log, under a new identity, that ignores generations older
+// than promised.
 func (n *Node) resetVoter(promised uint64) {
 	n.replaceVoter(&VoterState{Identity: n.rng.Uint64()>>1 | 1, Promised: promised})
 }
 
-// replaceVoter has the voter go on from a state, once that is stored.
+// replaceVoter restarts the voter from a state. The voter stays inactive until that state is on stable storage.
 func (n *Node) replaceVoter(s *VoterState) {
 	v, err := newVoter(s, n.rng)
 	if err != nil {
-		panic("fleet: " + err.Error()) // only a stored state can be invalid, and this one was made here
+		panic("fleet: " + err.Error()) // only a state read from storage can be invalid, and this one was built here
 	}
 	n.voterHeader = s.withoutLog()
 	n.voter = v
@@ -28,9 +28,9 @@
 	n.commands.clear()
 }
 
-// PendingStorage returns what the owner must write to stable storage next; false: nothing. It stays the same
-// until Persisted, unless the voter is restarted meanwhile: compare with StorageUpdate.Equal before reporting
-// an asynchronous write.
+// PendingStorage returns the update that the owner must write to stable storage next. It returns false if
+// there is nothing to write. The update stays the same until Persisted is called, unless the voter is restarted
+// in the meantime: compare with StorageUpdate.Equal before reporting an asynchronous write.
 func (n *Node) PendingStorage() (StorageUpdate, bool) {
 	if n.replacement != nil {
 		return StorageUpdate{Replacement: n.replacement}, true
@@ -41,13 +41,13 @@
 	return StorageUpdate{}, false
 }
 
-// Persisted tells that what PendingStorage returns now is on stable storage. What depended on it is in
-// TakeOutput afterwards.
+// Persisted reports that the update that PendingStorage currently returns is on stable storage. Messages and
+// events that depended on it are in the next result of TakeOutput.
 func (n *Node) Persisted() {
 	if n.replacement != nil {
-		after := n.afterReplacement
+		callbacks := n.afterReplacement
 		n.replacement, n.afterReplacement = nil, nil
-		for _, f := range after {
+		for _, f := range callbacks {
 			f()
 		}
 	} else if n.voter != nil {
@@ -56,12 +56,12 @@
 	n.takeVoterOutput()
 }
 
-// handleRaft passes a message of the log to the voter, if it is for its present identity and generation.
+// handleRaft passes a raft message to the voter if it is addressed to its current identity and generation.
 func (n *Node) handleRaft(m *raftMessage) {
 	if !n.voterActive() || m.To != n.voterHeader.Identity || m.Generation < n.voterHeader.Promised {
 		return
 	}
-	if n.voterHeader.Generation == 0 { // a leader adds this voter: join its generation; the leader sends the message again
+	if n.voterHeader.Generation == 0 { // a leader adds this voter: join its generation; the leader resends the message
 		n.replaceVoter(&VoterState{Identity: n.voterHeader.Identity, Generation: m.Generation, Promised: m.Generation})
 		return
 	}
@@ -76,15 +76,15 @@
 	n.voter.step(&r)
 }
 
-// takeVoterOutput takes over what the voter has produced: messages, the leader, the plan, and finished
-// proposals. It is called after each step of the voter.
+// takeVoterOutput collects the voter's output: messages, the leader, the plan and finished proposals. It is
+// called after each step of the voter.
 func (n *Node) takeVoterOutput() {
 	if !n.voterActive() {
 		return
 	}
 	v := n.voter
 	n.sendRaftMessages()
-	n.noteLeader()
+	n.updateLeader()
 	if v.generation != 0 {
 		n.adoptPlan(v.plan, "")
 	}
@@ -109,28 +109,28 @@
 			n.send(name, envelope{Raft: &raftMessage{v.generation, m.GetTo(), b}})
 		}
 		if m.GetType() == raftpb.MsgSnap {
-			v.raftNode.ReportSnapshot(m.GetTo(), raft.SnapshotFinish) // if it is lost, the follower's next answer says so
+			v.raftNode.ReportSnapshot(m.GetTo(), raft.SnapshotFinish) // if the snapshot is lost, the follower's next response shows it
 		}
 	}
 	v.messages = nil
 }
 
-// noteLeader records the leader of the log if it was heard since the last call. What raft remembers does not
-// count: a voter that was removed starts no election, and remembers a leader that is long gone.
-func (n *Node) noteLeader() {
+// updateLeader records the leader of the log if it has been in contact since the last call. The leader that raft
+// remembers does not count: a removed voter starts no election and may remember a leader that exited long ago.
+func (n *Node) updateLeader() {
 	v := n.voter
 	if n.Leads() {
 		n.setLeader(n.config.Name)
-	} else if v.heardLeader && v.leader != 0 && !v.leading {
+	} else if v.leaderContacted && v.leader != 0 && !v.leading {
 		if name := n.memberWithIdentity(v.leader); name != "" {
 			n.setLeader(name)
 		}
 	}
-	v.heardLeader = false
+	v.leaderContacted = false
 }
 
-// memberWithIdentity names the member that votes under an identity: by the voters' own statuses, else by the
-// plan; empty: unknown.
+// memberWithIdentity returns the name of the member that votes under an identity, according to the voters'
+// statuses or else to the plan. It returns an empty name if the identity is unknown.
 func (n *Node) memberWithIdentity(identity uint64) string {
 	for _, name := range n.config.Voters {
 		if p := n.peers.byName[name]; p != nil && p.HasStatus && p.Status.Identity == identity {
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -9,93 +9,100 @@
 )
 
 const (
-	housekeepingInterval = 200 * time.Millisecond // between two checks of the generation, the voters and LeaderTick
-	// maxCatchUpTicks of the log are played when a stalled process wakes: enough for a leader without a
-	// quorum to step down.
+	// housekeepingInterval is the interval at which the generation and the voters are checked and LeaderTick is
+	// called.
+	housekeepingInterval = 200 * time.Millisecond
+	// maxCatchUpTicks limits the log ticks that are replayed when a stalled process resumes. It suffices for a
+	// leader without a quorum to step down.
 	maxCatchUpTicks = 2*electionTicks + 2
 )
 
-// Config configures a member. It is not changed after New.
+// Config configures a member. It must not be modified after New.
 type Config struct {
 	Fleet, Name, Zone, Region string
-	Voters                    []string      // by name, the same list at every member; the first starts generations of the log
-	StartedAt                 int64         // of this process, Unix ns
-	Incarnation               uint64        // random; orders two processes of one name that started in the same nanosecond
-	Seed                      uint64        // of all random draws, together with Incarnation
-	Tick                      time.Duration // of the log's clock
+	Voters                    []string      // names, in the same order at every member; the first voter starts generations of the log
+	StartedAt                 int64         // start time of this process in Unix ns
+	Incarnation               uint64        // random; orders two processes with one name that started in the same nanosecond
+	Seed                      uint64        // seed of all random draws, together with Incarnation
+	Tick                      time.Duration // duration of a tick of raft's clock
 	StatusInterval            time.Duration // minimum interval between two statuses
-	Lease                     time.Duration // how long a confirmation or grant by the leader holds, from the status it answers
-	Commands                  map[string]CommandHandler
+	Lease                     time.Duration // validity of the leader's confirmations and grants, from the status they answer
+	// Commands holds the handlers of operators' commands by name.
+	Commands map[string]CommandHandler
 
-	// Observe is called for each report received, and for this member's own; may be nil.
+	// Observe is called for each report of a peer and of this member, with the changes since its previous
+	// report. It may be nil.
 	Observe func(now time.Duration, from Peer, delta Report)
-	// LeaderTick is called on the leader every 200 ms (housekeepingInterval); unix is in ms; may be nil.
-	LeaderTick func(now time.Duration, unix int64, n *Node)
-	// GrantFor returns the payload of the leader's grant to a member, the leader included, in answer to its
-	// status seq; may be nil.
+	// LeaderTick is called on the leader every 200 ms (housekeepingInterval). unixMS is the Unix time in ms. It may be
+	// nil.
+	LeaderTick func(now time.Duration, unixMS int64, n *Node)
+	// GrantFor returns the payload of the leader's grant to a member, the leader included, that answers the
+	// member's status seq. It may be nil.
 	GrantFor func(now time.Duration, to Peer, seq uint64) []byte
 }
 
-// CommandHandler computes the plan's sections that an operator's command changes; none means that the plan
-// already complies. unix is in ms. It runs on the leader. The next leader may run it again for the same
-// command, so it must be idempotent.
-type CommandHandler func(p *Plan, args []byte, unix int64) (map[string]cbor.RawMessage, error)
+// CommandHandler computes the sections of the plan that an operator's command changes. An empty result means
+// that the plan already complies. unixMS is the Unix time in ms. A handler runs on the leader. The next leader
+// may run it again for the same command, so it must be idempotent.
+type CommandHandler func(p *Plan, args []byte, unixMS int64) (map[string]cbor.RawMessage, error)
 
-// Node is one member of the fleet as a pure state machine, in the manner of raft's RawNode: it does no I/O
-// and reads no clock.
+// Node is one member of the fleet. Like raft's RawNode it is a pure state machine: it does no I/O and reads no
+// clock.
 //
-// Threading: one goroutine owns a Node. No two of its methods may run at once, and callbacks of Config and of
-// Submit run within a method, on that goroutine; of Node they may call only accessors and Propose.
+// Threading: one goroutine owns a Node, and its methods must not run concurrently. The callbacks of Config and
+// of Submit run on that goroutine within a method. They may call only accessors of the Node, and Propose.
 //
-// The owner calls Step for each message received, Tick by NextTick at the latest, and after either:
+// The owner calls Step for each received message and Tick no later than NextTick. After each call it:
 //
-//  1. writes what PendingStorage returns to stable storage, then calls Persisted; until it does, the voter's answers to the log
-//     stay inside the Node, so that it never sends what a crash could make it forget (raft's Ready contract);
-//  2. sends and publishes what TakeOutput returns, which is always safe to send, even while a write is under way or fails.
+//  1. writes the update that PendingStorage returns to stable storage, then calls Persisted. Until then the Node
+//     holds back the voter's responses to the log, so that it never sends anything that a crash could make it
+//     forget (raft's Ready contract);
+//  2. sends the messages and publishes the events that TakeOutput returns. This is always safe, even while a
+//     write is in progress or fails.
 //
-// Time passed to methods is monotonic, from any fixed origin; Unix times are in milliseconds.
+// Times passed to methods are monotonic, with any fixed origin. Unix times are in milliseconds.
 type Node struct {
 	config Config
-	rng    *rand.Rand // seeded; the order of draws is part of the behavior that seeded tests replay
+	rng    *rand.Rand // seeded; seeded tests depend on the order of draws
 
 	now              time.Duration
 	unixMS           int64
-	started          bool // a first time has been given
+	started          bool // whether the first time has been passed
 	lastLogTick      time.Duration
 	nextStatus       time.Duration
 	nextHousekeeping time.Duration
 
-	// The voter's part of the log. All are nil at a member that is no voter.
+	// State of the voter. These pointers are nil at a member that is not a voter.
 	voter            *voter
 	voterHeader      *VoterState // Identity, Generation and Promised only
-	replacement      *VoterState // must replace the stored state before the voter does anything
-	afterReplacement []func()    // run once replacement is stored
+	replacement      *VoterState // state that must be on stable storage before the voter does anything; nil if none
+	afterReplacement []func()    // callbacks that run once replacement is stored
 	generationStart  generationStart
 
-	plan          Plan // the newest known, on which this member acts
-	leader        string
-	leaderHeardAt time.Duration
-	lease         leaseHolder
-	wasFresh      bool
-	fenced        bool // a later process has this name: this one neither sends nor handles anything
+	plan              Plan // newest known plan, which this member applies
+	leader            string
+	lastLeaderContact time.Duration
+	lease             leaseHolder
+	reportedFresh     bool
+	fenced            bool // a later process with this name exists, so this one neither sends nor handles anything
 
-	seq          uint64 // of the last message sent; a status that goes to several members has one
-	statusCount  uint64
-	peers        peerTable
-	reporter     func(full bool) *Report
-	acknowledged func() map[string]uint64
-	ownReports   reportBaseline
+	seq         uint64 // sequence number of the last message; a status sent to several members has one number
+	statusCount uint64
+	peers       peerTable
+	reporter    func(full bool) *Report
+	withdrawn   func() map[string]uint64
+	ownReports  reportBaseline
 
-	commands    commandQueue // at the leader
-	submissions submissions  // commands submitted here
+	commands    commandQueue // commands queued at the leader
+	submissions submissions  // commands submitted at this member
 
 	outbox  []Message
 	events  []Event
 	dropped uint64
 }
 
-// New returns a member. saved is the stored state of a voter, or nil: then a voter draws a new identity and
-// has no log.
+// New returns a member. saved is the stored state of a voter. If it is nil, a voter draws a new identity and
+// starts without a log. The error is that of loading saved.
 func New(config Config, saved *VoterState) (*Node, error) {
 	n := &Node{
 		config:          config,
@@ -124,19 +131,20 @@
 	return n, nil
 }
 
-// SetReporter sets the source of the report in each status; full asks for servers beside zones. Call it
-// before the first Tick.
+// SetReporter sets the function that returns the report of each status. If full is true, the report includes
+// servers as well as zones. Call SetReporter before the first Tick.
 func (n *Node) SetReporter(f func(full bool) *Report) { n.reporter = f }
 
-// SetWithdrawnSource sets the source of the machines that each status lists as withdrawn: this member has
-// nothing in flight there and sends nothing new. Call it before the first Tick.
-func (n *Node) SetWithdrawnSource(f func() map[string]uint64) { n.acknowledged = f }
+// SetWithdrawnSource sets the function that returns the machines that each status lists as withdrawn. This member
+// has nothing in flight there and sends nothing new. Call SetWithdrawnSource before the first Tick.
+func (n *Node) SetWithdrawnSource(f func() map[string]uint64) { n.withdrawn = f }
 
-// Dropped counts messages and reports that were ignored as unreadable, invalid or of another fleet or version.
+// Dropped returns the number of messages and reports that were ignored because they were unreadable, invalid or
+// from another fleet or version.
 func (n *Node) Dropped() uint64 { return n.dropped }
 
-// advance moves the clocks to now. The log plays the ticks that passed, so that a leader that wakes from a
-// stall steps down before it sends or handles anything.
+// advance moves the clocks to now. It replays the log ticks that have passed, so that a leader that resumes
+// after a stall steps down before it sends or handles anything.
 func (n *Node) advance(now time.Duration, unixMS int64) {
 	n.now = max(n.now, now)
 	n.unixMS = unixMS
@@ -156,9 +164,10 @@
 	n.takeVoterOutput()
 }
 
-// Tick moves time on and does what is due. unix is in milliseconds. Call it by NextTick at the latest.
-func (n *Node) Tick(now time.Duration, unix int64) {
-	n.advance(now, unix)
+// Tick advances the time and runs whatever is due. Call it no later than NextTick. unixMS is the Unix time in
+// milliseconds.
+func (n *Node) Tick(now time.Duration, unixMS int64) {
+	n.advance(now, unixMS)
 	if n.now >= n.nextHousekeeping {
 		n.nextHousekeeping = n.now + housekeepingInterval
 		n.runHousekeeping()
@@ -183,7 +192,7 @@
 	}
 }
 
-// NextTick is the time by which Tick should be called.
+// NextTick returns the time by which Tick should be called.
 func (n *Node) NextTick() time.Duration {
 	next := n.nextStatus
 	if n.voter != nil {
@@ -192,21 +201,21 @@
 	return min(next, n.submissions.nextDeadline(next))
 }
 
-// Step handles an encoded message from another member. unix is in milliseconds. A message that can't be used
-// counts as Dropped.
-func (n *Node) Step(now time.Duration, unix int64, b []byte) {
-	n.advance(now, unix)
+// Step handles an encoded message from another member. unixMS is the Unix time in milliseconds. Messages that
+// can't be used are counted by Dropped.
+func (n *Node) Step(now time.Duration, unixMS int64, b []byte) {
+	n.advance(now, unixMS)
 	e, err := decode(n.config.Fleet, b)
 	if err != nil {
 		n.dropped++
 		return
 	}
 	if e.From == n.config.Name {
-		n.handleNamesake(e.sender())
+		n.fenceIfSuperseded(e.sender())
 		return
 	}
 	if e.LaterIncarnation != nil {
-		n.handleNamesake(*e.LaterIncarnation)
+		n.fenceIfSuperseded(*e.LaterIncarnation)
 	}
 	p := n.peers.add(e.From)
 	if p == nil || !n.acceptIncarnation(p, e.sender()) || n.fenced {
@@ -216,8 +225,8 @@
 	n.takeVoterOutput()
 }
 
-// dispatch handles each part of a message. The plan comes first, as a grant counts only for a plan that is
-// already known.
+// dispatch handles each part of a message. The plan comes first, because a grant is valid only for a plan that
+// is already known.
 func (n *Node) dispatch(p *Peer, e *envelope) {
 	if e.Plan != nil {
 		n.adoptPlan(*e.Plan, e.From)
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -10,33 +10,36 @@
 	"pgregory.net/rapid"
 )
 
-// violation is an invariant that a sim found violated; it stands in for the test.
+// violation takes the place of the test in a simulation. It records the message of a violated invariant and ends
+// the simulation by a panic.
 type violation struct{ text string }
 
-func (f *violation) Fatalf(format string, a ...any) { f.text = fmt.Sprintf(format, a...); panic(f) }
-func (f *violation) Logf(string, ...any)            {}
+func (v *violation) Fatalf(format string, a ...any) { v.text = fmt.Sprintf(format, a...); panic(v) }
+func (v *violation) Logf(string, ...any)            {}
 
-// findViolation runs play until an invariant is violated, and returns which; empty: none was.
-func findViolation(play func(f *violation)) (text string) {
-	f := &violation{}
+// findViolation runs a simulation until it violates an invariant. It returns the message of that invariant, or an
+// empty text if none is violated.
+func findViolation(simulate func(v *violation)) (text string) {
+	v := &violation{}
 	defer func() {
-		if r := recover(); r != nil && r != any(f) {
+		if r := recover(); r != nil && r != any(v) {
 			panic(r)
 		}
-		text = f.text
+		text = v.text
 	}()
-	play(f)
+	simulate(v)
 	return ""
 }
 
-// The checks find a planted fault: a voter that lost its storage and votes under its old identity.
-func TestPlantedReusedIdentityIsFound(t *testing.T) {
+// The checks of the simulation must detect a planted fault: a voter that lost its storage votes under its old
+// identity, so that both sides of a partition can commit.
+func TestReusedIdentityIsDetected(t *testing.T) {
 	for seed := range uint64(400) {
-		text := findViolation(func(f *violation) {
-			s := newSim(f, seed, 3, 3)
+		text := findViolation(func(v *violation) {
+			s := newSim(v, seed, 3, 3)
 			s.run(4 * time.Second)
 			s.reuseIdentity = true
-			for i := range 30 { // one side commits; a voter loses its storage, and helps the other side commit
+			for i := range 30 { // one side commits; then a voter loses its storage and helps the other side commit
 				a := i % 3
 				s.heal()
 				s.run(1500 * time.Millisecond)
@@ -45,12 +48,12 @@
 				}
 				s.submit(s.members[(a+1)%3], fmt.Sprint("p", i))
 				s.run(1500 * time.Millisecond)
-				other := (a + 1 + int(seed)%2) % 3
-				s.start(s.members[other], false)
-				left := 3 - a - other
+				wiped := (a + 1 + int(seed)%2) % 3
+				s.start(s.members[wiped], false)
+				isolated := 3 - a - wiped
 				clear(s.cut)
 				for b := range 3 {
-					s.cut[[2]int{left, b}], s.cut[[2]int{b, left}] = left != b, left != b
+					s.cut[[2]int{isolated, b}], s.cut[[2]int{b, isolated}] = isolated != b, isolated != b
 				}
 				s.submit(s.members[a], fmt.Sprint("q", i))
 				s.run(3 * time.Second)
@@ -64,17 +67,17 @@
 			return
 		}
 	}
-	t.Error("the fault is not found")
+	t.Error("no seed detected the planted fault")
 }
 
-// convergedSim is a fleet that has a leader and a plan.
+// convergedSim returns a simulation of a fleet that has a leader and a plan.
 func convergedSim(t *testing.T, members, voters int) *sim {
 	s := newSim(t, 7, members, voters)
 	s.run(4 * time.Second)
 	s.submit(s.members[0], "first")
 	s.run(time.Second)
 	if len(s.leaders()) != 1 || len(s.members[0].epochs) != 1 {
-		t.Fatalf("leaders %v, epochs %v", s.leaders(), s.members[0].epochs)
+		t.Fatalf("got leaders %v and epochs %v, expected one of each", s.leaders(), s.members[0].epochs)
 	}
 	return s
 }
@@ -88,25 +91,28 @@
 	return nil
 }
 
-// The checks find a command that took effect under an older epoch than one that ended before it was submitted.
-func TestPlantedOrderIsFound(t *testing.T) {
-	text := findViolation(func(f *violation) {
-		s := newSim(f, 1, 3, 3)
+// The check of the order must detect a planted fault: a command that took effect in an older epoch than a command
+// that ended before it was submitted.
+func TestReorderedCommandsAreDetected(t *testing.T) {
+	text := findViolation(func(v *violation) {
+		s := newSim(v, 1, 3, 3)
 		s.history = []porcupine.Operation{{Call: 0, Output: Epoch{1, 5}, Return: 10}, {Call: 20, Output: Epoch{1, 4}, Return: 30}}
 		s.checkOrder()
 	})
 	if text == "" {
-		t.Error("the fault is not found")
+		t.Error("the planted fault was not detected")
 	}
 }
 
+// A leader that stalls while another one is elected must step down as soon as it resumes, before it acts on its old
+// leadership.
 func TestStalledLeaderStepsDown(t *testing.T) {
 	s := convergedSim(t, 6, 3)
 	old := s.leader()
 	old.stalledUntil = s.now + 6*time.Second
 	s.run(3 * time.Second)
-	if l := s.leaders(); len(l) != 2 { // the stalled one does not know better yet
-		t.Fatalf("leaders %v", l)
+	if l := s.leaders(); len(l) != 2 { // the stalled leader has not noticed the election yet
+		t.Fatalf("leaders %v, expected the stalled one and its successor", l)
 	}
 	for _, m := range s.members {
 		if m != old && !m.node.Leads() {
@@ -116,60 +122,64 @@
 	}
 	s.run(2900 * time.Millisecond)
 	if s.newest == old.node.plan.Epoch {
-		t.Fatal("nothing was committed meanwhile")
+		t.Fatal("no change was committed during the stall")
 	}
-	s.run(200 * time.Millisecond) // it wakes, reads its sockets, and then its timers fire
+	s.run(200 * time.Millisecond) // the process resumes, reads its sockets, and then its timers fire
 	if old.node.Leads() {
-		t.Error("it still leads")
+		t.Error("the resumed member still leads")
 	}
 	s.run(time.Second)
 	if old.node.plan.Epoch != s.newest {
-		t.Errorf("it acts on %v of %v", old.node.plan.Epoch, s.newest)
+		t.Errorf("the resumed member applies epoch %v, expected %v", old.node.plan.Epoch, s.newest)
 	}
 }
 
+// In a partition the side without a quorum must neither commit a command nor consider its view fresh. After the
+// partition all members must apply the plan of the majority.
 func TestMinorityCommitsNothing(t *testing.T) {
 	s := convergedSim(t, 6, 3)
-	small := []*member{s.leader(), s.members[5]}
-	for _, a := range small {
+	minority := []*member{s.leader(), s.members[5]}
+	for _, a := range minority {
 		for _, b := range s.members {
-			if b != small[0] && b != small[1] {
+			if b != minority[0] && b != minority[1] {
 				s.cut[[2]int{a.index, b.index}], s.cut[[2]int{b.index, a.index}] = true, true
 			}
 		}
 	}
 	s.run(1500 * time.Millisecond)
-	s.submit(small[0], "small")
+	s.submit(minority[0], "small")
 	for _, m := range s.members[:5] {
-		if m != small[0] {
+		if m != minority[0] {
 			s.submit(m, "large")
 			break
 		}
 	}
 	s.run(9 * time.Second)
-	if len(small[0].failures) != 1 || small[0].node.Fresh() || small[1].node.Fresh() {
-		t.Errorf("the minority: failures %v, fresh %v and %v", small[0].failures, small[0].node.Fresh(), small[1].node.Fresh())
+	if len(minority[0].failures) != 1 || minority[0].node.Fresh() || minority[1].node.Fresh() {
+		t.Errorf("minority: failures %v, expected one; fresh %v and %v, expected false", minority[0].failures, minority[0].node.Fresh(), minority[1].node.Fresh())
 	}
 	s.heal()
-	healed := s.now
+	healedAt := s.now
 	for s.run(10 * time.Millisecond); ; s.run(10 * time.Millisecond) {
-		same := true
+		converged := true
 		for _, m := range s.members {
-			same = same && m.node.plan.Epoch == s.newest
+			converged = converged && m.node.plan.Epoch == s.newest
 		}
-		if same {
+		if converged {
 			break
 		}
-		if s.now-healed > time.Second {
-			t.Fatal("a second after the partition's end they act on different plans")
+		if s.now-healedAt > time.Second {
+			t.Fatal("members apply different plans a second after the end of the partition")
 		}
 	}
-	if m, ok := small[1].node.plan.Frozen(); !ok || m.Reason != "large" {
-		t.Errorf("the plan has %+v", m)
+	if m, ok := minority[1].node.plan.Frozen(); !ok || m.Reason != "large" {
+		t.Errorf("got freeze mark %+v, expected that of the majority", m)
 	}
 }
 
-func TestEarlierNamesakeIsFenced(t *testing.T) {
+// Of two processes with one name only the later one may take part in the fleet. The earlier one must stop sending
+// once it receives a message of the later one, or a notice from another member.
+func TestSupersededProcessIsFenced(t *testing.T) {
 	s := convergedSim(t, 4, 3)
 	m := s.members[3]
 	later := m.config
@@ -179,35 +189,37 @@
 		t.Fatal(err)
 	}
 	n.SetAlive("m00", true)
-	n.Tick(s.now, s.unix())
-	n.Tick(s.now+simStatus, s.unix())
-	sends, _ := n.TakeOutput()
-	if len(sends) == 0 {
-		t.Fatal("it sends nothing")
+	n.Tick(s.now, s.unixMS())
+	n.Tick(s.now+simStatus, s.unixMS())
+	messages, _ := n.TakeOutput()
+	if len(messages) == 0 {
+		t.Fatal("the later process sends nothing")
 	}
-	m.node.Step(s.now, s.unix(), sends[0].Data)
+	m.node.Step(s.now, s.unixMS(), messages[0].Data)
 	if _, events := m.node.TakeOutput(); len(events) != 1 || events[0].Kind != Fenced || m.node.Fresh() {
-		t.Errorf("events %+v, fresh %v", events, m.node.Fresh())
+		t.Errorf("events %+v, expected Fenced only; fresh %v, expected false", events, m.node.Fresh())
 	}
-	// The two may never reach each other: then other members inform the earlier one.
+	// The two processes may never reach each other, so other members notify the earlier one.
 	other := s.members[2]
-	other.node.Step(s.now, s.unix(), sends[0].Data)
+	other.node.Step(s.now, s.unixMS(), messages[0].Data)
 	other.node.TakeOutput()
-	other.node.Step(s.now, s.unix(), encode(envelope{Version: wireVersion, Fleet: "test", From: m.config.Name, StartedAt: m.config.StartedAt,
+	other.node.Step(s.now, s.unixMS(), encode(envelope{Version: wireVersion, Fleet: "test", From: m.config.Name, StartedAt: m.config.StartedAt,
 		Incarnation: m.config.Incarnation, Seq: 1 << 20, Status: &Status{}}))
 	answers, _ := other.node.TakeOutput()
 	if len(answers) != 1 || answers[0].To != m.config.Name {
-		t.Fatalf("answers %+v", answers)
+		t.Fatalf("answers %+v, expected one to the earlier process", answers)
 	}
 	if e, err := decode("test", answers[0].Data); err != nil || e.LaterIncarnation == nil || e.LaterIncarnation.StartedAt != later.StartedAt {
-		t.Errorf("%+v, %v", e, err)
+		t.Errorf("got notice %+v, error %v; expected the start time of the later process", e, err)
 	}
-	m.node.Tick(s.now+time.Second, s.unix())
-	if sends, _ := m.node.TakeOutput(); len(sends) > 0 {
-		t.Error("it sends on")
+	m.node.Tick(s.now+time.Second, s.unixMS())
+	if messages, _ := m.node.TakeOutput(); len(messages) > 0 {
+		t.Error("the fenced process still sends")
 	}
 }
 
+// Messages that are malformed, foreign or inconsistent must be dropped and counted. A duplicate status, and one from an
+// earlier process, must be ignored.
 func TestUnusableMessagesAreDropped(t *testing.T) {
 	s := convergedSim(t, 3, 3)
 	m := s.members[1].node
@@ -216,61 +228,63 @@
 		change(&e)
 		return encode(e)
 	}
-	absurd := map[string]AttemptCounts{"a": {Attempts: 1, Served: 2}}
+	inconsistent := map[string]AttemptCounts{"a": {Attempts: 1, Served: 2}}
 	for name, b := range map[string][]byte{
 		"garbled":        []byte("\xff\x00garbled"),
 		"empty":          {},
 		"another fleet":  from(func(e *envelope) { e.Fleet = "other" }),
 		"newer version":  from(func(e *envelope) { e.Version = 2 }),
-		"nobody":         from(func(e *envelope) { e.From = "" }),
-		"absurd numbers": from(func(e *envelope) { e.Status = &Status{Report: &Report{Zones: absurd}} }),
-		"endless":        make([]byte, MaxMessage+1),
+		"no sender":      from(func(e *envelope) { e.From = "" }),
+		"wrong counters": from(func(e *envelope) { e.Status = &Status{Report: &Report{Zones: inconsistent}} }),
+		"too long":       make([]byte, MaxMessage+1),
 	} {
 		before := m.Dropped()
-		m.Step(s.now, s.unix(), b)
+		m.Step(s.now, s.unixMS(), b)
 		if m.Dropped() != before+1 {
-			t.Errorf("%s: %d dropped", name, m.Dropped()-before)
+			t.Errorf("%s: %d messages dropped, expected 1", name, m.Dropped()-before)
 		}
 		m.TakeOutput()
 	}
 	status := from(func(e *envelope) { e.Seq, e.Status = 5, &Status{Epoch: Epoch{1, 1}} })
-	m.Step(s.now, s.unix(), status)
-	m.Step(s.now, s.unix(), from(func(e *envelope) { e.Seq, e.Status = 5, &Status{Epoch: Epoch{1, 2}} })) // duplicate: the same number
-	m.Step(s.now, s.unix(), from(func(e *envelope) { e.StartedAt, e.Seq, e.Status = 8, 7, &Status{Epoch: Epoch{1, 3}} }))
+	m.Step(s.now, s.unixMS(), status)
+	m.Step(s.now, s.unixMS(), from(func(e *envelope) { e.Seq, e.Status = 5, &Status{Epoch: Epoch{1, 2}} })) // duplicate: same sequence number
+	m.Step(s.now, s.unixMS(), from(func(e *envelope) { e.StartedAt, e.Seq, e.Status = 8, 7, &Status{Epoch: Epoch{1, 3}} }))
 	if p := m.peers.byName["m09"]; p.Status.Epoch != (Epoch{1, 1}) {
-		t.Errorf("a duplicate status, or one of an earlier process, counts: %v", p.Status.Epoch)
+		t.Errorf("a duplicate status, or one from an earlier process, was accepted: epoch %v", p.Status.Epoch)
 	}
 }
 
-// The differences of reports add up to the counters, however reports are lost, late and duplicated.
+// The deltas of reports must add up to the reported counters even if reports are lost, late or duplicated.
 func TestReportDeltasAddUp(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		var s reportBaseline
-		sum, now := AttemptCounts{}, AttemptCounts{}
+		var baseline reportBaseline
+		sum, counters := AttemptCounts{}, AttemptCounts{}
 		for range rapid.IntRange(1, 30).Draw(t, "reports") {
-			now.Add(AttemptCounts{Attempts: uint64(rapid.IntRange(0, 5).Draw(t, "tries")), LatencyMicros: 7})
+			counters.Add(AttemptCounts{Attempts: uint64(rapid.IntRange(0, 5).Draw(t, "attempts")), LatencyMicros: 7})
 			if rapid.Bool().Draw(t, "lost") {
 				continue
 			}
-			for range rapid.IntRange(1, 2).Draw(t, "times") {
-				d, err := s.delta(&Report{Zones: map[string]AttemptCounts{"a": now}})
+			for range rapid.IntRange(1, 2).Draw(t, "copies") {
+				d, err := baseline.delta(&Report{Zones: map[string]AttemptCounts{"a": counters}})
 				if err != nil {
 					t.Fatal(err)
 				}
 				sum.Add(d.Zones["a"])
 			}
 		}
-		if d, err := s.delta(&Report{Zones: map[string]AttemptCounts{"a": now}}); err != nil {
+		if d, err := baseline.delta(&Report{Zones: map[string]AttemptCounts{"a": counters}}); err != nil {
 			t.Fatal(err)
 		} else {
 			sum.Add(d.Zones["a"])
 		}
-		if sum.Attempts != now.Attempts {
-			t.Fatalf("%+v of %+v", sum, now)
+		if sum.Attempts != counters.Attempts {
+			t.Fatalf("deltas add up to %+v, expected %+v", sum, counters)
 		}
 	})
 }
 
+// A leader whose disk is full can't complete its writes. Another voter must take over, and the member must recover
+// once it has space again.
 func TestFullDiskHaltsTheVoter(t *testing.T) {
 	s := convergedSim(t, 3, 3)
 	old := s.leader()
@@ -278,15 +292,15 @@
 	s.submit(old, "on a full disk")
 	s.run(4 * time.Second)
 	if l := s.leader(); l == nil || l == old {
-		t.Fatalf("leaders %v", s.leaders())
+		t.Fatalf("leaders %v, expected another voter to lead", s.leaders())
 	}
 	s.checkConvergence()
 }
 
-// Bytes per member do not grow with the fleet, except at voters, which receive every status; and a change
-// reaches all members soon.
+// The bytes sent per member must not grow with the size of the fleet, except at voters, which receive every status.
+// A change must reach all members of a large fleet quickly.
 func TestLargeFleets(t *testing.T) {
-	each := map[int]float64{}
+	bytesPerMember := map[int]float64{}
 	sizes := []int{30, 300, 1000}
 	if testing.Short() {
 		sizes = []int{30, 100}
@@ -294,22 +308,22 @@
 	for _, members := range sizes {
 		s := newSim(t, 3, members, 3)
 		s.run(6 * time.Second)
-		before, voters := map[string]int{}, 0.0
+		sentBefore, busiestVoter := map[string]int{}, 0.0
 		for _, m := range s.members {
-			before[m.config.Name] = m.sent
+			sentBefore[m.config.Name] = m.sentBytes
 		}
 		s.run(5 * time.Second)
 		for i, m := range s.members {
-			bytes := float64(m.sent-before[m.config.Name]) / 5
+			bytes := float64(m.sentBytes-sentBefore[m.config.Name]) / 5
 			if i < 3 {
-				voters = max(voters, bytes)
+				busiestVoter = max(busiestVoter, bytes)
 			} else {
-				each[members] += bytes / float64(members-3)
+				bytesPerMember[members] += bytes / float64(members-3)
 			}
 		}
 		s.submit(s.leader(), "known everywhere")
-		asked := s.now
-		known := func() bool {
+		submittedAt := s.now
+		appliedByAll := func() bool {
 			for _, m := range s.members {
 				if m.node.plan.Epoch != s.newest || s.newest.Index < 3 {
 					return false
@@ -320,20 +334,21 @@
 			}
 			return true
 		}
-		for !known() && s.now-asked < 20*time.Second {
+		for !appliedByAll() && s.now-submittedAt < 20*time.Second {
 			s.run(10 * time.Millisecond)
 		}
-		t.Logf("%d members: %.0f bytes a second each, %.0f the busiest voter; a change is known everywhere after %v", members, each[members],
-			voters, s.now-asked)
-		if s.now-asked > 3*time.Second {
-			t.Errorf("%d members: a change is known everywhere after %v", members, s.now-asked)
+		t.Logf("%d members: %.0f bytes/s per member, %.0f bytes/s at the busiest voter; a change reached all members after %v", members, bytesPerMember[members],
+			busiestVoter, s.now-submittedAt)
+		if s.now-submittedAt > 3*time.Second {
+			t.Errorf("%d members: a change reached all members only after %v", members, s.now-submittedAt)
 		}
 	}
-	if each[sizes[len(sizes)-1]] > 1.3*each[30] {
-		t.Errorf("bytes per member grow with the fleet: %v", each)
+	if bytesPerMember[sizes[len(sizes)-1]] > 1.3*bytesPerMember[30] {
+		t.Errorf("bytes/s per member grow with the size of the fleet: %v", bytesPerMember)
 	}
 }
 
+// No input may crash a member that receives it as a message.
 func FuzzDecode(f *testing.F) {
 	f.Add([]byte(encode(envelope{Version: wireVersion, Fleet: "test", From: "m00", Status: &Status{Zone: "a"}})))
 	f.Add([]byte(encode(envelope{Version: wireVersion, Fleet: "test", From: "m01", Raft: &raftMessage{1, 2, []byte("x")}})))
--- a/internal/fleet/output.go
+++ b/internal/fleet/output.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Message is an encoded message to a member. Its loss is tolerated: whoever needs an answer sends again.
+// Message is an encoded message to a member. It may be lost: a sender that needs an answer retries.
 type Message struct {
 	To   string
 	Data []byte
@@ -15,27 +15,27 @@
 type Event struct {
 	At   time.Duration
 	Kind EventKind
-	Text string // for the log; empty for GrantChanged
-	Plan *Plan  // of PlanChanged
+	Text string // log line; empty for GrantChanged
+	Plan *Plan  // new plan; set only for PlanChanged
 }
 
-// EventKind is the subject of an event.
+// EventKind is the kind of an event.
 type EventKind int
 
-// The kinds.
+// Kinds of events that a Node reports.
 const (
-	PlanChanged        EventKind = iota // a newer plan is acted on
-	LeaderChanged                       // another member is taken for the leader
-	FreshChanged                        // the view became fresh, or its lease ran out
-	GrantChanged                        // Grant returns something else
+	PlanChanged        EventKind = iota // this member applies a newer plan
+	LeaderChanged                       // this member recognizes another leader
+	FreshChanged                        // the view of the plan became fresh, or its lease expired
+	GrantChanged                        // Grant returns another result
 	GenerationStarted                   // this voter started a generation of the log
-	GenerationPromised                  // this voter ignores older generations of the log
-	Fenced                              // a later process has this name: this one neither sends nor handles anything
+	GenerationPromised                  // this voter promised a generation of the log and ignores older ones
+	Fenced                              // a later process with this name exists, so this one neither sends nor handles anything
 	VotersChanged                       // the leader proposed another set of voters
 	InvalidReport                       // a peer sent an invalid report
 )
 
-// TakeOutput returns the messages to send and the events since the last call, each in order, and forgets them.
+// TakeOutput returns the messages to send and the events since the last call, each in order, and clears both.
 func (n *Node) TakeOutput() (messages []Message, events []Event) {
 	messages, events = n.outbox, n.events
 	n.outbox, n.events = nil, nil
@@ -46,7 +46,7 @@
 	n.events = append(n.events, Event{At: n.now, Kind: kind, Text: fmt.Sprintf(format, a...)})
 }
 
-// send queues a message for another member, under a sequence number of its own.
+// send queues a message for another member with a new sequence number. A fenced process sends nothing.
 func (n *Node) send(to string, e envelope) {
 	if n.fenced || to == n.config.Name {
 		return
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-const maxPeers = 4096 // members known; further names are ignored, to bound memory
+const maxPeers = 4096 // limit on known members; further names are ignored, to bound memory
 
-// Peer is another member as this one knows it.
+// Peer is what this member knows of another member.
 type Peer struct {
 	Name         string
-	Alive        bool          // by gossip
-	LastStatusAt time.Duration // when its last status arrived; valid if HasStatus
+	Alive        bool          // whether gossip considers it alive
+	LastStatusAt time.Duration // arrival time of its last status; valid if HasStatus
 	HasStatus    bool
 	Status       Status
-	StartedAt    int64 // of its process, Unix ns
+	StartedAt    int64 // start time of its process in Unix ns
 	Incarnation  uint64
 
-	statusSeq     uint64         // of Status; older and duplicate ones are ignored
-	reports       reportBaseline // the counters it last reported
+	statusSeq     uint64         // sequence number of Status; older and duplicate statuses are ignored
+	reports       reportBaseline // last reported counters
 	sentPlanAt    time.Duration
-	sentPlanEpoch Epoch // of the plan last sent to it
+	sentPlanEpoch Epoch // epoch of the plan last sent to it
 	lastGrantAt   time.Duration
 }
 
-// peerTable holds the other members. Peers are never removed.
+// peerTable holds the other members. Entries are never removed.
 type peerTable struct {
 	byName map[string]*Peer
-	names  []string // sorted, so that random choice among them is repeatable
+	names  []string // sorted, so that random choices are reproducible
 }
 
-// add returns the peer of that name, new if need be; nil if the table is full.
+// add returns the peer with the given name and creates it if necessary. It returns nil if the table is full.
 func (t *peerTable) add(name string) *Peer {
 	p := t.byName[name]
 	if p == nil && len(t.byName) < maxPeers {
@@ -42,7 +42,7 @@
 	return p
 }
 
-// SetAlive records whether gossip takes a member for alive.
+// SetAlive records whether gossip considers a member alive.
 func (n *Node) SetAlive(name string, alive bool) {
 	if name == n.config.Name {
 		return
@@ -61,7 +61,7 @@
 	return all
 }
 
-// Peer returns another member by name.
+// Peer returns another member by name. It returns false if the member is unknown.
 func (n *Node) Peer(name string) (Peer, bool) {
 	p := n.peers.byName[name]
 	if p == nil {
@@ -70,9 +70,9 @@
 	return *p, true
 }
 
-// acceptIncarnation tells whether a message of a process may be handled. A process newer than the known one
-// of that name starts with no history. An older one is told of its successor: under one name gossip keeps one
-// address, so that the two processes may never reach each other.
+// acceptIncarnation returns true if a message from a process of peer p may be handled. A process newer than the
+// known one starts without history. An older one is notified of its successor, because gossip keeps one address
+// per name and the two processes may never reach each other.
 func (n *Node) acceptIncarnation(p *Peer, sender incarnation) bool {
 	known := incarnation{p.StartedAt, p.Incarnation}
 	if sender.before(known) {
@@ -85,12 +85,12 @@
 	return true
 }
 
-// handleNamesake fences this process if another one of its name started later.
-func (n *Node) handleNamesake(other incarnation) {
+// fenceIfSuperseded fences this process if another process with its name started later.
+func (n *Node) fenceIfSuperseded(other incarnation) {
 	own := incarnation{n.config.StartedAt, n.config.Incarnation}
 	if n.fenced || !own.before(other) {
 		return
 	}
 	n.fenced = true
-	n.emit(Fenced, "fenced: a process named %s started later; this one takes no further part in the fleet", n.config.Name)
+	n.emit(Fenced, "fenced: another process named %s started later; this process no longer takes part in the fleet", n.config.Name)
 }
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -10,33 +10,33 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bounds of a plan, as it goes to every member and is kept in memory there.
+// Bounds of a plan, which every member receives and keeps in memory.
 const (
 	maxSections = 16
-	maxPlanSize = 256 << 10 // bytes of names and sections
+	maxPlanSize = 256 << 10 // limit in bytes on all section names and contents together
 )
 
-// The plan's sections that this package defines.
+// Names of the plan's sections that this package defines.
 const (
-	sectionVoters = "voters" // map[string]uint64: identities in the log, by member
-	SectionFreeze = "freeze" // OperatorMark: while it is there the leader changes nothing of its own accord
+	sectionVoters = "voters" // map[string]uint64: identity in the log by member name
+	SectionFreeze = "freeze" // OperatorMark: while present, the leader changes nothing on its own initiative
 )
 
-const cborNull = 0xf6 // a removed section, as a change encodes it
+const cborNull = 0xf6 // encoding of a removed section in a change
 
-// Reasons for which a committed change has no effect.
+// Errors of committed changes that have no effect.
 var (
 	errPlanChanged  = errors.New("fleet: the plan has moved on")
 	errPlanTooLarge = errors.New("fleet: the plan would be too large")
 )
 
-// Plan is what the fleet has agreed on: CBOR sections by name, opaque to the log.
+// Plan is the fleet's agreed configuration: CBOR sections by name, whose content is opaque to the log.
 type Plan struct {
 	Epoch    Epoch                      `cbor:"1,keyasint"`
 	Sections map[string]cbor.RawMessage `cbor:"2,keyasint"`
 }
 
-// Section decodes a section into v; false: the plan has none of that name.
+// Section decodes a section into v. It returns false if the plan has no section with that name.
 func (p *Plan) Section(name string, v any) (bool, error) {
 	raw, ok := p.Sections[name]
 	if !ok {
@@ -45,7 +45,7 @@
 	return true, cbor.Unmarshal(raw, v)
 }
 
-// Digest is a hash of epoch and sections, equal at two members if their plans are.
+// Digest returns a hash of the epoch and all sections. Equal plans have equal digests at all members.
 func (p *Plan) Digest() uint64 {
 	h := xxhash.New()
 	fmt.Fprintln(h, p.Epoch)
@@ -56,7 +56,7 @@
 	return h.Sum64()
 }
 
-// withinBounds tells whether a plan may be adopted.
+// withinBounds returns true if the plan is small enough to be adopted.
 func (p *Plan) withinBounds() bool {
 	size := 0
 	for name, s := range p.Sections {
@@ -65,7 +65,7 @@
 	return len(p.Sections) <= maxSections && size <= maxPlanSize
 }
 
-// voters are the voters' identities in the log, by member.
+// voters returns the voters' identities in the log by member name.
 func (p *Plan) voters() map[string]uint64 {
 	v := map[string]uint64{}
 	if _, err := p.Section(sectionVoters, &v); err != nil {
@@ -74,15 +74,15 @@
 	return v
 }
 
-// change is an entry of the log: a compare-and-set of sections on the plan of epoch Base.
+// change is an entry of the log: a compare-and-set of sections on the plan with epoch Base.
 type change struct {
 	Base Epoch                      `cbor:"1,keyasint"`
-	Set  map[string]cbor.RawMessage `cbor:"2,keyasint"` // an empty section is removed
-	ID   string                     `cbor:"3,keyasint"` // of the command, or the leader's own
+	Set  map[string]cbor.RawMessage `cbor:"2,keyasint"` // new content by section name; empty content removes the section
+	ID   string                     `cbor:"3,keyasint"` // ID of the command, or an ID that the leader generated
 }
 
-// apply returns the plan after a change, under epoch e; with an error the plan is unchanged. It must stay
-// deterministic: every voter, of whatever version, applies each entry itself.
+// apply returns the plan after a change, with epoch e. If it returns an error, the plan is unchanged. It must
+// stay deterministic, because every voter applies each entry itself, whatever its version.
 func (p Plan) apply(c change, e Epoch) (Plan, error) {
 	if c.Base != p.Epoch {
 		return p, errPlanChanged
--- a/internal/fleet/reconfigure.go
+++ b/internal/fleet/reconfigure.go
@@ -7,17 +7,17 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// reconfigureVoters has the leader bring the log's voters in line with the configured ones, one step a call:
+// reconfigureVoters has the leader bring the log's voters in line with the configured ones, one step per call:
 //
-//  1. add a configured voter under its present identity, in one joint change with the removal of its former identities;
-//  2. once all are in, remove identities that belong to nobody known;
-//  3. record in the plan which identity belongs to whom.
+//  1. add a configured voter under its current identity and remove its former identities, in one joint change;
+//  2. once all configured voters are in the log, remove the identities that belong to no known member;
+//  3. record in the plan which identity belongs to which member.
 func (n *Node) reconfigureVoters() {
 	v := n.voter
 	if len(v.confState.GetVotersOutgoing()) > 0 {
-		return // a change is under way
+		return // a joint change is in progress
 	}
-	voting := v.confState.GetVoters()
+	voterIDs := v.confState.GetVoters()
 	owners := n.identityOwners()
 	for _, name := range n.config.Voters {
 		s, ok := n.recentVoterStatus(name)
@@ -25,27 +25,27 @@
 			continue
 		}
 		owners[s.Identity] = name
-		if !slices.Contains(voting, s.Identity) && n.mayJoin(s) {
+		if !slices.Contains(voterIDs, s.Identity) && n.canJoin(s) {
 			n.addVoter(name, s.Identity, owners)
 			return
 		}
 	}
-	members := map[string]uint64{} // that vote, by name
-	for _, id := range voting {
+	votingMembers := map[string]uint64{} // identities of the voting members, by name
+	for _, id := range voterIDs {
 		if name := owners[id]; name != "" {
-			members[name] = id
+			votingMembers[name] = id
 		}
 	}
-	if len(members) == len(n.config.Voters) && len(voting) > len(members) {
-		n.removeOrphanedVoters(members, owners)
+	if len(votingMembers) == len(n.config.Voters) && len(voterIDs) > len(votingMembers) {
+		n.removeOrphanedVoters(votingMembers, owners)
 		return
 	}
-	if len(members) == len(voting) && !maps.Equal(members, v.plan.voters()) {
-		n.Propose(map[string]cbor.RawMessage{sectionVoters: encode(members)})
+	if len(votingMembers) == len(voterIDs) && !maps.Equal(votingMembers, v.plan.voters()) {
+		n.Propose(map[string]cbor.RawMessage{sectionVoters: encode(votingMembers)})
 	}
 }
 
-// identityOwners maps identities in the log to members' names, by the plan.
+// identityOwners maps identities in the log to member names, according to the plan.
 func (n *Node) identityOwners() map[uint64]string {
 	owners := map[uint64]string{n.voterHeader.Identity: n.config.Name}
 	for name, id := range n.voter.plan.voters() {
@@ -56,12 +56,13 @@
 	return owners
 }
 
-// mayJoin tells whether a voter can be added: it holds no log or this one, and promised no newer one.
-func (n *Node) mayJoin(s Status) bool {
+// canJoin returns true if a voter can be added: it holds no log or this one, and has promised no
+// newer generation.
+func (n *Node) canJoin(s Status) bool {
 	return (s.Generation == 0 || s.Generation == n.voter.generation) && s.Promised <= n.voter.generation
 }
 
-// addVoter adds a member's present identity and removes its former ones.
+// addVoter proposes to add a member's current identity and to remove its former ones.
 func (n *Node) addVoter(name string, identity uint64, owners map[uint64]string) {
 	var former []uint64
 	for _, id := range n.voter.confState.GetVoters() {
@@ -70,21 +71,21 @@
 		}
 	}
 	if n.voter.proposeVoters(former, []uint64{identity}) == nil {
-		n.emit(VotersChanged, "voter %s joins as %x, in place of %d former identities", name, identity, len(former))
+		n.emit(VotersChanged, "voter %s joins with identity %x, which replaces %d former identities", name, identity, len(former))
 	}
 	n.takeVoterOutput()
 }
 
-// removeOrphanedVoters removes the identities that no member votes under.
-func (n *Node) removeOrphanedVoters(members map[string]uint64, owners map[uint64]string) {
+// removeOrphanedVoters proposes to remove the identities under which no member votes.
+func (n *Node) removeOrphanedVoters(votingMembers map[string]uint64, owners map[uint64]string) {
 	var orphaned []uint64
 	for _, id := range n.voter.confState.GetVoters() {
-		if owners[id] == "" || members[owners[id]] != id {
+		if owners[id] == "" || votingMembers[owners[id]] != id {
 			orphaned = append(orphaned, id)
 		}
 	}
 	if n.voter.proposeVoters(orphaned, nil) == nil {
-		n.emit(VotersChanged, "%d voters without a member are removed", len(orphaned))
+		n.emit(VotersChanged, "removing %d voter identities that belong to no member", len(orphaned))
 	}
 	n.takeVoterOutput()
 }
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -2,30 +2,30 @@
 
 import "errors"
 
-// Bounds of a report, so that it fits one datagram.
+// Bounds of a report, which must fit one datagram.
 const (
-	maxNameLength      = 64 // bytes, of a member, zone or region
+	maxNameLength      = 64 // limit in bytes on the name of a member, zone or region
 	maxZones           = 64
 	MaxReportedServers = 24
-	maxCounter         = 1 << 40 // attempts; no process runs long enough to count so many
+	maxCounter         = 1 << 40 // limit on counted attempts; no process runs long enough to reach it
 )
 
-var errInvalidReport = errors.New("fleet: a report with absurd numbers")
+var errInvalidReport = errors.New("fleet: report has inconsistent counters or exceeds its bounds")
 
-// AttemptCounts are a member's counters of attempts to a zone or a server since its process started. They
+// AttemptCounts holds a member's counters of attempts to a zone or a server since its process started. They
 // never decrease.
 type AttemptCounts struct {
-	Attempts      uint64 `cbor:"1,keyasint" json:"tries"`                    // that ended, or are overdue
-	Served        uint64 `cbor:"2,keyasint" json:"served"`                   // of these, answered with success
-	ConnectFailed uint64 `cbor:"3,keyasint" json:"refused"`                  // could not connect
-	TimedOut      uint64 `cbor:"4,keyasint" json:"silent"`                   // no answer in time
-	Failed        uint64 `cbor:"5,keyasint" json:"failed"`                   // errors and resets
-	Rejected      uint64 `cbor:"6,keyasint" json:"turned"`                   // the server's queue was full
-	LatencyMicros uint64 `cbor:"7,keyasint" json:"micros"`                   // total, of those in Served and AnsweredLate
-	AnsweredLate  uint64 `cbor:"8,keyasint,omitempty" json:"late,omitempty"` // served after they were counted in TimedOut
+	Attempts      uint64 `cbor:"1,keyasint" json:"tries"`                    // attempts that ended or are overdue
+	Served        uint64 `cbor:"2,keyasint" json:"served"`                   // attempts answered with success
+	ConnectFailed uint64 `cbor:"3,keyasint" json:"refused"`                  // attempts that could not connect
+	TimedOut      uint64 `cbor:"4,keyasint" json:"silent"`                   // attempts without an answer in time
+	Failed        uint64 `cbor:"5,keyasint" json:"failed"`                   // attempts that ended with an error or a reset
+	Rejected      uint64 `cbor:"6,keyasint" json:"turned"`                   // attempts rejected because the server's queue was full
+	LatencyMicros uint64 `cbor:"7,keyasint" json:"micros"`                   // total latency of attempts in Served and AnsweredLate
+	AnsweredLate  uint64 `cbor:"8,keyasint,omitempty" json:"late,omitempty"` // attempts served after they were counted in TimedOut
 }
 
-// ServerReport is what a member saw of one server, and the load that the server last reported to it.
+// ServerReport holds a member's attempts to one server, and the load that the server last reported to it.
 type ServerReport struct {
 	AttemptCounts `cbor:"1,keyasint"`
 	Zone          string `cbor:"2,keyasint" json:"zone"`
@@ -33,12 +33,12 @@
 	InFlight      uint32 `cbor:"4,keyasint" json:"in_flight"`
 }
 
-// Report is what a member reports with its status. It carries counters since the start of its process, not
-// differences, so that late, duplicate and lost reports change nothing.
+// Report is the load report in a member's status. It carries counters since the start of the member's process,
+// not differences, so that late, duplicate and lost reports do not affect the totals.
 type Report struct {
 	Zones    map[string]AttemptCounts `cbor:"1,keyasint" json:"zones,omitempty"`
-	Servers  map[uint32]ServerReport  `cbor:"2,keyasint" json:"servers,omitempty"` // that changed, up to MaxReportedServers in turns
-	Requests uint64                   `cbor:"3,keyasint" json:"asked,omitempty"`   // received from clients, forwarded or not
+	Servers  map[uint32]ServerReport  `cbor:"2,keyasint" json:"servers,omitempty"` // servers that changed, up to MaxReportedServers, in rotation
+	Requests uint64                   `cbor:"3,keyasint" json:"asked,omitempty"`   // requests received from clients, forwarded or not
 }
 
 // Add adds o to c.
@@ -53,7 +53,7 @@
 	c.AnsweredLate += o.AnsweredLate
 }
 
-// valid tells whether an honest process can have counted this.
+// valid returns true if the counters are consistent and within bounds, as those of a correct process are.
 func (c AttemptCounts) valid() bool {
 	return c.Attempts < maxCounter &&
 		c.LatencyMicros < maxCounter*1000 &&
@@ -65,7 +65,8 @@
 		c.AnsweredLate <= c.TimedOut
 }
 
-// since returns what was counted after o by the same process; false: a counter decreased.
+// since returns the counts since o, which is an earlier state of the same process. It returns false if a counter
+// decreased.
 func (c AttemptCounts) since(o AttemptCounts) (AttemptCounts, bool) {
 	if c.Attempts < o.Attempts || c.Served < o.Served || c.ConnectFailed < o.ConnectFailed || c.TimedOut < o.TimedOut ||
 		c.Failed < o.Failed || c.Rejected < o.Rejected || c.LatencyMicros < o.LatencyMicros || c.AnsweredLate < o.AnsweredLate {
@@ -83,7 +84,7 @@
 	}, true
 }
 
-// validate rejects a report that no honest process can send.
+// validate returns errInvalidReport for a report that no correct process can send.
 func (r *Report) validate() error {
 	if len(r.Zones) > maxZones || len(r.Servers) > MaxReportedServers {
 		return errInvalidReport
--- a/internal/fleet/report_baseline.go
+++ b/internal/fleet/report_baseline.go
@@ -2,21 +2,21 @@
 
 import "maps"
 
-// MaxObservedServers bounds the servers whose counters are kept of one member: more than the largest fleet
-// has. Replaced servers come under new IDs, so beyond the bound all are forgotten, and those that still exist
-// are counted anew.
+// MaxObservedServers limits the servers whose counters are kept per member. It exceeds the size of the largest
+// fleet. Replaced servers get new IDs, so all counters are dropped once the limit is exceeded, and the counters
+// of servers that still exist start again.
 const MaxObservedServers = 4096
 
-// reportBaseline holds the counters that one process of a member reported last; the next report's differences
-// are to these.
+// reportBaseline holds the counters that one process of a member reported last. The changes in its next report
+// are relative to these.
 type reportBaseline struct {
 	zones    map[string]AttemptCounts
 	servers  map[uint32]ServerReport
 	requests uint64
 }
 
-// delta returns what a report adds to those before, and makes it the new baseline. With an error the baseline
-// stays.
+// delta returns the changes of a report relative to the baseline, and makes the report the new baseline. If it
+// returns an error, the baseline is unchanged.
 func (b *reportBaseline) delta(r *Report) (Report, error) {
 	if err := r.validate(); err != nil {
 		return Report{}, err
@@ -41,7 +41,7 @@
 	for id, s := range r.Servers {
 		d, ok := s.AttemptCounts.since(b.servers[id].AttemptCounts)
 		if !ok {
-			d = s.AttemptCounts // the member forgot the server (its own bound), and counts it anew
+			d = s.AttemptCounts // the member dropped the server's counters at its own limit, and started again
 		}
 		s.AttemptCounts = d
 		delta.Servers[id] = s
@@ -50,7 +50,7 @@
 	return delta, nil
 }
 
-// replace makes a report the baseline, within the bound on servers.
+// replace makes a report the baseline. It first drops all counters if they exceed MaxObservedServers.
 func (b *reportBaseline) replace(r *Report) {
 	if b.zones == nil || len(b.servers) > MaxObservedServers {
 		b.zones = map[string]AttemptCounts{}
--- a/internal/fleet/report_test.go
+++ b/internal/fleet/report_test.go
@@ -2,10 +2,11 @@
 
 import "testing"
 
-// Reports that cycle through all servers of the largest fleet count no attempt twice.
+// Reports that cycle through all servers of the largest fleet must count each attempt once. If the baseline dropped
+// counters between two reports of a server, its attempts would be counted again.
 func TestReportsOfManyServers(t *testing.T) {
 	const servers, rounds = 3200, 3
-	var s reportBaseline
+	var baseline reportBaseline
 	counted := map[uint32]uint64{}
 	for round := range rounds {
 		for first := 0; first < servers; first += MaxReportedServers {
@@ -13,7 +14,7 @@
 			for id := first; id < min(first+MaxReportedServers, servers); id++ {
 				r.Servers[uint32(id)] = ServerReport{Zone: "a", AttemptCounts: AttemptCounts{Attempts: uint64(round + 1)}}
 			}
-			delta, err := s.delta(r)
+			delta, err := baseline.delta(r)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -24,7 +25,7 @@
 	}
 	for id, n := range counted {
 		if n != rounds {
-			t.Fatalf("of server %d, which was tried %d times, %d tries were counted", id, rounds, n)
+			t.Fatalf("server %d: %d attempts were reported, %d were counted", id, rounds, n)
 		}
 	}
 }
--- a/internal/fleet/schedule_test.go
+++ b/internal/fleet/schedule_test.go
@@ -8,14 +8,14 @@
 	"pgregory.net/rapid"
 )
 
-// playSchedule injects random faults.
-func playSchedule(t *rapid.T, s *sim) {
-	for i := range rapid.IntRange(3, 12).Draw(t, "troubles") {
+// runSchedule injects random faults and submits commands.
+func runSchedule(t *rapid.T, s *sim) {
+	for i := range rapid.IntRange(3, 12).Draw(t, "steps") {
 		m := s.members[rapid.IntRange(0, len(s.members)-1).Draw(t, "member")]
-		switch rapid.SampledFrom([]string{"kill", "wipe", "stall", "part", "oneway", "lossy", "slow", "heal", "full", "ask", "all"}).Draw(t, "what") {
+		switch rapid.SampledFrom([]string{"kill", "wipe", "stall", "partition", "cut link", "lossy", "slow", "heal", "full disk", "submit", "restart all"}).Draw(t, "action") {
 		case "kill":
 			m.down = true
-			s.after(time.Duration(rapid.IntRange(100, 4000).Draw(t, "back"))*time.Millisecond, func() {
+			s.after(time.Duration(rapid.IntRange(100, 4000).Draw(t, "restart after"))*time.Millisecond, func() {
 				if m.down {
 					s.start(m, true)
 				}
@@ -26,45 +26,45 @@
 			}
 		case "stall":
 			m.stalledUntil = s.now + time.Duration(rapid.IntRange(100, 6000).Draw(t, "stall"))*time.Millisecond
-		case "part":
+		case "partition":
 			side := rapid.Uint64().Draw(t, "side")
 			for a := range s.members {
 				for b := range s.members {
 					s.cut[[2]int{a, b}] = side>>a&1 != side>>b&1
 				}
 			}
-		case "oneway":
+		case "cut link":
 			other := rapid.IntRange(0, len(s.members)-1).Draw(t, "other")
 			s.cut[[2]int{m.index, other}] = true
 		case "lossy":
 			s.lossRate, s.duplication = 0.3, 0.2
 		case "slow":
 			s.delay = 300 * time.Millisecond
-		case "full":
+		case "full disk":
 			m.diskFull = true
-		case "all":
-			keep := rapid.Bool().Draw(t, "keep")
+		case "restart all":
+			keepStorage := rapid.Bool().Draw(t, "keep storage")
 			for _, m := range s.members {
-				s.start(m, keep)
+				s.start(m, keepStorage)
 			}
 		case "heal":
 			s.heal()
-		case "ask":
+		case "submit":
 			s.submit(m, fmt.Sprint("x", i))
 		}
-		s.run(time.Duration(rapid.IntRange(10, 1500).Draw(t, "then")) * time.Millisecond)
-		s.submit(s.members[rapid.IntRange(0, len(s.members)-1).Draw(t, "asks")], fmt.Sprint("y", i))
+		s.run(time.Duration(rapid.IntRange(10, 1500).Draw(t, "run for")) * time.Millisecond)
+		s.submit(s.members[rapid.IntRange(0, len(s.members)-1).Draw(t, "submitter")], fmt.Sprint("y", i))
 	}
 }
 
-// In random schedules no two plans share an epoch, no member goes back, no two generations commit side by
-// side, no stale view is fresh; and once all is healed, all members act on one plan. -rapid.checks=10000 for
-// the long form.
+// In random schedules of faults no two plans may share an epoch, no member may return to an older epoch, no two
+// generations may commit concurrently, and no stale view may count as fresh. Once all faults are healed, all members
+// must apply one plan. The long form runs with -rapid.checks=10000.
 func TestSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(3, 7).Draw(t, "members"), 3)
 		s.run(4 * time.Second)
-		playSchedule(t, s)
+		runSchedule(t, s)
 		s.checkConvergence()
 		s.checkOrder()
 	})
--- a/internal/fleet/sim_test.go
+++ b/internal/fleet/sim_test.go
@@ -15,8 +15,8 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// sim runs members on one virtual clock, over links that lose, delay, duplicate and are cut. Members can be
-// stalled, killed, and restarted with or without their storage. It checks the fleet's invariants at each
+// sim simulates members on one virtual clock, over links that lose, delay, duplicate and block messages. Members
+// can be stalled, killed, and restarted with or without their storage. It checks the fleet's invariants at each
 // step.
 type sim struct {
 	t           fataler
@@ -29,43 +29,47 @@
 	lossRate    float64
 	delay       time.Duration
 	duplication float64
-	cut         map[[2]int]bool // from, to
+	cut         map[[2]int]bool // blocked links, as indexes of sender and receiver
 
 	committedPlans   map[Epoch][]byte
 	committedAt      map[Epoch]time.Duration
 	newest           Epoch
-	newestGeneration uint64 // in which a plan was committed
+	newestGeneration uint64 // newest generation in which a plan was committed
 	reuseIdentity    bool   // planted fault: a voter that lost its storage keeps its identity
 	incarnations     int64
 	history          []porcupine.Operation
 }
 
+// fataler is the part of a test that a simulation uses.
 type fataler interface {
 	Fatalf(string, ...any)
 	Logf(string, ...any)
 }
 
+// member is a simulated member of the fleet with its process and its disk.
 type member struct {
 	index        int
 	config       Config
 	node         *Node
 	disk         *VoterState
-	diskFull     bool // writes don't complete
+	diskFull     bool // whether writes to the disk do not complete
 	down         bool
 	stalledUntil time.Duration
-	inbox        [][]byte // of a stalled process
+	inbox        [][]byte // messages that a stalled process has not read yet
 	epoch        Epoch
 	failures     []error
-	sent         int
-	epochs       []Epoch // in which its commands took effect
+	sentBytes    int
+	epochs       []Epoch // epochs in which its commands took effect
 }
 
+// simEvent is an action at a virtual time. Events at the same time run in the order of their creation.
 type simEvent struct {
 	at    time.Duration
 	order int
 	do    func()
 }
 
+// events is the queue of pending events, a heap.
 type events []simEvent
 
 func (e events) Len() int { return len(e) }
@@ -113,8 +117,8 @@
 }
 
 // freezeAlways is a command handler that always changes the plan.
-func freezeAlways(p *Plan, args []byte, unix int64) (map[string]cbor.RawMessage, error) {
-	return map[string]cbor.RawMessage{SectionFreeze: encode(OperatorMark{Reason: string(args), At: unix})}, nil
+func freezeAlways(p *Plan, args []byte, unixMS int64) (map[string]cbor.RawMessage, error) {
+	return map[string]cbor.RawMessage{SectionFreeze: encode(OperatorMark{Reason: string(args), At: unixMS})}, nil
 }
 
 func (s *sim) after(d time.Duration, do func()) {
@@ -122,12 +126,12 @@
 	heap.Push(&s.events, simEvent{s.now + d, s.eventCount, do})
 }
 
-// start starts a new process of a member, with its storage or without.
-func (s *sim) start(m *member, keep bool) {
+// start starts a new process of a member. The process has the member's storage if keepStorage is true.
+func (s *sim) start(m *member, keepStorage bool) {
 	s.incarnations++
 	m.config.StartedAt, m.config.Incarnation = s.incarnations, s.rng.Uint64()
 	saved := m.disk
-	if !keep {
+	if !keepStorage {
 		if saved != nil && s.reuseIdentity {
 			saved = &VoterState{Identity: m.disk.Identity, Generation: m.disk.Generation, Promised: m.disk.Promised}
 		} else {
@@ -150,20 +154,20 @@
 			n.SetAlive(o.config.Name, true)
 		}
 	}
-	process := m.config.Incarnation
+	startedIncarnation := m.config.Incarnation
 	var tick func()
 	tick = func() {
-		if m.down || m.config.Incarnation != process {
+		if m.down || m.config.Incarnation != startedIncarnation {
 			return
 		}
 		if s.now >= m.stalledUntil {
 			inbox := m.inbox
 			m.inbox = nil
-			for _, b := range inbox { // a process that wakes reads its sockets before its timers fire
-				m.node.Step(s.now, s.unix(), b)
+			for _, b := range inbox { // a process that resumes reads its sockets before its timers fire
+				m.node.Step(s.now, s.unixMS(), b)
 				s.drive(m)
 			}
-			m.node.Tick(s.now, s.unix())
+			m.node.Tick(s.now, s.unixMS())
 			s.drive(m)
 		}
 		s.after(simTick, tick)
@@ -171,9 +175,9 @@
 	s.after(time.Duration(s.rng.Int64N(int64(simTick))), tick)
 }
 
-func (s *sim) unix() int64 { return 1_700_000_000_000 + int64(s.now/time.Millisecond) }
+func (s *sim) unixMS() int64 { return 1_700_000_000_000 + int64(s.now/time.Millisecond) }
 
-// drive stores and sends what a member has ready, and checks it.
+// drive stores and sends what a member has ready, and checks its plan.
 func (s *sim) drive(m *member) {
 	for {
 		update, pending := m.node.PendingStorage()
@@ -189,11 +193,11 @@
 			s.checkPlan(m, *e.Plan)
 		}
 	}
-	for _, x := range messages {
-		m.sent += len(x.Data)
-		to := slices.IndexFunc(s.members, func(o *member) bool { return o.config.Name == x.To })
+	for _, message := range messages {
+		m.sentBytes += len(message.Data)
+		to := slices.IndexFunc(s.members, func(o *member) bool { return o.config.Name == message.To })
 		if to < 0 {
-			s.t.Fatalf("%s sends to %q", m.config.Name, x.To)
+			s.t.Fatalf("%s sends to %q", m.config.Name, message.To)
 		}
 		copies := 1
 		if s.rng.Float64() < s.duplication {
@@ -203,7 +207,7 @@
 			if s.cut[[2]int{m.index, to}] || s.rng.Float64() < s.lossRate {
 				continue
 			}
-			s.after(time.Duration(s.rng.Int64N(int64(s.delay)+1)), func() { s.deliver(s.members[to], x.Data) })
+			s.after(time.Duration(s.rng.Int64N(int64(s.delay)+1)), func() { s.deliver(s.members[to], message.Data) })
 		}
 	}
 	s.checkFreshness(m)
@@ -217,40 +221,40 @@
 			m.inbox = append(m.inbox, b)
 		}
 	default:
-		m.node.Step(s.now, s.unix(), b)
+		m.node.Step(s.now, s.unixMS(), b)
 		s.drive(m)
 	}
 }
 
 // persist applies a write to the member's disk.
-func (m *member) persist(p StorageUpdate) {
-	if p.Replacement != nil {
-		m.disk = p.Replacement
+func (m *member) persist(update StorageUpdate) {
+	if update.Replacement != nil {
+		m.disk = update.Replacement
 		return
 	}
 	d := *m.disk
-	if p.HardState != nil {
-		d.HardState = proto.Clone(p.HardState).(*raftpb.HardState)
+	if update.HardState != nil {
+		d.HardState = proto.Clone(update.HardState).(*raftpb.HardState)
 	}
-	if p.Snapshot != nil {
-		d.Snapshot = p.Snapshot
+	if update.Snapshot != nil {
+		d.Snapshot = update.Snapshot
 		d.Entries = slices.DeleteFunc(slices.Clone(d.Entries), func(e *raftpb.Entry) bool {
-			return e.GetIndex() <= p.Snapshot.GetMetadata().GetIndex()
+			return e.GetIndex() <= update.Snapshot.GetMetadata().GetIndex()
 		})
 	}
-	if len(p.Entries) > 0 {
+	if len(update.Entries) > 0 {
 		d.Entries = slices.DeleteFunc(slices.Clone(d.Entries), func(e *raftpb.Entry) bool {
-			return e.GetIndex() >= p.Entries[0].GetIndex()
+			return e.GetIndex() >= update.Entries[0].GetIndex()
 		})
-		for _, e := range p.Entries {
+		for _, e := range update.Entries {
 			d.Entries = append(d.Entries, proto.Clone(e).(*raftpb.Entry))
 		}
 	}
 	m.disk = &d
 }
 
-// checkPlan checks that one epoch has one plan, that a generation commits nothing after a newer one did, and
-// that no member goes back.
+// checkPlan checks that an epoch has only one plan, that a generation commits nothing after a newer one did, and
+// that no member goes back to an older epoch.
 func (s *sim) checkPlan(m *member, p Plan) {
 	b := planBytes(p)
 	if old, ok := s.committedPlans[p.Epoch]; ok && !bytes.Equal(old, b) {
@@ -279,8 +283,8 @@
 	return b
 }
 
-// checkFreshness checks that a fresh view lacks no plan that was committed longer ago than the lease plus the
-// time within which a leader without a quorum steps down.
+// checkFreshness checks that a fresh view contains every plan that was committed longer ago than the lease plus
+// the time within which a leader without a quorum steps down.
 func (s *sim) checkFreshness(m *member) {
 	if !m.node.Fresh() || s.newest == m.node.plan.Epoch {
 		return
@@ -288,12 +292,12 @@
 	old := s.now - simLease - 2*electionTicks*simTick - 2*simTick
 	for e, at := range s.committedAt {
 		if at < old && m.node.plan.Epoch.Less(e) {
-			s.t.Fatalf("%v: %s calls %v fresh, and %v was committed at %v", s.now, m.config.Name, m.node.plan.Epoch, e, at)
+			s.t.Fatalf("%v: %s considers epoch %v fresh, but %v was committed at %v", s.now, m.config.Name, m.node.plan.Epoch, e, at)
 		}
 	}
 }
 
-// run runs the members for a time.
+// run advances the simulation by a duration.
 func (s *sim) run(d time.Duration) {
 	end := s.now + d
 	for len(s.events) > 0 && s.events[0].at <= end {
@@ -304,24 +308,24 @@
 	s.now = end
 }
 
-// submit submits a command at a member.
-func (s *sim) submit(m *member, what string) {
+// submit submits a command at a member, unless it is down or stalled.
+func (s *sim) submit(m *member, reason string) {
 	if m.down || s.now < m.stalledUntil {
 		return
 	}
-	submitted := s.now
-	m.node.Submit(s.now, s.unix(), "freeze", []byte(what), func(e Epoch, err error) {
+	submittedAt := s.now
+	m.node.Submit(s.now, s.unixMS(), "freeze", []byte(reason), func(e Epoch, err error) {
 		if err != nil {
 			m.failures = append(m.failures, err)
 			return
 		}
 		m.epochs = append(m.epochs, e)
-		s.history = append(s.history, porcupine.Operation{ClientId: m.index, Input: what, Call: int64(submitted), Output: e, Return: int64(s.now)})
+		s.history = append(s.history, porcupine.Operation{ClientId: m.index, Input: reason, Call: int64(submittedAt), Output: e, Return: int64(s.now)})
 	})
 	s.drive(m)
 }
 
-// heal repairs links, disks and stalls, and restarts members that are down.
+// heal repairs all links and disks, ends all stalls, and restarts the members that are down.
 func (s *sim) heal() {
 	clear(s.cut)
 	s.lossRate, s.duplication, s.delay = 0, 0, 5*time.Millisecond
@@ -333,7 +337,7 @@
 	}
 }
 
-// checkConvergence heals everything and checks that all members reach one epoch under one leader, and that a
+// checkConvergence heals all faults, and checks that all members reach one epoch under one leader and that a
 // command takes effect.
 func (s *sim) checkConvergence() {
 	s.heal()
@@ -343,14 +347,14 @@
 	s.run(2 * time.Second)
 	if len(s.members[0].epochs) != before+1 {
 		s.dump()
-		s.t.Fatalf("nothing can be committed on healthy links: %v; leaders %v", s.members[0].failures, s.leaders())
+		s.t.Fatalf("a command failed without faults: %v; leaders %v", s.members[0].failures, s.leaders())
 	}
 	if l := s.leaders(); len(l) != 1 {
-		s.t.Fatalf("leaders %v", l)
+		s.t.Fatalf("leaders %v, expected one", l)
 	}
 	for _, m := range s.members {
 		if m.node.plan.Epoch != s.newest || !m.node.Fresh() {
-			s.t.Fatalf("%s acts on %v of %v, fresh %v", m.config.Name, m.node.plan.Epoch, s.newest, m.node.Fresh())
+			s.t.Fatalf("%s applies epoch %v, expected %v; fresh %v, expected true", m.config.Name, m.node.plan.Epoch, s.newest, m.node.Fresh())
 		}
 	}
 }
@@ -368,7 +372,7 @@
 func (s *sim) dump() {
 	for _, m := range s.members {
 		n := m.node
-		s.t.Logf("%v %s: %v, leader %q %v ago, fresh %v, down %v, fenced %v", s.now, n.config.Name, n.plan.Epoch, n.leader, n.now-n.leaderHeardAt,
+		s.t.Logf("%v %s: %v, leader %q %v ago, fresh %v, down %v, fenced %v", s.now, n.config.Name, n.plan.Epoch, n.leader, n.now-n.lastLeaderContact,
 			n.Fresh(), m.down, n.fenced)
 		if v := n.voter; v != nil {
 			s.t.Logf("  %x, generation %d, promised %d, conf %x/%x, lead %x, term %d, %v, starting generation %d, replacement %v, pending %v", v.identity,
@@ -378,8 +382,8 @@
 	}
 }
 
-// epochOrderModel is the specification of commands for porcupine: each takes effect in an epoch above those
-// of all commands that ended before it was submitted.
+// epochOrderModel specifies commands for porcupine: each command takes effect in a later epoch than all commands
+// that ended before it was submitted.
 var epochOrderModel = porcupine.Model{
 	Init: func() any { return Epoch{} },
 	Step: func(state, _, output any) (bool, any) {
@@ -388,10 +392,10 @@
 	},
 }
 
-// checkOrder checks the commands of a schedule. One that ended with ErrNoQuorum may or may not have taken
-// effect, and is left out.
+// checkOrder checks the simulation's commands against epochOrderModel. Commands that ended with ErrNoQuorum are
+// excluded, because they may or may not have taken effect.
 func (s *sim) checkOrder() {
 	if !porcupine.CheckOperations(epochOrderModel, s.history) {
-		s.t.Fatalf("commands took effect in no order: %+v", s.history)
+		s.t.Fatalf("commands did not take effect in the order of their submission: %+v", s.history)
 	}
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -6,11 +6,11 @@
 )
 
 const (
-	statusPerPeer    = time.Millisecond // added to the status interval per peer, to bound what a voter receives
-	fullStatusPeriod = 3                // every third status goes to all voters, with servers
+	statusIntervalPerPeer = time.Millisecond // added to the status interval per peer, to bound the statuses that a voter receives
+	fullStatusPeriod      = 3                // every third status goes to all voters and includes servers
 )
 
-// SelfStatus returns this member's own status, without report and withdrawn machines.
+// SelfStatus returns this member's own status, without the report and the withdrawn machines.
 func (n *Node) SelfStatus() Status {
 	s := Status{
 		Zone:     n.config.Zone,
@@ -31,10 +31,10 @@
 	return s
 }
 
-// nextStatusAfter is when the status after one at now is due. A voter's coincides with a tick of the log, to
-// save a wakeup.
+// nextStatusAfter returns the time at which the status after the one sent at now is due. A voter's status
+// coincides with a tick of the log, to save a wakeup.
 func (n *Node) nextStatusAfter(now time.Duration) time.Duration {
-	next := now + max(n.config.StatusInterval, time.Duration(len(n.peers.byName))*statusPerPeer)
+	next := now + max(n.config.StatusInterval, time.Duration(len(n.peers.byName))*statusIntervalPerPeer)
 	if n.voter != nil {
 		tick := n.config.Tick
 		next = n.lastLogTick + (next-n.lastLogTick+tick/2)/tick*tick
@@ -42,28 +42,28 @@
 	return next
 }
 
-// sendStatuses sends this member's status to the leader. Every third one, and each while the view is not
-// fresh, goes to all voters and one other member, and reports servers too: they are most of its bytes, and no
-// decision on them takes less than a second.
+// sendStatuses sends this member's status to the leader. Every third status, and every status while the view is
+// not fresh, is full: it goes to all voters and one other member and includes servers. Servers make up most of
+// its bytes, and no decision based on them takes less than a second.
 func (n *Node) sendStatuses() {
 	status := n.SelfStatus()
-	if n.acknowledged != nil {
-		status.Withdrawn = n.acknowledged()
+	if n.withdrawn != nil {
+		status.Withdrawn = n.withdrawn()
 	}
 	n.statusCount++
 	full := n.statusCount%fullStatusPeriod == 0 || !n.Fresh()
 	if n.reporter != nil {
 		status.Report = n.reporter(full)
-		n.observeOwn(status)
+		n.observeOwnReport(status)
 	}
 	e := envelope{Status: &status}
 	n.stamp(&e)
-	n.lease.statusSent(n.seq, n.now)
+	n.lease.recordStatus(n.seq, n.now)
 	b := encode(e)
 	if n.fenced {
 		return
 	}
-	if n.Leads() { // it answers itself
+	if n.Leads() { // the leader answers its own status
 		n.acceptGrant(n.grantFor(Peer{Name: n.config.Name, Status: status}, n.seq), n.seq, n.now)
 	}
 	for _, name := range n.statusReceivers(full) {
@@ -71,8 +71,8 @@
 	}
 }
 
-// observeOwn passes this member's own report on like a peer's.
-func (n *Node) observeOwn(status Status) {
+// observeOwnReport passes this member's own report to Observe, like a peer's.
+func (n *Node) observeOwnReport(status Status) {
 	if status.Report == nil || n.config.Observe == nil {
 		return
 	}
@@ -81,9 +81,9 @@
 	}
 }
 
-// statusReceivers chooses to whom a status goes: the leader, or for a full one all known voters and one other
-// member at random, whatever gossip says of it, so that two halves of the fleet meet again as soon as any
-// link works.
+// statusReceivers chooses the members to which a status goes: the leader, or for a full status all known voters
+// and one other member at random. That member need not be alive according to gossip, so that two halves of the
+// fleet reconnect as soon as any link works.
 func (n *Node) statusReceivers(full bool) (names []string) {
 	for _, v := range n.config.Voters {
 		if v != n.config.Name && n.peers.byName[v] != nil && (full || v == n.leader) {
@@ -99,11 +99,11 @@
 	return names
 }
 
-// handleStatus records a peer's status, and answers with what it lacks: a newer plan, and by the leader a
-// grant.
+// handleStatus records a peer's status, and answers with what the peer lacks: a newer plan and, from the
+// leader, a grant.
 func (n *Node) handleStatus(p *Peer, e *envelope) {
 	if e.Seq <= p.statusSeq {
-		return // late, or duplicate
+		return // late or duplicate
 	}
 	p.statusSeq = e.Seq
 	p.Status = *e.Status
@@ -115,7 +115,7 @@
 		n.sendPlan(p)
 	case n.plan.Epoch.Less(e.Status.Epoch):
 		s := n.SelfStatus()
-		n.send(p.Name, envelope{Status: &s}) // to which it answers with its plan
+		n.send(p.Name, envelope{Status: &s}) // the peer answers it with its plan
 	}
 	if n.shouldGrant(p) {
 		p.lastGrantAt = n.now
@@ -123,7 +123,8 @@
 	}
 }
 
-// observeReport takes the report out of a peer's status, and passes on what it adds to those before.
+// observeReport removes the report from a peer's status, and passes its changes since the previous report to
+// Observe. An invalid report is dropped.
 func (n *Node) observeReport(p *Peer) {
 	r := p.Status.Report
 	if r == nil {
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -9,65 +9,65 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The log's clock, in ticks of Config.Tick.
+// Raft timeouts, in ticks of Config.Tick.
 const (
-	electionTicks  = 6 // minimum election timeout; the maximum is twice that
+	electionTicks  = 6 // minimum election timeout; the maximum is twice as long
 	heartbeatTicks = 2
 )
 
 // Bounds of raft's messages and log.
 const (
-	maxRaftMessageSize   = 64 << 10 // bytes of entries in one message
-	maxInflightMessages  = 64       // to one follower
-	maxUncommittedBytes  = 1 << 20
-	compactionReserve    = 256 // entries kept behind the applied one, for followers that lag
+	maxRaftMessageSize   = 64 << 10 // limit in bytes on the entries of one message
+	maxInflightMessages  = 64       // limit on unacknowledged messages to one follower
+	maxUncommittedBytes  = 1 << 20  // limit in bytes on the leader's uncommitted entries
+	compactionReserve    = 256      // applied entries kept in the log for followers that lag
 	compactionHysteresis = 2 * compactionReserve
 )
 
-// voter is one voter of a log: raft's RawNode over storage in memory, which the owner of the Node copies to
-// stable storage.
+// voter is one voter of a log. It runs raft's RawNode on in-memory storage, which the owner of the Node copies
+// to stable storage.
 //
-// raft draws its randomized election timeouts from a source that can't be seeded. So a follower ticks without
-// firing (TickQuiesced), and the voter starts elections itself, by a countdown drawn from rng.
+// raft draws its randomized election timeouts from a source that can't be seeded. Therefore a follower's ticks
+// never start an election (TickQuiesced). The voter starts elections itself, after a countdown drawn from rng.
 type voter struct {
 	identity        uint64
 	generation      uint64
 	raftNode        *raft.RawNode
-	store           *raft.MemoryStorage
+	storage         *raft.MemoryStorage
 	rng             *rand.Rand
 	ticksToElection int
 
-	// Applied state: it changes with committed entries and snapshots only.
+	// Applied state, which changes only with committed entries and snapshots.
 	plan      Plan
-	applied   uint64 // index
+	applied   uint64 // index of the last applied entry
 	confState *raftpb.ConfState
 
-	term        uint64 // persisted
-	vote        uint64 // persisted
-	leader      uint64 // identity, by raft; 0: none
-	heardLeader bool   // a leader's message of the present term came since the Node last asked
-	leading     bool
-	leaderReady bool // leading, and an entry of the present term is applied: with it all that was committed before
+	term            uint64 // persisted term
+	vote            uint64 // persisted vote
+	leader          uint64 // identity of the leader according to raft; 0 if none
+	leaderContacted bool   // a leader of the current term has sent a message since the Node last checked
+	leading         bool
+	leaderReady     bool // leading, and an entry of the current term is applied, and with it all committed before
 
-	pendingReady *raft.Ready   // waits until unpersisted is on stable storage
-	unpersisted  StorageUpdate // what pendingReady needs there, and snapshots that may go along
+	pendingReady *raft.Ready   // Ready that waits until unpersisted is on stable storage; nil if none
+	unpersisted  StorageUpdate // write that pendingReady requires, and snapshots stored along with it
 	messages     []*raftpb.Message
 	committed    []committedChange
 }
 
-// committedChange is an applied entry that changes the plan, or failed to.
+// committedChange is an applied entry that changed the plan or failed to.
 type committedChange struct {
 	change change
-	err    error
-	epoch  Epoch // of the plan after it
+	err    error // reason why the plan is unchanged; nil if it changed
+	epoch  Epoch // epoch of the plan after the entry
 }
 
-// newVoter returns a voter that goes on from a stored state.
+// newVoter returns a voter that continues from a stored state.
 func newVoter(s *VoterState, rng *rand.Rand) (*voter, error) {
 	v := &voter{
 		identity:   s.Identity,
 		generation: s.Generation,
-		store:      raft.NewMemoryStorage(),
+		storage:    raft.NewMemoryStorage(),
 		rng:        rng,
 		confState:  &raftpb.ConfState{},
 	}
@@ -80,13 +80,13 @@
 		ID:                        s.Identity,
 		ElectionTick:              electionTicks,
 		HeartbeatTick:             heartbeatTicks,
-		Storage:                   v.store,
+		Storage:                   v.storage,
 		Applied:                   v.applied,
 		MaxSizePerMsg:             maxRaftMessageSize,
 		MaxInflightMsgs:           maxInflightMessages,
 		MaxUncommittedEntriesSize: maxUncommittedBytes,
 		CheckQuorum:               true, // a leader without a quorum steps down; leases depend on it
-		PreVote:                   true, // a voter behind a one-way link raises no terms
+		PreVote:                   true, // a voter behind a one-way link does not raise the term
 		DisableProposalForwarding: true,
 		StepDownOnRemoval:         true,
 		Logger:                    discardLogger{},
@@ -98,10 +98,10 @@
 	return v, nil
 }
 
-// load fills the storage in memory from a stored state.
+// load fills the in-memory storage from a stored state.
 func (v *voter) load(s *VoterState) error {
 	if s.Snapshot != nil {
-		if err := v.store.ApplySnapshot(s.Snapshot); err != nil {
+		if err := v.storage.ApplySnapshot(s.Snapshot); err != nil {
 			return err
 		}
 		if err := v.restoreSnapshot(s.Snapshot); err != nil {
@@ -109,57 +109,58 @@
 		}
 	}
 	if s.HardState != nil {
-		if err := v.store.SetHardState(s.HardState); err != nil {
+		if err := v.storage.SetHardState(s.HardState); err != nil {
 			return err
 		}
 		v.term = s.HardState.GetTerm()
 		v.vote = s.HardState.GetVote()
 	}
-	return v.store.Append(s.Entries)
+	return v.storage.Append(s.Entries)
 }
 
 // resetElectionTimer draws the next election timeout, between one and two times electionTicks.
 func (v *voter) resetElectionTimer() { v.ticksToElection = electionTicks + v.rng.IntN(electionTicks) }
 
-// tick is one tick of the log's clock.
+// tick advances the log's clock by one tick.
 func (v *voter) tick() {
 	if v.leading {
 		v.raftNode.Tick()
 		v.processReady()
 		return
 	}
-	v.raftNode.TickQuiesced() // counts the time since the leader was heard, and starts no election
+	v.raftNode.TickQuiesced() // counts the time since the last contact with the leader, but starts no election
 	if v.ticksToElection--; v.ticksToElection <= 0 {
 		v.resetElectionTimer()
-		_ = v.raftNode.Campaign() // an error: it may not vote now
+		_ = v.raftNode.Campaign() // fails if this voter may not campaign now
 	}
 	v.processReady()
 }
 
-// step handles a message of another voter.
+// step handles a raft message from another voter.
 func (v *voter) step(m *raftpb.Message) {
 	switch m.GetType() {
 	case raftpb.MsgApp, raftpb.MsgHeartbeat, raftpb.MsgSnap:
 		if m.GetTerm() >= v.term {
-			v.heardLeader = true
+			v.leaderContacted = true
 			v.resetElectionTimer()
 		}
 	case raftpb.MsgHup, raftpb.MsgBeat, raftpb.MsgProp, raftpb.MsgCheckQuorum, raftpb.MsgUnreachable, raftpb.MsgSnapStatus,
 		raftpb.MsgStorageAppend, raftpb.MsgStorageAppendResp, raftpb.MsgStorageApply, raftpb.MsgStorageApplyResp:
-		return // local messages of raft; no honest voter sends them
+		return // raft's local messages; no correct voter sends them
 	}
-	_ = v.raftNode.Step(m) // what raft rejects is ignored like a lost message
+	_ = v.raftNode.Step(m) // a rejected message is ignored, like a lost one
 	v.processReady()
 }
 
-// proposeChange proposes a change of the plan; an error: this voter does not lead, or too much is uncommitted.
+// proposeChange proposes a change of the plan. It returns an error if this voter does not lead or too many bytes
+// are uncommitted.
 func (v *voter) proposeChange(c change) error {
 	err := v.raftNode.Propose(encode(c))
 	v.processReady()
 	return err
 }
 
-// proposeVoters proposes to remove and add voters in one joint change.
+// proposeVoters proposes to remove and add voters in one joint change. Its errors are raft's.
 func (v *voter) proposeVoters(remove, add []uint64) error {
 	c := &raftpb.ConfChangeV2{}
 	for _, id := range remove {
@@ -179,7 +180,7 @@
 	return err
 }
 
-// discardLogger drops raft's log lines: what matters to operators is an Event.
+// discardLogger discards raft's log lines, because a Node reports what matters to operators as Events.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)              {}
--- a/internal/fleet/voter_ready.go
+++ b/internal/fleet/voter_ready.go
@@ -9,9 +9,9 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// processReady takes what raft has ready. At most one Ready is pending: if it needs stable storage, its
-// messages and committed entries wait in pendingReady until persisted is called, and raft goes on collecting
-// meanwhile.
+// processReady processes each Ready that raft returns. At most one Ready is pending. If it needs stable storage,
+// its messages and committed entries wait in pendingReady until persisted is called. In the meantime raft
+// accumulates the next one.
 func (v *voter) processReady() {
 	for v.pendingReady == nil && v.raftNode.HasReady() {
 		rd := v.raftNode.Ready()
@@ -32,7 +32,7 @@
 	}
 }
 
-// persisted completes the pending Ready once unpersisted is on stable storage: only now may its messages be
+// persisted completes the pending Ready once unpersisted is on stable storage. Only then may its messages be
 // sent.
 func (v *voter) persisted() {
 	rd := v.pendingReady
@@ -51,30 +51,30 @@
 	v.processReady()
 }
 
-// storeReady brings the storage in memory up to date with stable storage. Its failures break raft's own
-// contract.
+// storeReady brings the in-memory storage up to date with stable storage. It panics on an error, which can occur
+// only if raft violates its own contract.
 func (v *voter) storeReady(rd *raft.Ready) {
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		if err := v.store.ApplySnapshot(rd.Snapshot); err == nil { // an error: it is older than what is stored
+		if err := v.storage.ApplySnapshot(rd.Snapshot); err == nil { // fails if the snapshot is older than the stored one
 			if err := v.restoreSnapshot(rd.Snapshot); err != nil {
-				panic(err.Error()) // a quorum committed it
+				panic(err.Error()) // a quorum committed the snapshot
 			}
 		}
 	}
 	if rd.HardState != nil {
-		_ = v.store.SetHardState(rd.HardState) // it never fails
+		_ = v.storage.SetHardState(rd.HardState) // it never fails
 		if vote := rd.HardState.GetVote(); vote != v.vote && vote != 0 {
-			v.resetElectionTimer() // leave the candidate that has this vote its time
+			v.resetElectionTimer() // give the candidate that received this vote time to win
 		}
 		v.term = rd.HardState.GetTerm()
 		v.vote = rd.HardState.GetVote()
 	}
-	if err := v.store.Append(rd.Entries); err != nil {
-		panic("fleet: " + err.Error()) // raft hands entries over in order
+	if err := v.storage.Append(rd.Entries); err != nil {
+		panic("fleet: " + err.Error()) // raft returns entries in order
 	}
 }
 
-// apply applies a committed entry.
+// apply applies a committed entry to the voters or to the plan.
 func (v *voter) apply(e *raftpb.Entry) {
 	v.applied = e.GetIndex()
 	v.leaderReady = v.leading && e.GetTerm() == v.term
@@ -90,20 +90,20 @@
 	}
 }
 
-// applyChange applies a change of the plan. Every voter comes to the same plan, so what can't be read is
-// skipped by all.
+// applyChange applies a change of the plan. All voters must arrive at the same plan, so each of them skips an
+// entry that can't be decoded.
 func (v *voter) applyChange(e *raftpb.Entry) {
 	var c change
 	if len(e.Data) == 0 || cbor.Unmarshal(e.Data, &c) != nil {
-		return // the empty entry of a new term
+		return // undecodable, or the empty entry of a new term
 	}
 	next, err := v.plan.apply(c, Epoch{v.generation, e.GetIndex()})
 	v.plan = next
 	v.committed = append(v.committed, committedChange{c, err, next.Epoch})
 }
 
-// applyConfChange applies a change of the voters; err is of reading it. A new voter accepts no snapshot whose
-// voters lack it, so each change makes a snapshot.
+// applyConfChange applies a change of the voters, unless err, the result of decoding it, is set. A new voter
+// rejects a snapshot whose voters do not include it, so each change creates a snapshot.
 func (v *voter) applyConfChange(c raftpb.ConfChangeI, err error) {
 	if err == nil {
 		v.confState = v.raftNode.ApplyConfChange(c)
@@ -111,11 +111,11 @@
 	}
 }
 
-// restoreSnapshot sets the applied state to that of a snapshot.
+// restoreSnapshot sets the applied state to the state in a snapshot.
 func (v *voter) restoreSnapshot(s *raftpb.Snapshot) error {
 	var p Plan
 	if err := cbor.Unmarshal(s.GetData(), &p); err != nil {
-		return fmt.Errorf("fleet: the plan in a snapshot: %w", err)
+		return fmt.Errorf("fleet: decoding the plan in a snapshot: %w", err)
 	}
 	v.plan = p
 	v.applied = s.GetMetadata().GetIndex()
@@ -123,20 +123,20 @@
 	return nil
 }
 
-// createSnapshot makes the applied state the snapshot that followers far behind receive. It is stored with
-// the next write that the log needs; until then stable storage has the entries instead.
+// createSnapshot creates a snapshot of the applied state, which raft sends to followers that lag far behind. It
+// is stored with the next write that the log needs. Until then stable storage holds the entries instead.
 func (v *voter) createSnapshot() {
-	if s, err := v.store.CreateSnapshot(v.applied, v.confState, encode(v.plan)); err == nil { // an error: there is one already
+	if s, err := v.storage.CreateSnapshot(v.applied, v.confState, encode(v.plan)); err == nil { // fails if there is one already
 		v.unpersisted.Snapshot = s
 	}
 }
 
-// compact drops entries long applied, compactionReserve of them at a time.
+// compact drops old applied entries, compactionReserve of them at a time.
 func (v *voter) compact() {
-	first, err := v.store.FirstIndex()
+	first, err := v.storage.FirstIndex()
 	if err != nil || v.applied < first+compactionHysteresis {
 		return
 	}
 	v.createSnapshot()
-	_ = v.store.Compact(v.applied - compactionReserve)
+	_ = v.storage.Compact(v.applied - compactionReserve)
 }
--- a/internal/fleet/voter_state.go
+++ b/internal/fleet/voter_state.go
@@ -7,23 +7,23 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// VoterState is what a voter must have after a restart. All of it belongs to one identity and one generation
-// of the log.
+// VoterState is the state that a voter needs after a restart. All of it belongs to one identity and one
+// generation of the log.
 type VoterState struct {
-	Identity   uint64 // random, drawn with the storage: a voter that lost its storage is another voter to the log
-	Generation uint64 // of the log; 0: the voter has never been in one
-	Promised   uint64 // older generations are ignored
+	Identity   uint64 // random, created with the storage: the log treats a voter that lost its storage as another voter
+	Generation uint64 // generation of the log; 0 if the voter has never been in one
+	Promised   uint64 // newest promised generation; older ones are ignored
 	HardState  *raftpb.HardState
-	Snapshot   *raftpb.Snapshot // nil: none
-	Entries    []*raftpb.Entry  // after the snapshot
+	Snapshot   *raftpb.Snapshot // nil if there is none
+	Entries    []*raftpb.Entry  // entries after the snapshot
 }
 
-// withoutLog is the part of the state that changes with a restart of the voter only.
+// withoutLog returns the part of the state that changes only when the voter is replaced.
 func (s *VoterState) withoutLog() *VoterState {
 	return &VoterState{Identity: s.Identity, Generation: s.Generation, Promised: s.Promised}
 }
 
-// newGenerationState is the state of a log whose one voter begins with a plan.
+// newGenerationState returns the state of a log that starts with a plan and one voter.
 func newGenerationState(identity, generation uint64, p Plan) *VoterState {
 	return &VoterState{
 		Identity:   identity,
@@ -38,15 +38,15 @@
 	}
 }
 
-// StorageUpdate is one write to a voter's stable storage. It must take effect as a whole or not at all.
+// StorageUpdate is one write to a voter's stable storage. It must be atomic: all of it takes effect, or nothing.
 type StorageUpdate struct {
 	Replacement *VoterState // if not nil, replaces everything stored, and the other fields are empty
 	HardState   *raftpb.HardState
 	Snapshot    *raftpb.Snapshot // replaces all entries up to its index
-	Entries     []*raftpb.Entry  // replace those of the same index and after
+	Entries     []*raftpb.Entry  // replaces the entries from the index of the first one on
 }
 
-// Equal reports whether both are the same write, not merely one of equal content.
+// Equal returns true if both are the same write. Two writes with equal content are not necessarily equal.
 func (u StorageUpdate) Equal(o StorageUpdate) bool {
 	return u.Replacement == o.Replacement && u.HardState == o.HardState && u.Snapshot == o.Snapshot &&
 		slices.Equal(u.Entries, o.Entries)
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -6,54 +6,54 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// wireVersion is that of messages; those of another version are dropped.
+// wireVersion is the version of the message format. Messages of other versions are dropped.
 const wireVersion = 1
 
 // Bounds of a message.
 const (
-	maxWithdrawn = 256                  // machines in a status
-	maxVoters    = 32                   // in one log, former identities among them
-	MaxMessage   = maxPlanSize + 64<<10 // bytes: a plan and what goes around it
+	maxWithdrawn = 256                  // limit on the machines in a status
+	maxVoters    = 32                   // limit on the voters of one log, including former identities
+	MaxMessage   = maxPlanSize + 64<<10 // limit in bytes: a plan, plus the rest of the message
 )
 
-// Reasons to drop a message.
+// Errors for which a received message is dropped.
 var (
-	errForeignMessage  = errors.New("fleet: a message of another fleet or version")
-	errMessageTooLarge = errors.New("fleet: a message over the maximum size")
-	errInvalidSender   = errors.New("fleet: a message without a valid sender")
-	errInvalidStatus   = errors.New("fleet: a status over its bounds")
+	errForeignMessage  = errors.New("fleet: message from another fleet or protocol version")
+	errMessageTooLarge = errors.New("fleet: message exceeds the maximum size")
+	errInvalidSender   = errors.New("fleet: message without a valid sender")
+	errInvalidStatus   = errors.New("fleet: status exceeds its bounds")
 )
 
-// Status is what a member reports of itself several times a second.
+// Status is a member's report on itself, sent several times a second.
 type Status struct {
 	Zone           string   `cbor:"1,keyasint"`
 	Region         string   `cbor:"2,keyasint,omitempty"`
-	Epoch          Epoch    `cbor:"3,keyasint"` // of the plan that it acts on
-	Fresh          bool     `cbor:"4,keyasint,omitempty"`
-	Leader         string   `cbor:"5,keyasint,omitempty"` // whom it takes for the leader
-	Identity       uint64   `cbor:"6,keyasint,omitempty"` // in the log; 0: no voter, or its state is being replaced
-	Generation     uint64   `cbor:"7,keyasint,omitempty"` // of the log that it holds; 0: none
-	Promised       uint64   `cbor:"8,keyasint,omitempty"` // generation; it ignores older ones
-	Term           uint64   `cbor:"9,keyasint,omitempty"`
+	Epoch          Epoch    `cbor:"3,keyasint"`           // epoch of the plan that the member applies
+	Fresh          bool     `cbor:"4,keyasint,omitempty"` // whether its view of the plan is fresh (Node.Fresh)
+	Leader         string   `cbor:"5,keyasint,omitempty"` // member that it considers the leader
+	Identity       uint64   `cbor:"6,keyasint,omitempty"` // identity in the log; 0 if it is not a voter or its state is being replaced
+	Generation     uint64   `cbor:"7,keyasint,omitempty"` // generation of the log that it holds; 0 if none
+	Promised       uint64   `cbor:"8,keyasint,omitempty"` // newest promised generation; it ignores older ones
+	Term           uint64   `cbor:"9,keyasint,omitempty"` // raft term
 	Report         *Report  `cbor:"10,keyasint,omitempty"`
-	Voters         []uint64 `cbor:"11,keyasint,omitempty"` // identities that vote in the log that it holds
-	OutgoingVoters []uint64 `cbor:"12,keyasint,omitempty"` // and, during a joint change, those that voted before it
-	GrantSeq       uint64   `cbor:"13,keyasint,omitempty"` // the status of its own whose grant it acts on
+	Voters         []uint64 `cbor:"11,keyasint,omitempty"` // identities of the voters in the log that it holds
+	OutgoingVoters []uint64 `cbor:"12,keyasint,omitempty"` // identities of the voters before a joint change in progress
+	GrantSeq       uint64   `cbor:"13,keyasint,omitempty"` // sequence number of its status whose grant it applies
 
-	// Withdrawn lists the machines to which this member sends nothing and has nothing in flight, each with
-	// its turn in maintenance.
+	// Withdrawn lists the machines to which this member sends nothing and has nothing in flight, with the
+	// number of each machine's turn in maintenance.
 	Withdrawn map[string]uint64 `cbor:"14,keyasint,omitempty"`
 }
 
-// grant is the leader's answer to a status: what it says was true at some time after that status was sent
-// (see leaseHolder).
+// grant is the leader's answer to a status. Its statement was true at some time after that status was sent (see
+// leaseHolder).
 type grant struct {
-	Seq     uint64 `cbor:"1,keyasint"` // of the status
-	Epoch   Epoch  `cbor:"2,keyasint"` // the newest plan's
+	Seq     uint64 `cbor:"1,keyasint"` // sequence number of the status
+	Epoch   Epoch  `cbor:"2,keyasint"` // epoch of the newest plan
 	Payload []byte `cbor:"3,keyasint,omitempty"`
 }
 
-// command is an operator's command on its way to the leader.
+// command is an operator's command as sent to the leader.
 type command struct {
 	ID   string `cbor:"1,keyasint"` // idempotency key
 	Name string `cbor:"2,keyasint"`
@@ -63,31 +63,31 @@
 // commandResult answers a command.
 type commandResult struct {
 	ID    string `cbor:"1,keyasint"`
-	Error string `cbor:"2,keyasint,omitempty"` // empty: success
-	Epoch Epoch  `cbor:"3,keyasint"`           // in which the plan has the command's effect
+	Error string `cbor:"2,keyasint,omitempty"` // empty on success
+	Epoch Epoch  `cbor:"3,keyasint"`           // epoch of the plan that contains the command's effect
 }
 
-// raftMessage carries a message of the log.
+// raftMessage carries a raft message to a voter.
 type raftMessage struct {
 	Generation uint64 `cbor:"1,keyasint"`
-	To         uint64 `cbor:"2,keyasint"` // identity
-	Message    []byte `cbor:"3,keyasint"` // raftpb.Message
+	To         uint64 `cbor:"2,keyasint"` // identity of the receiving voter
+	Message    []byte `cbor:"3,keyasint"` // encoded raftpb.Message
 }
 
-// generationMessage asks a voter to promise a generation, or carries its promise.
+// generationMessage requests a voter's promise of a generation, or carries that promise.
 type generationMessage struct {
 	Generation uint64 `cbor:"1,keyasint"`
 	Promise    bool   `cbor:"2,keyasint,omitempty"`
-	Plan       *Plan  `cbor:"3,keyasint,omitempty"` // the newest that the promising voter knows
+	Plan       *Plan  `cbor:"3,keyasint,omitempty"` // newest plan that the promising voter knows
 }
 
 // incarnation identifies one process of a member.
 type incarnation struct {
-	StartedAt int64  `cbor:"1,keyasint"` // Unix ns
-	Number    uint64 `cbor:"2,keyasint"` // random, for processes that started at once
+	StartedAt int64  `cbor:"1,keyasint"` // start time in Unix ns
+	Number    uint64 `cbor:"2,keyasint"` // random; orders processes that started at the same time
 }
 
-// before tells whether the process is the older one.
+// before returns true if process i is older than process o.
 func (i incarnation) before(o incarnation) bool {
 	return i.StartedAt < o.StartedAt || i.StartedAt == o.StartedAt && i.Number < o.Number
 }
@@ -97,9 +97,9 @@
 	Version          int                `cbor:"1,keyasint"`
 	Fleet            string             `cbor:"2,keyasint"`
 	From             string             `cbor:"3,keyasint"`
-	StartedAt        int64              `cbor:"4,keyasint"` // with Incarnation: the sender's process, as in incarnation
+	StartedAt        int64              `cbor:"4,keyasint"` // with Incarnation: identifies the sender's process, as in incarnation
 	Incarnation      uint64             `cbor:"5,keyasint"`
-	Seq              uint64             `cbor:"6,keyasint"` // increases with each message of a process
+	Seq              uint64             `cbor:"6,keyasint"` // increases with each message of the sender's process
 	Status           *Status            `cbor:"7,keyasint,omitempty"`
 	Grant            *grant             `cbor:"8,keyasint,omitempty"`
 	Plan             *Plan              `cbor:"9,keyasint,omitempty"`
@@ -107,12 +107,12 @@
 	Command          *command           `cbor:"11,keyasint,omitempty"`
 	CommandResult    *commandResult     `cbor:"12,keyasint,omitempty"`
 	Generation       *generationMessage `cbor:"13,keyasint,omitempty"`
-	LaterIncarnation *incarnation       `cbor:"14,keyasint,omitempty"` // a process of the receiver's name that started later
+	LaterIncarnation *incarnation       `cbor:"14,keyasint,omitempty"` // process with the receiver's name that started later
 }
 
 func (e *envelope) sender() incarnation { return incarnation{e.StartedAt, e.Incarnation} }
 
-// decoder bounds what a message can make the decoder allocate.
+// decoder limits the memory that decoding a message can allocate.
 var decoder = func() cbor.DecMode {
 	m, err := cbor.DecOptions{MaxArrayElements: 4096, MaxMapPairs: 4096, MaxNestedLevels: 16}.DecMode()
 	if err != nil {
@@ -121,7 +121,7 @@
 	return m
 }()
 
-// encode encodes a value of this package's types, all of which can be encoded.
+// encode encodes a value of one of this package's types, for which encoding can't fail.
 func encode(v any) cbor.RawMessage {
 	b, err := cbor.Marshal(v)
 	if err != nil {
@@ -130,7 +130,7 @@
 	return b
 }
 
-// decode decodes and checks a message for a fleet.
+// decode decodes a message, and checks that it belongs to the fleet and is within its bounds.
 func decode(fleet string, b []byte) (*envelope, error) {
 	if len(b) > MaxMessage {
 		return nil, errMessageTooLarge
