--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -23,7 +23,7 @@
 	waiting     []queuedCommand
 	proposal    proposal
 	results     map[string]commandResult
-	resultOrder []string // IDs, oldest first
+	resultOrder []string // IDs of the results, oldest first
 }
 
 type queuedCommand struct {
--- a/internal/fleet/generation.go
+++ b/internal/fleet/generation.go
@@ -56,11 +56,11 @@
 	return all, true
 }
 
-// quorumLost determines from recent statuses of all configured voters whether any log can still commit. lost
-// is true if there was no leader for leaderLossTimeout and every log that they hold has lost its quorum: less
-// than a majority of its voters (of either voter set during a joint change) still has the identity under which
-// it votes there. lost is false unless all these statuses are recent. newest is the newest generation that any of
-// these voters holds, has promised or has a plan of.
+// quorumLost determines from the statuses of all configured voters whether any log can still commit. lost is
+// true if all statuses are recent, every log that a voter holds has lost its quorum, and, if there is a log,
+// there was no leader for leaderLossTimeout. A log has lost its quorum if no majority of its voters (of either
+// voter set during a joint change) still has the identity under which it votes there. newest is the newest
+// generation that any configured voter holds, has promised or has a plan of.
 func (n *Node) quorumLost() (newest uint64, lost bool) {
 	statuses, ok := n.recentVoterStatuses()
 	if !ok {
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -45,7 +45,7 @@
 	term            uint64 // persisted term
 	vote            uint64 // persisted vote
 	leader          uint64 // identity of the leader according to raft; 0 if none
-	leaderContacted bool   // a leader of the current term has sent a message since the Node last checked
+	leaderContacted bool   // whether a leader of the current term has sent a message since the Node last checked
 	leading         bool
 	leaderReady     bool // leading, and an entry of the current term is applied, and with it all committed before
 
--- a/internal/fleet/voter_ready.go
+++ b/internal/fleet/voter_ready.go
@@ -55,7 +55,7 @@
 // only if raft violates its own contract.
 func (v *voter) storeReady(rd *raft.Ready) {
 	if !raft.IsEmptySnap(rd.Snapshot) {
-		if err := v.storage.ApplySnapshot(rd.Snapshot); err == nil { // fails if the snapshot is older than the stored one
+		if err := v.storage.ApplySnapshot(rd.Snapshot); err == nil { // an error means that the snapshot is older than the stored one
 			if err := v.restoreSnapshot(rd.Snapshot); err != nil {
 				panic(err.Error()) // a quorum committed the snapshot
 			}
@@ -126,7 +126,7 @@
 // createSnapshot creates a snapshot of the applied state, which raft sends to followers that lag far behind. It
 // is stored with the next write that the log needs. Until then stable storage holds the entries instead.
 func (v *voter) createSnapshot() {
-	if s, err := v.storage.CreateSnapshot(v.applied, v.confState, encode(v.plan)); err == nil { // fails if there is one already
+	if s, err := v.storage.CreateSnapshot(v.applied, v.confState, encode(v.plan)); err == nil { // an error means that this snapshot exists already
 		v.unpersisted.Snapshot = s
 	}
 }
