--- a/cmd/dewhitch/ledger_commands.go
+++ b/cmd/dewhitch/ledger_commands.go
@@ -33,7 +33,7 @@
 		return err
 	}
 	fmt.Printf("%s (%s), life %d: %d postings behind the last statement, %d open, records %d to %d\n", v.Node, v.Role, v.Incarnation,
-		v.Replayed, v.Ledger.Open(), v.First, v.Last)
+		v.Replayed, v.Ledger.OpenCount(), v.First, v.Last)
 	for _, note := range v.Notes {
 		fmt.Println("note:", note)
 	}
--- a/cmd/dewhitch/ledger_process.go
+++ b/cmd/dewhitch/ledger_process.go
@@ -75,7 +75,7 @@
 	}
 	p.store = opened
 	log.Info("the ledger is open", zap.Uint64("life", recovery.Incarnation), zap.Int("postings_replayed", recovery.Replayed),
-		zap.Uint64("reqs_cut_off_by_crash", recovery.Requests))
+		zap.Uint64("reqs_cut_off_by_crash", recovery.CutOffRequests))
 	for _, note := range recovery.Notes {
 		log.Error("the ledger could not keep everything", zap.String("note", note))
 	}
@@ -85,7 +85,7 @@
 // readTallies has the ledger's audit read the module's tallies by f.
 func (p *ledgerProcess) readTallies(f func(func(tally func(customer uint64) (units float64, known bool))) error) {
 	if p.active != nil {
-		p.active.Tallies(f)
+		p.active.SetTallyReader(f)
 	}
 }
 
@@ -105,7 +105,7 @@
 	p.stop()
 	p.running.Wait()
 	if p.store != nil {
-		p.active.Release()
+		p.active.DetachStore()
 		p.store.Close()
 	}
 }
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -113,7 +113,7 @@
 	s.inFlight--
 	s.lastOutcome = m.result.Outcome
 	if !m.unsent {
-		p.record(s, ledger.PlanHeard)
+		p.record(s, ledger.PlanNotified)
 		if p.watcher != nil {
 			p.watcher.AttemptEnded(AttemptID{s.id, m.attempt.Number}, m.result)
 		}
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -80,7 +80,7 @@
 	p.recorder.Post(ledger.Posting{Event: ledger.PlanTaken, Key: m.request.LedgerKey, Ref: m.request.LedgerRef,
 		Units: ledger.MicroUnits(m.request.Units)})
 	if m.request.ClientDeparted() { // its cancelMessage may already have been handled
-		p.recordEnd(s, ledger.PlanClientLeft)
+		p.recordEnd(s, ledger.PlanClientDeparted)
 		return
 	}
 	if m.pending.expedited.Load() { // no attempt was started, so a rejection is safe
@@ -146,7 +146,7 @@
 		e.Write(zap.String("request", s.request.Message.Name), zap.Int("attempts", s.attempts), zap.Int("out", s.inFlight))
 	}
 	p.closeRequest(s)
-	p.recordEnd(s, ledger.PlanClientLeft)
+	p.recordEnd(s, ledger.PlanClientDeparted)
 	p.step(dw.ClientDeparted{Request: s.id})
 	p.forgetIfEnded(s)
 }
--- a/internal/counter/client.go
+++ b/internal/counter/client.go
@@ -68,7 +68,7 @@
 		target:   requestTarget(op),
 		done:     done,
 		recorder: c.recorder,
-		posting: ledger.Posting{Event: ledger.CallBegan, Key: op.LedgerKey, Ref: op.LedgerRef,
+		posting: ledger.Posting{Event: ledger.CallStarted, Key: op.LedgerKey, Ref: op.LedgerRef,
 			Units: ledger.MicroUnits(op.Amount)},
 	}
 	c.recorder.Post(queued.posting)
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -55,7 +55,7 @@
 func (k *call) postEnd(f front.Fate) {
 	switch f {
 	case front.ClientLeft:
-		k.post(ledger.FrontClientLeft)
+		k.post(ledger.FrontClientDeparted)
 	case front.WriteFailed:
 		k.post(ledger.FrontWriteFailed)
 	default:
@@ -91,7 +91,7 @@
 func (k *call) settle(v resp.Value) {
 	attempt, decided := classify(v)
 	k.post(attempt)
-	k.post(ledger.PlanHeard)
+	k.post(ledger.PlanNotified)
 	k.answer(decided, resp.AppendValue(nil, v))
 }
 
@@ -113,7 +113,7 @@
 // fail answers a call that was written completely and whose planner was lost.
 func (k *call) fail() {
 	k.post(ledger.AttemptReset)
-	k.post(ledger.PlanHeard)
+	k.post(ledger.PlanNotified)
 	k.answer(ledger.PlanFailedExhausted,
 		resp.AppendFailure(nil, "ERR the planner was lost; the command may have been applied"))
 }
--- a/internal/forward/link.go
+++ b/internal/forward/link.go
@@ -66,7 +66,7 @@
 		l.lost.Store(true)
 		l.conn.Close()
 		k.post(ledger.AttemptNotSent)
-		k.post(ledger.PlanHeard)
+		k.post(ledger.PlanNotified)
 		return false
 	}
 	// A planner that does not answer in time, though it would by itself, hangs or is cut off: the link is closed.
--- a/internal/front/platform/submit.go
+++ b/internal/front/platform/submit.go
@@ -119,7 +119,7 @@
 		end = s.received
 		end.Event = ledger.FrontNotSubmitted
 	case f == front.ClientLeft:
-		end.Event = ledger.FrontClientLeft
+		end.Event = ledger.FrontClientDeparted
 	case f == front.WriteFailed:
 		end.Event = ledger.FrontWriteFailed
 	default:
--- a/internal/ledger/audit.go
+++ b/internal/ledger/audit.go
@@ -9,7 +9,7 @@
 // Mismatch says that two figures that must be equal are not.
 type Mismatch struct {
 	Key         Key
-	All         bool // it is over all rows, and Key is of none
+	AllRows     bool // it is over all rows, and Key is of none
 	Check       string
 	Journals    [2]Journal
 	Left, Right uint64 // in the order of Books; units are in millionths
@@ -91,7 +91,7 @@
 		}
 		for e := None + 1; e < EventCount; e++ {
 			if sum.N[e] != l.total.N[e] || sum.Units(e) != l.total.Units(e) {
-				found = append(found, Mismatch{All: true, Check: "sum of " + e.String(), Journals: [2]Journal{e.Journal(), e.Journal()},
+				found = append(found, Mismatch{AllRows: true, Check: "sum of " + e.String(), Journals: [2]Journal{e.Journal(), e.Journal()},
 					Left: sum.N[e], Right: l.total.N[e]})
 			}
 		}
@@ -144,12 +144,12 @@
 	}
 	units := func(e Event) uint64 { return uint64(c.Units(e)) }
 	if r.key.Class == ClassAccount {
-		same("calls ordered = begun", JournalUnits, n[UnitsPushed], JournalCounter, n[CallBegan]+n[CallNeverBegan]+t.calling)
-		same("calls begun = ended + open", JournalCounter, n[CallBegan], JournalCounter,
+		same("calls ordered = begun", JournalUnits, n[UnitsPushed], JournalCounter, n[CallStarted]+n[CallNeverStarted]+t.calling)
+		same("calls begun = ended + open", JournalCounter, n[CallStarted], JournalCounter,
 			n[CallAdded]+n[CallRejected]+n[CallUnknown]+n[CallCutoff]+t.callOpen)
 		same("units ordered = in calls begun", JournalUnits, units(UnitsPushed), JournalCounter,
-			units(CallBegan)+units(CallNeverBegan)+t.callingUnits)
-		same("units of calls begun = ended + open", JournalCounter, units(CallBegan), JournalCounter,
+			units(CallStarted)+units(CallNeverStarted)+t.callingUnits)
+		same("units of calls begun = ended + open", JournalCounter, units(CallStarted), JournalCounter,
 			units(CallAdded)+units(CallRejected)+units(CallUnknown)+units(CallCutoff)+t.callOpenUnits)
 		same("units not added = returned", JournalCounter, units(CallRejected), JournalUnits,
 			units(UnitsReturned)+units(UnitsNeverReturned)+t.returningUnits)
@@ -161,7 +161,7 @@
 	same("units taken by the front = by the planner", JournalFront,
 		units(FrontTaken)-units(FrontNotSubmitted)-units(FrontNeverTaken), JournalPlanner, units(PlanTaken)+t.handedUnits)
 	same("taken by the planner = decided + open", JournalPlanner, n[PlanTaken], JournalPlanner,
-		n[PlanServed]+c.Rejected()+c.Failed()+n[PlanClientLeft]+n[PlanCutoff]+t.planner)
+		n[PlanServed]+c.Rejected()+c.Failed()+n[PlanClientDeparted]+n[PlanCutoff]+t.planner)
 	same("served by the planner = written or lost", JournalPlanner, n[PlanServed], JournalFront,
 		n[FrontServed]+r.lost[served]+t.answering[served])
 	same("refused by the planner = written or lost", JournalPlanner, c.Rejected(), JournalFront,
@@ -171,7 +171,7 @@
 	same("fetches ordered = begun", JournalPlanner, n[PlanSent], JournalAttempts, n[AttemptStarted]+n[AttemptNeverStarted]+t.sending)
 	same("fetches begun = ended + open", JournalAttempts, n[AttemptStarted], JournalAttempts, c.AttemptsEnded()+t.fetching)
 	same("fetches ended = heard of", JournalAttempts, c.AttemptsEnded()+n[AttemptNeverStarted], JournalPlanner,
-		n[PlanHeard]+n[PlanHeardCutoff]+t.hearing)
+		n[PlanNotified]+n[PlanNeverNotified]+t.hearing)
 	if r.key.Class >= 0 && int64(n[PlanServed]-n[AttemptOK]) > 0 {
 		same("served by a good fetch each", JournalPlanner, n[PlanServed], JournalAttempts, n[AttemptOK])
 	}
--- a/internal/ledger/counts.go
+++ b/internal/ledger/counts.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// Zero says that nothing was ever counted.
-func (c *Counts) Zero() bool { return *c == Counts{} }
+// IsZero says that nothing was ever counted.
+func (c *Counts) IsZero() bool { return *c == Counts{} }
 
 // Rejected adds up the planner's refusals.
 func (c *Counts) Rejected() (n uint64) {
@@ -82,7 +82,7 @@
 
 // FrontFailures adds up what ended as neither served nor refused by the front's book.
 func (c *Counts) FrontFailures() uint64 {
-	return c.N[FrontFailed] + c.N[FrontClientLeft] + c.N[FrontWriteFailed] + c.N[FrontNotSubmitted] + c.N[FrontCutoff]
+	return c.N[FrontFailed] + c.N[FrontClientDeparted] + c.N[FrontWriteFailed] + c.N[FrontNotSubmitted] + c.N[FrontCutoff]
 }
 
 // Pending is what the tally of an account must hold, by the units' book.
--- a/internal/ledger/cutoff.go
+++ b/internal/ledger/cutoff.go
@@ -18,7 +18,7 @@
 		k := e.Key
 		if e.Call {
 			if e.Pushed && !e.CallBegan {
-				post(CallNeverBegan, k, ref, e.Units)
+				post(CallNeverStarted, k, ref, e.Units)
 			} else if !e.CallOver {
 				post(CallCutoff, k, ref, e.Units)
 			}
@@ -34,7 +34,7 @@
 			post(AttemptCutoff, k, ref, 0)
 		}
 		for range e.hearing() {
-			post(PlanHeardCutoff, k, ref, 0)
+			post(PlanNeverNotified, k, ref, 0)
 		}
 		if e.handed() {
 			post(FrontNeverTaken, k, ref, e.Units)
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -87,14 +87,14 @@
 // openEntry opens the entry of a posting that can open one. Any other posting speaks of an entry that is not open: Audit finds that.
 func (l *Ledger) openEntry(p Posting, r *row) *Entry {
 	switch p.Event {
-	case FrontTaken, PlanTaken, UnitsPushed, CallBegan:
+	case FrontTaken, PlanTaken, UnitsPushed, CallStarted:
 	default:
 		return nil
 	}
 	if len(l.table) >= l.limits.Open {
 		l.abandon()
 	}
-	e := &Entry{Key: p.Key, Units: p.Units, Since: p.At, row: r, Call: p.Event == UnitsPushed || p.Event == CallBegan}
+	e := &Entry{Key: p.Key, Units: p.Units, Since: p.At, row: r, Call: p.Event == UnitsPushed || p.Event == CallStarted}
 	l.table[p.Ref] = e
 	r.open++
 	return e
@@ -110,7 +110,7 @@
 	case FrontNotSubmitted, FrontNeverTaken:
 		e.NeverTaken = true
 		e.FrontEnded = e.FrontEnded || p.Event == FrontNotSubmitted
-	case FrontClientLeft, FrontWriteFailed, FrontCutoff:
+	case FrontClientDeparted, FrontWriteFailed, FrontCutoff:
 		e.Lost = !e.FrontEnded
 		e.endFront(r)
 	case FrontServed, FrontRejected, FrontFailed:
@@ -125,7 +125,7 @@
 		e.PlanTaken = true
 	case PlanSent:
 		e.Sent++
-	case PlanHeard, PlanHeardCutoff:
+	case PlanNotified, PlanNeverNotified:
 		e.Heard++
 	default: // its end; the first counts
 		if e.PlanEnded != undecided {
@@ -158,9 +158,9 @@
 		e.Pushed = true
 	case UnitsReturned, UnitsNeverReturned:
 		e.Returned = true
-	case CallBegan, CallNeverBegan:
+	case CallStarted, CallNeverStarted:
 		e.CallBegan = true
-		e.CallOver = e.CallOver || event == CallNeverBegan
+		e.CallOver = e.CallOver || event == CallNeverStarted
 	case CallAdded, CallRejected, CallUnknown, CallCutoff:
 		e.CallOver = true
 		e.Rejected = event == CallRejected
--- a/internal/ledger/events.go
+++ b/internal/ledger/events.go
@@ -25,14 +25,14 @@
 const (
 	None Event = iota
 
-	FrontTaken        // a request, whole and well formed, was handed to the planner
-	FrontServed       // the last byte of its value was written
-	FrontRejected     // the last byte of a refusal was written
-	FrontFailed       // the last byte of an error was written
-	FrontClientLeft   // the client left before an answer was there
-	FrontWriteFailed  // an answer was there and its last byte could not be written
-	FrontNotSubmitted // the front ended it itself: the planner takes nothing any more
-	FrontCutoff       // the process ended first
+	FrontTaken          // a request, whole and well formed, was handed to the planner
+	FrontServed         // the last byte of its value was written
+	FrontRejected       // the last byte of a refusal was written
+	FrontFailed         // the last byte of an error was written
+	FrontClientDeparted // the client left before an answer was there
+	FrontWriteFailed    // an answer was there and its last byte could not be written
+	FrontNotSubmitted   // the front ended it itself: the planner takes nothing any more
+	FrontCutoff         // the process ended first
 
 	PlanTaken
 	PlanServed
@@ -44,10 +44,10 @@
 	PlanFailedExhausted     // out of attempts or time, and it may have run
 	PlanFailedDuplicateID   // another request is open under its id
 	PlanFailedCounterUnread // the counter gave no exact answer in time
-	PlanClientLeft          // the client left
+	PlanClientDeparted      // the client left
 	PlanCutoff
 	PlanSent // a attempt was ordered
-	PlanHeard
+	PlanNotified
 
 	AttemptStarted
 	AttemptOK
@@ -65,7 +65,7 @@
 	UnitsReturned // onto the tally again, as nothing was added
 	UnitsForgotten
 
-	CallBegan
+	CallStarted
 	CallAdded
 	CallRejected // nothing was added
 	CallUnknown  // it may have been added
@@ -73,8 +73,8 @@
 
 	FrontNeverTaken     // the process ended before the planner took it
 	AttemptNeverStarted // and before the pools had the attempt
-	PlanHeardCutoff     // and before the planner heard of its end
-	CallNeverBegan
+	PlanNeverNotified   // and before the planner heard of its end
+	CallNeverStarted
 	UnitsNeverReturned
 	UnitsCutoff // what was on the tally when the process ended
 
@@ -91,7 +91,7 @@
 
 var eventKinds = [EventCount]eventKind{
 	FrontTaken: {"taken", JournalFront, 0}, FrontServed: {"served", JournalFront, -1}, FrontRejected: {"refused", JournalFront, -1},
-	FrontFailed: {"failed", JournalFront, -1}, FrontClientLeft: {"gone", JournalFront, -1}, FrontWriteFailed: {"cut", JournalFront, -1},
+	FrontFailed: {"failed", JournalFront, -1}, FrontClientDeparted: {"gone", JournalFront, -1}, FrontWriteFailed: {"cut", JournalFront, -1},
 	FrontNotSubmitted: {"kept", JournalFront, 1}, FrontCutoff: {"cut_off_by_crash", JournalFront, -1},
 	FrontIdempotencyKey: {"keyed", JournalFront, -1},
 	FrontNeverTaken:     {"never_handed", JournalFront, 15},
@@ -100,10 +100,10 @@
 	PlanRejectedOverload: {"refused_servers", JournalPlanner, -1}, PlanRejectedExhausted: {"refused_gave_up", JournalPlanner, -1},
 	PlanRejectedInvalid: {"refused_unusable", JournalPlanner, -1}, PlanFailedExhausted: {"failed_gave_up", JournalPlanner, -1},
 	PlanFailedDuplicateID: {"failed_id_open", JournalPlanner, -1}, PlanFailedCounterUnread: {"failed_no_count", JournalPlanner, -1},
-	PlanClientLeft: {"planner_gone", JournalPlanner, -1}, PlanCutoff: {"planner_cut_off", JournalPlanner, -1},
-	PlanSent: {"fetches_ordered", JournalPlanner, -1}, PlanHeard: {"fetches_heard", JournalPlanner, -1},
-	PlanHeardCutoff: {"fetches_unheard", JournalPlanner, -1},
-	AttemptStarted:  {"fetches_begun", JournalAttempts, -1}, AttemptOK: {"fetch_ok", JournalAttempts, -1},
+	PlanClientDeparted: {"planner_gone", JournalPlanner, -1}, PlanCutoff: {"planner_cut_off", JournalPlanner, -1},
+	PlanSent: {"fetches_ordered", JournalPlanner, -1}, PlanNotified: {"fetches_heard", JournalPlanner, -1},
+	PlanNeverNotified: {"fetches_unheard", JournalPlanner, -1},
+	AttemptStarted:    {"fetches_begun", JournalAttempts, -1}, AttemptOK: {"fetch_ok", JournalAttempts, -1},
 	AttemptError: {"fetch_error", JournalAttempts, -1}, AttemptRejected: {"fetch_rejected", JournalAttempts, -1},
 	AttemptTimeout: {"fetch_timeout", JournalAttempts, -1}, AttemptConnectFailed: {"fetch_connect_failed", JournalAttempts, -1},
 	AttemptReset: {"fetch_reset", JournalAttempts, -1}, AttemptCancelled: {"fetch_cancelled", JournalAttempts, -1},
@@ -112,9 +112,9 @@
 	UnitsDrawn:          {"units_drawn", JournalUnits, 3}, UnitsPushed: {"units_told", JournalUnits, 4},
 	UnitsReturned: {"units_returned", JournalUnits, 5}, UnitsForgotten: {"units_forgotten", JournalUnits, 6},
 	UnitsNeverReturned: {"units_never_returned", JournalUnits, 7}, UnitsCutoff: {"units_cut_off", JournalUnits, 8},
-	CallBegan: {"calls_begun", JournalCounter, 9}, CallAdded: {"calls_added", JournalCounter, 10},
+	CallStarted: {"calls_begun", JournalCounter, 9}, CallAdded: {"calls_added", JournalCounter, 10},
 	CallRejected: {"calls_rejected", JournalCounter, 11}, CallUnknown: {"calls_unknown", JournalCounter, 12},
-	CallCutoff: {"calls_cut_off", JournalCounter, 13}, CallNeverBegan: {"calls_never_begun", JournalCounter, 14},
+	CallCutoff: {"calls_cut_off", JournalCounter, 13}, CallNeverStarted: {"calls_never_begun", JournalCounter, 14},
 }
 
 const unitSums = 16 // of units, one an event
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -10,12 +10,12 @@
 )
 
 // events are all events in the order of their numbers, which stand in log segments and in rows of the embedded store.
-var events = []Event{None, FrontTaken, FrontServed, FrontRejected, FrontFailed, FrontClientLeft, FrontWriteFailed, FrontNotSubmitted, FrontCutoff,
+var events = []Event{None, FrontTaken, FrontServed, FrontRejected, FrontFailed, FrontClientDeparted, FrontWriteFailed, FrontNotSubmitted, FrontCutoff,
 	PlanTaken, PlanServed, PlanRejectedQuota, PlanRejectedCeiling, PlanRejectedOverload, PlanRejectedExhausted, PlanRejectedInvalid,
-	PlanFailedExhausted, PlanFailedDuplicateID, PlanFailedCounterUnread, PlanClientLeft, PlanCutoff, PlanSent, PlanHeard,
+	PlanFailedExhausted, PlanFailedDuplicateID, PlanFailedCounterUnread, PlanClientDeparted, PlanCutoff, PlanSent, PlanNotified,
 	AttemptStarted, AttemptOK, AttemptError, AttemptRejected, AttemptTimeout, AttemptConnectFailed, AttemptReset, AttemptCancelled, AttemptNotSent,
-	AttemptCutoff, UnitsDrawn, UnitsPushed, UnitsReturned, UnitsForgotten, CallBegan, CallAdded, CallRejected, CallUnknown,
-	CallCutoff, FrontNeverTaken, AttemptNeverStarted, PlanHeardCutoff, CallNeverBegan, UnitsNeverReturned, UnitsCutoff, FrontIdempotencyKey}
+	AttemptCutoff, UnitsDrawn, UnitsPushed, UnitsReturned, UnitsForgotten, CallStarted, CallAdded, CallRejected, CallUnknown,
+	CallCutoff, FrontNeverTaken, AttemptNeverStarted, PlanNeverNotified, CallNeverStarted, UnitsNeverReturned, UnitsCutoff, FrontIdempotencyKey}
 
 // TestEventForm freezes the number, the text and the book of each event, and whether it has units. Segments and rows hold
 // the number; export records, CSV columns, metrics and alarms hold the text, which ByName reads.
@@ -86,7 +86,7 @@
 		}
 		kept.N[PlanServed] += 1e6
 		l.Restore(kept)
-		l.RestoreOpen(Open{Ref: k.Customer, Entry: Entry{Key: k, Since: 1, Wait: 1}})
+		l.RestoreOpen(OpenEntry{Ref: k.Customer, Entry: Entry{Key: k, Since: 1, Wait: 1}})
 	}
 	l.total.N[FrontServed]++
 	tally := func(uint64) (float64, bool) { return 17, true }
@@ -94,7 +94,7 @@
 	tallies, _ := l.AuditAccounts([]Key{Account(6)}, tally)
 	var lines []string // sorted, as an audit goes through the rows in any order
 	for _, m := range slices.Concat(l.Audit(true), l.Overdue(3e9), tallies) {
-		lines = append(lines, fmt.Sprintln(m.Key.Customer, m.Key.Plan, m.Key.Class, m.All, m))
+		lines = append(lines, fmt.Sprintln(m.Key.Customer, m.Key.Plan, m.Key.Class, m.AllRows, m))
 	}
 	for _, p := range forgotten {
 		lines = append(lines, fmt.Sprintln("forgotten:", p.Event, p.Key.Customer, p.Units))
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -81,8 +81,8 @@
 	}
 }
 
-// Open is how many requests and calls are open.
-func (l *Ledger) Open() int { return len(l.table) }
+// OpenCount is how many requests and calls are open.
+func (l *Ledger) OpenCount() int { return len(l.table) }
 
 // Total is the figures over all rows, as they were booked beside them.
 func (l *Ledger) Total() Counts { return l.total }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -31,7 +31,7 @@
 		if rapid.Bool().Draw(t, "wraps") {
 			// Figures that add up and are about to wrap: 2^64-3 of all, with as many taken as served.
 			var c Counts
-			for _, e := range []Event{FrontTaken, FrontServed, PlanTaken, PlanServed, PlanSent, PlanHeard, AttemptStarted, AttemptOK} {
+			for _, e := range []Event{FrontTaken, FrontServed, PlanTaken, PlanServed, PlanSent, PlanNotified, AttemptStarted, AttemptOK} {
 				c.Set(e, math.MaxUint64-2, 0)
 			}
 			c.Set(FrontTaken, math.MaxUint64-2, math.MaxInt64-1)
@@ -39,15 +39,15 @@
 			l.Restore(StoredRow{Key: Key{1, 0, 0}, Counts: c})
 		}
 		n := 0
-		ledgertest.Storm(seed, 300, 12, func(p Posting) {
+		ledgertest.RandomPostings(seed, 300, 12, func(p Posting) {
 			l.Post(p)
 			if n++; n%7 == 0 {
 				quiet(t, l, fmt.Sprint("posting ", n))
 			}
 		})
 		quiet(t, l, "the end")
-		if l.Open() != 0 || l.Abandoned != 0 {
-			t.Fatalf("%d are open at the end, %d abandoned", l.Open(), l.Abandoned)
+		if l.OpenCount() != 0 || l.Abandoned != 0 {
+			t.Fatalf("%d are open at the end, %d abandoned", l.OpenCount(), l.Abandoned)
 		}
 	})
 }
@@ -56,7 +56,7 @@
 func TestCutOffAtEveryPosting(t *testing.T) {
 	for seed := range uint64(8) {
 		var all []Posting
-		ledgertest.Storm(seed, 40, 6, func(p Posting) { all = append(all, p) })
+		ledgertest.RandomPostings(seed, 40, 6, func(p Posting) { all = append(all, p) })
 		for at := range all {
 			l := New(Limits{Rows: 1000, Open: 1000, Flight: 100}, false)
 			for _, p := range all[:at] {
@@ -64,8 +64,8 @@
 			}
 			l.CutOff(0)
 			quiet(t, l, fmt.Sprintf("seed %d, cut off at %d", seed, at))
-			if l.Open() != 0 || l.Abandoned != 0 {
-				t.Fatalf("seed %d, cut off at %d: %d open, %d abandoned", seed, at, l.Open(), l.Abandoned)
+			if l.OpenCount() != 0 || l.Abandoned != 0 {
+				t.Fatalf("seed %d, cut off at %d: %d open, %d abandoned", seed, at, l.OpenCount(), l.Abandoned)
 			}
 			taken := l.Total()
 			if taken.N[FrontTaken] != taken.Ended() {
@@ -81,7 +81,7 @@
 	for seed := range uint64(6) {
 		var all []Posting
 		module := map[uint64]int64{} // what its tallies hold
-		ledgertest.Storm(seed, 30, 8, func(p Posting) {
+		ledgertest.RandomPostings(seed, 30, 8, func(p Posting) {
 			all = append(all, p)
 			switch p.Event {
 			case UnitsDrawn, UnitsReturned:
@@ -190,7 +190,7 @@
 		l := New(Limits{Rows: rapid.SampledFrom([]int{16, 1000}).Draw(t, "rows"), Open: 1000, Flight: 10}, true)
 		tries, keyed := 0, 0
 		sum, rows, n := map[Key]*Counts{}, map[Key]StoredRow{}, 0
-		var open []Open
+		var open []OpenEntry
 		take := func() {
 			s := l.Statement()
 			tries += len(s.IdempotentRequests)
@@ -207,7 +207,7 @@
 				}
 			}
 		}
-		ledgertest.Storm(rapid.Uint64().Draw(t, "seed"), 200, 12, func(p Posting) {
+		ledgertest.RandomPostings(rapid.Uint64().Draw(t, "seed"), 200, 12, func(p Posting) {
 			l.Post(p)
 			if p.Event == FrontIdempotencyKey {
 				keyed++
@@ -249,7 +249,7 @@
 func BenchmarkPost(b *testing.B) {
 	l := New(Limits{Rows: 20000, Open: 10000, Flight: 4096}, true)
 	var all []Posting
-	ledgertest.Storm(1, 2000, 300, func(p Posting) { all = append(all, p) })
+	ledgertest.RandomPostings(1, 2000, 300, func(p Posting) { all = append(all, p) })
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
 		l.Post(all[i%len(all)])
--- a/internal/ledger/ledgertest/ledgertest.go
+++ b/internal/ledger/ledgertest/ledgertest.go
@@ -14,8 +14,8 @@
 // millionths is a unit as postings count it.
 const millionths = 1e6
 
-// Storm interleaves the postings of so many requests and counter calls of so many customers at random, and calls post with each.
-func Storm(seed uint64, requests, customers int, post func(ledger.Posting)) {
+// RandomPostings interleaves the postings of so many requests and counter calls of so many customers at random, and calls post with each.
+func RandomPostings(seed uint64, requests, customers int, post func(ledger.Posting)) {
 	r := rand.New(rand.NewPCG(seed, 5))
 	var open []script
 	for started := 0; started < requests || len(open) > 0; {
@@ -60,7 +60,7 @@
 	posting := func(e ledger.Event, ref uint64) ledger.Posting {
 		return ledger.Posting{Event: e, Key: key, Ref: ref, Units: units}
 	}
-	s := script{posting(ledger.UnitsDrawn, 0), posting(ledger.UnitsPushed, ref), posting(ledger.CallBegan, ref)}
+	s := script{posting(ledger.UnitsDrawn, 0), posting(ledger.UnitsPushed, ref), posting(ledger.CallStarted, ref)}
 	switch r.IntN(3) {
 	case 0:
 		return append(s, posting(ledger.CallAdded, ref))
--- a/internal/ledger/ledgertest/request.go
+++ b/internal/ledger/ledgertest/request.go
@@ -45,12 +45,12 @@
 	}
 	clientLeft := s.chance(12)
 	if clientLeft {
-		s.add(ledger.FrontClientLeft)
+		s.add(ledger.FrontClientDeparted)
 	}
 	s.addUnits(ledger.PlanTaken, units)
 	served := s.attempts()
 	if clientLeft {
-		s.add(ledger.PlanClientLeft)
+		s.add(ledger.PlanClientDeparted)
 		return
 	}
 	s.end(s.outcome(served))
@@ -68,7 +68,7 @@
 		if served {
 			end = ledger.AttemptOK
 		}
-		s.add(ledger.PlanSent, ledger.AttemptStarted, end, ledger.PlanHeard)
+		s.add(ledger.PlanSent, ledger.AttemptStarted, end, ledger.PlanNotified)
 	}
 	return served
 }
@@ -93,7 +93,7 @@
 // end appends the decision and the end; one time in six around them an attempt that is cancelled after the answer.
 func (s *requestScript) end(decision, end ledger.Event) {
 	if s.chance(6) && s.reachesBackends() {
-		s.add(ledger.PlanSent, ledger.AttemptStarted, decision, end, ledger.AttemptCancelled, ledger.PlanHeard)
+		s.add(ledger.PlanSent, ledger.AttemptStarted, decision, end, ledger.AttemptCancelled, ledger.PlanNotified)
 		return
 	}
 	s.add(decision, end)
--- a/internal/ledger/recorder/alarms.go
+++ b/internal/ledger/recorder/alarms.go
@@ -32,7 +32,7 @@
 
 func (rec *Recorder) alarm(m ledger.Mismatch) alarm {
 	a := alarm{At: time.Now(), Check: m.Check, Haulier: "all"}
-	if !m.All {
+	if !m.AllRows {
 		a.Haulier = ledger.CustomerText(m.Key.Customer)
 		a.Plan, a.Class = rec.names.Plan(m.Key.Plan), rec.names.Class(m.Key.Class)
 		for _, p := range rec.ledger.Flight(m.Key, alarmPostings) {
--- a/internal/ledger/recorder/audit.go
+++ b/internal/ledger/recorder/audit.go
@@ -72,7 +72,7 @@
 	rec.accountMismatches, rec.readAccounts = nil, map[ledger.Key]bool{}
 	now := map[alarmKey]bool{}
 	for _, m := range found {
-		k := alarmKey{m.Key, m.All, m.Check}
+		k := alarmKey{m.Key, m.AllRows, m.Check}
 		now[k] = true
 		if !rec.alarms[k] && len(rec.alarms) < maxAlarms {
 			rec.alarms[k] = true
@@ -85,7 +85,7 @@
 			continue
 		}
 		delete(rec.alarms, k)
-		clear = append(clear, rec.alarm(ledger.Mismatch{Key: k.key, All: k.all, Check: k.check}))
+		clear = append(clear, rec.alarm(ledger.Mismatch{Key: k.key, AllRows: k.all, Check: k.check}))
 	}
 	return raise, clear
 }
--- a/internal/ledger/recorder/bench_test.go
+++ b/internal/ledger/recorder/bench_test.go
@@ -18,7 +18,7 @@
 			o := recorder.Options{Limits: ledger.Limits{Rows: 20000, Open: 65536, Flight: 4096}, OverdueAfter: time.Second,
 				Names: ledger.Names{Plans: []string{"basic"}, Classes: []string{"space-query"}}, Log: zap.NewNop()}
 			l := ledger.New(o.Limits, mode == "disk")
-			var k recorder.Keeper
+			var k recorder.Store
 			if mode == "disk" {
 				s, kept, _, _, err := store.Open(store.Options{Dir: b.TempDir(), Node: "n0", SegmentBytes: 4 << 20, Segments: 8,
 					Records: 1 << 20, Limits: o.Limits, Log: o.Log})
@@ -31,7 +31,7 @@
 			d := recorder.New(l, ledger.Names{}, k, o)
 			d.CloseStatement()
 			events := []ledger.Event{ledger.FrontTaken, ledger.PlanTaken, ledger.UnitsDrawn, ledger.PlanSent, ledger.AttemptStarted,
-				ledger.AttemptOK, ledger.PlanHeard, ledger.PlanServed, ledger.FrontServed}
+				ledger.AttemptOK, ledger.PlanNotified, ledger.PlanServed, ledger.FrontServed}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				if i%10000 == 9999 {
--- a/internal/ledger/recorder/golden_test.go
+++ b/internal/ledger/recorder/golden_test.go
@@ -31,7 +31,7 @@
 	alarms := []alarm{full, {At: at, State: "cleared", Check: "sum of taken", Haulier: "all"},
 		d.alarm(ledger.Mismatch{Key: booking, Check: "fetches ordered = begun", Journals: [2]ledger.Journal{ledger.JournalPlanner, ledger.JournalAttempts},
 			Left: 8, Right: 9}),
-		d.alarm(ledger.Mismatch{All: true, Check: "sum of served", Journals: [2]ledger.Journal{ledger.JournalFront, ledger.JournalFront}, Left: 1, Right: 2}),
+		d.alarm(ledger.Mismatch{AllRows: true, Check: "sum of served", Journals: [2]ledger.Journal{ledger.JournalFront, ledger.JournalFront}, Left: 1, Right: 2}),
 		d.alarm(ledger.Mismatch{Key: ledger.Account(0xcc), Check: ledger.CheckTally}),
 	}
 	for i := range alarms {
--- a/internal/ledger/recorder/names_test.go
+++ b/internal/ledger/recorder/names_test.go
@@ -48,7 +48,7 @@
 	k := &counting{}
 	d := recorder.New(ledger.New(limits, true), ledger.Names{}, k, recorder.Options{Limits: limits, Log: zap.NewNop()})
 	d.Post(ledger.Posting{Event: ledger.FrontTaken, Ref: 1})
-	d.Release()
+	d.DetachStore()
 	d.Post(ledger.Posting{Event: ledger.FrontServed, Ref: 1})
 	if k.n != 1 {
 		t.Errorf("%d postings were kept", k.n)
@@ -58,8 +58,8 @@
 type counting struct{ n int }
 
 func (k *counting) Append(ledger.Posting)     { k.n++ }
-func (k *counting) Mark()                     {}
-func (k *counting) Cut(ledger.Statement)      {}
+func (k *counting) EndPeriod()                {}
+func (k *counting) Stage(ledger.Statement)    {}
 func (k *counting) Commit(ledger.Names) error { return nil }
 
 // The module has dropped an account while the queue of postings is one short of full: noting that fills it, and whoever
@@ -74,7 +74,7 @@
 			d.Post(ledger.Posting{Event: ledger.UnitsDrawn, Key: ledger.Account(7)})
 		}
 	})
-	d.Tallies(func(f func(func(uint64) (float64, bool))) error {
+	d.SetTallyReader(func(f func(func(uint64) (float64, bool))) error {
 		f(func(uint64) (float64, bool) { full(); return 0, false })
 		return nil
 	})
--- a/internal/ledger/recorder/planted_test.go
+++ b/internal/ledger/recorder/planted_test.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.Tallies(planner.ReadTallies)
+	d.SetTallyReader(planner.ReadTallies)
 	commands := &limits.Commands{Commands: &platform.Commands{Planner: planner, Recorder: plant, Settings: set,
 		Names: settings.Names{Classes: o.Names.Classes, Plans: o.Names.Plans}}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -193,7 +193,7 @@
 	for began := time.Now(); !ok(g.desk.Report()); time.Sleep(10 * time.Millisecond) {
 		if time.Since(began) > 20*time.Second {
 			r := g.desk.Report()
-			t.Fatalf("%s: %d taken, %d gone, %d cut, %d open", what, r.Total.N[ledger.FrontTaken], r.Total.N[ledger.FrontClientLeft],
+			t.Fatalf("%s: %d taken, %d gone, %d cut, %d open", what, r.Total.N[ledger.FrontTaken], r.Total.N[ledger.FrontClientDeparted],
 				r.Total.N[ledger.FrontWriteFailed], r.Open)
 		}
 	}
@@ -223,8 +223,8 @@
 	})
 	c.Close()
 	g.eventually(t, "ended", func(r recorder.Report) bool {
-		return r.Open == 0 && r.Total.N[ledger.FrontClientLeft]+r.Total.N[ledger.FrontWriteFailed]+answered(r) == many &&
-			r.Total.N[ledger.FrontClientLeft] > 0 && r.Total.N[ledger.AttemptStarted] == r.Total.AttemptsEnded()
+		return r.Open == 0 && r.Total.N[ledger.FrontClientDeparted]+r.Total.N[ledger.FrontWriteFailed]+answered(r) == many &&
+			r.Total.N[ledger.FrontClientDeparted] > 0 && r.Total.N[ledger.AttemptStarted] == r.Total.AttemptsEnded()
 	})
 }
 
@@ -269,7 +269,7 @@
 		{ledger.UnitsDrawn, "wrong units", "account"},
 		{ledger.UnitsPushed, "lost", "account"},
 		{ledger.CallAdded, "wrong units", "account"},
-		{ledger.CallBegan, "doubled", "account"},
+		{ledger.CallStarted, "doubled", "account"},
 	} {
 		t.Run(fmt.Sprintf("%v %s", c.event, c.how), func(t *testing.T) {
 			t.Parallel()
@@ -337,7 +337,7 @@
 	if !until("the books do not add up") {
 		t.Fatal("no alarm")
 	}
-	for _, e := range []ledger.Event{ledger.PlanTaken, ledger.PlanSent, ledger.AttemptStarted, ledger.AttemptOK, ledger.PlanHeard,
+	for _, e := range []ledger.Event{ledger.PlanTaken, ledger.PlanSent, ledger.AttemptStarted, ledger.AttemptOK, ledger.PlanNotified,
 		ledger.PlanServed} {
 		p.Event = e
 		g.desk.Post(p)
--- a/internal/ledger/recorder/post.go
+++ b/internal/ledger/recorder/post.go
@@ -44,7 +44,7 @@
 
 // timed are the events whose time is of use: they open something, or end a request.
 var timed = [ledger.EventCount]bool{ledger.FrontTaken: true, ledger.FrontServed: true, ledger.FrontRejected: true,
-	ledger.FrontFailed: true, ledger.FrontClientLeft: true, ledger.FrontWriteFailed: true, ledger.FrontNotSubmitted: true, ledger.UnitsPushed: true}
+	ledger.FrontFailed: true, ledger.FrontClientDeparted: true, ledger.FrontWriteFailed: true, ledger.FrontNotSubmitted: true, ledger.UnitsPushed: true}
 
 // drainQueue books what waits; mark, if any, is called where the next posting begins anew. The lock mu is held.
 func (rec *Recorder) drainQueue(mark func()) {
--- a/internal/ledger/recorder/recorder.go
+++ b/internal/ledger/recorder/recorder.go
@@ -16,14 +16,14 @@
 	"dewhitch/internal/ledger"
 )
 
-// Keeper makes the books last. Append and Mark are called under the recorder's lock, and must neither block nor fail; the
+// Store makes the books last. Append and Mark are called under the recorder's lock, and must neither block nor fail; the
 // others are called by Run alone.
-type Keeper interface {
+type Store interface {
 	Append(ledger.Posting)
-	// Mark ends a period: what is appended later belongs to the next.
-	Mark()
-	// Cut takes the statement that closes the period that was marked.
-	Cut(ledger.Statement)
+	// EndPeriod ends a period: what is appended later belongs to the next.
+	EndPeriod()
+	// Stage takes the statement that closes the period that was marked.
+	Stage(ledger.Statement)
 	// Commit makes what was cut last, and may take its time.
 	Commit(ledger.Names) error
 }
@@ -63,7 +63,7 @@
 	// What is posted is kept at once, and waits here to be booked: many at a time cost a fraction of one by one. It is
 	// held for a posting, no longer.
 	posting    sync.Mutex
-	keeper     Keeper
+	keeper     Store
 	queue      []ledger.Posting
 	spareQueue []ledger.Posting // the other buffer
 	now        int64
@@ -88,7 +88,7 @@
 
 // New makes a recorder for books that may hold something already, with the names that the numbers in them stand for. The
 // keeper may be nil.
-func New(l *ledger.Ledger, known ledger.Names, k Keeper, o Options) *Recorder {
+func New(l *ledger.Ledger, known ledger.Names, k Store, o Options) *Recorder {
 	rec := &Recorder{options: o, start: time.Now(), ledger: l, keeper: k, full: make(chan struct{}, 1), names: known, alarms: map[alarmKey]bool{}, readAccounts: map[ledger.Key]bool{}}
 	for i, names := range [2][]string{known.Plans, known.Classes} {
 		rec.byName[i] = map[string]int16{}
@@ -105,16 +105,16 @@
 	return rec
 }
 
-// Release lets go of the keeper, after Run has ended: what is posted later, as by a attempt that nobody waits for, is kept
+// DetachStore lets go of the keeper, after Run has ended: what is posted later, as by a attempt that nobody waits for, is kept
 // nowhere. The keeper may then be closed.
-func (rec *Recorder) Release() {
+func (rec *Recorder) DetachStore() {
 	rec.posting.Lock()
 	defer rec.posting.Unlock()
 	rec.keeper = nil
 }
 
-// Tallies tells how the decision module's tallies are read: f is to be called where nothing is drawn meanwhile.
-func (rec *Recorder) Tallies(visit func(f func(tally func(uint64) (float64, bool))) error) {
+// SetTallyReader tells how the decision module's tallies are read: f is to be called where nothing is drawn meanwhile.
+func (rec *Recorder) SetTallyReader(visit func(f func(tally func(uint64) (float64, bool))) error) {
 	rec.tallies.Store(&visit)
 }
 
--- a/internal/ledger/recorder/report.go
+++ b/internal/ledger/recorder/report.go
@@ -14,8 +14,8 @@
 		return
 	}
 	rec.mu.Lock()
-	rec.drainQueue(rec.keeper.Mark)
-	rec.keeper.Cut(rec.ledger.Statement())
+	rec.drainQueue(rec.keeper.EndPeriod)
+	rec.keeper.Stage(rec.ledger.Statement())
 	names := ledger.Names{Plans: slices.Clone(rec.names.Plans), Classes: slices.Clone(rec.names.Classes)}
 	rec.mu.Unlock()
 	if err := rec.keeper.Commit(names); err != nil {
@@ -42,7 +42,7 @@
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
 	rec.drainQueue(nil)
-	r := Report{Names: rec.names, Total: rec.ledger.Total(), Open: rec.ledger.Open(), Evictions: rec.ledger.Evictions, Abandoned: rec.ledger.Abandoned,
+	r := Report{Names: rec.names, Total: rec.ledger.Total(), Open: rec.ledger.OpenCount(), Evictions: rec.ledger.Evictions, Abandoned: rec.ledger.Abandoned,
 		Alarms: len(rec.alarms), Raised: rec.raised.Load(), Cleared: rec.cleared.Load()}
 	r.Rows, r.Lines = rec.ledger.Sums()
 	return r
--- a/internal/ledger/rows.go
+++ b/internal/ledger/rows.go
@@ -142,7 +142,7 @@
 		rolledUp.stated = &Counts{}
 	}
 	if len(l.evicted) < l.limits.Rows {
-		if !delta.Zero() {
+		if !delta.IsZero() {
 			l.evicted = append(l.evicted, Line{r.key, delta})
 		}
 		rolledUp.stated.Add(&r.counts)
--- a/internal/ledger/statement.go
+++ b/internal/ledger/statement.go
@@ -11,11 +11,11 @@
 	Deltas             []Line
 	Rows               []StoredRow
 	IdempotentRequests []IdempotentRequest // that have ended, in that order
-	Open               []Open              // what is open, in the order of the Refs
+	Open               []OpenEntry         // what is open, in the order of the Refs
 }
 
-// Open is an entry of the table, as a store keeps it.
-type Open struct {
+// OpenEntry is an entry of the table, as a store keeps it.
+type OpenEntry struct {
 	Ref uint64 `json:"Ref"`
 	Entry
 }
@@ -48,16 +48,16 @@
 			delta = r.counts.Minus(r.stated)
 		}
 		*r.stated = r.counts
-		if !delta.Zero() {
+		if !delta.IsZero() {
 			s.Deltas = append(s.Deltas, Line{r.key, delta})
 		}
 		s.Rows = append(s.Rows, r.stored())
 	}
 	l.unstored = l.unstored[:0]
 	for ref, e := range l.table {
-		s.Open = append(s.Open, Open{ref, *e})
+		s.Open = append(s.Open, OpenEntry{ref, *e})
 	}
-	slices.SortFunc(s.Open, func(a, b Open) int { return cmp.Compare(a.Ref, b.Ref) })
+	slices.SortFunc(s.Open, func(a, b OpenEntry) int { return cmp.Compare(a.Ref, b.Ref) })
 	slices.SortFunc(s.Deltas, func(a, b Line) int { return a.Key.compare(b.Key) })
 	return s
 }
@@ -79,7 +79,7 @@
 }
 
 // RestoreOpen puts an entry back that a store kept; its row was restored before.
-func (l *Ledger) RestoreOpen(o Open) {
+func (l *Ledger) RestoreOpen(o OpenEntry) {
 	e := o.Entry
 	l.table[o.Ref] = &e
 	e.row = l.row(e.Key)
--- a/internal/ledger/statement/golden_test.go
+++ b/internal/ledger/statement/golden_test.go
@@ -106,7 +106,7 @@
 	}))
 	m.Add(record(8, "g2", func(r *Record) {
 		r.Class = "account"
-		counts(r, ledger.UnitsPushed, 1, ledger.CallBegan, 1)
+		counts(r, ledger.UnitsPushed, 1, ledger.CallStarted, 1)
 		r.Figures.Set(ledger.CallAdded, 1, 3e6)
 	}))
 	var out bytes.Buffer
--- a/internal/ledger/statement/record_test.go
+++ b/internal/ledger/statement/record_test.go
@@ -74,13 +74,13 @@
 	served := func(n int) func(*Record) {
 		return func(r *Record) {
 			counts(r, ledger.FrontTaken, n, ledger.FrontServed, n, ledger.PlanTaken, n, ledger.PlanServed, n, ledger.PlanSent, n,
-				ledger.PlanHeard, n, ledger.AttemptStarted, n, ledger.AttemptOK, n)
+				ledger.PlanNotified, n, ledger.AttemptStarted, n, ledger.AttemptOK, n)
 		}
 	}
 	forwarder := record(1, "forwarder", func(r *Record) {
 		r.Role = Forwarder
-		counts(r, ledger.FrontTaken, 9, ledger.FrontServed, 6, ledger.FrontFailed, 2, ledger.FrontClientLeft, 1, ledger.PlanTaken, 9,
-			ledger.PlanServed, 6, ledger.PlanFailedExhausted, 3, ledger.PlanSent, 9, ledger.PlanHeard, 9, ledger.AttemptStarted, 9,
+		counts(r, ledger.FrontTaken, 9, ledger.FrontServed, 6, ledger.FrontFailed, 2, ledger.FrontClientDeparted, 1, ledger.PlanTaken, 9,
+			ledger.PlanServed, 6, ledger.PlanFailedExhausted, 3, ledger.PlanSent, 9, ledger.PlanNotified, 9, ledger.AttemptStarted, 9,
 			ledger.AttemptOK, 6, ledger.AttemptRejected, 1, ledger.AttemptNotSent, 2)
 	})
 	addSealed(t, m, record(1, "n0", served(4)), record(2, "n0", served(5)), record(1, "n1", served(3)), forwarder)
@@ -115,7 +115,7 @@
 	m := NewMerged()
 	addSealed(t, m, record(1, "n0", func(r *Record) {
 		r.Class = "account"
-		counts(r, ledger.UnitsPushed, 1, ledger.CallBegan, 1, ledger.CallAdded, 1)
+		counts(r, ledger.UnitsPushed, 1, ledger.CallStarted, 1, ledger.CallAdded, 1)
 		r.Figures.Set(ledger.CallAdded, 1, 3e6)
 	}))
 	if wrong := m.Verify(); len(wrong) != 1 {
--- a/internal/ledger/statement/verify.go
+++ b/internal/ledger/statement/verify.go
@@ -70,11 +70,11 @@
 	c := v.counts
 	n := &c.N
 	ended := n[ledger.CallAdded] + n[ledger.CallRejected] + n[ledger.CallUnknown] + n[ledger.CallCutoff]
-	v.within(maxOpenRequests, "calls ordered, begun", n[ledger.UnitsPushed], n[ledger.CallBegan]+n[ledger.CallNeverBegan])
-	v.within(maxOpenRequests, "calls begun, ended", n[ledger.CallBegan], ended)
-	if n[ledger.CallBegan] == ended {
+	v.within(maxOpenRequests, "calls ordered, begun", n[ledger.UnitsPushed], n[ledger.CallStarted]+n[ledger.CallNeverStarted])
+	v.within(maxOpenRequests, "calls begun, ended", n[ledger.CallStarted], ended)
+	if n[ledger.CallStarted] == ended {
 		unitsEnded := c.Units(ledger.CallAdded) + c.Units(ledger.CallRejected) + c.Units(ledger.CallUnknown) + c.Units(ledger.CallCutoff)
-		v.within(0, "units of calls begun, ended", uint64(c.Units(ledger.CallBegan)), uint64(unitsEnded))
+		v.within(0, "units of calls begun, ended", uint64(c.Units(ledger.CallStarted)), uint64(unitsEnded))
 	}
 }
 
--- a/internal/ledger/store/commit.go
+++ b/internal/ledger/store/commit.go
@@ -11,7 +11,7 @@
 // uncommitted is what was cut and is not on the disk yet.
 type uncommitted struct {
 	rows               map[ledger.Key]ledger.StoredRow
-	open               []ledger.Open
+	open               []ledger.OpenEntry
 	deltas             map[ledger.Key]*ledger.Counts
 	idempotentRequests []ledger.IdempotentRequest
 	notes              []statement.Record // lives and gaps
@@ -24,8 +24,8 @@
 	return &uncommitted{rows: map[ledger.Key]ledger.StoredRow{}, deltas: map[ledger.Key]*ledger.Counts{}}
 }
 
-// Mark implements recorder.Keeper.
-func (s *Store) Mark() {
+// EndPeriod implements recorder.Keeper.
+func (s *Store) EndPeriod() {
 	if s.uncommitted == nil {
 		s.uncommitted = newUncommitted()
 	}
@@ -54,8 +54,8 @@
 	}
 }
 
-// Cut implements recorder.Keeper.
-func (s *Store) Cut(st ledger.Statement) {
+// Stage implements recorder.Keeper.
+func (s *Store) Stage(st ledger.Statement) {
 	p := s.uncommitted
 	for _, k := range st.Rows {
 		p.rows[k.Key] = k
--- a/internal/ledger/store/golden_test.go
+++ b/internal/ledger/store/golden_test.go
@@ -85,8 +85,8 @@
 }
 
 // openEntries are an entry with all fields and, as a swap of two flags would not show in it, one for each flag.
-func openEntries() []ledger.Open {
-	return []ledger.Open{
+func openEntries() []ledger.OpenEntry {
+	return []ledger.OpenEntry{
 		{Ref: 500, Entry: ledger.Entry{Key: bookingOf, Units: 11, Since: 12, Wait: 13, HasIdempotencyKey: true, Hash: 14, Call: true,
 			FrontTaken: true, FrontEnded: true, NeverTaken: true, Lost: true, PlanTaken: true, PlanEnded: 2, Sent: 15, Heard: 16,
 			Began: 17, Ended: 18, Pushed: true, CallBegan: true, CallOver: true, Rejected: true, Returned: true}},
@@ -187,7 +187,7 @@
 // statement that is written has fixed times.
 func TestStoreForm(t *testing.T) {
 	dir := t.TempDir()
-	s := &Store{options: Options{Dir: dir, Wait: time.Second, Records: 5}, meta: meta{Version: 1, Node: "n3", Role: statement.Forwarder,
+	s := &Store{options: Options{Dir: dir, OpenTimeout: time.Second, Records: 5}, meta: meta{Version: 1, Node: "n3", Role: statement.Forwarder,
 		Incarnation: 7, Statements: 20, Seq: 40, First: 38, Chain: "00112233445566ff", Segment: 11, At: 1, Stated: stated}}
 	p := newUncommitted()
 	for _, k := range append(keptRows(), ledger.StoredRow{Key: ledger.Key{Customer: 9}, RolledUp: true}) {
@@ -227,8 +227,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if got := v.Ledger.Lines(); !reflect.DeepEqual(got, lines) || v.Ledger.Open() != len(openEntries())+1 {
-		t.Errorf("the ledger is read as %+v, %d open", got, v.Ledger.Open())
+	if got := v.Ledger.Lines(); !reflect.DeepEqual(got, lines) || v.Ledger.OpenCount() != len(openEntries())+1 {
+		t.Errorf("the ledger is read as %+v, %d open", got, v.Ledger.OpenCount())
 	}
 	v.Ledger = nil
 	if want := (&View{Node: "n3", Role: statement.Forwarder, Incarnation: 7, Names: wording, Replayed: 2, First: 41, Last: 45}); !reflect.DeepEqual(v, want) {
--- a/internal/ledger/store/read.go
+++ b/internal/ledger/store/read.go
@@ -95,7 +95,7 @@
 // content is what an embedded store holds of figures.
 type content struct {
 	rows []ledger.StoredRow
-	open []ledger.Open
+	open []ledger.OpenEntry
 }
 
 // load reads all that an embedded store holds of figures. A file that is not there holds nothing.
--- a/internal/ledger/store/recovery.go
+++ b/internal/ledger/store/recovery.go
@@ -35,7 +35,7 @@
 	before := l.Total()
 	cut := l.CutOff(time.Now().UnixNano())
 	after := l.Total()
-	found.Cut, found.Requests = len(cut), after.N[ledger.FrontCutoff]-before.N[ledger.FrontCutoff]
+	found.ClosedPostings, found.CutOffRequests = len(cut), after.N[ledger.FrontCutoff]-before.N[ledger.FrontCutoff]
 	s.meta = m
 	s.meta.Version, s.meta.Node, s.meta.Role = version, s.options.Node, s.options.Role
 	s.meta.Incarnation++
@@ -51,7 +51,7 @@
 	s.nextNumber = max(s.nextNumber, m.Segment) + 1
 	now := time.Now()
 	start := statement.Record{Kind: statement.StartRecord, From: now, To: now,
-		Note: fmt.Sprintf("%d postings replayed, %d reqs cut off by a crash", found.Replayed, found.Requests)}
+		Note: fmt.Sprintf("%d postings replayed, %d reqs cut off by a crash", found.Replayed, found.CutOffRequests)}
 	s.uncommitted = newUncommitted()
 	s.uncommitted.notes = []statement.Record{start}
 	for _, note := range found.Notes {
--- a/internal/ledger/store/store.go
+++ b/internal/ledger/store/store.go
@@ -33,7 +33,7 @@
 	Limits       ledger.Limits
 	Log          *zap.Logger
 	Files        Files         // nil: the disk
-	Wait         time.Duration // for a reader to let the store go; 0: two seconds
+	OpenTimeout  time.Duration // for a reader to let the store go; 0: two seconds
 }
 
 const (
@@ -91,11 +91,11 @@
 
 // Recovered is what Open found.
 type Recovered struct {
-	Incarnation uint64
-	Replayed    int      // postings that the log held beyond the rows
-	Cut         int      // postings that closed what was open
-	Requests    uint64   // of those, requests that were owed an answer
-	Notes       []string // what was torn, set aside or not kept
+	Incarnation    uint64
+	Replayed       int      // postings that the log held beyond the rows
+	ClosedPostings int      // postings that closed what was open
+	CutOffRequests uint64   // of those, requests that were owed an answer
+	Notes          []string // what was torn, set aside or not kept
 }
 
 // Open takes a folder over and makes the ledger that it holds; what a crash left open is closed. What is torn or corrupt
@@ -104,8 +104,8 @@
 	if o.Files == nil {
 		o.Files = disk{}
 	}
-	if o.Wait == 0 {
-		o.Wait = openTime
+	if o.OpenTimeout == 0 {
+		o.OpenTimeout = openTime
 	}
 	if err := os.MkdirAll(o.Dir, 0o750); err != nil {
 		return nil, nil, ledger.Names{}, nil, err
--- a/internal/ledger/store/store_test.go
+++ b/internal/ledger/store/store_test.go
@@ -26,7 +26,7 @@
 
 func options(dir string) Options {
 	return Options{Dir: dir, Node: "n0", Role: statement.Gateway, SegmentBytes: 16 << 10, Segments: 8, Records: 1 << 20,
-		Limits: ledger.Limits{Rows: 1000, Open: 1000, Flight: 64}, Log: zap.NewNop(), Wait: 50 * time.Millisecond}
+		Limits: ledger.Limits{Rows: 1000, Open: 1000, Flight: 64}, Log: zap.NewNop(), OpenTimeout: 50 * time.Millisecond}
 }
 
 // books are a ledger and its store, as a recorder holds them.
@@ -52,8 +52,8 @@
 }
 
 func (b *books) cut() {
-	b.Mark()
-	b.Cut(b.l.Statement())
+	b.EndPeriod()
+	b.Stage(b.l.Statement())
 }
 
 func (b *books) state() error {
@@ -91,8 +91,8 @@
 // addUp checks that a ledger adds up with nothing open, and that its export adds up to it, each record once.
 func addUp(t *testing.T, dir string, l *ledger.Ledger) {
 	t.Helper()
-	if found := l.Audit(true); len(found) > 0 || l.Open() > 0 {
-		t.Fatalf("%v, %d open", found, l.Open())
+	if found := l.Audit(true); len(found) > 0 || l.OpenCount() > 0 {
+		t.Fatalf("%v, %d open", found, l.OpenCount())
 	}
 	total := l.Total()
 	if total.N[ledger.FrontTaken] != total.Ended() {
@@ -163,7 +163,7 @@
 			addUp(t, copied, after.l)
 		}
 		n, kills := 0, 0
-		ledgertest.Storm(seed, 400, 30, func(p ledger.Posting) {
+		ledgertest.RandomPostings(seed, 400, 30, func(p ledger.Posting) {
 			b.ready()
 			b.post(p)
 			if p.Event == ledger.FrontTaken {
@@ -229,7 +229,7 @@
 	files.full.Store(true)
 	var taken uint64
 	flood := func(seed uint64) {
-		ledgertest.Storm(seed, 400, 30, func(p ledger.Posting) {
+		ledgertest.RandomPostings(seed, 400, 30, func(p ledger.Posting) {
 			if !files.full.Load() {
 				b.ready()
 			}
@@ -294,11 +294,11 @@
 		b.ready()
 		b.post(p)
 	}
-	ledgertest.Storm(3, 300, 20, post)
+	ledgertest.RandomPostings(3, 300, 20, post)
 	if err := b.state(); err != nil {
 		t.Fatal(err)
 	}
-	ledgertest.Storm(4, 100, 20, post)
+	ledgertest.RandomPostings(4, 100, 20, post)
 	total := b.l.Total()
 	spoil := func(dir, name string, at func(size int) int, with string) {
 		path := filepath.Join(dir, name)
@@ -371,7 +371,7 @@
 	}
 	first := filepath.Base(b.current.path)
 	n := 0
-	ledgertest.Storm(6, 300, 20, func(p ledger.Posting) {
+	ledgertest.RandomPostings(6, 300, 20, func(p ledger.Posting) {
 		b.ready()
 		b.post(p)
 		n++
@@ -418,14 +418,14 @@
 		t.Fatal(err)
 	}
 	n := 0
-	ledgertest.Storm(5, 300, 20, func(p ledger.Posting) {
+	ledgertest.RandomPostings(5, 300, 20, func(p ledger.Posting) {
 		b.ready()
 		b.post(p)
 		if n++; n%200 != 0 {
 			return
 		}
 		v, err := Read(o.Dir)
-		if err != nil || v.Ledger.Total() != b.l.Total() || v.Ledger.Open() != b.l.Open() {
+		if err != nil || v.Ledger.Total() != b.l.Total() || v.Ledger.OpenCount() != b.l.OpenCount() {
 			t.Fatalf("after %d postings: %v", n, err)
 		}
 		if found := v.Ledger.Audit(true); len(found) > 0 {
@@ -459,8 +459,8 @@
 			if i%80000 == 0 { // as a statement does in time
 				b.StopTimer()
 				time.Sleep(5 * time.Millisecond)
-				s.Mark()
-				s.Cut(ledger.Statement{})
+				s.EndPeriod()
+				s.Stage(ledger.Statement{})
 				if err := s.Commit(names); err != nil {
 					b.Fatal(err)
 				}
--- a/internal/ledger/store/write.go
+++ b/internal/ledger/store/write.go
@@ -23,7 +23,7 @@
 
 // write puts a statement into the embedded store, all of it or nothing.
 func (s *Store) write(p *uncommitted, names ledger.Names) (meta, error) {
-	db, err := open(filepath.Join(s.options.Dir, dbName), &bbolt.Options{Timeout: s.options.Wait, NoSync: !s.options.Sync})
+	db, err := open(filepath.Join(s.options.Dir, dbName), &bbolt.Options{Timeout: s.options.OpenTimeout, NoSync: !s.options.Sync})
 	if err != nil {
 		return meta{}, err
 	}
--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -307,7 +307,7 @@
 		n := &s.b.N
 		fmt.Fprintf(tw, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", r.Node, r.Plan, r.Class, s.t.Sent,
 			n[ledger.FrontTaken], n[ledger.FrontServed], s.t.Served, n[ledger.FrontRejected], s.t.Rejected, n[ledger.FrontFailed],
-			s.t.Failed, n[ledger.FrontClientLeft]+n[ledger.FrontWriteFailed], n[ledger.FrontCutoff], s.t.Lost)
+			s.t.Failed, n[ledger.FrontClientDeparted]+n[ledger.FrontWriteFailed], n[ledger.FrontCutoff], s.t.Lost)
 	}
 	tw.Flush()
 }
