--- a/internal/ledger/audit.go
+++ b/internal/ledger/audit.go
@@ -20,69 +20,69 @@
 	return fmt.Sprintf("%s: %d in %s, %d in %s", m.Check, int64(m.Left), m.Journals[0], int64(m.Right), m.Journals[1])
 }
 
-// transit is what the table holds of a row.
-type transit struct {
-	front, planner, handed, sending, fetching, hearing uint64
-	answering                                          [verdictCount]uint64
-	handedUnits                                        uint64
-	calling, callOpen, returning                       uint64
-	callingUnits, callOpenUnits, returningUnits        uint64
+// inFlight is what the table holds of a row.
+type inFlight struct {
+	openAtFront, openAtPlanner, submitted, orderedAttempts, openAttempts, unreportedAttempts uint64
+	pendingAnswers                                                                           [verdictCount]uint64
+	submittedUnits                                                                           uint64
+	orderedCalls, openCalls, pendingReturns                                                  uint64
+	orderedCallUnits, openCallUnits, pendingReturnUnits                                      uint64
 }
 
-func count(ok bool) uint64 {
-	if ok {
+func countIf(condition bool) uint64 {
+	if condition {
 		return 1
 	}
 	return 0
 }
 
-func (t *transit) add(e *Entry) {
-	if e.Call {
-		calling, open, returning := e.Pushed && !e.CallBegan && !e.CallOver, e.CallBegan && !e.CallOver, e.Rejected && !e.Returned
-		t.calling += count(calling)
-		t.callOpen += count(open)
-		t.returning += count(returning)
-		t.callingUnits += count(calling) * uint64(e.Units)
-		t.callOpenUnits += count(open) * uint64(e.Units)
-		t.returningUnits += count(returning) * uint64(e.Units)
+func (t *inFlight) add(e *Entry) {
+	if e.IsCall {
+		ordered, open, returning := e.Pushed && !e.CallStarted && !e.CallEnded, e.CallStarted && !e.CallEnded, e.CallRejected && !e.UnitsReturned
+		t.orderedCalls += countIf(ordered)
+		t.openCalls += countIf(open)
+		t.pendingReturns += countIf(returning)
+		t.orderedCallUnits += countIf(ordered) * uint64(e.Units)
+		t.openCallUnits += countIf(open) * uint64(e.Units)
+		t.pendingReturnUnits += countIf(returning) * uint64(e.Units)
 		return
 	}
-	t.front += count(e.FrontTaken && !e.FrontEnded)
-	t.planner += count(e.PlanTaken && e.PlanEnded == undecided)
-	t.handed += count(e.handed())
-	t.handedUnits += count(e.handed()) * uint64(e.Units)
-	t.sending += uint64(e.sending())
-	t.fetching += uint64(e.fetching())
-	t.hearing += uint64(e.hearing())
+	t.openAtFront += countIf(e.FrontTaken && !e.FrontEnded)
+	t.openAtPlanner += countIf(e.PlanTaken && e.PlanVerdict == undecided)
+	t.submitted += countIf(e.isSubmitted())
+	t.submittedUnits += countIf(e.isSubmitted()) * uint64(e.Units)
+	t.orderedAttempts += uint64(e.orderedAttempts())
+	t.openAttempts += uint64(e.openAttempts())
+	t.unreportedAttempts += uint64(e.unreportedAttempts())
 	if !e.FrontEnded {
-		t.answering[e.PlanEnded]++
+		t.pendingAnswers[e.PlanVerdict]++
 	}
 }
 
 // Audit checks the rows that were posted to since the last audit and those that are watched, or, with all, every row
 // and the sum over them. What does not add up is returned, in the order of the keys. A row that nothing was posted to
 // stands as it stood.
-func (l *Ledger) Audit(all bool, watched ...Key) (found []Mismatch) {
+func (l *Ledger) Audit(allRows bool, watched ...Key) (found []Mismatch) {
 	l.lastRow = nil
-	l.epoch++
-	found, l.found = l.found, nil
-	table := map[Key]*transit{}
-	for _, e := range l.table {
-		t := table[e.Key]
+	l.recencyEpoch++
+	found, l.evictedMismatches = l.evictedMismatches, nil
+	inFlightByKey := map[Key]*inFlight{}
+	for _, e := range l.entries {
+		t := inFlightByKey[e.Key]
 		if t == nil {
-			t = &transit{}
-			table[e.Key] = t
+			t = &inFlight{}
+			inFlightByKey[e.Key] = t
 		}
 		t.add(e)
 	}
 	check := func(r *row) {
-		t := table[r.key]
+		t := inFlightByKey[r.key]
 		if t == nil {
-			t = &transit{}
+			t = &inFlight{}
 		}
 		found = append(found, r.check(t)...)
 	}
-	if all {
+	if allRows {
 		var sum Counts
 		for _, r := range l.rows {
 			check(r)
@@ -117,7 +117,7 @@
 // what became of them. Audit alone takes them for open.
 func (l *Ledger) Overdue(before int64) (found []Mismatch) {
 	rows := map[Key]uint64{}
-	for _, e := range l.table {
+	for _, e := range l.entries {
 		if e.Since+int64(e.Wait)*int64(time.Second) < before {
 			rows[e.Key]++
 		}
@@ -134,46 +134,46 @@
 }
 
 // check compares the books of one row, with what is on its way between their owners.
-func (r *row) check(t *transit) (found []Mismatch) {
+func (r *row) check(t *inFlight) (found []Mismatch) {
 	c := &r.counts
 	n := &c.N
-	same := func(what string, a Journal, left uint64, b Journal, right uint64) {
+	expectEqual := func(what string, a Journal, left uint64, b Journal, right uint64) {
 		if left != right {
 			found = append(found, Mismatch{Key: r.key, Check: what, Journals: [2]Journal{a, b}, Left: left, Right: right})
 		}
 	}
 	units := func(e Event) uint64 { return uint64(c.Units(e)) }
 	if r.key.Class == ClassAccount {
-		same("calls ordered = begun", JournalUnits, n[UnitsPushed], JournalCounter, n[CallStarted]+n[CallNeverStarted]+t.calling)
-		same("calls begun = ended + open", JournalCounter, n[CallStarted], JournalCounter,
-			n[CallAdded]+n[CallRejected]+n[CallUnknown]+n[CallCutoff]+t.callOpen)
-		same("units ordered = in calls begun", JournalUnits, units(UnitsPushed), JournalCounter,
-			units(CallStarted)+units(CallNeverStarted)+t.callingUnits)
-		same("units of calls begun = ended + open", JournalCounter, units(CallStarted), JournalCounter,
-			units(CallAdded)+units(CallRejected)+units(CallUnknown)+units(CallCutoff)+t.callOpenUnits)
-		same("units not added = returned", JournalCounter, units(CallRejected), JournalUnits,
-			units(UnitsReturned)+units(UnitsNeverReturned)+t.returningUnits)
+		expectEqual("calls ordered = begun", JournalUnits, n[UnitsPushed], JournalCounter, n[CallStarted]+n[CallNeverStarted]+t.orderedCalls)
+		expectEqual("calls begun = ended + open", JournalCounter, n[CallStarted], JournalCounter,
+			n[CallAdded]+n[CallRejected]+n[CallUnknown]+n[CallCutoff]+t.openCalls)
+		expectEqual("units ordered = in calls begun", JournalUnits, units(UnitsPushed), JournalCounter,
+			units(CallStarted)+units(CallNeverStarted)+t.orderedCallUnits)
+		expectEqual("units of calls begun = ended + open", JournalCounter, units(CallStarted), JournalCounter,
+			units(CallAdded)+units(CallRejected)+units(CallUnknown)+units(CallCutoff)+t.openCallUnits)
+		expectEqual("units not added = returned", JournalCounter, units(CallRejected), JournalUnits,
+			units(UnitsReturned)+units(UnitsNeverReturned)+t.pendingReturnUnits)
 		return found
 	}
-	same("taken = served + refused + failed + open", JournalFront, n[FrontTaken], JournalFront, c.Ended()+t.front)
-	same("taken by the front = by the planner", JournalFront, n[FrontTaken]-n[FrontNotSubmitted]-n[FrontNeverTaken], JournalPlanner,
-		n[PlanTaken]+t.handed)
-	same("units taken by the front = by the planner", JournalFront,
-		units(FrontTaken)-units(FrontNotSubmitted)-units(FrontNeverTaken), JournalPlanner, units(PlanTaken)+t.handedUnits)
-	same("taken by the planner = decided + open", JournalPlanner, n[PlanTaken], JournalPlanner,
-		n[PlanServed]+c.Rejected()+c.Failed()+n[PlanClientDeparted]+n[PlanCutoff]+t.planner)
-	same("served by the planner = written or lost", JournalPlanner, n[PlanServed], JournalFront,
-		n[FrontServed]+r.lost[served]+t.answering[served])
-	same("refused by the planner = written or lost", JournalPlanner, c.Rejected(), JournalFront,
-		n[FrontRejected]+r.lost[rejected]+t.answering[rejected])
-	same("failed by the planner = written or lost", JournalPlanner, c.Failed(), JournalFront,
-		n[FrontFailed]+r.lost[failed]+t.answering[failed])
-	same("fetches ordered = begun", JournalPlanner, n[PlanSent], JournalAttempts, n[AttemptStarted]+n[AttemptNeverStarted]+t.sending)
-	same("fetches begun = ended + open", JournalAttempts, n[AttemptStarted], JournalAttempts, c.AttemptsEnded()+t.fetching)
-	same("fetches ended = heard of", JournalAttempts, c.AttemptsEnded()+n[AttemptNeverStarted], JournalPlanner,
-		n[PlanNotified]+n[PlanNeverNotified]+t.hearing)
+	expectEqual("taken = served + refused + failed + open", JournalFront, n[FrontTaken], JournalFront, c.Ended()+t.openAtFront)
+	expectEqual("taken by the front = by the planner", JournalFront, n[FrontTaken]-n[FrontNotSubmitted]-n[FrontNeverTaken], JournalPlanner,
+		n[PlanTaken]+t.submitted)
+	expectEqual("units taken by the front = by the planner", JournalFront,
+		units(FrontTaken)-units(FrontNotSubmitted)-units(FrontNeverTaken), JournalPlanner, units(PlanTaken)+t.submittedUnits)
+	expectEqual("taken by the planner = decided + open", JournalPlanner, n[PlanTaken], JournalPlanner,
+		n[PlanServed]+c.Rejected()+c.Failed()+n[PlanClientDeparted]+n[PlanCutoff]+t.openAtPlanner)
+	expectEqual("served by the planner = written or lost", JournalPlanner, n[PlanServed], JournalFront,
+		n[FrontServed]+r.lostAnswers[served]+t.pendingAnswers[served])
+	expectEqual("refused by the planner = written or lost", JournalPlanner, c.Rejected(), JournalFront,
+		n[FrontRejected]+r.lostAnswers[rejected]+t.pendingAnswers[rejected])
+	expectEqual("failed by the planner = written or lost", JournalPlanner, c.Failed(), JournalFront,
+		n[FrontFailed]+r.lostAnswers[failed]+t.pendingAnswers[failed])
+	expectEqual("fetches ordered = begun", JournalPlanner, n[PlanSent], JournalAttempts, n[AttemptStarted]+n[AttemptNeverStarted]+t.orderedAttempts)
+	expectEqual("fetches begun = ended + open", JournalAttempts, n[AttemptStarted], JournalAttempts, c.AttemptsEnded()+t.openAttempts)
+	expectEqual("fetches ended = heard of", JournalAttempts, c.AttemptsEnded()+n[AttemptNeverStarted], JournalPlanner,
+		n[PlanNotified]+n[PlanNeverNotified]+t.unreportedAttempts)
 	if r.key.Class >= 0 && int64(n[PlanServed]-n[AttemptOK]) > 0 {
-		same("served by a good fetch each", JournalPlanner, n[PlanServed], JournalAttempts, n[AttemptOK])
+		expectEqual("served by a good fetch each", JournalPlanner, n[PlanServed], JournalAttempts, n[AttemptOK])
 	}
 	return found
 }
@@ -213,17 +213,17 @@
 // Accounts names the accounts of customers that were posted to since it last did, and those that hold units.
 func (l *Ledger) Accounts() (keys []Key) {
 	l.lastRow = nil
-	remaining := l.accounts[:0]
-	for _, r := range l.accounts {
+	remaining := l.pendingAccounts[:0]
+	for _, r := range l.pendingAccounts {
 		if l.rows[r.key] != r {
 			continue
 		}
 		keys = append(keys, r.key)
-		if r.unread = r.counts.Pending() != 0; r.unread {
+		if r.inPendingAccounts = r.counts.Pending() != 0; r.inPendingAccounts {
 			remaining = append(remaining, r)
 		}
 	}
-	clear(l.accounts[len(remaining):])
-	l.accounts = remaining
+	clear(l.pendingAccounts[len(remaining):])
+	l.pendingAccounts = remaining
 	return keys
 }
--- a/internal/ledger/cutoff.go
+++ b/internal/ledger/cutoff.go
@@ -13,33 +13,33 @@
 		ps = append(ps, p)
 		l.Post(p)
 	}
-	for _, ref := range slices.Sorted(maps.Keys(l.table)) {
-		e := l.table[ref]
+	for _, ref := range slices.Sorted(maps.Keys(l.entries)) {
+		e := l.entries[ref]
 		k := e.Key
-		if e.Call {
-			if e.Pushed && !e.CallBegan {
+		if e.IsCall {
+			if e.Pushed && !e.CallStarted {
 				post(CallNeverStarted, k, ref, e.Units)
-			} else if !e.CallOver {
+			} else if !e.CallEnded {
 				post(CallCutoff, k, ref, e.Units)
 			}
-			if e.Rejected && !e.Returned {
+			if e.CallRejected && !e.UnitsReturned {
 				post(UnitsNeverReturned, k, ref, e.Units)
 			}
 			continue
 		}
-		for range e.sending() {
+		for range e.orderedAttempts() {
 			post(AttemptNeverStarted, k, ref, 0)
 		}
-		for range e.fetching() {
+		for range e.openAttempts() {
 			post(AttemptCutoff, k, ref, 0)
 		}
-		for range e.hearing() {
+		for range e.unreportedAttempts() {
 			post(PlanNeverNotified, k, ref, 0)
 		}
-		if e.handed() {
+		if e.isSubmitted() {
 			post(FrontNeverTaken, k, ref, e.Units)
 		}
-		if e.PlanTaken && e.PlanEnded == undecided {
+		if e.PlanTaken && e.PlanVerdict == undecided {
 			post(PlanCutoff, k, ref, 0)
 		}
 		if e.FrontTaken && !e.FrontEnded {
@@ -52,10 +52,10 @@
 		}
 	}
 	// What still stands in the table is what a fault left there.
-	l.Abandoned += uint64(len(l.table))
-	clear(l.table)
+	l.Abandoned += uint64(len(l.entries))
+	clear(l.entries)
 	for _, r := range l.rows {
-		r.open = 0
+		r.openEntries = 0
 	}
 	return ps
 }
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -18,7 +18,7 @@
 	verdictCount
 )
 
-func decided(e Event) verdict {
+func verdictOf(e Event) verdict {
 	switch {
 	case e == PlanServed:
 		return served
@@ -38,70 +38,70 @@
 	Wait              uint16  `json:"Wait"`
 	HasIdempotencyKey bool    `json:"Keyed"`
 	Hash              uint64  `json:"Hash"`
-	Call              bool    `json:"Call"`
+	IsCall            bool    `json:"Call"`
 	FrontTaken        bool    `json:"FrontTaken"`
 	FrontEnded        bool    `json:"FrontEnded"`
 	NeverTaken        bool    `json:"NeverTaken"` // the planner will not take it
-	Lost              bool    `json:"Lost"`       // its answer did not reach the client
+	AnswerLost        bool    `json:"Lost"`       // its answer did not reach the client
 	PlanTaken         bool    `json:"PlanTaken"`
-	PlanEnded         verdict `json:"PlanEnded"`
-	Sent              uint16  `json:"Sent"`
-	Heard             uint16  `json:"Heard"`
-	Began             uint16  `json:"Began"`
-	Ended             uint16  `json:"Ended"`
+	PlanVerdict       verdict `json:"PlanEnded"`
+	AttemptsOrdered   uint16  `json:"Sent"`
+	AttemptsNotified  uint16  `json:"Heard"`
+	AttemptsStarted   uint16  `json:"Began"`
+	AttemptsEnded     uint16  `json:"Ended"`
 	Pushed            bool    `json:"Told"`      // of a Call
-	CallBegan         bool    `json:"CallBegan"` // of a Call
-	CallOver          bool    `json:"CallOver"`  // of a Call
-	Rejected          bool    `json:"Rejected"`
-	Returned          bool    `json:"Returned"`
+	CallStarted       bool    `json:"CallBegan"` // of a Call
+	CallEnded         bool    `json:"CallOver"`  // of a Call
+	CallRejected      bool    `json:"Rejected"`
+	UnitsReturned     bool    `json:"Returned"`
 	row               *row    // of Key
 }
 
-// enter takes note of a posting on what is open.
-func (l *Ledger) enter(p Posting, e *Entry, r *row) {
+// applyToEntry takes note of a posting on what is open.
+func (l *Ledger) applyToEntry(p Posting, e *Entry, r *row) {
 	if e == nil {
-		if e = l.openEntry(p, r); e == nil {
+		if e = l.createEntry(p, r); e == nil {
 			return
 		}
 	}
-	switch eventOwner := p.Event.Journal(); eventOwner {
+	switch journal := p.Event.Journal(); journal {
 	case JournalFront:
-		e.enterFront(p, r)
+		e.applyFront(p, r)
 	case JournalPlanner:
-		e.enterPlanner(p.Event, r)
+		e.applyPlanner(p.Event, r)
 	case JournalAttempts:
-		e.enterAttempt(p.Event)
+		e.applyAttempt(p.Event)
 	case JournalUnits, JournalCounter:
-		e.enterCall(p.Event)
+		e.applyCall(p.Event)
 	}
 	if e.HasIdempotencyKey && e.FrontEnded {
 		e.HasIdempotencyKey = false
 		l.recordIdempotentRequest(IdempotentRequest{Key: e.Key, Hash: e.Hash, Taken: e.Since, Ended: p.At, End: p.Event})
 	}
-	if e.done() {
-		delete(l.table, p.Ref)
-		e.row.open--
+	if e.isComplete() {
+		delete(l.entries, p.Ref)
+		e.row.openEntries--
 	}
 }
 
-// openEntry opens the entry of a posting that can open one. Any other posting speaks of an entry that is not open: Audit finds that.
-func (l *Ledger) openEntry(p Posting, r *row) *Entry {
+// createEntry opens the entry of a posting that can open one. Any other posting speaks of an entry that is not open: Audit finds that.
+func (l *Ledger) createEntry(p Posting, r *row) *Entry {
 	switch p.Event {
 	case FrontTaken, PlanTaken, UnitsPushed, CallStarted:
 	default:
 		return nil
 	}
-	if len(l.table) >= l.limits.Open {
-		l.abandon()
+	if len(l.entries) >= l.limits.Open {
+		l.abandonEntries()
 	}
-	e := &Entry{Key: p.Key, Units: p.Units, Since: p.At, row: r, Call: p.Event == UnitsPushed || p.Event == CallStarted}
-	l.table[p.Ref] = e
-	r.open++
+	e := &Entry{Key: p.Key, Units: p.Units, Since: p.At, row: r, IsCall: p.Event == UnitsPushed || p.Event == CallStarted}
+	l.entries[p.Ref] = e
+	r.openEntries++
 	return e
 }
 
-// enterFront takes note of what the front says of a request.
-func (e *Entry) enterFront(p Posting, r *row) {
+// applyFront takes note of what the front says of a request.
+func (e *Entry) applyFront(p Posting, r *row) {
 	switch p.Event {
 	case FrontTaken:
 		e.FrontTaken, e.Wait = true, p.Wait
@@ -111,59 +111,59 @@
 		e.NeverTaken = true
 		e.FrontEnded = e.FrontEnded || p.Event == FrontNotSubmitted
 	case FrontClientDeparted, FrontWriteFailed, FrontCutoff:
-		e.Lost = !e.FrontEnded
+		e.AnswerLost = !e.FrontEnded
 		e.endFront(r)
 	case FrontServed, FrontRejected, FrontFailed:
 		e.endFront(r)
 	}
 }
 
-// enterPlanner takes note of what the planner says of a request.
-func (e *Entry) enterPlanner(event Event, r *row) {
+// applyPlanner takes note of what the planner says of a request.
+func (e *Entry) applyPlanner(event Event, r *row) {
 	switch event {
 	case PlanTaken:
 		e.PlanTaken = true
 	case PlanSent:
-		e.Sent++
+		e.AttemptsOrdered++
 	case PlanNotified, PlanNeverNotified:
-		e.Heard++
+		e.AttemptsNotified++
 	default: // its end; the first counts
-		if e.PlanEnded != undecided {
+		if e.PlanVerdict != undecided {
 			return
 		}
-		e.PlanEnded = decided(event)
-		if e.FrontEnded && e.Lost {
-			r.lost[e.PlanEnded]++
+		e.PlanVerdict = verdictOf(event)
+		if e.FrontEnded && e.AnswerLost {
+			r.lostAnswers[e.PlanVerdict]++
 		}
 	}
 }
 
-// enterAttempt takes note of what the pools say of an attempt.
-func (e *Entry) enterAttempt(event Event) {
+// applyAttempt takes note of what the pools say of an attempt.
+func (e *Entry) applyAttempt(event Event) {
 	switch event {
 	case AttemptStarted:
-		e.Began++
+		e.AttemptsStarted++
 	case AttemptNeverStarted:
-		e.Began++
-		e.Ended++
+		e.AttemptsStarted++
+		e.AttemptsEnded++
 	default:
-		e.Ended++
+		e.AttemptsEnded++
 	}
 }
 
-// enterCall takes note of what the planner and the counter's client say of a call to the counter.
-func (e *Entry) enterCall(event Event) {
+// applyCall takes note of what the planner and the counter's client say of a call to the counter.
+func (e *Entry) applyCall(event Event) {
 	switch event {
 	case UnitsPushed:
 		e.Pushed = true
 	case UnitsReturned, UnitsNeverReturned:
-		e.Returned = true
+		e.UnitsReturned = true
 	case CallStarted, CallNeverStarted:
-		e.CallBegan = true
-		e.CallOver = e.CallOver || event == CallNeverStarted
+		e.CallStarted = true
+		e.CallEnded = e.CallEnded || event == CallNeverStarted
 	case CallAdded, CallRejected, CallUnknown, CallCutoff:
-		e.CallOver = true
-		e.Rejected = event == CallRejected
+		e.CallEnded = true
+		e.CallRejected = event == CallRejected
 	}
 }
 
@@ -173,38 +173,42 @@
 		return
 	}
 	e.FrontEnded = true
-	if e.Lost && e.PlanEnded != undecided {
-		r.lost[e.PlanEnded]++
+	if e.AnswerLost && e.PlanVerdict != undecided {
+		r.lostAnswers[e.PlanVerdict]++
 	}
 }
 
-// done says that nothing more is to come under the entry's Ref.
-func (e *Entry) done() bool {
-	if e.Call {
-		return e.CallOver && e.CallBegan && (!e.Rejected || e.Returned)
+// isComplete says that nothing more is to come under the entry's Ref.
+func (e *Entry) isComplete() bool {
+	if e.IsCall {
+		return e.CallEnded && e.CallStarted && (!e.CallRejected || e.UnitsReturned)
 	}
-	return e.FrontEnded && (e.PlanEnded != undecided || e.NeverTaken) && e.Heard >= e.Sent && e.Ended <= e.Heard
+	return e.FrontEnded && (e.PlanVerdict != undecided || e.NeverTaken) && e.AttemptsNotified >= e.AttemptsOrdered && e.AttemptsEnded <= e.AttemptsNotified
 }
 
-// abandon gives up an eighth of the table: entries that the front has ended first, as only a fault leaves many of
+// abandonEntries gives up an eighth of the table: entries that the front has ended first, as only a fault leaves many of
 // those, then any. Their rows say what does not add up from then on.
-func (l *Ledger) abandon() {
-	refs := slices.Sorted(maps.Keys(l.table))
+func (l *Ledger) abandonEntries() {
+	refs := slices.Sorted(maps.Keys(l.entries))
 	slices.SortStableFunc(refs, func(a, b uint64) int {
-		return cmp.Compare(count(l.table[b].FrontEnded), count(l.table[a].FrontEnded))
+		return cmp.Compare(countIf(l.entries[b].FrontEnded), countIf(l.entries[a].FrontEnded))
 	})
 	for _, ref := range refs[:max(1, len(refs)/8)] {
-		l.table[ref].row.open--
-		delete(l.table, ref)
+		l.entries[ref].row.openEntries--
+		delete(l.entries, ref)
 		l.Abandoned++
 	}
 }
 
 // handed: on its way from the front to the planner, which has said nothing of it yet.
-func (e *Entry) handed() bool {
-	return e.FrontTaken && !e.PlanTaken && e.PlanEnded == undecided && !e.NeverTaken
+func (e *Entry) isSubmitted() bool {
+	return e.FrontTaken && !e.PlanTaken && e.PlanVerdict == undecided && !e.NeverTaken
 }
 
-func (e *Entry) sending() int  { return max(0, int(e.Sent)-int(max(e.Began, e.Heard))) }
-func (e *Entry) fetching() int { return max(0, int(e.Began)-int(max(e.Ended, e.Heard))) }
-func (e *Entry) hearing() int  { return max(0, int(e.Ended)-int(e.Heard)) }
+func (e *Entry) orderedAttempts() int {
+	return max(0, int(e.AttemptsOrdered)-int(max(e.AttemptsStarted, e.AttemptsNotified)))
+}
+func (e *Entry) openAttempts() int {
+	return max(0, int(e.AttemptsStarted)-int(max(e.AttemptsEnded, e.AttemptsNotified)))
+}
+func (e *Entry) unreportedAttempts() int { return max(0, int(e.AttemptsEnded)-int(e.AttemptsNotified)) }
--- a/internal/ledger/events.go
+++ b/internal/ledger/events.go
@@ -16,7 +16,7 @@
 var journalNames = [JournalCount]string{"front", "planner", "fetches", "units", "counter"}
 
 // String is the book's name.
-func (b Journal) String() string { return journalNames[b] }
+func (j Journal) String() string { return journalNames[j] }
 
 // Event is what a posting says.
 type Event uint8
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -33,9 +33,9 @@
 	golden.Compare(t, "events", []byte(lines.String()))
 	for line := range strings.Lines(string(golden.Read(t, "events"))) {
 		var number int
-		var text, book string
+		var text, journal string
 		var units bool
-		if _, err := fmt.Sscan(line, &number, &text, &book, &units); err != nil {
+		if _, err := fmt.Sscan(line, &number, &text, &journal, &units); err != nil {
 			t.Fatal(err)
 		}
 		if e, ok := ByName(text); number != 0 && (!ok || e != events[number]) {
@@ -48,8 +48,8 @@
 // the entries that are open) and keys; alarms and the export hold the texts.
 func TestNumberForm(t *testing.T) {
 	var lines strings.Builder
-	for _, b := range []Journal{JournalFront, JournalPlanner, JournalAttempts, JournalUnits, JournalCounter} {
-		fmt.Fprintln(&lines, "book", uint8(b), b)
+	for _, j := range []Journal{JournalFront, JournalPlanner, JournalAttempts, JournalUnits, JournalCounter} {
+		fmt.Fprintln(&lines, "book", uint8(j), j)
 	}
 	for _, v := range []struct {
 		name string
@@ -58,7 +58,7 @@
 		fmt.Fprintln(&lines, "verdict", uint8(v.verdict), v.name)
 	}
 	for _, e := range events {
-		fmt.Fprintln(&lines, "verdict of", e, uint8(decided(e)))
+		fmt.Fprintln(&lines, "verdict of", e, uint8(verdictOf(e)))
 	}
 	n := Names{Plans: []string{"basic", "fleet"}, Classes: []string{"space-query", "booking", "query"}}
 	for _, i := range []int16{NoPlan, 0, 1, 2} {
@@ -80,12 +80,12 @@
 func TestCheckForm(t *testing.T) {
 	l := New(Limits{}, false)
 	for _, k := range []Key{{Customer: 5, Plan: 1, Class: 2}, Account(6)} {
-		kept := StoredRow{Key: k, Lost: [4]uint64{3, 5, 7, 9}}
+		stored := StoredRow{Key: k, Lost: [4]uint64{3, 5, 7, 9}}
 		for _, e := range events[1:] {
-			kept.Set(e, 1000+uint64(e)*uint64(e)*uint64(e), int64(e)*int64(e)*1e6)
+			stored.Set(e, 1000+uint64(e)*uint64(e)*uint64(e), int64(e)*int64(e)*1e6)
 		}
-		kept.N[PlanServed] += 1e6
-		l.Restore(kept)
+		stored.N[PlanServed] += 1e6
+		l.Restore(stored)
 		l.RestoreOpen(OpenEntry{Ref: k.Customer, Entry: Entry{Key: k, Since: 1, Wait: 1}})
 	}
 	l.total.N[FrontServed]++
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -26,21 +26,21 @@
 type Ledger struct {
 	limits                 Limits
 	rows                   map[Key]*row
-	recent                 *list.List // of *row, the one posted to last in front; those rolled up are not in it
-	table                  map[uint64]*Entry
+	rowsByRecency          *list.List // of *row, the one posted to last in front; those rolled up are not in it
+	entries                map[uint64]*Entry
 	lastRow                *row   // that was posted to, and has been touched since the last audit or statement
-	epoch                  uint64 // audits and statements
+	recencyEpoch           uint64 // audits and statements
 	total                  Counts // over all rows, booked beside them
 	dirty                  []*row
 	unstored               []*row
-	found                  []Mismatch          // in evicted rows
+	evictedMismatches      []Mismatch          // in evicted rows
 	evictedKeys            []Key               // evicted rows that a store holds
-	evicted                []Line              // deltas of evicted rows that no statement holds yet
-	accounts               []*row              // that were posted to since Accounts last named them, or hold units
+	evictedDeltas          []Line              // deltas of evicted rows that no statement holds yet
+	pendingAccounts        []*row              // that were posted to since Accounts last named them, or hold units
 	idempotentRequests     []IdempotentRequest // that have ended since the last statement
-	stating                bool                // statements are made
-	flight                 []Posting
-	flightPosted           uint64
+	makesStatements        bool                // statements are made
+	recentPostings         []Posting
+	postingCount           uint64
 	Abandoned              uint64 // entries that were given up as the table was full: their rows no longer add up
 	Evictions              uint64
 	IdempotentRequestsLost uint64 // that came beyond what is held between two statements
@@ -49,7 +49,7 @@
 // New makes empty books. With statements, Statement must be called now and then.
 func New(l Limits, statements bool) *Ledger {
 	return &Ledger{limits: Limits{max(16, l.Rows), max(16, l.Open), max(16, l.Flight)}, rows: map[Key]*row{},
-		recent: list.New(), table: map[uint64]*Entry{}, stating: statements}
+		rowsByRecency: list.New(), entries: map[uint64]*Entry{}, makesStatements: statements}
 }
 
 // Post books one posting. Whatever it says is booked: that it fits is for Audit to say.
@@ -57,40 +57,40 @@
 	if p.Event == None || p.Event >= EventCount {
 		return
 	}
-	if len(l.flight) < l.limits.Flight {
-		l.flight = append(l.flight, p)
+	if len(l.recentPostings) < l.limits.Flight {
+		l.recentPostings = append(l.recentPostings, p)
 	} else {
-		l.flight[l.flightPosted%uint64(len(l.flight))] = p
+		l.recentPostings[l.postingCount%uint64(len(l.recentPostings))] = p
 	}
-	l.flightPosted++
+	l.postingCount++
 	var r *row
-	e := l.table[p.Ref]
+	e := l.entries[p.Ref]
 	if e != nil && e.Key.Customer == Others {
 		p.Key = e.Key // its row was rolled up while it was open
 	}
 	if e != nil && e.Key == p.Key {
 		r = e.row
-		l.touchRecent(r)
+		l.markRecent(r)
 	} else {
 		r = l.row(p.Key)
 	}
 	r.counts.Record(p.Event, p.Units)
 	l.total.Record(p.Event, p.Units)
 	if p.Ref != 0 {
-		l.enter(p, e, r)
+		l.applyToEntry(p, e, r)
 	}
 }
 
 // OpenCount is how many requests and calls are open.
-func (l *Ledger) OpenCount() int { return len(l.table) }
+func (l *Ledger) OpenCount() int { return len(l.entries) }
 
 // Total is the figures over all rows, as they were booked beside them.
 func (l *Ledger) Total() Counts { return l.total }
 
 // Flight returns the last postings to a row that the flight recorder still holds, the oldest first, so many at most.
 func (l *Ledger) Flight(k Key, limit int) (ps []Posting) {
-	for i := range l.flight {
-		p := l.flight[(l.flightPosted-1-uint64(i))%uint64(len(l.flight))]
+	for i := range l.recentPostings {
+		p := l.recentPostings[(l.postingCount-1-uint64(i))%uint64(len(l.recentPostings))]
 		if p.Key == k {
 			if ps = append(ps, p); len(ps) == limit {
 				break
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -11,7 +11,7 @@
 	"dewhitch/internal/ledger/ledgertest"
 )
 
-func quiet(t interface {
+func requireBalanced(t interface {
 	Helper()
 	Fatalf(string, ...any)
 }, l *Ledger, where string) {
@@ -23,7 +23,7 @@
 
 // Whatever the order in which the owners post, the books add up at every moment: with rows evicted all the time, with
 // none, and with counts that wrap.
-func TestAddsUpAtEveryMoment(t *testing.T) {
+func TestBalancesAfterEveryPosting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		rows := rapid.SampledFrom([]int{16, 40, 1000}).Draw(t, "rows")
@@ -38,14 +38,14 @@
 			c.Set(PlanTaken, math.MaxUint64-2, math.MaxInt64-1)
 			l.Restore(StoredRow{Key: Key{1, 0, 0}, Counts: c})
 		}
-		n := 0
+		posted := 0
 		ledgertest.RandomPostings(seed, 300, 12, func(p Posting) {
 			l.Post(p)
-			if n++; n%7 == 0 {
-				quiet(t, l, fmt.Sprint("posting ", n))
+			if posted++; posted%7 == 0 {
+				requireBalanced(t, l, fmt.Sprint("posting ", posted))
 			}
 		})
-		quiet(t, l, "the end")
+		requireBalanced(t, l, "the end")
 		if l.OpenCount() != 0 || l.Abandoned != 0 {
 			t.Fatalf("%d are open at the end, %d abandoned", l.OpenCount(), l.Abandoned)
 		}
@@ -55,21 +55,21 @@
 // A process may end between any two postings. What its books held then, closed as cut off, adds up with nothing open.
 func TestCutOffAtEveryPosting(t *testing.T) {
 	for seed := range uint64(8) {
-		var all []Posting
-		ledgertest.RandomPostings(seed, 40, 6, func(p Posting) { all = append(all, p) })
-		for at := range all {
+		var postings []Posting
+		ledgertest.RandomPostings(seed, 40, 6, func(p Posting) { postings = append(postings, p) })
+		for cutOffAt := range postings {
 			l := New(Limits{Rows: 1000, Open: 1000, Flight: 100}, false)
-			for _, p := range all[:at] {
+			for _, p := range postings[:cutOffAt] {
 				l.Post(p)
 			}
 			l.CutOff(0)
-			quiet(t, l, fmt.Sprintf("seed %d, cut off at %d", seed, at))
+			requireBalanced(t, l, fmt.Sprintf("seed %d, cut off at %d", seed, cutOffAt))
 			if l.OpenCount() != 0 || l.Abandoned != 0 {
-				t.Fatalf("seed %d, cut off at %d: %d open, %d abandoned", seed, at, l.OpenCount(), l.Abandoned)
+				t.Fatalf("seed %d, cut off at %d: %d open, %d abandoned", seed, cutOffAt, l.OpenCount(), l.Abandoned)
 			}
-			taken := l.Total()
-			if taken.N[FrontTaken] != taken.Ended() {
-				t.Fatalf("seed %d, cut off at %d: %d taken, %d ended", seed, at, taken.N[FrontTaken], taken.Ended())
+			total := l.Total()
+			if total.N[FrontTaken] != total.Ended() {
+				t.Fatalf("seed %d, cut off at %d: %d taken, %d ended", seed, cutOffAt, total.N[FrontTaken], total.Ended())
 			}
 		}
 	}
@@ -79,26 +79,26 @@
 // the end of something, once that is open beyond every deadline.
 func TestEveryMiscountIsFound(t *testing.T) {
 	for seed := range uint64(6) {
-		var all []Posting
-		module := map[uint64]int64{} // what its tallies hold
+		var postings []Posting
+		tallies := map[uint64]int64{} // what its tallies hold
 		ledgertest.RandomPostings(seed, 30, 8, func(p Posting) {
-			all = append(all, p)
+			postings = append(postings, p)
 			switch p.Event {
 			case UnitsDrawn, UnitsReturned:
-				module[p.Key.Customer] += p.Units
+				tallies[p.Key.Customer] += p.Units
 			case UnitsPushed:
-				module[p.Key.Customer] -= p.Units
+				tallies[p.Key.Customer] -= p.Units
 			}
 		})
-		for at, bad := range all {
+		for faultAt, faulty := range postings {
 			for _, fault := range []string{"lost", "doubled", "wrong units"} {
-				if fault == "wrong units" && !bad.Event.HasUnits() || bad.Event == FrontIdempotencyKey { // a note, and no figure
+				if fault == "wrong units" && !faulty.Event.HasUnits() || faulty.Event == FrontIdempotencyKey { // a note, and no figure
 					continue
 				}
 				l := New(Limits{Rows: 1000, Open: 1000, Flight: 100}, false)
-				for i, p := range all {
+				for i, p := range postings {
 					switch {
-					case i != at:
+					case i != faultAt:
 						l.Post(p)
 					case fault == "doubled":
 						l.Post(p)
@@ -109,19 +109,19 @@
 					}
 				}
 				found := append(l.Audit(true), l.Overdue(1)...)
-				units, _ := l.AuditAccounts(l.Accounts(), func(c uint64) (float64, bool) {
-					return float64(module[c]) / 1e6, true
+				accountMismatches, _ := l.AuditAccounts(l.Accounts(), func(c uint64) (float64, bool) {
+					return float64(tallies[c]) / 1e6, true
 				})
-				found = append(found, units...)
-				right := false
+				found = append(found, accountMismatches...)
+				rowFound := false
 				for _, m := range found {
-					if m.Key != bad.Key {
-						t.Fatalf("seed %d: %v %s: wrong row %v named", seed, bad, fault, m.Key)
+					if m.Key != faulty.Key {
+						t.Fatalf("seed %d: %v %s: wrong row %v named", seed, faulty, fault, m.Key)
 					}
-					right = true
+					rowFound = true
 				}
-				if !right {
-					t.Fatalf("seed %d: posting %d, %v of %v, %s, is not found", seed, at, bad.Event, bad.Key, fault)
+				if !rowFound {
+					t.Fatalf("seed %d: posting %d, %v of %v, %s, is not found", seed, faultAt, faulty.Event, faulty.Key, fault)
 				}
 			}
 		}
@@ -129,7 +129,7 @@
 }
 
 // 200,000 customers that come once each: memory stays bounded, and what was rolled up is exact, by plan.
-func TestOneOffHauliers(t *testing.T) {
+func TestOneTimeCustomers(t *testing.T) {
 	l := New(Limits{Rows: 500, Open: 100, Flight: 100}, true)
 	var want [3]uint64
 	var stated Counts
@@ -148,7 +148,7 @@
 	if rows := len(l.Lines()); rows > 503 {
 		t.Errorf("%d rows", rows)
 	}
-	quiet(t, l, "one-off hauliers")
+	requireBalanced(t, l, "one-off hauliers")
 	var got [3]uint64
 	for _, line := range l.Lines() {
 		got[line.Key.Plan] += line.Counts.N[FrontTaken]
@@ -165,7 +165,7 @@
 }
 
 // A row with a miscount that is rolled up before any audit is still reported under its name.
-func TestRolledUpWithAMiscount(t *testing.T) {
+func TestEvictedRowIsReportedByName(t *testing.T) {
 	l := New(Limits{Rows: 20, Open: 100, Flight: 100}, false)
 	for i := range uint64(100) {
 		k := Key{1000 + i, 0, 0}
@@ -175,35 +175,35 @@
 			}
 		}
 	}
-	named := false
+	reported := false
 	for _, m := range l.Audit(false) {
-		named = named || m.Key.Customer == 1007
+		reported = reported || m.Key.Customer == 1007
 	}
-	if !named {
+	if !reported {
 		t.Error("it is not named")
 	}
 }
 
 // The statements of any storm add up to its books, row by row where no row was evicted between, and hold nothing twice.
-func TestStatements(t *testing.T) {
+func TestStatementsAddUpToLedger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(Limits{Rows: rapid.SampledFrom([]int{16, 1000}).Draw(t, "rows"), Open: 1000, Flight: 10}, true)
-		tries, keyed := 0, 0
-		sum, rows, n := map[Key]*Counts{}, map[Key]StoredRow{}, 0
+		attempts, keyed := 0, 0
+		stated, stored, posted := map[Key]*Counts{}, map[Key]StoredRow{}, 0
 		var open []OpenEntry
-		take := func() {
+		takeStatement := func() {
 			s := l.Statement()
-			tries += len(s.IdempotentRequests)
+			attempts += len(s.IdempotentRequests)
 			for _, d := range s.Deltas {
-				if sum[d.Key] == nil {
-					sum[d.Key] = &Counts{}
+				if stated[d.Key] == nil {
+					stated[d.Key] = &Counts{}
 				}
-				sum[d.Key].Add(&d.Counts)
+				stated[d.Key].Add(&d.Counts)
 			}
 			open = s.Open
 			for _, k := range s.Rows {
-				if rows[k.Key] = k; k.RolledUp {
-					delete(rows, k.Key)
+				if stored[k.Key] = k; k.RolledUp {
+					delete(stored, k.Key)
 				}
 			}
 		}
@@ -212,46 +212,46 @@
 			if p.Event == FrontIdempotencyKey {
 				keyed++
 			}
-			if n++; n%23 == 0 {
-				take()
+			if posted++; posted%23 == 0 {
+				takeStatement()
 				// What a store holds after any statement adds up as well as what it was made of.
-				again := New(Limits{Rows: 1000, Open: 1000, Flight: 10}, true)
-				for _, k := range rows {
-					again.Restore(k)
+				restored := New(Limits{Rows: 1000, Open: 1000, Flight: 10}, true)
+				for _, k := range stored {
+					restored.Restore(k)
 				}
 				for _, o := range open {
-					again.RestoreOpen(o)
+					restored.RestoreOpen(o)
 				}
-				quiet(t, again, "restored")
+				requireBalanced(t, restored, "restored")
 			}
 		})
-		take()
-		var all, kept Counts
-		for _, c := range sum {
-			all.Add(c)
+		takeStatement()
+		var statedTotal, storedTotal Counts
+		for _, c := range stated {
+			statedTotal.Add(c)
 		}
-		again := New(Limits{Rows: 1000, Open: 1000, Flight: 10}, true)
-		for _, k := range rows {
-			kept.Add(&k.Counts)
-			again.Restore(k)
+		restored := New(Limits{Rows: 1000, Open: 1000, Flight: 10}, true)
+		for _, k := range stored {
+			storedTotal.Add(&k.Counts)
+			restored.Restore(k)
 		}
-		if all != l.Total() || kept != l.Total() || again.Total() != l.Total() {
-			t.Fatalf("stated %d, kept %d, restored %d, booked %d", all.N[FrontTaken], kept.N[FrontTaken],
-				again.Total().N[FrontTaken], l.Total().N[FrontTaken])
+		if statedTotal != l.Total() || storedTotal != l.Total() || restored.Total() != l.Total() {
+			t.Fatalf("stated %d, kept %d, restored %d, booked %d", statedTotal.N[FrontTaken], storedTotal.N[FrontTaken],
+				restored.Total().N[FrontTaken], l.Total().N[FrontTaken])
 		}
-		quiet(t, again, "restored")
-		if tries != keyed {
-			t.Fatalf("%d tries with a key were stated, of %d", tries, keyed)
+		requireBalanced(t, restored, "restored")
+		if attempts != keyed {
+			t.Fatalf("%d tries with a key were stated, of %d", attempts, keyed)
 		}
 	})
 }
 
 func BenchmarkPost(b *testing.B) {
 	l := New(Limits{Rows: 20000, Open: 10000, Flight: 4096}, true)
-	var all []Posting
-	ledgertest.RandomPostings(1, 2000, 300, func(p Posting) { all = append(all, p) })
+	var postings []Posting
+	ledgertest.RandomPostings(1, 2000, 300, func(p Posting) { postings = append(postings, p) })
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		l.Post(all[i%len(all)])
+		l.Post(postings[i%len(postings)])
 	}
 }
--- a/internal/ledger/ledgertest/request.go
+++ b/internal/ledger/ledgertest/request.go
@@ -43,13 +43,13 @@
 		s.addUnits(ledger.FrontNotSubmitted, units)
 		return
 	}
-	clientLeft := s.chance(12)
-	if clientLeft {
+	clientDeparted := s.chance(12)
+	if clientDeparted {
 		s.add(ledger.FrontClientDeparted)
 	}
 	s.addUnits(ledger.PlanTaken, units)
 	served := s.attempts()
-	if clientLeft {
+	if clientDeparted {
 		s.add(ledger.PlanClientDeparted)
 		return
 	}
--- a/internal/ledger/names.go
+++ b/internal/ledger/names.go
@@ -26,8 +26,8 @@
 		ClassAccount: "account"})
 }
 
-func nameOf(names []string, i int16, own map[int16]string) string {
-	if s, ok := own[i]; ok {
+func nameOf(names []string, i int16, reserved map[int16]string) string {
+	if s, ok := reserved[i]; ok {
 		return s
 	}
 	if i >= 0 && int(i) < len(names) {
--- a/internal/ledger/recorder/alarms.go
+++ b/internal/ledger/recorder/alarms.go
@@ -12,43 +12,43 @@
 )
 
 type alarmKey struct {
-	key   ledger.Key
-	all   bool
-	check string
+	key     ledger.Key
+	allRows bool
+	check   string
 }
 
 // alarm is what operators are told.
 type alarm struct {
-	At      time.Time `json:"at"`
-	State   string    `json:"state"`
-	Check   string    `json:"check"`
-	Haulier string    `json:"haulier"`
-	Plan    string    `json:"plan,omitempty"`
-	Class   string    `json:"class,omitempty"`
-	Books   []string  `json:"books,omitempty"`
-	Figures []int64   `json:"figures,omitempty"`
-	Flight  []string  `json:"last_postings,omitempty"`
+	At           time.Time `json:"at"`
+	State        string    `json:"state"`
+	Check        string    `json:"check"`
+	Customer     string    `json:"haulier"`
+	Plan         string    `json:"plan,omitempty"`
+	Class        string    `json:"class,omitempty"`
+	Journals     []string  `json:"books,omitempty"`
+	Figures      []int64   `json:"figures,omitempty"`
+	LastPostings []string  `json:"last_postings,omitempty"`
 }
 
-func (rec *Recorder) alarm(m ledger.Mismatch) alarm {
-	a := alarm{At: time.Now(), Check: m.Check, Haulier: "all"}
+func (rec *Recorder) newAlarm(m ledger.Mismatch) alarm {
+	a := alarm{At: time.Now(), Check: m.Check, Customer: "all"}
 	if !m.AllRows {
-		a.Haulier = ledger.CustomerText(m.Key.Customer)
+		a.Customer = ledger.CustomerText(m.Key.Customer)
 		a.Plan, a.Class = rec.names.Plan(m.Key.Plan), rec.names.Class(m.Key.Class)
 		for _, p := range rec.ledger.Flight(m.Key, alarmPostings) {
-			a.Flight = append(a.Flight, fmt.Sprintf("%s %s ref=%d units=%g",
+			a.LastPostings = append(a.LastPostings, fmt.Sprintf("%s %s ref=%d units=%g",
 				time.Unix(0, p.At).UTC().Format("15:04:05.000000"), p.Event, p.Ref, float64(p.Units)/1e6))
 		}
 	}
 	if m.Left != m.Right {
-		a.Books = []string{m.Journals[0].String(), m.Journals[1].String()}
+		a.Journals = []string{m.Journals[0].String(), m.Journals[1].String()}
 		a.Figures = []int64{int64(m.Left), int64(m.Right)}
 	}
 	return a
 }
 
-// file appends an alarm to the operators' file, which is opened each time: they may take it away.
-func (rec *Recorder) file(a alarm) {
+// appendToAlarmFile appends an alarm to the operators' file, which is opened each time: they may take it away.
+func (rec *Recorder) appendToAlarmFile(a alarm) {
 	if rec.options.AlarmFile == "" {
 		return
 	}
--- a/internal/ledger/recorder/audit.go
+++ b/internal/ledger/recorder/audit.go
@@ -6,19 +6,19 @@
 	"dewhitch/internal/ledger"
 )
 
-// readTallies has the accounts compared with the module's tallies, on the planner.
-func (rec *Recorder) readTallies() {
-	visit := rec.tallies.Load()
-	if visit == nil {
+// auditTallies has the accounts compared with the module's tallies, on the planner.
+func (rec *Recorder) auditTallies() {
+	read := rec.tallyReader.Load()
+	if read == nil {
 		return
 	}
-	rec.drainQueueNow()                                     // here, so that little is left to do on the planner
-	_ = (*visit)(func(tally func(uint64) (float64, bool)) { // a planner that has stopped has no tallies
+	rec.lockAndDrainQueue()                                // here, so that little is left to do on the planner
+	_ = (*read)(func(tally func(uint64) (float64, bool)) { // a planner that has stopped has no tallies
 		rec.mu.Lock()
 		rec.drainQueue(nil)
 		keys := rec.ledger.Accounts()
 		for _, k := range keys {
-			rec.readAccounts[k] = true
+			rec.checkedAccounts[k] = true
 		}
 		found, forgotten := rec.ledger.AuditAccounts(keys, tally)
 		rec.accountMismatches = append(rec.accountMismatches, found...)
@@ -30,62 +30,62 @@
 }
 
 // Audit checks the books, raises alarms for what is new and clears those for what is over.
-func (rec *Recorder) Audit(all bool) {
+func (rec *Recorder) Audit(allRows bool) {
 	rec.mu.Lock()
-	found := rec.mismatches(all)
-	raise, clear := rec.updateAlarms(found, all)
+	found := rec.mismatches(allRows)
+	raised, cleared := rec.updateAlarms(found, allRows)
 	rec.mu.Unlock()
-	for _, a := range raise {
+	for _, a := range raised {
 		rec.raised.Add(1)
 		a.State = "raised"
-		rec.options.Log.Error("the books do not add up", zap.String("check", a.Check), zap.String("haulier", a.Haulier),
-			zap.String("plan", a.Plan), zap.String("class", a.Class), zap.Strings("books", a.Books),
-			zap.Int64s("figures", a.Figures), zap.Strings("last_postings", a.Flight))
-		rec.file(a)
+		rec.options.Log.Error("the books do not add up", zap.String("check", a.Check), zap.String("haulier", a.Customer),
+			zap.String("plan", a.Plan), zap.String("class", a.Class), zap.Strings("books", a.Journals),
+			zap.Int64s("figures", a.Figures), zap.Strings("last_postings", a.LastPostings))
+		rec.appendToAlarmFile(a)
 	}
-	for _, a := range clear {
+	for _, a := range cleared {
 		rec.cleared.Add(1)
 		a.State = "cleared"
-		rec.options.Log.Info("the books add up again", zap.String("check", a.Check), zap.String("haulier", a.Haulier),
+		rec.options.Log.Info("the books add up again", zap.String("check", a.Check), zap.String("haulier", a.Customer),
 			zap.String("plan", a.Plan), zap.String("class", a.Class))
-		rec.file(a)
+		rec.appendToAlarmFile(a)
 	}
 }
 
 // mismatches books what waits and audits the books: all rows, or those that have changed and those with an alarm. The lock mu is
 // held.
-func (rec *Recorder) mismatches(all bool) []ledger.Mismatch {
+func (rec *Recorder) mismatches(allRows bool) []ledger.Mismatch {
 	rec.drainQueue(nil)
 	watched := make([]ledger.Key, 0, len(rec.alarms))
 	for a := range rec.alarms {
-		if !a.all {
+		if !a.allRows {
 			watched = append(watched, a.key)
 		}
 	}
-	found := append(rec.ledger.Audit(all, watched...), rec.accountMismatches...)
-	return append(found, rec.ledger.Overdue(rec.time()-int64(rec.options.OverdueAfter))...)
+	found := append(rec.ledger.Audit(allRows, watched...), rec.accountMismatches...)
+	return append(found, rec.ledger.Overdue(rec.now()-int64(rec.options.OverdueAfter))...)
 }
 
 // updateAlarms compares what was found with the alarms that stand. The lock mu is held.
-func (rec *Recorder) updateAlarms(found []ledger.Mismatch, all bool) (raise, clear []alarm) {
-	read := rec.readAccounts
-	rec.accountMismatches, rec.readAccounts = nil, map[ledger.Key]bool{}
-	now := map[alarmKey]bool{}
+func (rec *Recorder) updateAlarms(found []ledger.Mismatch, allRows bool) (raised, cleared []alarm) {
+	checked := rec.checkedAccounts
+	rec.accountMismatches, rec.checkedAccounts = nil, map[ledger.Key]bool{}
+	current := map[alarmKey]bool{}
 	for _, m := range found {
 		k := alarmKey{m.Key, m.AllRows, m.Check}
-		now[k] = true
+		current[k] = true
 		if !rec.alarms[k] && len(rec.alarms) < maxAlarms {
 			rec.alarms[k] = true
-			raise = append(raise, rec.alarm(m))
+			raised = append(raised, rec.newAlarm(m))
 		}
 	}
 	for k := range rec.alarms {
 		// An alarm of all rows, or of the module's tallies, stands until those were examined again.
-		if now[k] || k.all && !all || k.check == ledger.CheckTally && !read[k.key] {
+		if current[k] || k.allRows && !allRows || k.check == ledger.CheckTally && !checked[k.key] {
 			continue
 		}
 		delete(rec.alarms, k)
-		clear = append(clear, rec.alarm(ledger.Mismatch{Key: k.key, AllRows: k.all, Check: k.check}))
+		cleared = append(cleared, rec.newAlarm(ledger.Mismatch{Key: k.key, AllRows: k.allRows, Check: k.check}))
 	}
-	return raise, clear
+	return raised, cleared
 }
--- a/internal/ledger/recorder/bench_test.go
+++ b/internal/ledger/recorder/bench_test.go
@@ -11,8 +11,8 @@
 	"go.uber.org/zap"
 )
 
-// BenchmarkReq posts what one served request leads to: nine postings, and a tenth for the units drawn.
-func BenchmarkReq(b *testing.B) {
+// BenchmarkServedRequest posts what one served request leads to: nine postings, and a tenth for the units drawn.
+func BenchmarkServedRequest(b *testing.B) {
 	for _, mode := range []string{"memory", "disk"} {
 		b.Run(mode, func(b *testing.B) {
 			o := recorder.Options{Limits: ledger.Limits{Rows: 20000, Open: 65536, Flight: 4096}, OverdueAfter: time.Second,
@@ -28,25 +28,25 @@
 				defer s.Close()
 				k, l = s, kept
 			}
-			d := recorder.New(l, ledger.Names{}, k, o)
-			d.CloseStatement()
+			rec := recorder.New(l, ledger.Names{}, k, o)
+			rec.CloseStatement()
 			events := []ledger.Event{ledger.FrontTaken, ledger.PlanTaken, ledger.UnitsDrawn, ledger.PlanSent, ledger.AttemptStarted,
 				ledger.AttemptOK, ledger.PlanNotified, ledger.PlanServed, ledger.FrontServed}
 			b.ReportAllocs()
 			for i := 0; b.Loop(); i++ {
 				if i%10000 == 9999 {
 					b.StopTimer()
-					d.CloseStatement()
+					rec.CloseStatement()
 					time.Sleep(time.Millisecond)
 					b.StartTimer()
 				}
-				key, ref := d.Row(uint64(i%1600), 0, 0), d.Ref()
+				key, ref := rec.Row(uint64(i%1600), 0, 0), rec.Ref()
 				for _, e := range events {
 					p := ledger.Posting{Event: e, Key: key, Ref: ref, Units: 1e6}
 					if e == ledger.UnitsDrawn {
 						p.Key, p.Ref = ledger.Account(key.Customer), 0
 					}
-					d.Post(p)
+					rec.Post(p)
 				}
 			}
 		})
--- a/internal/ledger/recorder/golden_test.go
+++ b/internal/ledger/recorder/golden_test.go
@@ -22,21 +22,21 @@
 	path := filepath.Join(t.TempDir(), "alarms")
 	booking := ledger.Key{Customer: 0xaa, Plan: 1, Class: 0}
 	l := ledger.New(ledger.Limits{}, false)
-	d := New(l, ledger.Names{Plans: []string{"basic", "fleet"}, Classes: []string{"booking"}}, nil,
+	rec := New(l, ledger.Names{Plans: []string{"basic", "fleet"}, Classes: []string{"booking"}}, nil,
 		Options{AlarmFile: path, Log: zap.NewNop()})
 	l.Post(ledger.Posting{Event: ledger.FrontTaken, Key: booking, Ref: 77, Units: 2500000, At: at.UnixNano(), Wait: 5})
 	l.Post(ledger.Posting{Event: ledger.FrontServed, Key: booking, Ref: 77, At: at.Add(time.Second).UnixNano()})
-	full := alarm{At: at, State: "raised", Check: "taken <= served", Haulier: "00000000000000bb", Plan: "basic", Class: "lookup",
-		Books: []string{"front", "planner"}, Figures: []int64{-3, 4}, Flight: []string{"one", "two"}}
-	alarms := []alarm{full, {At: at, State: "cleared", Check: "sum of taken", Haulier: "all"},
-		d.alarm(ledger.Mismatch{Key: booking, Check: "fetches ordered = begun", Journals: [2]ledger.Journal{ledger.JournalPlanner, ledger.JournalAttempts},
+	full := alarm{At: at, State: "raised", Check: "taken <= served", Customer: "00000000000000bb", Plan: "basic", Class: "lookup",
+		Journals: []string{"front", "planner"}, Figures: []int64{-3, 4}, LastPostings: []string{"one", "two"}}
+	alarms := []alarm{full, {At: at, State: "cleared", Check: "sum of taken", Customer: "all"},
+		rec.newAlarm(ledger.Mismatch{Key: booking, Check: "fetches ordered = begun", Journals: [2]ledger.Journal{ledger.JournalPlanner, ledger.JournalAttempts},
 			Left: 8, Right: 9}),
-		d.alarm(ledger.Mismatch{AllRows: true, Check: "sum of served", Journals: [2]ledger.Journal{ledger.JournalFront, ledger.JournalFront}, Left: 1, Right: 2}),
-		d.alarm(ledger.Mismatch{Key: ledger.Account(0xcc), Check: ledger.CheckTally}),
+		rec.newAlarm(ledger.Mismatch{AllRows: true, Check: "sum of served", Journals: [2]ledger.Journal{ledger.JournalFront, ledger.JournalFront}, Left: 1, Right: 2}),
+		rec.newAlarm(ledger.Mismatch{Key: ledger.Account(0xcc), Check: ledger.CheckTally}),
 	}
 	for i := range alarms {
 		alarms[i].At = at // those that were made of mismatches have the time of this run
-		d.file(alarms[i])
+		rec.appendToAlarmFile(alarms[i])
 	}
 	lines, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/ledger/recorder/planted_test.go
+++ b/internal/ledger/recorder/planted_test.go
@@ -33,23 +33,23 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// crooked stands between an owner and the desk, and falsifies one posting on one customer.
-type crooked struct {
+// faultyRecorder stands between an owner and the desk, and falsifies one posting on one customer.
+type faultyRecorder struct {
 	*recorder.Recorder
-	event   ledger.Event
-	haulier uint64
-	how     string // lost, doubled, wrong units
-	done    atomic.Bool
-	at      atomic.Int64
+	event      ledger.Event
+	customer   uint64
+	fault      string // lost, doubled, wrong units
+	injected   atomic.Bool
+	injectedAt atomic.Int64
 }
 
-func (c *crooked) Post(p ledger.Posting) {
-	if p.Event != c.event || p.Key.Customer != c.haulier || !c.done.CompareAndSwap(false, true) {
+func (c *faultyRecorder) Post(p ledger.Posting) {
+	if p.Event != c.event || p.Key.Customer != c.customer || !c.injected.CompareAndSwap(false, true) {
 		c.Recorder.Post(p)
 		return
 	}
-	c.at.Store(time.Now().UnixNano())
-	switch c.how {
+	c.injectedAt.Store(time.Now().UnixNano())
+	switch c.fault {
 	case "doubled":
 		c.Recorder.Post(p)
 		c.Recorder.Post(p)
@@ -61,22 +61,22 @@
 
 // gateway is the parts of a gateway in one process, with a desk whose owners may be crooked.
 type gateway struct {
-	addr string
-	desk *recorder.Recorder
-	logs *observer.ObservedLogs
+	addr     string
+	recorder *recorder.Recorder
+	logs     *observer.ObservedLogs
 }
 
-func start(t *testing.T, o recorder.Options, plant *crooked) *gateway {
-	return startAt(t, o, plant, standin.Always(standin.Step{}))
+func startGateway(t *testing.T, o recorder.Options, faulty *faultyRecorder) *gateway {
+	return startGatewayWithBackends(t, o, faulty, standin.Always(standin.Step{}))
 }
 
-func startAt(t *testing.T, o recorder.Options, plant *crooked, script standin.Script) *gateway {
+func startGatewayWithBackends(t *testing.T, o recorder.Options, faulty *faultyRecorder, script standin.Script) *gateway {
 	t.Helper()
 	backends, err := standin.NewBackends(2, false, script)
 	if err != nil {
 		t.Fatal(err)
 	}
-	shared, err := standin.NewCounter()
+	sharedCounter, err := standin.NewCounter()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -85,25 +85,25 @@
 	o.Names = ledger.Names{Plans: []string{"basic", "fleet"}, Classes: []string{"space-query", "booking"}}
 	o.Limits = ledger.Limits{Rows: 1000, Open: 1000, Flight: 1000}
 	o.OverdueAfter = 5 * time.Second
-	d := recorder.New(ledger.New(o.Limits, false), ledger.Names{}, nil, o)
-	if plant == nil {
-		plant = &crooked{}
+	rec := recorder.New(ledger.New(o.Limits, false), ledger.Names{}, nil, o)
+	if faulty == nil {
+		faulty = &faultyRecorder{}
 	}
-	plant.Recorder = d
+	faulty.Recorder = rec
 
 	set := dw.Settings{Instances: 1, Zones: 1, Tick: 4e6, Counter: true, CounterTimeout: 1e9, MaxUnits: 4, MaxAttempts: 6,
 		MayCancel: true, MaxRetryAfter: 5e8, ConnectTimeout: 1e9, DrainGrace: 5e8, StartCapacity: 0.2,
 		Classes: []dw.Class{{Objective: 5e9, Deadline: 1e10, Weight: 1}, {Objective: 5e9, Deadline: 1e10, Weight: 5, Idempotency: dw.IdempotentByKey, DedupWindow: 3e9}},
 		Plans:   []dw.Plan{{Rate: 5, Burst: 10, WeightFactor: 1, OverQuotaCost: 1}, {Rate: 500, Burst: 1000, WeightFactor: 1, OverQuotaCost: 1}}}
 	names := backend.Names{Plans: o.Names.Plans}
-	pools := backend.New(names, backend.Limits{MaxConns: 64, BackendIdleTimeout: 15 * time.Second, ConnectTimeout: time.Second}, plant)
-	count := counter.New(shared.Addr(), 3*time.Second, time.Second, plant, o.Log)
-	planner, err := core.NewPlanner(set, 1, core.NewClock(), pools, count, plant, o.Log)
+	pools := backend.New(names, backend.Limits{MaxConns: 64, BackendIdleTimeout: 15 * time.Second, ConnectTimeout: time.Second}, faulty)
+	counterClient := counter.New(sharedCounter.Addr(), 3*time.Second, time.Second, faulty, o.Log)
+	planner, err := core.NewPlanner(set, 1, core.NewClock(), pools, counterClient, faulty, o.Log)
 	if err != nil {
 		t.Fatal(err)
 	}
-	d.SetTallyReader(planner.ReadTallies)
-	commands := &limits.Commands{Commands: &platform.Commands{Planner: planner, Recorder: plant, Settings: set,
+	rec.SetTallyReader(planner.ReadTallies)
+	commands := &limits.Commands{Commands: &platform.Commands{Planner: planner, Recorder: faulty, Settings: set,
 		Names: settings.Names{Classes: o.Names.Classes, Plans: o.Names.Plans}}}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -111,14 +111,14 @@
 	}
 	server := &front.Server{Listener: l, Sessions: 64, Open: func() front.Commands { return commands },
 		Bounds: front.NewBounds(64 << 20), Log: o.Log}
-	work, stop := context.WithCancel(context.Background())
-	var all, fronts sync.WaitGroup
-	all.Go(func() { planner.Run(work) })
-	all.Go(func() { pools.Run(work) })
-	all.Go(func() { count.Run(work) })
-	all.Go(func() { d.Run(work) })
-	taking, stopTaking := context.WithCancel(work)
-	fronts.Go(func() { server.Serve(taking) })
+	ctx, stop := context.WithCancel(context.Background())
+	var background, fronts sync.WaitGroup
+	background.Go(func() { planner.Run(ctx) })
+	background.Go(func() { pools.Run(ctx) })
+	background.Go(func() { counterClient.Run(ctx) })
+	background.Go(func() { rec.Run(ctx) })
+	serveCtx, stopServing := context.WithCancel(ctx)
+	fronts.Go(func() { server.Serve(serveCtx) })
 	list := core.EndpointUpdate{}
 	for i, b := range backends.Nodes {
 		list.List.Servers = append(list.List.Servers, dw.Endpoint{ID: dw.ServerID(i + 1)})
@@ -128,18 +128,18 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() {
-		stopTaking()
+		stopServing()
 		fronts.Wait()
 		stop()
-		all.Wait()
+		background.Wait()
 		backends.Close()
-		shared.Close()
+		sharedCounter.Close()
 	})
-	return &gateway{l.Addr().String(), d, logs}
+	return &gateway{l.Addr().String(), rec, logs}
 }
 
-// work has four customers, 1 to 4, send mixed commands, and waits for the answers.
-func (g *gateway) work(t *testing.T, rounds int) {
+// sendRequests has four customers, 1 to 4, send mixed commands, and waits for the answers.
+func (g *gateway) sendRequests(t *testing.T, rounds int) {
 	t.Helper()
 	c, err := standin.Dial(g.addr, 10*time.Second)
 	if err != nil {
@@ -148,11 +148,11 @@
 	defer c.Close()
 	c.SetDeadline(time.Now().Add(time.Minute))
 	for i := range rounds {
-		for h := 1; h <= 4; h++ {
-			customer, plan := fmt.Sprintf("%016x", h), []string{"basic", "fleet"}[h%2]
+		for customerNumber := 1; customerNumber <= 4; customerNumber++ {
+			customer, plan := fmt.Sprintf("%016x", customerNumber), []string{"basic", "fleet"}[customerNumber%2]
 			args := "t=" + plan + ",d=9000,spread=1,first=0"
-			if err := c.Send([]string{"SVC.QUERY", customer, fmt.Sprintf("q%d-%d", h, i), "c=space-query,units=2," + args},
-				[]string{"SVC.SUBMIT", customer, fmt.Sprintf("b%d-%d", h, i), fmt.Sprintf("c=booking,units=1,k=k%d-%d,", h, i) + args},
+			if err := c.Send([]string{"SVC.QUERY", customer, fmt.Sprintf("q%d-%d", customerNumber, i), "c=space-query,units=2," + args},
+				[]string{"SVC.SUBMIT", customer, fmt.Sprintf("b%d-%d", customerNumber, i), fmt.Sprintf("c=booking,units=1,k=k%d-%d,", customerNumber, i) + args},
 				[]string{"LIMIT.GET", customer, args},
 				[]string{"LIMIT.ADJUST", customer, "1", args},
 				[]string{"LIMIT.ADJUST", customer, "-1", args}); err != nil {
@@ -160,7 +160,7 @@
 			}
 			for range 5 {
 				if v, err := c.Reply(); err != nil || v.Kind == '-' && !strings.HasPrefix(v.Text, "BUSY") {
-					t.Fatalf("haulier %d is answered %v, %v", h, v, err)
+					t.Fatalf("haulier %d is answered %v, %v", customerNumber, v, err)
 				}
 			}
 		}
@@ -172,16 +172,16 @@
 }
 
 // With nothing planted there is no alarm, whatever the moment of an audit.
-func TestHonest(t *testing.T) {
-	g := start(t, recorder.Options{AuditInterval: 5 * time.Millisecond}, nil)
-	g.work(t, 8)
+func TestNoFalseAlarms(t *testing.T) {
+	g := startGateway(t, recorder.Options{AuditInterval: 5 * time.Millisecond}, nil)
+	g.sendRequests(t, 8)
 	// The front books what became of an answer once that is written, which its client may see first.
 	g.eventually(t, "the last answers", func(r recorder.Report) bool { return r.Open == 0 })
-	g.desk.Audit(true)
+	g.recorder.Audit(true)
 	if a := g.alarms(); len(a) > 0 {
 		t.Fatalf("%v", a[0].ContextMap())
 	}
-	r := g.desk.Report()
+	r := g.recorder.Report()
 	if r.Total.N[ledger.FrontTaken] != 8*4*5 || r.Open != 0 || r.Total.Ended() != 8*4*5 {
 		t.Errorf("%d taken, %d ended, %d open", r.Total.N[ledger.FrontTaken], r.Total.Ended(), r.Open)
 	}
@@ -190,9 +190,9 @@
 // eventually waits for the books to say something.
 func (g *gateway) eventually(t *testing.T, what string, ok func(recorder.Report) bool) {
 	t.Helper()
-	for began := time.Now(); !ok(g.desk.Report()); time.Sleep(10 * time.Millisecond) {
+	for began := time.Now(); !ok(g.recorder.Report()); time.Sleep(10 * time.Millisecond) {
 		if time.Since(began) > 20*time.Second {
-			r := g.desk.Report()
+			r := g.recorder.Report()
 			t.Fatalf("%s: %d taken, %d gone, %d cut, %d open", what, r.Total.N[ledger.FrontTaken], r.Total.N[ledger.FrontClientDeparted],
 				r.Total.N[ledger.FrontWriteFailed], r.Open)
 		}
@@ -205,7 +205,7 @@
 // A session ends with all that it may have open, at backends that never answer: each request is gone, each attempt cancelled
 // and heard of, and nothing stays open.
 func TestSessionEndsWithManyOpen(t *testing.T) {
-	g := startAt(t, recorder.Options{AuditInterval: 5 * time.Millisecond}, nil, standin.Always(standin.Step{Behaviour: standin.Stall}))
+	g := startGatewayWithBackends(t, recorder.Options{AuditInterval: 5 * time.Millisecond}, nil, standin.Always(standin.Step{Behaviour: standin.Stall}))
 	c, err := standin.Dial(g.addr, 10*time.Second)
 	if err != nil {
 		t.Fatal(err)
@@ -230,8 +230,8 @@
 
 // A client asks for more than it reads, until the gateway ends it: what was written whole is served, the rest is cut or
 // gone, and no audit on the way finds anything.
-func TestClientReadsNothing(t *testing.T) {
-	g := start(t, recorder.Options{AuditInterval: 20 * time.Millisecond}, nil)
+func TestClientNeverReads(t *testing.T) {
+	g := startGateway(t, recorder.Options{AuditInterval: 20 * time.Millisecond}, nil)
 	c, err := standin.Dial(g.addr, 10*time.Second)
 	if err != nil {
 		t.Fatal(err)
@@ -253,10 +253,10 @@
 
 // One miscount in each book is reported within five seconds, with audits a second apart as operators have them; it names
 // the customer, plan and class; it is said once while it stands; and the alarm file has it.
-func TestPlanted(t *testing.T) {
+func TestInjectedFaultIsReported(t *testing.T) {
 	for _, c := range []struct {
 		event ledger.Event
-		how   string
+		fault string
 		class string
 	}{
 		{ledger.FrontTaken, "lost", "space-query"},
@@ -271,13 +271,13 @@
 		{ledger.CallAdded, "wrong units", "account"},
 		{ledger.CallStarted, "doubled", "account"},
 	} {
-		t.Run(fmt.Sprintf("%v %s", c.event, c.how), func(t *testing.T) {
+		t.Run(fmt.Sprintf("%v %s", c.event, c.fault), func(t *testing.T) {
 			t.Parallel()
 			file := filepath.Join(t.TempDir(), "alarms.jsonl")
-			plant := &crooked{event: c.event, haulier: 3, how: c.how}
-			g := start(t, recorder.Options{AuditInterval: time.Second, AlarmFile: file}, plant)
-			g.work(t, 2)
-			if !plant.done.Load() {
+			faulty := &faultyRecorder{event: c.event, customer: 3, fault: c.fault}
+			g := startGateway(t, recorder.Options{AuditInterval: time.Second, AlarmFile: file}, faulty)
+			g.sendRequests(t, 2)
+			if !faulty.injected.Load() {
 				t.Fatal("nothing was planted")
 			}
 			for began := time.Now(); len(g.alarms()) == 0; time.Sleep(10 * time.Millisecond) {
@@ -285,9 +285,9 @@
 					t.Fatal("it is not reported")
 				}
 			}
-			took := g.alarms()[0].Time.Sub(time.Unix(0, plant.at.Load()))
-			t.Logf("reported after %v", took.Round(time.Millisecond))
-			if took > 5*time.Second {
+			reportedAfter := g.alarms()[0].Time.Sub(time.Unix(0, faulty.injectedAt.Load()))
+			t.Logf("reported after %v", reportedAfter.Round(time.Millisecond))
+			if reportedAfter > 5*time.Second {
 				t.Error("that is late")
 			}
 			time.Sleep(1200 * time.Millisecond) // an audit more: it is not said again
@@ -318,14 +318,14 @@
 }
 
 // An alarm that is over is said to be: here one on what the module's tally holds, which the next account sets right.
-func TestCleared(t *testing.T) {
-	g := start(t, recorder.Options{AuditInterval: 20 * time.Millisecond}, nil)
-	g.work(t, 1)
-	p := ledger.Posting{Event: ledger.FrontTaken, Key: g.desk.Row(9, 0, 0), Ref: g.desk.Ref(), Units: 1e6}
-	g.desk.Post(p)
+func TestAlarmIsCleared(t *testing.T) {
+	g := startGateway(t, recorder.Options{AuditInterval: 20 * time.Millisecond}, nil)
+	g.sendRequests(t, 1)
+	p := ledger.Posting{Event: ledger.FrontTaken, Key: g.recorder.Row(9, 0, 0), Ref: g.recorder.Ref(), Units: 1e6}
+	g.recorder.Post(p)
 	p.Event = ledger.FrontServed // before any decision
-	g.desk.Post(p)
-	until := func(message string) bool {
+	g.recorder.Post(p)
+	waitForLog := func(message string) bool {
 		for range 1000 {
 			if g.logs.FilterMessage(message).Len() > 0 {
 				return true
@@ -334,15 +334,15 @@
 		}
 		return false
 	}
-	if !until("the books do not add up") {
+	if !waitForLog("the books do not add up") {
 		t.Fatal("no alarm")
 	}
 	for _, e := range []ledger.Event{ledger.PlanTaken, ledger.PlanSent, ledger.AttemptStarted, ledger.AttemptOK, ledger.PlanNotified,
 		ledger.PlanServed} {
 		p.Event = e
-		g.desk.Post(p)
+		g.recorder.Post(p)
 	}
-	if !until("the books add up again") {
+	if !waitForLog("the books add up again") {
 		t.Error("the alarm is not cleared")
 	}
 }
--- a/internal/ledger/recorder/post.go
+++ b/internal/ledger/recorder/post.go
@@ -9,56 +9,56 @@
 // Post books one posting, at the present.
 func (rec *Recorder) Post(p ledger.Posting) {
 	now := int64(0)
-	if timed[p.Event] {
-		now = rec.time()
+	if isTimed[p.Event] {
+		now = rec.now()
 	}
-	rec.posting.Lock()
+	rec.queueMu.Lock()
 	if now != 0 {
-		rec.now = now
+		rec.lastTime = now
 	}
-	p.At = rec.now // of the last that was timed: readers want the order more than the microsecond
-	if rec.keeper != nil {
-		rec.keeper.Append(p)
+	p.At = rec.lastTime // of the last that was timed: readers want the order more than the microsecond
+	if rec.store != nil {
+		rec.store.Append(p)
 	}
 	rec.queue = append(rec.queue, p)
 	n := len(rec.queue)
-	rec.posting.Unlock()
-	if n == wakeBatch {
+	rec.queueMu.Unlock()
+	if n == wakeQueueLength {
 		select {
-		case rec.full <- struct{}{}:
+		case rec.wake <- struct{}{}:
 		default:
 		}
-	} else if n >= maxBatch { // Run does not come to it
-		rec.drainQueueNow()
+	} else if n >= maxQueueLength { // Run does not come to it
+		rec.lockAndDrainQueue()
 	}
 }
 
-// drainQueueNow books what waits.
-func (rec *Recorder) drainQueueNow() {
+// lockAndDrainQueue books what waits.
+func (rec *Recorder) lockAndDrainQueue() {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
 	rec.drainQueue(nil)
 }
 
-func (rec *Recorder) time() int64 { return rec.start.UnixNano() + int64(time.Since(rec.start)) }
+func (rec *Recorder) now() int64 { return rec.startTime.UnixNano() + int64(time.Since(rec.startTime)) }
 
-// timed are the events whose time is of use: they open something, or end a request.
-var timed = [ledger.EventCount]bool{ledger.FrontTaken: true, ledger.FrontServed: true, ledger.FrontRejected: true,
+// isTimed are the events whose time is of use: they open something, or end a request.
+var isTimed = [ledger.EventCount]bool{ledger.FrontTaken: true, ledger.FrontServed: true, ledger.FrontRejected: true,
 	ledger.FrontFailed: true, ledger.FrontClientDeparted: true, ledger.FrontWriteFailed: true, ledger.FrontNotSubmitted: true, ledger.UnitsPushed: true}
 
 // drainQueue books what waits; mark, if any, is called where the next posting begins anew. The lock mu is held.
-func (rec *Recorder) drainQueue(mark func()) {
-	rec.posting.Lock()
+func (rec *Recorder) drainQueue(atBoundary func()) {
+	rec.queueMu.Lock()
 	waiting := rec.queue
 	rec.queue = rec.spareQueue[:0]
-	if mark != nil {
-		mark()
+	if atBoundary != nil {
+		atBoundary()
 	}
-	rec.posting.Unlock()
+	rec.queueMu.Unlock()
 	for _, p := range waiting {
 		rec.ledger.Post(p)
 	}
-	if rec.spareQueue = waiting[:0]; cap(waiting) > 4*wakeBatch {
+	if rec.spareQueue = waiting[:0]; cap(waiting) > 4*wakeQueueLength {
 		rec.spareQueue = nil
 	}
 }
--- a/internal/ledger/recorder/recorder.go
+++ b/internal/ledger/recorder/recorder.go
@@ -41,14 +41,14 @@
 
 // The bounds.
 const (
-	fullAuditEvery = 4     // audits: every so manyth is of all rows
-	maxNames       = 200   // of plans, and of classes
-	alarmPostings  = 32    // postings of a row that an alarm shows
-	maxAlarms      = 256   // that are told apart; more are counted
-	wakeBatch      = 1024  // postings that wait to be booked, before Run is told
-	maxBatch       = 65536 // and before whoever posts books them itself
-	Overflow       = "…"   // the name of plans and classes beyond maxNames, and of those that are none
-	maxNameBytes   = 64    // bytes of one
+	auditsPerFullAudit = 4     // audits: every so manyth is of all rows
+	maxNames           = 200   // of plans, and of classes
+	alarmPostings      = 32    // postings of a row that an alarm shows
+	maxAlarms          = 256   // that are told apart; more are counted
+	wakeQueueLength    = 1024  // postings that wait to be booked, before Run is told
+	maxQueueLength     = 65536 // and before whoever posts books them itself
+	Overflow           = "…"   // the name of plans and classes beyond maxNames, and of those that are none
+	maxNameBytes       = 64    // bytes of one
 )
 
 // Recorder keeps one gateway's books.
@@ -56,51 +56,51 @@
 	options Options
 	// The time of the start, and what has passed since by the monotonic clock: a system's clock that steps must not make
 	// a request look overdue, or one that is overdue look young.
-	start time.Time
+	startTime time.Time
 
-	refs atomic.Uint64
+	lastRef atomic.Uint64
 
 	// What is posted is kept at once, and waits here to be booked: many at a time cost a fraction of one by one. It is
 	// held for a posting, no longer.
-	posting    sync.Mutex
-	keeper     Store
+	queueMu    sync.Mutex
+	store      Store
 	queue      []ledger.Posting
 	spareQueue []ledger.Posting // the other buffer
-	now        int64
-	full       chan struct{}
+	lastTime   int64
+	wake       chan struct{}
 
 	// Behind mu are the books. Whoever needs both takes mu first.
-	mu      sync.Mutex
-	ledger  *ledger.Ledger
-	names   ledger.Names
-	plans   []int16 // by the settings' places
-	classes []int16
-	byName  [2]map[string]int16
+	mu           sync.Mutex
+	ledger       *ledger.Ledger
+	names        ledger.Names
+	planNumbers  []int16 // by the settings' places
+	classNumbers []int16
+	numberByName [2]map[string]int16
 
 	alarms            map[alarmKey]bool // those that stand
 	raised            atomic.Uint64
 	cleared           atomic.Uint64
-	audits            int
-	tallies           atomic.Pointer[func(func(tally func(uint64) (float64, bool))) error]
+	auditCount        int
+	tallyReader       atomic.Pointer[func(func(tally func(uint64) (float64, bool))) error]
 	accountMismatches []ledger.Mismatch // found in accounts since the last audit
-	readAccounts      map[ledger.Key]bool
+	checkedAccounts   map[ledger.Key]bool
 }
 
 // New makes a recorder for books that may hold something already, with the names that the numbers in them stand for. The
 // keeper may be nil.
-func New(l *ledger.Ledger, known ledger.Names, k Store, o Options) *Recorder {
-	rec := &Recorder{options: o, start: time.Now(), ledger: l, keeper: k, full: make(chan struct{}, 1), names: known, alarms: map[alarmKey]bool{}, readAccounts: map[ledger.Key]bool{}}
+func New(l *ledger.Ledger, known ledger.Names, store Store, o Options) *Recorder {
+	rec := &Recorder{options: o, startTime: time.Now(), ledger: l, store: store, wake: make(chan struct{}, 1), names: known, alarms: map[alarmKey]bool{}, checkedAccounts: map[ledger.Key]bool{}}
 	for i, names := range [2][]string{known.Plans, known.Classes} {
-		rec.byName[i] = map[string]int16{}
+		rec.numberByName[i] = map[string]int16{}
 		for n, s := range names {
-			rec.byName[i][s] = int16(n)
+			rec.numberByName[i][s] = int16(n)
 		}
 	}
 	for _, s := range o.Names.Plans {
-		rec.plans = append(rec.plans, rec.intern(0, &rec.names.Plans, s))
+		rec.planNumbers = append(rec.planNumbers, rec.intern(0, &rec.names.Plans, s))
 	}
 	for _, s := range o.Names.Classes {
-		rec.classes = append(rec.classes, rec.intern(1, &rec.names.Classes, s))
+		rec.classNumbers = append(rec.classNumbers, rec.intern(1, &rec.names.Classes, s))
 	}
 	return rec
 }
@@ -108,25 +108,25 @@
 // DetachStore lets go of the keeper, after Run has ended: what is posted later, as by a attempt that nobody waits for, is kept
 // nowhere. The keeper may then be closed.
 func (rec *Recorder) DetachStore() {
-	rec.posting.Lock()
-	defer rec.posting.Unlock()
-	rec.keeper = nil
+	rec.queueMu.Lock()
+	defer rec.queueMu.Unlock()
+	rec.store = nil
 }
 
 // SetTallyReader tells how the decision module's tallies are read: f is to be called where nothing is drawn meanwhile.
-func (rec *Recorder) SetTallyReader(visit func(f func(tally func(uint64) (float64, bool))) error) {
-	rec.tallies.Store(&visit)
+func (rec *Recorder) SetTallyReader(read func(f func(tally func(uint64) (float64, bool))) error) {
+	rec.tallyReader.Store(&read)
 }
 
 // Run audits and states until the context ends, and then once more.
 func (rec *Recorder) Run(ctx context.Context) error {
 	audit := time.NewTicker(rec.options.AuditInterval)
 	defer audit.Stop()
-	var state <-chan time.Time
-	if rec.keeper != nil {
+	var statements <-chan time.Time
+	if rec.store != nil {
 		t := time.NewTicker(rec.options.StatementInterval)
 		defer t.Stop()
-		state = t.C
+		statements = t.C
 	}
 	for {
 		select {
@@ -135,16 +135,16 @@
 			rec.CloseStatement()
 			return nil
 		case <-audit.C:
-			rec.readTallies()
-			rec.audits++
-			rec.Audit(rec.audits%fullAuditEvery == 0)
-		case <-state:
+			rec.auditTallies()
+			rec.auditCount++
+			rec.Audit(rec.auditCount%auditsPerFullAudit == 0)
+		case <-statements:
 			rec.CloseStatement()
-		case <-rec.full:
-			rec.drainQueueNow()
+		case <-rec.wake:
+			rec.lockAndDrainQueue()
 		}
 	}
 }
 
 // Ref numbers a request or a call.
-func (rec *Recorder) Ref() uint64 { return rec.refs.Add(1) }
+func (rec *Recorder) Ref() uint64 { return rec.lastRef.Add(1) }
--- a/internal/ledger/recorder/report.go
+++ b/internal/ledger/recorder/report.go
@@ -10,15 +10,15 @@
 
 // CloseStatement closes a period and makes it last.
 func (rec *Recorder) CloseStatement() {
-	if rec.keeper == nil {
+	if rec.store == nil {
 		return
 	}
 	rec.mu.Lock()
-	rec.drainQueue(rec.keeper.EndPeriod)
-	rec.keeper.Stage(rec.ledger.Statement())
+	rec.drainQueue(rec.store.EndPeriod)
+	rec.store.Stage(rec.ledger.Statement())
 	names := ledger.Names{Plans: slices.Clone(rec.names.Plans), Classes: slices.Clone(rec.names.Classes)}
 	rec.mu.Unlock()
-	if err := rec.keeper.Commit(names); err != nil {
+	if err := rec.store.Commit(names); err != nil {
 		rec.options.Log.Error("the ledger's figures could not be kept; they stay in memory", zap.Error(err))
 	}
 }
--- a/internal/ledger/rows.go
+++ b/internal/ledger/rows.go
@@ -7,16 +7,16 @@
 
 // row holds the figures of a key.
 type row struct {
-	key      Key
-	counts   Counts
-	stated   *Counts              // what statements hold of it; nil: nothing
-	lost     [verdictCount]uint64 // answers that were decided and did not reach the client; by pairs of the front's and the planner's ends
-	open     int                  // entries of the table under this key
-	dirty    bool                 // posted to since the last audit
-	unstored bool                 // and since the last statement
-	unread   bool                 // it is in the ledger's accounts
-	at       *list.Element
-	moved    uint64 // epoch in which it was moved to the front
+	key               Key
+	counts            Counts
+	statedCounts      *Counts              // what statements hold of it; nil: nothing
+	lostAnswers       [verdictCount]uint64 // answers that were decided and did not reach the client; by pairs of the front's and the planner's ends
+	openEntries       int                  // entries of the table under this key
+	dirty             bool                 // posted to since the last audit
+	unstored          bool                 // and since the last statement
+	inPendingAccounts bool                 // it is in the ledger's accounts
+	recencyElement    *list.Element
+	movedInEpoch      uint64 // epoch in which it was moved to the front
 }
 
 // row finds or makes the row of a key, and takes note that it changes.
@@ -26,41 +26,41 @@
 	}
 	r := l.rows[k]
 	if r == nil {
-		if l.recent.Len() >= l.limits.Rows && k.Customer != Others {
+		if l.rowsByRecency.Len() >= l.limits.Rows && k.Customer != Others {
 			l.evict()
 		}
 		r = &row{key: k}
 		l.rows[k] = r
 		if k.Customer != Others {
-			r.at = l.recent.PushFront(r)
+			r.recencyElement = l.rowsByRecency.PushFront(r)
 		}
 	}
-	l.touchRecent(r)
+	l.markRecent(r)
 	return r
 }
 
-// touchRecent takes note that a row is posted to.
-func (l *Ledger) touchRecent(r *row) {
+// markRecent takes note that a row is posted to.
+func (l *Ledger) markRecent(r *row) {
 	if l.lastRow == r {
 		return
 	}
-	if r.at != nil && r.moved != l.epoch { // once between two audits is order enough
-		l.recent.MoveToFront(r.at)
+	if r.recencyElement != nil && r.movedInEpoch != l.recencyEpoch { // once between two audits is order enough
+		l.rowsByRecency.MoveToFront(r.recencyElement)
 	}
-	r.moved, l.lastRow = l.epoch, r
-	l.touch(r)
+	r.movedInEpoch, l.lastRow = l.recencyEpoch, r
+	l.markChanged(r)
 }
 
-func (l *Ledger) touch(r *row) {
-	if !r.unread && r.key.Class == ClassAccount && r.key.Customer != Others {
-		r.unread = true
-		l.accounts = append(l.accounts, r)
+func (l *Ledger) markChanged(r *row) {
+	if !r.inPendingAccounts && r.key.Class == ClassAccount && r.key.Customer != Others {
+		r.inPendingAccounts = true
+		l.pendingAccounts = append(l.pendingAccounts, r)
 	}
 	if !r.dirty {
 		r.dirty = true
 		l.dirty = append(l.dirty, r)
 	}
-	if l.stating && !r.unstored {
+	if l.makesStatements && !r.unstored {
 		r.unstored = true
 		l.unstored = append(l.unstored, r)
 	}
@@ -77,10 +77,10 @@
 	if r == nil {
 		return
 	}
-	if r.open == 0 && r.dirty { // it is the last time that its name is known
-		l.found = append(l.found, r.check(&transit{})...)
+	if r.openEntries == 0 && r.dirty { // it is the last time that its name is known
+		l.evictedMismatches = append(l.evictedMismatches, r.check(&inFlight{})...)
 	}
-	l.recent.Remove(r.at)
+	l.rowsByRecency.Remove(r.recencyElement)
 	delete(l.rows, r.key)
 	if l.lastRow == r {
 		l.lastRow = nil
@@ -88,25 +88,25 @@
 	l.Evictions++
 	rolledUp := l.rollUp(r)
 	r.dirty, r.unstored = false, false // lists that still hold it pass it over
-	if l.stating {
+	if l.makesStatements {
 		l.stateEvicted(r, rolledUp)
 	}
 }
 
 // evictionVictim chooses the row to evict; nil: the ledger may grow instead.
 func (l *Ledger) evictionVictim() *row {
-	at := l.recent.Back()
-	for i := 0; i < evictionCandidates && at != nil; i++ {
-		if r := at.Value.(*row); r.open == 0 && r.counts.Pending() == 0 {
+	element := l.rowsByRecency.Back()
+	for i := 0; i < evictionCandidates && element != nil; i++ {
+		if r := element.Value.(*row); r.openEntries == 0 && r.counts.Pending() == 0 {
 			return r
 		}
-		at = at.Prev()
+		element = element.Prev()
 	}
-	if l.recent.Len() < 2*l.limits.Rows {
+	if l.rowsByRecency.Len() < 2*l.limits.Rows {
 		return nil
 	}
-	r := l.recent.Back().Value.(*row)
-	l.Abandoned += count(r.counts.Pending() != 0)
+	r := l.rowsByRecency.Back().Value.(*row)
+	l.Abandoned += countIf(r.counts.Pending() != 0)
 	return r
 }
 
@@ -114,40 +114,40 @@
 func (l *Ledger) rollUp(r *row) *row {
 	key := r.key
 	key.Customer = Others
-	to := l.row(key)
-	to.counts.Add(&r.counts)
-	for v, n := range r.lost {
-		to.lost[v] += n
-	}
-	if r.open > 0 {
-		to.open += r.open
-		for _, e := range l.table {
+	target := l.row(key)
+	target.counts.Add(&r.counts)
+	for v, n := range r.lostAnswers {
+		target.lostAnswers[v] += n
+	}
+	if r.openEntries > 0 {
+		target.openEntries += r.openEntries
+		for _, e := range l.entries {
 			if e.row == r {
-				e.Key, e.row = key, to
+				e.Key, e.row = key, target
 			}
 		}
 	}
-	return to
+	return target
 }
 
 // stateEvicted has what no statement holds yet of an evicted row stated under its customer's name, and held of the rolled-up row
 // from then on. Where too many are evicted between two statements, the rest is stated of the rolled-up row.
 func (l *Ledger) stateEvicted(r, rolledUp *row) {
 	delta := r.counts
-	if r.stated != nil {
-		delta = r.counts.Minus(r.stated)
+	if r.statedCounts != nil {
+		delta = r.counts.Minus(r.statedCounts)
 		l.evictedKeys = append(l.evictedKeys, r.key)
 	}
-	if rolledUp.stated == nil {
-		rolledUp.stated = &Counts{}
+	if rolledUp.statedCounts == nil {
+		rolledUp.statedCounts = &Counts{}
 	}
-	if len(l.evicted) < l.limits.Rows {
+	if len(l.evictedDeltas) < l.limits.Rows {
 		if !delta.IsZero() {
-			l.evicted = append(l.evicted, Line{r.key, delta})
+			l.evictedDeltas = append(l.evictedDeltas, Line{r.key, delta})
 		}
-		rolledUp.stated.Add(&r.counts)
-	} else if r.stated != nil {
-		rolledUp.stated.Add(r.stated)
+		rolledUp.statedCounts.Add(&r.counts)
+	} else if r.statedCounts != nil {
+		rolledUp.statedCounts.Add(r.statedCounts)
 	}
 }
 
--- a/internal/ledger/statement.go
+++ b/internal/ledger/statement.go
@@ -31,30 +31,30 @@
 // Statement closes a period.
 func (l *Ledger) Statement() Statement {
 	l.lastRow = nil
-	s := Statement{Deltas: l.evicted, IdempotentRequests: l.idempotentRequests}
+	s := Statement{Deltas: l.evictedDeltas, IdempotentRequests: l.idempotentRequests}
 	for _, k := range l.evictedKeys { // one that has come again follows below
 		s.Rows = append(s.Rows, StoredRow{Key: k, RolledUp: true})
 	}
-	l.evicted, l.evictedKeys, l.idempotentRequests = nil, nil, nil
+	l.evictedDeltas, l.evictedKeys, l.idempotentRequests = nil, nil, nil
 	for _, r := range l.unstored {
 		if !r.unstored || l.rows[r.key] != r {
 			continue
 		}
 		r.unstored = false
 		delta := r.counts
-		if r.stated == nil {
-			r.stated = &Counts{}
+		if r.statedCounts == nil {
+			r.statedCounts = &Counts{}
 		} else {
-			delta = r.counts.Minus(r.stated)
+			delta = r.counts.Minus(r.statedCounts)
 		}
-		*r.stated = r.counts
+		*r.statedCounts = r.counts
 		if !delta.IsZero() {
 			s.Deltas = append(s.Deltas, Line{r.key, delta})
 		}
 		s.Rows = append(s.Rows, r.stored())
 	}
 	l.unstored = l.unstored[:0]
-	for ref, e := range l.table {
+	for ref, e := range l.entries {
 		s.Open = append(s.Open, OpenEntry{ref, *e})
 	}
 	slices.SortFunc(s.Open, func(a, b OpenEntry) int { return cmp.Compare(a.Ref, b.Ref) })
@@ -63,38 +63,38 @@
 }
 
 func (r *row) stored() StoredRow {
-	k := StoredRow{Key: r.key, Counts: r.counts}
-	copy(k.Lost[:], r.lost[served:])
-	return k
+	stored := StoredRow{Key: r.key, Counts: r.counts}
+	copy(stored.Lost[:], r.lostAnswers[served:])
+	return stored
 }
 
 // Restore puts a row back that a store kept, all of it stated. It is for books that are still empty.
-func (l *Ledger) Restore(k StoredRow) {
-	r := l.row(k.Key)
-	r.counts = k.Counts
-	copy(r.lost[served:], k.Lost[:])
-	stated := k.Counts
-	r.stated = &stated
-	l.total.Add(&k.Counts)
+func (l *Ledger) Restore(stored StoredRow) {
+	restored := l.row(stored.Key)
+	restored.counts = stored.Counts
+	copy(restored.lostAnswers[served:], stored.Lost[:])
+	stated := stored.Counts
+	restored.statedCounts = &stated
+	l.total.Add(&stored.Counts)
 }
 
 // RestoreOpen puts an entry back that a store kept; its row was restored before.
 func (l *Ledger) RestoreOpen(o OpenEntry) {
 	e := o.Entry
-	l.table[o.Ref] = &e
+	l.entries[o.Ref] = &e
 	e.row = l.row(e.Key)
-	e.row.open++
+	e.row.openEntries++
 }
 
 const maxIdempotentRequests = 1 << 16 // that are held between two statements
 
-func (l *Ledger) recordIdempotentRequest(t IdempotentRequest) {
-	if !l.stating {
+func (l *Ledger) recordIdempotentRequest(r IdempotentRequest) {
+	if !l.makesStatements {
 		return
 	}
 	if len(l.idempotentRequests) >= maxIdempotentRequests {
 		l.IdempotentRequestsLost++
 		return
 	}
-	l.idempotentRequests = append(l.idempotentRequests, t)
+	l.idempotentRequests = append(l.idempotentRequests, r)
 }
--- a/internal/ledger/statement/golden_test.go
+++ b/internal/ledger/statement/golden_test.go
@@ -101,12 +101,12 @@
 	changed.Seq, changed.Incarnation = 9, 6
 	m.Add(changed)
 	m.Add(record(7, "g1", func(r *Record) {
-		counts(r, ledger.FrontTaken, 1, ledger.FrontServed, 1, ledger.PlanServed, 2, ledger.PlanRejectedQuota, 3)
+		setCounts(r, ledger.FrontTaken, 1, ledger.FrontServed, 1, ledger.PlanServed, 2, ledger.PlanRejectedQuota, 3)
 		r.Figures.Set(ledger.PlanTaken, 1, 4e6)
 	}))
 	m.Add(record(8, "g2", func(r *Record) {
 		r.Class = "account"
-		counts(r, ledger.UnitsPushed, 1, ledger.CallStarted, 1)
+		setCounts(r, ledger.UnitsPushed, 1, ledger.CallStarted, 1)
 		r.Figures.Set(ledger.CallAdded, 1, 3e6)
 	}))
 	var out bytes.Buffer
--- a/internal/ledger/statement/record_test.go
+++ b/internal/ledger/statement/record_test.go
@@ -21,16 +21,16 @@
 	return r
 }
 
-// counts sets pairs of an event and its count; units are a million times the count.
-func counts(r *Record, of ...any) {
-	for i := 0; i < len(of); i += 2 {
-		r.Figures.Set(of[i].(ledger.Event), uint64(of[i+1].(int)), int64(of[i+1].(int))*1e6)
+// setCounts sets pairs of an event and its count; units are a million times the count.
+func setCounts(r *Record, eventsAndCounts ...any) {
+	for i := 0; i < len(eventsAndCounts); i += 2 {
+		r.Figures.Set(eventsAndCounts[i].(ledger.Event), uint64(eventsAndCounts[i+1].(int)), int64(eventsAndCounts[i+1].(int))*1e6)
 	}
 }
 
 // Any record that parses is written in a form that parses to the same record, with the same chain.
 func FuzzRecord(f *testing.F) {
-	for _, r := range []Record{record(1, "n0", func(r *Record) { counts(r, ledger.FrontTaken, 2, ledger.FrontServed, 2) }),
+	for _, r := range []Record{record(1, "n0", func(r *Record) { setCounts(r, ledger.FrontTaken, 2, ledger.FrontServed, 2) }),
 		record(9, "n\"0\n", func(r *Record) { r.Kind, r.Note = Gap, "späť <&> \\ \x00" })} {
 		f.Add(r.Seal(nil, "before"))
 	}
@@ -73,13 +73,13 @@
 	m := NewMerged()
 	served := func(n int) func(*Record) {
 		return func(r *Record) {
-			counts(r, ledger.FrontTaken, n, ledger.FrontServed, n, ledger.PlanTaken, n, ledger.PlanServed, n, ledger.PlanSent, n,
+			setCounts(r, ledger.FrontTaken, n, ledger.FrontServed, n, ledger.PlanTaken, n, ledger.PlanServed, n, ledger.PlanSent, n,
 				ledger.PlanNotified, n, ledger.AttemptStarted, n, ledger.AttemptOK, n)
 		}
 	}
 	forwarder := record(1, "forwarder", func(r *Record) {
 		r.Role = Forwarder
-		counts(r, ledger.FrontTaken, 9, ledger.FrontServed, 6, ledger.FrontFailed, 2, ledger.FrontClientDeparted, 1, ledger.PlanTaken, 9,
+		setCounts(r, ledger.FrontTaken, 9, ledger.FrontServed, 6, ledger.FrontFailed, 2, ledger.FrontClientDeparted, 1, ledger.PlanTaken, 9,
 			ledger.PlanServed, 6, ledger.PlanFailedExhausted, 3, ledger.PlanSent, 9, ledger.PlanNotified, 9, ledger.AttemptStarted, 9,
 			ledger.AttemptOK, 6, ledger.AttemptRejected, 1, ledger.AttemptNotSent, 2)
 	})
@@ -107,7 +107,7 @@
 		{ledger.PlanSent, 1, ledger.AttemptStarted, 2, ledger.AttemptOK, 2},
 	} {
 		m := NewMerged()
-		addSealed(t, m, record(1, "n0", func(r *Record) { counts(r, c...) }))
+		addSealed(t, m, record(1, "n0", func(r *Record) { setCounts(r, c...) }))
 		if wrong := m.Verify(); len(wrong) == 0 {
 			t.Errorf("case %d is not found", i)
 		}
@@ -115,7 +115,7 @@
 	m := NewMerged()
 	addSealed(t, m, record(1, "n0", func(r *Record) {
 		r.Class = "account"
-		counts(r, ledger.UnitsPushed, 1, ledger.CallStarted, 1, ledger.CallAdded, 1)
+		setCounts(r, ledger.UnitsPushed, 1, ledger.CallStarted, 1, ledger.CallAdded, 1)
 		r.Figures.Set(ledger.CallAdded, 1, 3e6)
 	}))
 	if wrong := m.Verify(); len(wrong) != 1 {
--- a/internal/ledger/store/commit.go
+++ b/internal/ledger/store/commit.go
@@ -8,55 +8,55 @@
 	"dewhitch/internal/ledger/statement"
 )
 
-// uncommitted is what was cut and is not on the disk yet.
-type uncommitted struct {
+// stagedStatement is what was cut and is not on the disk yet.
+type stagedStatement struct {
 	rows               map[ledger.Key]ledger.StoredRow
 	open               []ledger.OpenEntry
 	deltas             map[ledger.Key]*ledger.Counts
 	idempotentRequests []ledger.IdempotentRequest
 	notes              []statement.Record // lives and gaps
 	segment            uint64
-	at                 int
-	to                 time.Time
+	position           int
+	end                time.Time
 }
 
-func newUncommitted() *uncommitted {
-	return &uncommitted{rows: map[ledger.Key]ledger.StoredRow{}, deltas: map[ledger.Key]*ledger.Counts{}}
+func newStagedStatement() *stagedStatement {
+	return &stagedStatement{rows: map[ledger.Key]ledger.StoredRow{}, deltas: map[ledger.Key]*ledger.Counts{}}
 }
 
 // EndPeriod implements recorder.Keeper.
 func (s *Store) EndPeriod() {
-	if s.uncommitted == nil {
-		s.uncommitted = newUncommitted()
+	if s.staged == nil {
+		s.staged = newStagedStatement()
 	}
-	p := s.uncommitted
-	p.to = time.Now()
-	if s.unlogged > 0 {
-		p.notes = append(p.notes, statement.Record{Kind: statement.Gap, From: p.to, To: p.to, Note: fmt.Sprintf(
-			"the log did not hold %d postings for a while; they are in the figures, as no crash came", s.unlogged)})
+	p := s.staged
+	p.end = time.Now()
+	if s.unloggedPostings > 0 {
+		p.notes = append(p.notes, statement.Record{Kind: statement.Gap, From: p.end, To: p.end, Note: fmt.Sprintf(
+			"the log did not hold %d postings for a while; they are in the figures, as no crash came", s.unloggedPostings)})
 	}
-	s.unlogged = 0
-	if !s.logIntact.Load() || s.behindGap.Load() { // this statement holds all that the log lacks: it can be taken up again behind it
-		s.resumed = s.rotate()
-		if s.resumed {
-			s.current.takeUp(s.meta.Statements + 1)
+	s.unloggedPostings = 0
+	if !s.logIntact.Load() || s.afterGap.Load() { // this statement holds all that the log lacks: it can be taken up again behind it
+		s.resumePending = s.rotate()
+		if s.resumePending {
+			s.current.putResume(s.meta.Statements + 1)
 		}
-		s.logIntact.Store(s.resumed)
-		s.behindGap.Store(false)
+		s.logIntact.Store(s.resumePending)
+		s.afterGap.Store(false)
 	}
 	switch {
 	case s.logIntact.Load():
-		p.segment, p.at = s.current.number, s.current.at
+		p.segment, p.position = s.current.number, s.current.written
 	case s.current != nil:
-		p.segment, p.at = s.current.number+1, 0
+		p.segment, p.position = s.current.number+1, 0
 	default:
-		p.segment, p.at = s.firstFree(), 0
+		p.segment, p.position = s.firstFreeNumber(), 0
 	}
 }
 
 // Stage implements recorder.Keeper.
 func (s *Store) Stage(st ledger.Statement) {
-	p := s.uncommitted
+	p := s.staged
 	for _, k := range st.Rows {
 		p.rows[k.Key] = k
 	}
@@ -72,43 +72,43 @@
 
 // Commit implements recorder.Keeper.
 func (s *Store) Commit(names ledger.Names) error {
-	p := s.uncommitted
+	p := s.staged
 	m, err := s.write(p, names)
 	if err != nil {
-		if s.resumed {
-			s.behindGap.Store(true) // the log goes on behind a gap that no statement on the disk bridges
+		if s.resumePending {
+			s.afterGap.Store(true) // the log goes on behind a gap that no statement on the disk bridges
 		}
-		p.bound()
+		p.limitMemory()
 		s.wantSegment()
 		return err
 	}
-	s.meta, s.uncommitted, s.resumed = m, nil, false
+	s.meta, s.staged, s.resumePending = m, nil, false
 	s.mu.Lock()
-	remaining := s.full[:0]
-	for _, seg := range s.full {
-		if seg.number >= p.segment || s.remove(seg) != nil {
+	remaining := s.fullSegments[:0]
+	for _, seg := range s.fullSegments {
+		if seg.number >= p.segment || s.removeSegment(seg) != nil {
 			remaining = append(remaining, seg)
 		}
 	}
-	clear(s.full[len(remaining):])
-	s.full = remaining
+	clear(s.fullSegments[len(remaining):])
+	s.fullSegments = remaining
 	s.mu.Unlock()
 	s.wantSegment()
 	return nil
 }
 
-// bound keeps what waits for the disk from growing: requests with an idempotency key are dropped first, and then the names of customers.
-func (p *uncommitted) bound() {
-	const maxWaiting = 1 << 16
-	if n := len(p.idempotentRequests) - maxWaiting; n > 0 {
+// limitMemory keeps what waits for the disk from growing: requests with an idempotency key are dropped first, and then the names of customers.
+func (p *stagedStatement) limitMemory() {
+	const maxPending = 1 << 16
+	if n := len(p.idempotentRequests) - maxPending; n > 0 {
 		p.idempotentRequests = append([]ledger.IdempotentRequest(nil), p.idempotentRequests[n:]...)
-		p.notes = append(p.notes, statement.Record{Kind: statement.Gap, From: p.to, To: p.to,
+		p.notes = append(p.notes, statement.Record{Kind: statement.Gap, From: p.end, To: p.end,
 			Note: fmt.Sprintf("%d tries are in no record, as the disk took none", n)})
 	}
 	if len(p.notes) > 64 {
 		p.notes = p.notes[len(p.notes)-64:]
 	}
-	if len(p.deltas) <= maxWaiting {
+	if len(p.deltas) <= maxPending {
 		return
 	}
 	for k, c := range p.deltas {
--- a/internal/ledger/store/fuzz_test.go
+++ b/internal/ledger/store/fuzz_test.go
@@ -9,21 +9,21 @@
 // A segment may hold anything: what is read of it is records whose checksums hold, in their places.
 func FuzzSegment(f *testing.F) {
 	dir := f.TempDir()
-	s, err := createSegment(disk{}, dir, 7, headSize+9*recordSize)
+	s, err := createSegment(diskFiles{}, dir, 7, headerSize+9*recordSize)
 	if err != nil {
 		f.Fatal(err)
 	}
 	for i := range 5 {
 		s.put(ledger.Posting{Event: ledger.FrontTaken, Ref: uint64(i)})
 	}
-	s.gap()
-	f.Add(append([]byte(nil), s.m...))
-	f.Add(s.m[:headSize+3*recordSize])
+	s.putGap()
+	f.Add(append([]byte(nil), s.mapped...))
+	f.Add(s.mapped[:headerSize+3*recordSize])
 	f.Fuzz(func(t *testing.T, b []byte) {
 		n := 0
 		s, err := scan(b, 7, 0, 1, func(ledger.Posting) { n++ })
-		if err == nil && (n > s.read || (s.read+s.behind)*recordSize > len(b)) {
-			t.Fatalf("%d records of %d, %d behind, in %d bytes", n, s.read, s.behind, len(b))
+		if err == nil && (n > s.end || (s.end+s.recordsAfterBreak)*recordSize > len(b)) {
+			t.Fatalf("%d records of %d, %d behind, in %d bytes", n, s.end, s.recordsAfterBreak, len(b))
 		}
 	})
 }
--- a/internal/ledger/store/golden_test.go
+++ b/internal/ledger/store/golden_test.go
@@ -19,24 +19,24 @@
 	"dewhitch/internal/ledger/statement"
 )
 
-// memory makes segments in memory.
-type memory struct{}
+// memoryFiles makes segments in memory.
+type memoryFiles struct{}
 
-func (memory) Create(_ string, size int) ([]byte, error) { return make([]byte, size), nil }
-func (memory) Unmap([]byte) error                        { return nil }
+func (memoryFiles) Create(_ string, size int) ([]byte, error) { return make([]byte, size), nil }
+func (memoryFiles) Unmap([]byte) error                        { return nil }
 
 var (
-	stated    = time.Date(2026, 3, 1, 6, 0, 0, 1000, time.UTC)
-	marked    = time.Date(2026, 3, 1, 6, 1, 2, 3000, time.UTC)
-	bookingOf = ledger.Key{Customer: 0xaa, Plan: 1, Class: 2}
-	accountOf = ledger.Key{Customer: 0xbb, Plan: ledger.NoPlan, Class: ledger.ClassAccount}
-	wording   = ledger.Names{Plans: []string{"basic", "fleet"}, Classes: []string{"space-query", "lookup", "booking"}}
+	previousStatement = time.Date(2026, 3, 1, 6, 0, 0, 1000, time.UTC)
+	lastStatement     = time.Date(2026, 3, 1, 6, 1, 2, 3000, time.UTC)
+	bookingKey        = ledger.Key{Customer: 0xaa, Plan: 1, Class: 2}
+	accountKey        = ledger.Key{Customer: 0xbb, Plan: ledger.NoPlan, Class: ledger.ClassAccount}
+	storedNames       = ledger.Names{Plans: []string{"basic", "fleet"}, Classes: []string{"space-query", "lookup", "booking"}}
 
 	postings = []ledger.Posting{
 		{Event: ledger.FrontIdempotencyKey, Key: ledger.Key{Customer: 0x1122334455667788, Plan: 0x0102, Class: 0x0304}, Ref: 899,
 			Units: -0x0a0b0c0d0e0f1011, At: 0x1213141516171819, Wait: 0x2021},
-		{Event: ledger.FrontTaken, Key: bookingOf, Ref: 900, Units: 3e6, At: 1772344860000000000, Wait: 60},
-		{Event: ledger.PlanTaken, Key: bookingOf, Ref: 900, Units: 4e6, At: 1772344861000000000, Wait: 61},
+		{Event: ledger.FrontTaken, Key: bookingKey, Ref: 900, Units: 3e6, At: 1772344860000000000, Wait: 60},
+		{Event: ledger.PlanTaken, Key: bookingKey, Ref: 900, Units: 4e6, At: 1772344861000000000, Wait: 61},
 	}
 )
 
@@ -47,21 +47,21 @@
 		name string
 		gap  bool
 	}{{"segment", false}, {"segment-gap", true}} {
-		s, err := createSegment(memory{}, "", 12, headSize+6*recordSize)
+		s, err := createSegment(memoryFiles{}, "", 12, headerSize+6*recordSize)
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.takeUp(21)
+		s.putResume(21)
 		for _, p := range postings {
 			s.put(p)
 		}
 		if c.gap {
-			s.gap()
+			s.putGap()
 		}
-		golden.Compare(t, c.name, s.m)
+		golden.Compare(t, c.name, s.mapped)
 		var got []ledger.Posting
 		found, err := scan(golden.Read(t, c.name), 12, 0, 21, func(p ledger.Posting) { got = append(got, p) })
-		if err != nil || found != (scanned{read: 4, gap: c.gap}) || !reflect.DeepEqual(got, postings) {
+		if err != nil || found != (scanResult{end: 4, hasGap: c.gap}) || !reflect.DeepEqual(got, postings) {
 			t.Errorf("%s: read as %+v %+v, %v", c.name, got, found, err)
 		}
 	}
@@ -78,48 +78,48 @@
 	return c
 }
 
-// keptRows are the rows of the frozen store, in the order of their keys.
-func keptRows() []ledger.StoredRow {
-	return []ledger.StoredRow{{Key: bookingOf, Counts: figures(100), Lost: [4]uint64{1, 2, 3, 400}},
-		{Key: accountOf, Counts: figures(20000), Lost: [4]uint64{5, 6, 7, 8}}}
+// storedRows are the rows of the frozen store, in the order of their keys.
+func storedRows() []ledger.StoredRow {
+	return []ledger.StoredRow{{Key: bookingKey, Counts: figures(100), Lost: [4]uint64{1, 2, 3, 400}},
+		{Key: accountKey, Counts: figures(20000), Lost: [4]uint64{5, 6, 7, 8}}}
 }
 
 // openEntries are an entry with all fields and, as a swap of two flags would not show in it, one for each flag.
 func openEntries() []ledger.OpenEntry {
 	return []ledger.OpenEntry{
-		{Ref: 500, Entry: ledger.Entry{Key: bookingOf, Units: 11, Since: 12, Wait: 13, HasIdempotencyKey: true, Hash: 14, Call: true,
-			FrontTaken: true, FrontEnded: true, NeverTaken: true, Lost: true, PlanTaken: true, PlanEnded: 2, Sent: 15, Heard: 16,
-			Began: 17, Ended: 18, Pushed: true, CallBegan: true, CallOver: true, Rejected: true, Returned: true}},
-		{Ref: 501, Entry: ledger.Entry{Key: bookingOf, HasIdempotencyKey: true}},
-		{Ref: 502, Entry: ledger.Entry{Key: accountOf, Call: true}},
-		{Ref: 503, Entry: ledger.Entry{Key: bookingOf, FrontTaken: true}},
-		{Ref: 504, Entry: ledger.Entry{Key: bookingOf, FrontEnded: true}},
-		{Ref: 505, Entry: ledger.Entry{Key: bookingOf, NeverTaken: true}},
-		{Ref: 506, Entry: ledger.Entry{Key: bookingOf, Lost: true}},
-		{Ref: 507, Entry: ledger.Entry{Key: bookingOf, PlanTaken: true}},
-		{Ref: 508, Entry: ledger.Entry{Key: accountOf, Pushed: true}},
-		{Ref: 509, Entry: ledger.Entry{Key: accountOf, CallBegan: true}},
-		{Ref: 510, Entry: ledger.Entry{Key: accountOf, CallOver: true}},
-		{Ref: 511, Entry: ledger.Entry{Key: accountOf, Rejected: true}},
-		{Ref: 512, Entry: ledger.Entry{Key: accountOf, Returned: true}},
+		{Ref: 500, Entry: ledger.Entry{Key: bookingKey, Units: 11, Since: 12, Wait: 13, HasIdempotencyKey: true, Hash: 14, IsCall: true,
+			FrontTaken: true, FrontEnded: true, NeverTaken: true, AnswerLost: true, PlanTaken: true, PlanVerdict: 2, AttemptsOrdered: 15, AttemptsNotified: 16,
+			AttemptsStarted: 17, AttemptsEnded: 18, Pushed: true, CallStarted: true, CallEnded: true, CallRejected: true, UnitsReturned: true}},
+		{Ref: 501, Entry: ledger.Entry{Key: bookingKey, HasIdempotencyKey: true}},
+		{Ref: 502, Entry: ledger.Entry{Key: accountKey, IsCall: true}},
+		{Ref: 503, Entry: ledger.Entry{Key: bookingKey, FrontTaken: true}},
+		{Ref: 504, Entry: ledger.Entry{Key: bookingKey, FrontEnded: true}},
+		{Ref: 505, Entry: ledger.Entry{Key: bookingKey, NeverTaken: true}},
+		{Ref: 506, Entry: ledger.Entry{Key: bookingKey, AnswerLost: true}},
+		{Ref: 507, Entry: ledger.Entry{Key: bookingKey, PlanTaken: true}},
+		{Ref: 508, Entry: ledger.Entry{Key: accountKey, Pushed: true}},
+		{Ref: 509, Entry: ledger.Entry{Key: accountKey, CallStarted: true}},
+		{Ref: 510, Entry: ledger.Entry{Key: accountKey, CallEnded: true}},
+		{Ref: 511, Entry: ledger.Entry{Key: accountKey, CallRejected: true}},
+		{Ref: 512, Entry: ledger.Entry{Key: accountKey, UnitsReturned: true}},
 	}
 }
 
-// head is what the frozen store knows of itself.
-var head = meta{Version: 1, Node: "n3", Role: statement.Forwarder, Incarnation: 7, Statements: 21, Seq: 45, First: 41,
-	Chain: "5ec34aeb5874f821", Segment: 12, At: 2, Names: wording, Stated: marked}
+// storedMeta is what the frozen store knows of itself.
+var storedMeta = meta{Version: 1, Node: "n3", Role: statement.Forwarder, Incarnation: 7, Statements: 21, Seq: 45, First: 41,
+	Chain: "5ec34aeb5874f821", Segment: 12, Position: 2, Names: storedNames, Stated: lastStatement}
 
-// keptRecords are the records for export of the frozen store.
-func keptRecords() []statement.Record {
+// storedRecords are the records for export of the frozen store.
+func storedRecords() []statement.Record {
 	booking, account := figures(1000), figures(3000)
 	return []statement.Record{
-		{Seq: 41, Node: "n3", Role: statement.Forwarder, Incarnation: 7, Kind: statement.StartRecord, From: stated, To: marked,
+		{Seq: 41, Node: "n3", Role: statement.Forwarder, Incarnation: 7, Kind: statement.StartRecord, From: previousStatement, To: lastStatement,
 			Note: "2 postings replayed", Chain: "f702399a79ebd510"},
-		{Seq: 42, Node: "n3", Role: statement.Forwarder, Incarnation: 7, Kind: statement.Gap, From: marked, To: stated,
+		{Seq: 42, Node: "n3", Role: statement.Forwarder, Incarnation: 7, Kind: statement.Gap, From: lastStatement, To: previousStatement,
 			Note: "<torn> & \"odd\" späť", Chain: "1f4080a6434d221a"},
-		{Seq: 43, Node: "n3", Role: statement.Forwarder, Incarnation: 7, Kind: statement.Figures, From: stated, To: marked,
+		{Seq: 43, Node: "n3", Role: statement.Forwarder, Incarnation: 7, Kind: statement.Figures, From: previousStatement, To: lastStatement,
 			Customer: "00000000000000aa", Plan: "fleet", Class: "booking", Figures: &booking, Chain: "2f7c2839b197afb5"},
-		{Seq: 44, Node: "n3", Role: statement.Forwarder, Incarnation: 7, Kind: statement.Figures, From: stated, To: marked,
+		{Seq: 44, Node: "n3", Role: statement.Forwarder, Incarnation: 7, Kind: statement.Figures, From: previousStatement, To: lastStatement,
 			Customer: "00000000000000bb", Plan: "-", Class: "account", Figures: &account, Chain: "9c77eae1d67da865"},
 		{Seq: 45, Node: "n3", Role: statement.Forwarder, Incarnation: 7, Kind: statement.AttemptRecord, From: time.Unix(1772344800, 5).UTC(),
 			To: time.Unix(1772344801, 6).UTC(), Customer: "00000000000000aa", Plan: "fleet", Class: "booking",
@@ -188,20 +188,20 @@
 func TestStoreForm(t *testing.T) {
 	dir := t.TempDir()
 	s := &Store{options: Options{Dir: dir, OpenTimeout: time.Second, Records: 5}, meta: meta{Version: 1, Node: "n3", Role: statement.Forwarder,
-		Incarnation: 7, Statements: 20, Seq: 40, First: 38, Chain: "00112233445566ff", Segment: 11, At: 1, Stated: stated}}
-	p := newUncommitted()
-	for _, k := range append(keptRows(), ledger.StoredRow{Key: ledger.Key{Customer: 9}, RolledUp: true}) {
+		Incarnation: 7, Statements: 20, Seq: 40, First: 38, Chain: "00112233445566ff", Segment: 11, Position: 1, Stated: previousStatement}}
+	p := newStagedStatement()
+	for _, k := range append(storedRows(), ledger.StoredRow{Key: ledger.Key{Customer: 9}, RolledUp: true}) {
 		p.rows[k.Key] = k
 	}
 	booking, account := figures(1000), figures(3000)
-	p.deltas[bookingOf], p.deltas[accountOf] = &booking, &account
-	p.open, p.segment, p.at, p.to = openEntries(), 12, 2, marked
-	p.idempotentRequests = []ledger.IdempotentRequest{{Key: bookingOf, Hash: 0xdeadbeef, Taken: 1772344800000000005, Ended: 1772344801000000006,
+	p.deltas[bookingKey], p.deltas[accountKey] = &booking, &account
+	p.open, p.segment, p.position, p.end = openEntries(), 12, 2, lastStatement
+	p.idempotentRequests = []ledger.IdempotentRequest{{Key: bookingKey, Hash: 0xdeadbeef, Taken: 1772344800000000005, Ended: 1772344801000000006,
 		End: ledger.FrontRejected}}
-	p.notes = []statement.Record{{Kind: statement.StartRecord, From: stated, To: marked, Note: "2 postings replayed"},
-		{Kind: statement.Gap, From: marked, To: stated, Note: "<torn> & \"odd\" späť"}}
-	got, err := s.write(p, wording)
-	if err != nil || !reflect.DeepEqual(got, head) {
+	p.notes = []statement.Record{{Kind: statement.StartRecord, From: previousStatement, To: lastStatement, Note: "2 postings replayed"},
+		{Kind: statement.Gap, From: lastStatement, To: previousStatement, Note: "<torn> & \"odd\" späť"}}
+	got, err := s.write(p, storedNames)
+	if err != nil || !reflect.DeepEqual(got, storedMeta) {
 		t.Errorf("wrote %+v, %v", got, err)
 	}
 	golden.Compare(t, "store", []byte(dump(t, filepath.Join(dir, dbName))))
@@ -215,12 +215,12 @@
 	if err := os.WriteFile(segmentPath(dir, 12), golden.Read(t, "segment"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	m, c, err := load(filepath.Join(dir, dbName))
-	if err != nil || !reflect.DeepEqual(m, head) || !reflect.DeepEqual(c, content{keptRows(), openEntries()}) {
+	m, c, err := loadStore(filepath.Join(dir, dbName))
+	if err != nil || !reflect.DeepEqual(m, storedMeta) || !reflect.DeepEqual(c, storedLedger{storedRows(), openEntries()}) {
 		t.Errorf("loaded as %+v %+v, %v", m, c, err)
 	}
 
-	lines := []ledger.Line{{Key: bookingOf, Counts: figures(100)}, {Key: accountOf, Counts: figures(20000)}}
+	lines := []ledger.Line{{Key: bookingKey, Counts: figures(100)}, {Key: accountKey, Counts: figures(20000)}}
 	lines[0].Counts.Record(ledger.FrontTaken, 3e6) // the log behind place 2
 	lines[0].Counts.Record(ledger.PlanTaken, 4e6)
 	v, err := Read(dir)
@@ -231,7 +231,7 @@
 		t.Errorf("the ledger is read as %+v, %d open", got, v.Ledger.OpenCount())
 	}
 	v.Ledger = nil
-	if want := (&View{Node: "n3", Role: statement.Forwarder, Incarnation: 7, Names: wording, Replayed: 2, First: 41, Last: 45}); !reflect.DeepEqual(v, want) {
+	if want := (&View{Node: "n3", Role: statement.Forwarder, Incarnation: 7, Names: storedNames, Replayed: 2, First: 41, Last: 45}); !reflect.DeepEqual(v, want) {
 		t.Errorf("read as %+v", v)
 	}
 
@@ -239,7 +239,7 @@
 	if err := Records(dir, 0, func(_ []byte, r statement.Record) error {
 		records = append(records, r)
 		return nil
-	}); err != nil || !reflect.DeepEqual(records, keptRecords()) {
+	}); err != nil || !reflect.DeepEqual(records, storedRecords()) {
 		t.Errorf("records are read as %+v, %v", records, err)
 	}
 
@@ -248,7 +248,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if !reflect.DeepEqual(known, wording) || found.Incarnation != 8 || found.Replayed != 2 || len(found.Notes) != 0 {
+	if !reflect.DeepEqual(known, storedNames) || found.Incarnation != 8 || found.Replayed != 2 || len(found.Notes) != 0 {
 		t.Errorf("taken over as %+v %+v", known, found)
 	}
 	if err := s.Close(); err != nil {
--- a/internal/ledger/store/guard.go
+++ b/internal/ledger/store/guard.go
@@ -41,14 +41,14 @@
 		db, err = bbolt.Open(path, 0o640, o)
 		return err
 	})
-	if err != nil && !errors.Is(err, errCorrupt) && corrupt(err) {
+	if err != nil && !errors.Is(err, errCorrupt) && isCorruption(err) {
 		err = fmt.Errorf("%w: %v", errCorrupt, err)
 	}
 	return db, err
 }
 
-// corrupt tells an error about what a file holds from one about getting at it.
-func corrupt(err error) bool {
+// isCorruption tells an error about what a file holds from one about getting at it.
+func isCorruption(err error) bool {
 	var path *fs.PathError
 	var errno syscall.Errno
 	return !errors.As(err, &path) && !errors.As(err, &errno) && !errors.Is(err, bbolterrors.ErrTimeout)
--- a/internal/ledger/store/log.go
+++ b/internal/ledger/store/log.go
@@ -8,8 +8,8 @@
 	"dewhitch/internal/ledger"
 )
 
-// prepare has a segment ready before it is needed.
-func (s *Store) prepare() {
+// createSegments has a segment ready before it is needed.
+func (s *Store) createSegments() {
 	failed := false
 	for {
 		seg, err := s.newSegment()
@@ -19,9 +19,9 @@
 		failed = err != nil
 		if seg != nil {
 			select {
-			case s.spares <- seg:
+			case s.spareSegments <- seg:
 			case <-s.closing:
-				s.remove(seg)
+				s.removeSegment(seg)
 				return
 			}
 		}
@@ -37,7 +37,7 @@
 func (s *Store) newSegment() (*segment, error) {
 	s.mu.Lock()
 	n := s.nextNumber
-	mayWait := len(s.full)+1 < s.options.Segments
+	mayWait := len(s.fullSegments)+1 < s.options.Segments
 	if mayWait {
 		s.nextNumber++
 	}
@@ -55,24 +55,24 @@
 	}
 }
 
-func (s *Store) remove(seg *segment) error {
-	if seg.m != nil {
-		s.options.Files.Unmap(seg.m)
-		seg.m = nil
+func (s *Store) removeSegment(seg *segment) error {
+	if seg.mapped != nil {
+		s.options.Files.Unmap(seg.mapped)
+		seg.mapped = nil
 	}
 	return os.Remove(seg.path)
 }
 
 // Append implements recorder.Keeper.
 func (s *Store) Append(p ledger.Posting) {
-	if !s.logIntact.Load() || s.behindGap.Load() {
-		s.unlogged++
+	if !s.logIntact.Load() || s.afterGap.Load() {
+		s.unloggedPostings++
 		return
 	}
-	if s.current.at == s.current.capacity && !s.rotate() {
-		s.current.gap()
+	if s.current.written == s.current.capacity && !s.rotate() {
+		s.current.putGap()
 		s.logIntact.Store(false)
-		s.unlogged++
+		s.unloggedPostings++
 		return
 	}
 	s.current.put(p)
@@ -81,10 +81,10 @@
 // rotate goes on in the segment that is ready, if one is.
 func (s *Store) rotate() bool {
 	select {
-	case seg := <-s.spares:
+	case seg := <-s.spareSegments:
 		s.mu.Lock()
 		if s.current != nil {
-			s.full = append(s.full, s.current)
+			s.fullSegments = append(s.fullSegments, s.current)
 		}
 		s.mu.Unlock()
 		s.current = seg
@@ -96,11 +96,11 @@
 	}
 }
 
-func (s *Store) firstFree() uint64 {
+func (s *Store) firstFreeNumber() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.meta.Segment
-	for _, seg := range s.full {
+	for _, seg := range s.fullSegments {
 		n = max(n, seg.number)
 	}
 	return n + 1
--- a/internal/ledger/store/read.go
+++ b/internal/ledger/store/read.go
@@ -92,18 +92,18 @@
 	})
 }
 
-// content is what an embedded store holds of figures.
-type content struct {
+// storedLedger is what an embedded store holds of figures.
+type storedLedger struct {
 	rows []ledger.StoredRow
 	open []ledger.OpenEntry
 }
 
-// load reads all that an embedded store holds of figures. A file that is not there holds nothing.
-func load(path string) (m meta, c content, err error) {
+// loadStore reads all that an embedded store holds of figures. A file that is not there holds nothing.
+func loadStore(path string) (m meta, c storedLedger, err error) {
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
 		return m, c, nil
 	}
-	db, err := open(path, &bbolt.Options{Timeout: openTime, ReadOnly: true})
+	db, err := open(path, &bbolt.Options{Timeout: defaultOpenTimeout, ReadOnly: true})
 	if err != nil {
 		return m, c, err
 	}
@@ -112,7 +112,7 @@
 	return m, c, err
 }
 
-func loadTx(tx *bbolt.Tx, m *meta, c *content) error {
+func loadTx(tx *bbolt.Tx, m *meta, c *storedLedger) error {
 	b := tx.Bucket(bucketMeta)
 	if b == nil { // it was made, and nothing was ever committed
 		return nil
@@ -153,13 +153,13 @@
 	Last        uint64
 }
 
-// readings is how often Read looks again, where a gateway that writes on meanwhile makes its log look torn.
-const readings = 5
+// maxReadAttempts is how often Read looks again, where a gateway that writes on meanwhile makes its log look torn.
+const maxReadAttempts = 5
 
 // Read reads a folder's books as they stand, the log included. It changes nothing. What a gateway at work posts while it
 // is read is in it up to some moment.
 func Read(dir string) (v *View, err error) {
-	for range readings {
+	for range maxReadAttempts {
 		if v, err = readOnce(dir); err != nil || len(v.Notes) == 0 {
 			break
 		}
@@ -169,13 +169,13 @@
 
 func readOnce(dir string) (*View, error) {
 	path := filepath.Join(dir, dbName)
-	db, err := open(path, &bbolt.Options{Timeout: openTime, ReadOnly: true})
+	db, err := open(path, &bbolt.Options{Timeout: defaultOpenTimeout, ReadOnly: true})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
 	defer db.Close() // while it is open, no statement goes in and no segment goes away
 	var m meta
-	var c content
+	var c storedLedger
 	err = guard(func() error { return db.View(func(tx *bbolt.Tx) error { return loadTx(tx, &m, &c) }) })
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
@@ -190,7 +190,7 @@
 // Records hands the records for export behind a number on, in their order.
 func Records(dir string, after uint64, f func(line []byte, r statement.Record) error) error {
 	path := filepath.Join(dir, dbName)
-	db, err := open(path, &bbolt.Options{Timeout: openTime, ReadOnly: true})
+	db, err := open(path, &bbolt.Options{Timeout: defaultOpenTimeout, ReadOnly: true})
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
--- a/internal/ledger/store/recovery.go
+++ b/internal/ledger/store/recovery.go
@@ -12,17 +12,17 @@
 	"dewhitch/internal/ledger/statement"
 )
 
-// openFolder makes the ledger of what the folder holds.
-func (s *Store) openFolder() (*ledger.Ledger, *Recovered, error) {
+// recoverLedger makes the ledger of what the folder holds.
+func (s *Store) recoverLedger() (*ledger.Ledger, *Recovered, error) {
 	found := &Recovered{}
-	m, stored, err := load(filepath.Join(s.options.Dir, dbName))
+	m, stored, err := loadStore(filepath.Join(s.options.Dir, dbName))
 	if errors.Is(err, errCorrupt) {
 		note := fmt.Sprintf("%s: %v; the figures before this start were set aside", dbName, err)
 		if err := s.setAside(); err != nil {
 			return nil, nil, err
 		}
 		found.Notes = append(found.Notes, note)
-		m, stored, err = meta{}, content{}, nil
+		m, stored, err = meta{}, storedLedger{}, nil
 	}
 	if err != nil {
 		return nil, nil, err
@@ -45,21 +45,21 @@
 		return nil, nil, err
 	}
 	for _, n := range numbers { // they are covered by the next statement
-		s.full = append(s.full, &segment{number: n, path: segmentPath(s.options.Dir, n)})
+		s.fullSegments = append(s.fullSegments, &segment{number: n, path: segmentPath(s.options.Dir, n)})
 		s.nextNumber = max(s.nextNumber, n)
 	}
 	s.nextNumber = max(s.nextNumber, m.Segment) + 1
 	now := time.Now()
 	start := statement.Record{Kind: statement.StartRecord, From: now, To: now,
 		Note: fmt.Sprintf("%d postings replayed, %d reqs cut off by a crash", found.Replayed, found.CutOffRequests)}
-	s.uncommitted = newUncommitted()
-	s.uncommitted.notes = []statement.Record{start}
+	s.staged = newStagedStatement()
+	s.staged.notes = []statement.Record{start}
 	for _, note := range found.Notes {
-		s.uncommitted.notes = append(s.uncommitted.notes, statement.Record{Kind: statement.Gap, From: now, To: now, Note: note})
+		s.staged.notes = append(s.staged.notes, statement.Record{Kind: statement.Gap, From: now, To: now, Note: note})
 	}
 	// From here on the log begins anew, and what it holds counts once the repair is on the disk. A crash before that
 	// finds all as it was, and repairs it again.
-	s.behindGap.Store(true)
+	s.afterGap.Store(true)
 	return l, found, nil
 }
 
@@ -78,28 +78,28 @@
 	return os.Rename(filepath.Join(s.options.Dir, dbName), filepath.Join(s.options.Dir, dbName)+suffix)
 }
 
-// replayed is what the log held beyond the rows of the store.
-type replayed struct {
+// replayResult is what the log held beyond the rows of the store.
+type replayResult struct {
 	postings int
 	notes    []string // what could not be trusted, or was not kept
 }
 
 // replay makes a ledger of what the store holds and of the log behind it. It stops at the first record that is not complete: what
 // stands behind a break is never counted on.
-func replay(dir string, limits ledger.Limits, m meta, stored content, stating bool) (*ledger.Ledger, replayed, error) {
-	l := ledger.New(limits, stating)
+func replay(dir string, limits ledger.Limits, m meta, stored storedLedger, makesStatements bool) (*ledger.Ledger, replayResult, error) {
+	l := ledger.New(limits, makesStatements)
 	for _, k := range stored.rows {
 		l.Restore(k)
 	}
 	for _, o := range stored.open {
 		l.RestoreOpen(o)
 	}
-	var found replayed
+	var found replayResult
 	numbers, err := segments(dir)
 	if err != nil {
 		return nil, found, err
 	}
-	at, broken := m.At, false
+	at, broken := m.Position, false
 	for i, number := range numbers {
 		if number < m.Segment {
 			continue
@@ -109,50 +109,50 @@
 		}
 		path := segmentPath(dir, number)
 		if broken {
-			if behind := postingsIn(path, number); behind > 0 {
+			if behind := countPostings(path, number); behind > 0 {
 				found.notes = append(found.notes, fmt.Sprintf("%s: %d records behind the break were not trusted", path, behind))
 			}
 			continue
 		}
 		s, err := readSegment(path, number, at, m.Statements, l.Post)
-		found.postings += max(0, s.read-at)
-		if err != nil && !errors.Is(err, errHead) {
+		found.postings += max(0, s.end-at)
+		if err != nil && !errors.Is(err, errBadHeader) {
 			return nil, found, err
 		}
 		// The log goes on in a next segment only when this one is full. After a crash of the machine its last pages may be
 		// missing, and those of the next be there; and a reader beside a gateway at work may have read this one before it was
 		// full, and the next after that. Postings between the two would be lost, and figures not add up.
-		broken = !s.full
-		note := breakOf(path, s, err)
+		broken = !s.isFull
+		note := describeBreak(path, s, err)
 		if note == "" {
 			continue
 		}
 		broken = true
 		// A head that was being written when the process ended is no loss: nothing was in the file.
-		if !errors.Is(err, errHead) || i < len(numbers)-1 {
+		if !errors.Is(err, errBadHeader) || i < len(numbers)-1 {
 			found.notes = append(found.notes, note)
 		}
 	}
 	return l, found, nil
 }
 
-// postingsIn counts the records of a segment that is not counted on; 0 if it can't be read.
-func postingsIn(path string, number uint64) (n int) {
+// countPostings counts the records of a segment that is not counted on; 0 if it can't be read.
+func countPostings(path string, number uint64) (n int) {
 	if _, err := readSegment(path, number, 0, math.MaxUint64, func(ledger.Posting) { n++ }); err != nil {
 		return 0
 	}
 	return n
 }
 
-// breakOf says why the log is not followed beyond a segment; empty: it is.
-func breakOf(path string, s scanned, err error) string {
+// describeBreak says why the log is not followed beyond a segment; empty: it is.
+func describeBreak(path string, s scanResult, err error) string {
 	switch {
 	case err != nil:
 		return fmt.Sprintf("%s: %v", path, err)
-	case s.gap:
+	case s.hasGap:
 		return path + ": the disk took no more for a while; what came then was not kept"
-	case s.behind > 0:
-		return fmt.Sprintf("%s: record %d is torn; %d records behind it were not trusted", path, s.read, s.behind)
+	case s.recordsAfterBreak > 0:
+		return fmt.Sprintf("%s: record %d is torn; %d records behind it were not trusted", path, s.end, s.recordsAfterBreak)
 	}
 	return ""
 }
--- a/internal/ledger/store/segment.go
+++ b/internal/ledger/store/segment.go
@@ -21,11 +21,11 @@
 // the map survives the process, whenever that is killed. The last place is kept for a record that says that the log
 // breaks off.
 const (
-	recordSize = 48
-	headSize   = 48
-	magic      = "DWLEDG01"
-	gapEvent   = 0xff
-	takenUp    = 0xfe // first in a segment: the log goes on behind the statement whose number it holds
+	recordSize  = 48
+	headerSize  = 48
+	magic       = "DWLEDG01"
+	gapEvent    = 0xff
+	resumeEvent = 0xfe // first in a segment: the log goes on behind the statement whose number it holds
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
@@ -37,10 +37,10 @@
 	Unmap(mapped []byte) error
 }
 
-// disk is the real one.
-type disk struct{}
+// diskFiles is the real one.
+type diskFiles struct{}
 
-func (disk) Create(path string, size int) ([]byte, error) {
+func (diskFiles) Create(path string, size int) ([]byte, error) {
 	f, err := os.OpenFile(path, os.O_RDWR|os.O_CREATE|os.O_EXCL, 0o640)
 	if err != nil {
 		return nil, err
@@ -60,14 +60,14 @@
 	return m, nil
 }
 
-func (disk) Unmap(m []byte) error { return syscall.Munmap(m) }
+func (diskFiles) Unmap(m []byte) error { return syscall.Munmap(m) }
 
 // segment is one that is being written.
 type segment struct {
 	number   uint64
 	path     string
-	m        []byte
-	at       int // records written
+	mapped   []byte
+	written  int // records written
 	capacity int // that it has room for
 }
 
@@ -76,30 +76,32 @@
 }
 
 func createSegment(f Files, dir string, n uint64, size int) (*segment, error) {
-	s := &segment{number: n, path: segmentPath(dir, n), capacity: (size-headSize)/recordSize - 1}
+	s := &segment{number: n, path: segmentPath(dir, n), capacity: (size-headerSize)/recordSize - 1}
 	m, err := f.Create(s.path, size)
 	if err != nil {
 		return nil, err
 	}
-	s.m = m
+	s.mapped = m
 	copy(m, magic)
 	binary.LittleEndian.PutUint64(m[8:], n)
-	binary.LittleEndian.PutUint32(m[headSize-4:], crc32.Checksum(m[:headSize-4], castagnoli))
+	binary.LittleEndian.PutUint32(m[headerSize-4:], crc32.Checksum(m[:headerSize-4], castagnoli))
 	return s, nil
 }
 
 // put writes one record; there must be room.
 func (s *segment) put(p ledger.Posting) {
-	encode(s.m[headSize+s.at*recordSize:], s.number, uint32(s.at), p)
-	s.at++
+	encode(s.mapped[headerSize+s.written*recordSize:], s.number, uint32(s.written), p)
+	s.written++
 }
 
-// takeUp says that what follows stands behind a statement, and counts if that one is on the disk.
-func (s *segment) takeUp(statement uint64) { s.put(ledger.Posting{Event: takenUp, Ref: statement}) }
+// putResume says that what follows stands behind a statement, and counts if that one is on the disk.
+func (s *segment) putResume(statement uint64) {
+	s.put(ledger.Posting{Event: resumeEvent, Ref: statement})
+}
 
-// gap says in the last place that the log breaks off behind what is written.
-func (s *segment) gap() {
-	encode(s.m[headSize+s.capacity*recordSize:], s.number, uint32(s.capacity), ledger.Posting{Event: gapEvent, Ref: uint64(s.at)})
+// putGap says in the last place that the log breaks off behind what is written.
+func (s *segment) putGap() {
+	encode(s.mapped[headerSize+s.capacity*recordSize:], s.number, uint32(s.capacity), ledger.Posting{Event: gapEvent, Ref: uint64(s.written)})
 }
 
 // encode writes a record. Its checksum comes last, and covers the segment's number and its own place: what an earlier
@@ -115,16 +117,16 @@
 	le.PutUint64(b[24:], p.Ref)
 	le.PutUint64(b[32:], uint64(p.Units))
 	le.PutUint64(b[40:], uint64(p.At))
-	le.PutUint32(b, sum(b, number))
+	le.PutUint32(b, checksum(b, number))
 }
 
-func sum(b []byte, number uint64) uint32 {
+func checksum(b []byte, number uint64) uint32 {
 	return crc32.Update(uint32(number)*2654435761, castagnoli, b[4:recordSize])
 }
 
 func decode(b []byte, number uint64, at uint32) (p ledger.Posting, ok bool) {
 	le := binary.LittleEndian
-	if le.Uint32(b) != sum(b, number) || le.Uint32(b[4:]) != at {
+	if le.Uint32(b) != checksum(b, number) || le.Uint32(b[4:]) != at {
 		return p, false
 	}
 	return ledger.Posting{Event: ledger.Event(b[8]), Key: ledger.Key{Customer: le.Uint64(b[16:]),
@@ -132,60 +134,60 @@
 		Wait: le.Uint16(b[14:]), Units: int64(le.Uint64(b[32:])), At: int64(le.Uint64(b[40:]))}, true
 }
 
-// errHead says that a file is no segment, or not the one that its name says.
-var errHead = errors.New("its head is not a segment's")
+// errBadHeader says that a file is no segment, or not the one that its name says.
+var errBadHeader = errors.New("its head is not a segment's")
 
 // readSegment hands the records of a file from a place on to f, up to the first that is not whole. It tells how many it
 // read, how many whole ones stand behind one that is not, and whether the log breaks off here: with the file, or before
 // it, as it stands behind a statement that came later than those on the disk.
-func readSegment(path string, number uint64, from int, statements uint64, f func(ledger.Posting)) (scanned, error) {
+func readSegment(path string, number uint64, from int, statements uint64, f func(ledger.Posting)) (scanResult, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
-		return scanned{}, err
+		return scanResult{}, err
 	}
 	return scan(b, number, from, statements, f)
 }
 
-// scanned is what reading a segment found.
-type scanned struct {
-	read   int  // place behind the last whole record
-	behind int  // whole records behind one that is not
-	gap    bool // the log breaks off
-	full   bool // all places are taken: the log may go on in the next segment
+// scanResult is what reading a segment found.
+type scanResult struct {
+	end               int  // place behind the last whole record
+	recordsAfterBreak int  // whole records behind one that is not
+	hasGap            bool // the log breaks off
+	isFull            bool // all places are taken: the log may go on in the next segment
 }
 
 // scan does so with a file's bytes.
-func scan(b []byte, number uint64, from int, statements uint64, f func(ledger.Posting)) (s scanned, err error) {
-	if len(b) < headSize+2*recordSize || string(b[:8]) != magic || binary.LittleEndian.Uint64(b[8:]) != number ||
-		crc32.Checksum(b[:headSize-4], castagnoli) != binary.LittleEndian.Uint32(b[headSize-4:]) {
-		return s, errHead
+func scan(b []byte, number uint64, from int, statements uint64, f func(ledger.Posting)) (s scanResult, err error) {
+	if len(b) < headerSize+2*recordSize || string(b[:8]) != magic || binary.LittleEndian.Uint64(b[8:]) != number ||
+		crc32.Checksum(b[:headerSize-4], castagnoli) != binary.LittleEndian.Uint32(b[headerSize-4:]) {
+		return s, errBadHeader
 	}
-	most := (len(b)-headSize)/recordSize - 1
-	place := func(i int) (ledger.Posting, bool) {
-		return decode(b[headSize+i*recordSize:], number, uint32(i))
+	capacity := (len(b)-headerSize)/recordSize - 1
+	recordAt := func(i int) (ledger.Posting, bool) {
+		return decode(b[headerSize+i*recordSize:], number, uint32(i))
 	}
-	last, marked := place(most)
-	s.gap = marked && last.Event == gapEvent
-	for s.read = from; s.read < most; s.read++ {
-		p, ok := place(s.read)
+	last, marked := recordAt(capacity)
+	s.hasGap = marked && last.Event == gapEvent
+	for s.end = from; s.end < capacity; s.end++ {
+		p, ok := recordAt(s.end)
 		if !ok {
 			break
 		}
-		if p.Event == takenUp {
+		if p.Event == resumeEvent {
 			if p.Ref > statements {
-				_, s.gap = place(s.read + 1)
+				_, s.hasGap = recordAt(s.end + 1)
 				return s, nil
 			}
 			continue
 		}
 		f(p)
 	}
-	for i := s.read + 1; i < most; i++ {
-		if _, ok := place(i); ok {
-			s.behind++
+	for i := s.end + 1; i < capacity; i++ {
+		if _, ok := recordAt(i); ok {
+			s.recordsAfterBreak++
 		}
 	}
-	s.full = s.read == most
+	s.isFull = s.end == capacity
 	return s, nil
 }
 
@@ -197,8 +199,8 @@
 	}
 	for _, e := range entries {
 		digits, ok := strings.CutPrefix(e.Name(), "wal-")
-		digits, is := strings.CutSuffix(digits, ".log")
-		if n, err := strconv.ParseUint(digits, 16, 64); ok && is && err == nil {
+		digits, isLog := strings.CutSuffix(digits, ".log")
+		if n, err := strconv.ParseUint(digits, 16, 64); ok && isLog && err == nil {
 			numbers = append(numbers, n)
 		}
 	}
--- a/internal/ledger/store/store.go
+++ b/internal/ledger/store/store.go
@@ -37,10 +37,10 @@
 }
 
 const (
-	dbName   = "ledger.db"
-	lockName = "lock"
-	openTime = 2 * time.Second // for another to let the file go
-	version  = 1
+	dbName             = "ledger.db"
+	lockName           = "lock"
+	defaultOpenTimeout = 2 * time.Second // for another to let the file go
+	version            = 1
 )
 
 // ErrInUse says that another process keeps its books in the folder.
@@ -60,7 +60,7 @@
 	First       uint64       `json:"first"` // that is still there
 	Chain       string       `json:"chain"`
 	Segment     uint64       `json:"segment"`
-	At          int          `json:"at"`
+	Position    int          `json:"at"`
 	Names       ledger.Names `json:"names"`
 	Stated      time.Time    `json:"stated"`
 }
@@ -72,21 +72,21 @@
 	meta    meta
 
 	// Under the recorder's lock, and in Run.
-	current     *segment
-	logIntact   atomic.Bool
-	unlogged    uint64 // postings that are in no log
-	uncommitted *uncommitted
+	current          *segment
+	logIntact        atomic.Bool
+	unloggedPostings uint64 // postings that are in no log
+	staged           *stagedStatement
 
-	behindGap atomic.Bool // what follows in the log must not be counted on: it stands behind a gap
-	resumed   bool        // the log was taken up again, by a statement that is not on the disk yet
+	afterGap      atomic.Bool // what follows in the log must not be counted on: it stands behind a gap
+	resumePending bool        // the log was taken up again, by a statement that is not on the disk yet
 
 	mu            sync.Mutex
-	full          []*segment // full, and not yet covered by a statement on the disk
+	fullSegments  []*segment // full, and not yet covered by a statement on the disk
 	nextNumber    uint64     // number of a segment
-	spares        chan *segment
+	spareSegments chan *segment
 	segmentWanted chan struct{}
 	closing       chan struct{}
-	done          sync.WaitGroup
+	background    sync.WaitGroup
 }
 
 // Recovered is what Open found.
@@ -102,10 +102,10 @@
 // is set aside and said. An error means that nothing can be kept there.
 func Open(o Options) (*Store, *ledger.Ledger, ledger.Names, *Recovered, error) {
 	if o.Files == nil {
-		o.Files = disk{}
+		o.Files = diskFiles{}
 	}
 	if o.OpenTimeout == 0 {
-		o.OpenTimeout = openTime
+		o.OpenTimeout = defaultOpenTimeout
 	}
 	if err := os.MkdirAll(o.Dir, 0o750); err != nil {
 		return nil, nil, ledger.Names{}, nil, err
@@ -118,8 +118,8 @@
 		lock.Close()
 		return nil, nil, ledger.Names{}, nil, fmt.Errorf("%s: %w", o.Dir, ErrInUse)
 	}
-	s := &Store{options: o, lock: lock, spares: make(chan *segment, 1), segmentWanted: make(chan struct{}, 1), closing: make(chan struct{})}
-	l, found, err := s.openFolder()
+	s := &Store{options: o, lock: lock, spareSegments: make(chan *segment, 1), segmentWanted: make(chan struct{}, 1), closing: make(chan struct{})}
+	l, found, err := s.recoverLedger()
 	if err != nil {
 		lock.Close()
 		return nil, nil, ledger.Names{}, nil, err
@@ -127,27 +127,27 @@
 	if seg, err := s.newSegment(); err != nil {
 		o.Log.Error("the ledger's log has no room on the disk", zap.Error(err))
 	} else if seg != nil {
-		s.spares <- seg
+		s.spareSegments <- seg
 	}
-	s.done.Go(s.prepare)
+	s.background.Go(s.createSegments)
 	return s, l, s.meta.Names, found, nil
 }
 
 // Close gives the folder back. What was posted since the last statement stays in the log.
 func (s *Store) Close() error {
 	close(s.closing)
-	s.done.Wait()
+	s.background.Wait()
 	select {
-	case seg := <-s.spares:
-		s.remove(seg)
+	case seg := <-s.spareSegments:
+		s.removeSegment(seg)
 	default:
 	}
 	if s.current != nil {
-		s.options.Files.Unmap(s.current.m)
+		s.options.Files.Unmap(s.current.mapped)
 	}
 	s.logIntact.Store(false)
 	return s.lock.Close()
 }
 
 // LogIntact says whether what is posted now survives a crash of the process.
-func (s *Store) LogIntact() bool { return s.logIntact.Load() && !s.behindGap.Load() }
+func (s *Store) LogIntact() bool { return s.logIntact.Load() && !s.afterGap.Load() }
--- a/internal/ledger/store/store_test.go
+++ b/internal/ledger/store/store_test.go
@@ -29,50 +29,50 @@
 		Limits: ledger.Limits{Rows: 1000, Open: 1000, Flight: 64}, Log: zap.NewNop(), OpenTimeout: 50 * time.Millisecond}
 }
 
-// books are a ledger and its store, as a recorder holds them.
-type books struct {
+// testLedger are a ledger and its store, as a recorder holds them.
+type testLedger struct {
 	t *testing.T
 	*Store
-	l *ledger.Ledger
+	ledger *ledger.Ledger
 }
 
-func opened(t *testing.T, o Options) (*books, *Recovered) {
+func openTestLedger(t *testing.T, o Options) (*testLedger, *Recovered) {
 	t.Helper()
 	s, l, _, found, err := Open(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &books{t, s, l}, found
+	return &testLedger{t, s, l}, found
 }
 
-func (b *books) post(p ledger.Posting) {
+func (b *testLedger) post(p ledger.Posting) {
 	p.At = 1
-	b.l.Post(p)
+	b.ledger.Post(p)
 	b.Append(p)
 }
 
-func (b *books) cut() {
+func (b *testLedger) stage() {
 	b.EndPeriod()
-	b.Stage(b.l.Statement())
+	b.Stage(b.ledger.Statement())
 }
 
-func (b *books) state() error {
-	b.cut()
+func (b *testLedger) commitStatement() error {
+	b.stage()
 	return b.Commit(names)
 }
 
-// ready waits for the segment that is made ahead: with the disk well there is one before long.
-func (b *books) ready() {
+// waitForSpare waits for the segment that is made ahead: with the disk well there is one before long.
+func (b *testLedger) waitForSpare() {
 	for range 1000 {
-		if len(b.spares) > 0 {
+		if len(b.spareSegments) > 0 {
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// killed copies a folder as a SIGKILL at this moment would leave it.
-func killed(t *testing.T, dir string) string {
+// copyFolder copies a folder as a SIGKILL at this moment would leave it.
+func copyFolder(t *testing.T, dir string) string {
 	t.Helper()
 	to := t.TempDir()
 	entries, _ := os.ReadDir(dir)
@@ -88,8 +88,8 @@
 	return to
 }
 
-// addUp checks that a ledger adds up with nothing open, and that its export adds up to it, each record once.
-func addUp(t *testing.T, dir string, l *ledger.Ledger) {
+// requireBalanced checks that a ledger adds up with nothing open, and that its export adds up to it, each record once.
+func requireBalanced(t *testing.T, dir string, l *ledger.Ledger) {
 	t.Helper()
 	if found := l.Audit(true); len(found) > 0 || l.OpenCount() > 0 {
 		t.Fatalf("%v, %d open", found, l.OpenCount())
@@ -123,13 +123,13 @@
 	for seed := range uint64(10) {
 		r := rand.New(rand.NewPCG(seed, 9))
 		dir := t.TempDir()
-		b, _ := opened(t, options(dir))
-		if err := b.state(); err != nil {
+		b, _ := openTestLedger(t, options(dir))
+		if err := b.commitStatement(); err != nil {
 			t.Fatal(err)
 		}
 		var taken uint64
 		kill := func(torn bool) {
-			copied := killed(t, dir)
+			copied := copyFolder(t, dir)
 			if torn { // the record that was being written is there in part
 				path := filepath.Join(copied, filepath.Base(b.current.path))
 				f, err := os.ReadFile(path)
@@ -138,33 +138,33 @@
 				}
 				// Its fields are written one behind another, and the checksum last.
 				rec := make([]byte, recordSize)
-				encode(rec, b.current.number, uint32(b.current.at), ledger.Posting{Event: ledger.FrontTaken, Ref: 1 << 40, At: 1})
-				copy(f[headSize+b.current.at*recordSize+4:], rec[4:8+r.IntN(recordSize-8+1)])
+				encode(rec, b.current.number, uint32(b.current.written), ledger.Posting{Event: ledger.FrontTaken, Ref: 1 << 40, At: 1})
+				copy(f[headerSize+b.current.written*recordSize+4:], rec[4:8+r.IntN(recordSize-8+1)])
 				os.WriteFile(path, f, 0o600)
 			}
 			if r.IntN(2) == 0 { // killed again while it is repaired
-				again, _ := opened(t, options(copied))
-				again.cut()
-				copied = killed(t, copied)
+				again, _ := openTestLedger(t, options(copied))
+				again.stage()
+				copied = copyFolder(t, copied)
 				again.Close()
 			}
-			after, found := opened(t, options(copied))
+			after, found := openTestLedger(t, options(copied))
 			defer after.Close()
 			if len(found.Notes) > 0 {
 				t.Fatalf("seed %d: %v", seed, found.Notes)
 			}
-			total := after.l.Total()
+			total := after.ledger.Total()
 			if total.N[ledger.FrontTaken] != taken {
 				t.Fatalf("seed %d: %d taken are known after the kill, of %d", seed, total.N[ledger.FrontTaken], taken)
 			}
-			if err := after.state(); err != nil {
+			if err := after.commitStatement(); err != nil {
 				t.Fatal(err)
 			}
-			addUp(t, copied, after.l)
+			requireBalanced(t, copied, after.ledger)
 		}
 		n, kills := 0, 0
 		ledgertest.RandomPostings(seed, 400, 30, func(p ledger.Posting) {
-			b.ready()
+			b.waitForSpare()
 			b.post(p)
 			if p.Event == ledger.FrontTaken {
 				taken++
@@ -175,7 +175,7 @@
 				kills++
 				kill(r.IntN(2) == 0)
 			case r.IntN(200) == 0: // cut, and not yet committed; then committed
-				b.cut()
+				b.stage()
 				if kills < 19 {
 					kills++
 					kill(false)
@@ -188,25 +188,25 @@
 		for ; kills < 20; kills++ {
 			kill(kills%2 == 0)
 		}
-		if err := b.state(); err != nil {
+		if err := b.commitStatement(); err != nil {
 			t.Fatal(err)
 		}
-		addUp(t, dir, b.l)
+		requireBalanced(t, dir, b.ledger)
 		b.Close()
 	}
 }
 
-// failing is a disk that has no room while full is set.
-type failing struct {
-	disk
+// failingFiles is a disk that has no room while full is set.
+type failingFiles struct {
+	diskFiles
 	full atomic.Bool
 }
 
-func (f *failing) Create(path string, size int) ([]byte, error) {
+func (f *failingFiles) Create(path string, size int) ([]byte, error) {
 	if f.full.Load() {
 		return nil, &os.PathError{Op: "create", Path: path, Err: syscall.ENOSPC}
 	}
-	return f.disk.Create(path, size)
+	return f.diskFiles.Create(path, size)
 }
 
 // A disk that is full, and a store that can't be written: the books go on in memory, the log breaks off with a mark and
@@ -214,24 +214,24 @@
 func TestDiskFull(t *testing.T) {
 	dir := t.TempDir()
 	o := options(dir)
-	files := &failing{}
+	files := &failingFiles{}
 	o.Files = files
-	b, _ := opened(t, o)
+	b, _ := openTestLedger(t, o)
 	defer b.Close()
-	if err := b.state(); err != nil {
+	if err := b.commitStatement(); err != nil {
 		t.Fatal(err)
 	}
 	reader, err := bbolt.Open(filepath.Join(dir, dbName), 0o600, &bbolt.Options{ReadOnly: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.ready()
+	b.waitForSpare()
 	files.full.Store(true)
 	var taken uint64
-	flood := func(seed uint64) {
+	postMany := func(seed uint64) {
 		ledgertest.RandomPostings(seed, 400, 30, func(p ledger.Posting) {
 			if !files.full.Load() {
-				b.ready()
+				b.waitForSpare()
 			}
 			p.Ref += seed << 32
 			b.post(p)
@@ -240,67 +240,67 @@
 			}
 		})
 	}
-	flood(1)
+	postMany(1)
 	if b.LogIntact() {
 		t.Fatal("more was kept than there is room for")
 	}
-	if err := b.state(); !errors.Is(err, bbolterrors.ErrTimeout) {
+	if err := b.commitStatement(); !errors.Is(err, bbolterrors.ErrTimeout) {
 		t.Fatalf("a statement to a store that is held: %v", err)
 	}
-	flood(2)
-	copied := killed(t, dir)
-	after, found := opened(t, options(copied))
+	postMany(2)
+	copied := copyFolder(t, dir)
+	after, found := openTestLedger(t, options(copied))
 	if notes := strings.Join(found.Notes, "; "); !strings.Contains(notes, "was not kept") {
 		t.Errorf("after a crash with a full disk it says %q", notes)
 	}
-	if err := after.state(); err != nil {
+	if err := after.commitStatement(); err != nil {
 		t.Fatal(err)
 	}
-	addUp(t, copied, after.l)
+	requireBalanced(t, copied, after.ledger)
 	after.Close()
 
 	files.full.Store(false)
 	reader.Close()
 	for range 2 { // the first makes room for the log, the second takes it up
-		if err := b.state(); err != nil {
+		if err := b.commitStatement(); err != nil {
 			t.Fatal(err)
 		}
-		b.ready()
+		b.waitForSpare()
 	}
 	if !b.LogIntact() {
 		t.Fatal("with room on the disk, the log is not taken up")
 	}
-	flood(3)
-	copied = killed(t, dir)
-	after, found = opened(t, options(copied))
+	postMany(3)
+	copied = copyFolder(t, dir)
+	after, found = openTestLedger(t, options(copied))
 	defer after.Close()
-	if total := after.l.Total(); total.N[ledger.FrontTaken] != taken || len(found.Notes) > 0 {
+	if total := after.ledger.Total(); total.N[ledger.FrontTaken] != taken || len(found.Notes) > 0 {
 		t.Errorf("%d taken are known, of %d; %v", total.N[ledger.FrontTaken], taken, found.Notes)
 	}
-	if err := after.state(); err != nil {
+	if err := after.commitStatement(); err != nil {
 		t.Fatal(err)
 	}
-	addUp(t, copied, after.l)
+	requireBalanced(t, copied, after.ledger)
 }
 
 // What is torn or corrupt is found, set aside and said, and the next books begin at nothing or at what can be trusted.
 func TestCorruption(t *testing.T) {
 	dir := t.TempDir()
-	b, _ := opened(t, options(dir))
-	if err := b.state(); err != nil {
+	b, _ := openTestLedger(t, options(dir))
+	if err := b.commitStatement(); err != nil {
 		t.Fatal(err)
 	}
 	post := func(p ledger.Posting) {
-		b.ready()
+		b.waitForSpare()
 		b.post(p)
 	}
 	ledgertest.RandomPostings(3, 300, 20, post)
-	if err := b.state(); err != nil {
+	if err := b.commitStatement(); err != nil {
 		t.Fatal(err)
 	}
 	ledgertest.RandomPostings(4, 100, 20, post)
-	total := b.l.Total()
-	spoil := func(dir, name string, at func(size int) int, with string) {
+	total := b.ledger.Total()
+	corruptFile := func(dir, name string, at func(size int) int, with string) {
 		path := filepath.Join(dir, name)
 		f, err := os.ReadFile(path)
 		if err != nil {
@@ -315,43 +315,45 @@
 	}
 	row := func(dir string) func(int) int { // where some customer's row begins in the store
 		f, _ := os.ReadFile(filepath.Join(dir, dbName))
-		i := bytes.LastIndex(f, rowKey(b.l.Lines()[9].Key))
+		i := bytes.LastIndex(f, rowKey(b.ledger.Lines()[9].Key))
 		return func(int) int { return i + 14 }
 	}
 	wal := filepath.Base(b.current.path)
 	for what, c := range map[string]struct {
-		do    func(dir string)
-		aside bool
-		least uint64 // taken that are still known
+		do       func(dir string)
+		setAside bool
+		minTaken uint64 // taken that are still known
 	}{
-		"a row":                {func(dir string) { spoil(dir, dbName, row(dir), "~~~~") }, true, 0},
-		"both heads":           {func(dir string) { spoil(dir, dbName, func(int) int { return 0 }, strings.Repeat("~", 8192)) }, true, 0},
-		"a store cut short":    {func(dir string) { spoil(dir, dbName, func(int) int { return 9000 }, "") }, true, 0},
-		"the middle of a log":  {func(dir string) { spoil(dir, wal, func(int) int { return headSize + 50*recordSize + 17 }, "~~~") }, false, 200},
-		"the head of a log":    {func(dir string) { spoil(dir, wal, func(int) int { return 3 }, "~~~") }, false, 200},
-		"a log cut short":      {func(dir string) { spoil(dir, wal, func(int) int { return 20 }, "") }, false, 200},
-		"a store of no length": {func(dir string) { spoil(dir, dbName, func(int) int { return 100 }, "") }, true, 0},
+		"a row":             {func(dir string) { corruptFile(dir, dbName, row(dir), "~~~~") }, true, 0},
+		"both heads":        {func(dir string) { corruptFile(dir, dbName, func(int) int { return 0 }, strings.Repeat("~", 8192)) }, true, 0},
+		"a store cut short": {func(dir string) { corruptFile(dir, dbName, func(int) int { return 9000 }, "") }, true, 0},
+		"the middle of a log": {func(dir string) {
+			corruptFile(dir, wal, func(int) int { return headerSize + 50*recordSize + 17 }, "~~~")
+		}, false, 200},
+		"the head of a log":    {func(dir string) { corruptFile(dir, wal, func(int) int { return 3 }, "~~~") }, false, 200},
+		"a log cut short":      {func(dir string) { corruptFile(dir, wal, func(int) int { return 20 }, "") }, false, 200},
+		"a store of no length": {func(dir string) { corruptFile(dir, dbName, func(int) int { return 100 }, "") }, true, 0},
 	} {
 		t.Run(what, func(t *testing.T) {
-			copied := killed(t, dir)
+			copied := copyFolder(t, dir)
 			c.do(copied)
-			after, found := opened(t, options(copied))
+			after, found := openTestLedger(t, options(copied))
 			defer after.Close()
 			if len(found.Notes) == 0 {
 				t.Error("nothing is said")
 			}
 			bad, _ := filepath.Glob(filepath.Join(copied, dbName+".bad-*"))
-			if c.aside != (len(bad) == 1) {
+			if c.setAside != (len(bad) == 1) {
 				t.Errorf("set aside: %v", bad)
 			}
-			got := after.l.Total()
-			if n := got.N[ledger.FrontTaken]; n < c.least || n > total.N[ledger.FrontTaken] {
+			got := after.ledger.Total()
+			if n := got.N[ledger.FrontTaken]; n < c.minTaken || n > total.N[ledger.FrontTaken] {
 				t.Errorf("%d taken are known", n)
 			}
-			if err := after.state(); err != nil {
+			if err := after.commitStatement(); err != nil {
 				t.Fatal(err)
 			}
-			addUp(t, copied, after.l)
+			requireBalanced(t, copied, after.ledger)
 		})
 	}
 	if _, _, _, _, err := Open(options(dir)); !errors.Is(err, ErrInUse) {
@@ -364,15 +366,15 @@
 // it, and the next segment is there: nothing of that is counted, and the figures add up.
 func TestHoleBetweenSegments(t *testing.T) {
 	dir := t.TempDir()
-	b, _ := opened(t, options(dir))
+	b, _ := openTestLedger(t, options(dir))
 	defer b.Close()
-	if err := b.state(); err != nil {
+	if err := b.commitStatement(); err != nil {
 		t.Fatal(err)
 	}
 	first := filepath.Base(b.current.path)
 	n := 0
 	ledgertest.RandomPostings(6, 300, 20, func(p ledger.Posting) {
-		b.ready()
+		b.waitForSpare()
 		b.post(p)
 		n++
 	})
@@ -380,13 +382,13 @@
 		t.Fatalf("%d postings fill no segment", n)
 	}
 	for _, lost := range []int{1, 7, 100} {
-		copied := killed(t, dir)
+		copied := copyFolder(t, dir)
 		path := filepath.Join(copied, first)
 		f, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		end := headSize + b.current.capacity*recordSize // the last place is for the mark of a gap
+		end := headerSize + b.current.capacity*recordSize // the last place is for the mark of a gap
 		clear(f[end-lost*recordSize : end])
 		os.WriteFile(path, f, 0o600)
 		v, err := Read(copied)
@@ -396,42 +398,42 @@
 		if found := v.Ledger.Audit(true); len(found) > 0 {
 			t.Errorf("%d records are lost: %v", lost, found)
 		}
-		after, found := opened(t, options(copied))
+		after, found := openTestLedger(t, options(copied))
 		if notes := strings.Join(found.Notes, "; "); !strings.Contains(notes, "behind the break were not trusted") {
 			t.Errorf("%d records are lost, and it says %q", lost, notes)
 		}
-		if err := after.state(); err != nil {
+		if err := after.commitStatement(); err != nil {
 			t.Fatal(err)
 		}
-		addUp(t, copied, after.l)
+		requireBalanced(t, copied, after.ledger)
 		after.Close()
 	}
 }
 
 // A reader beside a gateway at work sees what was posted up to then, and records beyond the bound are gone.
-func TestReadBeside(t *testing.T) {
+func TestReadWhileWriting(t *testing.T) {
 	o := options(t.TempDir())
 	o.Records = 50
-	b, _ := opened(t, o)
+	b, _ := openTestLedger(t, o)
 	defer b.Close()
-	if err := b.state(); err != nil {
+	if err := b.commitStatement(); err != nil {
 		t.Fatal(err)
 	}
 	n := 0
 	ledgertest.RandomPostings(5, 300, 20, func(p ledger.Posting) {
-		b.ready()
+		b.waitForSpare()
 		b.post(p)
 		if n++; n%200 != 0 {
 			return
 		}
 		v, err := Read(o.Dir)
-		if err != nil || v.Ledger.Total() != b.l.Total() || v.Ledger.OpenCount() != b.l.OpenCount() {
+		if err != nil || v.Ledger.Total() != b.ledger.Total() || v.Ledger.OpenCount() != b.ledger.OpenCount() {
 			t.Fatalf("after %d postings: %v", n, err)
 		}
 		if found := v.Ledger.Audit(true); len(found) > 0 {
 			t.Fatal(found)
 		}
-		if err := b.state(); err != nil {
+		if err := b.commitStatement(); err != nil {
 			t.Fatal(err)
 		}
 	})
--- a/internal/ledger/store/write.go
+++ b/internal/ledger/store/write.go
@@ -22,7 +22,7 @@
 )
 
 // write puts a statement into the embedded store, all of it or nothing.
-func (s *Store) write(p *uncommitted, names ledger.Names) (meta, error) {
+func (s *Store) write(p *stagedStatement, names ledger.Names) (meta, error) {
 	db, err := open(filepath.Join(s.options.Dir, dbName), &bbolt.Options{Timeout: s.options.OpenTimeout, NoSync: !s.options.Sync})
 	if err != nil {
 		return meta{}, err
@@ -47,7 +47,7 @@
 	maxRecords int // for export, that are kept
 }
 
-func (w *writer) statement(p *uncommitted, names ledger.Names) error {
+func (w *writer) statement(p *stagedStatement, names ledger.Names) error {
 	for _, name := range [][]byte{bucketMeta, bucketRows, bucketRecords} {
 		if _, err := w.tx.CreateBucketIfNotExists(name); err != nil {
 			return err
@@ -57,9 +57,9 @@
 	m.Statements++
 	from := m.Stated
 	if from.IsZero() {
-		from = p.to
+		from = p.end
 	}
-	m.Names, m.Segment, m.At, m.Stated = names, p.segment, p.at, p.to
+	m.Names, m.Segment, m.Position, m.Stated = names, p.segment, p.position, p.end
 	w.tx.Bucket(bucketRecords).FillPercent = 1 // they come in their order
 	for _, write := range []func() error{
 		func() error { return w.rows(p) },
@@ -75,7 +75,7 @@
 }
 
 // rows writes the rows that have changed, and deletes those that were rolled up.
-func (w *writer) rows(p *uncommitted) (err error) {
+func (w *writer) rows(p *stagedStatement) (err error) {
 	rows := w.tx.Bucket(bucketRows)
 	for _, k := range sortedKeys(p.rows) {
 		row := p.rows[k]
@@ -92,14 +92,14 @@
 }
 
 // records writes the records for export: notes, figures by row, and tries at requests with an idempotency key.
-func (w *writer) records(p *uncommitted, names ledger.Names, from time.Time) error {
+func (w *writer) records(p *stagedStatement, names ledger.Names, from time.Time) error {
 	for _, r := range p.notes {
 		if err := w.record(r); err != nil {
 			return err
 		}
 	}
 	for _, k := range sortedKeys(p.deltas) {
-		r := statement.Record{Kind: statement.Figures, From: from, To: p.to, Customer: ledger.CustomerText(k.Customer),
+		r := statement.Record{Kind: statement.Figures, From: from, To: p.end, Customer: ledger.CustomerText(k.Customer),
 			Plan: names.Plan(k.Plan), Class: names.Class(k.Class), Figures: p.deltas[k]}
 		if err := w.record(r); err != nil {
 			return err
