--- a/internal/ledger/audit.go
+++ b/internal/ledger/audit.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// Mismatch says that two figures that must be equal are not.
+// Mismatch is a pair of figures that must be equal and are not.
 type Mismatch struct {
 	Key         Key
-	AllRows     bool // it is over all rows, and Key is of none
-	Check       string
+	AllRows     bool   // the figures are sums over all rows, and Key is empty
+	Check       string // text of the check that failed
 	Journals    [2]Journal
-	Left, Right uint64 // in the order of Books; units are in millionths
+	Left, Right uint64 // the two figures, in the order of Journals; units are in millionths
 }
 
-// String words it for a log.
+// String returns the check with both figures and their journals, for logs.
 func (m Mismatch) String() string {
 	return fmt.Sprintf("%s: %d in %s, %d in %s", m.Check, int64(m.Left), m.Journals[0], int64(m.Right), m.Journals[1])
 }
 
-// inFlight is what the table holds of a row.
+// inFlight counts the open entries of one row by the step that they wait for.
 type inFlight struct {
 	openAtFront, openAtPlanner, submitted, orderedAttempts, openAttempts, unreportedAttempts uint64
 	pendingAnswers                                                                           [verdictCount]uint64
@@ -29,6 +29,7 @@
 	orderedCallUnits, openCallUnits, pendingReturnUnits                                      uint64
 }
 
+// countIf returns 1 if the condition is true, and 0 otherwise.
 func countIf(condition bool) uint64 {
 	if condition {
 		return 1
@@ -36,6 +37,7 @@
 	return 0
 }
 
+// add counts one open entry.
 func (t *inFlight) add(e *Entry) {
 	if e.IsCall {
 		ordered, open, returning := e.Pushed && !e.CallStarted && !e.CallEnded, e.CallStarted && !e.CallEnded, e.CallRejected && !e.UnitsReturned
@@ -59,9 +61,9 @@
 	}
 }
 
-// Audit checks the rows that were posted to since the last audit and those that are watched, or, with all, every row
-// and the sum over them. What does not add up is returned, in the order of the keys. A row that nothing was posted to
-// stands as it stood.
+// Audit checks the rows that were posted to since the last audit and the watched rows, or, if allRows is set, every row and the
+// sum over them. It returns the mismatches, sorted by key. The result for a row that was not posted to is the same as before,
+// so that it needs no check.
 func (l *Ledger) Audit(allRows bool, watched ...Key) (found []Mismatch) {
 	l.lastRow = nil
 	l.recencyEpoch++
@@ -113,8 +115,8 @@
 	return found
 }
 
-// Overdue names the rows with entries whose time was up before an instant, in Unix nanoseconds: an owner has not posted
-// what became of them. Audit alone takes them for open.
+// Overdue returns a mismatch for each row with entries whose clients' waiting time ended before the given time (Unix
+// nanoseconds): the posting that ends such an entry is missing. Audit alone would count these entries as open.
 func (l *Ledger) Overdue(before int64) (found []Mismatch) {
 	rows := map[Key]uint64{}
 	for _, e := range l.entries {
@@ -133,7 +135,7 @@
 	return found
 }
 
-// check compares the books of one row, with what is on its way between their owners.
+// check compares the journals of one row, with allowance for the entries that are in flight between their owners.
 func (r *row) check(t *inFlight) (found []Mismatch) {
 	c := &r.counts
 	n := &c.N
@@ -178,13 +180,12 @@
 	return found
 }
 
-// CheckTally is the check of AuditAccounts.
+// CheckTally is the text of the check of AuditAccounts.
 const CheckTally = "units on the tally = drawn - told + returned"
 
-// AuditAccounts compares what the tallies of the decision module hold with the units' book, for the accounts that
-// Accounts named. tally tells what a customer's tally holds, in units; unknown: the module has dropped the account, with
-// whatever was on its tally, which the postings forgotten take note of; they are yet to be posted. It must be called
-// where nothing is drawn meanwhile.
+// AuditAccounts compares the tallies of the decision module with the units' journal, for the accounts that Accounts returned.
+// tally returns the units on a customer's tally, and false if the module has dropped the account with its tally; for those
+// units AuditAccounts returns postings in forgotten, which the caller must post. No units may be drawn during the call.
 func (l *Ledger) AuditAccounts(keys []Key, tally func(customer uint64) (units float64, known bool)) (found []Mismatch,
 	forgotten []Posting) {
 	for _, k := range keys {
@@ -200,7 +201,8 @@
 			}
 			continue
 		}
-		// Each posting was rounded to a millionth, and the module adds up unrounded.
+		// Each posting is rounded to a millionth, and the module sums unrounded units: the difference is up to half a millionth
+		// for each posting.
 		slack := int64(r.counts.N[UnitsDrawn]+r.counts.N[UnitsPushed]+r.counts.N[UnitsReturned])/2 + 1
 		if tallied := MicroUnits(units); tallied-pending > slack || pending-tallied > slack {
 			found = append(found, Mismatch{Key: k, Check: CheckTally, Journals: [2]Journal{JournalPlanner, JournalUnits},
@@ -210,7 +212,7 @@
 	return found, forgotten
 }
 
-// Accounts names the accounts of customers that were posted to since it last did, and those that hold units.
+// Accounts returns the keys of the customers' accounts that were posted to since the last call, and of those that hold units.
 func (l *Ledger) Accounts() (keys []Key) {
 	l.lastRow = nil
 	remaining := l.pendingAccounts[:0]
--- a/internal/ledger/counts.go
+++ b/internal/ledger/counts.go
@@ -1,12 +1,12 @@
 package ledger
 
-// Counts are the figures of a row.
+// Counts holds the figures of a row.
 type Counts struct {
-	N [EventCount]uint64
-	U [unitSums]int64 // in millionths
+	N [EventCount]uint64 // number of postings by event
+	U [unitSums]int64    // sums of units in millionths, indexed by eventKind.unitsIndex
 }
 
-// Units are those that came with an event.
+// Units returns the sum of the units of an event's postings, in millionths; 0 for an event without units.
 func (c *Counts) Units(e Event) int64 {
 	if u := eventKinds[e].unitsIndex; u >= 0 {
 		return c.U[u]
@@ -14,7 +14,7 @@
 	return 0
 }
 
-// Record adds one posting.
+// Record adds one posting of an event with its units, in millionths.
 func (c *Counts) Record(e Event, units int64) {
 	c.N[e]++
 	if u := eventKinds[e].unitsIndex; u >= 0 {
@@ -22,7 +22,7 @@
 	}
 }
 
-// Add adds other figures to these.
+// Add adds the figures of o to c.
 func (c *Counts) Add(o *Counts) {
 	for e, n := range o.N {
 		c.N[e] += n
@@ -32,7 +32,7 @@
 	}
 }
 
-// Minus is what these figures are beyond earlier ones.
+// Minus returns the difference between c and the earlier figures o.
 func (c *Counts) Minus(o *Counts) (d Counts) {
 	for e, n := range c.N {
 		d.N[e] = n - o.N[e]
@@ -43,7 +43,7 @@
 	return d
 }
 
-// Set gives one figure a value, for readers of files.
+// Set sets the count and the units of one event, for readers of files.
 func (c *Counts) Set(e Event, n uint64, units int64) {
 	c.N[e] = n
 	if u := eventKinds[e].unitsIndex; u >= 0 {
@@ -51,10 +51,10 @@
 	}
 }
 
-// IsZero says that nothing was ever counted.
+// IsZero reports whether all figures are 0.
 func (c *Counts) IsZero() bool { return *c == Counts{} }
 
-// Rejected adds up the planner's refusals.
+// Rejected returns the number of requests that the planner refused.
 func (c *Counts) Rejected() (n uint64) {
 	for e := PlanRejectedQuota; e <= PlanRejectedInvalid; e++ {
 		n += c.N[e]
@@ -62,12 +62,12 @@
 	return n
 }
 
-// Failed adds up the planner's failures.
+// Failed returns the number of requests that the planner failed.
 func (c *Counts) Failed() uint64 {
 	return c.N[PlanFailedExhausted] + c.N[PlanFailedDuplicateID] + c.N[PlanFailedCounterUnread]
 }
 
-// AttemptsEnded adds up the attempts that have ended, in whatever way.
+// AttemptsEnded returns the number of attempts that have ended, with any result.
 func (c *Counts) AttemptsEnded() (n uint64) {
 	for e := AttemptOK; e <= AttemptCutoff; e++ {
 		n += c.N[e]
@@ -75,17 +75,17 @@
 	return n
 }
 
-// Ended adds up how requests ended by the front's book, whatever became of them.
+// Ended returns the number of requests that have ended in the front's journal, with any result.
 func (c *Counts) Ended() uint64 {
 	return c.N[FrontServed] + c.N[FrontRejected] + c.FrontFailures()
 }
 
-// FrontFailures adds up what ended as neither served nor refused by the front's book.
+// FrontFailures returns the number of requests that ended in the front's journal neither served nor refused.
 func (c *Counts) FrontFailures() uint64 {
 	return c.N[FrontFailed] + c.N[FrontClientDeparted] + c.N[FrontWriteFailed] + c.N[FrontNotSubmitted] + c.N[FrontCutoff]
 }
 
-// Pending is what the tally of an account must hold, by the units' book.
+// Pending returns the units, in millionths, that the tally of an account must hold by the units' journal.
 func (c *Counts) Pending() int64 {
 	return c.Units(UnitsDrawn) - c.Units(UnitsPushed) + c.Units(UnitsReturned) - c.Units(UnitsForgotten) -
 		c.Units(UnitsCutoff)
--- a/internal/ledger/cutoff.go
+++ b/internal/ledger/cutoff.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// CutOff closes what is open, as a process that has ended left it, and returns the postings that do so; they are booked.
-// After it the identities hold with nothing open.
+// CutOff closes all entries that a process left open when it ended. It posts the closing postings with the time at (Unix
+// nanoseconds) and returns them. Afterwards nothing is open and all checks of Audit hold.
 func (l *Ledger) CutOff(at int64) (ps []Posting) {
 	post := func(e Event, k Key, ref uint64, units int64) {
 		p := Posting{Event: e, Key: k, Ref: ref, Units: units, At: at}
@@ -51,7 +51,7 @@
 			post(UnitsCutoff, line.Key, 0, pending)
 		}
 	}
-	// What still stands in the table is what a fault left there.
+	// Entries that are still open were left by a fault in the postings.
 	l.Abandoned += uint64(len(l.entries))
 	clear(l.entries)
 	for _, r := range l.rows {
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -6,18 +6,20 @@
 	"slices"
 )
 
-// The verdicts of a request, by the event that gave them.
+// verdict is the planner's decision on a request. A store keeps its numbers.
 type verdict uint8
 
+// The verdicts.
 const (
 	undecided verdict = iota
 	served
 	rejected
 	failed
-	other // gone or cut off: no answer was decided
+	other // the client departed or the process ended, without a decision on the answer
 	verdictCount
 )
 
+// verdictOf returns the verdict that an event of the planner's journal gives.
 func verdictOf(e Event) verdict {
 	switch {
 	case e == PlanServed:
@@ -30,7 +32,7 @@
 	return other
 }
 
-// Entry is what is open under a Ref. It holds what the owners have said of this request or call, each in its own words.
+// Entry is an open request or counter call. It holds the state that the postings of each owner with its reference have reported.
 type Entry struct {
 	Key               Key     `json:"Key"`
 	Units             int64   `json:"Units"`
@@ -38,26 +40,26 @@
 	Wait              uint16  `json:"Wait"`
 	HasIdempotencyKey bool    `json:"Keyed"`
 	Hash              uint64  `json:"Hash"`
-	IsCall            bool    `json:"Call"`
+	IsCall            bool    `json:"Call"` // the entry is a counter call
 	FrontTaken        bool    `json:"FrontTaken"`
 	FrontEnded        bool    `json:"FrontEnded"`
-	NeverTaken        bool    `json:"NeverTaken"` // the planner will not take it
-	AnswerLost        bool    `json:"Lost"`       // its answer did not reach the client
+	NeverTaken        bool    `json:"NeverTaken"` // the planner will not accept the request
+	AnswerLost        bool    `json:"Lost"`       // the answer did not reach the client
 	PlanTaken         bool    `json:"PlanTaken"`
 	PlanVerdict       verdict `json:"PlanEnded"`
 	AttemptsOrdered   uint16  `json:"Sent"`
-	AttemptsNotified  uint16  `json:"Heard"`
+	AttemptsNotified  uint16  `json:"Heard"` // attempts whose end the planner was notified of
 	AttemptsStarted   uint16  `json:"Began"`
 	AttemptsEnded     uint16  `json:"Ended"`
-	Pushed            bool    `json:"Told"`      // of a Call
-	CallStarted       bool    `json:"CallBegan"` // of a Call
-	CallEnded         bool    `json:"CallOver"`  // of a Call
+	Pushed            bool    `json:"Told"` // the planner ordered the counter call
+	CallStarted       bool    `json:"CallBegan"`
+	CallEnded         bool    `json:"CallOver"`
 	CallRejected      bool    `json:"Rejected"`
 	UnitsReturned     bool    `json:"Returned"`
-	row               *row    // of Key
+	row               *row    // row of Key
 }
 
-// applyToEntry takes note of a posting on what is open.
+// applyToEntry applies a posting to its open entry e, opens one if e is nil and the posting can, and removes a complete entry.
 func (l *Ledger) applyToEntry(p Posting, e *Entry, r *row) {
 	if e == nil {
 		if e = l.createEntry(p, r); e == nil {
@@ -84,7 +86,8 @@
 	}
 }
 
-// createEntry opens the entry of a posting that can open one. Any other posting speaks of an entry that is not open: Audit finds that.
+// createEntry opens an entry for a posting that can open one. For any other posting it returns nil: the posting refers to an
+// entry that is not open, which Audit finds.
 func (l *Ledger) createEntry(p Posting, r *row) *Entry {
 	switch p.Event {
 	case FrontTaken, PlanTaken, UnitsPushed, CallStarted:
@@ -100,7 +103,7 @@
 	return e
 }
 
-// applyFront takes note of what the front says of a request.
+// applyFront applies a posting of the front's journal.
 func (e *Entry) applyFront(p Posting, r *row) {
 	switch p.Event {
 	case FrontTaken:
@@ -118,7 +121,7 @@
 	}
 }
 
-// applyPlanner takes note of what the planner says of a request.
+// applyPlanner applies a posting of the planner's journal.
 func (e *Entry) applyPlanner(event Event, r *row) {
 	switch event {
 	case PlanTaken:
@@ -127,7 +130,7 @@
 		e.AttemptsOrdered++
 	case PlanNotified, PlanNeverNotified:
 		e.AttemptsNotified++
-	default: // its end; the first counts
+	default: // the end of the request; only the first is applied
 		if e.PlanVerdict != undecided {
 			return
 		}
@@ -138,7 +141,7 @@
 	}
 }
 
-// applyAttempt takes note of what the pools say of an attempt.
+// applyAttempt applies a posting of the attempts' journal.
 func (e *Entry) applyAttempt(event Event) {
 	switch event {
 	case AttemptStarted:
@@ -151,7 +154,7 @@
 	}
 }
 
-// applyCall takes note of what the planner and the counter's client say of a call to the counter.
+// applyCall applies a posting on a counter call, of the units' or the counter's journal.
 func (e *Entry) applyCall(event Event) {
 	switch event {
 	case UnitsPushed:
@@ -167,7 +170,7 @@
 	}
 }
 
-// endFront takes note that the front has ended the request; the first end counts.
+// endFront marks the request as ended by the front; only the first end is applied.
 func (e *Entry) endFront(r *row) {
 	if e.FrontEnded {
 		return
@@ -178,7 +181,7 @@
 	}
 }
 
-// isComplete says that nothing more is to come under the entry's Ref.
+// isComplete reports whether no more postings with the entry's reference are expected.
 func (e *Entry) isComplete() bool {
 	if e.IsCall {
 		return e.CallEnded && e.CallStarted && (!e.CallRejected || e.UnitsReturned)
@@ -186,8 +189,8 @@
 	return e.FrontEnded && (e.PlanVerdict != undecided || e.NeverTaken) && e.AttemptsNotified >= e.AttemptsOrdered && e.AttemptsEnded <= e.AttemptsNotified
 }
 
-// abandonEntries gives up an eighth of the table: entries that the front has ended first, as only a fault leaves many of
-// those, then any. Their rows say what does not add up from then on.
+// abandonEntries drops an eighth of the open entries: first those that the front has ended, as only a fault leaves many of
+// them, then any. Audit reports mismatches in their rows from then on.
 func (l *Ledger) abandonEntries() {
 	refs := slices.Sorted(maps.Keys(l.entries))
 	slices.SortStableFunc(refs, func(a, b uint64) int {
@@ -205,10 +208,15 @@
 	return e.FrontTaken && !e.PlanTaken && e.PlanVerdict == undecided && !e.NeverTaken
 }
 
+// orderedAttempts returns the number of attempts that are ordered and not started.
 func (e *Entry) orderedAttempts() int {
 	return max(0, int(e.AttemptsOrdered)-int(max(e.AttemptsStarted, e.AttemptsNotified)))
 }
+
+// openAttempts returns the number of attempts that are started and not ended.
 func (e *Entry) openAttempts() int {
 	return max(0, int(e.AttemptsStarted)-int(max(e.AttemptsEnded, e.AttemptsNotified)))
 }
+
+// unreportedAttempts returns the number of attempts that have ended and whose end the planner was not notified of.
 func (e *Entry) unreportedAttempts() int { return max(0, int(e.AttemptsEnded)-int(e.AttemptsNotified)) }
--- a/internal/ledger/events.go
+++ b/internal/ledger/events.go
@@ -1,92 +1,92 @@
 package ledger
 
-// Journal is a set of postings of one owner.
+// Journal identifies a journal: the postings of one part of the gateway, which owns it.
 type Journal uint8
 
-// The books.
+// The journals, by their owners.
 const (
 	JournalFront    Journal = iota // client sessions
-	JournalPlanner                 // decisions
-	JournalAttempts                // the pools of connections to backends; at a forwarder, to planners
-	JournalUnits                   // the decision module's account, as the planner sees it
+	JournalPlanner                 // decisions of the planner
+	JournalAttempts                // pools of connections to backends; in a forwarder, to planners
+	JournalUnits                   // accounts of the decision module, posted by the planner
 	JournalCounter                 // calls to the shared counter
-	JournalCount
+	JournalCount                   // number of journals
 )
 
 var journalNames = [JournalCount]string{"front", "planner", "fetches", "units", "counter"}
 
-// String is the book's name.
+// String returns the name of the journal in logs, alarms and exports.
 func (j Journal) String() string { return journalNames[j] }
 
-// Event is what a posting says.
+// Event is the kind of a posting.
 type Event uint8
 
-// The events. Their numbers stand in files: new ones go to the end.
+// The events. Files contain their numbers, so that new events go to the end.
 const (
 	None Event = iota
 
-	FrontTaken          // a request, whole and well formed, was handed to the planner
-	FrontServed         // the last byte of its value was written
+	FrontTaken          // a complete and well-formed request was submitted to the planner
+	FrontServed         // the last byte of the value was written
 	FrontRejected       // the last byte of a refusal was written
 	FrontFailed         // the last byte of an error was written
-	FrontClientDeparted // the client left before an answer was there
-	FrontWriteFailed    // an answer was there and its last byte could not be written
-	FrontNotSubmitted   // the front ended it itself: the planner takes nothing any more
-	FrontCutoff         // the process ended first
-
-	PlanTaken
-	PlanServed
-	PlanRejectedQuota     // the quota, or the cap on open attempts, has no room
-	PlanRejectedCeiling   // nor has the hard ceiling
-	PlanRejectedOverload  // for the backends' sake
-	PlanRejectedExhausted // out of attempts or time, with nothing that can't be repeated
-	PlanRejectedInvalid
-	PlanFailedExhausted     // out of attempts or time, and it may have run
-	PlanFailedDuplicateID   // another request is open under its id
+	FrontClientDeparted // the client closed its connection before there was an answer
+	FrontWriteFailed    // there was an answer, and its last byte could not be written
+	FrontNotSubmitted   // the front ended the request because the planner no longer accepts requests
+	FrontCutoff         // the process ended before the request did
+
+	PlanTaken               // the planner accepted a request
+	PlanServed              // a value was returned to the front
+	PlanRejectedQuota       // the quota, or the limit on open attempts, is used up
+	PlanRejectedCeiling     // the hard ceiling is used up
+	PlanRejectedOverload    // the backends are overloaded
+	PlanRejectedExhausted   // attempts or time ran out, and the request did not run, or may safely be repeated
+	PlanRejectedInvalid     // the class or plan does not exist, or no time is left
+	PlanFailedExhausted     // attempts or time ran out, and the request may have run
+	PlanFailedDuplicateID   // another request with the same id is open
 	PlanFailedCounterUnread // the counter gave no exact answer in time
-	PlanClientDeparted      // the client left
-	PlanCutoff
-	PlanSent // a attempt was ordered
-	PlanNotified
-
-	AttemptStarted
-	AttemptOK
-	AttemptError
-	AttemptRejected
-	AttemptTimeout
-	AttemptConnectFailed
-	AttemptReset
-	AttemptCancelled
-	AttemptNotSent
-	AttemptCutoff
-
-	UnitsDrawn    // onto the tally of the module's account; below 0: given back
-	UnitsPushed   // a call with the tally was ordered
-	UnitsReturned // onto the tally again, as nothing was added
-	UnitsForgotten
-
-	CallStarted
-	CallAdded
-	CallRejected // nothing was added
-	CallUnknown  // it may have been added
-	CallCutoff
-
-	FrontNeverTaken     // the process ended before the planner took it
-	AttemptNeverStarted // and before the pools had the attempt
-	PlanNeverNotified   // and before the planner heard of its end
-	CallNeverStarted
-	UnitsNeverReturned
-	UnitsCutoff // what was on the tally when the process ended
-
-	FrontIdempotencyKey // the request taken under this Ref has an idempotency key; instead of units, the key's hash
-	EventCount
+	PlanClientDeparted      // the client closed its connection
+	PlanCutoff              // the process ended before the planner decided
+	PlanSent                // the planner ordered an attempt
+	PlanNotified            // the planner was notified of the end of an attempt
+
+	AttemptStarted       // the pools started an attempt
+	AttemptOK            // the server returned a value
+	AttemptError         // the server returned an error
+	AttemptRejected      // the server rejected the request without running it
+	AttemptTimeout       // there was no answer in time
+	AttemptConnectFailed // no connection was made
+	AttemptReset         // the connection broke
+	AttemptCancelled     // the gateway cancelled the attempt
+	AttemptNotSent       // nothing was written to the server
+	AttemptCutoff        // the process ended before the attempt did
+
+	UnitsDrawn     // units were added to the tally of an account in the decision module; negative if given back
+	UnitsPushed    // a counter call with the units of the tally was ordered
+	UnitsReturned  // the units of a rejected call were added to the tally again
+	UnitsForgotten // the module dropped an account with units on its tally
+
+	CallStarted  // the counter's client started a call
+	CallAdded    // the counter added the units
+	CallRejected // the counter added nothing
+	CallUnknown  // the counter may have added the units
+	CallCutoff   // the process ended before the call did
+
+	FrontNeverTaken     // the process ended before the planner accepted the request
+	AttemptNeverStarted // the process ended before the pools started the attempt
+	PlanNeverNotified   // the process ended before the planner was notified of the end of the attempt
+	CallNeverStarted    // the process ended before the call started
+	UnitsNeverReturned  // the process ended before the units of a rejected call were returned
+	UnitsCutoff         // units that were on the tally when the process ended
+
+	FrontIdempotencyKey // the request with this reference has an idempotency key; Units holds the hash of the key
+	EventCount          // number of events, with None
 )
 
-// eventKind describes an event.
+// eventKind is the description of an event.
 type eventKind struct {
 	name       string
 	journal    Journal
-	unitsIndex int8 // where its units are added up; below 0: they are not
+	unitsIndex int8 // index of the sum of its units in Counts.U; negative for an event without units
 }
 
 var eventKinds = [EventCount]eventKind{
@@ -117,9 +117,10 @@
 	CallCutoff: {"calls_cut_off", JournalCounter, 13}, CallNeverStarted: {"calls_never_begun", JournalCounter, 14},
 }
 
-const unitSums = 16 // of units, one an event
+// unitSums is the number of events with units.
+const unitSums = 16
 
-// String is the event's name, as exports and metrics have it.
+// String returns the event's name in exports and metrics.
 func (e Event) String() string {
 	if e == None || e >= EventCount {
 		return "none"
@@ -127,13 +128,13 @@
 	return eventKinds[e].name
 }
 
-// Journal is the book that the event is posted to.
+// Journal returns the journal that the event is posted to.
 func (e Event) Journal() Journal { return eventKinds[e].journal }
 
-// HasUnits says whether units go with the event.
+// HasUnits reports whether postings of the event have units.
 func (e Event) HasUnits() bool { return e > None && e < EventCount && eventKinds[e].unitsIndex >= 0 }
 
-// ByName finds an event.
+// ByName returns the event with a name, and false if there is none.
 func ByName(name string) (Event, bool) {
 	for e := None + 1; e < EventCount; e++ {
 		if eventKinds[e].name == name {
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -9,7 +9,7 @@
 	"dewhitch/internal/golden"
 )
 
-// events are all events in the order of their numbers, which stand in log segments and in rows of the embedded store.
+// events lists all events by number. Log segments and rows of the embedded store contain the numbers.
 var events = []Event{None, FrontTaken, FrontServed, FrontRejected, FrontFailed, FrontClientDeparted, FrontWriteFailed, FrontNotSubmitted, FrontCutoff,
 	PlanTaken, PlanServed, PlanRejectedQuota, PlanRejectedCeiling, PlanRejectedOverload, PlanRejectedExhausted, PlanRejectedInvalid,
 	PlanFailedExhausted, PlanFailedDuplicateID, PlanFailedCounterUnread, PlanClientDeparted, PlanCutoff, PlanSent, PlanNotified,
@@ -17,16 +17,16 @@
 	AttemptCutoff, UnitsDrawn, UnitsPushed, UnitsReturned, UnitsForgotten, CallStarted, CallAdded, CallRejected, CallUnknown,
 	CallCutoff, FrontNeverTaken, AttemptNeverStarted, PlanNeverNotified, CallNeverStarted, UnitsNeverReturned, UnitsCutoff, FrontIdempotencyKey}
 
-// TestEventForm freezes the number, the text and the book of each event, and whether it has units. Segments and rows hold
-// the number; export records, CSV columns, metrics and alarms hold the text, which ByName reads.
+// TestEventForm compares the number, the text and the journal of each event, and whether it has units, with a golden file.
+// Segments and rows contain the number; export records, CSV columns, metrics and alarms contain the text, which ByName parses.
 func TestEventForm(t *testing.T) {
 	if len(events) != int(EventCount) {
-		t.Errorf("%d events are listed, and there are %d", len(events), EventCount)
+		t.Errorf("the test lists %d events, expected %d", len(events), EventCount)
 	}
 	var lines strings.Builder
 	for n, e := range events {
 		if int(e) != n {
-			t.Errorf("event %s has number %d in place of %d", e, e, n)
+			t.Errorf("event %s has number %d, expected %d", e, e, n)
 		}
 		fmt.Fprintln(&lines, uint8(e), e, e.Journal(), e.HasUnits())
 	}
@@ -39,13 +39,13 @@
 			t.Fatal(err)
 		}
 		if e, ok := ByName(text); number != 0 && (!ok || e != events[number]) {
-			t.Errorf("%q is read as event %d in place of %d", text, e, number)
+			t.Errorf("ByName(%q) returned event %d, expected %d", text, e, number)
 		}
 	}
 }
 
-// TestNumberForm freezes the numbers and texts of books, verdicts and reserved keys. The embedded store holds verdicts (in
-// the entries that are open) and keys; alarms and the export hold the texts.
+// TestNumberForm compares the numbers and texts of journals, verdicts and reserved keys with a golden file. The embedded store
+// contains verdicts (in open entries) and keys; alarms and the export contain the texts.
 func TestNumberForm(t *testing.T) {
 	var lines strings.Builder
 	for _, j := range []Journal{JournalFront, JournalPlanner, JournalAttempts, JournalUnits, JournalCounter} {
@@ -75,8 +75,8 @@
 	golden.Compare(t, "numbers", []byte(lines.String()))
 }
 
-// TestCheckForm freezes the text of each check with the order of its two books. The alarm file, the program's log and the
-// verify command show it; readers tell alarms apart by it.
+// TestCheckForm compares the text of each check and the order of its two journals with a golden file. The alarm file, the
+// program's log and the verify command show the text, and readers tell alarms apart by it.
 func TestCheckForm(t *testing.T) {
 	l := New(Limits{}, false)
 	for _, k := range []Key{{Customer: 5, Plan: 1, Class: 2}, Account(6)} {
@@ -92,7 +92,7 @@
 	tally := func(uint64) (float64, bool) { return 17, true }
 	_, forgotten := l.AuditAccounts([]Key{Account(6)}, func(uint64) (float64, bool) { return 0, false })
 	tallies, _ := l.AuditAccounts([]Key{Account(6)}, tally)
-	var lines []string // sorted, as an audit goes through the rows in any order
+	var lines []string // sorted below, as an audit visits the rows in random order
 	for _, m := range slices.Concat(l.Audit(true), l.Overdue(3e9), tallies) {
 		lines = append(lines, fmt.Sprintln(m.Key.Customer, m.Key.Plan, m.Key.Class, m.AllRows, m))
 	}
--- a/internal/ledger/key.go
+++ b/internal/ledger/key.go
@@ -4,26 +4,26 @@
 	"math"
 )
 
-// Key names a row: what one customer asked for, under one plan and class. The numbers of plans and classes are the
-// recorder's (it knows their names).
+// Key identifies a row: the requests of one customer under one plan and class. The recorder assigns the numbers of plans and
+// classes, and keeps their names.
 type Key struct {
 	Customer uint64 `json:"Customer"`
 	Plan     int16  `json:"Plan"`
 	Class    int16  `json:"Class"`
 }
 
-// Others is the customer of the rows into which those of evicted customers are rolled up, by plan and class.
+// Others is the customer in the keys of rolled-up rows, which sum the evicted rows of a plan and class.
 const Others = math.MaxUint64
 
-// The classes that no settings have.
+// Reserved classes, which are not in the settings.
 const (
-	ClassQuery   int16 = -1 - iota // queries of a limit
-	ClassAdjust                    // units taken or given back
-	ClassAccount                   // a customer's account: units drawn, and what the counter was told; of no plan
+	ClassQuery   int16 = -1 - iota // queries of a customer's limit
+	ClassAdjust                    // adjustments: units taken or given back
+	ClassAccount                   // a customer's account: units drawn, and calls to the counter; has no plan
 )
 
-// NoPlan is the plan of account rows.
+// NoPlan is the plan in the keys of account rows.
 const NoPlan int16 = -1
 
-// Account is the key of a customer's account.
+// Account returns the key of a customer's account.
 func Account(customer uint64) Key { return Key{customer, NoPlan, ClassAccount} }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -1,13 +1,13 @@
-// Package ledger keeps the records of a gateway: what was taken, what became of it, and whether the figures add up. It is
-// a pure state machine. Owners' postings go in, one at a time; rows, mismatches and closings come out. It does no input
-// or output, reads no clock and starts nothing, so that a recorded run of postings gives the same figures again.
+// Package ledger records the requests that a gateway receives and how they end, and verifies that the figures balance. It is a
+// pure state machine: it takes postings one at a time, and returns rows, mismatches and closing postings. It does no I/O, reads
+// no clock and starts no goroutine, so that replaying recorded postings gives the same figures.
 //
-// Bookkeeping is by double entry. Each part of the gateway posts to a book of its own what it did itself, and no
-// figure is taken from another's: the front what it took and wrote, the planner what it decided, the pools how attempts
-// ended, the counter's client what became of its calls. Audit compares the books with each other, and each with the
-// table of what is open.
+// Bookkeeping is by double entry. Each part of the gateway posts its own actions to its own journal, and takes no figure from
+// another part: the front posts requests received and answers written, the planner its decisions, the pools how attempts
+// ended, and the counter's client how its calls ended. Audit compares the journals with each other, and each journal with the
+// table of open entries.
 //
-// Counts are modulo 2^64 and so are their identities: a count that wraps raises no alarm. Units are kept in millionths.
+// Counts and the equations between them are modulo 2^64: a count that wraps raises no alarm. Units are kept in millionths.
 package ledger
 
 import (
@@ -17,42 +17,43 @@
 
 // Limits bound a ledger's memory.
 type Limits struct {
-	Rows   int // of customers; those rolled up come on top, a plan and class each
-	Open   int // entries that are open
-	Flight int // postings that the flight recorder holds
+	Rows   int // maximum of customers' rows; one rolled-up row for each plan and class comes on top
+	Open   int // maximum of open entries
+	Flight int // number of recent postings that are kept for alarms
 }
 
-// Ledger is the state of the books. It is for one goroutine at a time.
+// Ledger is the state of all journals of a gateway. One goroutine uses it at a time. Each row's figures are also added to total;
+// each entry is counted in openEntries of its row.
 type Ledger struct {
 	limits                 Limits
 	rows                   map[Key]*row
-	rowsByRecency          *list.List // of *row, the one posted to last in front; those rolled up are not in it
-	entries                map[uint64]*Entry
-	lastRow                *row   // that was posted to, and has been touched since the last audit or statement
-	recencyEpoch           uint64 // audits and statements
-	total                  Counts // over all rows, booked beside them
-	dirty                  []*row
-	unstored               []*row
-	evictedMismatches      []Mismatch          // in evicted rows
-	evictedKeys            []Key               // evicted rows that a store holds
-	evictedDeltas          []Line              // deltas of evicted rows that no statement holds yet
-	pendingAccounts        []*row              // that were posted to since Accounts last named them, or hold units
-	idempotentRequests     []IdempotentRequest // that have ended since the last statement
-	makesStatements        bool                // statements are made
-	recentPostings         []Posting
-	postingCount           uint64
-	Abandoned              uint64 // entries that were given up as the table was full: their rows no longer add up
-	Evictions              uint64
-	IdempotentRequestsLost uint64 // that came beyond what is held between two statements
+	rowsByRecency          *list.List          // customers' rows (*row), the most recently posted first; without rolled-up rows
+	entries                map[uint64]*Entry   // open entries by reference
+	lastRow                *row                // row of the last posting, already marked as changed; nil after an audit or statement
+	recencyEpoch           uint64              // number of audits
+	total                  Counts              // sum over all rows, posted independently of them
+	dirty                  []*row              // rows that were posted to since the last audit
+	unstored               []*row              // rows that were posted to since the last statement
+	evictedMismatches      []Mismatch          // mismatches found in rows when they were evicted, for the next audit
+	evictedKeys            []Key               // keys of evicted rows that a store still holds
+	evictedDeltas          []Line              // figures of evicted rows that no statement covers yet
+	pendingAccounts        []*row              // accounts that were posted to since the last call of Accounts, or hold units
+	idempotentRequests     []IdempotentRequest // attempts with an idempotency key that ended since the last statement
+	makesStatements        bool                // Statement is called at intervals
+	recentPostings         []Posting           // ring buffer of the last postings
+	postingCount           uint64              // number of postings, which gives the place in recentPostings
+	Abandoned              uint64              // number of entries dropped because the table was full; their rows no longer balance
+	Evictions              uint64              // number of evicted rows
+	IdempotentRequestsLost uint64              // number of attempts dropped beyond the limit between two statements
 }
 
-// New makes empty books. With statements, Statement must be called now and then.
+// New returns an empty ledger. If statements is set, Statement must be called at intervals, as the ledger keeps changes for it.
 func New(l Limits, statements bool) *Ledger {
 	return &Ledger{limits: Limits{max(16, l.Rows), max(16, l.Open), max(16, l.Flight)}, rows: map[Key]*row{},
 		rowsByRecency: list.New(), entries: map[uint64]*Entry{}, makesStatements: statements}
 }
 
-// Post books one posting. Whatever it says is booked: that it fits is for Audit to say.
+// Post adds one posting. It accepts any posting with a known event; Audit finds those that do not fit.
 func (l *Ledger) Post(p Posting) {
 	if p.Event == None || p.Event >= EventCount {
 		return
@@ -66,7 +67,7 @@
 	var r *row
 	e := l.entries[p.Ref]
 	if e != nil && e.Key.Customer == Others {
-		p.Key = e.Key // its row was rolled up while it was open
+		p.Key = e.Key // the row was rolled up while the entry was open
 	}
 	if e != nil && e.Key == p.Key {
 		r = e.row
@@ -81,13 +82,13 @@
 	}
 }
 
-// OpenCount is how many requests and calls are open.
+// OpenCount returns the number of open requests and counter calls.
 func (l *Ledger) OpenCount() int { return len(l.entries) }
 
-// Total is the figures over all rows, as they were booked beside them.
+// Total returns the figures over all rows, which are posted independently of the rows.
 func (l *Ledger) Total() Counts { return l.total }
 
-// Flight returns the last postings to a row that the flight recorder still holds, the oldest first, so many at most.
+// Flight returns the last postings to a row that are still kept, at most limit of them, oldest first.
 func (l *Ledger) Flight(k Key, limit int) (ps []Posting) {
 	for i := range l.recentPostings {
 		p := l.recentPostings[(l.postingCount-1-uint64(i))%uint64(len(l.recentPostings))]
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -11,6 +11,7 @@
 	"dewhitch/internal/ledger/ledgertest"
 )
 
+// requireBalanced fails the test if an audit of all rows finds a mismatch.
 func requireBalanced(t interface {
 	Helper()
 	Fatalf(string, ...any)
@@ -21,15 +22,15 @@
 	}
 }
 
-// Whatever the order in which the owners post, the books add up at every moment: with rows evicted all the time, with
-// none, and with counts that wrap.
+// Guards against mismatches that depend on the order of postings. The ledger must balance after every posting, in any order in
+// which the owners may post: with constant evictions, without any, and with counts that wrap.
 func TestBalancesAfterEveryPosting(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		rows := rapid.SampledFrom([]int{16, 40, 1000}).Draw(t, "rows")
 		l := New(Limits{Rows: rows, Open: 1000, Flight: 1000}, true)
 		if rapid.Bool().Draw(t, "wraps") {
-			// Figures that add up and are about to wrap: 2^64-3 of all, with as many taken as served.
+			// Balanced figures that are about to wrap: all are 2^64-3, with as many requests taken as served.
 			var c Counts
 			for _, e := range []Event{FrontTaken, FrontServed, PlanTaken, PlanServed, PlanSent, PlanNotified, AttemptStarted, AttemptOK} {
 				c.Set(e, math.MaxUint64-2, 0)
@@ -45,14 +46,15 @@
 				requireBalanced(t, l, fmt.Sprint("posting ", posted))
 			}
 		})
-		requireBalanced(t, l, "the end")
+		requireBalanced(t, l, "after the last posting")
 		if l.OpenCount() != 0 || l.Abandoned != 0 {
-			t.Fatalf("%d are open at the end, %d abandoned", l.OpenCount(), l.Abandoned)
+			t.Fatalf("after the last posting %d entries are open and %d abandoned, expected 0", l.OpenCount(), l.Abandoned)
 		}
 	})
 }
 
-// A process may end between any two postings. What its books held then, closed as cut off, adds up with nothing open.
+// A process may be killed between any two postings. For every such place, CutOff must close all open entries so that the ledger
+// balances.
 func TestCutOffAtEveryPosting(t *testing.T) {
 	for seed := range uint64(8) {
 		var postings []Posting
@@ -63,24 +65,24 @@
 				l.Post(p)
 			}
 			l.CutOff(0)
-			requireBalanced(t, l, fmt.Sprintf("seed %d, cut off at %d", seed, cutOffAt))
+			requireBalanced(t, l, fmt.Sprintf("seed %d, cut off after %d postings", seed, cutOffAt))
 			if l.OpenCount() != 0 || l.Abandoned != 0 {
-				t.Fatalf("seed %d, cut off at %d: %d open, %d abandoned", seed, cutOffAt, l.OpenCount(), l.Abandoned)
+				t.Fatalf("seed %d, cut off after %d postings: %d entries open, %d abandoned, expected 0", seed, cutOffAt, l.OpenCount(), l.Abandoned)
 			}
 			total := l.Total()
 			if total.N[FrontTaken] != total.Ended() {
-				t.Fatalf("seed %d, cut off at %d: %d taken, %d ended", seed, cutOffAt, total.N[FrontTaken], total.Ended())
+				t.Fatalf("seed %d, cut off after %d postings: %d requests taken, %d ended", seed, cutOffAt, total.N[FrontTaken], total.Ended())
 			}
 		}
 	}
 }
 
-// Any one posting that is lost, doubled or wrong in its units is found, in its row: at once or, where what is lost is
-// the end of something, once that is open beyond every deadline.
+// Guards against faults that no check detects. Each single posting is lost, doubled or given wrong units in turn; the checks must
+// report its row, and no other: Audit, or, if the lost posting is an end, Overdue after the deadline.
 func TestEveryMiscountIsFound(t *testing.T) {
 	for seed := range uint64(6) {
 		var postings []Posting
-		tallies := map[uint64]int64{} // what its tallies hold
+		tallies := map[uint64]int64{} // millionths of units on the decision module's tallies, by customer
 		ledgertest.RandomPostings(seed, 30, 8, func(p Posting) {
 			postings = append(postings, p)
 			switch p.Event {
@@ -92,7 +94,7 @@
 		})
 		for faultAt, faulty := range postings {
 			for _, fault := range []string{"lost", "doubled", "wrong units"} {
-				if fault == "wrong units" && !faulty.Event.HasUnits() || faulty.Event == FrontIdempotencyKey { // a note, and no figure
+				if fault == "wrong units" && !faulty.Event.HasUnits() || faulty.Event == FrontIdempotencyKey { // it is not a figure, and no check covers it
 					continue
 				}
 				l := New(Limits{Rows: 1000, Open: 1000, Flight: 100}, false)
@@ -116,19 +118,20 @@
 				rowFound := false
 				for _, m := range found {
 					if m.Key != faulty.Key {
-						t.Fatalf("seed %d: %v %s: wrong row %v named", seed, faulty, fault, m.Key)
+						t.Fatalf("seed %d: posting %v %s: the mismatch is reported for row %v", seed, faulty, fault, m.Key)
 					}
 					rowFound = true
 				}
 				if !rowFound {
-					t.Fatalf("seed %d: posting %d, %v of %v, %s, is not found", seed, faultAt, faulty.Event, faulty.Key, fault)
+					t.Fatalf("seed %d: posting %d (%v, row %v) %s: no mismatch is reported", seed, faultAt, faulty.Event, faulty.Key, fault)
 				}
 			}
 		}
 	}
 }
 
-// 200,000 customers that come once each: memory stays bounded, and what was rolled up is exact, by plan.
+// Guards against unbounded memory and wrong sums with customers that send one request each: with 200,000 of them the number of
+// rows stays limited, and the rolled-up figures are exact by plan.
 func TestOneTimeCustomers(t *testing.T) {
 	l := New(Limits{Rows: 500, Open: 100, Flight: 100}, true)
 	var want [3]uint64
@@ -146,25 +149,26 @@
 		}
 	}
 	if rows := len(l.Lines()); rows > 503 {
-		t.Errorf("%d rows", rows)
+		t.Errorf("the ledger has %d rows, expected at most 503", rows)
 	}
-	requireBalanced(t, l, "one-off hauliers")
+	requireBalanced(t, l, "one-time customers")
 	var got [3]uint64
 	for _, line := range l.Lines() {
 		got[line.Key.Plan] += line.Counts.N[FrontTaken]
 	}
 	if got != want {
-		t.Errorf("taken by plan: %v, not %v", got, want)
+		t.Errorf("requests taken by plan: got %v, expected %v", got, want)
 	}
 	for _, d := range l.Statement().Deltas {
 		stated.Add(&d.Counts)
 	}
 	if stated != l.Total() {
-		t.Errorf("the statements add up to %v, the books to %v", stated.N[FrontTaken], l.Total().N[FrontTaken])
+		t.Errorf("the statements add up to %v requests taken, the ledger to %v", stated.N[FrontTaken], l.Total().N[FrontTaken])
 	}
 }
 
-// A row with a miscount that is rolled up before any audit is still reported under its name.
+// Guards against a mismatch that is lost because its row is rolled up before any audit: it must be reported under the
+// customer's own key.
 func TestEvictedRowIsReportedByName(t *testing.T) {
 	l := New(Limits{Rows: 20, Open: 100, Flight: 100}, false)
 	for i := range uint64(100) {
@@ -180,11 +184,12 @@
 		reported = reported || m.Key.Customer == 1007
 	}
 	if !reported {
-		t.Error("it is not named")
+		t.Error("no mismatch is reported for customer 1007")
 	}
 }
 
-// The statements of any storm add up to its books, row by row where no row was evicted between, and hold nothing twice.
+// Guards against figures that statements omit or repeat. The statements of any sequence of postings must add up to the ledger,
+// with and without evictions, and the stored rows must restore a ledger that balances.
 func TestStatementsAddUpToLedger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(Limits{Rows: rapid.SampledFrom([]int{16, 1000}).Draw(t, "rows"), Open: 1000, Flight: 10}, true)
@@ -214,7 +219,7 @@
 			}
 			if posted++; posted%23 == 0 {
 				takeStatement()
-				// What a store holds after any statement adds up as well as what it was made of.
+				// The ledger that a store would restore after any statement must balance as well.
 				restored := New(Limits{Rows: 1000, Open: 1000, Flight: 10}, true)
 				for _, k := range stored {
 					restored.Restore(k)
@@ -236,12 +241,12 @@
 			restored.Restore(k)
 		}
 		if statedTotal != l.Total() || storedTotal != l.Total() || restored.Total() != l.Total() {
-			t.Fatalf("stated %d, kept %d, restored %d, booked %d", statedTotal.N[FrontTaken], storedTotal.N[FrontTaken],
+			t.Fatalf("requests taken: %d in statements, %d in stored rows, %d restored, %d in the ledger", statedTotal.N[FrontTaken], storedTotal.N[FrontTaken],
 				restored.Total().N[FrontTaken], l.Total().N[FrontTaken])
 		}
 		requireBalanced(t, restored, "restored")
 		if attempts != keyed {
-			t.Fatalf("%d tries with a key were stated, of %d", attempts, keyed)
+			t.Fatalf("the statements contain %d attempts with an idempotency key, expected %d", attempts, keyed)
 		}
 	})
 }
--- a/internal/ledger/ledgertest/ledgertest.go
+++ b/internal/ledger/ledgertest/ledgertest.go
@@ -8,13 +8,14 @@
 	"dewhitch/internal/ledger"
 )
 
-// maxOpenScripts bounds how many requests and calls of a Storm are open at once.
+// maxOpenScripts limits how many requests and counter calls RandomPostings has open at once.
 const maxOpenScripts = 20
 
-// millionths is a unit as postings count it.
+// millionths is one unit in the measure of postings.
 const millionths = 1e6
 
-// RandomPostings interleaves the postings of so many requests and counter calls of so many customers at random, and calls post with each.
+// RandomPostings generates the postings of a number of requests and counter calls of a number of customers, interleaves them at
+// random, and calls post with each.
 func RandomPostings(seed uint64, requests, customers int, post func(ledger.Posting)) {
 	r := rand.New(rand.NewPCG(seed, 5))
 	var open []script
@@ -33,16 +34,16 @@
 	}
 }
 
-// startsNext draws whether a new script starts before one that is open continues.
+// startsNext decides at random whether a new script starts before an open one continues.
 func startsNext(r *rand.Rand, open int) bool {
 	return open < maxOpenScripts && r.IntN(3) == 0 || open == 0
 }
 
-// script is the postings of one request or counter call, in an order in which their owners may post them. The ledger must balance after
-// each of them.
+// script holds the postings of one request or counter call, in an order in which their owners may post them. The ledger must
+// balance after each of them.
 type script []ledger.Posting
 
-// newScript draws a counter call, one time in four, or a request.
+// newScript generates a counter call with a probability of one in four, and otherwise a request.
 func newScript(r *rand.Rand, ref uint64, customers int) script {
 	customer := uint64(1 + r.IntN(customers))
 	if r.IntN(4) == 0 {
@@ -54,7 +55,7 @@
 	return s.postings
 }
 
-// callScript draws the postings of a counter call.
+// callScript generates the postings of a counter call.
 func callScript(r *rand.Rand, ref uint64, key ledger.Key) script {
 	units := int64(1+r.IntN(9)) * millionths
 	posting := func(e ledger.Event, ref uint64) ledger.Posting {
--- a/internal/ledger/ledgertest/request.go
+++ b/internal/ledger/ledgertest/request.go
@@ -6,7 +6,7 @@
 	"dewhitch/internal/ledger"
 )
 
-// requestScript draws the postings of one request.
+// requestScript generates the postings of one request.
 type requestScript struct {
 	rand     *rand.Rand
 	ref      uint64
@@ -14,7 +14,7 @@
 	postings script
 }
 
-// chance draws true one time in n.
+// chance returns true with a probability of one in n.
 func (s *requestScript) chance(n int) bool { return s.rand.IntN(n) == 0 }
 
 // add appends postings without units.
@@ -29,10 +29,10 @@
 	s.postings = append(s.postings, ledger.Posting{Event: e, Key: s.key, Ref: s.ref, Units: units})
 }
 
-// reachesBackends is whether requests of the class are sent to backends.
+// reachesBackends reports whether requests of the class are sent to backends.
 func (s *requestScript) reachesBackends() bool { return s.key.Class >= 0 }
 
-// draw draws the whole request, from the front's receipt of it.
+// draw generates the whole request, starting with its receipt by the front.
 func (s *requestScript) draw() {
 	units := int64(1+s.rand.IntN(5)) * millionths
 	s.addUnits(ledger.FrontTaken, units)
@@ -56,7 +56,7 @@
 	s.end(s.outcome(served))
 }
 
-// attempts draws up to two attempts that end before the answer; true: the last one was served.
+// attempts generates up to two attempts that end before the answer. It returns true if the last one was served.
 func (s *requestScript) attempts() (served bool) {
 	if !s.reachesBackends() {
 		return false
@@ -73,7 +73,7 @@
 	return served
 }
 
-// outcome draws the planner's decision, and how the front ends the request by it.
+// outcome generates the planner's decision and the matching end of the request at the front.
 func (s *requestScript) outcome(served bool) (decision, end ledger.Event) {
 	decision = ledger.PlanRejectedQuota + ledger.Event(s.rand.IntN(5))
 	end = ledger.FrontRejected
@@ -90,7 +90,8 @@
 	return decision, end
 }
 
-// end appends the decision and the end; one time in six around them an attempt that is cancelled after the answer.
+// end appends the decision and the end. With a probability of one in six, it puts an attempt around them that is cancelled
+// after the answer.
 func (s *requestScript) end(decision, end ledger.Event) {
 	if s.chance(6) && s.reachesBackends() {
 		s.add(ledger.PlanSent, ledger.AttemptStarted, decision, end, ledger.AttemptCancelled, ledger.PlanNotified)
--- a/internal/ledger/names.go
+++ b/internal/ledger/names.go
@@ -2,13 +2,13 @@
 
 import "strconv"
 
-// Names are the names behind the numbers in keys, in their order.
+// Names maps the numbers in keys to names: the name of a number is at that index.
 type Names struct {
 	Plans   []string `json:"Plans"`
 	Classes []string `json:"Classes"`
 }
 
-// CustomerText is a customer as commands and exports have it.
+// CustomerText returns the form of a customer in commands and exports: 16 hexadecimal digits, or "others" for Others.
 func CustomerText(customer uint64) string {
 	if customer == Others {
 		return "others"
@@ -17,15 +17,16 @@
 	return "0000000000000000"[min(16, len(s)):] + s
 }
 
-// Plan is the word for a plan's number.
+// Plan returns the name of a plan, or its number if it has no name.
 func (n Names) Plan(i int16) string { return nameOf(n.Plans, i, map[int16]string{NoPlan: "-"}) }
 
-// Class is the word for a class's number.
+// Class returns the name of a class, or its number if it has no name.
 func (n Names) Class(i int16) string {
 	return nameOf(n.Classes, i, map[int16]string{ClassQuery: "limit.get", ClassAdjust: "limit.adjust",
 		ClassAccount: "account"})
 }
 
+// nameOf returns the name of i among the reserved names or names, or i in decimal.
 func nameOf(names []string, i int16, reserved map[int16]string) string {
 	if s, ok := reserved[i]; ok {
 		return s
--- a/internal/ledger/recorder/alarms.go
+++ b/internal/ledger/recorder/alarms.go
@@ -11,13 +11,14 @@
 	"dewhitch/internal/ledger"
 )
 
+// alarmKey identifies an alarm. Mismatches with the same key are one alarm, whatever their figures.
 type alarmKey struct {
 	key     ledger.Key
-	allRows bool
+	allRows bool // the mismatch is over all rows, and key is empty
 	check   string
 }
 
-// alarm is what operators are told.
+// alarm is a line of the alarm file.
 type alarm struct {
 	At           time.Time `json:"at"`
 	State        string    `json:"state"`
@@ -30,6 +31,7 @@
 	LastPostings []string  `json:"last_postings,omitempty"`
 }
 
+// newAlarm returns the alarm of a mismatch, with the last postings to its row. The lock mu is held.
 func (rec *Recorder) newAlarm(m ledger.Mismatch) alarm {
 	a := alarm{At: time.Now(), Check: m.Check, Customer: "all"}
 	if !m.AllRows {
@@ -47,7 +49,7 @@
 	return a
 }
 
-// appendToAlarmFile appends an alarm to the operators' file, which is opened each time: they may take it away.
+// appendToAlarmFile appends an alarm to the operators' alarm file. It opens the file each time, as operators may move it.
 func (rec *Recorder) appendToAlarmFile(a alarm) {
 	if rec.options.AlarmFile == "" {
 		return
--- a/internal/ledger/recorder/audit.go
+++ b/internal/ledger/recorder/audit.go
@@ -6,14 +6,14 @@
 	"dewhitch/internal/ledger"
 )
 
-// auditTallies has the accounts compared with the module's tallies, on the planner.
+// auditTallies compares the accounts with the decision module's tallies, on the planner's goroutine.
 func (rec *Recorder) auditTallies() {
 	read := rec.tallyReader.Load()
 	if read == nil {
 		return
 	}
-	rec.lockAndDrainQueue()                                // here, so that little is left to do on the planner
-	_ = (*read)(func(tally func(uint64) (float64, bool)) { // a planner that has stopped has no tallies
+	rec.lockAndDrainQueue()                                // before read, to keep the work on the planner short
+	_ = (*read)(func(tally func(uint64) (float64, bool)) { // an error says that the planner has stopped, and has no tallies
 		rec.mu.Lock()
 		rec.drainQueue(nil)
 		keys := rec.ledger.Accounts()
@@ -22,14 +22,15 @@
 		}
 		found, forgotten := rec.ledger.AuditAccounts(keys, tally)
 		rec.accountMismatches = append(rec.accountMismatches, found...)
-		rec.mu.Unlock() // before Post, which may have to enter the queue and takes the lock
+		rec.mu.Unlock() // before Post, which locks mu if it has to drain the queue
 		for _, p := range forgotten {
 			rec.Post(p)
 		}
 	})
 }
 
-// Audit checks the books, raises alarms for what is new and clears those for what is over.
+// Audit checks the ledger, raises an alarm for each new mismatch and clears the alarms of those that are gone. It checks all
+// rows if allRows is set, and otherwise those that have changed or have an alarm.
 func (rec *Recorder) Audit(allRows bool) {
 	rec.mu.Lock()
 	found := rec.mismatches(allRows)
@@ -52,7 +53,7 @@
 	}
 }
 
-// mismatches books what waits and audits the books: all rows, or those that have changed and those with an alarm. The lock mu is
+// mismatches drains the queue and audits the ledger: all rows, or those that have changed and those with an alarm. The lock mu is
 // held.
 func (rec *Recorder) mismatches(allRows bool) []ledger.Mismatch {
 	rec.drainQueue(nil)
@@ -66,7 +67,8 @@
 	return append(found, rec.ledger.Overdue(rec.now()-int64(rec.options.OverdueAfter))...)
 }
 
-// updateAlarms compares what was found with the alarms that stand. The lock mu is held.
+// updateAlarms compares the mismatches found with the active alarms, and returns those to raise and to clear. The lock mu is
+// held.
 func (rec *Recorder) updateAlarms(found []ledger.Mismatch, allRows bool) (raised, cleared []alarm) {
 	checked := rec.checkedAccounts
 	rec.accountMismatches, rec.checkedAccounts = nil, map[ledger.Key]bool{}
@@ -80,7 +82,7 @@
 		}
 	}
 	for k := range rec.alarms {
-		// An alarm of all rows, or of the module's tallies, stands until those were examined again.
+		// An alarm over all rows, or on a tally, stays active until these are checked again.
 		if current[k] || k.allRows && !allRows || k.check == ledger.CheckTally && !checked[k.key] {
 			continue
 		}
--- a/internal/ledger/recorder/bench_test.go
+++ b/internal/ledger/recorder/bench_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/zap"
 )
 
-// BenchmarkServedRequest posts what one served request leads to: nine postings, and a tenth for the units drawn.
+// BenchmarkServedRequest posts the postings of one served request: eight on the request, and one for the units drawn.
 func BenchmarkServedRequest(b *testing.B) {
 	for _, mode := range []string{"memory", "disk"} {
 		b.Run(mode, func(b *testing.B) {
--- a/internal/ledger/recorder/discard.go
+++ b/internal/ledger/recorder/discard.go
@@ -4,10 +4,10 @@
 	"dewhitch/internal/ledger"
 )
 
-// Discard is what posts go to where no books are kept.
+// Discard drops all postings. It replaces a Recorder where no ledger is kept.
 type Discard struct{}
 
-// Ref implements the owners' interfaces: 0 is no request's.
+// Ref implements the owners' interfaces. It returns 0, which refers to no request.
 func (Discard) Ref() uint64 { return 0 }
 
 // Post implements the owners' interfaces.
--- a/internal/ledger/recorder/golden_test.go
+++ b/internal/ledger/recorder/golden_test.go
@@ -15,8 +15,8 @@
 	"dewhitch/internal/ledger"
 )
 
-// TestAlarmForm freezes the lines of the alarm file: one with all fields, one with none that may be left out, and those that
-// are made of mismatches. Operators' tools read the file; the program itself does not.
+// TestAlarmForm compares the lines of the alarm file with a golden file: an alarm with all fields, one without optional fields,
+// and those made of mismatches. Operators' tools read the file; the program itself does not.
 func TestAlarmForm(t *testing.T) {
 	at := time.Date(2026, 3, 1, 6, 1, 2, 3000, time.UTC)
 	path := filepath.Join(t.TempDir(), "alarms")
@@ -35,7 +35,7 @@
 		rec.newAlarm(ledger.Mismatch{Key: ledger.Account(0xcc), Check: ledger.CheckTally}),
 	}
 	for i := range alarms {
-		alarms[i].At = at // those that were made of mismatches have the time of this run
+		alarms[i].At = at // alarms made of mismatches have the current time
 		rec.appendToAlarmFile(alarms[i])
 	}
 	lines, err := os.ReadFile(path)
@@ -52,6 +52,6 @@
 		got = append(got, a)
 	}
 	if !reflect.DeepEqual(got, alarms) {
-		t.Errorf("read as %+v", got)
+		t.Errorf("the golden file is parsed as different alarms: %+v", got)
 	}
 }
--- a/internal/ledger/recorder/names.go
+++ b/internal/ledger/recorder/names.go
@@ -8,7 +8,8 @@
 	"dewhitch/internal/ledger"
 )
 
-// intern numbers a name, bounded and checked: at a forwarder names are what clients write, and they become labels and columns.
+// intern returns the number of a name, and assigns one to a new name. Invalid names and those beyond the limits get the number
+// of Overflow: at a forwarder, clients choose the names, which become metric labels and columns.
 func (rec *Recorder) intern(table int, names *[]string, s string) int16 {
 	if s == "" || len(s) > maxNameBytes || !utf8.ValidString(s) || strings.ContainsFunc(s, unicode.IsControl) {
 		s = Overflow
@@ -28,8 +29,8 @@
 	return n
 }
 
-// Row is the key of a customer's requests of a plan and class, by their places in the settings; a class below 0 is one of the
-// ledger's own.
+// Row returns the key of a customer's requests of a plan and class, by their indexes in the settings; a class below 0 is one of
+// the ledger's reserved classes.
 func (rec *Recorder) Row(customer uint64, plan, class int) ledger.Key {
 	k := ledger.Key{Customer: customer, Plan: rec.planNumbers[plan], Class: int16(class)}
 	if class >= 0 {
@@ -38,7 +39,7 @@
 	return k
 }
 
-// RowByName is the same for those who do not have the settings.
+// RowByName returns the key of a customer's requests of a plan and class, by their names. It is for callers without the settings.
 func (rec *Recorder) RowByName(customer uint64, plan, class string) ledger.Key {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
--- a/internal/ledger/recorder/names_test.go
+++ b/internal/ledger/recorder/names_test.go
@@ -14,7 +14,8 @@
 	"dewhitch/internal/ledger/recorder"
 )
 
-// What clients call their plans and classes is bounded in number and length, and can stand in a label.
+// Guards against clients' names of plans and classes that grow without limit or break a metric label: their number and length
+// are limited, and invalid names are replaced.
 func TestClientNamesAreBounded(t *testing.T) {
 	limits := ledger.Limits{Rows: 1000, Open: 100, Flight: 100}
 	rec := recorder.New(ledger.New(limits, false), ledger.Names{}, nil, recorder.Options{Limits: limits, Log: zap.NewNop()})
@@ -28,21 +29,21 @@
 	}
 	for _, bad := range []string{"", "\xff\xfe", "a\nb", strings.Repeat("x", 65)} {
 		if got := name(bad, bad); got != recorder.Overflow+"/"+recorder.Overflow {
-			t.Errorf("%q is called %q", bad, got)
+			t.Errorf("the invalid name %q became %q", bad, got)
 		}
 	}
 	for i := range 1000 {
 		name(fmt.Sprint("p", i), "booking")
 	}
 	if n := len(rec.Report().Names.Plans); n > 202 {
-		t.Errorf("%d plans", n)
+		t.Errorf("%d plans are known, expected at most 202", n)
 	}
 	if got := name("p999", "booking"); got != recorder.Overflow+"/booking" {
 		t.Error(got)
 	}
 }
 
-// What is posted once the keeper was let go of reaches it no more: it may be closed.
+// Guards against appends to a closed store: no posting after DetachStore reaches it.
 func TestDetachStore(t *testing.T) {
 	limits := ledger.Limits{Rows: 16, Open: 16, Flight: 16}
 	store := &countingStore{}
@@ -51,10 +52,11 @@
 	rec.DetachStore()
 	rec.Post(ledger.Posting{Event: ledger.FrontServed, Ref: 1})
 	if store.appended != 1 {
-		t.Errorf("%d postings were kept", store.appended)
+		t.Errorf("%d postings were appended to the store, expected 1", store.appended)
 	}
 }
 
+// countingStore counts the appended postings.
 type countingStore struct{ appended int }
 
 func (k *countingStore) Append(ledger.Posting)     { k.appended++ }
@@ -62,8 +64,8 @@
 func (k *countingStore) Stage(ledger.Statement)    {}
 func (k *countingStore) Commit(ledger.Names) error { return nil }
 
-// The module has dropped an account while the queue of postings is one short of full: noting that fills it, and whoever
-// fills it books it. It must not wait for itself.
+// Guards against a deadlock: the module has dropped an account while the queue of postings is one short of its limit, so that the
+// posting of the forgotten units fills the queue. Post then locks mu to drain it, so that auditTallies must not hold mu.
 func TestForgottenUnitsFillQueue(t *testing.T) {
 	limits := ledger.Limits{Rows: 16, Open: 16, Flight: 16}
 	rec := recorder.New(ledger.New(limits, false), ledger.Names{}, nil, recorder.Options{Limits: limits, AuditInterval: time.Millisecond,
--- a/internal/ledger/recorder/planted_test.go
+++ b/internal/ledger/recorder/planted_test.go
@@ -33,14 +33,14 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-// faultyRecorder stands between an owner and the desk, and falsifies one posting on one customer.
+// faultyRecorder is a Recorder that loses, doubles or changes the first posting of one event for one customer.
 type faultyRecorder struct {
 	*recorder.Recorder
 	event      ledger.Event
 	customer   uint64
-	fault      string // lost, doubled, wrong units
+	fault      string // "lost", "doubled" or "wrong units"
 	injected   atomic.Bool
-	injectedAt atomic.Int64
+	injectedAt atomic.Int64 // Unix time in nanoseconds
 }
 
 func (c *faultyRecorder) Post(p ledger.Posting) {
@@ -59,17 +59,19 @@
 	}
 }
 
-// gateway is the parts of a gateway in one process, with a desk whose owners may be crooked.
+// gateway holds the parts of a gateway in one process, with a recorder that may be faulty.
 type gateway struct {
 	addr     string
 	recorder *recorder.Recorder
 	logs     *observer.ObservedLogs
 }
 
+// startGateway starts a gateway whose backends answer at once. faulty may be nil.
 func startGateway(t *testing.T, o recorder.Options, faulty *faultyRecorder) *gateway {
 	return startGatewayWithBackends(t, o, faulty, standin.Always(standin.Step{}))
 }
 
+// startGatewayWithBackends starts a gateway whose backends behave by a script. faulty may be nil.
 func startGatewayWithBackends(t *testing.T, o recorder.Options, faulty *faultyRecorder, script standin.Script) *gateway {
 	t.Helper()
 	backends, err := standin.NewBackends(2, false, script)
@@ -138,7 +140,7 @@
 	return &gateway{l.Addr().String(), rec, logs}
 }
 
-// sendRequests has four customers, 1 to 4, send mixed commands, and waits for the answers.
+// sendRequests sends mixed commands of the customers 1 to 4, and waits for the answers.
 func (g *gateway) sendRequests(t *testing.T, rounds int) {
 	t.Helper()
 	c, err := standin.Dial(g.addr, 10*time.Second)
@@ -160,7 +162,7 @@
 			}
 			for range 5 {
 				if v, err := c.Reply(); err != nil || v.Kind == '-' && !strings.HasPrefix(v.Text, "BUSY") {
-					t.Fatalf("haulier %d is answered %v, %v", customerNumber, v, err)
+					t.Fatalf("customer %d: got the answer %v, error %v", customerNumber, v, err)
 				}
 			}
 		}
@@ -171,11 +173,11 @@
 	return g.logs.FilterMessage("the books do not add up").All()
 }
 
-// With nothing planted there is no alarm, whatever the moment of an audit.
+// Guards against false alarms: without a fault, frequent audits between the postings of open requests must raise none.
 func TestNoFalseAlarms(t *testing.T) {
 	g := startGateway(t, recorder.Options{AuditInterval: 5 * time.Millisecond}, nil)
 	g.sendRequests(t, 8)
-	// The front books what became of an answer once that is written, which its client may see first.
+	// The front posts the end of a request after it has written the answer, which the client may receive first.
 	g.eventually(t, "the last answers", func(r recorder.Report) bool { return r.Open == 0 })
 	g.recorder.Audit(true)
 	if a := g.alarms(); len(a) > 0 {
@@ -183,17 +185,17 @@
 	}
 	r := g.recorder.Report()
 	if r.Total.N[ledger.FrontTaken] != 8*4*5 || r.Open != 0 || r.Total.Ended() != 8*4*5 {
-		t.Errorf("%d taken, %d ended, %d open", r.Total.N[ledger.FrontTaken], r.Total.Ended(), r.Open)
+		t.Errorf("%d requests taken, %d ended, %d open, expected 160, 160 and 0", r.Total.N[ledger.FrontTaken], r.Total.Ended(), r.Open)
 	}
 }
 
-// eventually waits for the books to say something.
+// eventually waits until ok returns true for a report, and requires that no alarm was raised.
 func (g *gateway) eventually(t *testing.T, what string, ok func(recorder.Report) bool) {
 	t.Helper()
 	for began := time.Now(); !ok(g.recorder.Report()); time.Sleep(10 * time.Millisecond) {
 		if time.Since(began) > 20*time.Second {
 			r := g.recorder.Report()
-			t.Fatalf("%s: %d taken, %d gone, %d cut, %d open", what, r.Total.N[ledger.FrontTaken], r.Total.N[ledger.FrontClientDeparted],
+			t.Fatalf("%s: not reached within 20 s: %d requests taken, %d with departed clients, %d with failed writes, %d open", what, r.Total.N[ledger.FrontTaken], r.Total.N[ledger.FrontClientDeparted],
 				r.Total.N[ledger.FrontWriteFailed], r.Open)
 		}
 	}
@@ -202,8 +204,8 @@
 	}
 }
 
-// A session ends with all that it may have open, at backends that never answer: each request is gone, each attempt cancelled
-// and heard of, and nothing stays open.
+// Guards against entries that stay open when a client closes its connection. The session has as many open requests as it may,
+// at backends that never answer; each request must end, and each attempt must be cancelled and its end reported to the planner.
 func TestSessionEndsWithManyOpen(t *testing.T) {
 	g := startGatewayWithBackends(t, recorder.Options{AuditInterval: 5 * time.Millisecond}, nil, standin.Always(standin.Step{Behaviour: standin.Stall}))
 	c, err := standin.Dial(g.addr, 10*time.Second)
@@ -228,8 +230,8 @@
 	})
 }
 
-// A client asks for more than it reads, until the gateway ends it: what was written whole is served, the rest is cut or
-// gone, and no audit on the way finds anything.
+// Guards against mismatches with a client that sends requests and never reads, until the gateway closes the session. Answers that
+// were completely written count as served, the rest as failed writes or departed clients, and no audit finds a mismatch.
 func TestClientNeverReads(t *testing.T) {
 	g := startGateway(t, recorder.Options{AuditInterval: 20 * time.Millisecond}, nil)
 	c, err := standin.Dial(g.addr, 10*time.Second)
@@ -251,8 +253,9 @@
 	})
 }
 
-// One miscount in each book is reported within five seconds, with audits a second apart as operators have them; it names
-// the customer, plan and class; it is said once while it stands; and the alarm file has it.
+// Guards against faults that the audits miss or report late. One fault in each journal must be reported within five seconds, with
+// one audit a second as in production; the alarm must name the customer, plan and class, be raised only once while it is
+// active, and be in the alarm file.
 func TestInjectedFaultIsReported(t *testing.T) {
 	for _, c := range []struct {
 		event ledger.Event
@@ -278,31 +281,31 @@
 			g := startGateway(t, recorder.Options{AuditInterval: time.Second, AlarmFile: file}, faulty)
 			g.sendRequests(t, 2)
 			if !faulty.injected.Load() {
-				t.Fatal("nothing was planted")
+				t.Fatal("the fault was not injected: no posting matched")
 			}
 			for began := time.Now(); len(g.alarms()) == 0; time.Sleep(10 * time.Millisecond) {
 				if time.Since(began) > 20*time.Second {
-					t.Fatal("it is not reported")
+					t.Fatal("no alarm was raised within 20 s")
 				}
 			}
 			reportedAfter := g.alarms()[0].Time.Sub(time.Unix(0, faulty.injectedAt.Load()))
 			t.Logf("reported after %v", reportedAfter.Round(time.Millisecond))
 			if reportedAfter > 5*time.Second {
-				t.Error("that is late")
+				t.Error("the alarm was raised later than 5 s after the fault")
 			}
-			time.Sleep(1200 * time.Millisecond) // an audit more: it is not said again
+			time.Sleep(1200 * time.Millisecond) // one more audit, which must not raise it again
 			seen := map[string]int{}
 			for _, a := range g.alarms() {
 				m := a.ContextMap()
 				seen[fmt.Sprint(m["check"], m["class"])]++
 				if m["haulier"] != "0000000000000003" || c.class != "" && m["class"] != c.class ||
 					m["plan"] != "fleet" && m["class"] != "account" || len(m["last_postings"].([]any)) == 0 {
-					t.Errorf("it names %v", m)
+					t.Errorf("the alarm has wrong or missing fields: %v", m)
 				}
 			}
 			for what, n := range seen {
 				if n > 1 {
-					t.Errorf("%s is said %d times", what, n)
+					t.Errorf("the alarm %s was raised %d times, expected once", what, n)
 				}
 			}
 			text, err := os.ReadFile(file)
@@ -311,13 +314,14 @@
 				err = json.Unmarshal([]byte(strings.Split(string(text), "\n")[0]), &first)
 			}
 			if err != nil || first.State != "raised" || first.Haulier != "0000000000000003" {
-				t.Errorf("the alarm file: %v, %s", err, text)
+				t.Errorf("the alarm file does not begin with the alarm: error %v, content %s", err, text)
 			}
 		})
 	}
 }
 
-// An alarm that is over is said to be: here one on what the module's tally holds, which the next account sets right.
+// Guards against alarms that stay active after the mismatch is gone: here a request that was served before its decision, whose
+// missing postings follow.
 func TestAlarmIsCleared(t *testing.T) {
 	g := startGateway(t, recorder.Options{AuditInterval: 20 * time.Millisecond}, nil)
 	g.sendRequests(t, 1)
@@ -335,7 +339,7 @@
 		return false
 	}
 	if !waitForLog("the books do not add up") {
-		t.Fatal("no alarm")
+		t.Fatal("no alarm was raised")
 	}
 	for _, e := range []ledger.Event{ledger.PlanTaken, ledger.PlanSent, ledger.AttemptStarted, ledger.AttemptOK, ledger.PlanNotified,
 		ledger.PlanServed} {
@@ -343,6 +347,6 @@
 		g.recorder.Post(p)
 	}
 	if !waitForLog("the books add up again") {
-		t.Error("the alarm is not cleared")
+		t.Error("the alarm was not cleared")
 	}
 }
--- a/internal/ledger/recorder/post.go
+++ b/internal/ledger/recorder/post.go
@@ -6,7 +6,7 @@
 	"dewhitch/internal/ledger"
 )
 
-// Post books one posting, at the present.
+// Post records one posting with the current time. It sets p.At.
 func (rec *Recorder) Post(p ledger.Posting) {
 	now := int64(0)
 	if isTimed[p.Event] {
@@ -16,7 +16,7 @@
 	if now != 0 {
 		rec.lastTime = now
 	}
-	p.At = rec.lastTime // of the last that was timed: readers want the order more than the microsecond
+	p.At = rec.lastTime // the time of the last timed posting, as readers need the order more than the microsecond
 	if rec.store != nil {
 		rec.store.Append(p)
 	}
@@ -28,25 +28,27 @@
 		case rec.wake <- struct{}{}:
 		default:
 		}
-	} else if n >= maxQueueLength { // Run does not come to it
+	} else if n >= maxQueueLength { // Run does not drain the queue in time
 		rec.lockAndDrainQueue()
 	}
 }
 
-// lockAndDrainQueue books what waits.
+// lockAndDrainQueue adds the queued postings to the ledger.
 func (rec *Recorder) lockAndDrainQueue() {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
 	rec.drainQueue(nil)
 }
 
+// now returns the time in Unix nanoseconds by the monotonic clock since the start.
 func (rec *Recorder) now() int64 { return rec.startTime.UnixNano() + int64(time.Since(rec.startTime)) }
 
-// isTimed are the events whose time is of use: they open something, or end a request.
+// isTimed is true for the events whose time is read: those that open an entry or end a request.
 var isTimed = [ledger.EventCount]bool{ledger.FrontTaken: true, ledger.FrontServed: true, ledger.FrontRejected: true,
 	ledger.FrontFailed: true, ledger.FrontClientDeparted: true, ledger.FrontWriteFailed: true, ledger.FrontNotSubmitted: true, ledger.UnitsPushed: true}
 
-// drainQueue books what waits; mark, if any, is called where the next posting begins anew. The lock mu is held.
+// drainQueue adds the queued postings to the ledger. It calls atBoundary, if not nil, under queueMu, so that the ledger then
+// contains exactly the postings before that call. The lock mu is held.
 func (rec *Recorder) drainQueue(atBoundary func()) {
 	rec.queueMu.Lock()
 	waiting := rec.queue
--- a/internal/ledger/recorder/recorder.go
+++ b/internal/ledger/recorder/recorder.go
@@ -1,8 +1,8 @@
-// Package recorder is where the parts of a running gateway post to the ledger: it numbers requests, keeps the names of plans and
-// classes, puts the time on postings, audits the books every second, and raises and clears alarms. It owns the one
-// ledger.Ledger of the process. What is posted is kept at once, under a lock that is held for that alone, and booked a
-// moment later, many postings at a time. It decides nothing on requests, and
-// nothing that it does can refuse or delay one beyond that lock.
+// Package recorder connects the parts of a running gateway to the ledger: it numbers requests, keeps the names of plans and
+// classes, adds the time to postings, audits the ledger every second, and raises and clears alarms. It owns the only
+// ledger.Ledger of the process. Post gives each posting to the store and appends it to a queue, under a lock that is held for
+// that alone; the queue is added to the ledger in batches. The recorder makes no decision on requests, and delays none beyond
+// that lock.
 package recorder
 
 import (
@@ -16,78 +16,78 @@
 	"dewhitch/internal/ledger"
 )
 
-// Store makes the books last. Append and Mark are called under the recorder's lock, and must neither block nor fail; the
-// others are called by Run alone.
+// Store makes the ledger durable. Append and EndPeriod are called under the lock of the recorder's queue, and must neither block
+// nor fail. CloseStatement calls Stage, under the lock mu, and Commit, without locks.
 type Store interface {
 	Append(ledger.Posting)
-	// EndPeriod ends a period: what is appended later belongs to the next.
+	// EndPeriod ends a period: postings that are appended later belong to the next one.
 	EndPeriod()
-	// Stage takes the statement that closes the period that was marked.
+	// Stage takes the statement of the period that EndPeriod ended.
 	Stage(ledger.Statement)
-	// Commit makes what was cut last, and may take its time.
+	// Commit makes the staged statements durable. It may block. After an error they stay staged for the next call.
 	Commit(ledger.Names) error
 }
 
-// Options say how the books are kept.
+// Options configure a Recorder.
 type Options struct {
 	Limits            ledger.Limits
-	Names             ledger.Names  // of the settings; the numbers that owners use for them are their places here
-	OverdueAfter      time.Duration // beyond a request's own deadline: by then nothing of it can be open
-	AuditInterval     time.Duration // between two audits
-	StatementInterval time.Duration // between two statements, if there is a keeper
-	AlarmFile         string        // JSON lines; none if empty
+	Names             ledger.Names  // plans and classes of the settings; owners refer to them by their indexes here
+	OverdueAfter      time.Duration // time after a request's deadline at which none of its entries can still be open
+	AuditInterval     time.Duration // time between two audits
+	StatementInterval time.Duration // time between two statements, if there is a store
+	AlarmFile         string        // path of the alarm file (JSON lines); no file is written if empty
 	Log               *zap.Logger
 }
 
-// The bounds.
+// Limits of the recorder, and the name that stands in for names beyond them.
 const (
-	auditsPerFullAudit = 4     // audits: every so manyth is of all rows
-	maxNames           = 200   // of plans, and of classes
-	alarmPostings      = 32    // postings of a row that an alarm shows
-	maxAlarms          = 256   // that are told apart; more are counted
-	wakeQueueLength    = 1024  // postings that wait to be booked, before Run is told
-	maxQueueLength     = 65536 // and before whoever posts books them itself
-	Overflow           = "…"   // the name of plans and classes beyond maxNames, and of those that are none
-	maxNameBytes       = 64    // bytes of one
+	auditsPerFullAudit = 4     // one audit in this number is of all rows
+	maxNames           = 200   // maximum of plan names, and of class names
+	alarmPostings      = 32    // number of a row's last postings that an alarm shows
+	maxAlarms          = 256   // maximum of active alarms; further mismatches raise none
+	wakeQueueLength    = 1024  // length of the queue at which Post wakes Run to drain it
+	maxQueueLength     = 65536 // length of the queue at which Post drains it itself
+	Overflow           = "…"   // name of plans and classes beyond maxNames, and of those with invalid names
+	maxNameBytes       = 64    // maximum length of a name in bytes
 )
 
-// Recorder keeps one gateway's books.
+// Recorder records the postings of one gateway. Its methods may be called from any goroutine, except Run, which is called once.
 type Recorder struct {
 	options Options
-	// The time of the start, and what has passed since by the monotonic clock: a system's clock that steps must not make
-	// a request look overdue, or one that is overdue look young.
+	// startTime is the base of all times, to which the elapsed time of the monotonic clock is added: a step of the system's
+	// clock must not make an open request look overdue, or hide an overdue one.
 	startTime time.Time
 
-	lastRef atomic.Uint64
+	lastRef atomic.Uint64 // last reference that Ref returned
 
-	// What is posted is kept at once, and waits here to be booked: many at a time cost a fraction of one by one. It is
-	// held for a posting, no longer.
+	// queueMu guards the fields up to wake, and is held for one posting only. Postings are queued because adding many to the
+	// ledger at once costs a fraction of adding them one by one.
 	queueMu    sync.Mutex
-	store      Store
-	queue      []ledger.Posting
-	spareQueue []ledger.Posting // the other buffer
-	lastTime   int64
-	wake       chan struct{}
+	store      Store            // nil without a store, and after DetachStore
+	queue      []ledger.Posting // postings that are not in the ledger yet
+	spareQueue []ledger.Posting // buffer that drainQueue swaps with queue
+	lastTime   int64            // time of the last timed posting, in Unix nanoseconds
+	wake       chan struct{}    // wakes Run to drain the queue
 
-	// Behind mu are the books. Whoever needs both takes mu first.
+	// mu guards the ledger, the names and the alarms. It is locked before queueMu where both are needed.
 	mu           sync.Mutex
 	ledger       *ledger.Ledger
 	names        ledger.Names
-	planNumbers  []int16 // by the settings' places
-	classNumbers []int16
-	numberByName [2]map[string]int16
+	planNumbers  []int16             // numbers of the settings' plans, by their index there
+	classNumbers []int16             // numbers of the settings' classes, by their index there
+	numberByName [2]map[string]int16 // numbers by name, of plans and of classes
 
-	alarms            map[alarmKey]bool // those that stand
+	alarms            map[alarmKey]bool // active alarms
 	raised            atomic.Uint64
 	cleared           atomic.Uint64
 	auditCount        int
 	tallyReader       atomic.Pointer[func(func(tally func(uint64) (float64, bool))) error]
-	accountMismatches []ledger.Mismatch // found in accounts since the last audit
-	checkedAccounts   map[ledger.Key]bool
+	accountMismatches []ledger.Mismatch   // mismatches found in accounts since the last audit
+	checkedAccounts   map[ledger.Key]bool // accounts whose tallies were checked since the last audit
 }
 
-// New makes a recorder for books that may hold something already, with the names that the numbers in them stand for. The
-// keeper may be nil.
+// New returns a recorder for a ledger, which may contain figures already; known are the names of the numbers in its keys. The
+// store may be nil.
 func New(l *ledger.Ledger, known ledger.Names, store Store, o Options) *Recorder {
 	rec := &Recorder{options: o, startTime: time.Now(), ledger: l, store: store, wake: make(chan struct{}, 1), names: known, alarms: map[alarmKey]bool{}, checkedAccounts: map[ledger.Key]bool{}}
 	for i, names := range [2][]string{known.Plans, known.Classes} {
@@ -105,20 +105,22 @@
 	return rec
 }
 
-// DetachStore lets go of the keeper, after Run has ended: what is posted later, as by a attempt that nobody waits for, is kept
-// nowhere. The keeper may then be closed.
+// DetachStore detaches the store after Run has ended, so that it can be closed. Later postings, such as those of an attempt whose
+// result is not awaited, are not stored.
 func (rec *Recorder) DetachStore() {
 	rec.queueMu.Lock()
 	defer rec.queueMu.Unlock()
 	rec.store = nil
 }
 
-// SetTallyReader tells how the decision module's tallies are read: f is to be called where nothing is drawn meanwhile.
+// SetTallyReader sets the function that reads the decision module's tallies: read calls f, with access to the tallies, where no
+// units can be drawn at the same time, or returns an error.
 func (rec *Recorder) SetTallyReader(read func(f func(tally func(uint64) (float64, bool))) error) {
 	rec.tallyReader.Store(&read)
 }
 
-// Run audits and states until the context ends, and then once more.
+// Run drains the queue, audits the ledger and commits statements at their intervals until the context ends, and then audits and
+// commits once more. It always returns nil.
 func (rec *Recorder) Run(ctx context.Context) error {
 	audit := time.NewTicker(rec.options.AuditInterval)
 	defer audit.Stop()
@@ -146,5 +148,5 @@
 	}
 }
 
-// Ref numbers a request or a call.
+// Ref returns a new reference for a request or a counter call.
 func (rec *Recorder) Ref() uint64 { return rec.lastRef.Add(1) }
--- a/internal/ledger/recorder/report.go
+++ b/internal/ledger/recorder/report.go
@@ -8,7 +8,8 @@
 	"dewhitch/internal/ledger"
 )
 
-// CloseStatement closes a period and makes it last.
+// CloseStatement ends a period and commits its statement to the store, if there is one. A failure is logged, and the statement
+// is committed with the next one.
 func (rec *Recorder) CloseStatement() {
 	if rec.store == nil {
 		return
@@ -23,21 +24,21 @@
 	}
 }
 
-// Report is a view of the books for operators.
+// Report is a summary of the ledger for operators.
 type Report struct {
 	Names     ledger.Names
-	Lines     []ledger.Line // of the customers asked for, or by plan and class over all
+	Lines     []ledger.Line // sums over all customers by plan and class
 	Total     ledger.Counts
-	Open      int
+	Open      int // number of open requests and counter calls
 	Rows      int
 	Evictions uint64
 	Abandoned uint64
-	Alarms    int // that stand
-	Raised    uint64
-	Cleared   uint64
+	Alarms    int    // number of active alarms
+	Raised    uint64 // number of alarms raised since the start
+	Cleared   uint64 // number of alarms cleared since the start
 }
 
-// Report adds up the rows by plan and class, over all customers.
+// Report returns the sums of the rows by plan and class, over all customers, and the numbers of entries and alarms.
 func (rec *Recorder) Report() Report {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
--- a/internal/ledger/rows.go
+++ b/internal/ledger/rows.go
@@ -9,19 +9,19 @@
 type row struct {
 	key               Key
 	counts            Counts
-	statedCounts      *Counts              // what statements hold of it; nil: nothing
-	lostAnswers       [verdictCount]uint64 // answers that were decided and did not reach the client; by pairs of the front's and the planner's ends
-	openEntries       int                  // entries of the table under this key
-	dirty             bool                 // posted to since the last audit
-	unstored          bool                 // and since the last statement
-	inPendingAccounts bool                 // it is in the ledger's accounts
-	recencyElement    *list.Element
-	movedInEpoch      uint64 // epoch in which it was moved to the front
+	statedCounts      *Counts              // figures that statements cover; nil if none do
+	lostAnswers       [verdictCount]uint64 // answers that the planner decided and that did not reach the client, by verdict
+	openEntries       int                  // number of open entries under this key
+	dirty             bool                 // the row was posted to since the last audit
+	unstored          bool                 // the row was posted to since the last statement
+	inPendingAccounts bool                 // the row is in Ledger.pendingAccounts
+	recencyElement    *list.Element        // position in Ledger.rowsByRecency; nil for a rolled-up row
+	movedInEpoch      uint64               // recency epoch in which the row was last moved to the front
 }
 
-// row finds or makes the row of a key, and takes note that it changes.
+// row finds or creates the row of a key, and marks it as changed.
 func (l *Ledger) row(k Key) *row {
-	if l.lastRow != nil && l.lastRow.key == k { // postings on one request come close together
+	if l.lastRow != nil && l.lastRow.key == k { // the postings of one request come close together
 		return l.lastRow
 	}
 	r := l.rows[k]
@@ -39,18 +39,19 @@
 	return r
 }
 
-// markRecent takes note that a row is posted to.
+// markRecent marks a row as posted to, for eviction, audits and statements.
 func (l *Ledger) markRecent(r *row) {
 	if l.lastRow == r {
 		return
 	}
-	if r.recencyElement != nil && r.movedInEpoch != l.recencyEpoch { // once between two audits is order enough
+	if r.recencyElement != nil && r.movedInEpoch != l.recencyEpoch { // one move between two audits keeps the order exact enough
 		l.rowsByRecency.MoveToFront(r.recencyElement)
 	}
 	r.movedInEpoch, l.lastRow = l.recencyEpoch, r
 	l.markChanged(r)
 }
 
+// markChanged adds a row to the lists that the next audit, statement and reading of accounts process.
 func (l *Ledger) markChanged(r *row) {
 	if !r.inPendingAccounts && r.key.Class == ClassAccount && r.key.Customer != Others {
 		r.inPendingAccounts = true
@@ -66,18 +67,18 @@
 	}
 }
 
-// evictionCandidates bounds the rows that are examined for one that has nothing open.
+// evictionCandidates limits the rows that one eviction examines for a row with nothing open.
 const evictionCandidates = 64
 
-// evict rolls the row that was posted to longest ago up into the row of its plan and class. One with something open or
-// pending is passed over. If all candidates are so, the ledger grows, to twice its rows at most: then the bound on memory
-// goes before the name of a row.
+// evict rolls the least recently posted row up into the row of its plan and class. It skips rows with open entries or pending
+// units. If all candidates have some, the ledger grows, to at most twice its limit of rows; from there the memory limit takes
+// precedence, and a row with open entries or pending units is rolled up too.
 func (l *Ledger) evict() {
 	r := l.evictionVictim()
 	if r == nil {
 		return
 	}
-	if r.openEntries == 0 && r.dirty { // it is the last time that its name is known
+	if r.openEntries == 0 && r.dirty { // the key is not known after the eviction
 		l.evictedMismatches = append(l.evictedMismatches, r.check(&inFlight{})...)
 	}
 	l.rowsByRecency.Remove(r.recencyElement)
@@ -87,13 +88,13 @@
 	}
 	l.Evictions++
 	rolledUp := l.rollUp(r)
-	r.dirty, r.unstored = false, false // lists that still hold it pass it over
+	r.dirty, r.unstored = false, false // lists that still contain the row skip it
 	if l.makesStatements {
 		l.stateEvicted(r, rolledUp)
 	}
 }
 
-// evictionVictim chooses the row to evict; nil: the ledger may grow instead.
+// evictionVictim chooses the row to evict. It returns nil if the ledger may grow instead.
 func (l *Ledger) evictionVictim() *row {
 	element := l.rowsByRecency.Back()
 	for i := 0; i < evictionCandidates && element != nil; i++ {
@@ -110,7 +111,7 @@
 	return r
 }
 
-// rollUp adds an evicted row to that of its plan and class, and has its open entries go along.
+// rollUp adds an evicted row to the row of its plan and class, moves its open entries there, and returns that row.
 func (l *Ledger) rollUp(r *row) *row {
 	key := r.key
 	key.Customer = Others
@@ -130,8 +131,9 @@
 	return target
 }
 
-// stateEvicted has what no statement holds yet of an evicted row stated under its customer's name, and held of the rolled-up row
-// from then on. Where too many are evicted between two statements, the rest is stated of the rolled-up row.
+// stateEvicted keeps the figures of an evicted row that no statement covers yet, so that the next statement reports them under
+// the customer's key; the rolled-up row counts them as stated. If more rows than the limit are evicted between two statements,
+// the figures of the rest are reported under the rolled-up row.
 func (l *Ledger) stateEvicted(r, rolledUp *row) {
 	delta := r.counts
 	if r.statedCounts != nil {
@@ -151,13 +153,13 @@
 	}
 }
 
-// Line is a row as readers have it.
+// Line is the key of a row and a copy of its figures.
 type Line struct {
 	Key    Key
 	Counts Counts
 }
 
-// Lines returns all rows, in the order of their keys.
+// Lines returns all rows, sorted by key.
 func (l *Ledger) Lines() []Line {
 	lines := make([]Line, 0, len(l.rows))
 	for k, r := range l.rows {
@@ -167,7 +169,7 @@
 	return lines
 }
 
-// Sums adds up the rows by plan and class, and says how many there are.
+// Sums returns the number of rows, and their sums by plan and class, sorted by key.
 func (l *Ledger) Sums() (rows int, lines []Line) {
 	sums := map[Key]*Counts{}
 	for k, r := range l.rows {
--- a/internal/ledger/statement.go
+++ b/internal/ledger/statement.go
@@ -5,34 +5,34 @@
 	"slices"
 )
 
-// Statement is what has come since the one before: the deltas by row, in the order of their keys, and, for a store, the
-// figures of the rows that have changed.
+// Statement holds the changes since the previous statement: the deltas by row, sorted by key, and, for a store, the figures of
+// the changed rows.
 type Statement struct {
 	Deltas             []Line
 	Rows               []StoredRow
-	IdempotentRequests []IdempotentRequest // that have ended, in that order
-	Open               []OpenEntry         // what is open, in the order of the Refs
+	IdempotentRequests []IdempotentRequest // ended attempts with an idempotency key, in the order of their ends
+	Open               []OpenEntry         // all open entries, sorted by reference
 }
 
-// OpenEntry is an entry of the table, as a store keeps it.
+// OpenEntry is an open entry in the form that a store keeps.
 type OpenEntry struct {
 	Ref uint64 `json:"Ref"`
 	Entry
 }
 
-// StoredRow is a row as a store keeps it.
+// StoredRow is a row in the form that a store keeps.
 type StoredRow struct {
 	Key      Key
-	RolledUp bool // it was rolled up
+	RolledUp bool // the row was rolled up, and the store deletes it
 	Counts
-	Lost [4]uint64 // answers that were decided and did not reach the client: served, refused, failed, other
+	Lost [4]uint64 // answers that the planner decided and that did not reach the client: served, refused, failed, other
 }
 
-// Statement closes a period.
+// Statement ends a period and returns its statement.
 func (l *Ledger) Statement() Statement {
 	l.lastRow = nil
 	s := Statement{Deltas: l.evictedDeltas, IdempotentRequests: l.idempotentRequests}
-	for _, k := range l.evictedKeys { // one that has come again follows below
+	for _, k := range l.evictedKeys { // a row that was created again follows below
 		s.Rows = append(s.Rows, StoredRow{Key: k, RolledUp: true})
 	}
 	l.evictedDeltas, l.evictedKeys, l.idempotentRequests = nil, nil, nil
@@ -62,13 +62,14 @@
 	return s
 }
 
+// stored returns the row in the form that a store keeps.
 func (r *row) stored() StoredRow {
 	stored := StoredRow{Key: r.key, Counts: r.counts}
 	copy(stored.Lost[:], r.lostAnswers[served:])
 	return stored
 }
 
-// Restore puts a row back that a store kept, all of it stated. It is for books that are still empty.
+// Restore adds a stored row, whose figures statements cover already. It must be called before the first posting.
 func (l *Ledger) Restore(stored StoredRow) {
 	restored := l.row(stored.Key)
 	restored.counts = stored.Counts
@@ -78,7 +79,7 @@
 	l.total.Add(&stored.Counts)
 }
 
-// RestoreOpen puts an entry back that a store kept; its row was restored before.
+// RestoreOpen adds a stored open entry. Its row must have been restored.
 func (l *Ledger) RestoreOpen(o OpenEntry) {
 	e := o.Entry
 	l.entries[o.Ref] = &e
@@ -86,8 +87,10 @@
 	e.row.openEntries++
 }
 
-const maxIdempotentRequests = 1 << 16 // that are held between two statements
+// maxIdempotentRequests limits the attempts with an idempotency key that are kept between two statements.
+const maxIdempotentRequests = 1 << 16
 
+// recordIdempotentRequest keeps an ended attempt for the next statement.
 func (l *Ledger) recordIdempotentRequest(r IdempotentRequest) {
 	if !l.makesStatements {
 		return
