--- a/internal/ledger/store/commit.go
+++ b/internal/ledger/store/commit.go
@@ -8,23 +8,24 @@
 	"dewhitch/internal/ledger/statement"
 )
 
-// stagedStatement is what was cut and is not on the disk yet.
+// stagedStatement merges the statements that were staged and are not committed yet.
 type stagedStatement struct {
 	rows               map[ledger.Key]ledger.StoredRow
 	open               []ledger.OpenEntry
 	deltas             map[ledger.Key]*ledger.Counts
 	idempotentRequests []ledger.IdempotentRequest
-	notes              []statement.Record // lives and gaps
-	segment            uint64
-	position           int
-	end                time.Time
+	notes              []statement.Record // records of starts and gaps
+	segment            uint64             // segment at which the log continues after the statement
+	position           int                // index of the first record in that segment that the statement does not contain
+	end                time.Time          // end of the period
 }
 
 func newStagedStatement() *stagedStatement {
 	return &stagedStatement{rows: map[ledger.Key]ledger.StoredRow{}, deltas: map[ledger.Key]*ledger.Counts{}}
 }
 
-// EndPeriod implements recorder.Keeper.
+// EndPeriod implements recorder.Store. If the log has broken off, it resumes the log in a new segment, as the statement of this
+// period contains all postings that the log lacks.
 func (s *Store) EndPeriod() {
 	if s.staged == nil {
 		s.staged = newStagedStatement()
@@ -36,7 +37,7 @@
 			"the log did not hold %d postings for a while; they are in the figures, as no crash came", s.unloggedPostings)})
 	}
 	s.unloggedPostings = 0
-	if !s.logIntact.Load() || s.afterGap.Load() { // this statement holds all that the log lacks: it can be taken up again behind it
+	if !s.logIntact.Load() || s.afterGap.Load() {
 		s.resumePending = s.rotate()
 		if s.resumePending {
 			s.current.putResume(s.meta.Statements + 1)
@@ -54,7 +55,7 @@
 	}
 }
 
-// Stage implements recorder.Keeper.
+// Stage implements recorder.Store.
 func (s *Store) Stage(st ledger.Statement) {
 	p := s.staged
 	for _, k := range st.Rows {
@@ -70,13 +71,13 @@
 	p.idempotentRequests = append(p.idempotentRequests, st.IdempotentRequests...)
 }
 
-// Commit implements recorder.Keeper.
+// Commit implements recorder.Store. It removes the segments that the statement covers.
 func (s *Store) Commit(names ledger.Names) error {
 	p := s.staged
 	m, err := s.write(p, names)
 	if err != nil {
 		if s.resumePending {
-			s.afterGap.Store(true) // the log goes on behind a gap that no statement on the disk bridges
+			s.afterGap.Store(true) // the log resumed after a statement that is not committed, and would not be replayed
 		}
 		p.limitMemory()
 		s.wantSegment()
@@ -97,7 +98,8 @@
 	return nil
 }
 
-// limitMemory keeps what waits for the disk from growing: requests with an idempotency key are dropped first, and then the names of customers.
+// limitMemory limits the size of a statement that can't be committed. It drops the oldest attempts with an idempotency key and the
+// oldest notes, and then merges the deltas of customers by plan and class.
 func (p *stagedStatement) limitMemory() {
 	const maxPending = 1 << 16
 	if n := len(p.idempotentRequests) - maxPending; n > 0 {
--- a/internal/ledger/store/guard.go
+++ b/internal/ledger/store/guard.go
@@ -13,11 +13,12 @@
 	bbolterrors "go.etcd.io/bbolt/errors"
 )
 
-// seal puts a checksum behind a value.
+// seal appends a checksum to a value.
 func seal(b []byte) []byte {
 	return binary.LittleEndian.AppendUint32(b, crc32.Checksum(b, castagnoli))
 }
 
+// unseal verifies and removes the checksum of a value.
 func unseal(b []byte) ([]byte, error) {
 	if len(b) < 4 || crc32.Checksum(b[:len(b)-4], castagnoli) != binary.LittleEndian.Uint32(b[len(b)-4:]) {
 		return nil, errCorrupt
@@ -25,7 +26,7 @@
 	return b[:len(b)-4], nil
 }
 
-// guard turns what a torn file leads the embedded store to, panics and faults of its map included, into an error.
+// guard calls f and converts panics into errCorrupt: a torn file can make the embedded store panic, or fault on its memory map.
 func guard(f func() error) (err error) {
 	defer debug.SetPanicOnFault(debug.SetPanicOnFault(true))
 	defer func() {
@@ -36,6 +37,7 @@
 	return f()
 }
 
+// open opens the embedded store. An error is errCorrupt if the content of the file is invalid.
 func open(path string, o *bbolt.Options) (db *bbolt.DB, err error) {
 	err = guard(func() error {
 		db, err = bbolt.Open(path, 0o640, o)
@@ -47,7 +49,7 @@
 	return db, err
 }
 
-// isCorruption tells an error about what a file holds from one about getting at it.
+// isCorruption reports whether an error is about the content of a file, and not about access to it.
 func isCorruption(err error) bool {
 	var path *fs.PathError
 	var errno syscall.Errno
--- a/internal/ledger/store/log.go
+++ b/internal/ledger/store/log.go
@@ -8,13 +8,13 @@
 	"dewhitch/internal/ledger"
 )
 
-// createSegments has a segment ready before it is needed.
+// createSegments keeps one spare segment ready, until the store closes. It runs on its own goroutine.
 func (s *Store) createSegments() {
 	failed := false
 	for {
 		seg, err := s.newSegment()
 		if err != nil && !failed {
-			s.options.Log.Error("the ledger's log has no room on the disk", zap.Error(err))
+			s.options.Log.Error("the next segment of the ledger's log can't be created", zap.Error(err))
 		}
 		failed = err != nil
 		if seg != nil {
@@ -33,7 +33,8 @@
 	}
 }
 
-// newSegment makes a segment, if one more may wait for the disk; else it returns nil.
+// newSegment creates a segment. It returns nil without an error if the log already has the maximum of segments that no committed
+// statement covers.
 func (s *Store) newSegment() (*segment, error) {
 	s.mu.Lock()
 	n := s.nextNumber
@@ -48,6 +49,7 @@
 	return createSegment(s.options.Files, s.options.Dir, n, s.options.SegmentBytes)
 }
 
+// wantSegment wakes createSegments.
 func (s *Store) wantSegment() {
 	select {
 	case s.segmentWanted <- struct{}{}:
@@ -55,6 +57,7 @@
 	}
 }
 
+// removeSegment unmaps a segment and deletes its file.
 func (s *Store) removeSegment(seg *segment) error {
 	if seg.mapped != nil {
 		s.options.Files.Unmap(seg.mapped)
@@ -63,7 +66,7 @@
 	return os.Remove(seg.path)
 }
 
-// Append implements recorder.Keeper.
+// Append implements recorder.Store. Without a usable log it only counts the posting, which the next statement will contain.
 func (s *Store) Append(p ledger.Posting) {
 	if !s.logIntact.Load() || s.afterGap.Load() {
 		s.unloggedPostings++
@@ -78,7 +81,7 @@
 	s.current.put(p)
 }
 
-// rotate goes on in the segment that is ready, if one is.
+// rotate makes the spare segment the current one. It returns false if there is no spare.
 func (s *Store) rotate() bool {
 	select {
 	case seg := <-s.spareSegments:
@@ -96,6 +99,7 @@
 	}
 }
 
+// firstFreeNumber returns the number after those of all segments that hold postings.
 func (s *Store) firstFreeNumber() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/ledger/store/read.go
+++ b/internal/ledger/store/read.go
@@ -19,13 +19,13 @@
 	"dewhitch/internal/ledger/statement"
 )
 
-// rowKey is a row's key in the embedded store.
+// rowKey returns the key of a row in the embedded store.
 func rowKey(k ledger.Key) []byte {
 	b := binary.BigEndian.AppendUint64(nil, k.Customer)
 	return binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint16(b, uint16(k.Plan)), uint16(k.Class))
 }
 
-// encodeRow writes the figures that are not 0, each behind the number of its event.
+// encodeRow encodes a row: the counts and the units that are not 0, each preceded by the number of its event, and the lost answers.
 func encodeRow(k ledger.StoredRow) (b []byte) {
 	for e := ledger.None + 1; e < ledger.EventCount; e++ {
 		if n := k.N[e]; n != 0 {
@@ -45,6 +45,7 @@
 	return seal(b)
 }
 
+// decodeRow decodes the key and the value of a row. The only error is errCorrupt.
 func decodeRow(key, value []byte) (k ledger.StoredRow, err error) {
 	b, err := unseal(value)
 	if err != nil || len(key) != 12 {
@@ -85,20 +86,21 @@
 	return k, nil
 }
 
+// sortedKeys returns the keys of m in the order of rowKey.
 func sortedKeys[T any](m map[ledger.Key]T) []ledger.Key {
 	return slices.SortedFunc(maps.Keys(m), func(a, b ledger.Key) int {
 		return cmp.Or(cmp.Compare(a.Customer, b.Customer), cmp.Compare(uint16(a.Plan), uint16(b.Plan)),
-			cmp.Compare(uint16(a.Class), uint16(b.Class))) // as the store has them
+			cmp.Compare(uint16(a.Class), uint16(b.Class)))
 	})
 }
 
-// storedLedger is what an embedded store holds of figures.
+// storedLedger is the part of a ledger that the embedded store contains.
 type storedLedger struct {
 	rows []ledger.StoredRow
 	open []ledger.OpenEntry
 }
 
-// loadStore reads all that an embedded store holds of figures. A file that is not there holds nothing.
+// loadStore reads the ledger from the embedded store. A file that does not exist gives an empty ledger.
 func loadStore(path string) (m meta, c storedLedger, err error) {
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
 		return m, c, nil
@@ -114,7 +116,7 @@
 
 func loadTx(tx *bbolt.Tx, m *meta, c *storedLedger) error {
 	b := tx.Bucket(bucketMeta)
-	if b == nil { // it was made, and nothing was ever committed
+	if b == nil { // the file was created, and no statement was ever committed
 		return nil
 	}
 	text, err := unseal(b.Get(keyMeta))
@@ -141,23 +143,23 @@
 	})
 }
 
-// View is what a folder holds, read beside a gateway that may be at work there.
+// View is the content of a folder, which a running gateway may use at the same time.
 type View struct {
 	Node, Role  string
 	Incarnation uint64
 	Names       ledger.Names
-	Ledger      *ledger.Ledger // what was open when it was read is still open in it
-	Replayed    int
-	Notes       []string
-	First       uint64 // record for export that is there
-	Last        uint64
+	Ledger      *ledger.Ledger // the restored ledger; entries that are open in the folder are open in it
+	Replayed    int            // number of postings in the log that the rows did not contain
+	Notes       []string       // messages on what was torn or lost
+	First       uint64         // number of the first record for export
+	Last        uint64         // number of the last record for export
 }
 
-// maxReadAttempts is how often Read looks again, where a gateway that writes on meanwhile makes its log look torn.
+// maxReadAttempts limits how often Read reads a folder. A running gateway that writes meanwhile can make its log look torn.
 const maxReadAttempts = 5
 
-// Read reads a folder's books as they stand, the log included. It changes nothing. What a gateway at work posts while it
-// is read is in it up to some moment.
+// Read restores the ledger of a folder, from the embedded store and the log, and changes nothing. Of the postings that a running
+// gateway appends meanwhile, the ledger contains those before some point in time.
 func Read(dir string) (v *View, err error) {
 	for range maxReadAttempts {
 		if v, err = readOnce(dir); err != nil || len(v.Notes) == 0 {
@@ -173,7 +175,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	defer db.Close() // while it is open, no statement goes in and no segment goes away
+	defer db.Close() // while it is open, no statement is committed and no segment is removed
 	var m meta
 	var c storedLedger
 	err = guard(func() error { return db.View(func(tx *bbolt.Tx) error { return loadTx(tx, &m, &c) }) })
@@ -187,7 +189,7 @@
 	return &View{m.Node, m.Role, m.Incarnation, m.Names, l, log.postings, log.notes, m.First, m.Seq}, nil
 }
 
-// Records hands the records for export behind a number on, in their order.
+// Records calls f with the records for export whose numbers are greater than after, in order. It stops at an error of f.
 func Records(dir string, after uint64, f func(line []byte, r statement.Record) error) error {
 	path := filepath.Join(dir, dbName)
 	db, err := open(path, &bbolt.Options{Timeout: defaultOpenTimeout, ReadOnly: true})
--- a/internal/ledger/store/recovery.go
+++ b/internal/ledger/store/recovery.go
@@ -12,7 +12,8 @@
 	"dewhitch/internal/ledger/statement"
 )
 
-// recoverLedger makes the ledger of what the folder holds.
+// recoverLedger restores the ledger of the folder, closes its open entries, and prepares the first statement, which makes the
+// repair durable.
 func (s *Store) recoverLedger() (*ledger.Ledger, *Recovered, error) {
 	found := &Recovered{}
 	m, stored, err := loadStore(filepath.Join(s.options.Dir, dbName))
@@ -44,7 +45,7 @@
 	if err != nil {
 		return nil, nil, err
 	}
-	for _, n := range numbers { // they are covered by the next statement
+	for _, n := range numbers { // the next statement covers these segments
 		s.fullSegments = append(s.fullSegments, &segment{number: n, path: segmentPath(s.options.Dir, n)})
 		s.nextNumber = max(s.nextNumber, n)
 	}
@@ -57,13 +58,13 @@
 	for _, note := range found.Notes {
 		s.staged.notes = append(s.staged.notes, statement.Record{Kind: statement.Gap, From: now, To: now, Note: note})
 	}
-	// From here on the log begins anew, and what it holds counts once the repair is on the disk. A crash before that
-	// finds all as it was, and repairs it again.
+	// The log starts in a new segment after the first statement, and is replayed only if that one was committed. A crash before
+	// finds the folder unchanged, and the next start repairs it again.
 	s.afterGap.Store(true)
 	return l, found, nil
 }
 
-// setAside renames what can't be trusted, so that nobody counts on it and nobody has lost it.
+// setAside renames the embedded store and the segments, so that they are not read again and not lost either.
 func (s *Store) setAside() error {
 	suffix := fmt.Sprintf(".bad-%d", time.Now().UnixNano())
 	numbers, err := segments(s.options.Dir)
@@ -78,14 +79,14 @@
 	return os.Rename(filepath.Join(s.options.Dir, dbName), filepath.Join(s.options.Dir, dbName)+suffix)
 }
 
-// replayResult is what the log held beyond the rows of the store.
+// replayResult reports what was read from the log.
 type replayResult struct {
-	postings int
-	notes    []string // what could not be trusted, or was not kept
+	postings int      // number of replayed postings
+	notes    []string // messages on records that were lost or not replayed
 }
 
-// replay makes a ledger of what the store holds and of the log behind it. It stops at the first record that is not complete: what
-// stands behind a break is never counted on.
+// replay restores a ledger from the embedded store and the log after it. It stops at the first invalid record, and never replays
+// records after a break.
 func replay(dir string, limits ledger.Limits, m meta, stored storedLedger, makesStatements bool) (*ledger.Ledger, replayResult, error) {
 	l := ledger.New(limits, makesStatements)
 	for _, k := range stored.rows {
@@ -119,16 +120,17 @@
 		if err != nil && !errors.Is(err, errBadHeader) {
 			return nil, found, err
 		}
-		// The log goes on in a next segment only when this one is full. After a crash of the machine its last pages may be
-		// missing, and those of the next be there; and a reader beside a gateway at work may have read this one before it was
-		// full, and the next after that. Postings between the two would be lost, and figures not add up.
+		// The log continues in the next segment only if this one is full. After a crash of the machine, the last pages of this
+		// segment may be missing while those of the next are present. A reader beside a running gateway may have read this segment
+		// before it was full, and the next one afterwards. In both cases the postings between are missing, and replaying the next
+		// segment would give a ledger that does not balance.
 		broken = !s.isFull
 		note := describeBreak(path, s, err)
 		if note == "" {
 			continue
 		}
 		broken = true
-		// A head that was being written when the process ended is no loss: nothing was in the file.
+		// An incomplete header of the last segment is not reported: the process ended before it wrote any record there.
 		if !errors.Is(err, errBadHeader) || i < len(numbers)-1 {
 			found.notes = append(found.notes, note)
 		}
@@ -136,7 +138,7 @@
 	return l, found, nil
 }
 
-// countPostings counts the records of a segment that is not counted on; 0 if it can't be read.
+// countPostings returns the number of valid records of a segment that is not replayed; 0 if it can't be read.
 func countPostings(path string, number uint64) (n int) {
 	if _, err := readSegment(path, number, 0, math.MaxUint64, func(ledger.Posting) { n++ }); err != nil {
 		return 0
@@ -144,7 +146,7 @@
 	return n
 }
 
-// describeBreak says why the log is not followed beyond a segment; empty: it is.
+// describeBreak returns a message on the break of the log in a segment; empty if there is none.
 func describeBreak(path string, s scanResult, err error) string {
 	switch {
 	case err != nil:
--- a/internal/ledger/store/segment.go
+++ b/internal/ledger/store/segment.go
@@ -16,28 +16,29 @@
 	"dewhitch/internal/ledger"
 )
 
-// A segment is a file of records of one size, each with a checksum, behind a head. It is given its full size when it is
-// made, so that a full disk shows then and not under a write, and it is written through a map of memory: what stands in
-// the map survives the process, whenever that is killed. The last place is kept for a record that says that the log
-// breaks off.
+// The form of a segment: a file with a header and records of a fixed size, each with a checksum. It is allocated with its full
+// size when it is created, so that a full disk fails the creation and not a later write. It is written through a memory map,
+// whose content survives a kill of the process at any time. The last record is reserved for the mark of a gap.
 const (
 	recordSize  = 48
 	headerSize  = 48
 	magic       = "DWLEDG01"
-	gapEvent    = 0xff
-	resumeEvent = 0xfe // first in a segment: the log goes on behind the statement whose number it holds
+	gapEvent    = 0xff // event of the mark of a gap, after which the log breaks off; its Ref is the number of records written
+	resumeEvent = 0xfe // event of the first record of a segment in which the log resumes; its Ref is the number of a statement
 )
 
 var castagnoli = crc32.MakeTable(crc32.Castagnoli)
 
-// Files is the disk as the store needs it; tests put faults into it.
+// Files creates the files of segments. Tests replace it to inject faults. It is called from several goroutines.
 type Files interface {
-	// Create makes a file of so many bytes, all zero and all there, and maps it.
+	// Create creates a file of size zero bytes, allocates all of them, and maps the file into memory. An existing file is an
+	// error.
 	Create(path string, size int) ([]byte, error)
+	// Unmap removes a map that Create returned.
 	Unmap(mapped []byte) error
 }
 
-// diskFiles is the real one.
+// diskFiles creates files on the disk.
 type diskFiles struct{}
 
 func (diskFiles) Create(path string, size int) ([]byte, error) {
@@ -62,19 +63,20 @@
 
 func (diskFiles) Unmap(m []byte) error { return syscall.Munmap(m) }
 
-// segment is one that is being written.
+// segment is a segment that is written, or waits until a committed statement covers it.
 type segment struct {
 	number   uint64
 	path     string
-	mapped   []byte
-	written  int // records written
-	capacity int // that it has room for
+	mapped   []byte // memory map of the file; nil for a segment of an earlier incarnation
+	written  int    // number of records written
+	capacity int    // number of records that fit, without the one reserved for the mark of a gap
 }
 
 func segmentPath(dir string, n uint64) string {
 	return filepath.Join(dir, fmt.Sprintf("wal-%016x.log", n))
 }
 
+// createSegment creates the file of a segment and writes its header.
 func createSegment(f Files, dir string, n uint64, size int) (*segment, error) {
 	s := &segment{number: n, path: segmentPath(dir, n), capacity: (size-headerSize)/recordSize - 1}
 	m, err := f.Create(s.path, size)
@@ -88,24 +90,25 @@
 	return s, nil
 }
 
-// put writes one record; there must be room.
+// put writes one record. There must be room for it.
 func (s *segment) put(p ledger.Posting) {
 	encode(s.mapped[headerSize+s.written*recordSize:], s.number, uint32(s.written), p)
 	s.written++
 }
 
-// putResume says that what follows stands behind a statement, and counts if that one is on the disk.
+// putResume writes the record that the log resumes after a statement: the records that follow are valid only if that statement
+// was committed.
 func (s *segment) putResume(statement uint64) {
 	s.put(ledger.Posting{Event: resumeEvent, Ref: statement})
 }
 
-// putGap says in the last place that the log breaks off behind what is written.
+// putGap writes the mark of a gap after the records written so far, into the reserved last record.
 func (s *segment) putGap() {
 	encode(s.mapped[headerSize+s.capacity*recordSize:], s.number, uint32(s.capacity), ledger.Posting{Event: gapEvent, Ref: uint64(s.written)})
 }
 
-// encode writes a record. Its checksum comes last, and covers the segment's number and its own place: what an earlier
-// file left there is none of this one's.
+// encode writes a record. The checksum is written last, and covers the segment's number and the record's index, so that a
+// record that an earlier file left at the same place on the disk is invalid.
 func encode(b []byte, number uint64, at uint32, p ledger.Posting) {
 	le := binary.LittleEndian
 	le.PutUint32(b[4:], at)
@@ -120,10 +123,12 @@
 	le.PutUint32(b, checksum(b, number))
 }
 
+// checksum returns the checksum of a record in a segment with this number.
 func checksum(b []byte, number uint64) uint32 {
 	return crc32.Update(uint32(number)*2654435761, castagnoli, b[4:recordSize])
 }
 
+// decode reads a record. It returns false if the checksum or the index is wrong.
 func decode(b []byte, number uint64, at uint32) (p ledger.Posting, ok bool) {
 	le := binary.LittleEndian
 	if le.Uint32(b) != checksum(b, number) || le.Uint32(b[4:]) != at {
@@ -134,12 +139,11 @@
 		Wait: le.Uint16(b[14:]), Units: int64(le.Uint64(b[32:])), At: int64(le.Uint64(b[40:]))}, true
 }
 
-// errBadHeader says that a file is no segment, or not the one that its name says.
-var errBadHeader = errors.New("its head is not a segment's")
+// errBadHeader is the error of a file that is not a segment, or not the one with the number in its name.
+var errBadHeader = errors.New("the header is not that of this segment")
 
-// readSegment hands the records of a file from a place on to f, up to the first that is not whole. It tells how many it
-// read, how many whole ones stand behind one that is not, and whether the log breaks off here: with the file, or before
-// it, as it stands behind a statement that came later than those on the disk.
+// readSegment calls f with the records of a file from an index on, up to the first invalid record. statements is the number of
+// the last committed statement: a log that resumes after a later one breaks off before that record.
 func readSegment(path string, number uint64, from int, statements uint64, f func(ledger.Posting)) (scanResult, error) {
 	b, err := os.ReadFile(path)
 	if err != nil {
@@ -150,13 +154,13 @@
 
 // scanResult is what reading a segment found.
 type scanResult struct {
-	end               int  // place behind the last whole record
-	recordsAfterBreak int  // whole records behind one that is not
-	hasGap            bool // the log breaks off
-	isFull            bool // all places are taken: the log may go on in the next segment
+	end               int  // index after the last valid record
+	recordsAfterBreak int  // number of valid records after an invalid one
+	hasGap            bool // the log breaks off at a gap, or resumes after a statement that was not committed
+	isFull            bool // all records are valid, so that the log may continue in the next segment
 }
 
-// scan does so with a file's bytes.
+// scan does what readSegment does, with the content of a file.
 func scan(b []byte, number uint64, from int, statements uint64, f func(ledger.Posting)) (s scanResult, err error) {
 	if len(b) < headerSize+2*recordSize || string(b[:8]) != magic || binary.LittleEndian.Uint64(b[8:]) != number ||
 		crc32.Checksum(b[:headerSize-4], castagnoli) != binary.LittleEndian.Uint32(b[headerSize-4:]) {
@@ -191,7 +195,7 @@
 	return s, nil
 }
 
-// segments lists the numbers of the segments in a folder, in their order.
+// segments returns the sorted numbers of the segments in a folder.
 func segments(dir string) (numbers []uint64, err error) {
 	entries, err := os.ReadDir(dir)
 	if err != nil {
--- a/internal/ledger/store/store.go
+++ b/internal/ledger/store/store.go
@@ -1,10 +1,10 @@
-// Package store makes a ledger last on a disk. It owns a folder: an embedded store (bbolt) with the rows and the records
-// for export as of the last statement, and a write-ahead log of the postings since. It decides nothing on figures: after
-// a restart the same ledger.Ledger is made again from the rows and the postings, and closes what was open.
+// Package store makes a ledger durable. It owns a folder with an embedded store (bbolt), which contains the rows and the records
+// for export as of the last statement, and a write-ahead log of the postings since. It computes no figures: after a restart it
+// restores the same ledger.Ledger from the rows and the postings, and the ledger closes its open entries.
 //
-// What each loss takes: a crash of the process, nothing that was posted; a crash of the machine, what came since the last
-// statement, with sync, and what the system had not written, without. A disk that is full, slow or read-only never holds
-// up a posting: the log then breaks off with a mark, and is taken up again with the next statement that the disk takes.
+// A crash of the process loses no posting. A crash of the machine loses the postings since the last statement; without sync, it
+// also loses what the operating system had not written. A disk that is full, slow or read-only never delays a posting: the log
+// then breaks off at a mark, and resumes with the next statement that can be committed.
 package store
 
 import (
@@ -22,84 +22,87 @@
 	"dewhitch/internal/ledger"
 )
 
-// Options say what is kept, and how.
+// Options configure a Store.
 type Options struct {
 	Dir          string
 	Node, Role   string
-	SegmentBytes int
-	Segments     int // of the log, that may wait for the disk
-	Records      int // for export, that are kept
-	Sync         bool
+	SegmentBytes int  // size of a segment file
+	Segments     int  // maximum of segments that no committed statement covers
+	Records      int  // number of records for export that are kept
+	Sync         bool // each statement is flushed to the disk
 	Limits       ledger.Limits
 	Log          *zap.Logger
-	Files        Files         // nil: the disk
-	OpenTimeout  time.Duration // for a reader to let the store go; 0: two seconds
+	Files        Files         // creates the segments; nil for files on the disk
+	OpenTimeout  time.Duration // time that a statement waits until readers close the embedded store; two seconds if 0
 }
 
 const (
 	dbName             = "ledger.db"
 	lockName           = "lock"
-	defaultOpenTimeout = 2 * time.Second // for another to let the file go
-	version            = 1
+	defaultOpenTimeout = 2 * time.Second // time to wait until another process closes the embedded store
+	version            = 1               // version of the stored form
 )
 
-// ErrInUse says that another process keeps its books in the folder.
-var ErrInUse = errors.New("another process keeps its books there")
+// ErrInUse is the error of a folder that another process uses.
+var ErrInUse = errors.New("another process keeps its ledger there")
 
-// errCorrupt says that a file can't be trusted.
+// errCorrupt is the error of a file whose content is invalid.
 var errCorrupt = errors.New("it is torn or corrupt")
 
-// meta is what the store knows of itself. At is the place in the log up to which the rows hold it.
+// meta describes the content of the embedded store. Its rows contain the log up to record Position of the segment Segment.
 type meta struct {
 	Version     int          `json:"version"`
 	Node        string       `json:"node"`
 	Role        string       `json:"role"`
 	Incarnation uint64       `json:"life"`
 	Statements  uint64       `json:"statements"`
-	Seq         uint64       `json:"seq"`   // of the last record
-	First       uint64       `json:"first"` // that is still there
-	Chain       string       `json:"chain"`
+	Seq         uint64       `json:"seq"`   // number of the last record for export
+	First       uint64       `json:"first"` // number of the first record for export that is still stored
+	Chain       string       `json:"chain"` // chain of the last record for export
 	Segment     uint64       `json:"segment"`
 	Position    int          `json:"at"`
 	Names       ledger.Names `json:"names"`
-	Stated      time.Time    `json:"stated"`
+	Stated      time.Time    `json:"stated"` // time of the last statement
 }
 
-// Store implements recorder.Keeper.
+// Store implements recorder.Store. While LogIntact is true, a posting is durable against a crash of the process once Append
+// returns; otherwise it is durable once the statement that contains it is committed.
 type Store struct {
 	options Options
 	lock    *os.File
 	meta    meta
 
-	// Under the recorder's lock, and in Run.
-	current          *segment
+	// The recorder's lock on its queue guards current and unloggedPostings. Only the goroutine of recorder.Run uses staged and
+	// resumePending.
+	current          *segment // segment that Append writes; nil before the first
 	logIntact        atomic.Bool
-	unloggedPostings uint64 // postings that are in no log
-	staged           *stagedStatement
+	unloggedPostings uint64           // number of postings of this period that are not in the log
+	staged           *stagedStatement // statements that are not committed yet; nil if all are
 
-	afterGap      atomic.Bool // what follows in the log must not be counted on: it stands behind a gap
-	resumePending bool        // the log was taken up again, by a statement that is not on the disk yet
+	afterGap      atomic.Bool // the current segment is after a gap, and its postings would not be replayed
+	resumePending bool        // the log was resumed after a statement that is not committed yet
 
-	mu            sync.Mutex
-	fullSegments  []*segment // full, and not yet covered by a statement on the disk
-	nextNumber    uint64     // number of a segment
+	mu            sync.Mutex // guards fullSegments and nextNumber
+	fullSegments  []*segment // full segments that no committed statement covers
+	nextNumber    uint64     // number of the next segment to be created
 	spareSegments chan *segment
-	segmentWanted chan struct{}
-	closing       chan struct{}
+	segmentWanted chan struct{} // wakes createSegments
+	closing       chan struct{} // closed by Close
 	background    sync.WaitGroup
 }
 
-// Recovered is what Open found.
+// Recovered reports what Open found in the folder.
 type Recovered struct {
 	Incarnation    uint64
-	Replayed       int      // postings that the log held beyond the rows
-	ClosedPostings int      // postings that closed what was open
-	CutOffRequests uint64   // of those, requests that were owed an answer
-	Notes          []string // what was torn, set aside or not kept
+	Replayed       int      // number of postings in the log that the rows did not contain
+	ClosedPostings int      // number of postings that closed open entries
+	CutOffRequests uint64   // number of requests that a crash ended before their answer
+	Notes          []string // messages on what was torn, set aside or lost
 }
 
-// Open takes a folder over and makes the ledger that it holds; what a crash left open is closed. What is torn or corrupt
-// is set aside and said. An error means that nothing can be kept there.
+// Open locks a folder and restores the ledger that it contains, with the names of its plans and classes. Entries that a crash
+// left open are closed. Corrupt files are set aside and reported in Recovered.Notes. On an error the folder can't be used; it is
+// ErrInUse if another process has it.
 func Open(o Options) (*Store, *ledger.Ledger, ledger.Names, *Recovered, error) {
 	if o.Files == nil {
 		o.Files = diskFiles{}
@@ -125,7 +128,7 @@
 		return nil, nil, ledger.Names{}, nil, err
 	}
 	if seg, err := s.newSegment(); err != nil {
-		o.Log.Error("the ledger's log has no room on the disk", zap.Error(err))
+		o.Log.Error("the first segment of the ledger's log can't be created", zap.Error(err))
 	} else if seg != nil {
 		s.spareSegments <- seg
 	}
@@ -133,7 +136,7 @@
 	return s, l, s.meta.Names, found, nil
 }
 
-// Close gives the folder back. What was posted since the last statement stays in the log.
+// Close stops the creation of segments and unlocks the folder. The postings since the last statement stay in the log.
 func (s *Store) Close() error {
 	close(s.closing)
 	s.background.Wait()
@@ -149,5 +152,5 @@
 	return s.lock.Close()
 }
 
-// LogIntact says whether what is posted now survives a crash of the process.
+// LogIntact reports whether a posting appended now survives a crash of the process.
 func (s *Store) LogIntact() bool { return s.logIntact.Load() && !s.afterGap.Load() }
--- a/internal/ledger/store/write.go
+++ b/internal/ledger/store/write.go
@@ -21,7 +21,7 @@
 	keyOpen       = []byte("open")
 )
 
-// write puts a statement into the embedded store, all of it or nothing.
+// write commits a statement to the embedded store in one transaction, and returns the new meta. The caller's meta is unchanged.
 func (s *Store) write(p *stagedStatement, names ledger.Names) (meta, error) {
 	db, err := open(filepath.Join(s.options.Dir, dbName), &bbolt.Options{Timeout: s.options.OpenTimeout, NoSync: !s.options.Sync})
 	if err != nil {
@@ -44,9 +44,10 @@
 type writer struct {
 	tx         *bbolt.Tx
 	meta       meta
-	maxRecords int // for export, that are kept
+	maxRecords int // number of records for export that are kept
 }
 
+// statement writes a whole statement, with the meta last.
 func (w *writer) statement(p *stagedStatement, names ledger.Names) error {
 	for _, name := range [][]byte{bucketMeta, bucketRows, bucketRecords} {
 		if _, err := w.tx.CreateBucketIfNotExists(name); err != nil {
@@ -60,7 +61,7 @@
 		from = p.end
 	}
 	m.Names, m.Segment, m.Position, m.Stated = names, p.segment, p.position, p.end
-	w.tx.Bucket(bucketRecords).FillPercent = 1 // they come in their order
+	w.tx.Bucket(bucketRecords).FillPercent = 1 // records are appended in key order, so that pages can be filled completely
 	for _, write := range []func() error{
 		func() error { return w.rows(p) },
 		func() error { return w.putJSON(keyOpen, p.open) },
@@ -74,7 +75,7 @@
 	return w.putJSON(keyMeta, m)
 }
 
-// rows writes the rows that have changed, and deletes those that were rolled up.
+// rows writes the changed rows, and deletes those that were rolled up.
 func (w *writer) rows(p *stagedStatement) (err error) {
 	rows := w.tx.Bucket(bucketRows)
 	for _, k := range sortedKeys(p.rows) {
@@ -91,7 +92,7 @@
 	return nil
 }
 
-// records writes the records for export: notes, figures by row, and tries at requests with an idempotency key.
+// records writes the records for export: notes, figures by row, and attempts at requests with an idempotency key.
 func (w *writer) records(p *stagedStatement, names ledger.Names, from time.Time) error {
 	for _, r := range p.notes {
 		if err := w.record(r); err != nil {
@@ -116,17 +117,17 @@
 	return nil
 }
 
-// record numbers a record, links it to the chain of those before, and writes it.
+// record assigns the next number to a record, links it to the chain, and writes it.
 func (w *writer) record(r statement.Record) error {
 	m := &w.meta
 	m.Seq++
 	r.Seq, r.Node, r.Role, r.Incarnation = m.Seq, m.Node, m.Role, m.Incarnation
-	line := r.Seal(nil, m.Chain) // the store keeps it until the end of the transaction
+	line := r.Seal(nil, m.Chain) // a new slice, as the embedded store refers to it until the end of the transaction
 	m.Chain = r.Chain
 	return w.tx.Bucket(bucketRecords).Put(recordKey(m.Seq), line)
 }
 
-// dropOldRecords deletes the oldest records beyond those that are kept.
+// dropOldRecords deletes the oldest records beyond maxRecords.
 func (w *writer) dropOldRecords() error {
 	m := &w.meta
 	m.First = max(1, m.First)
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// putJSON writes a value with its checksum.
+// putJSON writes a value as JSON with a checksum.
 func (w *writer) putJSON(key []byte, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
