--- a/internal/ledger/store/fuzz_test.go
+++ b/internal/ledger/store/fuzz_test.go
@@ -6,7 +6,7 @@
 	"dewhitch/internal/ledger"
 )
 
-// A segment may hold anything: what is read of it is records whose checksums hold, in their places.
+// Guards against panics and miscounts on segments with arbitrary content: scan must stay within the bytes given.
 func FuzzSegment(f *testing.F) {
 	dir := f.TempDir()
 	s, err := createSegment(diskFiles{}, dir, 7, headerSize+9*recordSize)
@@ -23,12 +23,13 @@
 		n := 0
 		s, err := scan(b, 7, 0, 1, func(ledger.Posting) { n++ })
 		if err == nil && (n > s.end || (s.end+s.recordsAfterBreak)*recordSize > len(b)) {
-			t.Fatalf("%d records of %d, %d behind, in %d bytes", n, s.end, s.recordsAfterBreak, len(b))
+			t.Fatalf("read %d records up to index %d and %d after the break, in %d bytes", n, s.end, s.recordsAfterBreak, len(b))
 		}
 	})
 }
 
-// Nor is a row more than what its checksum covers, and a row that is read is written as it was.
+// Guards against rows that change when they are read and written again, with arbitrary keys and values, with and without a valid
+// checksum.
 func FuzzRow(f *testing.F) {
 	k := ledger.StoredRow{Key: ledger.Key{Customer: 7, Plan: 1, Class: -3}, Lost: [4]uint64{1, 2, 3, 4}}
 	k.Set(ledger.UnitsDrawn, 5, -6)
@@ -40,7 +41,7 @@
 				continue
 			}
 			if again, err := decodeRow(rowKey(k.Key), encodeRow(k)); err != nil || again != k {
-				t.Fatalf("%x is read as %+v, and again as %+v, %v", v, k, again, err)
+				t.Fatalf("%x is decoded as %+v, and after encoding it again as %+v, error %v", v, k, again, err)
 			}
 		}
 	})
--- a/internal/ledger/store/golden_test.go
+++ b/internal/ledger/store/golden_test.go
@@ -19,7 +19,7 @@
 	"dewhitch/internal/ledger/statement"
 )
 
-// memoryFiles makes segments in memory.
+// memoryFiles creates segments in memory.
 type memoryFiles struct{}
 
 func (memoryFiles) Create(_ string, size int) ([]byte, error) { return make([]byte, size), nil }
@@ -40,8 +40,8 @@
 	}
 )
 
-// TestSegmentForm freezes a segment of the log: its head, a record of the statement that it stands behind, postings, and the
-// record of a gap. Another version of the program reads it after a restart, and the ledger command beside a gateway.
+// TestSegmentForm compares a segment of the log with golden files: its header, the record of the statement after which it
+// resumes, postings, and the mark of a gap. Other versions of the program read it, after a restart or with the ledger command.
 func TestSegmentForm(t *testing.T) {
 	for _, c := range []struct {
 		name string
@@ -62,15 +62,15 @@
 		var got []ledger.Posting
 		found, err := scan(golden.Read(t, c.name), 12, 0, 21, func(p ledger.Posting) { got = append(got, p) })
 		if err != nil || found != (scanResult{end: 4, hasGap: c.gap}) || !reflect.DeepEqual(got, postings) {
-			t.Errorf("%s: read as %+v %+v, %v", c.name, got, found, err)
+			t.Errorf("%s: the golden file is read as %+v %+v, error %v", c.name, got, found, err)
 		}
 	}
 	if s := segmentPath("dir", 0xab); s != "dir/wal-00000000000000ab.log" || dbName != "ledger.db" || lockName != "lock" {
-		t.Error("files are called", s, dbName, lockName)
+		t.Error("the file names have changed:", s, dbName, lockName)
 	}
 }
 
-// figures gives each event a count and units of its own.
+// figures returns counts and units that differ for each event.
 func figures(from uint64) (c ledger.Counts) {
 	for e := ledger.None + 1; e < ledger.EventCount; e++ {
 		c.Set(e, from+uint64(e), -int64(from)*1e6-int64(e))
@@ -78,13 +78,13 @@
 	return c
 }
 
-// storedRows are the rows of the frozen store, in the order of their keys.
+// storedRows returns the rows of the golden store, sorted by key.
 func storedRows() []ledger.StoredRow {
 	return []ledger.StoredRow{{Key: bookingKey, Counts: figures(100), Lost: [4]uint64{1, 2, 3, 400}},
 		{Key: accountKey, Counts: figures(20000), Lost: [4]uint64{5, 6, 7, 8}}}
 }
 
-// openEntries are an entry with all fields and, as a swap of two flags would not show in it, one for each flag.
+// openEntries returns an entry with all fields and, as it would not show two flags that are swapped, an entry for each flag.
 func openEntries() []ledger.OpenEntry {
 	return []ledger.OpenEntry{
 		{Ref: 500, Entry: ledger.Entry{Key: bookingKey, Units: 11, Since: 12, Wait: 13, HasIdempotencyKey: true, Hash: 14, IsCall: true,
@@ -105,11 +105,11 @@
 	}
 }
 
-// storedMeta is what the frozen store knows of itself.
+// storedMeta is the meta of the golden store.
 var storedMeta = meta{Version: 1, Node: "n3", Role: statement.Forwarder, Incarnation: 7, Statements: 21, Seq: 45, First: 41,
 	Chain: "5ec34aeb5874f821", Segment: 12, Position: 2, Names: storedNames, Stated: lastStatement}
 
-// storedRecords are the records for export of the frozen store.
+// storedRecords returns the records for export of the golden store.
 func storedRecords() []statement.Record {
 	booking, account := figures(1000), figures(3000)
 	return []statement.Record{
@@ -127,7 +127,7 @@
 	}
 }
 
-// dump is a line for each value of an embedded store: its bucket, its key in hexadecimal digits, and itself, quoted.
+// dump returns a line for each value of an embedded store: the bucket, the key in hexadecimal, and the quoted value.
 func dump(t *testing.T, path string) string {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, &bbolt.Options{ReadOnly: true})
@@ -149,7 +149,7 @@
 	return lines.String()
 }
 
-// restore makes an embedded store of what dump has written.
+// restore creates an embedded store from the lines that dump returned.
 func restore(t *testing.T, path, lines string) {
 	t.Helper()
 	db, err := bbolt.Open(path, 0o600, nil)
@@ -182,9 +182,9 @@
 	}
 }
 
-// TestStoreForm freezes the embedded store: the head and the table of what is open (JSON), the rows (binary) and the records
-// for export, under their keys. Another version of the program reads it after a restart. Nothing in it is masked: the
-// statement that is written has fixed times.
+// TestStoreForm compares the embedded store with a golden file: the meta and the open entries (JSON), the rows (binary) and the
+// records for export, under their keys. Other versions of the program read it after a restart. The statement has fixed times, so
+// that no value needs to be masked.
 func TestStoreForm(t *testing.T) {
 	dir := t.TempDir()
 	s := &Store{options: Options{Dir: dir, OpenTimeout: time.Second, Records: 5}, meta: meta{Version: 1, Node: "n3", Role: statement.Forwarder,
@@ -202,13 +202,13 @@
 		{Kind: statement.Gap, From: lastStatement, To: previousStatement, Note: "<torn> & \"odd\" späť"}}
 	got, err := s.write(p, storedNames)
 	if err != nil || !reflect.DeepEqual(got, storedMeta) {
-		t.Errorf("wrote %+v, %v", got, err)
+		t.Errorf("write returned the meta %+v, error %v", got, err)
 	}
 	golden.Compare(t, "store", []byte(dump(t, filepath.Join(dir, dbName))))
 }
 
-// TestStoreRead reads the frozen store, with the frozen segment behind it, by each of the program's readers: the start of a
-// process, the commands that show books, and the export.
+// TestStoreRead reads the golden store and the golden segment after it with each reader of the program: the start of a process,
+// the commands that show a ledger, and the export.
 func TestStoreRead(t *testing.T) {
 	dir := t.TempDir()
 	restore(t, filepath.Join(dir, dbName), string(golden.Read(t, "store")))
@@ -217,22 +217,22 @@
 	}
 	m, c, err := loadStore(filepath.Join(dir, dbName))
 	if err != nil || !reflect.DeepEqual(m, storedMeta) || !reflect.DeepEqual(c, storedLedger{storedRows(), openEntries()}) {
-		t.Errorf("loaded as %+v %+v, %v", m, c, err)
+		t.Errorf("the golden store is loaded as %+v %+v, error %v", m, c, err)
 	}
 
 	lines := []ledger.Line{{Key: bookingKey, Counts: figures(100)}, {Key: accountKey, Counts: figures(20000)}}
-	lines[0].Counts.Record(ledger.FrontTaken, 3e6) // the log behind place 2
+	lines[0].Counts.Record(ledger.FrontTaken, 3e6) // the log from record 2 on
 	lines[0].Counts.Record(ledger.PlanTaken, 4e6)
 	v, err := Read(dir)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if got := v.Ledger.Lines(); !reflect.DeepEqual(got, lines) || v.Ledger.OpenCount() != len(openEntries())+1 {
-		t.Errorf("the ledger is read as %+v, %d open", got, v.Ledger.OpenCount())
+		t.Errorf("the ledger is read as %+v, with %d open entries", got, v.Ledger.OpenCount())
 	}
 	v.Ledger = nil
 	if want := (&View{Node: "n3", Role: statement.Forwarder, Incarnation: 7, Names: storedNames, Replayed: 2, First: 41, Last: 45}); !reflect.DeepEqual(v, want) {
-		t.Errorf("read as %+v", v)
+		t.Errorf("Read returned %+v", v)
 	}
 
 	var records []statement.Record
@@ -240,7 +240,7 @@
 		records = append(records, r)
 		return nil
 	}); err != nil || !reflect.DeepEqual(records, storedRecords()) {
-		t.Errorf("records are read as %+v, %v", records, err)
+		t.Errorf("the records are read as %+v, error %v", records, err)
 	}
 
 	s, _, known, found, err := Open(Options{Dir: dir, Node: "n3", Role: statement.Forwarder, SegmentBytes: 16 << 10, Segments: 8,
@@ -249,7 +249,7 @@
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(known, storedNames) || found.Incarnation != 8 || found.Replayed != 2 || len(found.Notes) != 0 {
-		t.Errorf("taken over as %+v %+v", known, found)
+		t.Errorf("Open returned the names %+v and %+v", known, found)
 	}
 	if err := s.Close(); err != nil {
 		t.Error(err)
--- a/internal/ledger/store/store_test.go
+++ b/internal/ledger/store/store_test.go
@@ -29,13 +29,14 @@
 		Limits: ledger.Limits{Rows: 1000, Open: 1000, Flight: 64}, Log: zap.NewNop(), OpenTimeout: 50 * time.Millisecond}
 }
 
-// testLedger are a ledger and its store, as a recorder holds them.
+// testLedger is a ledger with its store, used as a recorder uses them.
 type testLedger struct {
 	t *testing.T
 	*Store
 	ledger *ledger.Ledger
 }
 
+// openTestLedger opens the store of a folder and returns it with its ledger.
 func openTestLedger(t *testing.T, o Options) (*testLedger, *Recovered) {
 	t.Helper()
 	s, l, _, found, err := Open(o)
@@ -45,23 +46,26 @@
 	return &testLedger{t, s, l}, found
 }
 
+// post adds a posting to the ledger and appends it to the log.
 func (b *testLedger) post(p ledger.Posting) {
 	p.At = 1
 	b.ledger.Post(p)
 	b.Append(p)
 }
 
-func (b *testLedger) stage() {
+// stageStatement ends a period and stages its statement.
+func (b *testLedger) stageStatement() {
 	b.EndPeriod()
 	b.Stage(b.ledger.Statement())
 }
 
+// commitStatement stages a statement and commits it.
 func (b *testLedger) commitStatement() error {
-	b.stage()
+	b.stageStatement()
 	return b.Commit(names)
 }
 
-// waitForSpare waits for the segment that is made ahead: with the disk well there is one before long.
+// waitForSpare waits up to 1 s for a spare segment, which a working disk soon provides.
 func (b *testLedger) waitForSpare() {
 	for range 1000 {
 		if len(b.spareSegments) > 0 {
@@ -71,7 +75,7 @@
 	}
 }
 
-// copyFolder copies a folder as a SIGKILL at this moment would leave it.
+// copyFolder copies a folder in the state in which a SIGKILL of the process would leave it now.
 func copyFolder(t *testing.T, dir string) string {
 	t.Helper()
 	to := t.TempDir()
@@ -88,15 +92,16 @@
 	return to
 }
 
-// requireBalanced checks that a ledger adds up with nothing open, and that its export adds up to it, each record once.
+// requireBalanced fails the test unless the ledger balances with nothing open, and the records of the folder form a chain and add
+// up to the ledger.
 func requireBalanced(t *testing.T, dir string, l *ledger.Ledger) {
 	t.Helper()
 	if found := l.Audit(true); len(found) > 0 || l.OpenCount() > 0 {
-		t.Fatalf("%v, %d open", found, l.OpenCount())
+		t.Fatalf("mismatches %v, %d entries open, expected none", found, l.OpenCount())
 	}
 	total := l.Total()
 	if total.N[ledger.FrontTaken] != total.Ended() {
-		t.Fatalf("%d taken, %d ended", total.N[ledger.FrontTaken], total.Ended())
+		t.Fatalf("%d requests taken, %d ended", total.N[ledger.FrontTaken], total.Ended())
 	}
 	var stated ledger.Counts
 	var chain statement.Chain
@@ -112,13 +117,14 @@
 		t.Fatal(err)
 	}
 	if stated != total {
-		t.Fatalf("exported %d taken, %d served; in the books %d, %d", stated.N[ledger.FrontTaken],
+		t.Fatalf("the records add up to %d requests taken and %d served, the ledger to %d and %d", stated.N[ledger.FrontTaken],
 			stated.N[ledger.FrontServed], total.N[ledger.FrontTaken], total.N[ledger.FrontServed])
 	}
 }
 
-// 200 kills: at any posting, in the middle of a record, and of a statement; then again during the repair. Nothing that
-// was posted is lost, what was open is closed, and no record comes twice.
+// Guards against postings that a kill of the process loses or repeats. Each of ten runs is killed 20 times, 200 in all: between
+// any two postings, during the write of a record, between staging and commit, and again during the repair. No posting may be
+// lost, all open entries are closed, and no record for export appears twice.
 func TestKills(t *testing.T) {
 	for seed := range uint64(10) {
 		r := rand.New(rand.NewPCG(seed, 9))
@@ -130,32 +136,32 @@
 		var taken uint64
 		kill := func(torn bool) {
 			copied := copyFolder(t, dir)
-			if torn { // the record that was being written is there in part
+			if torn { // the record that was being written is incomplete
 				path := filepath.Join(copied, filepath.Base(b.current.path))
 				f, err := os.ReadFile(path)
 				if err != nil {
 					t.Fatal(err)
 				}
-				// Its fields are written one behind another, and the checksum last.
+				// The fields of a record are written in order, and the checksum last.
 				rec := make([]byte, recordSize)
 				encode(rec, b.current.number, uint32(b.current.written), ledger.Posting{Event: ledger.FrontTaken, Ref: 1 << 40, At: 1})
 				copy(f[headerSize+b.current.written*recordSize+4:], rec[4:8+r.IntN(recordSize-8+1)])
 				os.WriteFile(path, f, 0o600)
 			}
-			if r.IntN(2) == 0 { // killed again while it is repaired
+			if r.IntN(2) == 0 { // the process is killed again during the repair
 				again, _ := openTestLedger(t, options(copied))
-				again.stage()
+				again.stageStatement()
 				copied = copyFolder(t, copied)
 				again.Close()
 			}
 			after, found := openTestLedger(t, options(copied))
 			defer after.Close()
 			if len(found.Notes) > 0 {
-				t.Fatalf("seed %d: %v", seed, found.Notes)
+				t.Fatalf("seed %d: the repair reported %v, expected nothing", seed, found.Notes)
 			}
 			total := after.ledger.Total()
 			if total.N[ledger.FrontTaken] != taken {
-				t.Fatalf("seed %d: %d taken are known after the kill, of %d", seed, total.N[ledger.FrontTaken], taken)
+				t.Fatalf("seed %d: the ledger has %d requests taken after the kill, expected %d", seed, total.N[ledger.FrontTaken], taken)
 			}
 			if err := after.commitStatement(); err != nil {
 				t.Fatal(err)
@@ -174,8 +180,8 @@
 			case r.IntN(90) == 0 && kills < 18:
 				kills++
 				kill(r.IntN(2) == 0)
-			case r.IntN(200) == 0: // cut, and not yet committed; then committed
-				b.stage()
+			case r.IntN(200) == 0: // killed between staging and commit
+				b.stageStatement()
 				if kills < 19 {
 					kills++
 					kill(false)
@@ -196,7 +202,7 @@
 	}
 }
 
-// failingFiles is a disk that has no room while full is set.
+// failingFiles can't create files while full is set, as on a full disk.
 type failingFiles struct {
 	diskFiles
 	full atomic.Bool
@@ -209,8 +215,9 @@
 	return f.diskFiles.Create(path, size)
 }
 
-// A disk that is full, and a store that can't be written: the books go on in memory, the log breaks off with a mark and
-// is taken up again, a crash meanwhile leaves figures that add up and says what was not kept, and afterwards all is there.
+// Guards against lost or contradictory figures with a full disk and an embedded store that a reader has locked. The ledger must
+// go on in memory while the log breaks off; a crash in this state must give a ledger that balances and a note on what was lost;
+// and once there is room, the log must resume so that a crash loses nothing.
 func TestDiskFull(t *testing.T) {
 	dir := t.TempDir()
 	o := options(dir)
@@ -242,16 +249,16 @@
 	}
 	postMany(1)
 	if b.LogIntact() {
-		t.Fatal("more was kept than there is room for")
+		t.Fatal("the log is reported intact, with more postings than its segments hold")
 	}
 	if err := b.commitStatement(); !errors.Is(err, bbolterrors.ErrTimeout) {
-		t.Fatalf("a statement to a store that is held: %v", err)
+		t.Fatalf("a statement to a locked store: got error %v, expected a timeout", err)
 	}
 	postMany(2)
 	copied := copyFolder(t, dir)
 	after, found := openTestLedger(t, options(copied))
 	if notes := strings.Join(found.Notes, "; "); !strings.Contains(notes, "was not kept") {
-		t.Errorf("after a crash with a full disk it says %q", notes)
+		t.Errorf("after a crash with a full disk the notes are %q", notes)
 	}
 	if err := after.commitStatement(); err != nil {
 		t.Fatal(err)
@@ -261,21 +268,21 @@
 
 	files.full.Store(false)
 	reader.Close()
-	for range 2 { // the first makes room for the log, the second takes it up
+	for range 2 { // the first statement makes room for the log, the second resumes it
 		if err := b.commitStatement(); err != nil {
 			t.Fatal(err)
 		}
 		b.waitForSpare()
 	}
 	if !b.LogIntact() {
-		t.Fatal("with room on the disk, the log is not taken up")
+		t.Fatal("the log did not resume with room on the disk")
 	}
 	postMany(3)
 	copied = copyFolder(t, dir)
 	after, found = openTestLedger(t, options(copied))
 	defer after.Close()
 	if total := after.ledger.Total(); total.N[ledger.FrontTaken] != taken || len(found.Notes) > 0 {
-		t.Errorf("%d taken are known, of %d; %v", total.N[ledger.FrontTaken], taken, found.Notes)
+		t.Errorf("the ledger has %d requests taken after the kill, expected %d; notes %v", total.N[ledger.FrontTaken], taken, found.Notes)
 	}
 	if err := after.commitStatement(); err != nil {
 		t.Fatal(err)
@@ -283,7 +290,8 @@
 	requireBalanced(t, copied, after.ledger)
 }
 
-// What is torn or corrupt is found, set aside and said, and the next books begin at nothing or at what can be trusted.
+// Guards against corrupt files that are read as figures. Damage to any file must be reported in a note, a corrupt embedded store
+// must be set aside, and the restored ledger must balance, from the start or from the last valid record.
 func TestCorruption(t *testing.T) {
 	dir := t.TempDir()
 	b, _ := openTestLedger(t, options(dir))
@@ -313,7 +321,7 @@
 		}
 		os.WriteFile(path, f, 0o600)
 	}
-	row := func(dir string) func(int) int { // where some customer's row begins in the store
+	row := func(dir string) func(int) int { // offset in the value of a customer's row
 		f, _ := os.ReadFile(filepath.Join(dir, dbName))
 		i := bytes.LastIndex(f, rowKey(b.ledger.Lines()[9].Key))
 		return func(int) int { return i + 14 }
@@ -322,7 +330,7 @@
 	for what, c := range map[string]struct {
 		do       func(dir string)
 		setAside bool
-		minTaken uint64 // taken that are still known
+		minTaken uint64 // minimum of requests taken that the restored ledger has
 	}{
 		"a row":             {func(dir string) { corruptFile(dir, dbName, row(dir), "~~~~") }, true, 0},
 		"both heads":        {func(dir string) { corruptFile(dir, dbName, func(int) int { return 0 }, strings.Repeat("~", 8192)) }, true, 0},
@@ -340,15 +348,15 @@
 			after, found := openTestLedger(t, options(copied))
 			defer after.Close()
 			if len(found.Notes) == 0 {
-				t.Error("nothing is said")
+				t.Error("the damage is not reported in a note")
 			}
 			bad, _ := filepath.Glob(filepath.Join(copied, dbName+".bad-*"))
 			if c.setAside != (len(bad) == 1) {
-				t.Errorf("set aside: %v", bad)
+				t.Errorf("files set aside: %v", bad)
 			}
 			got := after.ledger.Total()
 			if n := got.N[ledger.FrontTaken]; n < c.minTaken || n > total.N[ledger.FrontTaken] {
-				t.Errorf("%d taken are known", n)
+				t.Errorf("the ledger has %d requests taken", n)
 			}
 			if err := after.commitStatement(); err != nil {
 				t.Fatal(err)
@@ -362,8 +370,9 @@
 	b.Close()
 }
 
-// The end of a segment is lost, as a crash of the machine may lose it, or as a reader that came too early does not see
-// it, and the next segment is there: nothing of that is counted, and the figures add up.
+// Guards against replaying a segment after a hole. The end of a segment is missing and the next one is present, as after a crash
+// of the machine, or for a reader that read the segment before it was full. The next segment must not be replayed, and the ledger
+// must balance.
 func TestHoleBetweenSegments(t *testing.T) {
 	dir := t.TempDir()
 	b, _ := openTestLedger(t, options(dir))
@@ -379,7 +388,7 @@
 		n++
 	})
 	if filepath.Base(b.current.path) == first {
-		t.Fatalf("%d postings fill no segment", n)
+		t.Fatalf("%d postings did not fill a segment", n)
 	}
 	for _, lost := range []int{1, 7, 100} {
 		copied := copyFolder(t, dir)
@@ -388,7 +397,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		end := headerSize + b.current.capacity*recordSize // the last place is for the mark of a gap
+		end := headerSize + b.current.capacity*recordSize // the last record is reserved for the mark of a gap
 		clear(f[end-lost*recordSize : end])
 		os.WriteFile(path, f, 0o600)
 		v, err := Read(copied)
@@ -396,11 +405,11 @@
 			t.Fatal(err)
 		}
 		if found := v.Ledger.Audit(true); len(found) > 0 {
-			t.Errorf("%d records are lost: %v", lost, found)
+			t.Errorf("with %d records lost, the ledger has mismatches: %v", lost, found)
 		}
 		after, found := openTestLedger(t, options(copied))
 		if notes := strings.Join(found.Notes, "; "); !strings.Contains(notes, "behind the break were not trusted") {
-			t.Errorf("%d records are lost, and it says %q", lost, notes)
+			t.Errorf("with %d records lost, the notes are %q", lost, notes)
 		}
 		if err := after.commitStatement(); err != nil {
 			t.Fatal(err)
@@ -410,7 +419,8 @@
 	}
 }
 
-// A reader beside a gateway at work sees what was posted up to then, and records beyond the bound are gone.
+// Guards against readers that see a stale or torn state while a gateway writes: Read must return all postings so far. It also
+// checks that only the newest records, up to the limit, remain.
 func TestReadWhileWriting(t *testing.T) {
 	o := options(t.TempDir())
 	o.Records = 50
@@ -428,7 +438,7 @@
 		}
 		v, err := Read(o.Dir)
 		if err != nil || v.Ledger.Total() != b.ledger.Total() || v.Ledger.OpenCount() != b.ledger.OpenCount() {
-			t.Fatalf("after %d postings: %v", n, err)
+			t.Fatalf("after %d postings, Read returned error %v or a different ledger", n, err)
 		}
 		if found := v.Ledger.Audit(true); len(found) > 0 {
 			t.Fatal(found)
@@ -439,14 +449,14 @@
 	})
 	v, err := Read(o.Dir)
 	if err != nil || v.Last-v.First != 49 {
-		t.Errorf("records %d to %d, %v", v.First, v.Last, err)
+		t.Errorf("the records are %d to %d, expected 50; error %v", v.First, v.Last, err)
 	}
 	if fmt.Sprint(v.Names) != fmt.Sprint(names) {
-		t.Errorf("names %v", v.Names)
+		t.Errorf("the names are %v", v.Names)
 	}
 }
 
-// Ways to make a posting last, as docs/design/ledger.md weighs them.
+// BenchmarkKeep compares ways to make a posting durable, which docs/design/ledger.md discusses.
 func BenchmarkKeep(b *testing.B) {
 	p := ledger.Posting{Event: ledger.FrontTaken, Key: ledger.Key{Customer: 7}, Ref: 1, Units: 1e6, At: 1}
 	b.Run("mapped log", func(b *testing.B) {
@@ -458,7 +468,7 @@
 		}
 		defer s.Close()
 		for i := 0; b.Loop(); i++ {
-			if i%80000 == 0 { // as a statement does in time
+			if i%80000 == 0 { // often enough that the log does not fill up
 				b.StopTimer()
 				time.Sleep(5 * time.Millisecond)
 				s.EndPeriod()
