--- a/internal/ledger/statement/bookings.go
+++ b/internal/ledger/statement/bookings.go
@@ -6,7 +6,7 @@
 	"dewhitch/internal/ledger"
 )
 
-// maxAttempts bounds the attempts that are linked to bookings; those beyond are dropped, to bound memory.
+// maxAttempts limits the attempts that are linked to bookings, to limit memory. Further attempts are only counted.
 const maxAttempts = 4 << 20
 
 // Attempt is one attempt of a client at a booking.
@@ -14,21 +14,22 @@
 	Node  string
 	Taken time.Time
 	Ended time.Time
-	End   string // the event that ended it
+	End   string // name of the event that ended the attempt
 }
 
-// bookingKey identifies a booking: attempts with the same idempotency key of the same customer.
+// bookingKey identifies a booking: all attempts with the same customer and idempotency key belong to it.
 type bookingKey struct {
 	customer string
 	key      string
 }
 
-// attemptLog is the attempts of all nodes.
+// attemptLog holds the attempts of all nodes.
 type attemptLog struct {
 	byBooking map[bookingKey][]Attempt
-	count     int // of all attempts, linked or not
+	count     int // number of all attempts, linked to bookings or not
 }
 
+// add adds a record of kind AttemptRecord.
 func (l *attemptLog) add(r Record) {
 	l.count++
 	if l.count > maxAttempts {
@@ -38,9 +39,8 @@
 	l.byBooking[booking] = append(l.byBooking[booking], Attempt{Node: r.Node, Taken: r.From, Ended: r.To, End: r.End})
 }
 
-// Bookings links the attempts of each booking. It returns how many bookings there were, how many had attempts through more than one
-// node, in how many of those an attempt came to one node while one was open at another, and how many bookings were served more than
-// once.
+// Bookings returns the number of bookings, the number of those with attempts through more than one node, the number of these with
+// attempts that were open at two nodes at the same time, and the number of bookings that were served more than once.
 func (m *Merged) Bookings() (all, across, overlapping, servedTwice int) {
 	for _, attempts := range m.attempts.byBooking {
 		all++
--- a/internal/ledger/statement/chain.go
+++ b/internal/ledger/statement/chain.go
@@ -5,15 +5,15 @@
 	"fmt"
 )
 
-// Faults of a chain of records, wrapped in a Fault.
+// The faults of a chain of records. Chain.Next returns them in a Fault.
 var (
-	// ErrDuplicate says that the record, or a later one of its node, came before.
+	// ErrDuplicate is the error of a record that was read before, or that follows a later record of its node.
 	ErrDuplicate = errors.New("came before")
-	// ErrBrokenChain says that the record, or one before it, was changed.
+	// ErrBrokenChain is the error of a record that was changed, or follows a changed one.
 	ErrBrokenChain = errors.New("its chain does not follow from the record before")
 )
 
-// MissingError says how many records are missing before one.
+// MissingError is the number of records that are missing before a record.
 type MissingError uint64
 
 // Error returns the message.
@@ -21,14 +21,14 @@
 	return fmt.Sprintf("%d records are missing before it", uint64(e))
 }
 
-// Fault is a record that does not follow from the one before it of its node.
+// Fault is the error of a record that does not follow the previous record of its node.
 type Fault struct {
 	Node string
 	Seq  uint64
 	Err  error // ErrDuplicate, ErrBrokenChain or a MissingError
 }
 
-// Error returns the message with node and record.
+// Error returns a message with the node and the number of the record.
 func (f Fault) Error() string { return fmt.Sprintf("%s, record %d: %v", f.Node, f.Seq, f.Err) }
 
 // Unwrap returns the kind of the fault.
@@ -36,12 +36,12 @@
 
 // Chain verifies that the records of one node follow each other without gaps or changes. The zero value accepts any first record.
 type Chain struct {
-	seq   uint64 // of the last record
-	chain string // of the last record
-	begun bool
+	seq   uint64 // number of the last record
+	chain string // chain of the last record
+	begun bool   // there was a record
 }
 
-// Next verifies one record against the one before it. On a Fault the chain stays at the one before.
+// Next verifies a record against the previous one. After a Fault, the next record is verified against the same previous one.
 func (c *Chain) Next(r Record) error {
 	switch {
 	case c.begun && r.Seq <= c.seq:
@@ -49,7 +49,7 @@
 	case c.begun && r.Seq != c.seq+1:
 		return Fault{r.Node, r.Seq, MissingError(r.Seq - c.seq - 1)}
 	}
-	if c.begun || r.Seq == 1 { // the chain before any other first record is not known
+	if c.begun || r.Seq == 1 { // for any other first record, the previous chain is unknown
 		stated := r.Chain
 		r.Seal(nil, c.chain)
 		if r.Chain != stated {
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// restart continues the chain from a record, whatever came before it.
+// restart continues the chain from a record without verifying it.
 func (c *Chain) restart(r Record) {
 	c.seq = r.Seq
 	c.chain = r.Chain
--- a/internal/ledger/statement/chain_test.go
+++ b/internal/ledger/statement/chain_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// Next tells duplicate, missing and changed records apart by their errors, and names the record.
+// Guards against chain faults that go unnoticed or get the wrong error: Next must return a different error for duplicate, missing
+// and changed records, with the node and number of the record.
 func TestChainFaults(t *testing.T) {
 	records := chainedRecords()
 	changed := records[1]
@@ -25,11 +26,11 @@
 		}
 		err := chain.Next(c.second)
 		if !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("case %q: got error %v", name, err)
 		}
 		var fault Fault
 		if c.want != nil && (!errors.As(err, &fault) || fault.Node != "f1" || fault.Seq != c.second.Seq) {
-			t.Errorf("%s: the fault names %s, record %d", name, fault.Node, fault.Seq)
+			t.Errorf("case %q: the fault has the wrong node %s or record %d", name, fault.Node, fault.Seq)
 		}
 	}
 }
--- a/internal/ledger/statement/csv.go
+++ b/internal/ledger/statement/csv.go
@@ -13,10 +13,11 @@
 // csvColumns are the columns that precede the figures.
 var csvColumns = []string{"seq", "node", "role", "life", "kind", "from", "to", "haulier", "plan", "class", "key_hash", "end", "note"}
 
-// CSV writes records as CSV, with a column for each figure, and one for its units if it has some. One goroutine uses it.
+// CSV writes records as CSV, with a column for each figure, and another for its units if it has some. One goroutine uses it at a
+// time.
 type CSV struct{ w *csv.Writer }
 
-// NewCSV writes the header.
+// NewCSV writes the header and returns the writer of the rows.
 func NewCSV(to io.Writer) (*CSV, error) {
 	c := &CSV{csv.NewWriter(to)}
 	header := slices.Clone(csvColumns)
@@ -29,7 +30,7 @@
 	return c, c.w.Write(header)
 }
 
-// Write writes a record; a record without figures has zeros.
+// Write writes a record as a row. A record without figures has zeros in their columns.
 func (c *CSV) Write(r Record) error {
 	row := []string{
 		strconv.FormatUint(r.Seq, 10),
@@ -59,7 +60,7 @@
 	return c.w.Write(row)
 }
 
-// Flush writes what is buffered.
+// Flush writes the buffered rows to the underlying writer, and returns its first error.
 func (c *CSV) Flush() error {
 	c.w.Flush()
 	return c.w.Error()
--- a/internal/ledger/statement/golden_test.go
+++ b/internal/ledger/statement/golden_test.go
@@ -11,7 +11,7 @@
 	"dewhitch/internal/ledger"
 )
 
-// figuresFrom gives each event a count and units of its own.
+// figuresFrom returns counts and units that differ for each event.
 func figuresFrom(from uint64) *ledger.Counts {
 	c := &ledger.Counts{}
 	for e := ledger.None + 1; e < ledger.EventCount; e++ {
@@ -20,7 +20,7 @@
 	return c
 }
 
-// chainedRecords returns records of each kind, and one with all fields, in one node's chain.
+// chainedRecords returns a record of each kind and one with all fields, in the chain of one node.
 func chainedRecords() []Record {
 	from, to := time.Date(2026, 3, 1, 6, 0, 0, 1000, time.UTC), time.Date(2026, 3, 1, 6, 1, 2, 30, time.UTC)
 	return []Record{
@@ -38,8 +38,8 @@
 	}
 }
 
-// TestRecordForm freezes the JSON line of a record of each kind, and the chain over them. Merging and verifying read it, on other
-// machines and by other versions of the program.
+// TestRecordForm compares the JSON lines of records of each kind, and their chain, with a golden file. Other versions of the program
+// read them on other machines, to merge and verify them.
 func TestRecordForm(t *testing.T) {
 	var lines []byte
 	before := ""
@@ -48,7 +48,7 @@
 		r.Chain = ""
 		lines = append(r.Seal(lines, before), '\n')
 		if before = r.Chain; r.Chain != want.Chain {
-			t.Errorf("record %d has the chain %s", r.Seq, r.Chain)
+			t.Errorf("record %d has the unexpected chain %s", r.Seq, r.Chain)
 		}
 	}
 	golden.Compare(t, "records.jsonl", lines)
@@ -58,11 +58,11 @@
 		got = append(got, r)
 		return chain.Next(r)
 	}); err != nil || !reflect.DeepEqual(got, chainedRecords()) {
-		t.Errorf("read as %+v, %v", got, err)
+		t.Errorf("the golden file is parsed as %+v, error %v", got, err)
 	}
 }
 
-// TestCSVForm freezes the header and the rows of CSV, which accounting reads outside the program.
+// TestCSVForm compares the header and the rows of the CSV form with a golden file. Accounting software reads it.
 func TestCSVForm(t *testing.T) {
 	var out bytes.Buffer
 	c, err := NewCSV(&out)
@@ -75,7 +75,7 @@
 	golden.Compare(t, "records.csv", out.Bytes())
 }
 
-// TestTableForm freezes the table of sums, which people read.
+// TestTableForm compares the table of sums with a golden file.
 func TestTableForm(t *testing.T) {
 	var out bytes.Buffer
 	if err := WriteTable(&out, []Sum{
@@ -88,8 +88,8 @@
 	golden.Compare(t, "table", out.Bytes())
 }
 
-// TestMergedForm freezes what the frozen records add up to, for those who verify and merge them: sums, gaps, bookings, and the messages
-// for rows whose figures contradict each other and for records that are missing, changed or duplicates.
+// TestMergedForm compares the result of merging and verifying the golden records with a golden file: sums, gaps, and the messages
+// for rows with contradictory figures and for records that are missing, changed or duplicates.
 func TestMergedForm(t *testing.T) {
 	records := chainedRecords()
 	changed := records[3]
@@ -120,7 +120,7 @@
 	}
 	n := m.Nodes["f1"]
 	if n.Name != "f1" || n.Role != Forwarder || n.Incarnations != 6 || n.First != 1 || !reflect.DeepEqual(n.Gaps, []string{records[1].Note}) {
-		t.Errorf("merged as %+v", n)
+		t.Errorf("the merged node is %+v", n)
 	}
 	golden.Compare(t, "merged", out.Bytes())
 }
--- a/internal/ledger/statement/merge.go
+++ b/internal/ledger/statement/merge.go
@@ -8,9 +8,9 @@
 	"dewhitch/internal/ledger"
 )
 
-// RowName identifies a row of figures, as the records write it.
+// RowName identifies a row of figures by the names in the records.
 type RowName struct {
-	Customer string // the customer; "": all customers
+	Customer string // hash of the customer; empty for all customers
 	Plan     string
 	Class    string
 }
@@ -23,17 +23,17 @@
 type Node struct {
 	Name         string
 	Role         string
-	Incarnations uint64 // highest number of an incarnation
+	Incarnations uint64 // highest incarnation in the records
 	Rows         map[RowName]*ledger.Counts
 	Gaps         []string // notes of the records of kind Gap
-	First        uint64   // number of the first record that was read; above 1 the figures before it are missing
+	First        uint64   // number of the first record that was read; if above 1, earlier figures are missing
 	chain        Chain
 }
 
-// Merged is the sum of several nodes' records. One goroutine uses it.
+// Merged is the sum of the records of several nodes. One goroutine uses it at a time.
 type Merged struct {
 	Nodes    map[string]*Node
-	Faults   []error // of the chains, in the order in which records were added
+	Faults   []error // faults of the chains, in the order in which the records were added
 	attempts attemptLog
 }
 
@@ -42,7 +42,8 @@
 	return &Merged{Nodes: map[string]*Node{}, attempts: attemptLog{byBooking: map[bookingKey][]Attempt{}}}
 }
 
-// Add adds a record. A fault of its chain goes to Faults; a duplicate is not added again, a record behind missing or changed ones is.
+// Add adds a record. It appends a fault of the record's chain to Faults; it then skips a duplicate, but adds a record that follows
+// missing or changed ones.
 func (m *Merged) Add(r Record) {
 	n := m.Nodes[r.Node]
 	if n == nil {
@@ -72,16 +73,16 @@
 	}
 }
 
-// Sum is a row summed over several nodes.
+// Sum is the sum of a row over several nodes.
 type Sum struct {
 	RowName
 	ledger.Counts
-	Forwarded      uint64 // requests that forwarders took and planners took again
-	ClientAttempts uint64 // attempts of clients, each counted where it was taken first
+	Forwarded      uint64 // number of requests that forwarders received and passed on to planners, which received them again
+	ClientAttempts uint64 // number of attempts of clients, each counted once, at the node that received it first
 }
 
-// Sums adds the nodes up by plan and class, and by customer if byCustomer is set, sorted by plan, class and customer. A client's attempt
-// that came through a forwarder was taken there, and again by a planner: it counts once.
+// Sums returns the sums over all nodes by plan and class, and by customer if byCustomer is set, sorted by plan, class and customer.
+// A client's attempt through a forwarder is received there and again at a planner, and counts once in ClientAttempts.
 func (m *Merged) Sums(byCustomer bool) []Sum {
 	sums := map[RowName]*Sum{}
 	for _, n := range m.Nodes {
@@ -110,11 +111,12 @@
 	return sorted
 }
 
-// forwardedRequests returns how many of a forwarder's requests planners took: one for each attempt that may have been written.
+// forwardedRequests returns the number of a forwarder's requests that planners received: one for each attempt that may have been
+// written to a connection.
 func forwardedRequests(c *ledger.Counts) uint64 {
 	unwritten := c.N[ledger.AttemptNotSent] + c.N[ledger.AttemptConnectFailed] + c.N[ledger.AttemptRejected]
 	return c.AttemptsEnded() - unwritten
 }
 
-// openRequests returns how many requests of a row have not ended.
+// openRequests returns the number of requests of a row that have not ended.
 func openRequests(c *ledger.Counts) int64 { return int64(c.N[ledger.FrontTaken] - c.Ended()) }
--- a/internal/ledger/statement/parse.go
+++ b/internal/ledger/statement/parse.go
@@ -10,13 +10,13 @@
 	"dewhitch/internal/ledger"
 )
 
-// maxLineBytes bounds a line of an export.
+// maxLineBytes limits the length of a line of an export.
 const maxLineBytes = 1 << 20
 
 var errNotRecord = errors.New("no record of a ledger")
 
-// Read parses records as JSON lines and calls f with each. The error names the line; it is of the first line that is not a record, of f,
-// or of the reader.
+// Read parses records as JSON lines and calls f with each. It stops at the first line that is not a record, and at an error of f,
+// and returns the error with the number of the line. Errors of the reader are returned as they are.
 func Read(from io.Reader, f func(Record) error) error {
 	lines := bufio.NewScanner(from)
 	lines.Buffer(nil, maxLineBytes)
@@ -35,7 +35,7 @@
 	return lines.Err()
 }
 
-// Parse parses a record's line. A figure of an unknown name is an error, as its count would be lost.
+// Parse parses the line of a record. A figure with an unknown name is an error, as its count would be lost.
 func Parse(line []byte) (r Record, err error) {
 	if err = json.Unmarshal(line, &r); err != nil {
 		return r, err
@@ -49,6 +49,7 @@
 	return r, err
 }
 
+// parseFigures parses the figures in the line of a record of kind Figures.
 func parseFigures(line []byte) (*ledger.Counts, error) {
 	var figures struct {
 		Counts map[string]uint64 `json:"counts"`
--- a/internal/ledger/statement/record.go
+++ b/internal/ledger/statement/record.go
@@ -1,6 +1,6 @@
-// Package statement is the form in which a ledger's figures leave a gateway: records as JSON lines, numbered and hash-chained per node
-// so that a reader can prove that it has each of them once; CSV; the verification of what was read; and the merging of several nodes'
-// records. Its only I/O is through the readers and writers that it is passed.
+// Package statement exports a ledger's figures as records: JSON lines that are numbered and hash-chained by node, so that a reader
+// can prove that it has each of them once, or CSV. It also verifies records, and merges those of several nodes. It does I/O only
+// through the readers and writers that it is passed.
 package statement
 
 import (
@@ -13,12 +13,12 @@
 	"dewhitch/internal/ledger"
 )
 
-// The kinds of record.
+// The kinds of records.
 const (
 	Figures       = "figures" // the counts of one row in a period
 	AttemptRecord = "try"     // one attempt of a client at a request that has an idempotency key
-	StartRecord   = "life"    // the start of an incarnation; the figures that follow tell how the one before ended
-	Gap           = "gap"     // figures were lost
+	StartRecord   = "life"    // the start of an incarnation; the next figures include the postings that closed the previous one
+	Gap           = "gap"     // a loss of figures, which the note describes
 )
 
 // The roles of a node.
@@ -29,24 +29,24 @@
 
 // Record is one line of an export.
 type Record struct {
-	Seq         uint64         `json:"seq"` // by node, from 1 without gaps
+	Seq         uint64         `json:"seq"` // number of the record, by node from 1 without gaps
 	Node        string         `json:"node"`
 	Role        string         `json:"role"`
 	Incarnation uint64         `json:"life"` // number of the incarnation, from 1
 	Kind        string         `json:"kind"`
 	From        time.Time      `json:"from"`
 	To          time.Time      `json:"to"`
-	Customer    string         `json:"haulier,omitempty"` // the customer, as a hash
+	Customer    string         `json:"haulier,omitempty"` // hash of the customer
 	Plan        string         `json:"plan,omitempty"`
 	Class       string         `json:"class,omitempty"`
-	Figures     *ledger.Counts `json:"-"`                  // of kind Figures: as counts and units_millionths, by the events' names, without zeros
-	Key         string         `json:"key_hash,omitempty"` // of kind Try: the idempotency key
-	End         string         `json:"end,omitempty"`      // of kind Try: the event that ended it
+	Figures     *ledger.Counts `json:"-"`                  // figures of a record of kind Figures; written as counts and units_millionths, by the events' names, without zeros
+	Key         string         `json:"key_hash,omitempty"` // hash of the idempotency key of an AttemptRecord
+	End         string         `json:"end,omitempty"`      // name of the event that ended the attempt of an AttemptRecord
 	Note        string         `json:"note,omitempty"`
 	Chain       string         `json:"chain"` // hash of the previous record's chain and this record
 }
 
-// Seal sets the record's chain, given that of the record before it, and appends the record's line without a newline.
+// Seal computes and sets the record's chain from that of the previous record, and appends the record's line to b, without a newline.
 func (r *Record) Seal(b []byte, previousChain string) []byte {
 	start := len(b)
 	b = r.append(b)
@@ -58,8 +58,8 @@
 	return append(appendText(b, `,"chain":`, r.Chain), '}')
 }
 
-// append writes all of the record but its chain and closing brace. The form is canonical: the chain is verified by writing a parsed
-// record again.
+// append appends the record without its chain and closing brace. The form is canonical, as a reader verifies the chain by writing
+// the parsed record again.
 func (r *Record) append(b []byte) []byte {
 	b = strconv.AppendUint(append(b, `{"seq":`...), r.Seq, 10)
 	b = appendText(b, `,"node":`, r.Node)
@@ -80,8 +80,8 @@
 	return b
 }
 
-// AppendFigures appends figures as the members counts and units_millionths of a JSON object that has a member already; zeros are left
-// out.
+// AppendFigures appends figures as the members counts and units_millionths of a JSON object, after a preceding member. It omits
+// zeros.
 func AppendFigures(b []byte, c *ledger.Counts) []byte {
 	b = append(b, `,"counts":{`...)
 	first := true
@@ -106,7 +106,7 @@
 	return append(b, '}')
 }
 
-// appendEvent appends an event's name as the name of a member.
+// appendEvent appends an event's name as the name of a member, after a comma unless it is the first.
 func appendEvent(b []byte, e ledger.Event, first bool) []byte {
 	if !first {
 		b = append(b, ',')
@@ -116,7 +116,7 @@
 	return append(b, '"', ':')
 }
 
-// appendOptional appends a member whose value is a string, unless that is empty.
+// appendOptional appends a member with a string value, unless the value is empty.
 func appendOptional(b []byte, name, s string) []byte {
 	if s == "" {
 		return b
@@ -124,7 +124,7 @@
 	return appendText(b, name, s)
 }
 
-// appendText appends a member whose value is a string, as json.Marshal would.
+// appendText appends a member with a string value in the form of json.Marshal.
 func appendText(b []byte, name, s string) []byte {
 	b = append(b, name...)
 	for i := range len(s) {
@@ -138,7 +138,7 @@
 	return append(b, '"')
 }
 
-// appendTime appends a member whose value is a time, in UTC with nanoseconds.
+// appendTime appends a member with a time in UTC with nanoseconds.
 func appendTime(b []byte, name string, at time.Time) []byte {
 	b = append(b, name...)
 	b = append(b, '"')
--- a/internal/ledger/statement/record_test.go
+++ b/internal/ledger/statement/record_test.go
@@ -9,7 +9,7 @@
 	"dewhitch/internal/ledger"
 )
 
-// record returns a record of figures of one gateway, changed by f.
+// record returns a record of figures of a gateway, after changing it with f.
 func record(seq uint64, node string, f func(*Record)) Record {
 	at := time.Date(2026, 3, 1, 6, 0, int(seq), 0, time.UTC)
 	r := Record{Seq: seq, Node: node, Role: Gateway, Incarnation: 1, Kind: Figures, From: at, To: at.Add(time.Second),
@@ -21,14 +21,15 @@
 	return r
 }
 
-// setCounts sets pairs of an event and its count; units are a million times the count.
+// setCounts sets counts, given as pairs of an event and its count. The units are a million times the count.
 func setCounts(r *Record, eventsAndCounts ...any) {
 	for i := 0; i < len(eventsAndCounts); i += 2 {
 		r.Figures.Set(eventsAndCounts[i].(ledger.Event), uint64(eventsAndCounts[i+1].(int)), int64(eventsAndCounts[i+1].(int))*1e6)
 	}
 }
 
-// Any record that parses is written in a form that parses to the same record, with the same chain.
+// Guards against records whose chain can't be verified after parsing: any record that parses must be written in a form that parses
+// again, with the same chain.
 func FuzzRecord(f *testing.F) {
 	for _, r := range []Record{record(1, "n0", func(r *Record) { setCounts(r, ledger.FrontTaken, 2, ledger.FrontServed, 2) }),
 		record(9, "n\"0\n", func(r *Record) { r.Kind, r.Note = Gap, "späť <&> \\ \x00" })} {
@@ -45,16 +46,16 @@
 		}
 		again, err := Parse(r.Seal(nil, "before"))
 		if err != nil {
-			t.Fatalf("%q is written in a form that does not parse: %v", line, err)
+			t.Fatalf("%q is written again in a form that does not parse: %v", line, err)
 		}
 		stated := again.Chain
 		if again.Seal(nil, "before"); again.Chain != stated || stated != r.Chain {
-			t.Fatalf("%q has another chain when it is written again", line)
+			t.Fatalf("%q has a different chain when it is written again", line)
 		}
 	})
 }
 
-// addSealed adds records, sealed in a chain by node, as they are read from an export.
+// addSealed seals records in a chain for each node, writes them and adds them as they are read.
 func addSealed(t *testing.T, m *Merged, records ...Record) {
 	t.Helper()
 	var b []byte
@@ -68,7 +69,8 @@
 	}
 }
 
-// Two gateways and a forwarder: a request that the forwarder took and a gateway took again counts as one attempt of a client.
+// Guards against requests that are counted twice: with two gateways and a forwarder, a request that the forwarder received and a
+// gateway received again must count as one attempt of a client.
 func TestMerge(t *testing.T) {
 	m := NewMerged()
 	served := func(n int) func(*Record) {
@@ -97,7 +99,7 @@
 	}
 }
 
-// Figures of a row that contradict each other are found.
+// Guards against contradictory figures of a row that Verify does not report.
 func TestVerify(t *testing.T) {
 	for i, c := range [][]any{
 		{ledger.FrontTaken, 1, ledger.FrontServed, 2, ledger.PlanTaken, 1},
@@ -109,7 +111,7 @@
 		m := NewMerged()
 		addSealed(t, m, record(1, "n0", func(r *Record) { setCounts(r, c...) }))
 		if wrong := m.Verify(); len(wrong) == 0 {
-			t.Errorf("case %d is not found", i)
+			t.Errorf("case %d: Verify returned no error", i)
 		}
 	}
 	m := NewMerged()
@@ -119,11 +121,12 @@
 		r.Figures.Set(ledger.CallAdded, 1, 3e6)
 	}))
 	if wrong := m.Verify(); len(wrong) != 1 {
-		t.Error("units of a call that differ:", wrong)
+		t.Error("a call with different units at its start and end, expected one error:", wrong)
 	}
 }
 
-// Attempts at three bookings: two through different gateways at the same time, two one after the other, and a single one.
+// Guards against attempts that are not linked to their booking. It has three bookings: one with overlapping attempts through two
+// gateways, one with attempts through two gateways one after the other, and one with a single attempt.
 func TestBookings(t *testing.T) {
 	m := NewMerged()
 	attempt := func(seq uint64, node, key string, from, to int, end ledger.Event) Record {
@@ -136,6 +139,6 @@
 		attempt(2, "n0", "k2", 10, 11, ledger.FrontRejected), attempt(2, "n1", "k2", 13, 15, ledger.FrontServed),
 		attempt(3, "n0", "k3", 10, 11, ledger.FrontServed))
 	if got := fmt.Sprint(m.Bookings()); got != "3 2 1 1" {
-		t.Errorf("bookings, across, overlapping, served twice: %s", got)
+		t.Errorf("bookings, those across nodes, overlapping, served twice: got %s, expected 3 2 1 1", got)
 	}
 }
--- a/internal/ledger/statement/table.go
+++ b/internal/ledger/statement/table.go
@@ -9,7 +9,7 @@
 	"dewhitch/internal/ledger"
 )
 
-// WriteTable writes sums as a table for people; rows of accounts, which count calls to the counter, are left out.
+// WriteTable writes sums as a text table. It omits the rows of accounts, which count calls to the counter.
 func WriteTable(to io.Writer, sums []Sum) error {
 	w := tabwriter.NewWriter(to, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "haulier\tplan\tclass\ttaken\tserved\trefused\tfailed\topen\tfetches\tunits\tpassed on\tclient tries\t")
--- a/internal/ledger/statement/verify.go
+++ b/internal/ledger/statement/verify.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	// accountClass is the class of rows that count a customer's calls to the counter.
+	// accountClass is the class of the rows that count a customer's calls to the counter.
 	accountClass = "account"
-	// maxOpenRequests is more than any gateway has open in one row.
+	// maxOpenRequests is more requests than a gateway ever has open in one row.
 	maxOpenRequests = 1 << 24
 )
 
@@ -19,18 +19,18 @@
 type Mismatch struct {
 	Node string
 	RowName
-	What  string // the two figures
+	What  string // names of the two figures
 	Left  uint64
 	Right uint64
 }
 
-// Error returns the message with node, row and both figures.
+// Error returns a message with the node, the row and both figures.
 func (m Mismatch) Error() string {
 	return fmt.Sprintf("%s: haulier %s, plan %s, class %s: %s: %d and %d",
 		m.Node, m.Customer, m.Plan, m.Class, m.What, int64(m.Left), int64(m.Right))
 }
 
-// Verify returns Faults, and a Mismatch for each rule that a row breaks, sorted by node, plan, class and customer.
+// Verify returns Faults, followed by a Mismatch for each rule that a row breaks, sorted by node, plan, class and customer.
 func (m *Merged) Verify() []error {
 	wrong := slices.Clone(m.Faults)
 	for _, node := range slices.Sorted(maps.Keys(m.Nodes)) {
@@ -48,8 +48,8 @@
 	return wrong
 }
 
-// rowVerifier verifies one row. Its rules hold without knowledge of what is open: a figure that counts a later stage may trail the
-// earlier one by what is open, and never leads it.
+// rowVerifier verifies one row. Its rules do not need the open entries: the figure of a later stage may be smaller than that of the
+// earlier stage, by the number of open requests, and is never greater.
 type rowVerifier struct {
 	node   string
 	name   RowName
@@ -57,7 +57,7 @@
 	wrong  []error
 }
 
-// within demands that the later figure trails the earlier one by 0 to slack.
+// within requires that the later figure is smaller than the earlier one by 0 to slack, and records a Mismatch otherwise.
 func (v *rowVerifier) within(slack int64, what string, earlier, later uint64) {
 	trail := int64(earlier - later)
 	if trail < 0 || trail > slack {
@@ -83,7 +83,7 @@
 	c := v.counts
 	n := &c.N
 	open := max(0, openRequests(c))
-	unwritten := int64(c.FrontFailures()) + open // answers that the planner gave and the front did not write
+	unwritten := int64(c.FrontFailures()) + open // limit of the answers that the planner returned and the front did not write
 	submitted := n[ledger.FrontTaken] - n[ledger.FrontNotSubmitted] - n[ledger.FrontNeverTaken]
 	v.within(maxOpenRequests, "taken, served + refused + failed", n[ledger.FrontTaken], c.Ended())
 	v.within(open, "taken by the front, by the planner", submitted, n[ledger.PlanTaken])
