--- a/cmd/dewhitch/ledger_process.go
+++ b/cmd/dewhitch/ledger_process.go
@@ -42,7 +42,7 @@
 	if !o.Ledger.Enabled {
 		return p, nil
 	}
-	limits := ledger.Limits{Rows: o.Ledger.Rows, Open: o.Ledger.Open, Flight: o.Ledger.Flight}
+	limits := ledger.Limits{Rows: o.Ledger.Rows, Open: o.Ledger.Open, RecentPostings: o.Ledger.Flight}
 	options := recorder.Options{Limits: limits, Names: names, OverdueAfter: overdueAlarm, AuditInterval: o.Ledger.Audit,
 		StatementInterval: o.Ledger.Statement, AlarmFile: o.Ledger.AlarmFile, Log: log}
 	stored, storedNames := p.openStore(o, node, role, limits, log)
--- a/internal/ledger/audit.go
+++ b/internal/ledger/audit.go
@@ -20,7 +20,7 @@
 	return fmt.Sprintf("%s: %d in %s, %d in %s", m.Check, int64(m.Left), m.Journals[0], int64(m.Right), m.Journals[1])
 }
 
-// inFlight counts the open entries of one row by the step that they wait for.
+// inFlight counts the open requests and counter calls of one row, their attempts and units, by the next posting that is due.
 type inFlight struct {
 	openAtFront, openAtPlanner, submitted, orderedAttempts, openAttempts, unreportedAttempts uint64
 	pendingAnswers                                                                           [verdictCount]uint64
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -203,7 +203,7 @@
 	}
 }
 
-// handed: on its way from the front to the planner, which has said nothing of it yet.
+// isSubmitted reports whether the front has submitted the request and the planner has not posted anything on it yet.
 func (e *Entry) isSubmitted() bool {
 	return e.FrontTaken && !e.PlanTaken && e.PlanVerdict == undecided && !e.NeverTaken
 }
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -17,9 +17,9 @@
 
 // Limits bound a ledger's memory.
 type Limits struct {
-	Rows   int // maximum of customers' rows; one rolled-up row for each plan and class comes on top
-	Open   int // maximum of open entries
-	Flight int // number of recent postings that are kept for alarms
+	Rows           int // maximum of customers' rows; one rolled-up row for each plan and class comes on top
+	Open           int // maximum of open entries
+	RecentPostings int // number of recent postings that are kept for alarms
 }
 
 // Ledger is the state of all journals of a gateway. One goroutine uses it at a time. Each row's figures are also added to total;
@@ -49,7 +49,7 @@
 
 // New returns an empty ledger. If statements is set, Statement must be called at intervals, as the ledger keeps changes for it.
 func New(l Limits, statements bool) *Ledger {
-	return &Ledger{limits: Limits{max(16, l.Rows), max(16, l.Open), max(16, l.Flight)}, rows: map[Key]*row{},
+	return &Ledger{limits: Limits{max(16, l.Rows), max(16, l.Open), max(16, l.RecentPostings)}, rows: map[Key]*row{},
 		rowsByRecency: list.New(), entries: map[uint64]*Entry{}, makesStatements: statements}
 }
 
@@ -58,7 +58,7 @@
 	if p.Event == None || p.Event >= EventCount {
 		return
 	}
-	if len(l.recentPostings) < l.limits.Flight {
+	if len(l.recentPostings) < l.limits.RecentPostings {
 		l.recentPostings = append(l.recentPostings, p)
 	} else {
 		l.recentPostings[l.postingCount%uint64(len(l.recentPostings))] = p
@@ -88,8 +88,8 @@
 // Total returns the figures over all rows, which are posted independently of the rows.
 func (l *Ledger) Total() Counts { return l.total }
 
-// Flight returns the last postings to a row that are still kept, at most limit of them, oldest first.
-func (l *Ledger) Flight(k Key, limit int) (ps []Posting) {
+// RecentPostings returns the last postings to a row that are still kept, at most limit of them, oldest first.
+func (l *Ledger) RecentPostings(k Key, limit int) (ps []Posting) {
 	for i := range l.recentPostings {
 		p := l.recentPostings[(l.postingCount-1-uint64(i))%uint64(len(l.recentPostings))]
 		if p.Key == k {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -15,10 +15,10 @@
 func requireBalanced(t interface {
 	Helper()
 	Fatalf(string, ...any)
-}, l *Ledger, where string) {
+}, l *Ledger, context string) {
 	t.Helper()
 	if found := l.Audit(true); len(found) > 0 {
-		t.Fatalf("%s: %+v: %v\n%+v", where, found[0].Key, found[0], l.Flight(found[0].Key, 40))
+		t.Fatalf("%s: %+v: %v\n%+v", context, found[0].Key, found[0], l.RecentPostings(found[0].Key, 40))
 	}
 }
 
@@ -28,7 +28,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		rows := rapid.SampledFrom([]int{16, 40, 1000}).Draw(t, "rows")
-		l := New(Limits{Rows: rows, Open: 1000, Flight: 1000}, true)
+		l := New(Limits{Rows: rows, Open: 1000, RecentPostings: 1000}, true)
 		if rapid.Bool().Draw(t, "wraps") {
 			// Balanced figures that are about to wrap: all are 2^64-3, with as many requests taken as served.
 			var c Counts
@@ -53,14 +53,14 @@
 	})
 }
 
-// A process may be killed between any two postings. For every such place, CutOff must close all open entries so that the ledger
-// balances.
+// Guards against entries that a kill of the process leaves open. After each posting of a sequence, CutOff must close all open
+// entries so that the ledger balances.
 func TestCutOffAtEveryPosting(t *testing.T) {
 	for seed := range uint64(8) {
 		var postings []Posting
 		ledgertest.RandomPostings(seed, 40, 6, func(p Posting) { postings = append(postings, p) })
 		for cutOffAt := range postings {
-			l := New(Limits{Rows: 1000, Open: 1000, Flight: 100}, false)
+			l := New(Limits{Rows: 1000, Open: 1000, RecentPostings: 100}, false)
 			for _, p := range postings[:cutOffAt] {
 				l.Post(p)
 			}
@@ -79,7 +79,7 @@
 
 // Guards against faults that no check detects. Each single posting is lost, doubled or given wrong units in turn; the checks must
 // report its row, and no other: Audit, or, if the lost posting is an end, Overdue after the deadline.
-func TestEveryMiscountIsFound(t *testing.T) {
+func TestEveryFaultIsFound(t *testing.T) {
 	for seed := range uint64(6) {
 		var postings []Posting
 		tallies := map[uint64]int64{} // millionths of units on the decision module's tallies, by customer
@@ -97,7 +97,7 @@
 				if fault == "wrong units" && !faulty.Event.HasUnits() || faulty.Event == FrontIdempotencyKey { // it is not a figure, and no check covers it
 					continue
 				}
-				l := New(Limits{Rows: 1000, Open: 1000, Flight: 100}, false)
+				l := New(Limits{Rows: 1000, Open: 1000, RecentPostings: 100}, false)
 				for i, p := range postings {
 					switch {
 					case i != faultAt:
@@ -133,7 +133,7 @@
 // Guards against unbounded memory and wrong sums with customers that send one request each: with 200,000 of them the number of
 // rows stays limited, and the rolled-up figures are exact by plan.
 func TestOneTimeCustomers(t *testing.T) {
-	l := New(Limits{Rows: 500, Open: 100, Flight: 100}, true)
+	l := New(Limits{Rows: 500, Open: 100, RecentPostings: 100}, true)
 	var want [3]uint64
 	var stated Counts
 	for i := range uint64(200_000) {
@@ -170,7 +170,7 @@
 // Guards against a mismatch that is lost because its row is rolled up before any audit: it must be reported under the
 // customer's own key.
 func TestEvictedRowIsReportedByName(t *testing.T) {
-	l := New(Limits{Rows: 20, Open: 100, Flight: 100}, false)
+	l := New(Limits{Rows: 20, Open: 100, RecentPostings: 100}, false)
 	for i := range uint64(100) {
 		k := Key{1000 + i, 0, 0}
 		for _, e := range []Event{FrontTaken, PlanTaken, PlanRejectedQuota, FrontRejected} {
@@ -192,7 +192,7 @@
 // with and without evictions, and the stored rows must restore a ledger that balances.
 func TestStatementsAddUpToLedger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := New(Limits{Rows: rapid.SampledFrom([]int{16, 1000}).Draw(t, "rows"), Open: 1000, Flight: 10}, true)
+		l := New(Limits{Rows: rapid.SampledFrom([]int{16, 1000}).Draw(t, "rows"), Open: 1000, RecentPostings: 10}, true)
 		attempts, keyed := 0, 0
 		stated, stored, posted := map[Key]*Counts{}, map[Key]StoredRow{}, 0
 		var open []OpenEntry
@@ -220,7 +220,7 @@
 			if posted++; posted%23 == 0 {
 				takeStatement()
 				// The ledger that a store would restore after any statement must balance as well.
-				restored := New(Limits{Rows: 1000, Open: 1000, Flight: 10}, true)
+				restored := New(Limits{Rows: 1000, Open: 1000, RecentPostings: 10}, true)
 				for _, k := range stored {
 					restored.Restore(k)
 				}
@@ -235,7 +235,7 @@
 		for _, c := range stated {
 			statedTotal.Add(c)
 		}
-		restored := New(Limits{Rows: 1000, Open: 1000, Flight: 10}, true)
+		restored := New(Limits{Rows: 1000, Open: 1000, RecentPostings: 10}, true)
 		for _, k := range stored {
 			storedTotal.Add(&k.Counts)
 			restored.Restore(k)
@@ -252,7 +252,7 @@
 }
 
 func BenchmarkPost(b *testing.B) {
-	l := New(Limits{Rows: 20000, Open: 10000, Flight: 4096}, true)
+	l := New(Limits{Rows: 20000, Open: 10000, RecentPostings: 4096}, true)
 	var postings []Posting
 	ledgertest.RandomPostings(1, 2000, 300, func(p Posting) { postings = append(postings, p) })
 	b.ReportAllocs()
--- a/internal/ledger/recorder/alarms.go
+++ b/internal/ledger/recorder/alarms.go
@@ -37,7 +37,7 @@
 	if !m.AllRows {
 		a.Customer = ledger.CustomerText(m.Key.Customer)
 		a.Plan, a.Class = rec.names.Plan(m.Key.Plan), rec.names.Class(m.Key.Class)
-		for _, p := range rec.ledger.Flight(m.Key, alarmPostings) {
+		for _, p := range rec.ledger.RecentPostings(m.Key, alarmPostings) {
 			a.LastPostings = append(a.LastPostings, fmt.Sprintf("%s %s ref=%d units=%g",
 				time.Unix(0, p.At).UTC().Format("15:04:05.000000"), p.Event, p.Ref, float64(p.Units)/1e6))
 		}
--- a/internal/ledger/recorder/bench_test.go
+++ b/internal/ledger/recorder/bench_test.go
@@ -15,7 +15,7 @@
 func BenchmarkServedRequest(b *testing.B) {
 	for _, mode := range []string{"memory", "disk"} {
 		b.Run(mode, func(b *testing.B) {
-			o := recorder.Options{Limits: ledger.Limits{Rows: 20000, Open: 65536, Flight: 4096}, OverdueAfter: time.Second,
+			o := recorder.Options{Limits: ledger.Limits{Rows: 20000, Open: 65536, RecentPostings: 4096}, OverdueAfter: time.Second,
 				Names: ledger.Names{Plans: []string{"basic"}, Classes: []string{"space-query"}}, Log: zap.NewNop()}
 			l := ledger.New(o.Limits, mode == "disk")
 			var k recorder.Store
--- a/internal/ledger/recorder/names_test.go
+++ b/internal/ledger/recorder/names_test.go
@@ -17,7 +17,7 @@
 // Guards against clients' names of plans and classes that grow without limit or break a metric label: their number and length
 // are limited, and invalid names are replaced.
 func TestClientNamesAreBounded(t *testing.T) {
-	limits := ledger.Limits{Rows: 1000, Open: 100, Flight: 100}
+	limits := ledger.Limits{Rows: 1000, Open: 100, RecentPostings: 100}
 	rec := recorder.New(ledger.New(limits, false), ledger.Names{}, nil, recorder.Options{Limits: limits, Log: zap.NewNop()})
 	name := func(plan, class string) string {
 		k := rec.RowByName(7, plan, class)
@@ -45,7 +45,7 @@
 
 // Guards against appends to a closed store: no posting after DetachStore reaches it.
 func TestDetachStore(t *testing.T) {
-	limits := ledger.Limits{Rows: 16, Open: 16, Flight: 16}
+	limits := ledger.Limits{Rows: 16, Open: 16, RecentPostings: 16}
 	store := &countingStore{}
 	rec := recorder.New(ledger.New(limits, true), ledger.Names{}, store, recorder.Options{Limits: limits, Log: zap.NewNop()})
 	rec.Post(ledger.Posting{Event: ledger.FrontTaken, Ref: 1})
@@ -67,7 +67,7 @@
 // Guards against a deadlock: the module has dropped an account while the queue of postings is one short of its limit, so that the
 // posting of the forgotten units fills the queue. Post then locks mu to drain it, so that auditTallies must not hold mu.
 func TestForgottenUnitsFillQueue(t *testing.T) {
-	limits := ledger.Limits{Rows: 16, Open: 16, Flight: 16}
+	limits := ledger.Limits{Rows: 16, Open: 16, RecentPostings: 16}
 	rec := recorder.New(ledger.New(limits, false), ledger.Names{}, nil, recorder.Options{Limits: limits, AuditInterval: time.Millisecond,
 		OverdueAfter: time.Hour, Log: zap.NewNop()})
 	rec.Post(ledger.Posting{Event: ledger.UnitsDrawn, Key: ledger.Account(7), Units: 5e6})
--- a/internal/ledger/recorder/planted_test.go
+++ b/internal/ledger/recorder/planted_test.go
@@ -43,19 +43,19 @@
 	injectedAt atomic.Int64 // Unix time in nanoseconds
 }
 
-func (c *faultyRecorder) Post(p ledger.Posting) {
-	if p.Event != c.event || p.Key.Customer != c.customer || !c.injected.CompareAndSwap(false, true) {
-		c.Recorder.Post(p)
+func (r *faultyRecorder) Post(p ledger.Posting) {
+	if p.Event != r.event || p.Key.Customer != r.customer || !r.injected.CompareAndSwap(false, true) {
+		r.Recorder.Post(p)
 		return
 	}
-	c.injectedAt.Store(time.Now().UnixNano())
-	switch c.fault {
+	r.injectedAt.Store(time.Now().UnixNano())
+	switch r.fault {
 	case "doubled":
-		c.Recorder.Post(p)
-		c.Recorder.Post(p)
+		r.Recorder.Post(p)
+		r.Recorder.Post(p)
 	case "wrong units":
 		p.Units += 1e6
-		c.Recorder.Post(p)
+		r.Recorder.Post(p)
 	}
 }
 
@@ -85,7 +85,7 @@
 	level, logs := observer.New(zapcore.InfoLevel)
 	o.Log = zap.New(level)
 	o.Names = ledger.Names{Plans: []string{"basic", "fleet"}, Classes: []string{"space-query", "booking"}}
-	o.Limits = ledger.Limits{Rows: 1000, Open: 1000, Flight: 1000}
+	o.Limits = ledger.Limits{Rows: 1000, Open: 1000, RecentPostings: 1000}
 	o.OverdueAfter = 5 * time.Second
 	rec := recorder.New(ledger.New(o.Limits, false), ledger.Names{}, nil, o)
 	if faulty == nil {
@@ -212,20 +212,20 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	const many = 60
-	for i := range many {
+	const requestCount = 60
+	for i := range requestCount {
 		if err := c.Send([]string{"SVC.SUBMIT", "0000000000000003", fmt.Sprintf("s%d", i),
 			fmt.Sprintf("c=booking,t=fleet,d=9000,spread=1,first=0,k=k%d", i)}); err != nil {
 			t.Fatal(err)
 		}
 	}
-	answered := func(r recorder.Report) uint64 { return r.Total.N[ledger.FrontRejected] }
+	refused := func(r recorder.Report) uint64 { return r.Total.N[ledger.FrontRejected] }
 	g.eventually(t, "open", func(r recorder.Report) bool {
-		return r.Total.N[ledger.FrontTaken] == many && r.Total.N[ledger.PlanTaken] == many
+		return r.Total.N[ledger.FrontTaken] == requestCount && r.Total.N[ledger.PlanTaken] == requestCount
 	})
 	c.Close()
 	g.eventually(t, "ended", func(r recorder.Report) bool {
-		return r.Open == 0 && r.Total.N[ledger.FrontClientDeparted]+r.Total.N[ledger.FrontWriteFailed]+answered(r) == many &&
+		return r.Open == 0 && r.Total.N[ledger.FrontClientDeparted]+r.Total.N[ledger.FrontWriteFailed]+refused(r) == requestCount &&
 			r.Total.N[ledger.FrontClientDeparted] > 0 && r.Total.N[ledger.AttemptStarted] == r.Total.AttemptsEnded()
 	})
 }
--- a/internal/ledger/store/golden_test.go
+++ b/internal/ledger/store/golden_test.go
@@ -244,7 +244,7 @@
 	}
 
 	s, _, known, found, err := Open(Options{Dir: dir, Node: "n3", Role: statement.Forwarder, SegmentBytes: 16 << 10, Segments: 8,
-		Records: 5, Limits: ledger.Limits{Rows: 100, Open: 100, Flight: 64}, Log: zap.NewNop()})
+		Records: 5, Limits: ledger.Limits{Rows: 100, Open: 100, RecentPostings: 64}, Log: zap.NewNop()})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/ledger/store/read.go
+++ b/internal/ledger/store/read.go
@@ -182,7 +182,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	l, log, err := replay(dir, ledger.Limits{Rows: 1 << 30, Open: 1 << 30, Flight: 1 << 12}, m, c, false)
+	l, log, err := replay(dir, ledger.Limits{Rows: 1 << 30, Open: 1 << 30, RecentPostings: 1 << 12}, m, c, false)
 	if err != nil {
 		return nil, err
 	}
--- a/internal/ledger/store/recovery.go
+++ b/internal/ledger/store/recovery.go
@@ -100,23 +100,23 @@
 	if err != nil {
 		return nil, found, err
 	}
-	at, broken := m.Position, false
+	start, broken := m.Position, false
 	for i, number := range numbers {
 		if number < m.Segment {
 			continue
 		}
 		if number != m.Segment {
-			at = 0
+			start = 0
 		}
 		path := segmentPath(dir, number)
 		if broken {
-			if behind := countPostings(path, number); behind > 0 {
-				found.notes = append(found.notes, fmt.Sprintf("%s: %d records behind the break were not trusted", path, behind))
+			if skipped := countPostings(path, number); skipped > 0 {
+				found.notes = append(found.notes, fmt.Sprintf("%s: %d records behind the break were not trusted", path, skipped))
 			}
 			continue
 		}
-		s, err := readSegment(path, number, at, m.Statements, l.Post)
-		found.postings += max(0, s.end-at)
+		s, err := readSegment(path, number, start, m.Statements, l.Post)
+		found.postings += max(0, s.end-start)
 		if err != nil && !errors.Is(err, errBadHeader) {
 			return nil, found, err
 		}
--- a/internal/ledger/store/segment.go
+++ b/internal/ledger/store/segment.go
@@ -170,8 +170,8 @@
 	recordAt := func(i int) (ledger.Posting, bool) {
 		return decode(b[headerSize+i*recordSize:], number, uint32(i))
 	}
-	last, marked := recordAt(capacity)
-	s.hasGap = marked && last.Event == gapEvent
+	last, isMarked := recordAt(capacity)
+	s.hasGap = isMarked && last.Event == gapEvent
 	for s.end = from; s.end < capacity; s.end++ {
 		p, ok := recordAt(s.end)
 		if !ok {
--- a/internal/ledger/store/store_test.go
+++ b/internal/ledger/store/store_test.go
@@ -26,7 +26,7 @@
 
 func options(dir string) Options {
 	return Options{Dir: dir, Node: "n0", Role: statement.Gateway, SegmentBytes: 16 << 10, Segments: 8, Records: 1 << 20,
-		Limits: ledger.Limits{Rows: 1000, Open: 1000, Flight: 64}, Log: zap.NewNop(), OpenTimeout: 50 * time.Millisecond}
+		Limits: ledger.Limits{Rows: 1000, Open: 1000, RecentPostings: 64}, Log: zap.NewNop(), OpenTimeout: 50 * time.Millisecond}
 }
 
 // testLedger is a ledger with its store, used as a recorder uses them.
@@ -125,7 +125,7 @@
 // Guards against postings that a kill of the process loses or repeats. Each of ten runs is killed 20 times, 200 in all: between
 // any two postings, during the write of a record, between staging and commit, and again during the repair. No posting may be
 // lost, all open entries are closed, and no record for export appears twice.
-func TestKills(t *testing.T) {
+func TestKillLosesNothing(t *testing.T) {
 	for seed := range uint64(10) {
 		r := rand.New(rand.NewPCG(seed, 9))
 		dir := t.TempDir()
@@ -292,7 +292,7 @@
 
 // Guards against corrupt files that are read as figures. Damage to any file must be reported in a note, a corrupt embedded store
 // must be set aside, and the restored ledger must balance, from the start or from the last valid record.
-func TestCorruption(t *testing.T) {
+func TestCorruptFilesAreReported(t *testing.T) {
 	dir := t.TempDir()
 	b, _ := openTestLedger(t, options(dir))
 	if err := b.commitStatement(); err != nil {
--- a/internal/soak/cost.go
+++ b/internal/soak/cost.go
@@ -180,7 +180,7 @@
 		return int(m.HeapAlloc)
 	}
 	before := heap()
-	l := ledger.New(ledger.Limits{Rows: 2 * rows, Open: 100, Flight: 100}, statements)
+	l := ledger.New(ledger.Limits{Rows: 2 * rows, Open: 100, RecentPostings: 100}, statements)
 	for i := range uint64(rows) {
 		for _, e := range []ledger.Event{ledger.FrontTaken, ledger.PlanTaken, ledger.PlanRejectedQuota, ledger.FrontRejected} {
 			l.Post(ledger.Posting{Event: e, Key: ledger.Key{Customer: i}, Ref: i + 1, Units: 1e6})
