--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -6,7 +6,7 @@
 	"slices"
 )
 
-// verdict is the planner's decision on a request. A store keeps its numbers.
+// verdict is the planner's decision on a request. Stored entries contain its number.
 type verdict uint8
 
 // The verdicts.
--- a/internal/ledger/names.go
+++ b/internal/ledger/names.go
@@ -2,7 +2,7 @@
 
 import "strconv"
 
-// Names maps the numbers in keys to names: the name of a number is at that index.
+// Names holds the names of plans and classes. The numbers in keys are indexes into them.
 type Names struct {
 	Plans   []string `json:"Plans"`
 	Classes []string `json:"Classes"`
--- a/internal/ledger/recorder/planted_test.go
+++ b/internal/ledger/recorder/planted_test.go
@@ -169,6 +169,7 @@
 	}
 }
 
+// alarms returns the log entries of the raised alarms.
 func (g *gateway) alarms() []observer.LoggedEntry {
 	return g.logs.FilterMessage("the books do not add up").All()
 }
--- a/internal/ledger/recorder/recorder.go
+++ b/internal/ledger/recorder/recorder.go
@@ -51,7 +51,8 @@
 	maxNameBytes       = 64    // maximum length of a name in bytes
 )
 
-// Recorder records the postings of one gateway. Its methods may be called from any goroutine, except Run, which is called once.
+// Recorder records the postings of one gateway. Its methods may be called from any goroutine, but Run is called once, and
+// CloseStatement not while Run or another call of it is running.
 type Recorder struct {
 	options Options
 	// startTime is the base of all times, to which the elapsed time of the monotonic clock is added: a step of the system's
@@ -60,16 +61,16 @@
 
 	lastRef atomic.Uint64 // last reference that Ref returned
 
-	// queueMu guards the fields up to wake, and is held for one posting only. Postings are queued because adding many to the
-	// ledger at once costs a fraction of adding them one by one.
+	// queueMu guards store, queue and lastTime. It is held only to append one posting or to swap the buffers. Postings are queued
+	// because adding many to the ledger at once costs a fraction of adding them one by one.
 	queueMu    sync.Mutex
 	store      Store            // nil without a store, and after DetachStore
 	queue      []ledger.Posting // postings that are not in the ledger yet
-	spareQueue []ledger.Posting // buffer that drainQueue swaps with queue
+	spareQueue []ledger.Posting // buffer that drainQueue swaps with queue; guarded by mu
 	lastTime   int64            // time of the last timed posting, in Unix nanoseconds
 	wake       chan struct{}    // wakes Run to drain the queue
 
-	// mu guards the ledger, the names and the alarms. It is locked before queueMu where both are needed.
+	// mu guards the ledger, the names, the alarms and the results of checks. It is locked before queueMu where both are needed.
 	mu           sync.Mutex
 	ledger       *ledger.Ledger
 	names        ledger.Names
@@ -78,9 +79,9 @@
 	numberByName [2]map[string]int16 // numbers by name, of plans and of classes
 
 	alarms            map[alarmKey]bool // active alarms
-	raised            atomic.Uint64
-	cleared           atomic.Uint64
-	auditCount        int
+	raised            atomic.Uint64     // number of alarms raised since the start
+	cleared           atomic.Uint64     // number of alarms cleared since the start
+	auditCount        int               // number of audits by Run, which alone uses it
 	tallyReader       atomic.Pointer[func(func(tally func(uint64) (float64, bool))) error]
 	accountMismatches []ledger.Mismatch   // mismatches found in accounts since the last audit
 	checkedAccounts   map[ledger.Key]bool // accounts whose tallies were checked since the last audit
@@ -113,8 +114,8 @@
 	rec.store = nil
 }
 
-// SetTallyReader sets the function that reads the decision module's tallies: read calls f, with access to the tallies, where no
-// units can be drawn at the same time, or returns an error.
+// SetTallyReader sets the function that reads the decision module's tallies: read calls f with a function that returns a
+// customer's tally, at a time when no units can be drawn, or returns an error.
 func (rec *Recorder) SetTallyReader(read func(f func(tally func(uint64) (float64, bool))) error) {
 	rec.tallyReader.Store(&read)
 }
--- a/internal/ledger/rows.go
+++ b/internal/ledger/rows.go
@@ -186,6 +186,8 @@
 	return len(l.rows), lines
 }
 
+// compare orders keys by customer, plan and class. It returns a negative number if k comes before o, 0 if they are equal, and a
+// positive number otherwise.
 func (k Key) compare(o Key) int {
 	switch {
 	case k.Customer != o.Customer && k.Customer < o.Customer:
--- a/internal/ledger/store/segment.go
+++ b/internal/ledger/store/segment.go
@@ -157,7 +157,7 @@
 	end               int  // index after the last valid record
 	recordsAfterBreak int  // number of valid records after an invalid one
 	hasGap            bool // the log breaks off at a gap, or resumes after a statement that was not committed
-	isFull            bool // all records are valid, so that the log may continue in the next segment
+	isFull            bool // the last record is valid, so that the log may continue in the next segment
 }
 
 // scan does what readSegment does, with the content of a file.
--- a/internal/ledger/store/store.go
+++ b/internal/ledger/store/store.go
@@ -49,7 +49,8 @@
 // errCorrupt is the error of a file whose content is invalid.
 var errCorrupt = errors.New("it is torn or corrupt")
 
-// meta describes the content of the embedded store. Its rows contain the log up to record Position of the segment Segment.
+// meta describes the content of the embedded store. The rows contain the postings of the log before record Position of segment
+// Segment.
 type meta struct {
 	Version     int          `json:"version"`
 	Node        string       `json:"node"`
@@ -72,8 +73,8 @@
 	lock    *os.File
 	meta    meta
 
-	// The recorder's lock on its queue guards current and unloggedPostings. Only the goroutine of recorder.Run uses staged and
-	// resumePending.
+	// The recorder's lock on its queue guards current and unloggedPostings. Only EndPeriod, Stage and Commit, whose calls do not
+	// overlap, use staged and resumePending.
 	current          *segment // segment that Append writes; nil before the first
 	logIntact        atomic.Bool
 	unloggedPostings uint64           // number of postings of this period that are not in the log
