--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -93,7 +93,7 @@
 	if p.Log == nil {
 		return
 	}
-	if e := p.Log.Check(zap.DebugLevel, "attempt begins"); e != nil {
+	if e := p.Log.Check(zap.DebugLevel, "an attempt begins"); e != nil {
 		e.Write(zap.String("request", a.Request.Message.Name), zap.Int("attempt", a.Number), zap.String("address", a.Backend.Addr))
 	}
 }
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -59,7 +59,7 @@
 // now on. It is safe for concurrent use.
 func (p *Planner) Cancel(pending *PendingRequest) {
 	pending.request.clientDeparted.Store(true)
-	if e := p.log.Check(zap.DebugLevel, "client disconnected"); e != nil {
+	if e := p.log.Check(zap.DebugLevel, "a client has left"); e != nil {
 		e.Write(zap.String("request", pending.request.Message.Name))
 	}
 	_ = p.post(cancelMessage{pending}) // a stopped planner has nothing to cancel
@@ -142,7 +142,7 @@
 	if s == nil || s.answered {
 		return
 	}
-	if e := p.log.Check(zap.DebugLevel, "request withdrawn after client disconnected"); e != nil {
+	if e := p.log.Check(zap.DebugLevel, "a request is withdrawn, as its client has left"); e != nil {
 		e.Write(zap.String("request", s.request.Message.Name), zap.Int("attempts", s.attempts), zap.Int("out", s.inFlight))
 	}
 	p.closeRequest(s)
--- a/internal/fleet/generation.go
+++ b/internal/fleet/generation.go
@@ -161,7 +161,7 @@
 // promiseGeneration discards the voter's identity and log in favor of a new generation.
 func (n *Node) promiseGeneration(number uint64) {
 	n.resetVoter(number)
-	n.emit(GenerationPromised, "promised generation %d of the log; older generations are ignored", number)
+	n.emit(GenerationPromised, "generation %d of the log is promised; older ones are ignored", number)
 }
 
 // handleGeneration handles a request for a promise from the first configured voter, or a voter's promise.
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -104,7 +104,7 @@
 		t.Errorf("got digest %#x", got)
 	}
 	if got := slices.Sorted(maps.Keys(FreezeCommands())); !slices.Equal(got, []string{"freeze", "thaw"}) {
-		t.Error("got commands", got)
+		t.Error("commands:", got)
 	}
 	set, err := FreezeCommands()["freeze"](&Plan{}, golden.Read(t, "said.cbor"), 1700000000123)
 	if err != nil || !reflect.DeepEqual(set, map[string]cbor.RawMessage{"freeze": encode(OperatorMark{"bob", "day", 1700000000123})}) {
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -123,6 +123,6 @@
 	if fresh {
 		n.emit(FreshChanged, "the view is fresh")
 	} else {
-		n.emit(FreshChanged, "the view is older than its lease; the last plan stays in effect")
+		n.emit(FreshChanged, "the view is older than its lease; the last plan holds")
 	}
 }
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -234,9 +234,9 @@
 		"empty":          {},
 		"another fleet":  from(func(e *envelope) { e.Fleet = "other" }),
 		"newer version":  from(func(e *envelope) { e.Version = 2 }),
-		"no sender":      from(func(e *envelope) { e.From = "" }),
+		"nobody":         from(func(e *envelope) { e.From = "" }),
 		"wrong counters": from(func(e *envelope) { e.Status = &Status{Report: &Report{Zones: inconsistent}} }),
-		"too long":       make([]byte, MaxMessage+1),
+		"endless":        make([]byte, MaxMessage+1),
 	} {
 		before := m.Dropped()
 		m.Step(s.now, s.unixMS(), b)
@@ -260,11 +260,11 @@
 		var baseline reportBaseline
 		sum, counters := AttemptCounts{}, AttemptCounts{}
 		for range rapid.IntRange(1, 30).Draw(t, "reports") {
-			counters.Add(AttemptCounts{Attempts: uint64(rapid.IntRange(0, 5).Draw(t, "attempts")), LatencyMicros: 7})
+			counters.Add(AttemptCounts{Attempts: uint64(rapid.IntRange(0, 5).Draw(t, "tries")), LatencyMicros: 7})
 			if rapid.Bool().Draw(t, "lost") {
 				continue
 			}
-			for range rapid.IntRange(1, 2).Draw(t, "copies") {
+			for range rapid.IntRange(1, 2).Draw(t, "times") {
 				d, err := baseline.delta(&Report{Zones: map[string]AttemptCounts{"a": counters}})
 				if err != nil {
 					t.Fatal(err)
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -92,5 +92,5 @@
 		return
 	}
 	n.fenced = true
-	n.emit(Fenced, "fenced: another process named %s started later; this process no longer takes part in the fleet", n.config.Name)
+	n.emit(Fenced, "fenced: a process named %s started later; this one takes no further part in the fleet", n.config.Name)
 }
--- a/internal/fleet/reconfigure.go
+++ b/internal/fleet/reconfigure.go
@@ -71,7 +71,7 @@
 		}
 	}
 	if n.voter.proposeVoters(former, []uint64{identity}) == nil {
-		n.emit(VotersChanged, "voter %s joins with identity %x, which replaces %d former identities", name, identity, len(former))
+		n.emit(VotersChanged, "voter %s joins as %x, in place of %d former identities", name, identity, len(former))
 	}
 	n.takeVoterOutput()
 }
@@ -85,7 +85,7 @@
 		}
 	}
 	if n.voter.proposeVoters(orphaned, nil) == nil {
-		n.emit(VotersChanged, "removing %d voter identities that belong to no member", len(orphaned))
+		n.emit(VotersChanged, "%d voters without a member are removed", len(orphaned))
 	}
 	n.takeVoterOutput()
 }
--- a/internal/fleet/schedule_test.go
+++ b/internal/fleet/schedule_test.go
@@ -10,12 +10,12 @@
 
 // runSchedule injects random faults and submits commands.
 func runSchedule(t *rapid.T, s *sim) {
-	for i := range rapid.IntRange(3, 12).Draw(t, "steps") {
+	for i := range rapid.IntRange(3, 12).Draw(t, "troubles") {
 		m := s.members[rapid.IntRange(0, len(s.members)-1).Draw(t, "member")]
-		switch rapid.SampledFrom([]string{"kill", "wipe", "stall", "partition", "cut link", "lossy", "slow", "heal", "full disk", "submit", "restart all"}).Draw(t, "action") {
+		switch rapid.SampledFrom([]string{"kill", "wipe", "stall", "part", "oneway", "lossy", "slow", "heal", "full", "ask", "all"}).Draw(t, "what") {
 		case "kill":
 			m.down = true
-			s.after(time.Duration(rapid.IntRange(100, 4000).Draw(t, "restart after"))*time.Millisecond, func() {
+			s.after(time.Duration(rapid.IntRange(100, 4000).Draw(t, "back"))*time.Millisecond, func() {
 				if m.down {
 					s.start(m, true)
 				}
@@ -26,34 +26,34 @@
 			}
 		case "stall":
 			m.stalledUntil = s.now + time.Duration(rapid.IntRange(100, 6000).Draw(t, "stall"))*time.Millisecond
-		case "partition":
+		case "part":
 			side := rapid.Uint64().Draw(t, "side")
 			for a := range s.members {
 				for b := range s.members {
 					s.cut[[2]int{a, b}] = side>>a&1 != side>>b&1
 				}
 			}
-		case "cut link":
+		case "oneway":
 			other := rapid.IntRange(0, len(s.members)-1).Draw(t, "other")
 			s.cut[[2]int{m.index, other}] = true
 		case "lossy":
 			s.lossRate, s.duplication = 0.3, 0.2
 		case "slow":
 			s.delay = 300 * time.Millisecond
-		case "full disk":
+		case "full":
 			m.diskFull = true
-		case "restart all":
-			keepStorage := rapid.Bool().Draw(t, "keep storage")
+		case "all":
+			keepStorage := rapid.Bool().Draw(t, "keep")
 			for _, m := range s.members {
 				s.start(m, keepStorage)
 			}
 		case "heal":
 			s.heal()
-		case "submit":
+		case "ask":
 			s.submit(m, fmt.Sprint("x", i))
 		}
-		s.run(time.Duration(rapid.IntRange(10, 1500).Draw(t, "run for")) * time.Millisecond)
-		s.submit(s.members[rapid.IntRange(0, len(s.members)-1).Draw(t, "submitter")], fmt.Sprint("y", i))
+		s.run(time.Duration(rapid.IntRange(10, 1500).Draw(t, "then")) * time.Millisecond)
+		s.submit(s.members[rapid.IntRange(0, len(s.members)-1).Draw(t, "asks")], fmt.Sprint("y", i))
 	}
 }
 
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -22,7 +22,7 @@
 		for name, data := range nodes {
 			var p Planner
 			if err := json.Unmarshal(data, &p); err != nil || p.Address == "" || p.Gateway < 0 {
-				r.log.Warn("registry node ignored: invalid planner data", zap.String("node", name), zap.ByteString("data", data))
+				r.log.Warn("registry node ignored: not a planner's", zap.String("node", name), zap.ByteString("data", data))
 				continue
 			}
 			planners[p.Gateway] = p.Address
