--- a/account.go
+++ b/account.go
@@ -56,13 +56,14 @@
 	a := &account{id: e.Customer, plan: plan, gateways: gateways}
 	a.counterFirst = set.Counter && plan.Rate > 0 && plan.Burst < gateways*max(1, set.MaxUnits)
 	a.window = counterWindowLength(set, plan, a.counterFirst)
-	a.ceiling = hardCeiling{bucket: bucket{level: -plan.Tolerance / gateways, at: ctx.startedAt}, plan: plan,
-		gateways: gateways, assigned: (set.Self-e.FirstGateway%set.Instances+set.Instances)%set.Instances < n}
+	a.ceiling = hardCeiling{bucket: bucket{level: -plan.Tolerance / gateways, updatedAt: ctx.startedAt},
+		plan: plan, gateways: gateways,
+		assigned: (set.Self-e.FirstGateway%set.Instances+set.Instances)%set.Instances < n}
 	a.bucket = sharedBucket{rate: plan.Rate, burst: plan.Burst, gateways: gateways, window: a.window,
 		level: plan.Burst, updatedAt: ctx.now}
 	a.bucket.lastTotalAt = ctx.now - Instant(a.bucket.rateMemory()*1e9)
 	a.bucket.othersRate = a.bucket.evenOthersRate()
-	a.sync.number = a.windowNumber(ctx.now)
+	a.sync.windowNumber = a.windowNumber(ctx.now)
 	a.sync.totalWanted = true
 	return a
 }
@@ -86,7 +87,7 @@
 
 // windowEnd is when the window of the last call ends.
 func (a *account) windowEnd() Instant {
-	return Instant(a.sync.number+1)*Instant(a.window) - a.windowPhase()
+	return Instant(a.sync.windowNumber+1)*Instant(a.window) - a.windowPhase()
 }
 
 // windowPhase spreads the starts of customers' windows.
@@ -97,15 +98,15 @@
 	t.ctx.setTimerAfter(accountExpiryPeriod, t.expire)
 	for id, a := range t.byID { // in any order: nothing is sent
 		a.ceiling.refill(t.ctx.now)
-		if a.idle(t.ctx.now) && a.ceiling.full() {
+		if a.isIdle(t.ctx.now) && a.ceiling.isFull() {
 			delete(t.byID, id)
 		}
 	}
 }
 
-// idle tells whether an account has had no request for two windows and has nothing open.
-func (a *account) idle(now Instant) bool {
-	return a.unusedForWindows(now) && a.openAttempts == 0 && !a.sync.queued && !a.sync.calling
+// isIdle tells whether an account has had no request for two windows and has nothing open.
+func (a *account) isIdle(now Instant) bool {
+	return a.unusedForWindows(now) && a.openAttempts == 0 && !a.sync.queued && !a.sync.callInFlight
 }
 
 // unusedForWindows tells whether the last request is two windows ago.
--- a/account_test.go
+++ b/account_test.go
@@ -10,8 +10,8 @@
 func TestIdleAccountsExpire(t *testing.T) {
 	b := newHarness(t, settings(), dw.Endpoint{ID: 7})
 	for range 2 {
-		if in := b.serve(20, ms, dw.Arrival{Customer: 1}); in < 5 || in > 6 {
-			t.Errorf("%d admitted at once", in)
+		if admitted := b.serve(20, ms, dw.Arrival{Customer: 1}); admitted < 5 || admitted > 6 {
+			t.Errorf("%d admitted at once", admitted)
 		}
 		b.advance(150 * sec)
 	}
--- a/admission.go
+++ b/admission.go
@@ -35,7 +35,7 @@
 // forwarded.
 func (v quotaVerdict) certain() bool { return v.admitted && v.check != counterCheckImpossible }
 
-// arrive decides on a new request, or on units to take alone: it is rejected at once, or served from here
+// handleArrival decides on a new request, or on units to take alone: it is rejected at once, or served from here
 // on. The rules, in their order:
 //
 //  1. validity (checkValid);
@@ -44,8 +44,8 @@
 //  4. the capacity of the servers (loadShedder.checkCapacity); units alone need none.
 //
 // A rejection spends nothing of the account.
-func (ad *admission) arrive(e Arrival, unitsOnly bool) {
-	e.Remaining = ad.shutdown.limit(e.Remaining)
+func (ad *admission) handleArrival(e Arrival, unitsOnly bool) {
+	e.Remaining = ad.shutdown.capWait(e.Remaining)
 	if v := ad.checkValid(e); !v.admitted {
 		ad.ctx.emit(Reject{Request: e.ID, Reason: v.reason})
 		return
@@ -120,7 +120,7 @@
 	if !a.counterFirst || a.plan.servesBeyondQuota() || a.demand.isLow(a.plan.Rate, a.window) {
 		return counterCheckNotNeeded
 	}
-	if a.sync.calling || ad.counter.mayCall() {
+	if a.sync.callInFlight || ad.counter.mayCall() {
 		return counterCheckFirst
 	}
 	return counterCheckImpossible
@@ -129,17 +129,17 @@
 // admitByDemand decides at random on a request that cannot be counted first. One that is denied still goes
 // on the tally: the count of such a customer is that of its demand.
 func (ad *admission) admitByDemand(a *account, units float64) verdict {
-	if ad.drawByDemand(a) {
+	if ad.sampleByDemand(a) {
 		return admit()
 	}
 	ad.counter.addToTally(a, units)
 	return deny(ReasonQuota, 0)
 }
 
-// drawByDemand admits a random part of the requests that should be counted first and cannot: the quotient of
+// sampleByDemand admits a random part of the requests that should be counted first and cannot: the quotient of
 // rate and demand. All others are admitted.
-func (ad *admission) drawByDemand(a *account) bool {
-	return !a.counterFirst || ad.ctx.rng.Float64()*a.demand.units <= a.plan.Rate*a.demand.span
+func (ad *admission) sampleByDemand(a *account) bool {
+	return !a.counterFirst || ad.ctx.rng.Float64()*a.demand.units <= a.plan.Rate*a.demand.elapsed
 }
 
 // servesBeyondQuota tells whether requests beyond the quota earn more than they cost.
@@ -176,10 +176,10 @@
 	a.sync.awaitingCount = append(a.sync.awaitingCount, r)
 	a.consumed += r.units
 	ad.counter.addToTally(a, r.units)
-	if a.sync.calling {
+	if a.sync.callInFlight {
 		ad.counter.enqueue(a, false)
 	} else {
-		ad.counter.call(a)
+		ad.counter.startCall(a)
 	}
 }
 
@@ -207,9 +207,9 @@
 		switch {
 		case reserveUsed || ad.ctx.now < a.blockedUntil:
 			ad.requests.reject(r, deny(ReasonQuota, Span(a.windowEnd()-ad.ctx.now)))
-		case r.unitsOnly && (counted || ad.drawByDemand(a)):
+		case r.unitsOnly && (counted || ad.sampleByDemand(a)):
 			ad.requests.finish(r, AdjustAnswer{Request: r.id, Units: r.units})
-		case s == nil || !counted && !ad.drawByDemand(a):
+		case s == nil || !counted && !ad.sampleByDemand(a):
 			ad.requests.reject(r, deny(ReasonOverload, ad.shedder.retryAfter(r, 1)))
 		default:
 			ad.attempts.start(r, s)
--- a/counter_sync.go
+++ b/counter_sync.go
@@ -16,29 +16,29 @@
 // counterWindow is the synchronisation of an account with the shared counter, which counts units by customer
 // and window.
 type counterWindow struct {
-	number      int64   // of the window of the last call
-	total       float64 // units of all gateways, as last read in this window
-	own         float64 // units of this gateway that are surely in the counter's total
-	tally       float64 // units spent here and not yet pushed; below 0: given back
-	pushing     float64 // units of the call that is out
-	calling     bool    // a call is out; never more than one for an account
-	totalWanted bool    // the next call is made without waiting for its period
-	queued      bool    // in counterSync.queue
-	lastCallAt  Instant
-	nextCallAt  Instant // next ordinary call
-
-	awaitingCount []*request // counterFirst requests whose units are on the tally or on their way
-	queries       []*request // limit queries and give-backs that wait for the next call
-	sentQueries   []*request // those that wait for the call that is out, or waited for the last one
+	windowNumber  int64   // of the window of the last call
+	total         float64 // units of all gateways, as last read in this window
+	confirmedOwn  float64 // units of this gateway that are surely in the counter's total
+	tally         float64 // units spent here and not yet pushed; below 0: given back
+	unitsInFlight float64 // units of the call that is out
+	callInFlight  bool    // a call is out; never more than one for an account
+	totalWanted   bool    // the next call is made without waiting for its period
+	queued        bool    // in counterSync.queue
+	lastCallAt    Instant
+	nextCallAt    Instant // next ordinary call
+
+	awaitingCount  []*request // counterFirst requests whose units are on the tally or on their way
+	waitingQueries []*request // limit queries and give-backs that wait for the next call
+	sentQueries    []*request // those that wait for the call that is out, or waited for the last one
 }
 
 // counterSync pushes tallies to the shared counter and reads its totals. Calls are rate limited by the
 // answers to earlier ones, as all gateways share the counter.
 type counterSync struct {
-	ctx     *stepContext
-	limiter *ratelimit.Limiter
-	queue   []*account          // those with something to push or a total to read, in the order they came
-	calls   map[string]*account // by name: calls that are out
+	ctx           *stepContext
+	limiter       *ratelimit.Limiter
+	queue         []*account          // those with something to push or a total to read, in the order they came
+	accountByCall map[string]*account // by name: calls that are out
 }
 
 // spend takes units off an account's quota and puts them on its tally.
@@ -82,88 +82,88 @@
 func (s *counterSync) sweep() {
 	for _, urgentOnly := range []bool{true, false} {
 		s.queue = slices.DeleteFunc(s.queue, func(a *account) bool {
-			a.sync.queued = a.sync.calling || !s.push(a, urgentOnly)
+			a.sync.queued = a.sync.callInFlight || !s.pushIfDue(a, urgentOnly)
 			return !a.sync.queued
 		})
 	}
 }
 
-// push makes a call for an account if one may be made and it is urgent or at its time, and tells whether it
+// pushIfDue makes a call for an account if one may be made and it is urgent or at its time, and tells whether it
 // did.
-func (s *counterSync) push(a *account, urgentOnly bool) bool {
+func (s *counterSync) pushIfDue(a *account, urgentOnly bool) bool {
 	if !s.mayCall() {
 		return false
 	}
-	if !s.urgent(a) && (urgentOnly || s.ctx.now < a.sync.nextCallAt) {
+	if !s.isUrgent(a) && (urgentOnly || s.ctx.now < a.sync.nextCallAt) {
 		return false
 	}
-	s.call(a)
+	s.startCall(a)
 	return true
 }
 
-// urgent tells whether an account's call should not wait for its period: a total is wanted, its window has
+// isUrgent tells whether an account's call should not wait for its period: a total is wanted, its window has
 // ended, or much is unpushed; with nothing available, any tally is much. Between two calls a time-out passes
 // all the same, unless queries wait.
-func (s *counterSync) urgent(a *account) bool {
-	wanted := a.sync.totalWanted || a.windowNumber(s.ctx.now) != a.sync.number ||
+func (s *counterSync) isUrgent(a *account) bool {
+	wanted := a.sync.totalWanted || a.windowNumber(s.ctx.now) != a.sync.windowNumber ||
 		a.sync.tally >= earlyPushFraction*max(0, s.available(a))
 	spaced := s.ctx.now-a.sync.lastCallAt >= Instant(s.ctx.settings.CounterTimeout)
-	return wanted && (spaced || len(a.sync.queries) > 0)
+	return wanted && (spaced || len(a.sync.waitingQueries) > 0)
 }
 
 // mayCall tells whether the rate limit has a call left.
 func (s *counterSync) mayCall() bool { return s.limiter.Allow(int64(s.ctx.now)) }
 
-// call adds an account's tally to the counter. No other call of the account may be out.
-func (s *counterSync) call(a *account) {
+// startCall adds an account's tally to the counter. No other call of the account may be out.
+func (s *counterSync) startCall(a *account) {
 	s.startWindow(a)
 	w := &a.sync
-	name := strconv.FormatUint(uint64(a.id), 36) + "." + strconv.FormatInt(w.number, 36)
-	w.pushing, w.tally = w.tally, 0
-	w.sentQueries, w.queries = w.queries, nil
-	w.calling = true
+	name := strconv.FormatUint(uint64(a.id), 36) + "." + strconv.FormatInt(w.windowNumber, 36)
+	w.unitsInFlight, w.tally = w.tally, 0
+	w.sentQueries, w.waitingQueries = w.waitingQueries, nil
+	w.callInFlight = true
 	w.totalWanted = false
 	w.lastCallAt = s.ctx.now
 	w.nextCallAt = s.ctx.now + Instant(a.window)/callsPerWindow
-	s.calls[name] = a
+	s.accountByCall[name] = a
 	s.limiter.Spend()
-	s.ctx.emit(CounterAdd{Name: name, Customer: a.id, Add: w.pushing, TTL: min(maxCounterTTL, 2*a.window)})
+	s.ctx.emit(CounterAdd{Name: name, Customer: a.id, Add: w.unitsInFlight, TTL: min(maxCounterTTL, 2*a.window)})
 }
 
 // startWindow moves an account on to the present window. The bucket's level is carried over: use of the old
 // window that was not read is taken to be as predicted.
 func (s *counterSync) startWindow(a *account) {
 	number := a.windowNumber(s.ctx.now)
-	if number == a.sync.number {
+	if number == a.sync.windowNumber {
 		return
 	}
-	a.sync.number = number
+	a.sync.windowNumber = number
 	a.sync.total = 0
-	a.sync.own = 0
+	a.sync.confirmedOwn = 0
 	a.bucket.predicted = 0
 	a.demand.startWindow()
 }
 
-// answered takes the counter's answer to a call and returns its account; nil if no such call is out. What a
+// handleAnswer takes the counter's answer to a call and returns its account; nil if no such call is out. What a
 // call did not add goes back on the tally. One that timed out may have been added: the next total shows it.
-func (s *counterSync) answered(e CounterAnswered) *account {
-	a := s.calls[e.Name]
-	if a == nil || !a.sync.calling {
+func (s *counterSync) handleAnswer(e CounterAnswered) *account {
+	a := s.accountByCall[e.Name]
+	if a == nil || !a.sync.callInFlight {
 		return nil
 	}
-	delete(s.calls, e.Name)
-	a.sync.calling = false
+	delete(s.accountByCall, e.Name)
+	a.sync.callInFlight = false
 	s.limiter.Observe(e.Outcome == OutcomeOK, seconds(e.Latency))
 	if e.Outcome == OutcomeOK {
-		s.applyTotal(a, a.sync.pushing, e.Total)
+		s.applyTotal(a, a.sync.unitsInFlight, e.Total)
 		return a
 	}
-	a.sync.queries = append(a.sync.sentQueries, a.sync.queries...)
+	a.sync.waitingQueries = append(a.sync.sentQueries, a.sync.waitingQueries...)
 	if e.Outcome != OutcomeTimeout {
-		a.sync.tally += a.sync.pushing
+		a.sync.tally += a.sync.unitsInFlight
 	} else if !a.counterFirst {
 		// Taken as added, so that the next total does not show it as use of the others.
-		a.sync.total += a.sync.pushing
+		a.sync.total += a.sync.unitsInFlight
 	}
 	if !a.counterFirst {
 		s.enqueue(a, false)
@@ -177,12 +177,12 @@
 	w, now := &a.sync, s.ctx.now
 	a.bucket.advance(now)
 	before := w.total
-	if total-added < w.own-counterPrecision {
+	if total-added < w.confirmedOwn-counterPrecision {
 		before = 0
-		w.own = 0
+		w.confirmedOwn = 0
 	}
 	othersUse := total - added - before
-	w.own += max(0, added)
+	w.confirmedOwn += max(0, added)
 	w.total = total
 	quota := a.plan.Rate * seconds(a.window)
 	if a.counterFirst {
--- a/counter_sync_test.go
+++ b/counter_sync_test.go
@@ -16,19 +16,19 @@
 	forget := func(c dw.CounterAdd) *dw.CounterAnswered { return &dw.CounterAnswered{Name: c.Name, Total: c.Add} }
 	for name, answer := range map[string]func(dw.CounterAdd) *dw.CounterAnswered{"silent": timeout, "rejecting": reject,
 		"forgetting": forget} {
-		for _, heavy := range []bool{false, true} {
+		for _, aboveRate := range []bool{false, true} {
 			b := newHarness(t, settings(), dw.Endpoint{ID: 7})
 			b.counter = answer
-			d, n := 1500*ms, 20 // a third of the rate
-			if heavy {
-				d, n = 100*ms, 300 // five times the rate
+			interval, n := 1500*ms, 20 // a third of the rate
+			if aboveRate {
+				interval, n = 100*ms, 300 // five times the rate
 			}
-			in := b.serve(n, d, dw.Arrival{Customer: 1, Spread: 2})
-			if !heavy && in < n {
-				t.Errorf("%s: a calm customer is admitted %d of %d times", name, in, n)
+			admitted := b.serve(n, interval, dw.Arrival{Customer: 1, Spread: 2})
+			if !aboveRate && admitted < n {
+				t.Errorf("%s: a calm customer is admitted %d of %d times", name, admitted, n)
 			}
-			if heavy && (in < 30 || in > 68) { // from half the rate for 30 s, to all of it and a burst
-				t.Errorf("%s: a heavy customer is admitted %d times", name, in)
+			if aboveRate && (admitted < 30 || admitted > 68) { // from half the rate for 30 s, to all of it and a burst
+				t.Errorf("%s: a heavy customer is admitted %d times", name, admitted)
 			}
 			if calls := float64(len(b.calls)); calls > 1.2*float64(n)+20 {
 				t.Errorf("%s: %v calls for %d requests", name, calls, n)
@@ -48,14 +48,14 @@
 			t.Fatalf("total %v: sent %v before the count told, calls %v", total, b.attempts, b.calls)
 		}
 		b.advance(3 * ms)
-		if in := len(b.attempts) == 1; in != want || in == (b.answers[id] != nil) {
-			t.Errorf("total %v: sent on %v, want %v; answer %v", total, in, want, b.answers[id])
+		if admitted := len(b.attempts) == 1; admitted != want || admitted == (b.answers[id] != nil) {
+			t.Errorf("total %v: sent on %v, want %v; answer %v", total, admitted, want, b.answers[id])
 		}
 	}
 }
 
 // A request that waits for a silent counter is decided at the call's time-out, or at its own deadline if that is earlier.
-func TestUnconfirmedRequestIsAnswered(t *testing.T) {
+func TestUncountedRequestIsAnswered(t *testing.T) {
 	for remaining, sent := range map[dw.Span]int{800 * ms: 1, 20 * ms: 0} {
 		b := newHarness(t, manyGateways(), dw.Endpoint{ID: 7})
 		b.counter = func(dw.CounterAdd) *dw.CounterAnswered { return nil }
@@ -68,7 +68,7 @@
 }
 
 // A counter that is far away is not overloaded: the call rate stays while latency does.
-func TestDistanceOfTheCounterIsNotQueueing(t *testing.T) {
+func TestCounterDistanceIsNoOverload(t *testing.T) {
 	b := newHarness(t, settings(), dw.Endpoint{ID: 1})
 	add := b.counter
 	b.counter = func(c dw.CounterAdd) *dw.CounterAnswered {
@@ -99,14 +99,14 @@
 		b.serve(1, 10*ms, dw.Arrival{Customer: dw.CustomerID(2 + i%100), Plan: 1})
 		b.serve(1, 10*ms, dw.Arrival{Customer: 1})
 	}
-	near := 0
+	customerCalls := 0
 	for _, c := range b.calls {
 		if strings.HasPrefix(c.Name, "1.") {
-			near++
+			customerCalls++
 		}
 	}
-	if near < 25 {
-		t.Errorf("%d of %d calls for the one that asks for more than its quota", near, len(b.calls))
+	if customerCalls < 25 {
+		t.Errorf("%d of %d calls for the one that asks for more than its quota", customerCalls, len(b.calls))
 	}
 }
 
--- a/demand.go
+++ b/demand.go
@@ -10,25 +10,25 @@
 // asked for.
 type demandStatistics struct {
 	units         float64 // with those of earlier windows, discounted
-	span          float64 // seconds in which they were asked for, discounted in the same way
+	elapsed       float64 // seconds in which they were asked for, discounted in the same way
 	windowElapsed float64 // seconds of the window at its last total
 }
 
 // observe adds what was asked for since the last total.
 func (d *demandStatistics) observe(units, windowElapsed float64) {
 	d.units += max(0, units)
-	d.span += max(0, windowElapsed-d.windowElapsed)
+	d.elapsed += max(0, windowElapsed-d.windowElapsed)
 	d.windowElapsed = windowElapsed
 }
 
 // startWindow discounts the demand of the windows before.
 func (d *demandStatistics) startWindow() {
 	d.units *= demandCarryOver
-	d.span *= demandCarryOver
+	d.elapsed *= demandCarryOver
 	d.windowElapsed = 0
 }
 
 // isLow tells whether the demand is known, over a window at least, and far below a rate in units a second.
 func (d *demandStatistics) isLow(rate float64, window Span) bool {
-	return d.span > seconds(window) && d.units < lowDemandFraction*rate*d.span
+	return d.elapsed > seconds(window) && d.units < lowDemandFraction*rate*d.elapsed
 }
--- a/gateway.go
+++ b/gateway.go
@@ -44,13 +44,13 @@
 	ctx := &stepContext{settings: s, rng: rand.New(rand.NewPCG(seed, 1)),
 		timers: timerTable{callbacks: map[TimerID]func(){}}}
 	g := &Gateway{ctx: ctx}
-	g.newServerOwners()
-	g.newRequestOwners()
+	g.newServerComponents()
+	g.newRequestComponents()
 	return g, nil
 }
 
-// newServerOwners makes the owners of what is known of the servers.
-func (g *Gateway) newServerOwners() {
+// newServerComponents makes the owners of what is known of the servers.
+func (g *Gateway) newServerComponents() {
 	ctx, classes := g.ctx, len(g.ctx.settings.Classes)
 	g.traffic = &trafficStatistics{ctx: ctx, zoneFailures: map[int]float64{}}
 	g.endpoints = &endpointSet{ctx: ctx, byID: map[ServerID]*server{}}
@@ -63,12 +63,12 @@
 		slowStart: g.slowStart, outliers: g.outliers, latency: g.latency, rules: attemptRules{ctx}}
 }
 
-// newRequestOwners makes the owners of requests and accounts.
-func (g *Gateway) newRequestOwners() {
+// newRequestComponents makes the owners of requests and accounts.
+func (g *Gateway) newRequestComponents() {
 	ctx, set := g.ctx, &g.ctx.settings
 	g.requests = &requestTable{ctx: ctx, byID: map[RequestID]*request{}}
 	g.accounts = &accounts{ctx: ctx, byID: map[CustomerID]*account{}}
-	g.counter = &counterSync{ctx: ctx, calls: map[string]*account{},
+	g.counter = &counterSync{ctx: ctx, accountByCall: map[string]*account{},
 		limiter: ratelimit.New(seconds(set.CounterTimeout), set.Instances)}
 	g.priorities = &priorities{latency: g.latency, mean: max(set.Classes[0].Weight, minPriority)}
 	g.quota = &quotaRules{ctx: ctx, latency: g.latency, counter: g.counter}
@@ -125,14 +125,14 @@
 	case EndpointList:
 		g.updateEndpoints(e)
 	case Arrival:
-		g.admission.arrive(e, false)
+		g.admission.handleArrival(e, false)
 	case LimitQuery:
-		g.limits.query(e.arrival(0))
+		g.limits.enqueue(e.arrival(0))
 	case LimitAdjust:
 		if e.Units > 0 {
-			g.admission.arrive(e.arrival(e.Units), true)
+			g.admission.handleArrival(e.arrival(e.Units), true)
 		} else {
-			g.limits.query(e.arrival(e.Units))
+			g.limits.enqueue(e.arrival(e.Units))
 		}
 	case AnswerStarted:
 		g.requests.answerStarted(e.Request)
@@ -166,16 +166,16 @@
 
 // counterAnswered applies the end of a counter call, then decides on what waited for it.
 func (g *Gateway) counterAnswered(e CounterAnswered) {
-	a := g.counter.answered(e)
+	a := g.counter.handleAnswer(e)
 	if a == nil {
 		return
 	}
 	counted := e.Outcome == OutcomeOK
 	if counted {
-		g.limits.answer(a)
+		g.limits.answerQueries(a)
 	}
 	g.admission.decideCounted(a, counted)
-	if len(a.sync.queries) > 0 {
+	if len(a.sync.waitingQueries) > 0 {
 		g.counter.enqueue(a, true)
 	}
 }
--- a/gateway_test.go
+++ b/gateway_test.go
@@ -8,14 +8,14 @@
 )
 
 func TestUnknownEventsAreIgnored(t *testing.T) {
-	odd := []dw.Event{
+	events := []dw.Event{
 		dw.AttemptEnded{Request: "none", Attempt: 3}, dw.ClientDeparted{Request: "none"}, dw.TimerFired{ID: "none"},
 		dw.CounterAnswered{Name: "none", Total: 3}, dw.AnswerStarted{Request: "none"}, dw.HealthChecked{Server: 5}, dw.PeerMessage{From: 1},
 		dw.EndpointList{Kind: dw.ListFull}, dw.EndpointList{Kind: dw.ListFailed},
 		dw.EndpointList{Kind: dw.ListDelta, Servers: []dw.Endpoint{{ID: 7}, {ID: 7}}},
 	}
 	b := newHarness(t, settings(), dw.Endpoint{ID: 7})
-	for _, e := range odd {
+	for _, e := range events {
 		b.handle(e)
 	}
 	if _, ok := b.request(dw.Arrival{Spread: 9, FirstGateway: 5}); !ok {
@@ -32,8 +32,8 @@
 	}
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
-	if in := newHarness(t, s, dw.Endpoint{ID: 7}).serve(50, ms, dw.Arrival{}); in != 50 {
-		t.Errorf("a plan with no quota admits %d of 50", in)
+	if admitted := newHarness(t, s, dw.Endpoint{ID: 7}).serve(50, ms, dw.Arrival{}); admitted != 50 {
+		t.Errorf("a plan with no quota admits %d of 50", admitted)
 	}
 }
 
--- a/hard_ceiling.go
+++ b/hard_ceiling.go
@@ -28,7 +28,7 @@
 // spend takes the units of an admitted request.
 func (h *hardCeiling) spend(units float64) { h.level -= units }
 
-// full tells whether the ceiling, refilled, is that of a new account.
-func (h *hardCeiling) full() bool {
+// isFull tells whether the ceiling, refilled, is that of a new account.
+func (h *hardCeiling) isFull() bool {
 	return h.plan.CeilingRate <= 0 || h.level >= h.plan.CeilingBurst/h.gateways
 }
--- a/limit_answers_test.go
+++ b/limit_answers_test.go
@@ -27,15 +27,15 @@
 	}
 }
 
-// limitedPlans is a plan of 6 units that hardly refills, so that what is left can be told by heart.
-func limitedPlans() dw.Settings {
+// slowRefillSettings is a plan of 6 units that hardly refills, so that what is left can be told by heart.
+func slowRefillSettings() dw.Settings {
 	s := settings()
 	s.Plans[0].Rate = 0.1
 	return s
 }
 
-func TestQuery(t *testing.T) {
-	b := newHarness(t, limitedPlans(), dw.Endpoint{ID: 7})
+func TestLimitQuery(t *testing.T) {
+	b := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
 	b.expectRemaining(t, 6)
 	b.serve(3, ms, dw.Arrival{Customer: 1})
 	b.expectRemaining(t, 3)
@@ -45,18 +45,18 @@
 		t.Errorf("over the quota: %+v", l)
 	}
 	// The advice holds: when the time has come, one more is admitted, and not before.
-	if in := b.serve(1, ms, dw.Arrival{Customer: 1}); in != 0 {
+	if admitted := b.serve(1, ms, dw.Arrival{Customer: 1}); admitted != 0 {
 		t.Error("admitted before the time")
 	}
 	b.advance(l.ReplenishedAfter + 200*ms)
-	if in := b.serve(1, ms, dw.Arrival{Customer: 1}); in != 1 {
+	if admitted := b.serve(1, ms, dw.Arrival{Customer: 1}); admitted != 1 {
 		t.Error("not admitted when the time has come")
 	}
 }
 
 // What is taken after a query came is not in its answer, though its own call may push it.
-func TestQuerySeesNothingLater(t *testing.T) {
-	b := newHarness(t, limitedPlans(), dw.Endpoint{ID: 7})
+func TestLimitQueryExcludesLaterUse(t *testing.T) {
+	b := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
 	b.serve(1, ms, dw.Arrival{Customer: 1})
 	b.handle(dw.LimitQuery{ID: "early", Customer: 1, Remaining: 800 * ms, Spread: 1})
 	b.serve(3, ms, dw.Arrival{Customer: 1})
@@ -66,8 +66,8 @@
 	}
 }
 
-func TestAdjust(t *testing.T) {
-	b := newHarness(t, limitedPlans(), dw.Endpoint{ID: 7})
+func TestLimitAdjust(t *testing.T) {
+	b := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
 	steps := []struct {
 		units float64
 		want  any
@@ -101,9 +101,9 @@
 }
 
 // With no answer of the counter there is none to a query, and its failure comes before its time is up.
-func TestQueryWithNoCounter(t *testing.T) {
+func TestLimitQueryWithoutCounter(t *testing.T) {
 	for _, o := range []dw.Outcome{dw.OutcomeTimeout, dw.OutcomeRejected, dw.OutcomeConnectFailed} {
-		b := newHarness(t, limitedPlans(), dw.Endpoint{ID: 7})
+		b := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
 		b.counter = func(c dw.CounterAdd) *dw.CounterAnswered { return &dw.CounterAnswered{Name: c.Name, Outcome: o} }
 		if a, ok := b.adjust(0, 1, 790*ms).(dw.Fail); !ok {
 			t.Errorf("outcome %v: %+v", o, a)
@@ -115,8 +115,8 @@
 }
 
 // A push whose answer was lost has counted: its units must not be taken from the store again as others' use.
-func TestLostAnswer(t *testing.T) {
-	b := newHarness(t, limitedPlans(), dw.Endpoint{ID: 7})
+func TestLostCounterAnswer(t *testing.T) {
+	b := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
 	add := b.counter
 	b.expectRemaining(t, 6)
 	b.serve(2, ms, dw.Arrival{Customer: 1})
@@ -130,7 +130,7 @@
 // A total that falls is told apart: others gave back, or the counter has lost its numbers.
 func TestCounterTotalThatFalls(t *testing.T) {
 	total := 0.0
-	b := newHarness(t, limitedPlans(), dw.Endpoint{ID: 7})
+	b := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
 	b.counter = func(c dw.CounterAdd) *dw.CounterAnswered {
 		total += c.Add
 		return &dw.CounterAnswered{Name: c.Name, Total: total}
@@ -145,7 +145,7 @@
 }
 
 // A request that waited for the count is not sent on when its client has left: nothing would end that attempt.
-func TestUnconfirmedRequestOfClientThatLeft(t *testing.T) {
+func TestUncountedRequestOfDepartedClient(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{Rate: 1, Burst: 1, WeightFactor: 1, OverQuotaCost: 1} // thin: the push comes first
 	b := newHarness(t, s, dw.Endpoint{ID: 7})
@@ -184,16 +184,16 @@
 func TestInFlightLimitWhileSlow(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{Rate: 50, Burst: 100, MaxInFlight: 6, WeightFactor: 1, OverQuotaCost: 1}
-	in := 0
+	inFlight := 0
 	b := newHarness(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8}, dw.Endpoint{ID: 9})
 	b.serve(100, 20*ms, dw.Arrival{Customer: 1, Spread: 2}) // at ease, all seen here: others use nothing
 	for range 12 {
 		if _, sent := b.request(dw.Arrival{Customer: 1, Spread: 2}); sent { // no server answers these
-			in++
+			inFlight++
 		}
 		b.advance(10 * ms)
 	}
-	if in != 3 {
-		t.Errorf("%d are out, want half of 6", in)
+	if inFlight != 3 {
+		t.Errorf("%d are out, want half of 6", inFlight)
 	}
 }
--- a/load_shedding.go
+++ b/load_shedding.go
@@ -4,9 +4,9 @@
 
 const (
 	objectiveFraction    = 0.25 // of the latency objective: a first attempt must be expected within it
-	idleMultiple         = 2.5  // or within so many times the latency of idle servers, if that is more
+	idleLatencyMultiple  = 2.5  // or within so many times the latency of idle servers, if that is more
 	beyondQuotaFraction  = 0.4  // of that threshold for requests beyond their quota, which are shed first
-	throttleFree         = 3.0  // requests that the throttle never counts against the servers
+	throttleFreeRequests = 3.0  // requests that the throttle never counts against the servers
 	throttleAcceptRatio  = 0.5  // accepts per request below which the throttle starts to reject
 	minRetryAfterLatency = 0.5  // of the mean latency: least advice to a request that is shed; at most 1 more
 )
@@ -25,8 +25,8 @@
 // or a multiple of what idle servers take, which is no sign of load, scaled by the root of its priority.
 func (l *loadShedder) latencyThreshold(r *request, withinQuota bool) float64 {
 	byObjective := objectiveFraction * seconds(r.objective-l.ctx.now)
-	byIdle := idleMultiple * l.latency.idle * l.latency.classSize[r.classIndex]
-	threshold := max(byObjective, byIdle) * math.Sqrt(l.priorities.of(r)/l.priorities.mean)
+	byIdle := idleLatencyMultiple * l.latency.idle * l.latency.classSize[r.classIndex]
+	threshold := max(byObjective, byIdle) * math.Sqrt(l.priorities.priorityOf(r)/l.priorities.mean)
 	if !withinQuota {
 		threshold *= beyondQuotaFraction
 	}
@@ -54,7 +54,7 @@
 	t := l.traffic
 	t.decay()
 	t.throttleRequests++
-	return l.ctx.rng.Float64()*t.throttleRequests > throttleFree+t.throttleAccepts/throttleAcceptRatio
+	return l.ctx.rng.Float64()*t.throttleRequests > throttleFreeRequests+t.throttleAccepts/throttleAcceptRatio
 }
 
 // retryAfter is the advice to a client whose request is shed: about the mean latency, more under pressure
--- a/load_shedding_test.go
+++ b/load_shedding_test.go
@@ -33,27 +33,27 @@
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
 	b := newHarness(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8}, dw.Endpoint{ID: 9})
-	play := func(outcome dw.Outcome) int {
-		before, seen := len(b.attempts), len(b.attempts)
+	runRequests := func(outcome dw.Outcome) int {
+		before, handled := len(b.attempts), len(b.attempts)
 		for range 500 {
 			id, ok := b.request(dw.Arrival{})
-			for attempt := 0; ok && seen < len(b.attempts); attempt++ {
-				e := dw.AttemptEnded{Request: id, Attempt: attempt, Server: b.attempts[seen].Server, Outcome: outcome, Latency: 5 * ms}
+			for attempt := 0; ok && handled < len(b.attempts); attempt++ {
+				e := dw.AttemptEnded{Request: id, Attempt: attempt, Server: b.attempts[handled].Server, Outcome: outcome, Latency: 5 * ms}
 				e.Final = outcome == dw.OutcomeOK
-				seen++
+				handled++
 				b.handle(e)
 			}
 			b.advance(20 * ms)
 		}
 		return len(b.attempts) - before
 	}
-	if n := play(dw.OutcomeOK); n < 450 {
+	if n := runRequests(dw.OutcomeOK); n < 450 {
 		t.Fatalf("%d of 500 go on when all is well", n)
 	}
-	if n := play(dw.OutcomeError); n > 400 { // and up to a tenth more as further attempts, if all went on
+	if n := runRequests(dw.OutcomeError); n > 400 { // and up to a tenth more as further attempts, if all went on
 		t.Errorf("%d attempts for 500 requests that all end badly", n)
 	}
-	if play(dw.OutcomeOK); play(dw.OutcomeOK) < 450 {
+	if runRequests(dw.OutcomeOK); runRequests(dw.OutcomeOK) < 450 {
 		t.Error("no way back")
 	}
 }
@@ -68,7 +68,7 @@
 		servers = append(servers, dw.Endpoint{ID: dw.ServerID(i)})
 	}
 	b := newHarness(t, s, servers...)
-	in := 0
+	forwarded := 0
 	for i := range 300 {
 		latency := 10 * ms
 		if i >= 200 {
@@ -78,13 +78,13 @@
 			b.advance(latency)
 			b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[len(b.attempts)-1].Server, Final: true, Latency: latency})
 			if i >= 230 && i < 300 {
-				in++
+				forwarded++
 			}
 		}
 		b.advance(100 * ms)
 	}
-	if in > 20 || in == 0 {
-		t.Errorf("%d of 70 requests go on to servers that all take three quarters of the aim", in)
+	if forwarded > 20 || forwarded == 0 {
+		t.Errorf("%d of 70 requests go on to servers that all take three quarters of the aim", forwarded)
 	}
 }
 
@@ -119,19 +119,19 @@
 		latency  dw.Span
 		min, max int
 	}{{70 * ms, 95, 100}, {130 * ms, 95, 100}, {300 * ms, 1, 60}} {
-		in := 0
+		forwarded := 0
 		for i := range 200 {
 			if id, ok := b.request(dw.Arrival{}); ok {
 				b.advance(c.latency)
 				b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[len(b.attempts)-1].Server, Final: true, Latency: c.latency})
 				if i >= 100 {
-					in++
+					forwarded++
 				}
 			}
 			b.advance(10 * ms)
 		}
-		if in < c.min || in > c.max {
-			t.Errorf("answers in %v: %d of 100 go on, want %d to %d", c.latency, in, c.min, c.max)
+		if forwarded < c.min || forwarded > c.max {
+			t.Errorf("answers in %v: %d of 100 go on, want %d to %d", c.latency, forwarded, c.min, c.max)
 		}
 	}
 }
--- a/priority.go
+++ b/priority.go
@@ -12,14 +12,14 @@
 	mean    float64 // exponential moving average over the requests that came to load shedding
 }
 
-// of is the priority of a request.
-func (p *priorities) of(r *request) float64 {
+// priorityOf is the priority of a request.
+func (p *priorities) priorityOf(r *request) float64 {
 	return max(r.class.Weight, minPriority) / p.latency.classSize[r.classIndex]
 }
 
 // observe takes a request into the mean.
 func (p *priorities) observe(r *request) {
-	p.mean += priorityMeanWeight * (p.of(r) - p.mean)
+	p.mean += priorityMeanWeight * (p.priorityOf(r) - p.mean)
 }
 
 // reservedFor is the fraction of a customer's burst that r leaves to requests of higher priority, which
@@ -29,5 +29,5 @@
 	if r.unitsOnly {
 		return 0
 	}
-	return reservedFraction * max(0, 1-p.of(r)/p.mean)
+	return reservedFraction * max(0, 1-p.priorityOf(r)/p.mean)
 }
--- a/quota.go
+++ b/quota.go
@@ -50,9 +50,9 @@
 // here; streamed answers are left out of that, as their length is the client's.
 func (q *quotaRules) checkInFlight(a *account) verdict {
 	othersRate := a.bucket.assumedOthersRate(q.ctx.now)
-	if a.counterFirst && a.demand.span > 0 {
+	if a.counterFirst && a.demand.elapsed > 0 {
 		// Before the first total of a window the gateways admit what is asked for, even if it is far over the rate.
-		othersRate = max(othersRate, a.demand.units/a.demand.span*(1-1/a.gateways))
+		othersRate = max(othersRate, a.demand.units/a.demand.elapsed*(1-1/a.gateways))
 	}
 	others := max(othersRate*q.latency.mean/max(1, q.ctx.settings.MaxUnits/2),
 		(a.gateways-1)*float64(a.openAttempts-a.streamingAttempts))
--- a/quota_test.go
+++ b/quota_test.go
@@ -9,8 +9,8 @@
 func TestQuota(t *testing.T) {
 	cases := []struct {
 		name     string
-		n        int
-		d        dw.Span
+		requests int
+		interval dw.Span
 		min, max int
 	}{
 		{"a burst", 20, ms, 5, 6},
@@ -18,9 +18,9 @@
 		{"three times the rate, over two windows' edges", 150, 166 * ms, 50, 57}, // 6 + 2 a second for 25 s
 	}
 	for _, c := range cases {
-		in := newHarness(t, settings(), dw.Endpoint{ID: 7}).serve(c.n, c.d, dw.Arrival{Customer: 1})
-		if in < c.min || in > c.max {
-			t.Errorf("%s: %d admitted, want %d to %d", c.name, in, c.min, c.max)
+		admitted := newHarness(t, settings(), dw.Endpoint{ID: 7}).serve(c.requests, c.interval, dw.Arrival{Customer: 1})
+		if admitted < c.min || admitted > c.max {
+			t.Errorf("%s: %d admitted, want %d to %d", c.name, admitted, c.min, c.max)
 		}
 	}
 }
@@ -32,8 +32,8 @@
 	if in := b.serve(1, 500*ms, dw.Arrival{Customer: 1, Spread: 2}); in != 1 {
 		t.Fatal("the first request is rejected")
 	}
-	if in := b.serve(20, ms, dw.Arrival{Customer: 1, Spread: 2}); in > 1 {
-		t.Errorf("%d admitted though others have used the burst", in)
+	if admitted := b.serve(20, ms, dw.Arrival{Customer: 1, Spread: 2}); admitted > 1 {
+		t.Errorf("%d admitted though others have used the burst", admitted)
 	}
 }
 
@@ -43,19 +43,19 @@
 	s := settings()
 	s.Instances, s.Plans[0] = 4, dw.Plan{MaxInFlight: 4, WeightFactor: 1, OverQuotaCost: 1}
 	b := newHarness(t, s, dw.Endpoint{ID: 7})
-	var began []dw.RequestID
+	var streaming []dw.RequestID
 	for i := range 6 {
 		id, ok := b.request(dw.Arrival{Spread: 4})
 		if ok != (i < 4) {
 			t.Fatalf("with %d answers on their way: %v", i, ok)
 		}
 		if ok {
-			began = append(began, id)
+			streaming = append(streaming, id)
 			b.handle(dw.AnswerStarted{Request: id, Server: 7})
 			b.handle(dw.AnswerStarted{Request: id, Server: 7})
 		}
 	}
-	for _, id := range began {
+	for _, id := range streaming {
 		b.handle(dw.AttemptEnded{Request: id, Server: 7, Final: true, Latency: 10 * ms})
 	}
 	// None of them is left in the count: one that has not begun is taken for four.
@@ -72,12 +72,12 @@
 	s := settings()
 	s.Plans[0] = dw.Plan{Rate: 10, Burst: 20, CeilingRate: 20, CeilingBurst: 40, Tolerance: 4, WeightFactor: 1}
 	b := newHarness(t, s, dw.Endpoint{ID: 7})
-	if in := b.serve(10, ms, dw.Arrival{Customer: 1, Spread: 2}); in > 0 {
-		t.Errorf("%d admitted at once", in)
+	if admitted := b.serve(10, ms, dw.Arrival{Customer: 1, Spread: 2}); admitted > 0 {
+		t.Errorf("%d admitted at once", admitted)
 	}
 	b.advance(sec)
-	if in := b.serve(5, ms, dw.Arrival{Customer: 1, Spread: 2}); in != 5 {
-		t.Errorf("%d of 5 admitted after a second", in)
+	if admitted := b.serve(5, ms, dw.Arrival{Customer: 1, Spread: 2}); admitted != 5 {
+		t.Errorf("%d of 5 admitted after a second", admitted)
 	}
 }
 
@@ -89,11 +89,11 @@
 		s.Plans[0].MaxInFlight = 2
 		b := newHarness(t, s, dw.Endpoint{ID: 7})
 		b.counter = func(c dw.CounterAdd) *dw.CounterAnswered {
-			told := total
+			reported := total
 			total = 1 // the next window has just begun
-			return &dw.CounterAnswered{Name: c.Name, Total: told}
+			return &dw.CounterAnswered{Name: c.Name, Total: reported}
 		}
-		last := total
+		lastTotal := total
 		first, _ := b.request(dw.Arrival{Customer: 1, Spread: 50})
 		b.advance(10 * ms)
 		if len(b.attempts) == 1 {
@@ -102,8 +102,8 @@
 		b.advance(2100 * ms) // into the next window
 		id, _ := b.request(dw.Arrival{Customer: 1, Spread: 50})
 		b.advance(3 * ms)
-		if in := b.answers[id] == nil; in != want {
-			t.Errorf("total %v in the last window: admitted %v, want %v", last, in, want)
+		if admitted := b.answers[id] == nil; admitted != want {
+			t.Errorf("total %v in the last window: admitted %v, want %v", lastTotal, admitted, want)
 		}
 	}
 }
--- a/settings_test.go
+++ b/settings_test.go
@@ -8,10 +8,10 @@
 	dw "dewhitch"
 )
 
-func TestImpossibleSettings(t *testing.T) {
+func TestInvalidSettings(t *testing.T) {
 	cases := []struct {
-		field string
-		spoil func(*dw.Settings)
+		field   string
+		corrupt func(*dw.Settings)
 	}{
 		{"Instances", func(s *dw.Settings) { s.Instances = 0 }},
 		{"Self", func(s *dw.Settings) { s.Self = 2 }},
@@ -26,10 +26,10 @@
 	}
 	for _, c := range cases {
 		s := settings()
-		c.spoil(&s)
+		c.corrupt(&s)
 		_, err := dw.New(s, 1)
-		var setting *dw.SettingError
-		if !errors.As(err, &setting) || setting.Field != c.field || !strings.HasSuffix(err.Error(), " "+c.field) {
+		var settingErr *dw.SettingError
+		if !errors.As(err, &settingErr) || settingErr.Field != c.field || !strings.HasSuffix(err.Error(), " "+c.field) {
 			t.Errorf("%s: got error %v", c.field, err)
 		}
 	}
--- a/shutdown.go
+++ b/shutdown.go
@@ -20,8 +20,8 @@
 	sd.ctx.setTimer(by, sd.expediteAll)
 }
 
-// limit bounds the time that a client would wait by what the gateway has left.
-func (sd *shutdown) limit(wait Span) Span {
+// capWait bounds the time that a client would wait by what the gateway has left.
+func (sd *shutdown) capWait(wait Span) Span {
 	if sd.by == 0 {
 		return wait
 	}
--- a/slow_start.go
+++ b/slow_start.go
@@ -18,7 +18,7 @@
 // reset starts a server's budget at a random level, so that gateways do not send their first attempts
 // together.
 func (w *slowStart) reset(s *server) {
-	s.slowStartBudget = bucket{level: w.ctx.rng.Float64(), at: w.ctx.now}
+	s.slowStartBudget = bucket{level: w.ctx.rng.Float64(), updatedAt: w.ctx.now}
 }
 
 // warmth is the fraction of its capacity that a server has reached at least: it grows linearly from
--- a/state.go
+++ b/state.go
@@ -125,7 +125,7 @@
 		Measured:          s.measuredAt,
 		Answered:          s.succeededAt,
 		SlowStartBudget:   s.slowStartBudget.level,
-		SlowStartBudgetAt: s.slowStartBudget.at,
+		SlowStartBudgetAt: s.slowStartBudget.updatedAt,
 	}
 	for _, f := range s.failures {
 		e.Failures = append(e.Failures, FailureStatistics{Count: f.count, AnsweredAt: f.succeededAt,
@@ -147,18 +147,18 @@
 		OwnRate:       a.bucket.ownRate,
 		OthersRate:    a.bucket.othersRate,
 		Demand:        a.demand.units,
-		DemandSpan:    a.demand.span,
+		DemandSpan:    a.demand.elapsed,
 		UpdatedAt:     a.bucket.updatedAt,
 		LastTotalAt:   a.bucket.lastTotalAt,
 		BlockedUntil:  a.blockedUntil,
 		LastRequestAt: a.lastRequestAt,
-		WindowNumber:  a.sync.number,
+		WindowNumber:  a.sync.windowNumber,
 		WindowTotal:   a.sync.total,
-		OwnInWindow:   a.sync.own,
+		OwnInWindow:   a.sync.confirmedOwn,
 		WindowElapsed: a.demand.windowElapsed,
 	}
-	if a.sync.calling {
-		e.Predicted += a.sync.pushing
+	if a.sync.callInFlight {
+		e.Predicted += a.sync.unitsInFlight
 	}
 	for i := range plans {
 		if a.plan == &plans[i] {
@@ -235,7 +235,7 @@
 		v.measuredAt = e.Measured
 		v.succeededAt = e.Answered
 		v.slowStartBudget.level = min(slowStartBurst, e.SlowStartBudget)
-		v.slowStartBudget.at = max(e.SlowStartBudgetAt, s.At)
+		v.slowStartBudget.updatedAt = max(e.SlowStartBudgetAt, s.At)
 		for k, f := range e.Failures[:min(len(e.Failures), len(v.failures))] {
 			v.failures[k] = failureRecord{succeededAt: f.AnsweredAt, count: f.Count, firstAt: f.FirstAt,
 				ejectedUntil: f.EjectedUntil}
@@ -265,10 +265,10 @@
 	a.bucket.updatedAt = min(e.UpdatedAt, now)
 	a.bucket.lastTotalAt = min(e.LastTotalAt, now)
 	a.demand.units = e.Demand
-	a.demand.span = e.DemandSpan
-	if a.sync.number == e.WindowNumber {
+	a.demand.elapsed = e.DemandSpan
+	if a.sync.windowNumber == e.WindowNumber {
 		a.sync.total = e.WindowTotal
-		a.sync.own = e.OwnInWindow
+		a.sync.confirmedOwn = e.OwnInWindow
 		a.demand.windowElapsed = e.WindowElapsed
 		a.bucket.predicted = e.Predicted
 	}
--- a/token_bucket.go
+++ b/token_bucket.go
@@ -2,12 +2,12 @@
 
 // bucket is a token bucket: it fills at a rate, up to a bound. The level may be negative.
 type bucket struct {
-	level float64
-	at    Instant // of the level
+	level     float64
+	updatedAt Instant // of the level
 }
 
 // fill brings the bucket to the present. Rate is in tokens a second.
 func (b *bucket) fill(now Instant, rate, bound float64) {
-	b.level = min(bound, b.level+rate*seconds(now-b.at))
-	b.at = now
+	b.level = min(bound, b.level+rate*seconds(now-b.updatedAt))
+	b.updatedAt = now
 }
