--- a/account_test.go
+++ b/account_test.go
@@ -6,24 +6,24 @@
 	dw "dewhitch"
 )
 
-// A customer whose account has expired is treated as a new one.
+// A customer that returns after its account has expired is treated as a new one and gets a full burst.
 func TestIdleAccountsExpire(t *testing.T) {
 	b := newHarness(t, settings(), dw.Endpoint{ID: 7})
 	for range 2 {
 		if admitted := b.serve(20, ms, dw.Arrival{Customer: 1}); admitted < 5 || admitted > 6 {
-			t.Errorf("%d admitted at once", admitted)
+			t.Errorf("got %d requests admitted, expected 5 or 6", admitted)
 		}
 		b.advance(150 * sec)
 	}
 }
 
-// Accounts of customers that come once expire, so that a long day holds no more of them than a short one.
+// Accounts of customers that come only once must expire: otherwise a long day holds more of them than a short one.
 func TestAccountsOfOneTimeCustomersExpire(t *testing.T) {
 	b := newHarness(t, settings(), dw.Endpoint{ID: 7})
 	for i := range 400 {
 		b.serve(1, 100*ms, dw.Arrival{Customer: dw.CustomerID(1000 + i)})
 	}
 	if n := b.g.Accounts(); n > 250 {
-		t.Errorf("%d accounts after 400 customers in 40 s, whose windows last 6 s", n)
+		t.Errorf("got %d accounts after 400 customers in 40 s with windows of 6 s, expected at most 250", n)
 	}
 }
--- a/counter_sync_test.go
+++ b/counter_sync_test.go
@@ -7,7 +7,8 @@
 	dw "dewhitch"
 )
 
-// With a counter that is silent, rejects calls or loses its state a customer gets about its quota: no more, and not nothing.
+// A customer must get about its quota, neither more nor nothing, while the counter does not answer, rejects calls or loses its
+// state.
 func TestCounterFaults(t *testing.T) {
 	timeout := func(dw.CounterAdd) *dw.CounterAnswered { return nil }
 	reject := func(c dw.CounterAdd) *dw.CounterAnswered {
@@ -25,36 +26,37 @@
 			}
 			admitted := b.serve(n, interval, dw.Arrival{Customer: 1, Spread: 2})
 			if !aboveRate && admitted < n {
-				t.Errorf("%s: a calm customer is admitted %d of %d times", name, admitted, n)
+				t.Errorf("%s: customer below its rate: got %d of %d requests admitted, expected all", name, admitted, n)
 			}
-			if aboveRate && (admitted < 30 || admitted > 68) { // from half the rate for 30 s, to all of it and a burst
-				t.Errorf("%s: a heavy customer is admitted %d times", name, admitted)
+			if aboveRate && (admitted < 30 || admitted > 68) { // from half the rate for 30 s to the full rate plus a burst
+				t.Errorf("%s: customer above its rate: got %d requests admitted, expected 30 to 68", name, admitted)
 			}
 			if calls := float64(len(b.calls)); calls > 1.2*float64(n)+20 {
-				t.Errorf("%s: %v calls for %d requests", name, calls, n)
+				t.Errorf("%s: got %v counter calls for %d requests, expected at most a fifth more and 20", name, calls, n)
 			}
 		}
 	}
 }
 
-// Where a gateway's part of the burst is below one request, a request is admitted by the counter's total: otherwise each
-// of many gateways admits a customer's first request.
+// Where a gateway's part of the burst is below one request, the counter's total decides on a request. Otherwise each of many
+// gateways would admit a customer's first request.
 func TestCustomerOfSmallBurstIsCountedFirst(t *testing.T) {
-	for total, want := range map[float64]bool{1: true, 9: true, 10: false, 500: false} { // a burst and a half
+	for total, want := range map[float64]bool{1: true, 9: true, 10: false, 500: false} { // admitted up to a burst and a half
 		b := newHarness(t, manyGateways(), dw.Endpoint{ID: 7})
 		b.counter = func(c dw.CounterAdd) *dw.CounterAnswered { return &dw.CounterAnswered{Name: c.Name, Total: total} }
 		id, _ := b.request(dw.Arrival{Customer: 1, Spread: 50})
 		if len(b.attempts) > 0 || len(b.calls) != 1 || b.calls[0].Add != 1 {
-			t.Fatalf("total %v: sent %v before the count told, calls %v", total, b.attempts, b.calls)
+			t.Fatalf("total %v: got attempts %v and counter calls %v, expected one call for 1 unit", total, b.attempts, b.calls)
 		}
 		b.advance(3 * ms)
 		if admitted := len(b.attempts) == 1; admitted != want || admitted == (b.answers[id] != nil) {
-			t.Errorf("total %v: sent on %v, want %v; answer %v", total, admitted, want, b.answers[id])
+			t.Errorf("total %v: got forwarded %v, expected %v; answer %v", total, admitted, want, b.answers[id])
 		}
 	}
 }
 
-// A request that waits for a silent counter is decided at the call's time-out, or at its own deadline if that is earlier.
+// A request that waits for a counter that does not answer is decided at the call's timeout, or at its own deadline if that is
+// earlier.
 func TestUncountedRequestIsAnswered(t *testing.T) {
 	for remaining, sent := range map[dw.Span]int{800 * ms: 1, 20 * ms: 0} {
 		b := newHarness(t, manyGateways(), dw.Endpoint{ID: 7})
@@ -62,29 +64,29 @@
 		id, _ := b.request(dw.Arrival{Customer: 1, Spread: 50, Remaining: remaining})
 		b.advance(min(remaining, 60*ms))
 		if len(b.attempts) != sent || sent == 0 && b.answers[id] == nil {
-			t.Errorf("patience %v: %d sent, answer %v", remaining, len(b.attempts), b.answers[id])
+			t.Errorf("remaining time %v: got %d attempts and answer %v", remaining, len(b.attempts), b.answers[id])
 		}
 	}
 }
 
-// A counter that is far away is not overloaded: the call rate stays while latency does.
+// The latency of a distant counter is no sign of overload: while it stays constant, the call rate must not fall.
 func TestCounterDistanceIsNoOverload(t *testing.T) {
 	b := newHarness(t, settings(), dw.Endpoint{ID: 1})
 	add := b.counter
 	b.counter = func(c dw.CounterAdd) *dw.CounterAnswered {
 		e := add(c)
-		e.Latency = 20 * ms // of 50 after which a call is given up
+		e.Latency = 20 * ms // a call times out after 50 ms
 		return e
 	}
 	for i := range 200 {
 		b.serve(1, 50*ms, dw.Arrival{Customer: dw.CustomerID(i % 20)})
 	}
 	if n := len(b.calls); n < 60 {
-		t.Errorf("%d calls in 10 s for 20 customers", n)
+		t.Errorf("got %d counter calls in 10 s for 20 customers, expected at least 60", n)
 	}
 }
 
-// Where the call rate is short, customers whose quota is used up quickly are called for first.
+// While the call rate is limited, customers that use up their quota quickly get calls first.
 func TestScarceCallsGoToCustomersNearTheirQuota(t *testing.T) {
 	s := settings()
 	s.Plans = append(s.Plans, dw.Plan{Rate: 20, Burst: 100, WeightFactor: 1, OverQuotaCost: 1})
@@ -106,11 +108,11 @@
 		}
 	}
 	if customerCalls < 25 {
-		t.Errorf("%d of %d calls for the one that asks for more than its quota", customerCalls, len(b.calls))
+		t.Errorf("got %d of %d counter calls for the customer above its quota, expected at least 25", customerCalls, len(b.calls))
 	}
 }
 
-// A blocked customer waits for its window's end, so windows last two bursts and no longer.
+// A blocked customer waits for its window's end, so a window must not last longer than two bursts.
 func TestWindowsOfTwoBursts(t *testing.T) {
 	b := newHarness(t, settings(), dw.Endpoint{ID: 1})
 	b.serve(240, 100*ms, dw.Arrival{Customer: 1})
@@ -118,7 +120,7 @@
 	for _, c := range b.calls {
 		windows[c.Name] = true
 	}
-	if len(windows) < 4 { // of 6 s each, as the burst is 6 and the rate 2 a second
-		t.Errorf("%d windows in 24 s", len(windows))
+	if len(windows) < 4 { // each lasts 6 s, because the burst is 6 and the rate 2 per second
+		t.Errorf("got %d windows in 24 s, expected at least 4", len(windows))
 	}
 }
--- a/example_test.go
+++ b/example_test.go
@@ -6,7 +6,7 @@
 	dw "dewhitch"
 )
 
-// A gateway is handed what happens and answers with what is to be done.
+// A gateway receives events and returns the actions that the caller carries out.
 func Example() {
 	g, err := dw.New(dw.Settings{
 		Instances: 2, Zones: 1, Tick: 1e6, MaxAttempts: 3, MayCancel: true,
--- a/export_test.go
+++ b/export_test.go
@@ -1,4 +1,4 @@
 package dewhitch
 
-// Accounts is how many customers g knows of.
+// Accounts returns the number of customers that g has accounts of.
 func (g *Gateway) Accounts() int { return len(g.accounts.byID) }
--- a/gateway_test.go
+++ b/gateway_test.go
@@ -10,7 +10,8 @@
 func TestUnknownEventsAreIgnored(t *testing.T) {
 	events := []dw.Event{
 		dw.AttemptEnded{Request: "none", Attempt: 3}, dw.ClientDeparted{Request: "none"}, dw.TimerFired{ID: "none"},
-		dw.CounterAnswered{Name: "none", Total: 3}, dw.AnswerStarted{Request: "none"}, dw.HealthChecked{Server: 5}, dw.PeerMessage{From: 1},
+		dw.CounterAnswered{Name: "none", Total: 3}, dw.AnswerStarted{Request: "none"},
+		dw.HealthChecked{Server: 5}, dw.PeerMessage{From: 1},
 		dw.EndpointList{Kind: dw.ListFull}, dw.EndpointList{Kind: dw.ListFailed},
 		dw.EndpointList{Kind: dw.ListDelta, Servers: []dw.Endpoint{{ID: 7}, {ID: 7}}},
 	}
@@ -19,21 +20,21 @@
 		b.handle(e)
 	}
 	if _, ok := b.request(dw.Arrival{Spread: 9, FirstGateway: 5}); !ok {
-		t.Error("nothing is served after odd events")
+		t.Error("request rejected after unknown and empty events")
 	}
 	for name, a := range map[string]dw.Arrival{"no time left": {Remaining: -1}, "no such class": {Class: 9},
 		"no such plan": {Plan: -1}} {
 		if id, _ := b.request(a); b.answers[id] == nil {
-			t.Errorf("%s: not rejected", name)
+			t.Errorf("%s: request not rejected", name)
 		}
 	}
 	if id, _ := newHarness(t, settings()).request(dw.Arrival{}); id == "" {
-		t.Error("no server at all")
+		t.Error("request without servers got no identifier")
 	}
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
 	if admitted := newHarness(t, s, dw.Endpoint{ID: 7}).serve(50, ms, dw.Arrival{}); admitted != 50 {
-		t.Errorf("a plan with no quota admits %d of 50", admitted)
+		t.Errorf("plan without quota: got %d of 50 requests admitted", admitted)
 	}
 }
 
@@ -46,6 +47,6 @@
 		return b.attempts
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
-		t.Error("two runs differ")
+		t.Error("two runs with the same events started different attempts")
 	}
 }
--- a/limit_answers_test.go
+++ b/limit_answers_test.go
@@ -7,7 +7,7 @@
 	dw "dewhitch"
 )
 
-// adjust sends a command on a limit and returns its answer, once time has gone by.
+// adjust sends a limit query (0 units) or a limit adjustment, advances the time by wait and returns the answer.
 func (b *harness) adjust(units float64, spread int, wait dw.Span) any {
 	b.lastID++
 	q := dw.LimitQuery{ID: dw.RequestID("limit" + string(rune('a'+b.lastID))), Customer: 1, Remaining: 800 * ms, Spread: spread}
@@ -23,11 +23,11 @@
 func (b *harness) expectRemaining(t *testing.T, want float64) {
 	t.Helper()
 	if l, ok := b.adjust(0, 1, 300*ms).(dw.LimitAnswer); !ok || math.Abs(l.Remaining-want) > 1 {
-		t.Errorf("%+v, want %v left", l, want)
+		t.Errorf("got %+v, expected %v remaining units", l, want)
 	}
 }
 
-// slowRefillSettings is a plan of 6 units that hardly refills, so that what is left can be told by heart.
+// slowRefillSettings returns settings with a plan of 6 units that hardly refills, so that a test knows the remaining units.
 func slowRefillSettings() dw.Settings {
 	s := settings()
 	s.Plans[0].Rate = 0.1
@@ -42,19 +42,19 @@
 	b.serve(9, ms, dw.Arrival{Customer: 1})
 	l, ok := b.adjust(0, 1, 300*ms).(dw.LimitAnswer)
 	if !ok || l.Remaining >= 1 || l.Limit != 6 || l.ReplenishedAfter <= 0 || l.ReplenishedAfter > 10*sec {
-		t.Errorf("over the quota: %+v", l)
+		t.Errorf("quota used up: got %+v, expected less than 1 of 6 units and up to 10 s to wait", l)
 	}
-	// The advice holds: when the time has come, one more is admitted, and not before.
+	// The advice is exact: one more request is admitted at that time, and none before.
 	if admitted := b.serve(1, ms, dw.Arrival{Customer: 1}); admitted != 0 {
-		t.Error("admitted before the time")
+		t.Error("request admitted before ReplenishedAfter has passed")
 	}
 	b.advance(l.ReplenishedAfter + 200*ms)
 	if admitted := b.serve(1, ms, dw.Arrival{Customer: 1}); admitted != 1 {
-		t.Error("not admitted when the time has come")
+		t.Error("request rejected after ReplenishedAfter has passed")
 	}
 }
 
-// What is taken after a query came is not in its answer, though its own call may push it.
+// Units that are taken after a query arrived must not show in its answer, although the same call may push them.
 func TestLimitQueryExcludesLaterUse(t *testing.T) {
 	b := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
 	b.serve(1, ms, dw.Arrival{Customer: 1})
@@ -62,7 +62,7 @@
 	b.serve(3, ms, dw.Arrival{Customer: 1})
 	b.advance(300 * ms)
 	if l, ok := b.answers["early"].(dw.LimitAnswer); !ok || math.Abs(l.Remaining-5) > 0.5 {
-		t.Errorf("%+v, want 5 left", l)
+		t.Errorf("got %+v, expected 5 remaining units", l)
 	}
 }
 
@@ -78,43 +78,43 @@
 		switch got := got.(type) {
 		case dw.AdjustAnswer:
 			if want, ok := step.want.(dw.AdjustAnswer); !ok || math.Abs(got.Units-want.Units) > 1e-9 {
-				t.Errorf("step %d, %v: %+v", i, step.units, got)
+				t.Errorf("step %d, adjustment by %v: unexpected units in %+v", i, step.units, got)
 			}
 		case dw.Reject:
 			if step.want != nil || got.RetryAfter <= 0 {
-				t.Errorf("step %d, %v: %+v", i, step.units, got)
+				t.Errorf("step %d, adjustment by %v: unexpected rejection %+v", i, step.units, got)
 			}
 		default:
-			t.Errorf("step %d, %v: %+v", i, step.units, got)
+			t.Errorf("step %d, adjustment by %v: unexpected answer %+v", i, step.units, got)
 		}
 	}
 	b.advance(sec)
 	sum := 0.0
 	for _, c := range b.calls {
 		if sum += c.Add; sum < 0 {
-			t.Errorf("the count falls to %v", sum)
+			t.Errorf("sum of the counter calls fell to %v, expected at least 0", sum)
 		}
 	}
 	if len(b.attempts) > 0 {
-		t.Error("something was sent on")
+		t.Error("a limit adjustment was forwarded to a server")
 	}
 }
 
-// With no answer of the counter there is none to a query, and its failure comes before its time is up.
+// Without an answer from the counter, a query must fail before its time is up.
 func TestLimitQueryWithoutCounter(t *testing.T) {
 	for _, o := range []dw.Outcome{dw.OutcomeTimeout, dw.OutcomeRejected, dw.OutcomeConnectFailed} {
 		b := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
 		b.counter = func(c dw.CounterAdd) *dw.CounterAnswered { return &dw.CounterAnswered{Name: c.Name, Outcome: o} }
 		if a, ok := b.adjust(0, 1, 790*ms).(dw.Fail); !ok {
-			t.Errorf("outcome %v: %+v", o, a)
+			t.Errorf("outcome %v: got %+v, expected Fail", o, a)
 		}
 		if calls := len(b.calls); calls > 20 {
-			t.Errorf("outcome %v: %d calls for one query", o, calls)
+			t.Errorf("outcome %v: got %d counter calls for one query, expected at most 20", o, calls)
 		}
 	}
 }
 
-// A push whose answer was lost has counted: its units must not be taken from the store again as others' use.
+// A call whose answer is lost has counted its units: the next total must not show them again as use by others.
 func TestLostCounterAnswer(t *testing.T) {
 	b := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
 	add := b.counter
@@ -127,7 +127,7 @@
 	b.expectRemaining(t, 4)
 }
 
-// A total that falls is told apart: others gave back, or the counter has lost its numbers.
+// When a total falls, the gateway must distinguish units returned at other gateways from a counter that has lost its state.
 func TestCounterTotalThatFalls(t *testing.T) {
 	total := 0.0
 	b := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
@@ -136,31 +136,32 @@
 		return &dw.CounterAnswered{Name: c.Name, Total: total}
 	}
 	b.serve(2, ms, dw.Arrival{Customer: 1, Spread: 2})
-	total += 3 // by the other gateway
+	total += 3 // used at the other gateway
 	b.expectRemaining(t, 1)
-	total -= 3 // given back there
+	total -= 3 // returned at the other gateway
 	b.expectRemaining(t, 4)
-	total = 0 // lost: what this gateway used stays used
+	total = 0 // counter state lost: units that this gateway used stay used
 	b.expectRemaining(t, 4)
 }
 
-// A request that waited for the count is not sent on when its client has left: nothing would end that attempt.
+// A request that waits for its count must not be forwarded after its client has departed: nothing would end that attempt.
 func TestUncountedRequestOfDepartedClient(t *testing.T) {
 	s := settings()
-	s.Plans[0] = dw.Plan{Rate: 1, Burst: 1, WeightFactor: 1, OverQuotaCost: 1} // thin: the push comes first
+	// The burst is below one request per gateway, so units are counted first.
+	s.Plans[0] = dw.Plan{Rate: 1, Burst: 1, WeightFactor: 1, OverQuotaCost: 1}
 	b := newHarness(t, s, dw.Endpoint{ID: 7})
 	id, sent := b.request(dw.Arrival{Customer: 1, Spread: 2})
 	if sent || len(b.calls) == 0 {
-		t.Fatal("it does not wait for the count")
+		t.Fatal("the request did not wait for its count")
 	}
 	b.handle(dw.ClientDeparted{Request: id})
 	b.advance(100 * ms)
 	if len(b.attempts) > 0 {
-		t.Error("sent on for a client that has left")
+		t.Error("request forwarded after its client had departed")
 	}
 }
 
-// Who is rejected under the ceiling is told when the ceiling has room again, and is admitted then.
+// A request that the ceiling rejects is told when the ceiling has room again, and must be admitted then.
 func TestCeilingRetryAfter(t *testing.T) {
 	s := settings()
 	s.MaxRetryAfter = 60 * sec
@@ -168,25 +169,25 @@
 	b := newHarness(t, s, dw.Endpoint{ID: 7})
 	r, ok := b.adjust(1, 2, ms).(dw.Reject)
 	if !ok || r.RetryAfter < sec || r.RetryAfter > 8*sec {
-		t.Fatalf("%+v", r)
+		t.Fatalf("got %+v, expected a rejection with a RetryAfter of 1 to 8 s", r)
 	}
 	if _, ok := b.adjust(1, 2, ms).(dw.Reject); !ok {
-		t.Error("admitted before the time")
+		t.Error("units taken before RetryAfter has passed")
 	}
 	b.advance(r.RetryAfter)
 	if a, ok := b.adjust(1, 2, ms).(dw.AdjustAnswer); !ok {
-		t.Errorf("not admitted when the time has come: %+v", a)
+		t.Errorf("units not taken after RetryAfter has passed: got %+v", a)
 	}
 }
 
-// A customer with a cap on open attempts keeps to it while servers are slow: its other gateways are taken to
-// have as many out as this one, though its rate of use says that they have hardly any.
+// A customer with a limit of attempts in flight must stay within it while servers are slow: the other gateways are assumed to
+// have as many attempts in flight as this one, although their rate of use suggests hardly any.
 func TestInFlightLimitWhileSlow(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{Rate: 50, Burst: 100, MaxInFlight: 6, WeightFactor: 1, OverQuotaCost: 1}
 	inFlight := 0
 	b := newHarness(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8}, dw.Endpoint{ID: 9})
-	b.serve(100, 20*ms, dw.Arrival{Customer: 1, Spread: 2}) // at ease, all seen here: others use nothing
+	b.serve(100, 20*ms, dw.Arrival{Customer: 1, Spread: 2}) // servers are fast, and totals show no use by others
 	for range 12 {
 		if _, sent := b.request(dw.Arrival{Customer: 1, Spread: 2}); sent { // no server answers these
 			inFlight++
@@ -194,6 +195,6 @@
 		b.advance(10 * ms)
 	}
 	if inFlight != 3 {
-		t.Errorf("%d are out, want half of 6", inFlight)
+		t.Errorf("got %d attempts in flight, expected half of 6", inFlight)
 	}
 }
--- a/load_shedding_test.go
+++ b/load_shedding_test.go
@@ -6,7 +6,7 @@
 	dw "dewhitch"
 )
 
-// A gateway that sheds everything by its latency estimate must find out when the servers have recovered (incident
+// A gateway that sheds everything because of its latency estimate must notice when the servers have recovered (incident
 // i7b957a).
 func TestRecoveryFromSheddingAll(t *testing.T) {
 	s := settings()
@@ -19,16 +19,16 @@
 		b.advance(ms)
 	}
 	if _, ok := b.request(dw.Arrival{}); ok {
-		t.Fatal("slow servers do not lead to rejections")
+		t.Fatal("request admitted although all servers are slow")
 	}
 	b.advance(4 * sec)
 	if _, ok := b.request(dw.Arrival{}); !ok {
-		t.Error("no way back")
+		t.Error("request rejected although the servers have had time to recover")
 	}
 }
 
-// When most attempts fail, less is sent, and recovery needs nothing else: servers full of expired work were sent as much
-// again, with retries budgeted by arrivals (incidents ife4101 and i0b2662).
+// While most attempts fail, the gateway must send less, and that alone must let the servers recover. With retries budgeted by
+// arrivals, servers full of expired work received as much load again (incidents ife4101 and i0b2662).
 func TestThrottlingEndsCollapse(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
@@ -48,18 +48,18 @@
 		return len(b.attempts) - before
 	}
 	if n := runRequests(dw.OutcomeOK); n < 450 {
-		t.Fatalf("%d of 500 go on when all is well", n)
+		t.Fatalf("got %d attempts for 500 requests while servers are healthy, expected at least 450", n)
 	}
-	if n := runRequests(dw.OutcomeError); n > 400 { // and up to a tenth more as further attempts, if all went on
-		t.Errorf("%d attempts for 500 requests that all end badly", n)
+	if n := runRequests(dw.OutcomeError); n > 400 { // without throttling: all requests, and up to a tenth more as further attempts
+		t.Errorf("got %d attempts for 500 requests that all fail, expected at most 400", n)
 	}
 	if runRequests(dw.OutcomeOK); runRequests(dw.OutcomeOK) < 450 {
-		t.Error("no way back")
+		t.Error("requests rejected although the servers have recovered")
 	}
 }
 
-// Of a hundred servers there is always one whose last sample dates from before the overload; the gateway must shed load all
-// the same (report L2da371, incident ife4101).
+// Among a hundred servers there is always one whose last sample dates from before the overload. The gateway must shed load
+// nevertheless (report L2da371, incident ife4101).
 func TestOverloadIsSeenAmongManyServers(t *testing.T) {
 	s := manyGateways()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
@@ -84,11 +84,11 @@
 		b.advance(100 * ms)
 	}
 	if forwarded > 20 || forwarded == 0 {
-		t.Errorf("%d of 70 requests go on to servers that all take three quarters of the aim", forwarded)
+		t.Errorf("got %d of 70 requests forwarded to servers that all take 3/4 of the objective, expected 1 to 20", forwarded)
 	}
 }
 
-// Retry-After differs from request to request, so that clients do not come back together (report L2da371), and leaves time
+// Retry-After must differ from request to request, so that clients do not return together (report L2da371), and must leave time
 // for an answer.
 func TestRetryAfterIsSpread(t *testing.T) {
 	s := settings()
@@ -106,11 +106,11 @@
 		b.advance(ms)
 	}
 	if least <= 0 || most < 2*least || most > 400*ms {
-		t.Errorf("advice of %v to %v", least, most)
+		t.Errorf("got a RetryAfter of %v to %v, expected a positive range, spread twofold within 400 ms", least, most)
 	}
 }
 
-// Latency that is due to long work, not to load, does not shed: the threshold is a multiple of the idle latency.
+// Latency that is due to long work instead of load must not shed requests: the threshold is a multiple of the idle latency.
 func TestLongWorkIsNotShed(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
@@ -131,7 +131,7 @@
 			b.advance(10 * ms)
 		}
 		if forwarded < c.min || forwarded > c.max {
-			t.Errorf("answers in %v: %d of 100 go on, want %d to %d", c.latency, forwarded, c.min, c.max)
+			t.Errorf("latency %v: got %d of 100 requests forwarded, expected %d to %d", c.latency, forwarded, c.min, c.max)
 		}
 	}
 }
--- a/quota_test.go
+++ b/quota_test.go
@@ -15,30 +15,30 @@
 	}{
 		{"a burst", 20, ms, 5, 6},
 		{"within the rate", 40, 600 * ms, 40, 40},
-		{"three times the rate, over two windows' edges", 150, 166 * ms, 50, 57}, // 6 + 2 a second for 25 s
+		{"three times the rate, over two windows' edges", 150, 166 * ms, 50, 57}, // 6 + 2 per second for 25 s
 	}
 	for _, c := range cases {
 		admitted := newHarness(t, settings(), dw.Endpoint{ID: 7}).serve(c.requests, c.interval, dw.Arrival{Customer: 1})
 		if admitted < c.min || admitted > c.max {
-			t.Errorf("%s: %d admitted, want %d to %d", c.name, admitted, c.min, c.max)
+			t.Errorf("%s: got %d requests admitted, expected %d to %d", c.name, admitted, c.min, c.max)
 		}
 	}
 }
 
-// Units that other gateways have used show in the counter's total, and are not admitted again.
+// Units that other gateways have used show in the counter's total and must not be admitted again.
 func TestUseByOtherGateways(t *testing.T) {
 	b := newHarness(t, settings(), dw.Endpoint{ID: 7})
 	b.counter = func(c dw.CounterAdd) *dw.CounterAnswered { return &dw.CounterAnswered{Name: c.Name, Total: c.Add + 6} }
 	if in := b.serve(1, 500*ms, dw.Arrival{Customer: 1, Spread: 2}); in != 1 {
-		t.Fatal("the first request is rejected")
+		t.Fatal("the first request was rejected")
 	}
 	if admitted := b.serve(20, ms, dw.Arrival{Customer: 1, Spread: 2}); admitted > 1 {
-		t.Errorf("%d admitted though others have used the burst", admitted)
+		t.Errorf("got %d requests admitted although other gateways have used the burst, expected at most 1", admitted)
 	}
 }
 
-// An attempt whose answer is streaming counts against the limit in flight, but is not extrapolated to other gateways; and
-// it counts once, however many AnswerStarted events come.
+// An attempt whose answer is streaming counts against the limit of attempts in flight, but is not extrapolated to other
+// gateways. It counts once, however many AnswerStarted events arrive.
 func TestStreamingAttemptsCountOnce(t *testing.T) {
 	s := settings()
 	s.Instances, s.Plans[0] = 4, dw.Plan{MaxInFlight: 4, WeightFactor: 1, OverQuotaCost: 1}
@@ -47,7 +47,7 @@
 	for i := range 6 {
 		id, ok := b.request(dw.Arrival{Spread: 4})
 		if ok != (i < 4) {
-			t.Fatalf("with %d answers on their way: %v", i, ok)
+			t.Fatalf("with %d streaming answers: got admitted %v", i, ok)
 		}
 		if ok {
 			streaming = append(streaming, id)
@@ -58,12 +58,12 @@
 	for _, id := range streaming {
 		b.handle(dw.AttemptEnded{Request: id, Server: 7, Final: true, Latency: 10 * ms})
 	}
-	// None of them is left in the count: one that has not begun is taken for four.
+	// None of them remains in the count. An attempt whose answer has not begun counts as four, one for each gateway.
 	if _, ok := b.request(dw.Arrival{Spread: 4}); !ok {
-		t.Fatal("rejected with none out")
+		t.Fatal("request rejected with no attempt in flight")
 	}
 	if _, ok := b.request(dw.Arrival{Spread: 4}); ok {
-		t.Fatal("admitted beside one that is out at each gateway")
+		t.Fatal("request admitted although one attempt at each gateway reaches the limit")
 	}
 }
 
@@ -73,16 +73,16 @@
 	s.Plans[0] = dw.Plan{Rate: 10, Burst: 20, CeilingRate: 20, CeilingBurst: 40, Tolerance: 4, WeightFactor: 1}
 	b := newHarness(t, s, dw.Endpoint{ID: 7})
 	if admitted := b.serve(10, ms, dw.Arrival{Customer: 1, Spread: 2}); admitted > 0 {
-		t.Errorf("%d admitted at once", admitted)
+		t.Errorf("got %d requests admitted at once, expected 0", admitted)
 	}
 	b.advance(sec)
 	if admitted := b.serve(5, ms, dw.Arrival{Customer: 1, Spread: 2}); admitted != 5 {
-		t.Errorf("%d of 5 admitted after a second", admitted)
+		t.Errorf("got %d of 5 requests admitted after a second, expected all", admitted)
 	}
 }
 
-// Early in a window each of many gateways had nothing of a heavy customer in flight, and together they exceeded its limit
-// (incident i4e1301): what the others have in flight is estimated by the customer's demand.
+// Early in a window, each of many gateways had no attempt of a heavy customer in flight, and together they exceeded its limit
+// (incident i4e1301). The other gateways' attempts in flight are therefore estimated from the customer's demand.
 func TestInFlightLimitWhenCountedFirst(t *testing.T) {
 	for total, want := range map[float64]bool{3: true, 150: false} {
 		s := manyGateways()
@@ -90,7 +90,7 @@
 		b := newHarness(t, s, dw.Endpoint{ID: 7})
 		b.counter = func(c dw.CounterAdd) *dw.CounterAnswered {
 			reported := total
-			total = 1 // the next window has just begun
+			total = 1 // total of the next window, which has just begun
 			return &dw.CounterAnswered{Name: c.Name, Total: reported}
 		}
 		lastTotal := total
@@ -103,7 +103,7 @@
 		id, _ := b.request(dw.Arrival{Customer: 1, Spread: 50})
 		b.advance(3 * ms)
 		if admitted := b.answers[id] == nil; admitted != want {
-			t.Errorf("total %v in the last window: admitted %v, want %v", lastTotal, admitted, want)
+			t.Errorf("total %v in the last window: got admitted %v, expected %v", lastTotal, admitted, want)
 		}
 	}
 }
