--- a/account.go
+++ b/account.go
@@ -1,39 +1,39 @@
 package dewhitch
 
 const (
-	maxCounterTTL       = 60 * second // the counter forgets a name after that
-	windowBursts        = 2.0         // a window fills so many bursts: a blocked customer waits for its end
-	callsPerWindow      = 4           // ordinary calls in a window, which lasts as many time-outs at least
-	accountExpiryPeriod = 5 * second  // between two searches for idle accounts
+	maxCounterTTL       = 60 * second // time after which the counter forgets a name, at most
+	windowBursts        = 2.0         // bursts that a window refills; a blocked customer waits for its end
+	callsPerWindow      = 4           // ordinary calls in a window, which lasts at least as many timeouts
+	accountExpiryPeriod = 5 * second  // interval between two searches for idle accounts
 )
 
 // account is what this gateway knows and holds of one customer.
 type account struct {
 	id           CustomerID
 	plan         *Plan
-	gateways     float64 // that serve the customer, this one included; at least 1
-	counterFirst bool    // a gateway's even part of the burst is below one request: see newAccount
-	window       Span    // of the shared counter
+	gateways     float64 // number of gateways that serve the customer, including this one; at least 1
+	counterFirst bool    // an even part of the burst is less than one request; see newAccount
+	window       Span    // length of a window of the shared counter
 
-	bucket  sharedBucket // the quota
+	bucket  sharedBucket // token bucket of the quota
 	ceiling hardCeiling
 	demand  demandStatistics
 	sync    counterWindow
 
-	blockedUntil      Instant // all gateways together have used up the window's quota: its end
-	openAttempts      int     // of this gateway
-	streamingAttempts int     // of them, those whose answers have begun
-	consumed          float64 // units that this gateway has spent or reserved, ever
+	blockedUntil      Instant // end of the window whose quota all gateways together have used up
+	openAttempts      int     // attempts of this gateway in flight
+	streamingAttempts int     // attempts of this gateway in flight whose answers have begun
+	consumed          float64 // units that this gateway has ever spent or reserved
 	lastRequestAt     Instant
 }
 
-// accounts holds the accounts of the customers that this gateway has seen of late.
+// accounts holds the accounts of the customers that this gateway has seen recently.
 type accounts struct {
 	ctx  *stepContext
 	byID map[CustomerID]*account
 }
 
-// get finds or makes the account of a request's customer, and notes that it is in use.
+// get returns the account of a request's customer, creates it if needed, and records that it is in use.
 func (t *accounts) get(e Arrival, plan *Plan) *account {
 	a := t.byID[e.Customer]
 	if a == nil {
@@ -44,11 +44,12 @@
 	return a
 }
 
-// newAccount makes an account with a full bucket. Its ceiling is empty: a previous incarnation of this
-// gateway may have spent all of its part, up to the start of this one.
+// newAccount returns an account with a full bucket. Its ceiling is empty at the start of this gateway,
+// because a previous incarnation may have spent its whole part until then.
 //
-// Where an even part of the burst is below one request, a gateway that goes by the last total either rejects
-// everything or admits everything. There a request's units are counted before it is admitted (counterFirst).
+// Where an even part of the burst is below one request, a gateway that follows the last total either rejects
+// everything or admits everything. For such customers a request's units are counted before it is admitted
+// (counterFirst).
 func (t *accounts) newAccount(e Arrival, plan *Plan) *account {
 	ctx, set := t.ctx, &t.ctx.settings
 	n := min(max(1, e.Spread), set.Instances)
@@ -68,9 +69,9 @@
 	return a
 }
 
-// counterWindowLength is the length of a customer's windows: the time in which its bucket fills, once or
-// windowBursts times, but long enough for callsPerWindow calls, and short enough for the counter to remember
-// it.
+// counterWindowLength returns the length of a customer's windows: the time in which its bucket fills once
+// (counterFirst) or windowBursts times, but long enough for callsPerWindow calls, and short enough for the
+// counter to remember the window.
 func counterWindowLength(set *Settings, plan *Plan, counterFirst bool) (window Span) {
 	if counterFirst {
 		window = min(maxCounterTTL/2, Span(plan.Burst/plan.Rate*1e9))
@@ -80,23 +81,23 @@
 	return max(window, callsPerWindow*set.CounterTimeout, second)
 }
 
-// windowNumber is the number of the window that now is in. Windows of customers start at different times.
+// windowNumber returns the number of the window that contains now.
 func (a *account) windowNumber(now Instant) int64 {
 	return int64(now+a.windowPhase()) / int64(a.window)
 }
 
-// windowEnd is when the window of the last call ends.
+// windowEnd returns the end of the last call's window.
 func (a *account) windowEnd() Instant {
 	return Instant(a.sync.windowNumber+1)*Instant(a.window) - a.windowPhase()
 }
 
-// windowPhase spreads the starts of customers' windows.
+// windowPhase returns an offset that makes the windows of customers start at different times.
 func (a *account) windowPhase() Instant { return Instant(uint64(a.id) % uint64(a.window)) }
 
-// expire drops the accounts that have been idle for so long that they are as new ones would be.
+// expire drops idle accounts that no longer differ from new ones.
 func (t *accounts) expire() {
 	t.ctx.setTimerAfter(accountExpiryPeriod, t.expire)
-	for id, a := range t.byID { // in any order: nothing is sent
+	for id, a := range t.byID { // in any order: no action is emitted
 		a.ceiling.refill(t.ctx.now)
 		if a.isIdle(t.ctx.now) && a.ceiling.isFull() {
 			delete(t.byID, id)
@@ -104,12 +105,12 @@
 	}
 }
 
-// isIdle tells whether an account has had no request for two windows and has nothing open.
+// isIdle returns true if an account has had no request for two windows and nothing is in flight or queued.
 func (a *account) isIdle(now Instant) bool {
 	return a.unusedForWindows(now) && a.openAttempts == 0 && !a.sync.queued && !a.sync.callInFlight
 }
 
-// unusedForWindows tells whether the last request is two windows ago.
+// unusedForWindows returns true if the last request is more than two windows ago.
 func (a *account) unusedForWindows(now Instant) bool {
 	return now-a.lastRequestAt > Instant(2*a.window)
 }
--- a/actions.go
+++ b/actions.go
@@ -1,31 +1,31 @@
 package dewhitch
 
-// Reason is why a request was rejected or failed. It is for records: clients get the Retry-After only.
+// Reason tells why a request was rejected or failed. It is for records: clients get only the Retry-After.
 type Reason int
 
-// The reasons.
+// The reasons for rejections and failures.
 const (
-	ReasonInvalid            Reason = iota // no such class or plan, or no time left
+	ReasonInvalid            Reason = iota // class or plan does not exist, or no time is left
 	ReasonQuota                            // the quota is used up, or the limit of attempts in flight is reached
 	ReasonCeiling                          // the hard ceiling is reached
-	ReasonOverload                         // load shedding, or no server may take it
+	ReasonOverload                         // load was shed, or no server may take the request
 	ReasonExhausted                        // no attempt or no time is left
-	ReasonCounterUnavailable               // the counter gave no exact answer in time
+	ReasonCounterUnavailable               // the counter gave no exact total in time
 )
 
-// Action is something that the caller must do. Actions are carried out in the order given.
+// Action is something that the caller must do. The caller carries out actions in the order given.
 type Action interface{ action() }
 
-// The actions.
+// The actions that Gateway.Handle returns.
 type (
-	// StartAttempt sends a request to a server. A request's attempts count from 0.
+	// StartAttempt sends a request to a server. A request's attempts are numbered from 0.
 	StartAttempt struct {
 		Request     RequestID
 		Server      ServerID
-		Timeout     Span // 0: until the client gives up
-		StartWithin Span // after that it is not sent if its writing has not begun; 0: no such bound
+		Timeout     Span // time until the attempt ends without an answer; 0: until the client gives up
+		StartWithin Span // time in which writing must begin, or the request is not sent; 0: no limit
 	}
-	// CancelAttempt cancels an attempt, even if it is written. Its outcome still comes.
+	// CancelAttempt cancels an attempt, even one that is already written. Its outcome still follows.
 	CancelAttempt struct {
 		Request RequestID
 		Attempt int
@@ -34,26 +34,26 @@
 	Reject struct {
 		Request    RequestID
 		Reason     Reason
-		RetryAfter Span // 0: no advice
+		RetryAfter Span // time to wait before a retry; 0: no advice
 	}
-	// Fail is a final answer that does not say whether the request has run.
+	// Fail is a final answer that leaves open whether the request has run.
 	Fail struct {
 		Request RequestID
 		Reason  Reason
 	}
-	// LimitAnswer is the final answer to a LimitQuery, exact by the counter.
+	// LimitAnswer is the final answer to a LimitQuery, exact according to the counter.
 	LimitAnswer struct {
 		Request          RequestID
-		Limit            float64 // units that can be left at most
+		Limit            float64 // maximum number of units that can remain
 		Remaining        float64 // units that may be taken now
-		ReplenishedAfter Span    // until there are more; 0: there are Limit already
+		ReplenishedAfter Span    // time until more units remain; 0: Remaining equals Limit
 	}
 	// AdjustAnswer is the final answer to a LimitAdjust.
 	AdjustAnswer struct {
 		Request RequestID
-		Units   float64 // taken; below 0: given back, at most what was used
+		Units   float64 // units taken; below 0: units returned, at most what was used
 	}
-	// SetTimer asks for a TimerFired at an instant.
+	// SetTimer requests a TimerFired event at an instant.
 	SetTimer struct {
 		At Instant
 		ID TimerID
@@ -61,20 +61,20 @@
 	// CounterAdd adds to a named number that all gateways share, and reads it.
 	CounterAdd struct {
 		Name     string
-		Customer CustomerID // whose whole tally is added
-		Add      float64    // units
-		TTL      Span       // after it a new name is forgotten
+		Customer CustomerID // customer whose whole tally is added
+		Add      float64    // units to add
+		TTL      Span       // time after which the counter forgets a new name
 	}
-	// TallyChanged says that units went onto a customer's tally, which the next CounterAdd takes along; below
-	// 0: off it. What a CounterAdd could not add goes back onto the tally without this. It is for records;
-	// there is nothing to do.
+	// TallyChanged reports that units were added to a customer's tally, or taken off it if negative. The next
+	// CounterAdd includes the tally. Units that a CounterAdd could not add return to the tally without a
+	// TallyChanged. It is for records; the caller need not act on it.
 	TallyChanged struct {
 		Customer CustomerID
 		Units    float64
 	}
-	// HealthCheck asks a server for its health.
+	// HealthCheck requests a health check of a server.
 	HealthCheck struct{ Server ServerID }
-	// SubscribeEndpoints asks for changes of the endpoint list.
+	// SubscribeEndpoints requests changes of the endpoint list.
 	SubscribeEndpoints struct{}
 )
 
--- a/admission.go
+++ b/admission.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// admission decides on new requests. It calls the rules of the other owners in a fixed order, each once.
+// admission decides on new requests. It applies the rules of the other components in a fixed order, each
+// once.
 type admission struct {
 	ctx        *stepContext
 	accounts   *accounts
@@ -16,32 +17,33 @@
 	shutdown   *shutdown
 }
 
-// counterCheck is how a request within its quota stands to the check with the counter.
+// counterCheck tells whether a request within its quota must be checked with the counter, and whether that is
+// possible.
 type counterCheck int
 
 const (
-	counterCheckNotNeeded  counterCheck = iota // the request is admitted by what is known
-	counterCheckFirst                          // it is admitted once its units are counted
-	counterCheckImpossible                     // no call can be made for it now
+	counterCheckNotNeeded  counterCheck = iota // the request is admitted without a counter call
+	counterCheckFirst                          // the request is admitted once its units are counted
+	counterCheckImpossible                     // the request needs a check, but no call can be made now
 )
 
 // quotaVerdict is the decision of the quota's rules.
 type quotaVerdict struct {
 	verdict
-	check counterCheck // valid if a request was within the quota by what is known
+	check counterCheck // valid if the request is within the quota by what this gateway knows
 }
 
-// certain tells whether the request is within the quota by what is known, or will be known before it is
-// forwarded.
+// certain returns true if the request is within the quota by what this gateway knows, or if the counter will
+// confirm it before the request is forwarded.
 func (v quotaVerdict) certain() bool { return v.admitted && v.check != counterCheckImpossible }
 
-// handleArrival decides on a new request, or on units to take alone: it is rejected at once, or served from here
-// on. The rules, in their order:
+// handleArrival decides on a new request, or on a LimitAdjust that takes units (unitsOnly): it is rejected at
+// once, or served from here on. The rules apply in this order:
 //
 //  1. validity (checkValid);
-//  2. the quota, less what is reserved for higher priorities; by the counter if need be (checkQuota);
+//  2. the quota, less what is reserved for higher priorities; with the counter if needed (checkQuota);
 //  3. the hard ceiling (hardCeiling.check), and whether the request may go beyond the quota (combine);
-//  4. the capacity of the servers (loadShedder.checkCapacity); units alone need none.
+//  4. the capacity of the servers (loadShedder.checkCapacity), unless unitsOnly is set.
 //
 // A rejection spends nothing of the account.
 func (ad *admission) handleArrival(e Arrival, unitsOnly bool) {
@@ -74,7 +76,7 @@
 	}
 }
 
-// checkValid rejects what names no class or plan of the settings, or has no time left.
+// checkValid rejects a request whose class or plan is not in the settings, or that has no time left.
 func (ad *admission) checkValid(e Arrival) verdict {
 	set := &ad.ctx.settings
 	known := e.Class >= 0 && e.Class < len(set.Classes) && e.Plan >= 0 && e.Plan < len(set.Plans)
@@ -84,7 +86,7 @@
 	return admit()
 }
 
-// newRequest makes the request of a valid arrival.
+// newRequest returns the request of a valid arrival.
 func (ad *admission) newRequest(e Arrival, unitsOnly bool) *request {
 	class := &ad.ctx.settings.Classes[e.Class]
 	return &request{
@@ -99,8 +101,8 @@
 	}
 }
 
-// checkQuota decides whether r is within its quota: by what is known, or, if that has to be checked with the
-// counter and cannot, by demand.
+// checkQuota decides whether r is within its quota: by what this gateway knows, or by demand if the counter
+// must be consulted and cannot be.
 func (ad *admission) checkQuota(r *request) quotaVerdict {
 	v := quotaVerdict{verdict: ad.quota.check(r.account, r.units, ad.priorities.reservedFor(r))}
 	if !v.admitted {
@@ -113,9 +115,9 @@
 	return v
 }
 
-// counterCheckOf tells whether a request within the quota is counted before it is admitted. That takes a
-// call, so it is not done where the request would be served beyond the quota too, or while demand is low. A
-// request joins the call that follows one that is out.
+// counterCheckOf decides whether a request within the quota is counted before it is admitted. The check takes
+// a call, so it is omitted where the request would be served beyond the quota too, or while demand is low.
+// While a call is in flight, a request waits for the next one.
 func (ad *admission) counterCheckOf(a *account) counterCheck {
 	if !a.counterFirst || a.plan.servesBeyondQuota() || a.demand.isLow(a.plan.Rate, a.window) {
 		return counterCheckNotNeeded
@@ -126,8 +128,8 @@
 	return counterCheckImpossible
 }
 
-// admitByDemand decides at random on a request that cannot be counted first. One that is denied still goes
-// on the tally: the count of such a customer is that of its demand.
+// admitByDemand decides at random on a request that cannot be counted first. The units of a denied request
+// still go onto the tally, because the totals of such customers count their demand.
 func (ad *admission) admitByDemand(a *account, units float64) verdict {
 	if ad.sampleByDemand(a) {
 		return admit()
@@ -136,16 +138,16 @@
 	return deny(ReasonQuota, 0)
 }
 
-// sampleByDemand admits a random part of the requests that should be counted first and cannot: the quotient of
-// rate and demand. All others are admitted.
+// sampleByDemand returns true for a random part, rate divided by demand, of the requests that should be
+// counted first and cannot be, and for all other requests.
 func (ad *admission) sampleByDemand(a *account) bool {
 	return !a.counterFirst || ad.ctx.rng.Float64()*a.demand.units <= a.plan.Rate*a.demand.elapsed
 }
 
-// servesBeyondQuota tells whether requests beyond the quota earn more than they cost.
+// servesBeyondQuota returns true if requests beyond the quota earn more than they cost.
 func (p *Plan) servesBeyondQuota() bool { return p.OverQuotaValue > p.OverQuotaCost }
 
-// combine decides by quota and ceiling: the ceiling always binds, the quota unless the request may be
+// combine decides by quota and ceiling: the ceiling always applies, the quota only if the request may not be
 // forwarded beyond it. Retry-After is the longer of the two.
 func (ad *admission) combine(r *request, quota, ceiling verdict) verdict {
 	retryAfter := max(quota.retryAfter, ceiling.retryAfter)
@@ -158,8 +160,8 @@
 	return admit()
 }
 
-// open makes r an open request, and charges the ceiling. Invariant: whatever happens to its attempts, an
-// open request has its answer a tick before its deadline.
+// open registers r as an open request and charges the ceiling. Invariant: whatever happens to its attempts,
+// an open request gets its answer no later than a tick before its deadline.
 func (ad *admission) open(r *request) {
 	ad.requests.byID[r.id] = r
 	r.account.ceiling.spend(r.units)
@@ -170,7 +172,7 @@
 	})
 }
 
-// awaitCount has r wait until its units are counted: decideCounted goes on with it.
+// awaitCount lets r wait until its units are counted; decideCounted then decides on it.
 func (ad *admission) awaitCount(r *request) {
 	a := r.account
 	a.sync.awaitingCount = append(a.sync.awaitingCount, r)
@@ -183,7 +185,7 @@
 	}
 }
 
-// serve spends the units of r and sends it to s, or answers it if it is for units alone.
+// serve spends the units of r, then sends it to s, or answers it if it only takes units.
 func (ad *admission) serve(r *request, s *server) {
 	if r.withinQuota {
 		ad.counter.spend(r.account, r.units)
@@ -195,10 +197,11 @@
 	}
 }
 
-// decideCounted decides on the requests that waited for a call of a; counted: the call was answered. The
-// window must not be blocked, and with a reservation for higher priority, the total must be within the rate
-// less that. Without an answer, as many are admitted as the demand allows. Requests that have ended while
-// they waited are ignored: balancer and requestTable pass over what is done.
+// decideCounted decides on the requests that waited for a call of a; counted is true if the call was
+// answered. The window must not be blocked and, with a reservation for higher priority, the total must be
+// within the rate less the reservation. Without an answer, as many are admitted as the demand allows.
+// Requests that ended while they waited are ignored, because balancer and requestTable skip requests that are
+// done.
 func (ad *admission) decideCounted(a *account, counted bool) {
 	for _, r := range a.sync.awaitingCount {
 		reserved := ad.priorities.reservedFor(r)
--- a/counter_sync.go
+++ b/counter_sync.go
@@ -8,37 +8,37 @@
 )
 
 const (
-	earlyPushFraction  = 0.25 // of the available units: a tally of that much is pushed before its period ends
-	counterFirstBursts = 0.5  // beyond the rate in a counterFirst window: few buckets start empty
-	counterPrecision   = 0.01 // units: error of a total, which is sent with seven digits
+	earlyPushFraction  = 0.25 // fraction of the available units: such a tally is pushed before its period ends
+	counterFirstBursts = 0.5  // bursts beyond the rate in a counterFirst window: few buckets start empty
+	counterPrecision   = 0.01 // error of a total in units, because totals are sent with seven digits
 )
 
-// counterWindow is the synchronisation of an account with the shared counter, which counts units by customer
-// and window.
+// counterWindow is the state of an account's synchronization with the shared counter, which counts units by
+// customer and window.
 type counterWindow struct {
-	windowNumber  int64   // of the window of the last call
-	total         float64 // units of all gateways, as last read in this window
-	confirmedOwn  float64 // units of this gateway that are surely in the counter's total
-	tally         float64 // units spent here and not yet pushed; below 0: given back
-	unitsInFlight float64 // units of the call that is out
-	callInFlight  bool    // a call is out; never more than one for an account
-	totalWanted   bool    // the next call is made without waiting for its period
-	queued        bool    // in counterSync.queue
-	lastCallAt    Instant
-	nextCallAt    Instant // next ordinary call
-
-	awaitingCount  []*request // counterFirst requests whose units are on the tally or on their way
-	waitingQueries []*request // limit queries and give-backs that wait for the next call
-	sentQueries    []*request // those that wait for the call that is out, or waited for the last one
+	windowNumber  int64   // number of the last call's window
+	total         float64 // units of all gateways in this window, as last read
+	confirmedOwn  float64 // units of this gateway that the counter's total certainly contains
+	tally         float64 // units spent here and not yet pushed; below 0: units returned
+	unitsInFlight float64 // units of the call in flight
+	callInFlight  bool    // a call is in flight; an account never has more than one
+	totalWanted   bool    // the next call does not wait for its period
+	queued        bool    // the account is in counterSync.queue
+	lastCallAt    Instant // time of the last call
+	nextCallAt    Instant // time of the next ordinary call
+
+	awaitingCount  []*request // counterFirst requests whose units are on the tally or in the call in flight
+	waitingQueries []*request // limit queries and returns of units that wait for the next call
+	sentQueries    []*request // limit queries and returns of units of the call in flight, or of the last one
 }
 
-// counterSync pushes tallies to the shared counter and reads its totals. Calls are rate limited by the
-// answers to earlier ones, as all gateways share the counter.
+// counterSync pushes tallies to the shared counter and reads its totals. The answers to earlier calls
+// determine the rate limit of calls, because all gateways share the counter.
 type counterSync struct {
 	ctx           *stepContext
 	limiter       *ratelimit.Limiter
-	queue         []*account          // those with something to push or a total to read, in the order they came
-	accountByCall map[string]*account // by name: calls that are out
+	queue         []*account          // accounts with units to push or a total to read, in order of arrival
+	accountByCall map[string]*account // accounts by the name of their call in flight
 }
 
 // spend takes units off an account's quota and puts them on its tally.
@@ -52,19 +52,19 @@
 	s.enqueue(a, false)
 }
 
-// addToTally puts units on an account's tally, and notifies the caller.
+// addToTally puts units on an account's tally and emits a TallyChanged.
 func (s *counterSync) addToTally(a *account, units float64) {
 	a.sync.tally += units
 	s.ctx.emit(TallyChanged{Customer: a.id, Units: units})
 }
 
-// available is how many units this gateway may admit of an account's bucket.
+// available returns how many units of an account's bucket this gateway may admit.
 func (s *counterSync) available(a *account) float64 {
 	return a.bucket.available(s.ctx.now, s.ctx.settings.CounterTimeout, s.ctx.settings.MaxUnits)
 }
 
-// enqueue has an account called for by the sweep; if its total is wanted, at the next chance. First calls
-// fall at random into the period, so that the gateways' calls do not come together.
+// enqueue queues an account for a call by sweep; if its total is wanted, the call does not wait for its
+// period. First calls fall at random into the period, so that the gateways' calls do not coincide.
 func (s *counterSync) enqueue(a *account, totalWanted bool) {
 	a.sync.totalWanted = a.sync.totalWanted || totalWanted
 	if a.sync.queued || !s.ctx.settings.Counter || a.plan.Rate <= 0 {
@@ -77,8 +77,8 @@
 	s.queue = append(s.queue, a)
 }
 
-// sweep makes the calls that may be made now: first for urgent accounts, then, while calls are left, for
-// those whose period has ended.
+// sweep makes the calls that the rate limit allows: first for urgent accounts, then for those whose period
+// has ended.
 func (s *counterSync) sweep() {
 	for _, urgentOnly := range []bool{true, false} {
 		s.queue = slices.DeleteFunc(s.queue, func(a *account) bool {
@@ -88,8 +88,8 @@
 	}
 }
 
-// pushIfDue makes a call for an account if one may be made and it is urgent or at its time, and tells whether it
-// did.
+// pushIfDue makes a call for an account if the rate limit allows one and the account is urgent or, unless
+// urgentOnly is set, its period has ended. It returns true if it made the call.
 func (s *counterSync) pushIfDue(a *account, urgentOnly bool) bool {
 	if !s.mayCall() {
 		return false
@@ -101,9 +101,9 @@
 	return true
 }
 
-// isUrgent tells whether an account's call should not wait for its period: a total is wanted, its window has
-// ended, or much is unpushed; with nothing available, any tally is much. Between two calls a time-out passes
-// all the same, unless queries wait.
+// isUrgent returns true if an account's call should not wait for its period: a total is wanted, its window
+// has ended, or the tally is a large part of the available units (any tally is, if none are available). Two
+// calls are at least a timeout apart, unless queries wait.
 func (s *counterSync) isUrgent(a *account) bool {
 	wanted := a.sync.totalWanted || a.windowNumber(s.ctx.now) != a.sync.windowNumber ||
 		a.sync.tally >= earlyPushFraction*max(0, s.available(a))
@@ -111,10 +111,10 @@
 	return wanted && (spaced || len(a.sync.waitingQueries) > 0)
 }
 
-// mayCall tells whether the rate limit has a call left.
+// mayCall returns true if the rate limit allows a call now.
 func (s *counterSync) mayCall() bool { return s.limiter.Allow(int64(s.ctx.now)) }
 
-// startCall adds an account's tally to the counter. No other call of the account may be out.
+// startCall adds an account's tally to the counter. No other call of the account may be in flight.
 func (s *counterSync) startCall(a *account) {
 	s.startWindow(a)
 	w := &a.sync
@@ -130,8 +130,8 @@
 	s.ctx.emit(CounterAdd{Name: name, Customer: a.id, Add: w.unitsInFlight, TTL: min(maxCounterTTL, 2*a.window)})
 }
 
-// startWindow moves an account on to the present window. The bucket's level is carried over: use of the old
-// window that was not read is taken to be as predicted.
+// startWindow moves an account to the current window. The bucket's level is kept: use in the old window that
+// was not read is assumed to be as predicted.
 func (s *counterSync) startWindow(a *account) {
 	number := a.windowNumber(s.ctx.now)
 	if number == a.sync.windowNumber {
@@ -144,8 +144,9 @@
 	a.demand.startWindow()
 }
 
-// handleAnswer takes the counter's answer to a call and returns its account; nil if no such call is out. What a
-// call did not add goes back on the tally. One that timed out may have been added: the next total shows it.
+// handleAnswer applies the outcome of a call and returns its account, or nil if no such call is in flight.
+// Units that a call did not add return to the tally. A call that timed out may have added its units: the next
+// total shows it.
 func (s *counterSync) handleAnswer(e CounterAnswered) *account {
 	a := s.accountByCall[e.Name]
 	if a == nil || !a.sync.callInFlight {
@@ -162,7 +163,7 @@
 	if e.Outcome != OutcomeTimeout {
 		a.sync.tally += a.sync.unitsInFlight
 	} else if !a.counterFirst {
-		// Taken as added, so that the next total does not show it as use of the others.
+		// Counted as added, so that the next total does not show these units as use by others.
 		a.sync.total += a.sync.unitsInFlight
 	}
 	if !a.counterFirst {
@@ -171,8 +172,8 @@
 	return a
 }
 
-// applyTotal takes a total that includes the units just added. Gateways give back only what they added: a
-// total below this one's own units shows that the counter has lost its state.
+// applyTotal applies a total that includes the units just added. Gateways return only units that they have
+// added, so a total below this gateway's own units shows that the counter has lost its state.
 func (s *counterSync) applyTotal(a *account, added, total float64) {
 	w, now := &a.sync, s.ctx.now
 	a.bucket.advance(now)
--- a/events.go
+++ b/events.go
@@ -1,22 +1,22 @@
 package dewhitch
 
-// Event is something that happened at this gateway.
+// Event is an input of Gateway.Handle: something that happened at this gateway.
 type Event interface{ event() }
 
-// ListKind says how an EndpointList is to be read.
+// ListKind tells how the servers of an EndpointList are to be applied.
 type ListKind int
 
-// The kinds of list.
+// The kinds of endpoint lists.
 const (
-	ListFull   ListKind = iota // all servers: others are removed
-	ListCached                 // all servers, from a cache
-	ListDelta                  // those that have changed
-	ListFailed                 // no list came; the one before stays in force
+	ListFull   ListKind = iota // contains all servers; servers that it lacks are removed
+	ListCached                 // contains all servers, read from a cache
+	ListDelta                  // contains only the servers that have changed
+	ListFailed                 // reports that no list arrived; the previous one stays in force
 )
 
-// The events.
+// The events that Gateway.Handle accepts.
 type (
-	// EndpointList brings the endpoint list, or changes of it.
+	// EndpointList carries the endpoint list, or changes to it.
 	EndpointList struct {
 		Kind    ListKind
 		Version int64
@@ -28,14 +28,15 @@
 		Class        int // index into Settings.Classes
 		Plan         int // index into Settings.Plans
 		Customer     CustomerID
-		Remaining    Span    // until the client gives up
-		Units        float64 // of the customer's quota
-		Spread       int     // number of gateways that serve the customer
-		FirstGateway int     // index of the first of them; the others follow it
-		Repeat       bool    // the client marks it as a retry
+		Remaining    Span    // time until the client gives up
+		Units        float64 // units of the customer's quota that the request takes
+		Spread       int     // number of consecutive gateways that serve the customer
+		FirstGateway int     // index of the first of these gateways
+		Repeat       bool    // the client marks the request as a retry
 		Write        bool
 	}
-	// LimitQuery asks what is left of a customer's quota; it takes no units. Its fields are those of Arrival.
+	// LimitQuery asks how much of a customer's quota remains; it takes no units. Its fields are those of
+	// Arrival.
 	LimitQuery struct {
 		ID           RequestID
 		Plan         int
@@ -44,55 +45,56 @@
 		Spread       int
 		FirstGateway int
 	}
-	// LimitAdjust takes units from a customer's quota, or gives them back. Nothing is forwarded.
+	// LimitAdjust takes units from a customer's quota or returns them. Nothing is forwarded.
 	LimitAdjust struct {
 		LimitQuery
-		Units float64 // 0 or below: given back
+		Units float64 // units to take; 0 or below: units to return
 	}
-	// AnswerStarted says that a streamed answer has begun.
+	// AnswerStarted reports that a streamed answer has begun.
 	AnswerStarted struct {
 		Request RequestID
 		Attempt int
 		Server  ServerID
 		Latency Span
 	}
-	// AttemptEnded is the one outcome of an attempt.
+	// AttemptEnded reports the outcome of an attempt. Each attempt has exactly one.
 	AttemptEnded struct {
 		Request   RequestID
-		Attempt   int // counted from 0
+		Attempt   int // index among the request's attempts, from 0
 		Server    ServerID
 		Outcome   Outcome
 		Final     bool // the request is finished; no answer is owed
 		Latency   Span
 		Used      int     // 1 + the customer's metered use in percent of its rate; 0: unknown
-		TrueUnits float64 // units that the request turned out to use; 0: unknown
+		TrueUnits float64 // units that the request actually used; 0: unknown
 		Load      Load
 	}
-	// ClientDeparted says that a client has left; no answer is owed.
+	// ClientDeparted reports that a client no longer waits for its request, which needs no answer.
 	ClientDeparted struct{ Request RequestID }
-	// Expedite says that a request must have its answer now, whatever its deadline.
+	// Expedite demands that a request gets its final answer now, whatever its deadline.
 	Expedite struct{ Request RequestID }
-	// Shutdown says that this gateway ends: every request must have its answer by then, whatever its deadline.
+	// Shutdown announces that this gateway ends at an instant: every request must have its answer by then,
+	// whatever its deadline.
 	Shutdown struct{ By Instant }
-	// TimerFired is the end of a timer.
+	// TimerFired reports that a timer has expired.
 	TimerFired struct{ ID TimerID }
-	// HealthChecked is the outcome of a HealthCheck.
+	// HealthChecked reports the outcome of a HealthCheck.
 	HealthChecked struct {
 		Server  ServerID
 		Outcome Outcome
 		Latency Span
 		Load    Load
 	}
-	// CounterAnswered is the outcome of a CounterAdd.
+	// CounterAnswered reports the outcome of a CounterAdd.
 	CounterAnswered struct {
 		Name    string
 		Outcome Outcome
 		Latency Span
-		Total   float64 // units, with those just added; valid if the outcome is OutcomeOK
+		Total   float64 // counter's total in units, after the addition; valid if the outcome is OutcomeOK
 	}
 	// PeerMessage is a message from another gateway.
 	PeerMessage struct {
-		From int // index of the gateway
+		From int // index of the sending gateway
 		Data []byte
 	}
 )
@@ -110,7 +112,7 @@
 func (CounterAnswered) event() {}
 func (PeerMessage) event()     {}
 
-// arrival is the query as an arrival of so many units.
+// arrival returns the query as an arrival with the given units.
 func (q LimitQuery) arrival(units float64) Arrival {
 	return Arrival{ID: q.ID, Plan: q.Plan, Customer: q.Customer, Remaining: q.Remaining, Units: units,
 		Spread: q.Spread, FirstGateway: q.FirstGateway}
--- a/gateway.go
+++ b/gateway.go
@@ -6,13 +6,13 @@
 	"dewhitch/internal/ratelimit"
 )
 
-// Gateway is the decision module of one gateway: a state machine that Handle drives. It holds the owners of
-// the decisions and routes each event to them. Each owner uses those above it in this list only, and changes
-// only its own state and what it documents. A Gateway is owned by one goroutine; none of its methods may run
-// beside another.
+// Gateway is the decision module of one gateway: a state machine that Handle advances. It holds the
+// components that make the decisions and routes each event to one of them. A component uses only the
+// components above it in this list, and changes only its own state and what it documents. One goroutine owns
+// a Gateway; its methods must not run concurrently.
 type Gateway struct {
 	ctx     *stepContext
-	started bool // the first event has come
+	started bool // true once Handle has received its first event
 
 	traffic   *trafficStatistics
 	endpoints *endpointSet
@@ -35,8 +35,8 @@
 	limits      *limitQueries
 }
 
-// New makes a gateway without any state. Seed is that of its random choices: the same settings, seed and
-// events lead to the same actions. The error is that of Settings.Check.
+// New returns a gateway without any state. The seed initializes its random choices: the same settings, seed
+// and events lead to the same actions. New returns the error of Settings.Check.
 func New(s Settings, seed uint64) (*Gateway, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -49,7 +49,7 @@
 	return g, nil
 }
 
-// newServerComponents makes the owners of what is known of the servers.
+// newServerComponents creates the components that keep statistics of the servers and choose among them.
 func (g *Gateway) newServerComponents() {
 	ctx, classes := g.ctx, len(g.ctx.settings.Classes)
 	g.traffic = &trafficStatistics{ctx: ctx, zoneFailures: map[int]float64{}}
@@ -63,7 +63,7 @@
 		slowStart: g.slowStart, outliers: g.outliers, latency: g.latency, rules: attemptRules{ctx}}
 }
 
-// newRequestComponents makes the owners of requests and accounts.
+// newRequestComponents creates the components that hold requests and accounts and decide on requests.
 func (g *Gateway) newRequestComponents() {
 	ctx, set := g.ctx, &g.ctx.settings
 	g.requests = &requestTable{ctx: ctx, byID: map[RequestID]*request{}}
@@ -86,8 +86,8 @@
 		shutdown: g.shutdown}
 }
 
-// Handle takes one event and appends the actions it leads to, which the caller carries out in that order.
-// Now must not go back from one event to the next.
+// Handle processes one event, appends the resulting actions to actions and returns the extended slice; the
+// caller carries them out in that order. Now must not go back from one event to the next.
 func (g *Gateway) Handle(now Instant, e Event, actions []Action) []Action {
 	g.ctx.now = now
 	g.ctx.actions = actions
@@ -100,7 +100,7 @@
 	return actions
 }
 
-// start begins the periodic work, with the first event.
+// start begins the periodic work. Handle calls it before it routes the first event.
 func (g *Gateway) start() {
 	g.started = true
 	g.ctx.startedAt = g.ctx.now
@@ -112,14 +112,14 @@
 	g.ctx.setTimerAfter(accountExpiryPeriod, g.accounts.expire)
 }
 
-// sweep runs the periodic work.
+// sweep runs the periodic work and schedules its next run.
 func (g *Gateway) sweep() {
 	g.ctx.setTimerAfter(g.ctx.sweepInterval(), g.sweep)
 	g.counter.sweep()
 	g.latency.recoverIdle()
 }
 
-// route hands an event to the owner that decides on it. HealthChecked and PeerMessage lead to nothing.
+// route passes an event to the component that handles it. HealthChecked and PeerMessage are ignored.
 func (g *Gateway) route(e Event) {
 	switch e := e.(type) {
 	case EndpointList:
@@ -151,7 +151,8 @@
 	}
 }
 
-// updateEndpoints applies an endpoint list and starts the statistics of new and restarted servers anew.
+// updateEndpoints applies an endpoint list and resets the statistics of servers that are new or have
+// restarted.
 func (g *Gateway) updateEndpoints(e EndpointList) {
 	started, forgotten := g.endpoints.update(e)
 	for _, s := range started {
@@ -164,7 +165,7 @@
 	}
 }
 
-// counterAnswered applies the end of a counter call, then decides on what waited for it.
+// counterAnswered applies the outcome of a counter call, then decides on the requests that waited for it.
 func (g *Gateway) counterAnswered(e CounterAnswered) {
 	a := g.counter.handleAnswer(e)
 	if a == nil {
@@ -180,8 +181,8 @@
 	}
 }
 
-// Tally is how many units a customer's tally holds, for bookkeeping. Known is false if there is no account:
-// one that is dropped takes its tally along.
+// Tally returns the number of units on a customer's tally, for bookkeeping. Known is false if the customer
+// has no account: dropping an account discards its tally.
 func (g *Gateway) Tally(id CustomerID) (units float64, known bool) {
 	a, known := g.accounts.byID[id]
 	if known {
@@ -190,6 +191,6 @@
 	return units, known
 }
 
-// EjectedServers counts the ready servers that get nothing new because their attempts fail; 0 where so many
-// fail that none is left out.
+// EjectedServers returns the number of ready servers that get no new attempts because their attempts fail, or
+// 0 if so many servers fail that none is excluded.
 func (g *Gateway) EjectedServers(now Instant) int { return g.outliers.ejectedNow(now) }
--- a/hard_ceiling.go
+++ b/hard_ceiling.go
@@ -1,20 +1,20 @@
 package dewhitch
 
-// hardCeiling is the token bucket that no customer may exceed, whatever the counter says: each gateway keeps
-// an even part of the plan's rate, burst and tolerance by itself, so that no call can be lost.
+// hardCeiling is the token bucket that no customer may exceed, whatever the counter's total is. Each gateway
+// holds an even part of the plan's rate, burst and tolerance by itself, so the ceiling depends on no call.
 type hardCeiling struct {
 	bucket
 	plan     *Plan
-	gateways float64 // that serve the customer
-	assigned bool    // this gateway is one of them
+	gateways float64 // number of gateways that serve the customer
+	assigned bool    // this gateway is one of those that serve the customer
 }
 
-// refill brings the ceiling to the present.
+// refill brings the level up to date.
 func (h *hardCeiling) refill(now Instant) {
 	h.fill(now, h.plan.CeilingRate/h.gateways, h.plan.CeilingBurst/h.gateways)
 }
 
-// check decides whether units may be spent. Retry-After is when there are enough.
+// check decides whether units may be spent. Retry-After is the time until there are enough.
 func (h *hardCeiling) check(now Instant, units float64) verdict {
 	if h.plan.CeilingRate <= 0 {
 		return admit()
@@ -28,7 +28,7 @@
 // spend takes the units of an admitted request.
 func (h *hardCeiling) spend(units float64) { h.level -= units }
 
-// isFull tells whether the ceiling, refilled, is that of a new account.
+// isFull returns true if the ceiling, after a refill, equals that of a new account.
 func (h *hardCeiling) isFull() bool {
 	return h.plan.CeilingRate <= 0 || h.level >= h.plan.CeilingBurst/h.gateways
 }
--- a/limit_answers.go
+++ b/limit_answers.go
@@ -1,12 +1,12 @@
 package dewhitch
 
 const (
-	answerTimeDivisor = 8           // of the time that a query has: the answer needs that part of it on its way
-	maxAnswerTime     = second / 10 // bounds that part
+	answerTimeDivisor = 8           // a query's time divided by this is reserved for delivering the answer
+	maxAnswerTime     = second / 10 // longest time reserved for delivering an answer
 )
 
-// limitQueries answers what customers ask of their limits, and takes units that they give back. An answer is
-// exact by the counter: it waits for a call that pushes what was spent before.
+// limitQueries answers customers' limit queries and takes back units that they return. An answer is exact
+// according to the counter: it waits for a call that pushes the units spent before.
 type limitQueries struct {
 	ctx      *stepContext
 	accounts *accounts
@@ -15,7 +15,8 @@
 	shutdown *shutdown
 }
 
-// enqueue has a limit query, or units to give back, wait for the next call; without an answer in time it fails.
+// enqueue lets a limit query or a return of units wait for the next call. A query without an answer in
+// time fails.
 func (q *limitQueries) enqueue(e Arrival) {
 	set := &q.ctx.settings
 	e.Remaining = q.shutdown.capWait(e.Remaining)
@@ -36,12 +37,12 @@
 	}
 }
 
-// fail ends a query that got no total.
+// fail ends a query for which no total was read.
 func (q *limitQueries) fail(r *request) {
 	q.requests.finish(r, Fail{Request: r.id, Reason: ReasonCounterUnavailable})
 }
 
-// answerQueries answers the queries that waited for the call that a total has just come for.
+// answerQueries answers the queries of the call whose total has just been read.
 func (q *limitQueries) answerQueries(a *account) {
 	for _, r := range a.sync.sentQueries {
 		if r.units == 0 {
@@ -52,8 +53,8 @@
 	}
 }
 
-// returnUnits returns units to the quota, at most what this gateway has surely added to the window: a count
-// below that would admit more than the quota. Blocks and the ceiling stay as they are.
+// returnUnits returns units to the quota, at most those that this gateway has certainly added in this window:
+// a lower count would admit more than the quota. Blocks and the ceiling do not change.
 func (q *limitQueries) returnUnits(a *account, r *request) {
 	units := max(0, min(-r.units, a.sync.confirmedOwn, a.sync.total))
 	if r.done {
@@ -65,8 +66,9 @@
 	q.requests.finish(r, AdjustAnswer{Request: r.id, Units: -units})
 }
 
-// limitAnswer is what a's quota held by the total just read, before the units that were spent later, and when it
-// holds more: what its bucket and its window both hold.
+// limitAnswer returns the units that a's bucket and window both hold according to the total just read,
+// without deducting the units that were spent after the query arrived (spentLater), and the time until they
+// hold more.
 func (q *limitQueries) limitAnswer(a *account, spentLater float64, id RequestID) LimitAnswer {
 	now, burst := q.ctx.now, a.plan.Burst
 	a.bucket.advance(now)
@@ -84,7 +86,7 @@
 	result := LimitAnswer{Request: id, Limit: burst, Remaining: max(0, min(level, window, burst))}
 	switch {
 	case result.Remaining >= burst:
-	case result.Remaining == max(0, window): // the window binds
+	case result.Remaining == max(0, window): // the window is the tighter limit
 		result.ReplenishedAfter = Span(a.windowEnd() - now)
 	default:
 		result.ReplenishedAfter = Span(max(1, 1-level) / a.plan.Rate * 1e9)
--- a/load.go
+++ b/load.go
@@ -1,9 +1,9 @@
 package dewhitch
 
-// LoadFields is a set of the values that a load report can hold.
+// LoadFields is a set of values that a load report can contain.
 type LoadFields uint8
 
-// The values of a load report.
+// The values that a load report can contain.
 const (
 	HasInflight LoadFields = 1 << iota
 	HasQueue
@@ -13,25 +13,25 @@
 	HasErrors
 )
 
-// Load is a server's report on itself. It is late and noisy, and only the fields in Has are valid.
+// Load is a server's report on its own load. It is late and noisy, and only the fields in Has are valid.
 type Load struct {
-	Has       LoadFields
-	Inflight  float64 // requests that run
-	Queue     float64 // requests that wait
-	Util      float64 // busy fraction of the processor, from 0 to 1
-	LatencyMS float64 // milliseconds: recent service time
-	Rate      float64 // requests a second
-	Errors    float64 // errors a second
+	Has       LoadFields // fields that the report contains
+	Inflight  float64    // running requests
+	Queue     float64    // waiting requests
+	Util      float64    // busy fraction of the processor, from 0 to 1
+	LatencyMS float64    // recent service time in milliseconds
+	Rate      float64    // requests per second
+	Errors    float64    // errors per second
 }
 
-// loadFields are the fields of a load report by their names on the wire.
+// loadFields maps names on the wire to the fields of a load report.
 var loadFields = map[string]LoadFields{"inflight": HasInflight, "queue": HasQueue, "util": HasUtil,
 	"latency_ms": HasLatency, "qps": HasRate, "eps": HasErrors}
 
-// LoadField finds a field by its name on the wire; 0: there is no such field.
+// LoadField returns the field with a name on the wire, or 0 if there is none.
 func LoadField(name string) LoadFields { return loadFields[name] }
 
-// Set puts a value into the report by its name on the wire. A value with an unknown name is ignored.
+// Set stores a value by its name on the wire. A value with an unknown name is ignored.
 func (l *Load) Set(name string, v float64) {
 	field := LoadField(name)
 	l.Has |= field
--- a/load_shedding.go
+++ b/load_shedding.go
@@ -3,15 +3,15 @@
 import "math"
 
 const (
-	objectiveFraction    = 0.25 // of the latency objective: a first attempt must be expected within it
-	idleLatencyMultiple  = 2.5  // or within so many times the latency of idle servers, if that is more
-	beyondQuotaFraction  = 0.4  // of that threshold for requests beyond their quota, which are shed first
+	objectiveFraction    = 0.25 // threshold of expected latency, as a fraction of the latency objective
+	idleLatencyMultiple  = 2.5  // least threshold of expected latency, as a multiple of idle servers' latency
+	beyondQuotaFraction  = 0.4  // fraction of the latency threshold left to requests beyond quota: shed first
 	throttleFreeRequests = 3.0  // requests that the throttle never counts against the servers
 	throttleAcceptRatio  = 0.5  // accepts per request below which the throttle starts to reject
-	minRetryAfterLatency = 0.5  // of the mean latency: least advice to a request that is shed; at most 1 more
+	minRetryAfterLatency = 0.5  // least Retry-After of shed requests in mean latencies; at most 1 more at random
 )
 
-// loadShedder rejects requests that the servers should not get, those of low priority first.
+// loadShedder rejects requests that the servers should not receive, those of low priority first.
 type loadShedder struct {
 	ctx         *stepContext
 	traffic     *trafficStatistics
@@ -21,8 +21,9 @@
 	retryBudget *retryBudget
 }
 
-// latencyThreshold is the expected latency, in seconds, from which on r is shed: a fraction of its objective
-// or a multiple of what idle servers take, which is no sign of load, scaled by the root of its priority.
+// latencyThreshold returns the expected latency, in seconds, above which r is shed: a fraction of its
+// objective or, if that is more, a multiple of the idle servers' latency, which is no sign of load. The
+// threshold is scaled by the square root of r's priority relative to the mean.
 func (l *loadShedder) latencyThreshold(r *request, withinQuota bool) float64 {
 	byObjective := objectiveFraction * seconds(r.objective-l.ctx.now)
 	byIdle := idleLatencyMultiple * l.latency.idle * l.latency.classSize[r.classIndex]
@@ -33,8 +34,8 @@
 	return threshold
 }
 
-// checkCapacity finds the server for the first attempt of r, or sheds r: if no server may take it, if the
-// best one is expected to be too slow, or by the throttle.
+// checkCapacity returns the server for the first attempt of r, or sheds r: if no server may take it, if the
+// best server is expected to be too slow, or by the throttle.
 func (l *loadShedder) checkCapacity(r *request, withinQuota bool) (*server, verdict) {
 	l.priorities.observe(r)
 	threshold := l.latencyThreshold(r, withinQuota)
@@ -47,9 +48,9 @@
 	return s, admit()
 }
 
-// throttled is adaptive throttling at the client (Beyer et al., "Site Reliability Engineering", 2016,
-// chapter 21): where most attempts fail or are late, a random part of the requests is rejected, as only less
-// load lets servers recover.
+// throttled returns true if client-side adaptive throttling rejects a request (Beyer et al., "Site
+// Reliability Engineering", 2016, chapter 21): while most attempts fail or are late, a random part of the
+// requests is rejected, because servers recover only under less load.
 func (l *loadShedder) throttled() bool {
 	t := l.traffic
 	t.decay()
@@ -57,9 +58,9 @@
 	return l.ctx.rng.Float64()*t.throttleRequests > throttleFreeRequests+t.throttleAccepts/throttleAcceptRatio
 }
 
-// retryAfter is the advice to a client whose request is shed: about the mean latency, more under pressure
-// (the expected latency by its threshold), but early enough for the objective. The random part spreads the
-// retries.
+// retryAfter returns the Retry-After of a request that is shed: about the mean latency, more under pressure
+// (expected latency divided by the threshold), but early enough for the objective. The random part spreads
+// the clients' retries.
 func (l *loadShedder) retryAfter(r *request, pressure float64) Span {
 	wait := (minRetryAfterLatency + l.ctx.rng.Float64()) * l.latency.mean * max(1, pressure)
 	return Span(max(0, min(wait, seconds(r.objective-l.ctx.now)-l.latency.mean)) * 1e9)
--- a/priority.go
+++ b/priority.go
@@ -2,29 +2,30 @@
 
 const (
 	minPriority        = 1e-6  // weight of a class that is configured with none
-	priorityMeanWeight = 0.025 // of a request in the mean priority
-	reservedFraction   = 0.7   // of the burst: what a request of no priority leaves to others
+	priorityMeanWeight = 0.025 // weight of one request in the mean priority
+	reservedFraction   = 0.7   // fraction of the burst that a request of priority 0 leaves to others
 )
 
-// priorities ranks requests by the weight that they earn for the work that they are.
+// priorities ranks requests by the weight that they earn per unit of their work.
 type priorities struct {
 	latency *latencyEstimator
-	mean    float64 // exponential moving average over the requests that came to load shedding
+	mean    float64 // exponential moving average over the requests that reached load shedding
 }
 
-// priorityOf is the priority of a request.
+// priorityOf returns the priority of a request: the weight of its class divided by the relative size of that
+// class's work.
 func (p *priorities) priorityOf(r *request) float64 {
 	return max(r.class.Weight, minPriority) / p.latency.classSize[r.classIndex]
 }
 
-// observe takes a request into the mean.
+// observe adds the priority of a request to the mean.
 func (p *priorities) observe(r *request) {
 	p.mean += priorityMeanWeight * (p.priorityOf(r) - p.mean)
 }
 
-// reservedFor is the fraction of a customer's burst that r leaves to requests of higher priority, which
-// would otherwise find the quota spent by those that came first. Units that are taken alone are for work
-// unknown, and leave nothing: they may have all that a limit query reports.
+// reservedFor returns the fraction of a customer's burst that r leaves to requests of higher priority, which
+// would otherwise find the quota spent by earlier requests. A LimitAdjust leaves nothing: its units are for
+// unknown work, and it may take all that a limit query reports.
 func (p *priorities) reservedFor(r *request) float64 {
 	if r.unitsOnly {
 		return 0
--- a/quota.go
+++ b/quota.go
@@ -1,15 +1,15 @@
 package dewhitch
 
-// quotaRules decides whether a request is within its customer's quota. The rules are asked in the order of
-// check.
+// quotaRules decides whether a request is within its customer's quota. check applies its rules in their
+// order.
 type quotaRules struct {
 	ctx     *stepContext
 	latency *latencyEstimator
 	counter *counterSync
 }
 
-// check decides whether units are within the quota when a fraction of the burst is left to requests of higher
-// priority. It spends nothing.
+// check decides whether units are within the quota while a fraction of the burst is left to requests of
+// higher priority. It spends nothing.
 func (q *quotaRules) check(a *account, units, reserved float64) verdict {
 	if v := q.checkBlocked(a); !v.admitted {
 		return v
@@ -20,7 +20,8 @@
 	return q.checkInFlight(a)
 }
 
-// checkBlocked rejects what comes in a window whose quota is used up; Retry-After is its end.
+// checkBlocked rejects requests in a window whose quota is used up. Retry-After is the time until it
+// ends.
 func (q *quotaRules) checkBlocked(a *account) verdict {
 	if q.ctx.now < a.blockedUntil {
 		return deny(ReasonQuota, Span(a.blockedUntil-q.ctx.now))
@@ -28,9 +29,9 @@
 	return admit()
 }
 
-// checkBucket rejects what the shared bucket does not hold for this gateway, and asks for a new total if the
-// last one is not recent; Retry-After is when the bucket has refilled. Where the counter is checked first,
-// its total decides instead.
+// checkBucket rejects units that the shared bucket does not hold for this gateway, and requests a new total
+// if the last one is not recent. Retry-After is the time until the bucket has refilled. For counterFirst
+// customers, the counter's total decides instead.
 func (q *quotaRules) checkBucket(a *account, units, reserved float64) verdict {
 	if a.plan.Rate <= 0 || a.counterFirst {
 		return admit()
@@ -45,13 +46,14 @@
 	return deny(ReasonQuota, Span((units-available)/a.plan.Rate*1e9))
 }
 
-// checkInFlight rejects what exceeds the plan's attempts in flight; Retry-After is the mean latency. What
-// the other gateways have in flight is estimated by Little's law from their rate, or taken to be as many as
-// here; streamed answers are left out of that, as their length is the client's.
+// checkInFlight rejects attempts beyond the plan's limit in flight. Retry-After is the mean latency. The
+// attempts in flight of the other gateways are estimated from their rate by Little's law, or taken to equal
+// those of this gateway if that is more. Streamed answers are excluded from that, because the client
+// determines their length.
 func (q *quotaRules) checkInFlight(a *account) verdict {
 	othersRate := a.bucket.assumedOthersRate(q.ctx.now)
 	if a.counterFirst && a.demand.elapsed > 0 {
-		// Before the first total of a window the gateways admit what is asked for, even if it is far over the rate.
+		// Before a window's first total, gateways admit any demand, even one far over the rate.
 		othersRate = max(othersRate, a.demand.units/a.demand.elapsed*(1-1/a.gateways))
 	}
 	others := max(othersRate*q.latency.mean/max(1, q.ctx.settings.MaxUnits/2),
--- a/settings.go
+++ b/settings.go
@@ -5,99 +5,99 @@
 // Class describes one kind of request.
 type Class struct {
 	Objective        Span    // latency objective, from arrival to answer
-	ObjectiveStretch float64 // the objective grows by this multiple of the request's own work
+	ObjectiveStretch float64 // multiple of a request's own work that is added to the objective
 	Deadline         Span    // total time that a client waits
 	LateWeight       float64 // fraction of Weight that an answer between objective and deadline earns
 	Weight           float64 // priority weight
 	Idempotency      Idempotency
-	DedupScope       DedupScope // for IdempotentByKey
-	DedupWindow      Span       // for IdempotentByKey: from the first attempt that may have run
-	Streaming        bool       // an AnswerStarted comes when the answer begins
+	DedupScope       DedupScope // which servers drop repeats; for IdempotentByKey only
+	DedupWindow      Span       // how long servers drop repeats after the first attempt that may have run
+	Streaming        bool       // an AnswerStarted event reports the start of each answer
 }
 
-// Plan is what a customer has bought; it holds over all gateways together.
+// Plan is what a customer has bought. Its limits apply to all gateways together.
 type Plan struct {
-	Rate           float64 // units a second that fill the quota's token bucket; 0: no such quota
-	Burst          float64 // units that the bucket holds
-	MaxInFlight    int     // attempts in flight; 0: no such quota
-	CeilingRate    float64 // units a second that fill the hard ceiling's bucket; 0: no ceiling
-	CeilingBurst   float64 // units that it holds
-	Tolerance      float64 // units by which it may drop below 0
-	WeightFactor   float64 // multiplies the class's weight
+	Rate           float64 // units per second that fill the quota's token bucket; 0: no such quota
+	Burst          float64 // capacity of the quota's token bucket in units
+	MaxInFlight    int     // maximum number of attempts in flight; 0: no such quota
+	CeilingRate    float64 // units per second that fill the hard ceiling's token bucket; 0: no ceiling
+	CeilingBurst   float64 // capacity of the hard ceiling's token bucket in units
+	Tolerance      float64 // units by which the hard ceiling's bucket may drop below 0
+	WeightFactor   float64 // factor on the weight of the request's class
 	OverQuotaValue float64 // fraction of its weight that a request earns when served beyond the quota
-	OverQuotaCost  float64 // fraction of its weight that it costs when forwarded beyond the quota
+	OverQuotaCost  float64 // fraction of its weight that a request costs when forwarded beyond the quota
 }
 
-// ReportSource says where load reports come from.
+// ReportSource tells which outcomes carry the servers' load reports.
 type ReportSource int
 
-// The sources.
+// The sources of load reports.
 const (
 	ReportsNone      ReportSource = iota
-	ReportsInAnswers              // in outcomes of attempts and of health checks
-	ReportsInProbes               // in outcomes of health checks only
+	ReportsInAnswers              // outcomes of attempts and of health checks
+	ReportsInProbes               // outcomes of health checks only
 )
 
-// Settings are the facts a gateway is given at its start. They hold no names. Defaults are the caller's: the
-// zero value of Settings does not pass Check.
+// Settings holds the parameters that a gateway is given at its start. Classes and plans have no names here.
+// The caller supplies defaults: the zero value of Settings does not pass Check.
 //
-// The module decides nothing by Class.ObjectiveStretch and LateWeight, Plan.WeightFactor, CounterFee,
+// No decision of the module depends on Class.ObjectiveStretch and LateWeight, Plan.WeightFactor, CounterFee,
 // MeterPeriod, MayProbe, MayMessagePeers, ConnectTimeout, Reports, ReportFields, RatingsDiffer, AnswerSlack,
-// DrainGrace, PollWithin, OverloadSpan, OverloadMultiple and the prices: they are facts for its caller, or
-// are only checked.
+// DrainGrace, PollWithin, OverloadSpan, OverloadMultiple and the prices: the caller uses them, or they are
+// only validated.
 type Settings struct {
-	Instances int // number of gateways
-	Self      int // index of this one, from 0
-	Zones     int
-	Zone      int  // of this gateway
-	Tick      Span // least time between two rounds of events
+	Instances int  // number of gateways
+	Self      int  // index of this gateway, from 0
+	Zones     int  // number of zones
+	Zone      int  // zone of this gateway
+	Tick      Span // minimum time between two rounds of events
 	Classes   []Class
 	Plans     []Plan
 
-	Counter        bool    // CounterAdd is possible
-	CounterTimeout Span    // in which a call should be answered; the caller may wait for longer
-	CounterFee     float64 // of the result, times counter calls by requests
-	MeterPeriod    Span    // over which AttemptEnded.Used is metered; 0: it is not
-	MaxUnits       float64 // of one request
+	Counter        bool    // CounterAdd is available
+	CounterTimeout Span    // time in which a counter call should be answered; the caller may wait longer
+	CounterFee     float64 // fraction of the result, times counter calls per request
+	MeterPeriod    Span    // period over which AttemptEnded.Used is metered; 0: it is not metered
+	MaxUnits       float64 // maximum number of units of one request
 	UnitsCorrected bool    // a request's units are an estimate, corrected by AttemptEnded.TrueUnits
 
-	MaxAttempts      int  // of one request
-	ParallelAttempts bool // a request may have more than one attempt out
-	MayCancel        bool // CancelAttempt is possible
-	MayProbe         bool // HealthCheck is possible
-	MayMessagePeers  bool // messages to other gateways are possible
-	MaxRetryAfter    Span // longest Retry-After that clients obey; 0: there is none
+	MaxAttempts      int  // maximum number of attempts of one request
+	ParallelAttempts bool // a request may have more than one attempt in flight
+	MayCancel        bool // CancelAttempt is available
+	MayProbe         bool // HealthCheck is available
+	MayMessagePeers  bool // gateways can send messages to each other
+	MaxRetryAfter    Span // longest Retry-After that clients obey; 0: there is no Retry-After
 	ConnectTimeout   Span
 
-	ListOnRequest bool // the endpoint list must be subscribed to
-	Reports       ReportSource
-	ReportFields  LoadFields
-	RatingsDiffer bool // the list's ratings differ by server
+	ListOnRequest bool         // the endpoint list must be subscribed to
+	Reports       ReportSource // outcomes that carry load reports
+	ReportFields  LoadFields   // values that load reports contain
+	RatingsDiffer bool         // the ratings in the endpoint list differ by server
 
-	AnswerSlack      Span    // after the deadline, in which a final answer still counts
-	DrainGrace       Span    // after which attempts to a draining server have to have stopped
-	PollWithin       Span    // after which a list that is not subscribed to counts as known
-	SlowStartSpan    Span    // after which a server that has started is warm
-	OverloadSpan     Span    // for which a warming server bears overload
+	AnswerSlack      Span    // time after the deadline in which a final answer still counts
+	DrainGrace       Span    // time after which attempts to a draining server must have stopped
+	PollWithin       Span    // time after which an endpoint list without subscription counts as known
+	SlowStartSpan    Span    // time after which a started server is warm
+	OverloadSpan     Span    // time for which a warming server bears overload
 	StartCapacity    float64 // fraction of its capacity that a server starts with, from 0 to 1
-	OverloadMultiple float64 // of its present capacity: what is overload of a warming server
+	OverloadMultiple float64 // multiple of its present capacity at which a warming server is overloaded
 
-	CrossZonePrice float64 // of the result, times attempts to another zone by requests
-	WastePrice     float64 // of the result, times the fraction of the servers' work that served no answer
-	ProbePrice     float64 // of the result, times health checks by requests
-	LatePrice      float64 // of the result, times the fraction of the weight unserved after its objective
+	CrossZonePrice float64 // fraction of the result, times attempts to another zone per request
+	WastePrice     float64 // fraction of the result, times the fraction of server work that served no answer
+	ProbePrice     float64 // fraction of the result, times health checks per request
+	LatePrice      float64 // fraction of the result, times the fraction of weight unserved after its objective
 }
 
-// SettingError is a setting that no gateway could work with.
+// SettingError reports a setting that no gateway can work with.
 type SettingError struct {
-	Field string // by its name in the settings that the caller reads, such as Classes[0].Aim
+	Field string // name in the settings that the caller reads, such as Classes[0].Aim
 }
 
-// Error names the field.
+// Error returns a message that names the field.
 func (e *SettingError) Error() string { return "dewhitch: impossible setting " + e.Field }
 
-// Check returns a *SettingError for the first field that no gateway could work with, as New does: settings
-// that are read anew are checked before any of them is used.
+// Check returns a *SettingError for the first field that no gateway can work with; New returns the same
+// error. A caller that reloads settings checks them before it uses any of them.
 func (s *Settings) Check() error {
 	var fields fieldChecks
 	fields.check(s.Instances > 0, "Instances")
@@ -140,7 +140,7 @@
 	fields.check(p.Tolerance >= 0, prefix+"Tolerance")
 }
 
-// fieldChecks keeps the error of the first check that failed; nil if none did.
+// fieldChecks holds the error of the first check that failed, or nil if none did.
 type fieldChecks struct{ err error }
 
 func (f *fieldChecks) check(ok bool, field string) {
--- a/shutdown.go
+++ b/shutdown.go
@@ -5,22 +5,22 @@
 	"slices"
 )
 
-// shutdown answers requests before their deadlines: all of them when the gateway shuts down, one when its
-// client's connection has to end.
+// shutdown answers requests before their deadlines: all of them when the gateway shuts down, or one whose
+// client's connection must be closed.
 type shutdown struct {
 	ctx      *stepContext
 	requests *requestTable
 	attempts *attemptController
-	by       Instant // every request is answered by then; 0: this gateway does not shut down
+	by       Instant // time by which every request is answered; 0: this gateway does not shut down
 }
 
-// begin has every request answered by an instant: those that are open, and those that still come.
+// begin ensures that every request, open now or received later, is answered by an instant.
 func (sd *shutdown) begin(by Instant) {
 	sd.by = by
 	sd.ctx.setTimer(by, sd.expediteAll)
 }
 
-// capWait bounds the time that a client would wait by what the gateway has left.
+// capWait limits the time that a client waits to the time that the gateway has left.
 func (sd *shutdown) capWait(wait Span) Span {
 	if sd.by == 0 {
 		return wait
@@ -35,12 +35,13 @@
 	}
 }
 
-// expedite ends a request now, if it is still open: rejected if its client may send it again, else failed.
+// expedite ends a request now if it is still open: with a rejection if its client may send it again,
+// otherwise with a failure.
 func (sd *shutdown) expedite(id RequestID) {
 	r := sd.requests.byID[id]
 	switch {
 	case r == nil || r.done:
-	case r.class == nil: // a limit query, or units given back
+	case r.class == nil: // a limit query, or units to return
 		sd.requests.finish(r, Fail{Request: r.id, Reason: ReasonCounterUnavailable})
 	default:
 		sd.attempts.giveUp(r)
--- a/timers.go
+++ b/timers.go
@@ -2,14 +2,14 @@
 
 import "strconv"
 
-// timerTable holds what each pending timer runs. A timer fires once and cannot be withdrawn: its callback
-// checks whether it still applies.
+// timerTable holds the callback of each pending timer. A timer fires once and cannot be withdrawn: its
+// callback checks whether it still applies.
 type timerTable struct {
 	callbacks map[TimerID]func()
 	lastID    int64
 }
 
-// setTimer runs callback on the TimerFired event of a new timer for an instant.
+// setTimer sets a new timer for an instant; its TimerFired event runs callback.
 func (c *stepContext) setTimer(at Instant, callback func()) {
 	c.timers.lastID++
 	id := TimerID(strconv.FormatInt(c.timers.lastID, 36))
@@ -17,12 +17,12 @@
 	c.emit(SetTimer{At: at, ID: id})
 }
 
-// setTimerAfter is setTimer for a delay from now.
+// setTimerAfter sets a new timer that fires after a delay from now.
 func (c *stepContext) setTimerAfter(delay Span, callback func()) {
 	c.setTimer(c.now+Instant(delay), callback)
 }
 
-// fireTimer runs a timer's callback; an unknown timer is ignored.
+// fireTimer removes a timer and runs its callback; an unknown timer is ignored.
 func (c *stepContext) fireTimer(id TimerID) {
 	if callback := c.timers.callbacks[id]; callback != nil {
 		delete(c.timers.callbacks, id)
@@ -30,7 +30,8 @@
 	}
 }
 
-// sweepInterval is the period of the work that no event triggers: a fraction of the counter's time-out.
+// sweepInterval returns the period of the work that no event triggers: a fraction of the counter's timeout,
+// with lower bounds.
 func (c *stepContext) sweepInterval() Span {
 	return max(2*c.settings.Tick, c.settings.CounterTimeout/5, second/100)
 }
--- a/traffic.go
+++ b/traffic.go
@@ -4,22 +4,22 @@
 
 const (
 	trafficMemory     = 5 * second // time constant of the exponential decay of all counts
-	zoneFailureWeight = 0.1        // of a new outcome in a zone's failure fraction
+	zoneFailureWeight = 0.1        // weight of a new outcome in a zone's failure fraction
 )
 
-// trafficStatistics counts this gateway's recent traffic. All counts decay together: a decay at every use
-// keeps them comparable, and its instants are part of the replayed decisions.
+// trafficStatistics counts this gateway's recent traffic. All counts decay together at every use, which keeps
+// them comparable; the times of the decays are part of the replayed decisions.
 type trafficStatistics struct {
 	ctx              *stepContext
-	sentAttempts     float64
-	endpointRequests float64         // requests that asked the balancer for a server
-	throttleRequests float64         // requests that passed or failed the adaptive throttle
+	sentAttempts     float64         // attempts sent
+	endpointRequests float64         // requests for which the balancer was to choose a server
+	throttleRequests float64         // requests that the adaptive throttle has checked
 	throttleAccepts  float64         // attempts answered within the latency objective
-	zoneFailures     map[int]float64 // by zone: moving average of attempts that failed, from 0 to 1
-	decayedAt        Instant
+	zoneFailures     map[int]float64 // by zone: moving average of the fraction of failed attempts, from 0 to 1
+	decayedAt        Instant         // time of the last decay
 }
 
-// decay brings all counts to the present.
+// decay brings all counts up to date.
 func (t *trafficStatistics) decay() {
 	factor := math.Exp(-seconds(t.ctx.now-t.decayedAt) / seconds(trafficMemory))
 	t.sentAttempts *= factor
@@ -32,7 +32,7 @@
 	}
 }
 
-// attemptRate is how many attempts a second this gateway sends.
+// attemptRate returns the number of attempts per second that this gateway sends.
 func (t *trafficStatistics) attemptRate() float64 {
 	t.decay()
 	return t.sentAttempts / seconds(trafficMemory)
@@ -44,7 +44,7 @@
 	t.sentAttempts++
 }
 
-// recordAnswer counts an answer; only one within the latency objective is an accept of the throttle.
+// recordAnswer counts an answer. Only an answer within the latency objective is an accept for the throttle.
 func (t *trafficStatistics) recordAnswer(withinObjective bool) {
 	t.decay()
 	if withinObjective {
