--- a/account.go
+++ b/account.go
@@ -12,7 +12,7 @@
 	id           CustomerID
 	plan         *Plan
 	gateways     float64 // number of gateways that serve the customer, including this one; at least 1
-	counterFirst bool    // an even part of the burst is less than one request; see newAccount
+	counterFirst bool    // an equal share of the burst is less than one request; see newAccount
 	window       Span    // length of a window of the shared counter
 
 	bucket  sharedBucket // token bucket of the quota
@@ -45,11 +45,11 @@
 }
 
 // newAccount returns an account with a full bucket. Its ceiling is empty at the start of this gateway,
-// because a previous incarnation may have spent its whole part until then.
+// because a previous incarnation may have spent its whole share until then.
 //
-// Where an even part of the burst is below one request, a gateway that follows the last total either rejects
-// everything or admits everything. For such customers a request's units are counted before it is admitted
-// (counterFirst).
+// Where an equal share of the burst is below one request, a gateway that follows the last total either
+// rejects everything or admits everything. For such customers a request's units are counted before it is
+// admitted (counterFirst).
 func (t *accounts) newAccount(e Arrival, plan *Plan) *account {
 	ctx, set := t.ctx, &t.ctx.settings
 	n := min(max(1, e.Spread), set.Instances)
--- a/admission.go
+++ b/admission.go
@@ -30,11 +30,11 @@
 // quotaVerdict is the decision of the quota's rules.
 type quotaVerdict struct {
 	verdict
-	check counterCheck // valid if the request is within the quota by what this gateway knows
+	check counterCheck // valid if the request is within the quota according to local state
 }
 
-// certain returns true if the request is within the quota by what this gateway knows, or if the counter will
-// confirm it before the request is forwarded.
+// certain returns true if the request is within the quota according to local state, or if the counter decides
+// on that before the request is forwarded.
 func (v quotaVerdict) certain() bool { return v.admitted && v.check != counterCheckImpossible }
 
 // handleArrival decides on a new request, or on a LimitAdjust that takes units (unitsOnly): it is rejected at
@@ -101,7 +101,7 @@
 	}
 }
 
-// checkQuota decides whether r is within its quota: by what this gateway knows, or by demand if the counter
+// checkQuota decides whether r is within its quota: according to local state, or by demand if the counter
 // must be consulted and cannot be.
 func (ad *admission) checkQuota(r *request) quotaVerdict {
 	v := quotaVerdict{verdict: ad.quota.check(r.account, r.units, ad.priorities.reservedFor(r))}
--- a/limit_answers.go
+++ b/limit_answers.go
@@ -54,7 +54,8 @@
 }
 
 // returnUnits returns units to the quota, at most those that this gateway has certainly added in this window:
-// a lower count would admit more than the quota. Blocks and the ceiling do not change.
+// a lower count would admit more than the quota. A customer that is blocked stays blocked, and the ceiling
+// does not change.
 func (q *limitQueries) returnUnits(a *account, r *request) {
 	units := max(0, min(-r.units, a.sync.confirmedOwn, a.sync.total))
 	if r.done {
--- a/quota_test.go
+++ b/quota_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// A gateway that has just started may have spent its part of the ceiling in its previous incarnation.
+// A gateway that has just started may have spent its share of the ceiling in its previous incarnation.
 func TestCeilingStartsEmpty(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{Rate: 10, Burst: 20, CeilingRate: 20, CeilingBurst: 40, Tolerance: 4, WeightFactor: 1}
--- a/shared_bucket.go
+++ b/shared_bucket.go
@@ -31,7 +31,7 @@
 func (b *sharedBucket) evenOthersRate() float64 { return b.rate * (1 - 1/b.gateways) }
 
 // assumedOthersRate returns the usage assumed of the other gateways, in units per second. If the last total
-// is stale, it is at least their even part.
+// is stale, it is at least their equal share.
 func (b *sharedBucket) assumedOthersRate(now Instant) float64 {
 	even := b.evenOthersRate()
 	if seconds(now-b.lastTotalAt) > staleTotalFraction*seconds(b.window) {
@@ -53,7 +53,7 @@
 	b.updatedAt = now
 }
 
-// available returns how many units this gateway may admit: its part of the level according to recent use or,
+// available returns how many units this gateway may admit: its share of the level according to recent use or,
 // if that is more, the level without what others may have used unseen. Use is unseen for the age of the total
 // plus a call's timeout, and varies by requests of half maxUnits.
 func (b *sharedBucket) available(now Instant, counterTimeout Span, maxUnits float64) float64 {
