--- a/attempt.go
+++ b/attempt.go
@@ -1,8 +1,8 @@
 package dewhitch
 
-// attemptController starts the attempts of requests and takes their outcomes. It owns the counts of attempts
-// in flight of requests, servers and accounts. Its rules stand in retry.go, hedging.go and dedup_window.go;
-// whether an attempt may start at all, in attempt_rules.go.
+// attemptController starts the attempts of requests and handles their outcomes. It owns the counts of
+// attempts in flight of requests, servers and accounts. Its rules are in retry.go, hedging.go and
+// dedup_window.go; attempt_rules.go decides whether an attempt may start at all.
 type attemptController struct {
 	ctx         *stepContext
 	requests    *requestTable
@@ -17,12 +17,12 @@
 	counter     *counterSync
 }
 
-// start sends r to s, which the balancer has just chosen for it.
+// start sends r to s, which the balancer must have selected for r in the present event.
 func (c *attemptController) start(r *request, s *server) {
 	c.scheduleHedge(r)
-	until := r.deadline
+	endsBy := r.deadline
 	if end, bounded := r.dedupWindowEnd(); bounded {
-		until = min(until, end)
+		endsBy = min(endsBy, end)
 		c.cancelAtWindowEnd(r)
 	}
 	c.outliers.recordStart(s)
@@ -32,12 +32,12 @@
 	c.traffic.recordAttempt()
 	c.slowStart.spend(s)
 	r.attempts = append(r.attempts, attempt{server: s, startedAt: c.ctx.now, concurrent: s.inFlight - 1})
-	left := Span(until - c.ctx.now)
-	c.ctx.emit(StartAttempt{Request: r.id, Server: s.ID, Timeout: left, StartWithin: left})
+	timeout := Span(endsBy - c.ctx.now)
+	c.ctx.emit(StartAttempt{Request: r.id, Server: s.ID, Timeout: timeout, StartWithin: timeout})
 }
 
-// handleOutcome takes the outcome of an attempt. A request that still owes its answer then gets another attempt, or
-// is given up. An outcome that is unknown or known already is ignored.
+// handleOutcome processes the outcome of an attempt. A request that still requires an answer then gets
+// another attempt or is given up. Outcomes of unknown and of already ended attempts are ignored.
 func (c *attemptController) handleOutcome(e AttemptEnded) {
 	r := c.requests.byID[e.Request]
 	if r == nil || e.Attempt < 0 || e.Attempt >= len(r.attempts) || r.attempts[e.Attempt].ended {
@@ -47,7 +47,7 @@
 	a.ended = true
 	a.outcome = e.Outcome
 	c.release(r, a.server)
-	c.learn(r, a, e)
+	c.recordOutcome(r, a, e)
 	c.correctUnits(r, e)
 	if e.Final || e.Outcome == OutcomeOK {
 		c.requests.finish(r, nil)
@@ -61,7 +61,7 @@
 	}
 }
 
-// release takes an attempt that has ended off the counts of attempts in flight.
+// release removes an ended attempt from the counts of attempts in flight.
 func (c *attemptController) release(r *request, s *server) {
 	s.inFlight--
 	r.inFlight--
@@ -72,9 +72,9 @@
 	}
 }
 
-// learn takes an outcome into the statistics of the servers. What this gateway withdrew or never sent says
-// nothing of a server.
-func (c *attemptController) learn(r *request, a *attempt, e AttemptEnded) {
+// recordOutcome adds an outcome to the statistics of the servers. It ignores attempts that this gateway
+// cancelled or never sent: they contain no information on a server.
+func (c *attemptController) recordOutcome(r *request, a *attempt, e AttemptEnded) {
 	if e.Outcome == OutcomeNotSent || e.Outcome == OutcomeCancelled {
 		return
 	}
@@ -82,11 +82,12 @@
 	if e.Outcome == OutcomeOK {
 		c.traffic.recordAnswer(e.Latency <= r.class.Objective)
 		c.outliers.recordSuccess(a.server, r.classIndex)
-		c.latency.observeClassSize(r.classIndex, latency, a.concurrent)
+		c.latency.observeClassLatency(r.classIndex, latency, a.concurrent)
 	} else {
-		// A silent server is an outlier. Taken as slowness of all, a few dead ones would have everything shed.
-		silent := c.outliers.recordFailure(r.classIndex, a)
-		if silent && e.Outcome != OutcomeRejected {
+		// A server that does not answer is an outlier. Were its failures taken as latency, a few failed servers
+		// would raise the mean until every request is shed.
+		outlier := c.outliers.recordFailure(r.classIndex, a)
+		if outlier && e.Outcome != OutcomeRejected {
 			return
 		}
 		latency = c.latency.failureLatency(latency)
@@ -94,7 +95,8 @@
 	c.latency.observe(r.classIndex, a, latency, e.Load)
 }
 
-// correctUnits replaces the units of a request by those that its answer reports, where units are an estimate.
+// correctUnits replaces the units of a request with those that its answer reports, where the settings define
+// units as an estimate.
 func (c *attemptController) correctUnits(r *request, e AttemptEnded) {
 	if e.Outcome == OutcomeOK && c.ctx.settings.UnitsCorrected && e.TrueUnits > 0 && r.withinQuota {
 		c.counter.spend(r.account, e.TrueUnits-r.units)
--- a/balancer.go
+++ b/balancer.go
@@ -3,13 +3,14 @@
 import "math"
 
 const (
-	maxCompared      = 64   // servers that a request is decided between; of more, by random start
-	maxVisited       = 1024 // servers that are looked at to find them
-	crossZonePenalty = 0.1  // what a server of another zone must be cheaper by
+	maxComparedServers = 64   // servers compared for a request; more are searched from a random start
+	maxVisitedServers  = 1024 // servers visited for a request to find those to compare
+	crossZonePenalty   = 0.1  // fraction added to the cost of a server in another zone
 )
 
-// balancer chooses the server of an attempt. The cost of a choice does not grow with the list: maxCompared
-// and maxVisited bound it. It changes nothing but warming servers' budgets, which fill.
+// balancer selects the server of an attempt. maxComparedServers and maxVisitedServers bound the work of a
+// selection, so that it does not grow with the endpoint list. A selection only changes the slow-start budgets
+// of warming servers, which it refills.
 type balancer struct {
 	ctx       *stepContext
 	endpoints *endpointSet
@@ -21,59 +22,59 @@
 	rules     attemptRules
 }
 
-// candidate is a server that the request may go to; without a server, none was found.
+// candidate is a server that the request may be sent to. The server is nil if none was found.
 type candidate struct {
 	*server
-	cost     float64 // by which candidates are compared
-	expected float64 // seconds that a new attempt should take
+	cost     float64 // candidates are compared by cost; the lowest wins
+	expected float64 // expected latency of a new attempt, in seconds
 }
 
-// selection is the choice of a server for one request.
+// selection is the state of selecting a server for one request.
 type selection struct {
 	*balancer
 	request           *request
-	maxExpected       float64 // seconds: a candidate beyond it comes after those within it
-	sparsity          float64 // of the aperture
-	ejecting          bool    // outliers are left out
-	evenSlowStartRate float64 // attempts a second of a warming server, times its warmth
+	latencyLimit      float64 // seconds; a candidate whose expected latency is higher ranks last
+	sparsity          float64 // sparsity of the aperture
+	ejecting          bool    // outliers are excluded
+	slowStartBaseRate float64 // attempts a second of a warming server, before the factor of its warmth
 
-	best      candidate
-	remaining int  // servers that may still be compared
-	decided   bool // best was chosen without comparison
+	best                 candidate // best candidate so far
+	remainingComparisons int       // number of servers that may still be compared
+	decided              bool      // best was selected without comparison
 }
 
-// pick chooses the server that should finish r first and returns how long that takes, in seconds: more than
-// maxExpected if no server is within it. It returns nil if there is none.
-func (b *balancer) pick(r *request, maxExpected float64) (*server, float64) {
+// pick selects the server that is expected to answer r first and returns its expected latency in seconds.
+// The latency exceeds latencyLimit only if no server is within it. The server is nil if none may take r.
+func (b *balancer) pick(r *request, latencyLimit float64) (*server, float64) {
 	ready := b.endpoints.ready
-	if len(ready) == 0 || !b.rules.attemptsLeft(r) {
+	if len(ready) == 0 || !b.rules.attemptsRemaining(r) {
 		return nil, 0
 	}
 	aperture := b.aperture.size()
-	c := &selection{balancer: b, request: r, maxExpected: maxExpected, sparsity: b.aperture.sparsity(),
-		ejecting:          b.outliers.ejectionApplies(r.classIndex),
-		evenSlowStartRate: b.slowStart.evenRate(aperture),
-		remaining:         min(aperture, maxCompared)}
-	within, start := len(ready), 0
-	if aperture > maxCompared {
-		within = min(aperture, len(ready))
-		start = b.ctx.rng.IntN(within)
+	c := &selection{balancer: b, request: r, latencyLimit: latencyLimit, sparsity: b.aperture.sparsity(),
+		ejecting:             b.outliers.ejectionApplies(r.classIndex),
+		slowStartBaseRate:    b.slowStart.baseRate(aperture),
+		remainingComparisons: min(aperture, maxComparedServers)}
+	searched, start := len(ready), 0
+	if aperture > maxComparedServers {
+		searched = min(aperture, len(ready))
+		start = b.ctx.rng.IntN(searched)
 	}
-	for i := 0; i < min(within, maxVisited) && !c.complete(); i++ {
-		c.visit(ready[(start+i)%within])
+	for i := 0; i < min(searched, maxVisitedServers) && !c.complete(); i++ {
+		c.consider(ready[(start+i)%searched])
 	}
 	return c.best.server, c.best.expected
 }
 
-// complete tells whether no further server is visited. Servers with a slow-start rate from the fleet are
-// visited beyond the number that is compared, as their attempts are assigned to this gateway.
+// complete returns true if no further server has to be visited. Servers whose slow-start rate the fleet has
+// set are visited beyond the number that is compared, because their attempts are assigned to this gateway.
 func (c *selection) complete() bool {
-	return c.decided || c.remaining <= 0 && c.endpoints.fleetRated == 0
+	return c.decided || c.remainingComparisons <= 0 && c.endpoints.fleetRatedCount == 0
 }
 
-// eligible decides whether the request may go to s at all.
+// eligible returns true if the request may be sent to s, apart from the limits of slow start.
 func (c *selection) eligible(s *server) bool {
-	if c.remaining <= 0 && s.FleetSlowStartRate == 0 {
+	if c.remainingComparisons <= 0 && s.FleetSlowStartRate == 0 {
 		return false
 	}
 	if c.ejecting && c.outliers.isEjected(s, c.request.classIndex) {
@@ -85,38 +86,39 @@
 	return c.rules.mayAttempt(c.request, s)
 }
 
-// visit compares a server, if the request may go there. A server under health check is taken at once: its
-// budget bounds how many requests that are.
-func (c *selection) visit(s *server) {
+// consider compares s with the best candidate if the request may be sent there. A server under health check
+// is selected at once; its slow-start budget limits the number of such requests.
+func (c *selection) consider(s *server) {
 	if !c.eligible(s) {
 		return
 	}
 	warmth := c.slowStart.warmth(s)
-	if !c.slowStart.admits(s, warmth, c.evenSlowStartRate) {
+	if !c.slowStart.admits(s, warmth, c.slowStartBaseRate) {
 		return
 	}
-	c.remaining--
+	c.remainingComparisons--
 	if s.HealthCheck != HealthCheckOff {
 		c.best = candidate{server: s}
 		c.decided = true
 		return
 	}
-	c.compare(c.weigh(s, warmth))
+	c.compare(c.estimateCost(s, warmth))
 }
 
-// weigh estimates the cost of s. The estimate of a server that is seen seldom is of an older load, and among
-// many there is always one that looks idle: all gateways would send there together. So the less this gateway
-// sees of a server, the more the choice is random, weighted by the square of speed (the least of exponential
-// draws), and the more the mean latency counts in place of the server's own.
-func (c *selection) weigh(s *server, warmth float64) candidate {
+// estimateCost estimates the cost of s. The estimate of a rarely used server reflects an older load, and
+// among many servers one always looks idle: all gateways would send there together. So the more rarely this
+// gateway sends to a server, the more the choice is random, weighted by the square of the speed (the least of
+// exponential draws), and the more the mean latency replaces the server's own.
+func (c *selection) estimateCost(s *server, warmth float64) candidate {
 	r := c.request
 	expected := c.latency.expected(s)
 	cost := expected * math.Pow(expected*warmth*c.ctx.rng.ExpFloat64(), c.sparsity)
-	expected = (expected + c.sparsity*max(0, c.latency.mean-expected)) * c.latency.classLatencyRatio[r.classIndex]
+	expected = (expected + c.sparsity*max(0, c.latency.mean-expected)) *
+		c.latency.classLatencyRatio[r.classIndex]
 	if n := len(r.attempts); n > 0 && r.attempts[n-1].server == s {
 		cost += seconds(r.class.Objective)
 	}
-	// A lost zone would otherwise be found out server by server, at the price of an attempt each.
+	// Otherwise the loss of a zone would be detected server by server, at the cost of an attempt each.
 	cost /= 1 - c.traffic.zoneFailures[s.Zone]
 	if s.Zone != c.ctx.settings.Zone {
 		cost *= 1 + crossZonePenalty
@@ -124,11 +126,12 @@
 	return candidate{s, cost, expected}
 }
 
-// compare keeps the better of a candidate and the best so far: one within maxExpected before one beyond it,
-// then the cheaper.
+// compare keeps the better of x and the best candidate so far. A candidate within latencyLimit is better
+// than one beyond it; otherwise the one with the lower cost is better.
 func (c *selection) compare(x candidate) {
-	late, bestLate := x.expected > c.maxExpected, c.best.expected > c.maxExpected
-	if c.best.server == nil || late == bestLate && x.cost < c.best.cost || bestLate && !late {
+	overLimit, bestOverLimit := x.expected > c.latencyLimit, c.best.expected > c.latencyLimit
+	if c.best.server == nil || overLimit == bestOverLimit && x.cost < c.best.cost ||
+		bestOverLimit && !overLimit {
 		c.best = x
 	}
 }
--- a/endpoint_set.go
+++ b/endpoint_set.go
@@ -6,35 +6,36 @@
 	"slices"
 )
 
-// subscribeRetryDelay is the pause before the endpoint list is subscribed to again after a failure.
+// subscribeRetryDelay is the delay before the gateway subscribes to the endpoint list again after a failure.
 const subscribeRetryDelay = second
 
-// server is a listed endpoint and this gateway's statistics of it since the endpoint's last start.
+// server is a listed endpoint with this gateway's statistics of it since the endpoint last started.
 type server struct {
 	Endpoint
-	rank                uint64          // place in this gateway's order; unique in a list
-	inFlight            int             // attempts out from this gateway
-	withoutSuccessSince Instant         // since when attempts are out without any success
-	succeededAt         Instant         // last success of any class
-	latency             float64         // seconds: moving average, of an attempt sent alone to a warm server
-	measuredAt          Instant         // last sample in latency
-	failures            []failureRecord // by class
-	slowStartBudget     bucket          // attempts that may be sent while it warms up
+	rank                uint64          // position in this gateway's order of use; unique in a list
+	inFlight            int             // number of this gateway's attempts that have not ended
+	withoutSuccessSince Instant         // since when attempts are in flight and none has succeeded
+	succeededAt         Instant         // time of the last success of any class
+	latency             float64         // seconds: moving average for a lone attempt on a warm server
+	measuredAt          Instant         // time of the last sample in latency
+	failures            []failureRecord // failures by class
+	slowStartBudget     bucket          // attempts that may start while the server warms up
 }
 
-// endpointSet is the endpoint list as last received, in the order in which this gateway uses it.
+// endpointSet holds the endpoint list last received, in the order in which this gateway uses the servers. A
+// removed server stays in the set while attempts are in flight there.
 type endpointSet struct {
-	ctx        *stepContext
-	servers    []*server // by rank
-	ready      []*server // of servers, those that take new attempts; by rank
-	fleetRated int       // of ready, those with a slow-start rate set by the fleet
-	byID       map[ServerID]*server
+	ctx             *stepContext
+	servers         []*server // all known servers, by rank
+	ready           []*server // servers that take new attempts, by rank
+	fleetRatedCount int       // number of ready servers whose slow-start rate the fleet has set
+	byID            map[ServerID]*server
 }
 
-// update applies an endpoint list. A server that drains or is removed gets no new attempt from this event
-// on. It returns the servers that are new or have restarted, whose statistics have to start anew, in the
-// list's order, and those that are forgotten.
-func (set *endpointSet) update(e EndpointList) (started, forgotten []*server) {
+// update applies an endpoint list. From this event on, a draining or removed server gets no new attempt.
+// started contains the servers that are new or have restarted, in the order of the list: the caller must
+// reset their statistics. dropped contains the servers that are no longer in the set.
+func (set *endpointSet) update(e EndpointList) (started, dropped []*server) {
 	if e.Kind == ListFailed {
 		set.resubscribe()
 		return nil, nil
@@ -44,7 +45,7 @@
 			s.State = Removed
 		}
 	}
-	known := len(set.servers)
+	previousCount := len(set.servers)
 	for _, entry := range e.Servers {
 		s := set.byID[entry.ID]
 		if s == nil {
@@ -57,49 +58,49 @@
 		}
 		s.Endpoint = entry
 	}
-	if len(set.servers) > known {
+	if len(set.servers) > previousCount {
 		slices.SortFunc(set.servers, func(a, b *server) int {
 			return cmp.Compare(a.rank, b.rank)
 		})
 	}
-	forgotten = set.dropRemoved()
+	dropped = set.dropRemoved()
 	set.indexReady()
-	return started, forgotten
+	return started, dropped
 }
 
-// resubscribe asks for the list again after a pause.
+// resubscribe requests the endpoint list again after a delay, if it has to be subscribed to.
 func (set *endpointSet) resubscribe() {
 	if set.ctx.settings.ListOnRequest {
 		set.ctx.setTimerAfter(subscribeRetryDelay, func() { set.ctx.emit(SubscribeEndpoints{}) })
 	}
 }
 
-// dropRemoved forgets the servers that are removed and have no attempt out.
-func (set *endpointSet) dropRemoved() (forgotten []*server) {
-	removed := func(s *server) bool { return s.State == Removed && s.inFlight == 0 }
-	if !slices.ContainsFunc(set.servers, removed) {
+// dropRemoved drops the removed servers that have no attempt in flight and returns them.
+func (set *endpointSet) dropRemoved() (dropped []*server) {
+	droppable := func(s *server) bool { return s.State == Removed && s.inFlight == 0 }
+	if !slices.ContainsFunc(set.servers, droppable) {
 		return nil
 	}
 	for _, s := range set.servers {
-		if removed(s) {
-			forgotten = append(forgotten, s)
+		if droppable(s) {
+			dropped = append(dropped, s)
 		}
 	}
-	maps.DeleteFunc(set.byID, func(_ ServerID, s *server) bool { return removed(s) })
-	set.servers = slices.DeleteFunc(set.servers, removed)
-	return forgotten
+	maps.DeleteFunc(set.byID, func(_ ServerID, s *server) bool { return droppable(s) })
+	set.servers = slices.DeleteFunc(set.servers, droppable)
+	return dropped
 }
 
-// indexReady finds the servers that take new attempts.
+// indexReady rebuilds the list of servers that take new attempts.
 func (set *endpointSet) indexReady() {
-	set.ready, set.fleetRated = set.ready[:0], 0
+	set.ready, set.fleetRatedCount = set.ready[:0], 0
 	for _, s := range set.servers {
 		if s.State != Ready {
 			continue
 		}
 		set.ready = append(set.ready, s)
 		if s.FleetSlowStartRate > 0 {
-			set.fleetRated++
+			set.fleetRatedCount++
 		}
 	}
 }
--- a/endpoints.go
+++ b/endpoints.go
@@ -1,42 +1,42 @@
 package dewhitch
 
-// EndpointState is what the endpoint list says of a server.
+// EndpointState is the state of a server in the endpoint list.
 type EndpointState int
 
-// The states.
+// The states of a server in the endpoint list.
 const (
-	Ready    EndpointState = iota // it takes new attempts
-	Draining                      // it finishes what it has, and takes no new attempts
-	Removed                       // it is no longer listed
+	Ready    EndpointState = iota // takes new attempts
+	Draining                      // finishes its open attempts and takes no new ones
+	Removed                       // is no longer listed
 )
 
-// HealthCheckMode says whether a server is under health check. One that is gets requests before all others,
-// as its slow-start budget allows, so that their outcomes show its health.
+// HealthCheckMode states whether a server is under health check. Such a server gets requests before all
+// others, as far as its slow-start budget allows, so that their outcomes show its health.
 type HealthCheckMode int
 
-// The modes.
+// The health check modes.
 const (
-	HealthCheckOff        HealthCheckMode = iota
-	HealthCheckIdempotent                 // with requests that are idempotent, by themselves or by key
-	HealthCheckAny                        // with any request
+	HealthCheckOff        HealthCheckMode = iota // no health check
+	HealthCheckIdempotent                        // checks with requests idempotent by themselves or by key
+	HealthCheckAny                               // checks with any request
 )
 
-// Endpoint is one entry of the endpoint list. Its tags are a stored form.
+// Endpoint is one entry of the endpoint list. Its tags are part of a stored format.
 type Endpoint struct {
 	ID                 ServerID        `json:"ID"`
-	Cell               int             `json:"Cell"` // for DedupCell
+	Cell               int             `json:"Cell"` // cell that contains the server, for DedupCell
 	Zone               int             `json:"Zone"`
-	Kind               int             `json:"Kind"`  // of machine
-	StartedAt          Instant         `json:"Since"` // last start; 0: long ago
+	Kind               int             `json:"Kind"`  // kind of machine
+	StartedAt          Instant         `json:"Since"` // time of the last start; 0: long ago
 	Rating             float64         `json:"Rating"`
 	State              EndpointState   `json:"State"`
-	FleetSlowStartRate float64         `json:"Feed"` // attempts a second from this gateway in slow start; 0: unset
+	FleetSlowStartRate float64         `json:"Feed"` // slow-start attempts a second from this gateway; 0: unset
 	HealthCheck        HealthCheckMode `json:"Look"`
 }
 
-// rank is the server's place in the order in which gateway self uses servers, another one for each gateway.
-// It is the finalizer of splitmix64 (Steele, Lea, Flood 2014), a bijection, so that no two servers have the
-// same rank.
+// rank returns the server's position in the order in which gateway self uses servers. The order differs
+// between gateways. The function is the finalizer of splitmix64 (Steele, Lea, Flood 2014), a bijection, so
+// no two servers have the same rank.
 func (id ServerID) rank(self int) uint64 {
 	h := uint64(id) + uint64(self+1)*0x9e3779b97f4a7c15
 	h = (h ^ h>>30) * 0xbf58476d1ce4e5b9
@@ -44,7 +44,7 @@
 	return h ^ h>>31
 }
 
-// same tells whether two servers drop each other's repeats.
-func (k DedupScope) same(a, b Endpoint) bool {
-	return k == DedupAll || k == DedupZone && a.Zone == b.Zone || k == DedupCell && a.Cell == b.Cell
+// covers returns true if servers a and b drop repeats of each other's requests.
+func (scope DedupScope) covers(a, b Endpoint) bool {
+	return scope == DedupAll || scope == DedupZone && a.Zone == b.Zone || scope == DedupCell && a.Cell == b.Cell
 }
--- a/gateway.go
+++ b/gateway.go
@@ -57,7 +57,7 @@
 	g.aperture = &aperture{endpoints: g.endpoints, traffic: g.traffic}
 	g.slowStart = &slowStart{ctx: ctx, endpoints: g.endpoints, aperture: g.aperture, traffic: g.traffic}
 	g.outliers = &outlierDetector{ctx: ctx, endpoints: g.endpoints, aperture: g.aperture, traffic: g.traffic,
-		suspects: map[*server]bool{}, counts: make([]int, classes), countedAt: make([]Instant, classes)}
+		suspects: map[*server]bool{}, ejectedCounts: make([]int, classes), countedAt: make([]Instant, classes)}
 	g.latency = newLatencyEstimator(ctx, g.endpoints, g.aperture, g.slowStart)
 	g.balancer = &balancer{ctx: ctx, endpoints: g.endpoints, aperture: g.aperture, traffic: g.traffic,
 		slowStart: g.slowStart, outliers: g.outliers, latency: g.latency, rules: attemptRules{ctx}}
--- a/hedging.go
+++ b/hedging.go
@@ -1,27 +1,27 @@
 package dewhitch
 
-const hedgeFraction = 0.5 // of the latency objective: an attempt that is unanswered for so long is hedged
+const hedgeFraction = 0.5 // fraction of the latency objective after which an unanswered attempt is hedged
 
-// scheduleHedge has the next attempt of r hedged, if its objective lasts that long.
+// scheduleHedge sets the timer that hedges the next attempt of r, if it fires before the objective ends.
 func (c *attemptController) scheduleHedge(r *request) {
-	next := len(r.attempts) + 1
-	at := c.ctx.now + Instant(hedgeFraction*float64(r.class.Objective))
-	if at < r.objective {
-		c.ctx.setTimer(at, func() { c.hedge(r, next) })
+	attemptNumber := len(r.attempts) + 1
+	hedgeAt := c.ctx.now + Instant(hedgeFraction*float64(r.class.Objective))
+	if hedgeAt < r.objective {
+		c.ctx.setTimer(hedgeAt, func() { c.hedge(r, attemptNumber) })
 	}
 }
 
-// hedge sends r to another server when its n-th attempt, its last, is unanswered and its server is silent,
-// that is, has served no other request of the class since: an attempt that is only slow is left alone, as
-// hedging would add to an overload. The other attempt runs beside it, or, where no two may be out, in its
-// place.
+// hedge sends r to another server if its n-th attempt is unanswered and its last one, and the server of that
+// attempt is unresponsive: it has served no other request of the class since the attempt started. An attempt
+// that is only slow is not hedged, because hedging would add to an overload. The new attempt runs in parallel
+// to the n-th or, where the settings forbid that, replaces it.
 func (c *attemptController) hedge(r *request, n int) {
 	last := &r.attempts[n-1]
 	if r.done || last.ended {
 		return
 	}
-	silent := c.outliers.recordFailure(r.classIndex, last)
-	if !silent || !c.mayHedge(r, n) {
+	unresponsive := c.outliers.recordFailure(r.classIndex, last)
+	if !unresponsive || !c.mayHedge(r, n) {
 		return
 	}
 	if c.ctx.settings.ParallelAttempts {
@@ -31,11 +31,13 @@
 	}
 }
 
-// mayHedge decides whether the n-th attempt of r may be followed while it is out. Where all servers are slow
-// and each gets little from this gateway, every wait looks like silence: so nothing is hedged while a mean
-// attempt takes more than the threshold of load shedding beyond the quota, at mean priority.
+// mayHedge returns true if another attempt may follow the n-th attempt of r while that is in flight. If all
+// servers are slow and each gets few requests from this gateway, every wait looks like an unresponsive
+// server. So nothing is hedged while the mean latency of the class exceeds the threshold at which load
+// shedding rejects requests beyond the quota at mean priority.
 func (c *attemptController) mayHedge(r *request, n int) bool {
-	if !afterMayHaveRun[r.class.Idempotency].retry || len(r.attempts) != n || !c.rules.attemptsLeft(r) {
+	if !followUpByIdempotency[r.class.Idempotency].retry || len(r.attempts) != n ||
+		!c.rules.attemptsRemaining(r) {
 		return false
 	}
 	expected := c.latency.mean * c.latency.classLatencyRatio[r.classIndex]
--- a/request.go
+++ b/request.go
@@ -1,36 +1,37 @@
 package dewhitch
 
-// attempt is one sending of a request to a server.
+// attempt is one transmission of a request to a server.
 type attempt struct {
 	server         *server
 	startedAt      Instant
-	concurrent     int  // attempts that this gateway had out there when it started
-	failureCounted bool // as a failure of its server
+	concurrent     int  // number of this gateway's other attempts in flight on the server at its start
+	failureCounted bool // the attempt is counted as a failure of its server
 	ended          bool
-	outcome        Outcome // once ended
+	outcome        Outcome // valid once the attempt has ended
 }
 
 // request is a request, a limit query or a limit adjustment, from its arrival until it has its final answer
-// and no attempt is out.
+// and no attempt is in flight. It is in the request table for that time.
 type request struct {
 	id             RequestID
 	classIndex     int
-	class          *Class // nil: a limit query, or units given back
+	class          *Class // nil for limit queries and returned units
 	account        *account
 	units          float64
-	unitsOnly      bool    // takes units from the quota, and is not forwarded
-	withinQuota    bool    // its units are spent
-	consumedBefore float64 // units that the customer had consumed at this gateway when it came
-	objective      Instant // latency objective
-	deadline       Instant // the client gives up then
+	unitsOnly      bool    // the request takes units from the quota and is not forwarded
+	withinQuota    bool    // the units of the request are taken from the quota
+	consumedBefore float64 // units that the customer had consumed at this gateway on its arrival
+	objective      Instant // time at which the latency objective ends
+	deadline       Instant // time at which the client gives up
 	attempts       []attempt
-	inFlight       int  // of attempts
-	done           bool // it has its final answer, or owes none
-	streaming      bool // its answer has begun, and its attempt is out until the answer has ended
+	inFlight       int  // number of attempts that have not ended
+	done           bool // the final answer is emitted, or none is required
+	streaming      bool // the answer has begun; its attempt is in flight until the answer has ended
 }
 
-// mayHaveRun is the first attempt that may have run or may yet run, or nil.
-func (r *request) mayHaveRun() *attempt {
+// firstMayHaveRun returns the first attempt that may have run or may still run. It returns nil if there is
+// none.
+func (r *request) firstMayHaveRun() *attempt {
 	for i := range r.attempts {
 		a := &r.attempts[i]
 		if !a.ended || outcomeMayHaveRun[a.outcome] {
@@ -40,14 +41,14 @@
 	return nil
 }
 
-// requestTable holds the open requests and gives each at most one final answer.
+// requestTable holds the open requests and emits at most one final answer for each.
 type requestTable struct {
 	ctx  *stepContext
 	byID map[RequestID]*request
 }
 
-// finish ends r with a final answer, or without one if answer is nil, and withdraws the attempts that are
-// out. A request that has its answer stays as it is.
+// finish ends r with a final answer, or without one if answer is nil, and cancels the attempts in flight if
+// the settings allow it. It has no effect on a request that is done.
 func (t *requestTable) finish(r *request, answer Action) {
 	if r.done {
 		return
@@ -62,7 +63,7 @@
 	t.forgetIfIdle(r)
 }
 
-// cancelAttempts cancels those of r's first n attempts that are out. The settings must allow it.
+// cancelAttempts cancels those of r's first n attempts that are in flight. The settings must allow it.
 func (t *requestTable) cancelAttempts(r *request, n int) {
 	for i := range n {
 		if !r.attempts[i].ended {
@@ -71,20 +72,20 @@
 	}
 }
 
-// forgetIfIdle drops r, which is done, unless attempts are out.
+// forgetIfIdle removes r, which must be done, from the table unless attempts are in flight.
 func (t *requestTable) forgetIfIdle(r *request) {
 	if r.inFlight == 0 {
 		delete(t.byID, r.id)
 	}
 }
 
-// reject ends r with a rejection, which tells the client that it may send the request again.
+// reject ends r with a rejection, which allows the client to send the request again.
 func (t *requestTable) reject(r *request, v verdict) {
 	retryAfter := max(0, min(v.retryAfter, t.ctx.settings.MaxRetryAfter))
 	t.finish(r, Reject{Request: r.id, Reason: v.reason, RetryAfter: retryAfter})
 }
 
-// answerStarted notes that a streamed answer goes to the client, which owns the attempt from now on.
+// answerStarted records that a streamed answer is sent to the client, which owns the attempt from now on.
 func (t *requestTable) answerStarted(id RequestID) {
 	r := t.byID[id]
 	if r == nil {
@@ -97,7 +98,7 @@
 	r.done = true
 }
 
-// clientDeparted ends a request without an answer.
+// clientDeparted ends a request whose client has disconnected. No answer is required.
 func (t *requestTable) clientDeparted(id RequestID) {
 	if r := t.byID[id]; r != nil {
 		t.finish(r, nil)
--- a/retry.go
+++ b/retry.go
@@ -1,12 +1,12 @@
 package dewhitch
 
 const (
-	retryBudgetPerRequest = 0.1  // retries for each admitted request
-	maxRetryBudget        = 10.0 // retries at once
+	retryBudgetPerRequest = 0.1  // retries added to the budget for each admitted request
+	maxRetryBudget        = 10.0 // largest number of retries in the budget
 )
 
-// retryBudget is a token bucket of retries and hedged requests, filled by admitted requests: those that are
-// rejected come again, and would fill it when it has to be empty.
+// retryBudget is a token bucket for retries and hedged requests. Only admitted requests fill it: rejected
+// requests are sent again by their clients and would fill it when it has to be empty.
 type retryBudget struct{ tokens float64 }
 
 func (b *retryBudget) deposit() { b.tokens = min(maxRetryBudget, b.tokens+retryBudgetPerRequest) }
@@ -15,16 +15,17 @@
 
 func (b *retryBudget) spend() { b.tokens-- }
 
-// retry starts one more attempt of r if the retry budget and the attempt rules allow it and it should be
-// answered within the latency objective, and within the deduplication window if there is one.
+// retry starts another attempt of r if the retry budget and the attempt rules allow it and its answer is
+// expected within the latency objective and, if there is one, within the deduplication window. It returns
+// true if the attempt has started.
 func (c *attemptController) retry(r *request) bool {
-	by := r.objective
+	answerBy := r.objective
 	if end, bounded := r.dedupWindowEnd(); bounded {
-		by = min(by, end)
+		answerBy = min(answerBy, end)
 	}
-	left := seconds(by - c.ctx.now)
-	s, expected := c.balancer.pick(r, left)
-	if !c.retryBudget.available() || s == nil || expected > left {
+	remaining := seconds(answerBy - c.ctx.now)
+	s, expected := c.balancer.pick(r, remaining)
+	if !c.retryBudget.available() || s == nil || expected > remaining {
 		return false
 	}
 	c.retryBudget.spend()
@@ -32,7 +33,7 @@
 	return true
 }
 
-// giveUp ends r with a rejection, if the client may send it again, or else as failed.
+// giveUp ends r with a rejection if the client may send it again, and otherwise as failed.
 func (c *attemptController) giveUp(r *request) {
 	if r.mayReject() {
 		c.requests.reject(r, deny(ReasonExhausted, c.shedder.retryAfter(r, 1)))
--- a/slow_start.go
+++ b/slow_start.go
@@ -3,11 +3,11 @@
 import "cmp"
 
 const (
-	slowStartFraction = 0.5 // of an even part of the attempts: a warming server's budget, times its warmth
-	slowStartBurst    = 1.0 // attempts that a warming server's budget holds at most
+	slowStartFraction = 0.5 // a warming server's fraction of an even share of the attempts, times its warmth
+	slowStartBurst    = 1.0 // largest number of attempts in a warming server's budget
 )
 
-// slowStart limits what a server gets while it warms up.
+// slowStart limits the attempts on a server while it warms up.
 type slowStart struct {
 	ctx       *stepContext
 	endpoints *endpointSet
@@ -15,41 +15,41 @@
 	traffic   *trafficStatistics
 }
 
-// reset starts a server's budget at a random level, so that gateways do not send their first attempts
-// together.
+// reset sets a server's budget to a random level, so that the gateways do not send their first attempts at
+// the same time.
 func (w *slowStart) reset(s *server) {
 	s.slowStartBudget = bucket{level: w.ctx.rng.Float64(), at: w.ctx.now}
 }
 
-// warmth is the fraction of its capacity that a server has reached at least: it grows linearly from
-// StartCapacity to 1 over SlowStartSpan.
+// warmth returns the fraction of its capacity that a server has reached at least. The fraction grows
+// linearly from StartCapacity to 1 over SlowStartSpan.
 func (w *slowStart) warmth(s *server) float64 {
-	set, age := &w.ctx.settings, w.ctx.now-s.StartedAt
-	if s.StartedAt <= 0 || age >= Instant(set.SlowStartSpan) {
+	settings, age := &w.ctx.settings, w.ctx.now-s.StartedAt
+	if s.StartedAt <= 0 || age >= Instant(settings.SlowStartSpan) {
 		return 1
 	}
-	return set.StartCapacity + (1-set.StartCapacity)*seconds(age)/seconds(set.SlowStartSpan)
+	return settings.StartCapacity + (1-settings.StartCapacity)*seconds(age)/seconds(settings.SlowStartSpan)
 }
 
-// evenRate is how many attempts a second a warming server may get, to be multiplied by its warmth. It counts
-// requests that found no server as well as attempts: by attempts alone a set of warming servers gets the
-// less the more is rejected for want of them.
-func (w *slowStart) evenRate(aperture int) float64 {
-	wanted := w.traffic.attemptRate() + w.traffic.endpointRequests/seconds(trafficMemory)
-	return slowStartFraction * wanted / float64(min(len(w.endpoints.ready), aperture))
+// baseRate returns the attempts a second that a warming server may get, before the factor of its warmth. It
+// counts requests that found no server as well as attempts. With attempts alone, a set of warming servers
+// would get less traffic the more requests are rejected for lack of servers.
+func (w *slowStart) baseRate(aperture int) float64 {
+	wantedRate := w.traffic.attemptRate() + w.traffic.endpointRequests/seconds(trafficMemory)
+	return slowStartFraction * wantedRate / float64(min(len(w.endpoints.ready), aperture))
 }
 
-// admits decides whether a server may get an attempt now. A warming server's budget fills at the rate that
-// the fleet set, which knows all gateways' traffic, or else at this gateway's own guess.
-func (w *slowStart) admits(s *server, warmth, evenRate float64) bool {
+// admits returns true if a server may get an attempt now. The budget of a warming server fills at the rate
+// set by the fleet, which knows the traffic of all gateways, or otherwise at this gateway's own estimate.
+func (w *slowStart) admits(s *server, warmth, baseRate float64) bool {
 	if warmth >= 1 {
 		return true
 	}
-	s.slowStartBudget.fill(w.ctx.now, cmp.Or(s.FleetSlowStartRate, warmth*evenRate), slowStartBurst)
+	s.slowStartBudget.fill(w.ctx.now, cmp.Or(s.FleetSlowStartRate, warmth*baseRate), slowStartBurst)
 	return s.slowStartBudget.level >= 1
 }
 
-// spend takes an attempt that starts now off a warming server's budget.
+// spend deducts an attempt that starts now from the budget of a warming server.
 func (w *slowStart) spend(s *server) {
 	if w.warmth(s) < 1 {
 		s.slowStartBudget.level--
--- a/state.go
+++ b/state.go
@@ -5,77 +5,77 @@
 )
 
 // This file exports the module's state as plain values and imports it in the process that replaces this one.
-// It decides nothing on requests; how far old values are trusted is the rule of internal/warmstart. The tags
-// of these types, and the order of the fields in those that are stored as arrays, are a stored form.
+// It makes no decisions on requests. Package internal/warmstart defines how far old values are trusted. The
+// tags of these types, and the order of the fields of types stored as arrays, are part of a stored format.
 
 type (
-	// State is what a gateway knew at an instant. Classes and plans are indices into its settings. Rates are per
-	// second, latencies in seconds; counts decay over some seconds, as of At.
+	// State is the state of a gateway at the time At. Classes and plans are indices into its settings. Rates
+	// are per second and latencies in seconds. Counts decay over some seconds and are those at the time At.
 	State struct {
 		At                 Instant            `json:"At"`
 		SentAttempts       float64            `json:"Sent"`
 		EndpointRequests   float64            `json:"Wanted"` // requests that asked the balancer for a server
 		ThrottleRequests   float64            `json:"Tried"`
 		ThrottleAccepts    float64            `json:"Good"`
-		RetryBudget        float64            `json:"Budget"` // retries
+		RetryBudget        float64            `json:"Budget"` // retries in the budget
 		Latency            float64            `json:"Latency"`
 		IdleLatency        float64            `json:"Idle"`
-		MeanPriority       float64            `json:"Worth"` // mean priority of requests
+		MeanPriority       float64            `json:"Worth"` // mean priority of the requests
 		MeasuredAt         Instant            `json:"Measured"`
-		CounterCallRate    float64            `json:"CallRate"`     // of the counter
-		CounterMinLatency  float64            `json:"CallQuickest"` // of the counter
-		ClassLatencyRatios []float64          `json:"Sizes"`        // by class: its latency, by the mean
-		ZoneFailureShare   []float64          `json:"Cut"`          // by zone: from 0 to 1
+		CounterCallRate    float64            `json:"CallRate"`     // rate limit of counter calls
+		CounterMinLatency  float64            `json:"CallQuickest"` // lowest latency of counter calls
+		ClassLatencyRatios []float64          `json:"Sizes"`        // by class: latency as a multiple of the mean
+		ZoneFailureShare   []float64          `json:"Cut"`          // by zone: failed attempts, from 0 to 1
 		Servers            []ServerStatistics `json:"Servers"`
 		Customers          []AccountState     `json:"Customers"`
 	}
-	// ServerStatistics is what it knew of a server since the server's last start.
+	// ServerStatistics is what a gateway knows of a server since the server's last start.
 	ServerStatistics struct {
-		_ struct{} `cbor:",toarray"` // there are many, and their fields' names would be most of the bytes
+		_ struct{} `cbor:",toarray"` // field names would be most of the bytes, as servers are many
 		Endpoint
-		Latency           float64             `json:"Latency"` // seconds
+		Latency           float64             `json:"Latency"` // expected latency of a lone attempt, in seconds
 		MeasuredAt        Instant             `json:"Measured"`
 		SucceededAt       Instant             `json:"Answered"`
-		SlowStartBudget   float64             `json:"Fed"` // attempts
+		SlowStartBudget   float64             `json:"Fed"` // attempts that the server may get in slow start
 		SlowStartBudgetAt Instant             `json:"FedAt"`
-		Failures          []FailureStatistics `json:"Verdicts"` // by class
+		Failures          []FailureStatistics `json:"Verdicts"` // failures by class
 	}
-	// FailureStatistics is what speaks against a server for a class.
+	// FailureStatistics holds the failures of a server for a class since its last success of the class.
 	FailureStatistics struct {
 		_             struct{} `cbor:",toarray"`
-		Count         int      `json:"Failed"` // consecutive failures
+		Count         int      `json:"Failed"` // number of consecutive failures
 		SucceededAt   Instant  `json:"Answered"`
 		FirstFailedAt Instant  `json:"At"`
 		EjectedUntil  Instant  `json:"Ejected"`
 	}
-	// AccountState is a customer's account. Units are those of the customer's quota.
+	// AccountState is the state of a customer's account. Units are those of the customer's quota.
 	AccountState struct {
 		_             struct{}   `cbor:",toarray"`
 		ID            CustomerID `json:"ID"`
 		Plan          int        `json:"Plan"`
-		Spread        int        `json:"Spread"` // gateways that serve the customer
-		Assigned      bool       `json:"InSet"`  // this gateway is one of them
+		Spread        int        `json:"Spread"` // number of gateways that serve the customer
+		Assigned      bool       `json:"InSet"`  // this gateway serves the customer
 		Window        Span       `json:"Window"`
-		Level         float64    `json:"Level"`     // units
-		PredictedUse  float64    `json:"Predicted"` // units of the other gateways' use, as predicted
-		OwnRate       float64    `json:"Own"`       // units a second
-		OthersRate    float64    `json:"Others"`    // units a second
-		Demand        float64    `json:"Asked"`     // units
-		DemandSpan    float64    `json:"AskedIn"`   // seconds
-		UpdatedAt     Instant    `json:"At"`        // of Level
+		Level         float64    `json:"Level"`     // units in the quota's bucket
+		PredictedUse  float64    `json:"Predicted"` // predicted use of the other gateways, in units
+		OwnRate       float64    `json:"Own"`       // use of this gateway, in units a second
+		OthersRate    float64    `json:"Others"`    // use of the other gateways, in units a second
+		Demand        float64    `json:"Asked"`     // units requested at all gateways
+		DemandSpan    float64    `json:"AskedIn"`   // seconds in which Demand was requested
+		UpdatedAt     Instant    `json:"At"`        // time at which Level was valid
 		LastTotalAt   Instant    `json:"LastTotal"`
 		BlockedUntil  Instant    `json:"ListedTill"`
 		LastRequestAt Instant    `json:"Seen"`
 		WindowNumber  int64      `json:"Turn"`
-		WindowTotal   float64    `json:"Total"` // units
+		WindowTotal   float64    `json:"Total"` // units of all gateways in the window
 		OwnInWindow   float64    `json:"Mine"`  // units of this gateway in WindowTotal
-		WindowElapsed float64    `json:"Past"`  // seconds of the window at its last total
+		WindowElapsed float64    `json:"Past"`  // seconds of the window that had passed at its last total
 	}
 )
 
-// Export fills s, whose slices are used again, with the state after the last event, and with maxCustomers at
-// most: more of them cost the caller more than their replacement gains. Accounts that are as new ones would
-// be are left out. It is called between two events, on the goroutine that owns the gateway.
+// Export fills s with the state after the last event and reuses its slices. It exports at most maxCustomers
+// accounts: more of them cost the caller more than their replacement gains. Accounts that are equal to new
+// ones are omitted. It must be called between two events, on the goroutine that owns the gateway.
 func (g *Gateway) Export(s *State, maxCustomers int) {
 	g.traffic.decay()
 	callRate, minLatency := g.counter.limiter.Export()
@@ -100,24 +100,24 @@
 	for zone := range g.ctx.settings.Zones {
 		s.ZoneFailureShare = append(s.ZoneFailureShare, g.traffic.zoneFailures[zone])
 	}
-	for _, v := range g.endpoints.servers {
-		if v.State != Removed && g.hasStatistics(v) {
-			s.Servers = append(s.Servers, v.export())
+	for _, srv := range g.endpoints.servers {
+		if srv.State != Removed && g.hasStatistics(srv) {
+			s.Servers = append(s.Servers, srv.export())
 		}
 	}
-	for _, a := range g.accounts.byID { // in any order
+	for _, a := range g.accounts.byID { // the order has no effect
 		if len(s.Customers) < maxCustomers && !a.unusedForWindows(g.ctx.now) {
 			s.Customers = append(s.Customers, a.export(g.ctx.settings.Plans))
 		}
 	}
 }
 
-// hasStatistics tells whether this gateway knows anything of a server: of very many it uses few.
+// hasStatistics returns true if this gateway has statistics of a server. Of very many servers it uses few.
 func (g *Gateway) hasStatistics(s *server) bool {
 	return s.measuredAt > 0 || s.inFlight > 0 || s.hasFailures() || g.slowStart.warmth(s) < 1
 }
 
-// export is what is known of a server.
+// export returns the statistics of a server.
 func (s *server) export() ServerStatistics {
 	e := ServerStatistics{
 		Endpoint:          s.Endpoint,
@@ -128,14 +128,15 @@
 		SlowStartBudgetAt: s.slowStartBudget.at,
 	}
 	for _, f := range s.failures {
-		e.Failures = append(e.Failures, FailureStatistics{Count: f.count, SucceededAt: f.succeededAt,
-			FirstFailedAt: f.firstAt, EjectedUntil: f.ejectedUntil})
+		e.Failures = append(e.Failures, FailureStatistics{Count: f.consecutiveFailures, SucceededAt: f.succeededAt,
+			FirstFailedAt: f.firstFailedAt, EjectedUntil: f.ejectedUntil})
 	}
 	return e
 }
 
-// export is an account for the process that replaces this one. What this one has still to push is off the
-// level already, and will come to the other by the counter, as use of others.
+// export returns the state of an account for the process that replaces this one. Units that this process has
+// not pushed yet are already deducted from the level. They reach the other process by the counter, as use of
+// other gateways, and are therefore part of the predicted use.
 func (a *account) export(plans []Plan) AccountState {
 	e := AccountState{
 		ID:            a.id,
@@ -168,9 +169,9 @@
 	return e
 }
 
-// Import takes over what another process of this gateway knew, before the first event, and returns how many
-// servers and customers it took: 0 and 0 if s is too old or an event has come already. The values must be
-// numbers, and of this gateway's settings.
+// Import restores the state that another process of this gateway exported. It must be called before the
+// first event. It returns the numbers of restored servers and customers: 0 and 0 if s is too old or an event
+// has already been handled. The values of s must be numbers and fit this gateway's settings.
 func (g *Gateway) Import(now Instant, s *State) (servers, customers int) {
 	age := seconds(now - s.At)
 	trust := warmstart.Trust(age)
@@ -190,7 +191,7 @@
 	return len(s.Servers), customers
 }
 
-// importTraffic takes over the counts of requests and attempts, as far as they are trusted.
+// importTraffic restores the counts of requests and attempts, weighted by trust.
 func (g *Gateway) importTraffic(s *State, trust float64) {
 	t := g.traffic
 	t.decayedAt = g.ctx.now
@@ -206,22 +207,22 @@
 	g.counter.limiter.Resume(s.CounterCallRate, s.CounterMinLatency)
 }
 
-// importLatency takes over the averages over all servers.
+// importLatency restores the averages over all servers.
 func (g *Gateway) importLatency(s *State) {
 	l := g.latency
 	l.mean = s.Latency
 	l.idle = s.IdleLatency
 	l.measuredAt = s.MeasuredAt
 	copy(l.classLatencyRatio, s.ClassLatencyRatios)
-	for i, size := range l.classLatencyRatio {
-		if size != 1 { // it was measured
-			l.classSamples[i] = importedSizeSamples
+	for i, ratio := range l.classLatencyRatio {
+		if ratio != 1 { // the ratio was measured
+			l.classSamples[i] = importedRatioSamples
 		}
 	}
 }
 
-// importServers takes over what was known of the servers. Only the endpoint list says which of them may be
-// sent to: until it does, they are draining, and one that has restarted since is a new one to it.
+// importServers restores the statistics of the servers. Only the endpoint list decides which of them may get
+// attempts: until it arrives they are draining, and a server that has restarted since is treated as new.
 func (g *Gateway) importServers(s *State, trust float64) {
 	entries := make([]Endpoint, len(s.Servers))
 	for i, e := range s.Servers {
@@ -230,24 +231,25 @@
 	}
 	g.updateEndpoints(EndpointList{Kind: ListDelta, Servers: entries})
 	for _, e := range s.Servers {
-		v := g.endpoints.byID[e.ID]
-		v.latency = warmstart.Latency(e.Latency, g.latency.mean, trust)
-		v.measuredAt = e.MeasuredAt
-		v.succeededAt = e.SucceededAt
-		v.slowStartBudget.level = min(slowStartBurst, e.SlowStartBudget)
-		v.slowStartBudget.at = max(e.SlowStartBudgetAt, s.At)
-		for k, f := range e.Failures[:min(len(e.Failures), len(v.failures))] {
-			v.failures[k] = failureRecord{succeededAt: f.SucceededAt, count: f.Count, firstAt: f.FirstFailedAt,
-				ejectedUntil: f.EjectedUntil}
+		srv := g.endpoints.byID[e.ID]
+		srv.latency = warmstart.Latency(e.Latency, g.latency.mean, trust)
+		srv.measuredAt = e.MeasuredAt
+		srv.succeededAt = e.SucceededAt
+		srv.slowStartBudget.level = min(slowStartBurst, e.SlowStartBudget)
+		srv.slowStartBudget.at = max(e.SlowStartBudgetAt, s.At)
+		for k, f := range e.Failures[:min(len(e.Failures), len(srv.failures))] {
+			srv.failures[k] = failureRecord{succeededAt: f.SucceededAt, consecutiveFailures: f.Count,
+				firstFailedAt: f.FirstFailedAt, ejectedUntil: f.EjectedUntil}
 			if f.Count > 0 {
-				g.outliers.suspects[v] = true
+				g.outliers.suspects[srv] = true
 			}
 		}
 	}
 }
 
-// importAccount takes over a customer's account, if it has the same windows and gateways here, and tells
-// whether it did. Of a window that has ended since, nothing is taken but the level.
+// importAccount restores a customer's account. It returns false and restores nothing if the account has
+// another window length or number of gateways here. If its window has ended since, the totals of that window
+// and the predicted use are not restored.
 func (g *Gateway) importAccount(e *AccountState) bool {
 	now := g.ctx.now
 	a := g.accounts.get(Arrival{Customer: e.ID, Spread: e.Spread, First: g.ctx.settings.Self},
