--- a/comments_test.go
+++ b/comments_test.go
@@ -12,11 +12,11 @@
 	"testing"
 )
 
-// Every package, and every exported type, function, method of an exported type, constant and variable, says in a comment what
-// it is. A group of constants or variables may say it once, or item by item.
+// Every package, and every exported type, function, method of an exported type, constant and variable, must have a comment. In a
+// group of constants or variables, one comment for the group is enough.
 func TestExportedItemsAreDocumented(t *testing.T) {
 	files := token.NewFileSet()
-	documented := map[string]bool{} // packages, by folder
+	documented := map[string]bool{} // whether the package has a comment, by folder
 	err := filepath.WalkDir(".", func(path string, d fs.DirEntry, err error) error {
 		switch {
 		case err != nil:
@@ -43,7 +43,7 @@
 		t.Fatal(err)
 	}
 	if len(documented) < 20 {
-		t.Errorf("%d packages were found: the test looks in the wrong place", len(documented))
+		t.Errorf("%d packages found, want at least 20: the test looks in the wrong place", len(documented))
 	}
 	for folder, ok := range documented {
 		if !ok {
@@ -52,7 +52,7 @@
 	}
 }
 
-// undocumented names the exported declarations of a file that have no comment.
+// undocumented returns the names of the exported declarations of a file that have no comment.
 func undocumented(file *ast.File) (names []string) {
 	for _, decl := range file.Decls {
 		switch d := decl.(type) {
@@ -85,7 +85,7 @@
 	return names
 }
 
-// receiverExported tells whether a function is none of a type that is not exported.
+// receiverExported returns true if d is a plain function or a method of an exported type.
 func receiverExported(d *ast.FuncDecl) bool {
 	if d.Recv == nil {
 		return true
@@ -101,33 +101,33 @@
 	return ok && name.IsExported()
 }
 
-// pagePath finds the names of files and folders of this repository in a page: what stands between backticks and is a path.
+// pagePath matches the paths of files and folders of this repository in a page. Paths are written between backticks.
 var pagePath = regexp.MustCompile("`((?:[a-z0-9_-]+/)*[a-z0-9_.-]+\\.(?:go|md|toml|json|star)|(?:cmd|internal|docs|deploy)(?:/[a-z0-9_-]+)+)`")
 
-// The pages that tell a newcomer where things are name only files and folders that exist.
+// The files and folders that the pages for newcomers and operators refer to must exist.
 func TestPagesNameFilesThatExist(t *testing.T) {
 	for _, page := range []string{"README.md", "docs/architecture.md", "docs/glossary.md"} {
 		if found := checkPagePaths(t, page); found < 10 {
-			t.Errorf("%s: %d paths were found: the test looks for the wrong form", page, found)
+			t.Errorf("%s: %d paths found, want at least 10: the test looks for the wrong form", page, found)
 		}
 	}
 	total := 0
 	for _, folder := range []string{"docs/design", "docs/operate"} {
 		pages, err := filepath.Glob(folder + "/*.md")
 		if err != nil || len(pages) < 8 {
-			t.Fatalf("%s: %d pages, %v: the test looks in the wrong place", folder, len(pages), err)
+			t.Fatalf("%s: %d pages found, want at least 8, error %v: the test looks in the wrong place", folder, len(pages), err)
 		}
 		for _, page := range pages {
 			total += checkPagePaths(t, page)
 		}
 	}
 	if total < 40 {
-		t.Errorf("%d paths were found in the design and operating pages: the test looks for the wrong form", total)
+		t.Errorf("%d paths found in the design and operating pages, want at least 40: the test looks for the wrong form", total)
 	}
 }
 
-// checkPagePaths fails the test for each path on a page that does not exist, and counts the paths. A path starts at the root, so a
-// file is named with its folder.
+// checkPagePaths fails the test for each path on a page that does not exist, and returns the number of paths. Paths are relative
+// to the root of the repository.
 func checkPagePaths(t *testing.T, page string) int {
 	t.Helper()
 	text, err := os.ReadFile(page)
--- a/harness_test.go
+++ b/harness_test.go
@@ -12,6 +12,7 @@
 	second      = dw.Span(1e9)
 )
 
+// settings returns the settings of one of two gateways, with two classes and a plan of 2 units a second.
 func settings() dw.Settings {
 	return dw.Settings{Instances: 2, Zones: 1, Tick: millisecond, Counter: true, CounterTimeout: 50 * millisecond, MaxUnits: 1,
 		MaxAttempts: 3, MayCancel: true, MaxRetryAfter: 500 * millisecond, AnswerSlack: 16 * millisecond, DrainGrace: second,
@@ -21,21 +22,22 @@
 		Plans: []dw.Plan{{Rate: 2, Burst: 6, WeightFactor: 1, OverQuotaCost: 1}}}
 }
 
-// harness drives one gateway by hand: it keeps its timers and answers its counter calls as it is told to.
+// harness drives one gateway on a virtual clock: it fires the gateway's timers and answers its counter calls.
 type harness struct {
 	t              *testing.T
 	gateway        *dw.Gateway
 	now            dw.Instant
 	timers         []dw.SetTimer
 	attempts       []dw.StartAttempt
-	answers        map[dw.RequestID]dw.Action // final answers
+	answers        map[dw.RequestID]dw.Action // final answers by request
 	cancels        []dw.CancelAttempt
 	counterCalls   []dw.CounterAdd
-	counter        func(dw.CounterAdd) *dw.CounterAnswered // nil: silence until the time-out
+	counter        func(dw.CounterAdd) *dw.CounterAnswered // returns nil if the call times out
 	counterReplies []counterReply
 	lastID         int
 }
 
+// counterReply is a counter answer and the time of its delivery.
 type counterReply struct {
 	at dw.Instant
 	e  dw.CounterAnswered
@@ -48,13 +50,13 @@
 		t.Fatal(err)
 	}
 	totals := map[string]float64{}
-	b := &harness{t: t, gateway: g, now: dw.Instant(100 * second), answers: map[dw.RequestID]dw.Action{}}
-	b.counter = func(c dw.CounterAdd) *dw.CounterAnswered {
+	h := &harness{t: t, gateway: g, now: dw.Instant(100 * second), answers: map[dw.RequestID]dw.Action{}}
+	h.counter = func(c dw.CounterAdd) *dw.CounterAnswered {
 		totals[c.Name] += c.Add
 		return &dw.CounterAnswered{Name: c.Name, Total: totals[c.Name]}
 	}
-	b.handle(dw.EndpointList{Kind: dw.ListCached, Servers: servers})
-	return b
+	h.handle(dw.EndpointList{Kind: dw.ListCached, Servers: servers})
+	return h
 }
 
 func (b *harness) handle(e dw.Event) {
@@ -85,7 +87,7 @@
 	}
 }
 
-// fireTimers tells of the timers that are due.
+// fireTimers fires the timers that are due.
 func (b *harness) fireTimers() {
 	due := b.timers
 	b.timers = nil
@@ -98,14 +100,14 @@
 	}
 }
 
-// advance lets time go by, with timers and counter answers coming when they are due.
+// advance moves the clock on, and fires timers and delivers counter answers when they are due.
 func (b *harness) advance(d dw.Span) {
 	for end := b.now + dw.Instant(d); b.now < end; {
 		b.now += dw.Instant(millisecond)
 		b.fireTimers()
-		replys := b.counterReplies
+		pending := b.counterReplies
 		b.counterReplies = nil
-		for _, r := range replys {
+		for _, r := range pending {
 			if r.at <= b.now {
 				b.handle(r.e)
 			} else {
@@ -115,7 +117,7 @@
 	}
 }
 
-// request has one request arrive and returns its identifier and whether an attempt started.
+// request submits a request. It returns its identifier, and true if an attempt started.
 func (b *harness) request(a dw.Arrival) (dw.RequestID, bool) {
 	b.lastID++
 	a.ID = dw.RequestID(fmt.Sprint("q", b.lastID))
@@ -133,21 +135,21 @@
 	return a.ID, len(b.attempts) > n
 }
 
-// serve has n requests arrive d apart, answers each at once, and returns how many were admitted.
-func (b *harness) serve(n int, d dw.Span, a dw.Arrival) (in int) {
+// serve submits n requests at intervals of d, answers each at once, and returns the number of admitted requests.
+func (b *harness) serve(n int, interval dw.Span, a dw.Arrival) (admitted int) {
 	for range n {
-		id, ok := b.request(a)
-		if ok {
-			in++
+		id, sent := b.request(a)
+		if sent {
+			admitted++
 			s := b.attempts[len(b.attempts)-1]
 			b.handle(dw.AttemptEnded{Request: id, Server: s.Server, Final: true, Latency: 10 * millisecond})
 		}
-		b.advance(d)
+		b.advance(interval)
 	}
-	return in
+	return admitted
 }
 
-// manyGateways are the settings of one gateway of very many, whose even part of a burst is below one request.
+// manyGateways returns the settings of one of very many gateways: an even share of a burst is below one request.
 func manyGateways() dw.Settings {
 	s := settings()
 	s.Instances, s.ParallelAttempts = 100, true
--- a/hedging_test.go
+++ b/hedging_test.go
@@ -6,31 +6,31 @@
 	dw "dewhitch"
 )
 
-// An attempt that is slow on a server that answers others is not hedged: hedging made the overload worse (incident of
-// opnames-brabant). One on a silent server is.
+// Guards against hedging an attempt that is only slow: hedging made the overload worse (incident of opnames-brabant). An attempt
+// is hedged if its server answers no other request either.
 func TestOnlySilentServersAreHedged(t *testing.T) {
-	for _, silent := range []bool{false, true} {
-		b := newHarness(t, settings(), dw.Endpoint{ID: 7})
-		for c := range dw.CustomerID(50) { // the servers are known to be at ease
-			b.serve(1, 10*millisecond, dw.Arrival{Customer: c + 10})
+	for _, unresponsive := range []bool{false, true} {
+		h := newHarness(t, settings(), dw.Endpoint{ID: 7})
+		for c := range dw.CustomerID(50) { // the latency estimates are low
+			h.serve(1, 10*millisecond, dw.Arrival{Customer: c + 10})
 		}
-		slow, _ := b.request(dw.Arrival{Customer: 1})
-		b.advance(100 * millisecond)
-		other, _ := b.request(dw.Arrival{Customer: 2})
-		b.advance(50 * millisecond)
-		if !silent {
-			b.handle(dw.AttemptEnded{Request: other, Server: 7, Final: true, Latency: 50 * millisecond})
+		slow, _ := h.request(dw.Arrival{Customer: 1})
+		h.advance(100 * millisecond)
+		other, _ := h.request(dw.Arrival{Customer: 2})
+		h.advance(50 * millisecond)
+		if !unresponsive {
+			h.handle(dw.AttemptEnded{Request: other, Server: 7, Final: true, Latency: 50 * millisecond})
 		}
-		b.advance(150 * millisecond)
-		moved := len(b.cancels) > 0
-		if moved != silent {
-			t.Errorf("silent %v: request %s is taken back: %v", silent, slow, moved)
+		h.advance(150 * millisecond)
+		cancelled := len(h.cancels) > 0
+		if cancelled != unresponsive {
+			t.Errorf("server unresponsive %v: attempt of request %s cancelled %v, want the same", unresponsive, slow, cancelled)
 		}
 	}
 }
 
-// Where gateways send to each server seldom, every slow answer looks like silence, and hedging made all servers slower
-// (report L2da371): nothing is hedged while all are slow. A server that is silent while others are quick is.
+// Guards against hedging while all servers are slow. If gateways rarely send to each server, every slow answer looks like an
+// unresponsive server, and hedging made all servers slower (report L2da371). An unresponsive server among fast ones is hedged.
 func TestNoHedgingWhenAllAreSlow(t *testing.T) {
 	for latency, want := range map[dw.Span]struct{ min, max int }{250 * millisecond: {0, 5}, 10 * millisecond: {10, 40}} {
 		s := manyGateways()
@@ -39,22 +39,23 @@
 		for i := range 50 {
 			servers = append(servers, dw.Endpoint{ID: dw.ServerID(i)})
 		}
-		b := newHarness(t, s, servers...)
-		first := 0
+		h := newHarness(t, s, servers...)
+		firstAttempts := 0
 		for i := range 300 {
-			n := len(b.attempts)
-			if id, ok := b.request(dw.Arrival{}); ok {
-				first++
-				if wait := latency; i%10 != 0 { // else it is never answered
-					b.advance(wait)
-					b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[n].Server, Final: true, Latency: wait})
+			n := len(h.attempts)
+			if id, ok := h.request(dw.Arrival{}); ok {
+				firstAttempts++
+				if wait := latency; i%10 != 0 { // the other requests are never answered
+					h.advance(wait)
+					h.handle(dw.AttemptEnded{Request: id, Server: h.attempts[n].Server, Final: true, Latency: wait})
 				}
 			}
-			b.advance(100 * millisecond)
+			h.advance(100 * millisecond)
 		}
-		b.advance(800 * millisecond)
-		if copies := len(b.attempts) - first; copies < want.min || copies > want.max || first < 20 {
-			t.Errorf("answers in %v: %d copies of %d requests, want %d to %d", latency, copies, first, want.min, want.max)
+		h.advance(800 * millisecond)
+		if hedged := len(h.attempts) - firstAttempts; hedged < want.min || hedged > want.max || firstAttempts < 20 {
+			t.Errorf("latency %v: %d hedged attempts for %d requests, want %d to %d for at least 20 requests",
+				latency, hedged, firstAttempts, want.min, want.max)
 		}
 	}
 }
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -9,47 +9,50 @@
 	dw "dewhitch"
 )
 
-// simulation feeds several gateways seeded random legal events and checks the invariants from outside, by its own records.
+// simulation feeds several gateways random legal events from a seed and checks the invariants from outside, by its own records.
 type simulation struct {
 	t        *testing.T
 	rng      *rand.Rand
 	settings dw.Settings
 	now      dw.Instant
 	gateways []*simulatedGateway
-	ceilings map[dw.CustomerID]*trueCeiling // the true ceilings
+	ceilings map[dw.CustomerID]*trueCeiling // true state of the ceilings by customer
 	totals   map[string]float64
 	lastID   int
 }
 
+// trueCeiling is a customer's hard ceiling over all gateways.
 type trueCeiling struct {
 	level float64
 	at    dw.Instant
 }
 
+// simulatedGateway is a gateway with the simulation's own records of its state.
 type simulatedGateway struct {
 	*dw.Gateway
-	self      int
-	state     map[dw.ServerID]dw.EndpointState
-	drainedAt map[dw.ServerID]dw.Instant // when it was told of a drain
-	servers   map[dw.ServerID]dw.Endpoint
-	requests  map[dw.RequestID]*simulatedRequest
-	pending   []scheduledEvent
-	tally     map[dw.CustomerID]float64 // by what it said
-	calls     map[string]dw.CounterAdd
+	self         int
+	serverStates map[dw.ServerID]dw.EndpointState
+	drainedAt    map[dw.ServerID]dw.Instant // time at which the gateway learned that the server drains
+	servers      map[dw.ServerID]dw.Endpoint
+	requests     map[dw.RequestID]*simulatedRequest
+	scheduled    []scheduledEvent
+	tally        map[dw.CustomerID]float64 // units on the tally by customer, according to the gateway's actions
+	counterCalls map[string]dw.CounterAdd
 }
 
 type scheduledEvent struct {
-	at dw.Instant
-	e  dw.Event
+	at    dw.Instant
+	event dw.Event
 }
 
+// simulatedRequest is a request as the client sees it.
 type simulatedRequest struct {
-	arrival  dw.Arrival
-	deadline dw.Instant
-	attempts []*simulatedAttempt
-	finished bool
-	owed     bool
-	final    int
+	arrival      dw.Arrival
+	deadline     dw.Instant
+	attempts     []*simulatedAttempt
+	finished     bool
+	needsAnswer  bool
+	finalAnswers int
 }
 
 type simulatedAttempt struct {
@@ -67,55 +70,55 @@
 	return true
 }
 
-func (w *simulation) schedule(g *simulatedGateway, after dw.Span, e dw.Event) {
-	g.pending = append(g.pending, scheduledEvent{w.now + dw.Instant(after), e})
+func (sim *simulation) schedule(g *simulatedGateway, after dw.Span, e dw.Event) {
+	g.scheduled = append(g.scheduled, scheduledEvent{sim.now + dw.Instant(after), e})
 }
 
-func (w *simulation) handle(g *simulatedGateway, e dw.Event) {
-	acts := g.Handle(w.now, e, nil)
-	if e, ok := e.(dw.CounterAnswered); ok { // before what it led to, which may be another call
+func (sim *simulation) handle(g *simulatedGateway, e dw.Event) {
+	actions := g.Handle(sim.now, e, nil)
+	if e, ok := e.(dw.CounterAnswered); ok { // before the resulting actions, which may contain another call
 		if e.Outcome != dw.OutcomeOK && e.Outcome != dw.OutcomeTimeout {
-			g.tally[g.calls[e.Name].Customer] += g.calls[e.Name].Add
+			g.tally[g.counterCalls[e.Name].Customer] += g.counterCalls[e.Name].Add
 		}
 	}
-	for _, a := range acts {
-		w.carryOut(g, a)
+	for _, a := range actions {
+		sim.carryOut(g, a)
 	}
 	for c, announced := range g.tally {
-		if len(acts) == 0 {
+		if len(actions) == 0 {
 			break
 		}
 		if tally, known := g.Tally(c); known && math.Abs(tally-announced) > 1e-6 {
-			w.t.Fatalf("customer %d has %v on the tally, after %v was drawn and not told", c, tally, announced)
+			sim.t.Fatalf("customer %d: tally is %v, but %v units were announced and not yet pushed", c, tally, announced)
 		} else if !known {
 			delete(g.tally, c)
 		}
 	}
 }
 
-func (w *simulation) carryOut(g *simulatedGateway, a dw.Action) {
-	t := w.t
+func (sim *simulation) carryOut(g *simulatedGateway, a dw.Action) {
+	t := sim.t
 	final := func(id dw.RequestID, rejected bool) {
 		r := g.requests[id]
-		if r == nil || r.final > 0 {
-			t.Fatalf("rule 1: %T for %s, which is unknown or had a final answer", a, id)
+		if r == nil || r.finalAnswers > 0 {
+			t.Fatalf("rule 1: %T for request %s, which is unknown or already has a final answer", a, id)
 		}
-		r.final++
+		r.finalAnswers++
 		if r.finished {
 			return
 		}
-		r.finished, r.owed = true, false
-		class := w.settings.Classes[r.arrival.Class]
+		r.finished, r.needsAnswer = true, false
+		class := sim.settings.Classes[r.arrival.Class]
 		for _, k := range r.attempts {
 			if rejected && k.mayHaveRun() && (class.Idempotency == dw.NotIdempotent ||
 				class.Idempotency == dw.IdempotentByKey && class.DedupScope != dw.DedupAll) {
-				t.Fatalf("rule 2: %s rejected though an attempt may have run", id)
+				t.Fatalf("rule 2: request %s was rejected although an attempt may have run", id)
 			}
 		}
 	}
 	switch a := a.(type) {
 	case dw.SetTimer:
-		w.schedule(g, dw.Span(max(a.At-w.now, dw.Instant(w.settings.Tick))), dw.TimerFired{ID: a.ID})
+		sim.schedule(g, dw.Span(max(a.At-sim.now, dw.Instant(sim.settings.Tick))), dw.TimerFired{ID: a.ID})
 	case dw.Reject:
 		final(a.Request, true)
 	case dw.Fail:
@@ -124,57 +127,57 @@
 		g.tally[a.Customer] += a.Units
 	case dw.CounterAdd:
 		if announced := g.tally[a.Customer]; math.Abs(announced-a.Add) > 1e-6 {
-			t.Fatalf("customer %d: %v is told, after %v was drawn", a.Customer, a.Add, announced)
+			t.Fatalf("customer %d: CounterAdd pushes %v units, but %v were announced", a.Customer, a.Add, announced)
 		}
-		g.tally[a.Customer], g.calls[a.Name] = 0, a
+		g.tally[a.Customer], g.counterCalls[a.Name] = 0, a
 		outcome, total := dw.OutcomeOK, 0.0
-		switch w.rng.IntN(10) {
+		switch sim.rng.IntN(10) {
 		case 0:
 			outcome = dw.OutcomeRejected
-		case 1: // timed out, and counted or not
+		case 1: // timed out; the units may be counted or not
 			outcome = dw.OutcomeTimeout
-			w.totals[a.Name] += a.Add * float64(w.rng.IntN(2))
-		case 2: // forgotten
-			w.totals[a.Name] = 0
+			sim.totals[a.Name] += a.Add * float64(sim.rng.IntN(2))
+		case 2: // the counter has lost its state
+			sim.totals[a.Name] = 0
 			fallthrough
 		default:
-			w.totals[a.Name] += a.Add
-			total = w.totals[a.Name]
+			sim.totals[a.Name] += a.Add
+			total = sim.totals[a.Name]
 		}
-		w.schedule(g, 1+dw.Span(w.rng.Int64N(int64(w.settings.CounterTimeout))),
+		sim.schedule(g, 1+dw.Span(sim.rng.Int64N(int64(sim.settings.CounterTimeout))),
 			dw.CounterAnswered{Name: a.Name, Outcome: outcome, Total: total})
 	case dw.CancelAttempt:
 		r := g.requests[a.Request]
-		if r == nil || a.Attempt >= len(r.attempts) || !w.settings.MayCancel {
-			t.Fatalf("illegal cancel %+v", a)
+		if r == nil || a.Attempt >= len(r.attempts) || !sim.settings.MayCancel {
+			t.Fatalf("illegal action %+v: unknown attempt, or the settings forbid cancellation", a)
 		}
 		if k := r.attempts[a.Attempt]; !k.ended {
-			w.endAttempt(g, r, a.Attempt, dw.OutcomeCancelled)
+			sim.endAttempt(g, r, a.Attempt, dw.OutcomeCancelled)
 		}
 	case dw.StartAttempt:
-		w.startAttempt(g, a)
+		sim.startAttempt(g, a)
 	default:
 		t.Fatalf("unexpected action %T", a)
 	}
 }
 
-func (w *simulation) startAttempt(g *simulatedGateway, a dw.StartAttempt) {
-	t, r := w.t, g.requests[a.Request]
-	if r == nil || r.finished || r.final > 0 {
-		t.Fatalf("rule 1: %s sent after its end", a.Request)
+func (sim *simulation) startAttempt(g *simulatedGateway, a dw.StartAttempt) {
+	t, r := sim.t, g.requests[a.Request]
+	if r == nil || r.finished || r.finalAnswers > 0 {
+		t.Fatalf("rule 1: request %s was sent after its end", a.Request)
 	}
 	s, known := g.servers[a.Server]
 	if !known {
 		t.Fatalf("server %d was never listed", a.Server)
 	}
-	if g.state[a.Server] != dw.Ready && w.now-g.drainedAt[a.Server] > dw.Instant(w.settings.DrainGrace) {
-		t.Fatalf("rule 3: sent to %d, %d ns after its drain", a.Server, w.now-g.drainedAt[a.Server])
+	if g.serverStates[a.Server] != dw.Ready && sim.now-g.drainedAt[a.Server] > dw.Instant(sim.settings.DrainGrace) {
+		t.Fatalf("rule 3: an attempt was sent to server %d, %d ns after it started to drain", a.Server, sim.now-g.drainedAt[a.Server])
 	}
-	class, plan := w.settings.Classes[r.arrival.Class], w.settings.Plans[r.arrival.Plan]
-	out := 0
+	class, plan := sim.settings.Classes[r.arrival.Class], sim.settings.Plans[r.arrival.Plan]
+	inFlight := 0
 	for _, k := range r.attempts {
 		if !k.ended {
-			out++
+			inFlight++
 		}
 		if !k.mayHaveRun() {
 			continue
@@ -182,45 +185,45 @@
 		first := g.servers[k.server]
 		switch {
 		case class.Idempotency == dw.NotIdempotent:
-			t.Fatalf("rule 2: unsafe %s sent again though it may have run", a.Request)
+			t.Fatalf("rule 2: request %s is not idempotent and was sent again although it may have run", a.Request)
 		case class.Idempotency == dw.IdempotentByKey && (class.DedupScope == dw.DedupCell && first.Cell != s.Cell ||
-			class.DedupScope == dw.DedupZone && first.Zone != s.Zone || a.StartWithin <= 0 || w.now+dw.Instant(a.StartWithin)-k.startedAt > dw.Instant(class.DedupWindow)):
-			t.Fatalf("rule 2: keyed %s sent outside its group or window", a.Request)
+			class.DedupScope == dw.DedupZone && first.Zone != s.Zone || a.StartWithin <= 0 || sim.now+dw.Instant(a.StartWithin)-k.startedAt > dw.Instant(class.DedupWindow)):
+			t.Fatalf("rule 2: request %s with a key was repeated outside its deduplication scope or window", a.Request)
 		}
 	}
-	if out > 0 && !w.settings.ParallelAttempts {
-		t.Fatalf("rule 2: %s has two attempts out", a.Request)
+	if inFlight > 0 && !sim.settings.ParallelAttempts {
+		t.Fatalf("rule 2: request %s has two attempts in flight", a.Request)
 	}
-	if len(r.attempts) >= w.settings.MaxAttempts {
-		t.Fatalf("%s has too many attempts", a.Request)
+	if len(r.attempts) >= sim.settings.MaxAttempts {
+		t.Fatalf("request %s has more than MaxAttempts attempts", a.Request)
 	}
 	if len(r.attempts) == 0 && plan.CeilingRate > 0 {
-		st := w.ceilings[r.arrival.Customer]
-		st.level = min(plan.CeilingBurst, st.level+plan.CeilingRate*float64(w.now-st.at)/1e9) - r.arrival.Units
-		st.at = w.now
-		if st.level < -plan.Tolerance-1e-6 {
-			t.Fatalf("rule 5: the ceiling's store stands at %.2f", st.level)
+		ceiling := sim.ceilings[r.arrival.Customer]
+		ceiling.level = min(plan.CeilingBurst, ceiling.level+plan.CeilingRate*float64(sim.now-ceiling.at)/1e9) - r.arrival.Units
+		ceiling.at = sim.now
+		if ceiling.level < -plan.Tolerance-1e-6 {
+			t.Fatalf("rule 5: the bucket of the hard ceiling is at %.2f, below the tolerance", ceiling.level)
 		}
 	}
-	r.attempts = append(r.attempts, &simulatedAttempt{server: a.Server, startedAt: w.now})
-	limit := dw.Span(r.deadline - w.now)
+	r.attempts = append(r.attempts, &simulatedAttempt{server: a.Server, startedAt: sim.now})
+	limit := dw.Span(r.deadline - sim.now)
 	if a.Timeout > 0 {
 		limit = min(limit, a.Timeout)
 	}
-	duration, outcome := dw.Span(w.rng.ExpFloat64()*80e6)+1e6, dw.OutcomeOK
-	if a.Server%4 == 0 && w.now/1e9%7 < 3 { // hangs now and then
+	duration, outcome := dw.Span(sim.rng.ExpFloat64()*80e6)+1e6, dw.OutcomeOK
+	if a.Server%4 == 0 && sim.now/1e9%7 < 3 { // the server hangs periodically
 		duration = 1 << 40
-	} else if w.rng.IntN(8) == 0 {
+	} else if sim.rng.IntN(8) == 0 {
 		outcome = []dw.Outcome{dw.OutcomeError, dw.OutcomeRejected, dw.OutcomeConnectFailed, dw.OutcomeReset,
-			dw.OutcomeNotSent}[w.rng.IntN(5)]
+			dw.OutcomeNotSent}[sim.rng.IntN(5)]
 	}
 	if duration > limit {
 		duration, outcome = limit, dw.OutcomeTimeout
 	}
-	w.schedule(g, duration, pendingOutcome{request: r, attempt: len(r.attempts) - 1, outcome: outcome})
+	sim.schedule(g, duration, pendingOutcome{request: r, attempt: len(r.attempts) - 1, outcome: outcome})
 }
 
-// pendingOutcome is an outcome under way. It travels with the events, but is never handed to a gateway.
+// pendingOutcome is the scheduled end of an attempt. It is queued with the events, but never delivered to a gateway.
 type pendingOutcome struct {
 	dw.Event
 	request *simulatedRequest
@@ -228,103 +231,103 @@
 	outcome dw.Outcome
 }
 
-func (w *simulation) endAttempt(g *simulatedGateway, r *simulatedRequest, attempt int, outcome dw.Outcome) {
+func (sim *simulation) endAttempt(g *simulatedGateway, r *simulatedRequest, attempt int, outcome dw.Outcome) {
 	k := r.attempts[attempt]
 	if k.ended {
 		return
 	}
 	k.ended, k.outcome = true, outcome
-	w.schedule(g, dw.Span(w.settings.Tick), dw.AttemptEnded{Request: r.arrival.ID, Attempt: attempt, Server: k.server,
-		Outcome: outcome, Latency: dw.Span(w.now - k.startedAt), TrueUnits: float64(1 + w.rng.IntN(4))})
+	sim.schedule(g, dw.Span(sim.settings.Tick), dw.AttemptEnded{Request: r.arrival.ID, Attempt: attempt, Server: k.server,
+		Outcome: outcome, Latency: dw.Span(sim.now - k.startedAt), TrueUnits: float64(1 + sim.rng.IntN(4))})
 }
 
-func (w *simulation) startGateway(g *simulatedGateway) {
-	gw, err := dw.New(func() dw.Settings { s := w.settings; s.Self = g.self; return s }(), w.rng.Uint64())
+func (sim *simulation) startGateway(g *simulatedGateway) {
+	gw, err := dw.New(func() dw.Settings { s := sim.settings; s.Self = g.self; return s }(), sim.rng.Uint64())
 	if err != nil {
-		w.t.Fatal(err)
+		sim.t.Fatal(err)
 	}
-	*g = simulatedGateway{Gateway: gw, self: g.self, state: map[dw.ServerID]dw.EndpointState{},
+	*g = simulatedGateway{Gateway: gw, self: g.self, serverStates: map[dw.ServerID]dw.EndpointState{},
 		drainedAt: map[dw.ServerID]dw.Instant{}, servers: map[dw.ServerID]dw.Endpoint{}, requests: map[dw.RequestID]*simulatedRequest{},
-		tally: map[dw.CustomerID]float64{}, calls: map[string]dw.CounterAdd{}}
+		tally: map[dw.CustomerID]float64{}, counterCalls: map[string]dw.CounterAdd{}}
 	list := dw.EndpointList{Kind: dw.ListCached}
 	for id := dw.ServerID(1); id <= 9; id++ {
 		list.Servers = append(list.Servers, dw.Endpoint{ID: id, Cell: int(id) / 3, Zone: int(id) % 2})
 	}
-	w.updateEndpoints(g, list)
+	sim.updateEndpoints(g, list)
 }
 
-func (w *simulation) updateEndpoints(g *simulatedGateway, l dw.EndpointList) {
+func (sim *simulation) updateEndpoints(g *simulatedGateway, l dw.EndpointList) {
 	for _, s := range l.Servers {
-		if s.State != dw.Ready && g.state[s.ID] == dw.Ready {
-			g.drainedAt[s.ID] = w.now
+		if s.State != dw.Ready && g.serverStates[s.ID] == dw.Ready {
+			g.drainedAt[s.ID] = sim.now
 		}
-		g.servers[s.ID], g.state[s.ID] = s, s.State
+		g.servers[s.ID], g.serverStates[s.ID] = s, s.State
 	}
-	w.handle(g, l)
+	sim.handle(g, l)
 }
 
-func (w *simulation) step() {
-	w.now += dw.Instant(w.settings.Tick)
-	for _, g := range w.gateways {
-		var ready []scheduledEvent
-		keep := g.pending[:0]
-		for _, d := range g.pending {
-			if d.at <= w.now {
-				ready = append(ready, d)
+func (sim *simulation) step() {
+	sim.now += dw.Instant(sim.settings.Tick)
+	for _, g := range sim.gateways {
+		var due []scheduledEvent
+		later := g.scheduled[:0]
+		for _, d := range g.scheduled {
+			if d.at <= sim.now {
+				due = append(due, d)
 			} else {
-				keep = append(keep, d)
+				later = append(later, d)
 			}
 		}
-		g.pending = keep
-		for _, d := range ready {
-			if p, ok := d.e.(pendingOutcome); ok {
-				w.endAttempt(g, p.request, p.attempt, p.outcome)
+		g.scheduled = later
+		for _, d := range due {
+			if p, ok := d.event.(pendingOutcome); ok {
+				sim.endAttempt(g, p.request, p.attempt, p.outcome)
 				continue
 			}
-			if e, ok := d.e.(dw.AttemptEnded); ok { // the first good answer finishes a request, and this tells of it
+			if e, ok := d.event.(dw.AttemptEnded); ok { // the first successful answer finishes a request and is reported as final
 				r := g.requests[e.Request]
 				if e.Outcome == dw.OutcomeOK {
-					r.finished, r.owed = true, false
+					r.finished, r.needsAnswer = true, false
 				}
 				e.Final = r.finished
-				d.e = e
+				d.event = e
 			}
-			w.handle(g, d.e)
+			sim.handle(g, d.event)
 		}
 		for _, r := range g.requests {
-			if r.owed && w.now > r.deadline+dw.Instant(w.settings.AnswerSlack) {
-				w.t.Fatalf("rule 1: %s is not answered", r.arrival.ID)
+			if r.needsAnswer && sim.now > r.deadline+dw.Instant(sim.settings.AnswerSlack) {
+				sim.t.Fatalf("rule 1: request %s has no answer after its deadline", r.arrival.ID)
 			}
 		}
 	}
-	if w.rng.IntN(4) == 0 {
-		w.lastID++
-		c := dw.CustomerID(w.rng.IntN(6))
-		a := dw.Arrival{ID: dw.RequestID(fmt.Sprint("r", w.lastID)), Class: w.rng.IntN(len(w.settings.Classes)),
-			Plan: int(c) % len(w.settings.Plans), Customer: c, Remaining: dw.Span(w.rng.Int64N(900e6)) - 5e6,
-			Units: float64(1 + w.rng.IntN(4)), Spread: len(w.gateways)}
-		g := w.gateways[w.rng.IntN(len(w.gateways))]
-		g.requests[a.ID] = &simulatedRequest{arrival: a, deadline: w.now + dw.Instant(a.Remaining), owed: true}
-		w.handle(g, a)
-		if w.rng.IntN(20) == 0 {
-			g.requests[a.ID].finished, g.requests[a.ID].owed = true, false
-			w.handle(g, dw.ClientLeft{Request: a.ID})
+	if sim.rng.IntN(4) == 0 {
+		sim.lastID++
+		c := dw.CustomerID(sim.rng.IntN(6))
+		a := dw.Arrival{ID: dw.RequestID(fmt.Sprint("r", sim.lastID)), Class: sim.rng.IntN(len(sim.settings.Classes)),
+			Plan: int(c) % len(sim.settings.Plans), Customer: c, Remaining: dw.Span(sim.rng.Int64N(900e6)) - 5e6,
+			Units: float64(1 + sim.rng.IntN(4)), Spread: len(sim.gateways)}
+		g := sim.gateways[sim.rng.IntN(len(sim.gateways))]
+		g.requests[a.ID] = &simulatedRequest{arrival: a, deadline: sim.now + dw.Instant(a.Remaining), needsAnswer: true}
+		sim.handle(g, a)
+		if sim.rng.IntN(20) == 0 {
+			g.requests[a.ID].finished, g.requests[a.ID].needsAnswer = true, false
+			sim.handle(g, dw.ClientLeft{Request: a.ID})
 		}
 	}
-	switch g := w.gateways[w.rng.IntN(len(w.gateways))]; w.rng.IntN(400) {
+	switch g := sim.gateways[sim.rng.IntN(len(sim.gateways))]; sim.rng.IntN(400) {
 	case 0:
-		id := dw.ServerID(1 + w.rng.IntN(9))
+		id := dw.ServerID(1 + sim.rng.IntN(9))
 		s := g.servers[id]
-		s.State = dw.EndpointState(w.rng.IntN(3))
+		s.State = dw.EndpointState(sim.rng.IntN(3))
 		if s.State == dw.Ready {
-			s.StartedAt = w.now
+			s.StartedAt = sim.now
 		}
-		w.updateEndpoints(g, dw.EndpointList{Kind: dw.ListDelta, Servers: []dw.Endpoint{s}})
+		sim.updateEndpoints(g, dw.EndpointList{Kind: dw.ListDelta, Servers: []dw.Endpoint{s}})
 	case 1:
-		w.handle(g, dw.EndpointList{Kind: dw.ListFailed})
+		sim.handle(g, dw.EndpointList{Kind: dw.ListFailed})
 	case 2:
-		if w.rng.IntN(10) == 0 {
-			w.startGateway(g) // killed, and started again
+		if sim.rng.IntN(10) == 0 {
+			sim.startGateway(g) // killed and restarted
 		}
 	}
 }
@@ -334,7 +337,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			s := settings()
 			s.Zones, s.Instances, s.MaxUnits, s.UnitsCorrected = 2, 3, 4, true
-			if seed >= 12 { // many gateways with few requests each: the count comes first
+			if seed >= 12 { // many gateways with few requests each: requests are counted before they are admitted
 				s.Instances = 40
 			}
 			s.ParallelAttempts, s.MayCancel = seed%2 == 0, seed%3 > 0
@@ -345,17 +348,17 @@
 			s.Plans = []dw.Plan{{Rate: 20, Burst: 40, WeightFactor: 1},
 				{Rate: 20, Burst: 60, CeilingRate: 30, CeilingBurst: 60, Tolerance: 6, WeightFactor: 1},
 				{Rate: 20, Burst: 40, MaxInFlight: 3, OverQuotaValue: 0.3, OverQuotaCost: 0.1, WeightFactor: 1}}
-			w := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 2)), settings: s, now: 1e9, totals: map[string]float64{},
+			sim := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 2)), settings: s, now: 1e9, totals: map[string]float64{},
 				ceilings: map[dw.CustomerID]*trueCeiling{}}
 			for c := range dw.CustomerID(6) {
-				w.ceilings[c] = &trueCeiling{level: 60, at: w.now}
+				sim.ceilings[c] = &trueCeiling{level: 60, at: sim.now}
 			}
 			for i := range s.Instances {
-				w.gateways = append(w.gateways, &simulatedGateway{self: i})
-				w.startGateway(w.gateways[i])
+				sim.gateways = append(sim.gateways, &simulatedGateway{self: i})
+				sim.startGateway(sim.gateways[i])
 			}
 			for range 20_000 {
-				w.step()
+				sim.step()
 			}
 		})
 	}
--- a/scale_test.go
+++ b/scale_test.go
@@ -17,12 +17,12 @@
 	maxServers = 3200
 )
 
-// scaleHarness is one gateway of many, before servers that all answer at once.
+// scaleHarness drives one of many gateways with servers that answer at once.
 type scaleHarness struct {
 	*harness
-	interval dw.Span // between two requests
-	requests int
-	used     map[dw.ServerID]int
+	interval dw.Span             // time between two requests
+	requests int                 // number of requests so far
+	used     map[dw.ServerID]int // attempts by server
 }
 
 func newScaleHarness(t testing.TB, servers int, rate int) *scaleHarness {
@@ -43,7 +43,7 @@
 	return f
 }
 
-// serve has so many requests come and be answered, one after the other.
+// serve submits requests one after the other and answers each.
 func (f *scaleHarness) serve(requests int) {
 	for range requests {
 		f.now += dw.Instant(f.interval)
@@ -58,9 +58,9 @@
 	}
 }
 
-// What a decision costs does not grow with the servers that are listed. The bound is loose, and held by the best of several
-// runs each way: before it did not grow, it was 4 times as much. The cost is this thread's CPU time, and the runs of both take turns:
-// other processes on the machine slow down whatever runs beside them.
+// Guards against a decision cost that grows with the length of the endpoint list. It was 4 times as high with the long list before
+// selection was bounded. The limit is loose and applies to the best of several runs. The cost is the CPU time of this thread, and
+// the runs of both lists alternate, because other processes on the machine slow down whatever runs beside them.
 func TestCostOfADecisionDoesNotGrow(t *testing.T) {
 	const rounds, requests, maxRatio = 9, 2000, 2.5
 	runtime.LockOSThread()
@@ -81,14 +81,16 @@
 			}
 		}
 		ratio := best[maxServers].Seconds() / best[fewServers].Seconds()
-		t.Logf("%d requests a second: %.2f times as much with %d servers as with %d", rate, ratio, maxServers, fewServers)
+		t.Logf("%d requests a second: a decision costs %.2f times as much with %d servers as with %d",
+			rate, ratio, maxServers, fewServers)
 		if ratio > maxRatio {
-			t.Errorf("%d requests a second: %.1f times as much with %d servers", rate, ratio, maxServers)
+			t.Errorf("%d requests a second: a decision costs %.1f times as much with %d servers, want at most 2.5 times",
+				rate, ratio, maxServers)
 		}
 	}
 }
 
-// threadCPU is the CPU time of this thread.
+// threadCPU returns the CPU time of the current thread.
 func threadCPU(t *testing.T) time.Duration {
 	t.Helper()
 	var now unix.Timespec
@@ -98,23 +100,24 @@
 	return time.Duration(now.Nano())
 }
 
-// A gateway with much traffic uses all of very many servers, and about evenly, though each request is decided between a few.
+// A gateway with much traffic must use all of very many servers about evenly, although each selection compares only a few of them.
 func TestManyServersAreAllUsed(t *testing.T) {
 	const each = 20
 	f := newScaleHarness(t, maxServers, 2600)
 	f.serve(each * maxServers)
-	least, most := math.MaxInt, 0
+	fewest, most := math.MaxInt, 0
 	for id := range maxServers {
 		n := f.used[dw.ServerID(id+1)]
-		least, most = min(least, n), max(most, n)
+		fewest, most = min(fewest, n), max(most, n)
 	}
-	if least == 0 || most > 4*each {
-		t.Errorf("of %d servers one was used %d times, another %d times; %d each in the mean", maxServers, least, most, each)
+	if fewest == 0 || most > 4*each {
+		t.Errorf("of %d servers the least used got %d attempts and the most used %d; the mean is %d, want at least 1 and at most 80",
+			maxServers, fewest, most, each)
 	}
 }
 
-// Of very many servers half fail and are left out: requests still find those that are well, and none goes to one that drains.
-func TestManyServersFail(t *testing.T) {
+// If a quarter of very many servers fail and a quarter drain, requests must find the others, and none may go to a draining server.
+func TestRequestsAvoidManyFailedServers(t *testing.T) {
 	f := newScaleHarness(t, maxServers, 2600)
 	draining := dw.EndpointList{Kind: dw.ListDelta, Version: 2}
 	for i := 0; i < maxServers; i += 4 {
@@ -123,8 +126,8 @@
 	f.serve(5000)
 	f.handle(draining)
 	clear(f.used)
-	bad := func(id dw.ServerID) bool { return id%4 == 2 }
-	late := 0
+	failing := func(id dw.ServerID) bool { return id%4 == 2 }
+	lateFailures := 0
 	for n := range 20_000 {
 		f.now += dw.Instant(f.interval)
 		f.attempts = f.attempts[:0]
@@ -132,9 +135,9 @@
 		for _, s := range f.attempts {
 			f.used[s.Server]++
 			outcome := dw.OutcomeOK
-			if bad(s.Server) {
+			if failing(s.Server) {
 				if outcome = dw.OutcomeConnectFailed; n >= 10_000 {
-					late++
+					lateFailures++
 				}
 			}
 			f.handle(dw.AttemptEnded{Request: s.Request, Server: s.Server, Outcome: outcome, Latency: 20 * millisecond, Final: true})
@@ -142,13 +145,13 @@
 	}
 	for id, n := range f.used {
 		if id%4 == 1 {
-			t.Fatalf("server %d drains, and was used %d times", id, n)
+			t.Fatalf("draining server %d got %d attempts, want 0", id, n)
 		}
 	}
-	if late > 10_000/20 {
-		t.Errorf("%d of the last 10,000 requests went to servers that had failed", late)
+	if lateFailures > 10_000/20 {
+		t.Errorf("%d of the last 10,000 requests went to failed servers, want at most 500", lateFailures)
 	}
 	if out := f.gateway.EjectedServers(f.now); out == 0 {
-		t.Error("no server is left out")
+		t.Error("no server is ejected")
 	}
 }
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -9,34 +9,35 @@
 func TestWarmingServerGetsLess(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
-	b := newHarness(t, s, dw.Endpoint{ID: 7})
-	b.serve(500, 10*millisecond, dw.Arrival{})
-	b.handle(dw.EndpointList{Kind: dw.ListDelta, Servers: []dw.Endpoint{{ID: 7, State: dw.Removed}, {ID: 8, StartedAt: b.now}}})
-	// 2 s at 100 a second, of which the server that is gone carried all: a fifth, rising to a third.
-	if in := b.serve(200, 10*millisecond, dw.Arrival{}); in > 60 || in == 0 {
-		t.Errorf("%d of 200 requests went to the warming server", in)
+	h := newHarness(t, s, dw.Endpoint{ID: 7})
+	h.serve(500, 10*millisecond, dw.Arrival{})
+	h.handle(dw.EndpointList{Kind: dw.ListDelta, Servers: []dw.Endpoint{{ID: 7, State: dw.Removed}, {ID: 8, StartedAt: h.now}}})
+	// 2 s at 100 requests a second, all of which the removed server served: the new one may get a fifth, rising to a third.
+	if admitted := h.serve(200, 10*millisecond, dw.Arrival{}); admitted > 60 || admitted == 0 {
+		t.Errorf("%d of 200 requests went to the warming server", admitted)
 	}
 }
 
-// Requests that are rejected while servers warm up count in the servers' slow-start rate: by attempts alone it would stay
-// at its start.
+// Guards against a slow-start rate that counts only attempts and stays at its initial value: requests that are rejected while
+// servers warm up must count too.
 func TestWarmingServerIsUsedWhileOthersDrain(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
-	b := newHarness(t, s, dw.Endpoint{ID: 7})
-	b.serve(500, 10*millisecond, dw.Arrival{})
-	b.handle(dw.EndpointList{Kind: dw.ListDelta, Servers: []dw.Endpoint{{ID: 7, State: dw.Draining}, {ID: 8, StartedAt: b.now}}})
-	b.serve(800, 10*millisecond, dw.Arrival{})
-	// From 8 to 10 s its least capacity is 0.63 to 0.73 of a warm one's, which bore 100 a second (28 go there by what was sent alone).
-	if in := b.serve(200, 10*millisecond, dw.Arrival{}); in < 45 || in > 140 {
-		t.Errorf("%d of 200 requests went to the warming server", in)
+	h := newHarness(t, s, dw.Endpoint{ID: 7})
+	h.serve(500, 10*millisecond, dw.Arrival{})
+	h.handle(dw.EndpointList{Kind: dw.ListDelta, Servers: []dw.Endpoint{{ID: 7, State: dw.Draining}, {ID: 8, StartedAt: h.now}}})
+	h.serve(800, 10*millisecond, dw.Arrival{})
+	// From 8 to 10 s its capacity is at least 0.63 to 0.73 of a warm server's, which took 100 requests a second. It gets 28 if only
+	// attempts count.
+	if admitted := h.serve(200, 10*millisecond, dw.Arrival{}); admitted < 45 || admitted > 140 {
+		t.Errorf("%d of 200 requests went to the warming server", admitted)
 	}
 }
 
-// A hundred gateways hear of a new server at once: their slow-start budgets start at random levels, so that they do not all
-// send their first attempt.
+// Guards against a hundred gateways that all send their first attempt to a new server at once: their slow-start budgets start at
+// random levels.
 func TestSlowStartBudgetsStartAtRandom(t *testing.T) {
-	total := 0
+	attemptsOnNew := 0
 	for seed := range uint64(100) {
 		s := manyGateways()
 		s.Plans[0] = dw.Plan{WeightFactor: 1}
@@ -44,21 +45,21 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := &harness{t: t, gateway: g, now: dw.Instant(100 * second), answers: map[dw.RequestID]dw.Action{}}
-		b.handle(dw.EndpointList{Kind: dw.ListCached, Servers: []dw.Endpoint{{ID: 1}, {ID: 2}, {ID: 3}, {ID: 4}}})
-		b.serve(50, 200*millisecond, dw.Arrival{})
-		before := len(b.attempts)
-		b.handle(dw.EndpointList{Kind: dw.ListDelta, Servers: []dw.Endpoint{{ID: 9, StartedAt: b.now}}})
-		b.serve(10, 200*millisecond, dw.Arrival{})
-		for _, a := range b.attempts[before:] {
+		h := &harness{t: t, gateway: g, now: dw.Instant(100 * second), answers: map[dw.RequestID]dw.Action{}}
+		h.handle(dw.EndpointList{Kind: dw.ListCached, Servers: []dw.Endpoint{{ID: 1}, {ID: 2}, {ID: 3}, {ID: 4}}})
+		h.serve(50, 200*millisecond, dw.Arrival{})
+		before := len(h.attempts)
+		h.handle(dw.EndpointList{Kind: dw.ListDelta, Servers: []dw.Endpoint{{ID: 9, StartedAt: h.now}}})
+		h.serve(10, 200*millisecond, dw.Arrival{})
+		for _, a := range h.attempts[before:] {
 			if a.Server == 9 {
-				total++
+				attemptsOnNew++
 			}
 		}
 	}
-	// By the lot a warming server comes up for a twentieth of the 1,000 requests, and few of those are paid for yet;
-	// with budgets that are full at the start all of the first would be (21 seen).
-	if total > 12 || total == 0 {
-		t.Errorf("a warming server got %d attempts of 100 gateways in 2 s", total)
+	// The random choice falls on the warming server for a twentieth of the 1,000 requests, and the budgets suffice for few of
+	// them. With budgets that are full at the start, every gateway's first such request would be sent there (21 seen).
+	if attemptsOnNew > 12 || attemptsOnNew == 0 {
+		t.Errorf("a warming server got %d attempts from 100 gateways in 2 s, want 1 to 12", attemptsOnNew)
 	}
 }
--- a/state_test.go
+++ b/state_test.go
@@ -6,136 +6,138 @@
 	dw "dewhitch"
 )
 
-// replace is a bed whose gateway is another process of b's, with or without what that one had learnt. Both go on using
-// one counter, and the list is told anew.
-func (b *harness) replace(s dw.Settings, warm bool, servers ...dw.Endpoint) *harness {
+// restart returns a harness for a new process of the same gateway: a warm one imports the state of the old process. Both processes
+// use the same counter, and the new one gets the endpoint list again.
+func (b *harness) restart(s dw.Settings, warm bool, servers ...dw.Endpoint) *harness {
 	b.t.Helper()
 	g, err := dw.New(s, 2)
 	if err != nil {
 		b.t.Fatal(err)
 	}
 	if warm {
-		var l dw.State
-		b.gateway.Export(&l, 1000)
-		if n, m := g.Import(b.now, &l); n == 0 || m == 0 {
-			b.t.Fatalf("took %d servers and %d customers", n, m)
+		var state dw.State
+		b.gateway.Export(&state, 1000)
+		if n, m := g.Import(b.now, &state); n == 0 || m == 0 {
+			b.t.Fatalf("restored %d servers and %d customers, want more than 0 of each", n, m)
 		}
 	}
-	c := &harness{t: b.t, gateway: g, now: b.now, answers: map[dw.RequestID]dw.Action{}, counter: b.counter, lastID: b.lastID}
-	c.handle(dw.EndpointList{Kind: dw.ListFull, Servers: servers})
-	return c
+	next := &harness{t: b.t, gateway: g, now: b.now, answers: map[dw.RequestID]dw.Action{}, counter: b.counter, lastID: b.lastID}
+	next.handle(dw.EndpointList{Kind: dw.ListFull, Servers: servers})
+	return next
 }
 
-// A customer near its quota is served by a warm successor as if nothing had happened, where a cold one takes all that
-// the window holds for the others' use, and rejects what there is room for.
+// A warm successor must serve a customer near its quota like the old process. A cold one takes the whole total of the window for
+// use by other gateways, and rejects requests within the quota.
 func TestWarmStartKeepsACustomersAccount(t *testing.T) {
 	s := settings()
 	s.Instances, s.Plans[0] = 4, dw.Plan{Rate: 4, Burst: 12, WeightFactor: 1, OverQuotaCost: 1}
-	hall := dw.Endpoint{ID: 7}
-	in := map[bool]int{}
+	endpoint := dw.Endpoint{ID: 7}
+	admitted := map[bool]int{}
 	for _, warm := range []bool{true, false} {
-		b := newHarness(t, s, hall)
-		b.serve(28, 250*millisecond, dw.Arrival{Spread: 4}) // all of the quota, up to the last quarter of a window of 6 s
-		in[warm] = b.replace(s, warm, hall).serve(20, 100*millisecond, dw.Arrival{Spread: 4})
+		h := newHarness(t, s, endpoint)
+		h.serve(28, 250*millisecond, dw.Arrival{Spread: 4}) // uses the whole quota, up to the last quarter of a window of 6 s
+		admitted[warm] = h.restart(s, warm, endpoint).serve(20, 100*millisecond, dw.Arrival{Spread: 4})
 	}
-	t.Logf("of 20 requests a warm successor served %d, a cold one %d", in[true], in[false])
-	if in[true] < 19 || in[false] > in[true]-4 {
-		t.Errorf("of 20 requests a warm successor served %d, a cold one %d", in[true], in[false])
+	t.Logf("of 20 requests the warm successor admitted %d, the cold one %d", admitted[true], admitted[false])
+	if admitted[true] < 19 || admitted[false] > admitted[true]-4 {
+		t.Errorf("of 20 requests the warm successor admitted %d, want at least 19, and the cold one %d, want at least 4 fewer",
+			admitted[true], admitted[false])
 	}
 }
 
-// Its quota is no larger for that: what the old process has not pushed yet counts, once.
-func TestWarmStartSpendsNothingTwice(t *testing.T) {
+// A warm start must not enlarge the quota: units that the old process has not pushed yet count exactly once.
+func TestWarmStartCountsUnpushedUnitsOnce(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{Rate: 2, Burst: 12, WeightFactor: 1, OverQuotaCost: 1}
-	hall := dw.Endpoint{ID: 7}
-	b := newHarness(t, s, hall)
-	in := b.serve(40, 50*millisecond, dw.Arrival{})
-	for range 5 { // one process after another, within 8 s
-		b = b.replace(s, true, hall)
-		in += b.serve(24, 50*millisecond, dw.Arrival{})
+	endpoint := dw.Endpoint{ID: 7}
+	h := newHarness(t, s, endpoint)
+	admitted := h.serve(40, 50*millisecond, dw.Arrival{})
+	for range 5 { // five successive processes within 8 s
+		h = h.restart(s, true, endpoint)
+		admitted += h.serve(24, 50*millisecond, dw.Arrival{})
 	}
-	if most := 12 + 2*8 + 5; in > most || in < 20 { // and a request for each replacement
-		t.Errorf("%d went on, where the quota holds %d", in, most)
+	if maxAdmitted := 12 + 2*8 + 5; admitted > maxAdmitted || admitted < 20 { // one more request for each replacement
+		t.Errorf("%d requests were admitted, want 20 to %d", admitted, maxAdmitted)
 	}
 }
 
-// What an old process says of servers is no more than a hint: nothing goes to one that is not listed, a slow one is
-// avoided, one called fast gets no flood, and one that has started since is new.
-func TestWarmStartTrustsServersLittle(t *testing.T) {
+// Imported server statistics must only be a hint: a server that is not listed gets no request, a slow one is avoided, and one that
+// was fast does not get most requests.
+func TestWarmStartUsesServerStatisticsAsHints(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
-	var four []dw.Endpoint
+	var endpoints []dw.Endpoint
 	for id := range dw.ServerID(4) {
-		four = append(four, dw.Endpoint{ID: id + 1})
+		endpoints = append(endpoints, dw.Endpoint{ID: id + 1})
 	}
-	l := dw.State{Latency: 0.02, IdleLatency: 0.02, MeanPriority: 3, SentAttempts: 100, ThrottleAccepts: 100, ThrottleRequests: 100, EndpointRequests: 100, RetryBudget: 10,
+	state := dw.State{Latency: 0.02, IdleLatency: 0.02, MeanPriority: 3, SentAttempts: 100, ThrottleAccepts: 100, ThrottleRequests: 100, EndpointRequests: 100, RetryBudget: 10,
 		ClassLatencyRatios: []float64{1, 1}, ZoneFailureShare: []float64{0}}
-	for i, e := range four {
-		l.Servers = append(l.Servers, dw.ServerStatistics{Endpoint: e, Latency: []float64{0.001, 0.02, 0.02, 0.5}[i]})
+	for i, e := range endpoints {
+		state.Servers = append(state.Servers, dw.ServerStatistics{Endpoint: e, Latency: []float64{0.001, 0.02, 0.02, 0.5}[i]})
 	}
 	start := func(age dw.Span) *harness {
 		g, err := dw.New(s, 3)
 		if err != nil {
 			t.Fatal(err)
 		}
-		b := &harness{t: t, gateway: g, now: dw.Instant(100 * second), answers: map[dw.RequestID]dw.Action{}}
-		l.At = b.now - dw.Instant(age)
-		if n, _ := g.Import(b.now, &l); (n == 4) != (age <= 60*second && age >= 0) {
-			t.Errorf("took %d servers at an age of %v s", n, age/second)
+		h := &harness{t: t, gateway: g, now: dw.Instant(100 * second), answers: map[dw.RequestID]dw.Action{}}
+		state.At = h.now - dw.Instant(age)
+		if n, _ := g.Import(h.now, &state); (n == 4) != (age <= 60*second && age >= 0) {
+			t.Errorf("restored %d servers from a state of age %v s, want 4 up to 60 s and 0 beyond", n, age/second)
 		}
-		return b
+		return h
 	}
-	b := start(second / 2)
-	if _, ok := b.request(dw.Arrival{}); ok {
-		t.Fatal("sent to a server that no list named")
+	h := start(second / 2)
+	if _, ok := h.request(dw.Arrival{}); ok {
+		t.Fatal("an attempt started on a server before the endpoint list arrived")
 	}
-	b.handle(dw.EndpointList{Kind: dw.ListFull, Servers: four})
-	got := map[dw.ServerID]int{}
-	for range 12 { // nothing is answered yet
-		if _, ok := b.request(dw.Arrival{}); ok {
-			got[b.attempts[len(b.attempts)-1].Server]++
+	h.handle(dw.EndpointList{Kind: dw.ListFull, Servers: endpoints})
+	requestsTo := map[dw.ServerID]int{}
+	for range 12 { // no request is answered yet
+		if _, ok := h.request(dw.Arrival{}); ok {
+			requestsTo[h.attempts[len(h.attempts)-1].Server]++
 		}
 	}
-	if got[4] > 0 || got[1] > 6 || len(got) != 3 {
-		t.Errorf("of the first 12 requests, by server: %v", got)
+	if requestsTo[4] > 0 || requestsTo[1] > 6 || len(requestsTo) != 3 {
+		t.Errorf("first 12 requests by server: %v; want none on slow server 4, at most 6 on server 1, and 3 servers in use", requestsTo)
 	}
 }
 
-// A server that fails is counted as avoided for as long as nothing new goes there; where most fail, none is left out.
+// EjectedServers must count a failing server while it gets no new attempts. If most servers fail, none is excluded and the count
+// must be 0.
 func TestEjectedServersAreCounted(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
-	b := newHarness(t, s, dw.Endpoint{ID: 1}, dw.Endpoint{ID: 2}, dw.Endpoint{ID: 3})
-	b.serve(200, 10*millisecond, dw.Arrival{})
-	fail := func(bad ...dw.ServerID) {
-		for range 50 { // within the first turn of being left out
-			id, ok := b.request(dw.Arrival{})
+	h := newHarness(t, s, dw.Endpoint{ID: 1}, dw.Endpoint{ID: 2}, dw.Endpoint{ID: 3})
+	h.serve(200, 10*millisecond, dw.Arrival{})
+	fail := func(failing ...dw.ServerID) {
+		for range 50 { // within the first ejection
+			id, ok := h.request(dw.Arrival{})
 			if !ok {
 				continue
 			}
-			at, o := b.attempts[len(b.attempts)-1].Server, dw.OutcomeOK
-			for _, v := range bad {
+			at, o := h.attempts[len(h.attempts)-1].Server, dw.OutcomeOK
+			for _, v := range failing {
 				if at == v {
 					o = dw.OutcomeReset
 				}
 			}
-			b.advance(10 * millisecond)
-			b.handle(dw.AttemptEnded{Request: id, Server: at, Outcome: o, Final: true, Latency: 10 * millisecond})
+			h.advance(10 * millisecond)
+			h.handle(dw.AttemptEnded{Request: id, Server: at, Outcome: o, Final: true, Latency: 10 * millisecond})
 		}
 	}
-	if n := b.gateway.EjectedServers(b.now); n != 0 {
-		t.Fatalf("%d avoided at first", n)
+	if n := h.gateway.EjectedServers(h.now); n != 0 {
+		t.Fatalf("%d servers ejected before any failure, want 0", n)
 	}
-	fail(b.attempts[len(b.attempts)-1].Server) // the one that is used
-	if n := b.gateway.EjectedServers(b.now); n != 1 {
-		t.Errorf("%d avoided, where one fails", n)
+	fail(h.attempts[len(h.attempts)-1].Server) // the server in use
+	if n := h.gateway.EjectedServers(h.now); n != 1 {
+		t.Errorf("%d servers ejected while one fails, want 1", n)
 	}
 	fail(1, 2, 3)
-	if n := b.gateway.EjectedServers(b.now); n != 0 {
-		t.Errorf("%d avoided, where all fail and none is left out", n)
+	if n := h.gateway.EjectedServers(h.now); n != 0 {
+		t.Errorf("%d servers ejected while all fail, want 0", n)
 	}
-	if n := b.gateway.EjectedServers(b.now + dw.Instant(60*second)); n != 0 {
-		t.Errorf("%d avoided a minute later", n)
+	if n := h.gateway.EjectedServers(h.now + dw.Instant(60*second)); n != 0 {
+		t.Errorf("%d servers ejected a minute later, want 0", n)
 	}
 }
