--- a/attempt_rules.go
+++ b/attempt_rules.go
@@ -27,8 +27,8 @@
 	return !r.done && len(r.attempts) < rules.ctx.settings.MaxAttempts
 }
 
-// mayOverlap returns true if a further attempt of r may start now: the settings decide whether two attempts
-// of a request may be in flight at the same time.
+// mayOverlap returns true if no attempt of r is in flight, or if the settings allow attempts of a request in
+// parallel.
 func (rules attemptRules) mayOverlap(r *request) bool {
 	return r.inFlight == 0 || rules.ctx.settings.ParallelAttempts
 }
--- a/balancer.go
+++ b/balancer.go
@@ -118,7 +118,7 @@
 	if n := len(r.attempts); n > 0 && r.attempts[n-1].server == s {
 		cost += seconds(r.class.Objective)
 	}
-	// Otherwise the loss of a zone would be detected server by server, at the cost of an attempt each.
+	// Without this, the loss of a zone would be detected server by server, at the cost of an attempt each.
 	cost /= 1 - c.traffic.zoneFailures[s.Zone]
 	if s.Zone != c.ctx.settings.Zone {
 		cost *= 1 + crossZonePenalty
--- a/dedup_window.go
+++ b/dedup_window.go
@@ -16,8 +16,8 @@
 }
 
 // isDeduplicated returns true if s would drop a repeat of r that starts now, where first is the first attempt
-// that may have run. This requires that s is in the scope of first, that its window has not ended, and that
-// the attempts in flight end within the window of an attempt that starts now.
+// that may have run: s is in the deduplication scope of its server, its window has not ended, and the
+// attempts in flight end within the window of an attempt that starts now.
 func (rules attemptRules) isDeduplicated(r *request, first *attempt, s *server) bool {
 	window := Instant(r.class.DedupWindow)
 	return r.class.DedupScope.covers(s.Endpoint, first.server.Endpoint) &&
--- a/dedup_window_test.go
+++ b/dedup_window_test.go
@@ -42,8 +42,8 @@
 }
 
 // checkWindowOverrun fails the test if an attempt is in flight beyond the window of another attempt of its request that may
-// have run. It returns the number of pairs of attempts that are within the window.
-func (sim *simulation) checkWindowOverrun(window dw.Span) (pairsWithin int) {
+// have run. It returns the number of pairs of attempts that it has checked.
+func (sim *simulation) checkWindowOverrun(window dw.Span) (pairs int) {
 	for _, g := range sim.gateways {
 		for id, r := range g.requests {
 			for i, open := range r.attempts {
@@ -51,7 +51,7 @@
 					if i == j || open.ended || !other.mayHaveRun() {
 						continue
 					}
-					pairsWithin++
+					pairs++
 					// The gateway learns of a timer or a timeout in the round after it.
 					if age := dw.Span(sim.now - other.startedAt); age > window+2*sim.settings.Tick {
 						sim.t.Fatalf("attempt %d of request %s is in flight %d ms after attempt %d started; servers forget that one after %d ms",
@@ -61,5 +61,5 @@
 			}
 		}
 	}
-	return pairsWithin
+	return pairs
 }
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -62,6 +62,7 @@
 	outcome   dw.Outcome
 }
 
+// mayHaveRun returns true if the attempt may have run or may still run.
 func (a *simulatedAttempt) mayHaveRun() bool {
 	switch a.outcome {
 	case dw.OutcomeRejected, dw.OutcomeConnectFailed, dw.OutcomeNotSent:
@@ -96,6 +97,7 @@
 	}
 }
 
+// carryOut executes an action of a gateway and checks the invariants that concern it.
 func (sim *simulation) carryOut(g *simulatedGateway, a dw.Action) {
 	t := sim.t
 	final := func(id dw.RequestID, rejected bool) {
@@ -266,6 +268,7 @@
 	sim.handle(g, l)
 }
 
+// step advances the clock by a tick, delivers the events that are due and generates new ones at random.
 func (sim *simulation) step() {
 	sim.now += dw.Instant(sim.settings.Tick)
 	for _, g := range sim.gateways {
@@ -332,6 +335,7 @@
 	}
 }
 
+// The invariants must hold on random schedules with restarted gateways, hanging servers and a counter that loses its state.
 func TestInvariantsHold(t *testing.T) {
 	for seed := range uint64(16) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
--- a/latency_estimate.go
+++ b/latency_estimate.go
@@ -11,14 +11,14 @@
 	initialRatioSamples    = 16.0   // samples that the initial latency ratio of a class counts as
 	importedRatioSamples   = 40.0   // samples that a latency ratio from a previous process counts as
 	maxClassLatencyRatio   = 4.0    // largest sample of a class's latency ratio; more is a fault of the server
-	maxSampleRatio         = 2.0    // multiple of the mean that caps a sample in it: more is one server's fault
+	maxSampleRatio         = 2.0    // cap on samples of the mean, as a multiple of it; more is a server's fault
 	initialLatency         = 0.15   // initial mean latency, as a fraction of the classes' mean latency objective
 	idleLatencyRiseSamples = 1000.0 // time constant, in samples, with which the idle latency rises
 	failurePenalty         = 2.0    // factor on the latency of a failed attempt
 	serverParallelism      = 2.0    // attempts that a server is assumed to run in parallel
 	reportWeight           = 0.8    // weight of a load report in a server's latency at full sparsity
 	idleRecoveryTime       = second // time in which an idle server's estimate recovers
-	idleRecoveryInterval   = 3.0    // mean intervals between attempts in which it recovers, if that is longer
+	idleRecoveryInterval   = 3.0    // idle recovery in intervals between attempts on the server, if longer
 	maxSweptServers        = 256    // number of servers that one sweep updates
 )
 
--- a/many_gateways_test.go
+++ b/many_gateways_test.go
@@ -58,8 +58,8 @@
 	f := &fleet{now: dw.Instant(1000 * second), rng: rand.New(rand.NewPCG(1, 2)), servers: map[dw.ServerID]*fleetServer{}}
 	var list []dw.Endpoint
 	for i := range servers {
-		m := f.add(dw.Endpoint{ID: dw.ServerID(i * 7919), Zone: i % max(1, s.Zones)}, 150*millisecond)
-		list = append(list, m.Endpoint)
+		server := f.add(dw.Endpoint{ID: dw.ServerID(i * 7919), Zone: i % max(1, s.Zones)}, 150*millisecond)
+		list = append(list, server.Endpoint)
 	}
 	for i := range s.Instances {
 		s.Self = i
@@ -74,6 +74,7 @@
 	return f
 }
 
+// schedule runs a function after d.
 func (f *fleet) schedule(d dw.Span, run func()) {
 	f.order++
 	heap.Push(&f.queue, fleetEvent{max(f.now, f.now+dw.Instant(d)), f.order, run})
@@ -81,19 +82,19 @@
 
 // add starts a server of three cores.
 func (f *fleet) add(e dw.Endpoint, work dw.Span) *fleetServer {
-	m := &fleetServer{Endpoint: e, work: work, cores: make([]dw.Instant, 3)}
-	f.servers[m.ID] = m
-	f.schedule(0, func() { f.refresh(m) })
-	return m
+	server := &fleetServer{Endpoint: e, work: work, cores: make([]dw.Instant, 3)}
+	f.servers[server.ID] = server
+	f.schedule(0, func() { f.refresh(server) })
+	return server
 }
 
 // refresh sets a server's load report to its present load and its answers in the last half second, and schedules the next one.
-func (f *fleet) refresh(m *fleetServer) {
-	m.report = dw.Load{Has: dw.HasInflight | dw.HasQueue | dw.HasRate, Rate: float64(m.ended) * 2}
-	m.report.Inflight = float64(min(m.inFlight, len(m.cores)))
-	m.report.Queue = float64(m.inFlight) - m.report.Inflight
-	m.ended = 0
-	f.schedule(second/2, func() { f.refresh(m) })
+func (f *fleet) refresh(server *fleetServer) {
+	server.report = dw.Load{Has: dw.HasInflight | dw.HasQueue | dw.HasRate, Rate: float64(server.ended) * 2}
+	server.report.Inflight = float64(min(server.inFlight, len(server.cores)))
+	server.report.Queue = float64(server.inFlight) - server.report.Inflight
+	server.ended = 0
+	f.schedule(second/2, func() { f.refresh(server) })
 }
 
 // load submits five requests a second to each gateway.
@@ -134,23 +135,24 @@
 	}
 }
 
+// send starts an attempt on a server and schedules its outcome.
 func (f *fleet) send(gateway int, a dw.StartAttempt) {
-	m, startedAt := f.servers[a.Server], f.now
+	server, startedAt := f.servers[a.Server], f.now
 	f.usedServers[gateway][a.Server] = true
-	m.inFlight++
-	m.started++
+	server.inFlight++
+	server.started++
 	core := 0 // index of the core that is free first
-	for i, at := range m.cores {
-		if at < m.cores[core] {
+	for i, at := range server.cores {
+		if at < server.cores[core] {
 			core = i
 		}
 	}
-	done := max(f.now, m.cores[core]) + dw.Instant(f.rng.ExpFloat64()*float64(m.work))
-	m.cores[core] = done
+	done := max(f.now, server.cores[core]) + dw.Instant(f.rng.ExpFloat64()*float64(server.work))
+	server.cores[core] = done
 	f.schedule(dw.Span(done-f.now), func() {
-		m.inFlight--
-		m.ended++
-		f.handle(gateway, dw.AttemptEnded{Request: a.Request, Server: m.ID, Final: true, Latency: dw.Span(f.now - startedAt), Load: m.report})
+		server.inFlight--
+		server.ended++
+		f.handle(gateway, dw.AttemptEnded{Request: a.Request, Server: server.ID, Final: true, Latency: dw.Span(f.now - startedAt), Load: server.report})
 	})
 }
 
@@ -169,28 +171,28 @@
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
 	f := newFleet(t, s, 60)
 	slow := map[dw.ServerID]bool{}
-	for id, m := range f.servers {
+	for id, server := range f.servers {
 		if id%(7919*6) == 0 {
-			m.work, slow[id] = 1200*millisecond, true
+			server.work, slow[id] = 1200*millisecond, true
 		}
 	}
 	f.load()
 	f.run(10 * second)
-	for _, m := range f.servers {
-		m.started = 0
+	for _, server := range f.servers {
+		server.started = 0
 	}
 	f.run(10 * second)
 	toSlow, all, most := 0, 0, 0
-	for id, m := range f.servers {
-		if all += m.started; slow[id] {
-			toSlow += m.started
+	for id, server := range f.servers {
+		if all += server.started; slow[id] {
+			toSlow += server.started
 		} else {
-			most = max(most, m.started)
+			most = max(most, server.started)
 		}
 	}
 	serversUsed := 0
-	for _, m := range f.usedServers {
-		serversUsed += len(m)
+	for _, servers := range f.usedServers {
+		serversUsed += len(servers)
 	}
 	fair := float64(all) / 60
 	t.Logf("%d attempts; %.2f of a fair share to each of the %d slow servers, %.2f to the busiest server; %.1f used by a gateway",
@@ -288,8 +290,8 @@
 	var warming []*fleetServer
 	for i := range 36 {
 		changes = append(changes, dw.Endpoint{ID: dw.ServerID(i * 7919), State: dw.Removed})
-		m := f.add(dw.Endpoint{ID: dw.ServerID(1e6 + i), StartedAt: f.now}, 600*millisecond)
-		warming, changes = append(warming, m), append(changes, m.Endpoint)
+		server := f.add(dw.Endpoint{ID: dw.ServerID(1e6 + i), StartedAt: f.now}, 600*millisecond)
+		warming, changes = append(warming, server), append(changes, server.Endpoint)
 	}
 	for gateway := range f.gateways {
 		f.handle(gateway, dw.EndpointList{Kind: dw.ListDelta, Servers: changes})
@@ -299,8 +301,8 @@
 	all, most := 0, 0
 	for range 3 { // windows from the start; the limit is that of the first window
 		f.run(s.OverloadSpan)
-		for _, m := range warming {
-			all, most, m.started = all+m.started, max(most, m.started), 0
+		for _, server := range warming {
+			all, most, server.started = all+server.started, max(most, server.started), 0
 		}
 	}
 	t.Logf("%d attempts to warming servers in 6 s; at most %d to one in 2 s, and %.0f overload it", all, most, limit)
@@ -322,8 +324,8 @@
 	for seed := range uint64(seeds) {
 		f := newFleet(t, s, 9)
 		f.rng = rand.New(rand.NewPCG(seed, 2))
-		for _, m := range f.servers {
-			m.work = 100 * millisecond
+		for _, server := range f.servers {
+			server.work = 100 * millisecond
 		}
 		measuring := false
 		for gateway := range f.gateways {
@@ -341,26 +343,26 @@
 		var changes []dw.Endpoint
 		for i := range 6 {
 			changes = append(changes, dw.Endpoint{ID: dw.ServerID(i * 7919), State: dw.Removed})
-			m := f.add(dw.Endpoint{ID: dw.ServerID(1e6 + i), StartedAt: f.now}, 0)
+			server := f.add(dw.Endpoint{ID: dw.ServerID(1e6 + i), StartedAt: f.now}, 0)
 			var warm func()
 			warm = func() {
-				capacity := min(1, s.StartCapacity+(1-s.StartCapacity)*float64(f.now-m.StartedAt)/float64(s.SlowStartSpan))
-				m.work = dw.Span(float64(100*millisecond) / capacity)
+				capacity := min(1, s.StartCapacity+(1-s.StartCapacity)*float64(f.now-server.StartedAt)/float64(s.SlowStartSpan))
+				server.work = dw.Span(float64(100*millisecond) / capacity)
 				f.schedule(second/4, warm)
 			}
 			warm()
-			changes = append(changes, m.Endpoint)
+			changes = append(changes, server.Endpoint)
 		}
 		for gateway := range f.gateways {
 			f.handle(gateway, dw.EndpointList{Kind: dw.ListDelta, Servers: changes})
 		}
-		for _, m := range f.servers {
-			m.started = 0
+		for _, server := range f.servers {
+			server.started = 0
 		}
 		measuring = true
 		f.run(s.SlowStartSpan)
-		for _, m := range f.servers {
-			sent += m.started
+		for _, server := range f.servers {
+			sent += server.started
 		}
 	}
 	share := float64(sent) / float64(submitted)
--- a/outlier_detection.go
+++ b/outlier_detection.go
@@ -4,7 +4,7 @@
 
 const (
 	baseEjectionTime      = second      // duration of the first ejection; each further failure doubles it
-	baseEjectionIntervals = 3.0         // the same, in intervals between attempts on a server, if longer
+	baseEjectionIntervals = 3.0         // first ejection in intervals between attempts on the server, if longer
 	maxEjectionTime       = 32 * second // longest duration of an ejection
 	maxEjectedFraction    = 0.5         // fraction of the ready servers; if more are outliers, none is excluded
 	maxSuspects           = 256         // number of suspects up to which outliers are counted for each request
@@ -15,7 +15,7 @@
 	succeededAt         Instant // time of the last success of the class
 	consecutiveFailures int     // number of failures since the last success
 	firstFailedAt       Instant // time of the first failure since the last success
-	ejectedUntil        Instant // then the server is half-open: one attempt at a time until one succeeds
+	ejectedUntil        Instant // afterwards the server is half-open: one attempt at a time until a success
 }
 
 // outlierDetector ejects servers whose attempts fail while no attempt of the class succeeds. Errors,
--- a/request.go
+++ b/request.go
@@ -11,7 +11,7 @@
 }
 
 // request is a request, a limit query or a limit adjustment, from its arrival until it has its final answer
-// and no attempt is in flight. It is in the request table for that time.
+// and no attempt is in flight.
 type request struct {
 	id             RequestID
 	classIndex     int
@@ -20,7 +20,7 @@
 	units          float64
 	unitsOnly      bool    // the request takes units from the quota and is not forwarded
 	withinQuota    bool    // the units of the request are taken from the quota
-	consumedBefore float64 // units that the customer had consumed at this gateway on its arrival
+	consumedBefore float64 // units that the customer had consumed here when the limit query arrived
 	objective      Instant // time at which the latency objective ends
 	deadline       Instant // time at which the client gives up
 	attempts       []attempt
--- a/retry.go
+++ b/retry.go
@@ -11,6 +11,7 @@
 
 func (b *retryBudget) deposit() { b.tokens = min(maxRetryBudget, b.tokens+retryBudgetPerRequest) }
 
+// available returns true if the budget holds at least one retry.
 func (b *retryBudget) available() bool { return b.tokens >= 1 }
 
 func (b *retryBudget) spend() { b.tokens-- }
--- a/state.go
+++ b/state.go
@@ -74,8 +74,8 @@
 )
 
 // Export fills s with the state after the last event and reuses its slices. It exports at most maxCustomers
-// accounts: more of them cost the caller more than their replacement gains. Accounts that are equal to new
-// ones are omitted. It must be called between two events, on the goroutine that owns the gateway.
+// accounts: more of them cost the caller more than their replacement gains. Accounts that do not differ
+// from new ones are omitted. It must be called between two events, on the goroutine that owns the gateway.
 func (g *Gateway) Export(s *State, maxCustomers int) {
 	g.traffic.decay()
 	callRate, minLatency := g.counter.limiter.Export()
--- a/state_test.go
+++ b/state_test.go
@@ -70,8 +70,8 @@
 	for id := range dw.ServerID(4) {
 		endpoints = append(endpoints, dw.Endpoint{ID: id + 1})
 	}
-	state := dw.State{Latency: 0.02, IdleLatency: 0.02, MeanPriority: 3, SentAttempts: 100, ThrottleAccepts: 100, ThrottleRequests: 100, EndpointRequests: 100, RetryBudget: 10,
-		ClassLatencyRatios: []float64{1, 1}, ZoneFailureShare: []float64{0}}
+	state := dw.State{Latency: 0.02, IdleLatency: 0.02, MeanPriority: 3, SentAttempts: 100, ThrottleAccepts: 100, ThrottleRequests: 100,
+		EndpointRequests: 100, RetryBudget: 10, ClassLatencyRatios: []float64{1, 1}, ZoneFailureShare: []float64{0}}
 	for i, e := range endpoints {
 		state.Servers = append(state.Servers, dw.ServerStatistics{Endpoint: e, Latency: []float64{0.001, 0.02, 0.02, 0.5}[i]})
 	}
