--- a/cmd/dewhitch/fleet.go
+++ b/cmd/dewhitch/fleet.go
@@ -44,8 +44,8 @@
 		Quiesced:    g.quiesced,
 		Zones:       zones,
 		SlowStart: slowstart.Config{
-			Start: g.node.Settings.StartCapacity,
-			Span:  time.Duration(g.node.Settings.SlowStartSpan),
+			StartCapacity: g.node.Settings.StartCapacity,
+			Span:          time.Duration(g.node.Settings.SlowStartSpan),
 		},
 		Voters:         g.fleetConfig.Voters,
 		Dir:            g.fleetConfig.Dir,
--- a/internal/fleet/agent/leader.go
+++ b/internal/fleet/agent/leader.go
@@ -47,7 +47,7 @@
 		p, ok := n.Peer(name)
 		return name == a.options.Gossip.Name || ok && now-p.LastStatusAt < a.options.Lease
 	})
-	if changed && n.Propose(evacuation.Set(next)) {
+	if changed && n.Propose(evacuation.EncodeSection(next)) {
 		a.logZoneChanges(statuses, next, on)
 	}
 	return changed
--- a/internal/fleet/evacuation/command.go
+++ b/internal/fleet/evacuation/command.go
@@ -97,7 +97,7 @@
 		if maps.EqualFunc(statuses, next, equal) {
 			return nil, nil
 		}
-		return Set(next), nil
+		return EncodeSection(next), nil
 	}
 }
 
--- a/internal/fleet/evacuation/golden_test.go
+++ b/internal/fleet/evacuation/golden_test.go
@@ -26,7 +26,7 @@
 		if name == "verdicts" {
 			golden.Filled(t, v)
 		}
-		golden.Compare(t, name+".cbor", Set(v)["zones"])
+		golden.Compare(t, name+".cbor", EncodeSection(v)["zones"])
 		p := fleet.Plan{Sections: map[string]cbor.RawMessage{"zones": golden.Read(t, name+".cbor")}}
 		got := Statuses{}
 		if _, err := p.Section(Section, &got); err != nil || !reflect.DeepEqual(got, v) {
--- a/internal/fleet/evacuation/status.go
+++ b/internal/fleet/evacuation/status.go
@@ -65,8 +65,8 @@
 	return ok && status.State != Returning
 }
 
-// Set encodes statuses as a section of the plan.
-func Set(v Statuses) map[string]cbor.RawMessage {
+// EncodeSection encodes statuses as a section of the plan.
+func EncodeSection(v Statuses) map[string]cbor.RawMessage {
 	b, err := cbor.Marshal(v)
 	if err != nil {
 		panic("zone: " + err.Error()) // Statuses has only types that can be encoded
--- a/internal/fleet/slowstart/allocator.go
+++ b/internal/fleet/slowstart/allocator.go
@@ -36,9 +36,9 @@
 
 // Config has the settings of slow start.
 type Config struct {
-	Start float64       // fraction of its capacity that a server has when it starts
-	Span  time.Duration // until it has all of it
-	Lease time.Duration // of a grant
+	StartCapacity float64       // fraction of its capacity that a server has when it starts
+	Span          time.Duration // until it has all of it
+	Lease         time.Duration // of a grant
 }
 
 // Bounds of the allocation.
--- a/internal/fleet/slowstart/allocator_test.go
+++ b/internal/fleet/slowstart/allocator_test.go
@@ -12,7 +12,7 @@
 	"dewhitch/internal/fleet"
 )
 
-var testConfig = Config{Start: 0.22, Span: 13 * time.Second, Lease: 2 * time.Second}
+var testConfig = Config{StartCapacity: 0.22, Span: 13 * time.Second, Lease: 2 * time.Second}
 
 const (
 	step       = 100 * time.Millisecond
--- a/internal/fleet/slowstart/budget.go
+++ b/internal/fleet/slowstart/budget.go
@@ -35,7 +35,7 @@
 	if s.Since <= 0 || age >= a.cfg.Span {
 		return 1
 	}
-	return a.cfg.Start + (1-a.cfg.Start)*max(0, age.Seconds())/a.cfg.Span.Seconds()
+	return a.cfg.StartCapacity + (1-a.cfg.StartCapacity)*max(0, age.Seconds())/a.cfg.Span.Seconds()
 }
 
 // budgets returns what all gateways together may send to each server in slow start, in attempts a second: the even share of the
