--- a/internal/fleet/evacuation/command.go
+++ b/internal/fleet/evacuation/command.go
@@ -21,9 +21,9 @@
 
 // Bounds of a command.
 const (
-	maxText     = 512                  // bytes, of the operator's name and of the reason
-	maxZoneName = 64                   // bytes
-	maxForMS    = 7 * 24 * 3600 * 1000 // ms
+	maxTextLength     = 512                  // bytes, of the operator's name and of the reason
+	maxZoneNameLength = 64                   // bytes
+	maxDurationMS     = 7 * 24 * 3600 * 1000 // ms
 )
 
 // Causes of a refused command, for errors.Is.
@@ -50,9 +50,9 @@
 	switch {
 	case c.By == "" || c.Reason == "" || c.Zone == "":
 		return c, ErrIncomplete
-	case len(c.By) > maxText || len(c.Reason) > maxText || len(c.Zone) > maxZoneName:
+	case len(c.By) > maxTextLength || len(c.Reason) > maxTextLength || len(c.Zone) > maxZoneNameLength:
 		return c, ErrIncomplete
-	case c.ForMS < 0 || c.ForMS > maxForMS:
+	case c.ForMS < 0 || c.ForMS > maxDurationMS:
 		return c, fmt.Errorf("zone: for %d ms; %w", c.ForMS, ErrDuration)
 	}
 	return c, nil
@@ -67,11 +67,11 @@
 }
 
 // decision returns the status that a command settles, given the current one; nil: the zone is in service.
-type decision func(c Command, current *Status, unix int64) (*Status, error)
+type decision func(c Command, current *Status, unixMS int64) (*Status, error)
 
 // handler applies a decision to the section of the plan. It returns no section if the plan has it already.
 func handler(decide decision) fleet.CommandHandler {
-	return func(p *fleet.Plan, args []byte, unix int64) (map[string]cbor.RawMessage, error) {
+	return func(p *fleet.Plan, args []byte, unixMS int64) (map[string]cbor.RawMessage, error) {
 		c, err := decode(args)
 		if err != nil {
 			return nil, err
@@ -84,13 +84,13 @@
 		if status, ok := statuses[c.Zone]; ok {
 			current = &status
 		}
-		settled, err := decide(c, current, unix)
+		status, err := decide(c, current, unixMS)
 		if err != nil {
 			return nil, err
 		}
 		next := maps.Clone(statuses)
-		if settled != nil {
-			next[c.Zone] = *settled
+		if status != nil {
+			next[c.Zone] = *status
 		} else {
 			delete(next, c.Zone)
 		}
@@ -103,24 +103,24 @@
 
 // evacuateByCommand evacuates a zone for ForMS or until the return command. The same command again changes nothing, so that it may be
 // sent twice.
-func evacuateByCommand(c Command, current *Status, unix int64) (*Status, error) {
+func evacuateByCommand(c Command, current *Status, unixMS int64) (*Status, error) {
 	if current != nil && current.State == Evacuated && current.orderedBy(c) {
 		return current, nil
 	}
-	status := &Status{State: Evacuated, Since: unix, By: c.By, Reason: c.Reason}
+	status := &Status{State: Evacuated, Since: unixMS, By: c.By, Reason: c.Reason}
 	if c.ForMS > 0 {
-		status.Until = unix + c.ForMS
+		status.Until = unixMS + c.ForMS
 	}
 	return status, nil
 }
 
 // returnByCommand returns an evacuated zone by the recovery ramp, sets a hold, or ends one.
-func returnByCommand(c Command, current *Status, unix int64) (*Status, error) {
+func returnByCommand(c Command, current *Status, unixMS int64) (*Status, error) {
 	switch {
 	case c.Hold && current != nil && current.KeepInService && current.orderedBy(c):
 		return current, nil
 	case c.Hold:
-		return &Status{State: Returning, Since: unix, By: c.By, Reason: c.Reason, KeepInService: true}, nil
+		return &Status{State: Returning, Since: unixMS, By: c.By, Reason: c.Reason, KeepInService: true}, nil
 	case current == nil:
 		return nil, fmt.Errorf("zone: %q %w", c.Zone, ErrNotEvacuated)
 	case current.KeepInService:
@@ -128,7 +128,7 @@
 	case current.State == Returning:
 		return current, nil
 	}
-	return &Status{State: Returning, Since: unix, FailedReturns: current.FailedReturns, By: c.By, Reason: c.Reason}, nil
+	return &Status{State: Returning, Since: unixMS, FailedReturns: current.FailedReturns, By: c.By, Reason: c.Reason}, nil
 }
 
 // orderedBy tells whether a status is the result of the same operator's command for the same reason.
--- a/internal/fleet/evacuation/config.go
+++ b/internal/fleet/evacuation/config.go
@@ -38,24 +38,24 @@
 	slowFactor         = 3.5                    // of the baseline: an answer that slow counts as failed
 	neverSlow          = 1e9                    // a slowFactor that no answer reaches
 	minSlowFailed      = 10                     // attempts, before a zone is unhealthy by latency
-	lateAnswer         = 800 * time.Millisecond // until an attempt to a server in slow start counts as failed
-	sharedSlowHold     = 6 * time.Second        // no evacuation by latency for so long after zones were slow together
+	lateAnswerDelay    = 800 * time.Millisecond // until an attempt to a server in slow start counts as failed
+	sharedSlownessHold = 6 * time.Second        // no evacuation by latency for so long after zones were slow together
 )
 
 // Bounds of what the other zones must be able to take.
 const (
-	restFailedRatio = 0.25 // failed of all attempts to the other zones, at most
-	restSlowFactor  = 1.8  // of the baseline: an answer of the other zones that slow counts as failed
-	minRejected     = 5    // requests that servers rejected in the longest window
-	rejectedRatio   = 0.05 // rejected of served and rejected requests
+	othersFailedRatio = 0.25 // failed of all attempts to the other zones, at most
+	othersSlowFactor  = 1.8  // of the baseline: an answer of the other zones that slow counts as failed
+	minRejected       = 5    // requests that servers rejected in the longest window
+	rejectedRatio     = 0.05 // rejected of served and rejected requests
 )
 
 // Bounds of a probe.
 const (
-	probeMinServed    = 3                      // attempts
-	probeServedFactor = 4                      // served attempts for each failed one
-	probeMaxFailed    = 1                      // attempts; one more ends the probe
-	minRestartAge     = 300 * time.Millisecond // of an evacuation, before restarted servers are probed ahead of the backoff
+	probeMinServed       = 3                      // attempts
+	probeServedPerFailed = 4                      // served attempts for each failed one
+	probeMaxFailed       = 1                      // attempts; one more ends the probe
+	restartProbeDelay    = 300 * time.Millisecond // of an evacuation, before restarted servers are probed ahead of the backoff
 )
 
 // Bounds of the latency baseline.
--- a/internal/fleet/evacuation/detector.go
+++ b/internal/fleet/evacuation/detector.go
@@ -20,59 +20,59 @@
 type Detector struct {
 	cfg Config
 
-	homes   map[string]string        // zone of each gateway that reported
-	heardAt map[string]time.Duration // last report of each gateway
-	regions map[string]string        // by zone, where a gateway of the zone names one
-	zones   map[string]bool          // every zone that was reported
-	samples map[path][]sample        // the oldest first
+	zoneByGateway map[string]string        // zone of each gateway that reported
+	lastReportAt  map[string]time.Duration // last report of each gateway
+	regionByZone  map[string]string        // by zone, where a gateway of the zone names one
+	knownZones    map[string]bool          // every zone that was reported
+	samples       map[path][]sample        // the oldest first
 
-	baselines    map[path]*baseline  // from a zone of gateways to a zone of servers
-	starts       map[string]int64    // by zone, last start of one of its servers, Unix ms
-	gateways     []string            // that reported of late, sorted
-	byZone       map[string][]string // the same by their zones
-	warming      map[string]bool     // zones with servers in slow start
-	now          time.Duration       // of the last evaluation
-	changedAt    time.Duration       // when a status last changed; evidence from before is not used for an evacuation
-	sharedSlowAt time.Duration       // when zones were last slow together; 0: never
+	baselines         map[path]*baseline  // from a zone of gateways to a zone of servers
+	lastStartByZone   map[string]int64    // by zone, last start of one of its servers, Unix ms
+	gateways          []string            // that reported of late, sorted
+	gatewaysByZone    map[string][]string // the same by their zones
+	warmingZones      map[string]bool     // zones with servers in slow start
+	now               time.Duration       // of the last evaluation
+	statusesChangedAt time.Duration       // when a status last changed; evidence from before is not used for an evacuation
+	sharedSlownessAt  time.Duration       // when zones were last slow together; 0: never
 }
 
 // New returns a Detector without evidence.
 func New(cfg Config) *Detector {
 	return &Detector{
-		cfg:       cfg,
-		homes:     map[string]string{},
-		heardAt:   map[string]time.Duration{},
-		regions:   map[string]string{},
-		zones:     map[string]bool{},
-		samples:   map[path][]sample{},
-		baselines: map[path]*baseline{},
-		warming:   map[string]bool{},
+		cfg:           cfg,
+		zoneByGateway: map[string]string{},
+		lastReportAt:  map[string]time.Duration{},
+		regionByZone:  map[string]string{},
+		knownZones:    map[string]bool{},
+		samples:       map[path][]sample{},
+		baselines:     map[path]*baseline{},
+		warmingZones:  map[string]bool{},
 	}
 }
 
 // SetServerStarts sets the last start of a server by zone, Unix ms. Servers that started after their zone was evacuated are probed
 // ahead of the backoff.
-func (d *Detector) SetServerStarts(starts map[string]int64) { d.starts = starts }
+func (d *Detector) SetServerStarts(starts map[string]int64) { d.lastStartByZone = starts }
 
 // ZoneOf returns the zone of a gateway that reported of late.
 func (d *Detector) ZoneOf(gateway string) (zone string, ok bool) {
-	zone, ok = d.homes[gateway]
+	zone, ok = d.zoneByGateway[gateway]
 	return zone, ok
 }
 
 // Saturated tells whether servers reject requests, as of the last evaluation.
 func (d *Detector) Saturated() bool {
-	_, saturated := d.saturated(slices.Sorted(maps.Keys(d.zones)), nil, scope{gateways: d.gateways})
+	_, saturated := d.saturated(slices.Sorted(maps.Keys(d.knownZones)), nil, scope{gateways: d.gateways})
 	return saturated
 }
 
 // evaluation is the state of one call of Evaluate.
 type evaluation struct {
 	*Detector
-	unix  int64 // leader's clock, Unix ms
-	next  Statuses
-	zones []string // sorted
-	alive func(gateway string) bool
+	unixMS int64 // leader's clock, Unix ms
+	next   Statuses
+	zones  []string // sorted
+	alive  func(gateway string) bool
 }
 
 // Evaluate returns the statuses that should hold, given those that do; changed tells whether they differ. now is on the clock of
@@ -80,32 +80,32 @@
 //
 // Zones that already have a status are advanced first, then zones are evacuated, then paths: each step sees what the steps before
 // have taken out of service.
-func (d *Detector) Evaluate(now time.Duration, unix int64, current Statuses, alive func(gateway string) bool) (next Statuses, changed bool) {
+func (d *Detector) Evaluate(now time.Duration, unixMS int64, current Statuses, alive func(gateway string) bool) (next Statuses, changed bool) {
 	next = maps.Clone(current)
 	if next == nil {
 		next = Statuses{}
 	}
-	e := &evaluation{Detector: d, unix: unix, next: next, zones: slices.Sorted(maps.Keys(d.zones)), alive: alive}
+	e := &evaluation{Detector: d, unixMS: unixMS, next: next, zones: slices.Sorted(maps.Keys(d.knownZones)), alive: alive}
 	d.now = now
 	d.expireGateways()
-	d.markWarming(unix)
+	d.markWarmingZones(unixMS)
 	d.updateBaselines(next, e.zones)
 	e.advance()
 	e.evacuateZones()
 	e.evacuatePaths()
-	e.restoreLastPaths()
+	e.restoreLastZones()
 	changed = !maps.EqualFunc(current, next, equal)
 	if changed {
-		d.changedAt = now
+		d.statusesChangedAt = now
 	}
 	return next, changed
 }
 
-// markWarming finds the zones with servers in slow start: they answer late, which is no failure.
-func (d *Detector) markWarming(unix int64) {
-	d.warming = map[string]bool{}
-	for zone, startedAt := range d.starts {
-		age := time.Duration(unix-startedAt) * time.Millisecond
-		d.warming[zone] = startedAt > 0 && age < d.cfg.RecoveryTime
+// markWarmingZones finds the zones with servers in slow start: they answer late, which is no failure.
+func (d *Detector) markWarmingZones(unixMS int64) {
+	d.warmingZones = map[string]bool{}
+	for zone, startedAt := range d.lastStartByZone {
+		age := time.Duration(unixMS-startedAt) * time.Millisecond
+		d.warmingZones[zone] = startedAt > 0 && age < d.cfg.RecoveryTime
 	}
 }
--- a/internal/fleet/evacuation/evacuate.go
+++ b/internal/fleet/evacuation/evacuate.go
@@ -15,7 +15,7 @@
 		case ok && !status.KeepInService:
 			evacuated++
 		case !ok:
-			if v, bad := e.judge(zone, e.changedAt, e.gateways); bad {
+			if v, isUnhealthy := e.detectUnhealthy(zone, e.statusesChangedAt, e.gateways); isUnhealthy {
 				unhealthy[zone] = v
 			}
 		}
@@ -25,8 +25,8 @@
 			continue
 		}
 		v := unhealthy[zone]
-		e.next[zone] = Status{State: Evacuated, Since: e.unix, Reason: v.String(), Partial: v.partial()}
-		e.deletePathsTo(zone)
+		e.next[zone] = Status{State: Evacuated, Since: e.unixMS, Reason: v.String(), Partial: v.partial()}
+		e.deletePathStatusesTo(zone)
 		evacuated++
 	}
 }
@@ -34,16 +34,16 @@
 // mayEvacuate is the rule that admits the evacuation of an unhealthy zone: within the limit, or as part of a lost region; while the
 // other zones are healthy; and, if the zone still serves some requests, while the others have capacity.
 func (e *evaluation) mayEvacuate(zone string, evacuated int, unhealthy map[string]verdict) bool {
-	isUnhealthy := func(other string) bool { _, bad := unhealthy[other]; return bad }
-	if evacuated >= e.maxEvacuated() && !(evacuated < len(e.zones)/2 && e.regionLost(zone, isUnhealthy)) {
+	isUnhealthy := func(other string) bool { _, ok := unhealthy[other]; return ok }
+	if evacuated >= e.maxEvacuated() && !(evacuated < len(e.zones)/2 && e.regionFailed(zone, isUnhealthy)) {
 		return false
 	}
 	v := unhealthy[zone]
-	all := e.scopeOf("")
-	if !e.restHealthy(all, v, isUnhealthy) {
+	allGateways := e.scopeOf("")
+	if !e.othersHealthy(allGateways, v, isUnhealthy) {
 		return false
 	}
-	_, saturated := e.saturated(e.zones, e.next, all)
+	_, saturated := e.saturated(e.zones, e.next, allGateways)
 	return !saturated || !v.partial()
 }
 
@@ -55,29 +55,29 @@
 	return max(len(e.zones)/3, min(1, len(e.zones)-1))
 }
 
-// regionLost tells whether a zone's region fails as one: it has several zones, all of them are unhealthy or out of service, and they
+// regionFailed tells whether a zone's region fails as one: it has several zones, all of them are unhealthy or out of service, and they
 // are at most half of all zones.
-func (e *evaluation) regionLost(zone string, unhealthy func(string) bool) bool {
-	region := e.regions[zone]
+func (e *evaluation) regionFailed(zone string, unhealthy func(string) bool) bool {
+	region := e.regionByZone[zone]
 	if region == "" {
 		return false
 	}
-	members := 0
+	zonesInRegion := 0
 	for _, other := range e.zones {
-		if e.regions[other] != region {
+		if e.regionByZone[other] != region {
 			continue
 		}
-		members++
+		zonesInRegion++
 		state := e.next[other].State
 		if !unhealthy(other) && state != Evacuated && state != Probing {
 			return false
 		}
 	}
-	return members > 1 && 2*members <= len(e.zones)
+	return zonesInRegion > 1 && 2*zonesInRegion <= len(e.zones)
 }
 
-// deletePathsTo drops the statuses of the paths to a zone, as a status for all gateways replaces them.
-func (e *evaluation) deletePathsTo(zone string) {
+// deletePathStatusesTo drops the statuses of the paths to a zone, as a status for all gateways replaces them.
+func (e *evaluation) deletePathStatusesTo(zone string) {
 	maps.DeleteFunc(e.next, func(key string, _ Status) bool {
 		from, to := splitKey(key)
 		return from != "" && to == zone
@@ -88,7 +88,7 @@
 // stays in service for each.
 func (e *evaluation) evacuatePaths() {
 	for _, from := range e.zones {
-		s := scope{from: from, gateways: e.byZone[from]}
+		s := scope{from: from, gateways: e.gatewaysByZone[from]}
 		if len(s.gateways) < quorumMin {
 			continue
 		}
@@ -106,15 +106,15 @@
 
 // evacuatePath evacuates one zone for one scope if the path is cut.
 func (e *evaluation) evacuatePath(s scope, to string) bool {
-	_, settled := e.next.For(s.from, to)
-	if settled || s.from == to || e.next[to].KeepInService {
+	_, hasStatus := e.next.For(s.from, to)
+	if hasStatus || s.from == to || e.next[to].KeepInService {
 		return false
 	}
-	v, unhealthy := e.judge(to, e.changedAt, s.gateways)
+	v, unhealthy := e.detectUnhealthy(to, e.statusesChangedAt, s.gateways)
 	if !unhealthy || !e.pathCut(s, to, v) {
 		return false
 	}
-	e.next[pathKey(s.from, to)] = Status{State: Evacuated, Since: e.unix, Partial: v.partial(), Reason: "the way from " + s.from + ": " + v.String()}
+	e.next[pathKey(s.from, to)] = Status{State: Evacuated, Since: e.unixMS, Partial: v.partial(), Reason: "the way from " + s.from + ": " + v.String()}
 	return true
 }
 
@@ -124,17 +124,17 @@
 	if float64(v.failed) < pathUnhealthyRatio*float64(v.failed+v.served) {
 		return false
 	}
-	elsewhere := slices.DeleteFunc(slices.Clone(e.gateways), func(gateway string) bool { return e.homes[gateway] == s.from })
-	others := e.sumEvidence(to, v.since, slowFactor, elsewhere)
+	gatewaysElsewhere := slices.DeleteFunc(slices.Clone(e.gateways), func(gateway string) bool { return e.zoneByGateway[gateway] == s.from })
+	others := e.sumEvidence(to, v.windowStart, slowFactor, gatewaysElsewhere)
 	if others.served <= 2*others.failed {
 		return false
 	}
-	return e.restHealthy(s, v, func(zone string) bool { return zone == to })
+	return e.othersHealthy(s, v, func(zone string) bool { return zone == to })
 }
 
-// restoreLastPaths deletes the path statuses of a zone of gateways that would have no zone left: an evacuation for all gateways may
+// restoreLastZones deletes the path statuses of a zone of gateways that would have no zone left: an evacuation for all gateways may
 // have taken the last one.
-func (e *evaluation) restoreLastPaths() {
+func (e *evaluation) restoreLastZones() {
 	for _, from := range e.zones {
 		if e.next.countAvoided(from, e.zones) == len(e.zones) {
 			maps.DeleteFunc(e.next, func(key string, _ Status) bool {
--- a/internal/fleet/evacuation/golden_test.go
+++ b/internal/fleet/evacuation/golden_test.go
@@ -14,15 +14,15 @@
 	"dewhitch/internal/golden"
 )
 
-var goldenVerdicts = Statuses{"hall-a>hall-b": {State: Probing, Since: 1700000000001, FailedReturns: 2, Reason: "ill", Probers: []string{"g1", "g2"},
+var goldenStatuses = Statuses{"hall-a>hall-b": {State: Probing, Since: 1700000000001, FailedReturns: 2, Reason: "ill", Probers: []string{"g1", "g2"},
 	By: "alice", Until: 1700000000003, KeepInService: true, FailedProbes: 4, Partial: true, AnyRequest: true}}
 
-// TestGoldenVerdicts freezes the section of the plan that voters store and members read, and the page of it that operators read.
-func TestGoldenVerdicts(t *testing.T) {
+// TestGoldenStatuses freezes the section of the plan that voters store and members read, and the page of it that operators read.
+func TestGoldenStatuses(t *testing.T) {
 	if Section != "zones" {
 		t.Error("section:", Section)
 	}
-	for name, v := range map[string]Statuses{"verdicts": goldenVerdicts, "verdicts-least": {"hall-b": {State: Evacuated}}} {
+	for name, v := range map[string]Statuses{"verdicts": goldenStatuses, "verdicts-least": {"hall-b": {State: Evacuated}}} {
 		if name == "verdicts" {
 			golden.Filled(t, v)
 		}
@@ -71,11 +71,11 @@
 		t.Error("calls:", got)
 	}
 	for verb, file := range map[string]string{"leave": "settled-leave.cbor", "return": "settled-return.cbor"} {
-		set, err := Commands()[verb](&fleet.Plan{}, golden.Read(t, "call.cbor"), 1700000000005)
-		if err != nil || len(set) != 1 {
-			t.Fatalf("%s: %v, %v", verb, set, err)
+		sections, err := Commands()[verb](&fleet.Plan{}, golden.Read(t, "call.cbor"), 1700000000005)
+		if err != nil || len(sections) != 1 {
+			t.Fatalf("%s: %v, %v", verb, sections, err)
 		}
-		golden.Compare(t, file, set["zones"])
+		golden.Compare(t, file, sections["zones"])
 	}
 	if bytes.Equal(golden.Read(t, "settled-leave.cbor"), golden.Read(t, "settled-return.cbor")) {
 		t.Error("leave and return settle the same")
--- a/internal/fleet/evacuation/large_test.go
+++ b/internal/fleet/evacuation/large_test.go
@@ -16,22 +16,22 @@
 	}
 	for _, n := range sizes {
 		sim := newSimulation(11, 12, n/12, 900/float64(n)/12) // 900 requests a second over all
-		sim.run(8 * time.Second)
+		sim.runFor(8 * time.Second)
 		if len(sim.statuses) != 0 {
 			t.Fatalf("%d gateways: %+v before any fault", n, sim.statuses)
 		}
-		sim.failing = unhealthyZone("b")
-		before, began, real := sim.sent["b"], sim.now, time.Now()
-		for sim.statuses["b"].State != Evacuated && sim.now < began+10*time.Second {
-			sim.run(200 * time.Millisecond)
+		sim.failureRate = failZone("b")
+		sentBefore, faultAt, wallStart := sim.attemptsByZone["b"], sim.now, time.Now()
+		for sim.statuses["b"].State != Evacuated && sim.now < faultAt+10*time.Second {
+			sim.runFor(200 * time.Millisecond)
 		}
-		left := sim.now - began
-		if left > 2*time.Second {
-			t.Errorf("%d gateways: evacuated after %v", n, left)
+		detectionTime := sim.now - faultAt
+		if detectionTime > 2*time.Second {
+			t.Errorf("%d gateways: evacuated after %v", n, detectionTime)
 		}
-		sim.run(5*time.Second - left)
-		t.Logf("%5d gateways in 12 zones, 900 requests a second: evacuated after %v, %d sent there in 5 s, %v an evaluation", n, left, sim.sent["b"]-before,
-			time.Since(real)/25)
+		sim.runFor(5*time.Second - detectionTime)
+		t.Logf("%5d gateways in 12 zones, 900 requests a second: evacuated after %v, %d sent there in 5 s, %v an evaluation", n, detectionTime, sim.attemptsByZone["b"]-sentBefore,
+			time.Since(wallStart)/25)
 	}
 }
 
--- a/internal/fleet/evacuation/probe.go
+++ b/internal/fleet/evacuation/probe.go
@@ -21,12 +21,12 @@
 
 // mayProbe tells whether an evacuated zone may be probed: at the end of an operator's evacuation; or after the backoff; or as soon as
 // a server started after the evacuation, as the fault may be over.
-func (e *evaluation) mayProbe(s subject) bool {
-	if s.status.By != "" {
-		return s.status.Until != 0 && e.unix >= s.status.Until
+func (e *evaluation) mayProbe(c statusContext) bool {
+	if c.status.By != "" {
+		return c.status.Until != 0 && e.unixMS >= c.status.Until
 	}
-	restarted := e.starts[s.zone] > s.status.Since && s.age >= minRestartAge
-	return restarted || s.age >= e.probeDelay(s.key, s.status)
+	restarted := e.lastStartByZone[c.zone] > c.status.Since && c.age >= restartProbeDelay
+	return restarted || c.age >= e.probeDelay(c.key, c.status)
 }
 
 // probeDelay is the backoff from an evacuation to its next probe. The jitter keeps zones that failed together from being probed
@@ -41,9 +41,9 @@
 
 // chooseProber selects one gateway of the scope that is alive, the turn-th in a round robin that begins with the gateways of the zone
 // itself: they have the shortest path. It returns nil if none is alive.
-func (e *evaluation) chooseProber(s subject, turn int) []string {
+func (e *evaluation) chooseProber(c statusContext, index int) []string {
 	var candidates []string
-	for _, gateway := range s.scope.gateways {
+	for _, gateway := range c.scope.gateways {
 		if e.alive(gateway) {
 			candidates = append(candidates, gateway)
 		}
@@ -52,14 +52,14 @@
 		return nil
 	}
 	slices.SortFunc(candidates, func(a, b string) int {
-		return cmp.Or(cmp.Compare(e.distance(a, s.zone), e.distance(b, s.zone)), cmp.Compare(a, b))
+		return cmp.Or(cmp.Compare(e.distance(a, c.zone), e.distance(b, c.zone)), cmp.Compare(a, b))
 	})
-	return []string{candidates[max(0, turn)%len(candidates)]}
+	return []string{candidates[max(0, index)%len(candidates)]}
 }
 
 // distance is 0 for a gateway in the zone and 1 for any other.
 func (d *Detector) distance(gateway, zone string) int {
-	if d.homes[gateway] == zone {
+	if d.zoneByGateway[gateway] == zone {
 		return 0
 	}
 	return 1
--- a/internal/fleet/evacuation/selfmonitor.go
+++ b/internal/fleet/evacuation/selfmonitor.go
@@ -25,8 +25,8 @@
 
 // Observe adds the attempts of this gateway since the last call.
 func (m *SelfMonitor) Observe(now time.Duration, served, failed uint64) {
-	m.samples = append(m.samples, sample{at: now, served: served, failed: failed})
-	for len(m.samples) > 0 && now-m.samples[0].at > selfSpan {
+	m.samples = append(m.samples, sample{startedAt: now, served: served, failed: failed})
+	for len(m.samples) > 0 && now-m.samples[0].startedAt > selfSpan {
 		m.samples = m.samples[1:]
 	}
 }
@@ -40,9 +40,9 @@
 		failed += s.failed
 		if s.failed > 0 {
 			if first < 0 {
-				first = s.at
+				first = s.startedAt
 			}
-			last = s.at
+			last = s.startedAt
 		}
 	}
 	return failed >= selfMinFailed &&
@@ -56,34 +56,34 @@
 //
 // Where the fault is shared by all zones the fleet evacuates none and views stay fresh, so no gateway drains. Without a quorum every
 // gateway may drain, hence the bound selfMaxDrain.
-func (m *SelfMonitor) Update(now time.Duration, evacuated, fresh bool, turn int) bool {
+func (m *SelfMonitor) Update(now time.Duration, zoneEvacuated, viewFresh bool, returnIndex int) bool {
 	if !m.drained {
-		if m.isolated() && (evacuated || !fresh) {
-			m.enter(now, true)
+		if m.isolated() && (zoneEvacuated || !viewFresh) {
+			m.setDrained(now, true)
 			m.healthyAt = 0
 		}
 		return m.drained
 	}
-	if !fresh || evacuated {
+	if !viewFresh || zoneEvacuated {
 		m.healthyAt = 0
 	} else if m.healthyAt == 0 {
 		m.healthyAt = now
 	}
-	if m.mayReturn(now, turn) || now-m.changedAt >= selfMaxDrain {
-		m.enter(now, false)
+	if m.mayReturn(now, returnIndex) || now-m.changedAt >= selfMaxDrain {
+		m.setDrained(now, false)
 	}
 	return m.drained
 }
 
 // mayReturn tells whether the gateway may take clients again, in its turn.
-func (m *SelfMonitor) mayReturn(now time.Duration, turn int) bool {
+func (m *SelfMonitor) mayReturn(now time.Duration, returnIndex int) bool {
 	return m.healthyAt > 0 &&
-		now-m.healthyAt >= time.Duration(turn)*selfReturnDelay &&
+		now-m.healthyAt >= time.Duration(returnIndex)*selfReturnDelay &&
 		now-m.changedAt >= selfMinDrain
 }
 
-// enter changes the state and drops the evidence from before.
-func (m *SelfMonitor) enter(now time.Duration, drained bool) {
+// setDrained changes the state and drops the evidence from before.
+func (m *SelfMonitor) setDrained(now time.Duration, drained bool) {
 	m.drained = drained
 	m.changedAt = now
 	m.samples = nil
--- a/internal/fleet/evacuation/selfmonitor_test.go
+++ b/internal/fleet/evacuation/selfmonitor_test.go
@@ -6,13 +6,13 @@
 )
 
 // runSelfMonitor plays one gateway's view of itself, five evaluations a second.
-func runSelfMonitor(o *SelfMonitor, now *time.Duration, d time.Duration, served, failed uint64, evacuated, fresh bool, turn int) (drained bool) {
+func runSelfMonitor(monitor *SelfMonitor, now *time.Duration, d time.Duration, served, failed uint64, zoneEvacuated, viewFresh bool, returnIndex int) (drained bool) {
 	for end := *now + d; *now < end; {
 		*now += 200 * time.Millisecond
 		if !drained {
-			o.Observe(*now, served, failed)
+			monitor.Observe(*now, served, failed)
 		}
-		drained = o.Update(*now, evacuated, fresh, turn)
+		drained = monitor.Update(*now, zoneEvacuated, viewFresh, returnIndex)
 	}
 	return drained
 }
@@ -20,10 +20,10 @@
 func TestSelfMonitorDrains(t *testing.T) {
 	const s = time.Second
 	for _, c := range []struct {
-		what             string
-		served, failed   uint64
-		evacuated, fresh bool
-		want             bool
+		name                     string
+		served, failed           uint64
+		zoneEvacuated, viewFresh bool
+		want                     bool
 	}{
 		{"healthy, in an evacuated zone", 20, 1, true, true, false},
 		{"isolated, in an evacuated zone", 0, 3, true, true, true},
@@ -33,29 +33,29 @@
 		{"half of its attempts fail", 3, 3, true, true, false},
 		{"no attempts", 0, 0, true, true, false},
 	} {
-		o, now := &SelfMonitor{}, 10*s
-		if got := runSelfMonitor(o, &now, 4*s, c.served, c.failed, c.evacuated, c.fresh, 0); got != c.want {
-			t.Errorf("%s: drained %v", c.what, got)
+		monitor, now := &SelfMonitor{}, 10*s
+		if got := runSelfMonitor(monitor, &now, 4*s, c.served, c.failed, c.zoneEvacuated, c.viewFresh, 0); got != c.want {
+			t.Errorf("%s: drained %v", c.name, got)
 		}
 	}
 	// They come back one after the other, and not for a moment's view.
-	for turn := range 3 {
-		o, now := &SelfMonitor{}, 10*s
-		if !runSelfMonitor(o, &now, 4*s, 0, 3, true, true, turn) {
+	for returnIndex := range 3 {
+		monitor, now := &SelfMonitor{}, 10*s
+		if !runSelfMonitor(monitor, &now, 4*s, 0, 3, true, true, returnIndex) {
 			t.Fatal("not drained")
 		}
-		runSelfMonitor(o, &now, 4*s, 0, 0, true, true, turn)
-		began := now
-		for o.Update(now, false, true, turn) {
+		runSelfMonitor(monitor, &now, 4*s, 0, 0, true, true, returnIndex)
+		recoveredAt := now
+		for monitor.Update(now, false, true, returnIndex) {
 			now += 200 * time.Millisecond
 		}
-		if elapsed := now - began; elapsed < time.Duration(turn)*selfReturnDelay || elapsed > time.Duration(turn)*selfReturnDelay+2*s {
-			t.Errorf("the %d. came back after %v", turn, elapsed)
+		if elapsed := now - recoveredAt; elapsed < time.Duration(returnIndex)*selfReturnDelay || elapsed > time.Duration(returnIndex)*selfReturnDelay+2*s {
+			t.Errorf("the %d. came back after %v", returnIndex, elapsed)
 		}
 	}
-	o, now := &SelfMonitor{}, 10*s
-	runSelfMonitor(o, &now, 4*s, 0, 3, false, false, 0)
-	if runSelfMonitor(o, &now, selfMaxDrain, 0, 0, false, false, 0) {
+	monitor, now := &SelfMonitor{}, 10*s
+	runSelfMonitor(monitor, &now, 4*s, 0, 3, false, false, 0)
+	if runSelfMonitor(monitor, &now, selfMaxDrain, 0, 0, false, false, 0) {
 		t.Error("it stays away for good without a quorum")
 	}
 }
--- a/internal/fleet/slowstart/allocator.go
+++ b/internal/fleet/slowstart/allocator.go
@@ -43,31 +43,31 @@
 
 // Bounds of the allocation.
 const (
-	demandSpan       = 2.0              // seconds, time constant of a gateway's demand
-	latencySmoothing = 0.02             // weight of a report in the mean latency
-	silentLeases     = 1.5              // leases for which a new leader grants nothing, as grants of the last one may still be spent
-	memberExpiry     = 30 * time.Second // without a report, until a gateway is forgotten
-	minDemand        = 1e-9             // attempts a second, so that a share is defined without demand
+	demandTimeConstant = 2.0              // seconds, time constant of a gateway's demand
+	latencySmoothing   = 0.02             // weight of a report in the mean latency
+	grantPauseLeases   = 1.5              // leases for which a new leader grants nothing, as grants of the last one may still be spent
+	memberExpiry       = 30 * time.Second // without a report, until a gateway is forgotten
+	minDemand          = 1e-9             // attempts a second, so that a share is defined without demand
 )
 
 // member is a gateway, as the leader knows it.
 type member struct {
-	heardAt time.Duration // last report
-	demand  float64       // attempts a second that it has to send, smoothed
-	grants  []grant       // that it may still act on, the oldest first
+	lastReportAt time.Duration // last report
+	demand       float64       // attempts a second that it has to send, smoothed
+	grants       []grant       // that it may still act on, the oldest first
 }
 
 // grant is what was granted to a gateway in answer to one report.
 type grant struct {
-	seq   uint64 // of the report
-	until time.Duration
-	rates map[uint32]float64 // attempts a second, by server
+	reportSeq uint64 // of the report
+	expiresAt time.Duration
+	rates     map[uint32]float64 // attempts a second, by server
 }
 
 // reserved is the highest rate that a gateway may still send to a server by its grants.
 func (m *member) reserved(now time.Duration, id uint32) (rate float64) {
 	for _, g := range m.grants {
-		if g.until > now {
+		if g.expiresAt > now {
 			rate = max(rate, g.rates[id])
 		}
 	}
@@ -84,14 +84,14 @@
 // Allocator divides the budgets. Every voter observes, so that the next leader knows the demand; only the leader allocates and grants.
 // All times of type time.Duration are on the owner's monotonic clock.
 type Allocator struct {
-	cfg         Config
-	term        uint64        // in which this process leads; 0: it does not
-	leaderSince time.Duration // start of the term
-	members     map[string]*member
-	health      map[uint32]*health // of servers with a budget
-	allocations map[uint32]*allocation
-	mayUse      func(gateway string, server uint32) bool // of the last Allocate
-	meanLatency float64                                  // microseconds of a served attempt, smoothed
+	cfg               Config
+	term              uint64        // in which this process leads; 0: it does not
+	termStart         time.Duration // start of the term
+	members           map[string]*member
+	health            map[uint32]*health // of servers with a budget
+	allocations       map[uint32]*allocation
+	maySend           func(gateway string, server uint32) bool // of the last Allocate
+	meanLatencyMicros float64                                  // microseconds of a served attempt, smoothed
 }
 
 // New returns an Allocator that knows no gateway and does not lead.
@@ -104,7 +104,7 @@
 	}
 }
 
-func (a *Allocator) member(name string) *member {
+func (a *Allocator) getOrAddMember(name string) *member {
 	m := a.members[name]
 	if m == nil {
 		m = &member{}
@@ -115,7 +115,7 @@
 
 // Observe adds what a gateway saw since its last report. appliedSeq is the report whose answer it acts on: earlier grants are void.
 func (a *Allocator) Observe(now time.Duration, gateway string, appliedSeq uint64, delta fleet.Report) {
-	m := a.member(gateway)
+	m := a.getOrAddMember(gateway)
 	attempts := uint64(0)
 	for _, counts := range delta.Zones {
 		attempts += counts.Attempts
@@ -124,35 +124,35 @@
 		}
 	}
 	m.observeDemand(now, (float64(attempts)+float64(delta.Requests))/2)
-	for len(m.grants) > 0 && (m.grants[0].until <= now || m.grants[0].seq < appliedSeq) {
+	for len(m.grants) > 0 && (m.grants[0].expiresAt <= now || m.grants[0].reportSeq < appliedSeq) {
 		m.grants = m.grants[1:]
 	}
-	for id, s := range delta.Servers {
+	for id, counts := range delta.Servers {
 		h := a.health[id]
 		if h == nil {
 			continue // the server has no budget
 		}
-		h.served += s.Served
-		h.failed += s.ConnectFailed + s.TimedOut + s.Failed + s.Rejected
-		h.latencyMicros += s.LatencyMicros
+		h.served += counts.Served
+		h.failed += counts.ConnectFailed + counts.TimedOut + counts.Failed + counts.Rejected
+		h.latencyMicros += counts.LatencyMicros
 	}
 }
 
 // observeLatency adds a mean latency in microseconds to the exponentially weighted moving average.
 func (a *Allocator) observeLatency(micros float64) {
-	if a.meanLatency == 0 {
-		a.meanLatency = micros
+	if a.meanLatencyMicros == 0 {
+		a.meanLatencyMicros = micros
 	}
-	a.meanLatency += latencySmoothing * (micros - a.meanLatency)
+	a.meanLatencyMicros += latencySmoothing * (micros - a.meanLatencyMicros)
 }
 
 // observeDemand adds the attempts since the last report to the smoothed demand.
 func (m *member) observeDemand(now time.Duration, attempts float64) {
-	if elapsed := (now - m.heardAt).Seconds(); m.heardAt > 0 && elapsed > 0 {
-		weight := 1 - math.Exp(-elapsed/demandSpan)
+	if elapsed := (now - m.lastReportAt).Seconds(); m.lastReportAt > 0 && elapsed > 0 {
+		weight := 1 - math.Exp(-elapsed/demandTimeConstant)
 		m.demand += weight * (attempts/elapsed - m.demand)
 	}
-	m.heardAt = now
+	m.lastReportAt = now
 }
 
 // SetLeaderTerm tells in which term this process leads; 0: it does not lead. Grants of another term may still be spent, so that a new
@@ -160,7 +160,7 @@
 // it had lost the term.
 func (a *Allocator) SetLeaderTerm(now time.Duration, term uint64) {
 	if term != a.term && term != 0 {
-		a.leaderSince = now
+		a.termStart = now
 		for _, m := range a.members {
 			m.grants = nil
 		}
@@ -179,7 +179,7 @@
 // expireMembers forgets the gateways without a report for memberExpiry, and returns the demand of the others.
 func (a *Allocator) expireMembers(now time.Duration) (demand float64) {
 	for name, m := range a.members {
-		if now-m.heardAt > memberExpiry {
+		if now-m.lastReportAt > memberExpiry {
 			delete(a.members, name)
 			continue
 		}
@@ -190,18 +190,18 @@
 
 // Allocate computes the budgets of servers, and tells whether any has one. mayUse tells which gateways may send to a server; it is called
 // until the next Allocate. The budgets are not computed in each Grant, as the leader's cost would grow with the square of the fleet.
-func (a *Allocator) Allocate(now time.Duration, unix int64, servers []Server, mayUse func(gateway string, server uint32) bool) bool {
-	a.mayUse = mayUse
+func (a *Allocator) Allocate(now time.Duration, unixMS int64, servers []Server, maySend func(gateway string, server uint32) bool) bool {
+	a.maySend = maySend
 	a.allocations = map[uint32]*allocation{}
-	for id, budget := range a.budgets(now, unix, servers) {
-		r := &allocation{budget: budget}
+	for id, budget := range a.budgets(now, unixMS, servers) {
+		alloc := &allocation{budget: budget}
 		for name, m := range a.members {
-			if mayUse(name, id) {
-				r.demand += m.demand
+			if maySend(name, id) {
+				alloc.demand += m.demand
 			}
-			r.reserved += m.reserved(now, id)
+			alloc.reserved += m.reserved(now, id)
 		}
-		a.allocations[id] = r
+		a.allocations[id] = alloc
 	}
 	return len(a.allocations) > 0
 }
@@ -210,18 +210,18 @@
 // demand, less what others may still send by earlier grants. So the sum over all gateways never exceeds the budget, and a gateway that
 // is lost or stalled keeps its part reserved until its lease ends.
 func (a *Allocator) Grant(now time.Duration, gateway string, seq uint64) Grant {
-	m := a.member(gateway)
+	m := a.getOrAddMember(gateway)
 	granted := Grant{Rates: map[uint32]float64{}}
 	if a.mayGrant(now) {
-		for id, r := range a.allocations {
-			if !a.mayUse(gateway, id) {
+		for id, alloc := range a.allocations {
+			if !a.maySend(gateway, id) {
 				continue
 			}
-			own := m.reserved(now, id)
-			rate := min(r.budget*m.demand/max(r.demand, minDemand), r.budget-max(0, r.reserved-own))
+			ownReserved := m.reserved(now, id)
+			rate := min(alloc.budget*m.demand/max(alloc.demand, minDemand), alloc.budget-max(0, alloc.reserved-ownReserved))
 			if rate > 0 {
 				granted.Rates[id] = rate
-				r.reserved += max(0, rate-own)
+				alloc.reserved += max(0, rate-ownReserved)
 			}
 		}
 	}
@@ -233,5 +233,5 @@
 
 // mayGrant tells whether this process leads, and the grants of the last leader are over.
 func (a *Allocator) mayGrant(now time.Duration) bool {
-	return a.term != 0 && now-a.leaderSince >= time.Duration(silentLeases*float64(a.cfg.Lease))
+	return a.term != 0 && now-a.termStart >= time.Duration(grantPauseLeases*float64(a.cfg.Lease))
 }
--- a/internal/fleet/slowstart/budget.go
+++ b/internal/fleet/slowstart/budget.go
@@ -26,12 +26,12 @@
 	served        uint64  // attempts
 	failed        uint64  // attempts
 	latencyMicros uint64  // sum over the served attempts
-	steppedAt     time.Duration
+	intervalStart time.Duration
 }
 
 // warmth is the smallest fraction of its capacity that a server has reached; it grows linearly over the slow start.
-func (a *Allocator) warmth(unix int64, s Server) float64 {
-	age := time.Duration(unix-s.Since) * time.Millisecond
+func (a *Allocator) warmth(unixMS int64, s Server) float64 {
+	age := time.Duration(unixMS-s.Since) * time.Millisecond
 	if s.Since <= 0 || age >= a.cfg.Span {
 		return 1
 	}
@@ -40,12 +40,12 @@
 
 // budgets returns what all gateways together may send to each server in slow start, in attempts a second: the even share of the
 // demand, times the warmth, times the backoff. A probed zone has probeRate for all its servers.
-func (a *Allocator) budgets(now time.Duration, unix int64, servers []Server) map[uint32]float64 {
+func (a *Allocator) budgets(now time.Duration, unixMS int64, servers []Server) map[uint32]float64 {
 	budgets := map[uint32]float64{}
-	inUse, probed := countUses(servers)
+	inUse, probed := countByUse(servers)
 	evenRate := a.expireMembers(now) / float64(max(1, inUse))
 	for _, s := range servers {
-		warmth := a.warmth(unix, s)
+		warmth := a.warmth(unixMS, s)
 		if len(budgets) >= maxBudgets {
 			break
 		}
@@ -60,8 +60,8 @@
 	return budgets
 }
 
-// countUses counts the servers in use, and those of each zone that is probed.
-func countUses(servers []Server) (inUse int, probed map[string]int) {
+// countByUse counts the servers in use, and those of each zone that is probed.
+func countByUse(servers []Server) (inUse int, probed map[string]int) {
 	probed = map[string]int{}
 	for _, s := range servers {
 		switch s.Use {
@@ -79,20 +79,20 @@
 func (a *Allocator) backoff(now time.Duration, id uint32, warmth float64) float64 {
 	h := a.health[id]
 	if h == nil {
-		h = &health{backoff: 1, steppedAt: now}
+		h = &health{backoff: 1, intervalStart: now}
 		a.health[id] = h
 	}
-	if now-h.steppedAt < backoffInterval {
+	if now-h.intervalStart < backoffInterval {
 		return h.backoff
 	}
-	slow := h.served >= minServed && a.meanLatency > 0 &&
-		float64(h.latencyMicros)/float64(h.served) > slowFactor*a.meanLatency/warmth
+	slow := h.served >= minServed && a.meanLatencyMicros > 0 &&
+		float64(h.latencyMicros)/float64(h.served) > slowFactor*a.meanLatencyMicros/warmth
 	failing := h.failed >= minFailed && float64(h.failed) >= failedRatio*float64(h.served+h.failed)
 	if failing || slow {
 		h.backoff = max(backoffMin, h.backoff*backoffFactor)
 	} else {
 		h.backoff = min(1, h.backoff+backoffRecovery)
 	}
-	*h = health{backoff: h.backoff, steppedAt: now}
+	*h = health{backoff: h.backoff, intervalStart: now}
 	return h.backoff
 }
--- a/internal/fleet/slowstart/golden_test.go
+++ b/internal/fleet/slowstart/golden_test.go
@@ -9,12 +9,12 @@
 
 // TestGoldenGrant freezes what the leader's answer gives a gateway to send to cold servers, and reads it as the gateway does.
 func TestGoldenGrant(t *testing.T) {
-	for name, f := range map[string]Grant{"feed": {Rates: map[uint32]float64{0x0a0b0c0d: 12.375}}, "feed-least": {}} {
+	for name, grant := range map[string]Grant{"feed": {Rates: map[uint32]float64{0x0a0b0c0d: 12.375}}, "feed-least": {}} {
 		if name == "feed" {
-			golden.Filled(t, f)
+			golden.Filled(t, grant)
 		}
-		golden.Compare(t, name+".cbor", f.Encode())
-		if got, ok := Read(golden.Read(t, name+".cbor")); !ok || !reflect.DeepEqual(got, f) {
+		golden.Compare(t, name+".cbor", grant.Encode())
+		if got, ok := Read(golden.Read(t, name+".cbor")); !ok || !reflect.DeepEqual(got, grant) {
 			t.Errorf("%s: read as %+v, %v", name, got, ok)
 		}
 	}
--- a/internal/fleet/slowstart/grant.go
+++ b/internal/fleet/slowstart/grant.go
@@ -21,8 +21,8 @@
 }
 
 // Read decodes a grant. ok is false if it can't be decoded, has more than maxBudgets servers, or a rate out of bounds.
-func Read(b []byte) (g Grant, ok bool) {
-	if cbor.Unmarshal(b, &g) != nil || len(g.Rates) > maxBudgets {
+func Read(data []byte) (g Grant, ok bool) {
+	if cbor.Unmarshal(data, &g) != nil || len(g.Rates) > maxBudgets {
 		return Grant{}, false
 	}
 	for _, rate := range g.Rates {
