--- a/internal/fleet/evacuation/baseline.go
+++ b/internal/fleet/evacuation/baseline.go
@@ -1,22 +1,23 @@
 package evacuation
 
-// baseline is the usual latency of a path, an exponentially weighted moving average (EWMA).
+// baseline is the usual latency of a path, as an exponentially weighted moving average (EWMA).
 type baseline struct {
-	mean        float64 // seconds
-	answerCount uint64  // that the mean is made of, about up to baselineWarmup
+	mean        float64 // average latency in seconds
+	answerCount uint64  // number of answers in the mean; not counted beyond the warm-up
 }
 
-// ready tells whether the baseline has enough answers to judge a zone by latency.
+// ready returns true if the baseline has enough answers to detect a slow zone.
 func (b *baseline) ready() bool { return b != nil && b.answerCount >= baselineWarmup }
 
-// isSlow tells whether the mean latency of what a gateway saw is above factor times the baseline of its path.
+// isSlow returns true if the mean latency in a gateway's evidence is above factor times the baseline of the path p. It returns false
+// until that baseline is ready.
 func (d *Detector) isSlow(evidence sample, p path, factor float64) bool {
 	b := d.baselines[p]
 	return evidence.answered > 0 && b.ready() && evidence.latencySum/float64(evidence.answered) > factor*b.mean
 }
 
-// updateBaselines adds the last baselineSpan to the baselines of the paths in service. A path with a status is left out: its latency
-// is that of an outage or of slow start.
+// updateBaselines adds the samples of the last baselineSpan to the baselines of the paths in service. It skips the paths with a
+// status, because an outage or slow start determines their latency.
 func (d *Detector) updateBaselines(statuses Statuses, zones []string) {
 	for from, gateways := range d.gatewaysByZone {
 		for _, to := range zones {
@@ -27,7 +28,8 @@
 	}
 }
 
-// updatePathBaseline adds the last baselineSpan of one path, as seen by the gateways of its zone.
+// updatePathBaseline adds the last baselineSpan of one path, from the samples of the gateways in the zone p.from. It does nothing if
+// there are fewer than baselineMinAnswers answers.
 func (d *Detector) updatePathBaseline(p path, gateways []string) {
 	answered, latencySum := uint64(0), 0.0
 	for _, gateway := range gateways {
@@ -48,8 +50,9 @@
 	b.add(latencySum/float64(answered), answered)
 }
 
-// add moves the baseline towards a mean latency in seconds. Until the warm-up ends it is the plain mean. After that it follows small
-// changes quickly, and a change beyond baselineOutlier slowly, so that an outage does not become the baseline.
+// add moves the baseline towards a mean latency in seconds. During the warm-up the baseline is the plain mean of the answers. After
+// that it follows a mean above baselineOutlier times the baseline more slowly than others, so that an outage does not become the
+// baseline.
 func (b *baseline) add(mean float64, answered uint64) {
 	weight := baselineWeight
 	switch {
--- a/internal/fleet/evacuation/command.go
+++ b/internal/fleet/evacuation/command.go
@@ -10,39 +10,39 @@
 	"dewhitch/internal/fleet"
 )
 
-// Command is what an operator orders for a zone. The arguments of a call are its encoding.
+// Command is an operator's command on a zone. Its encoding is the argument of the fleet's "leave" and "return" commands.
 type Command struct {
-	By     string `cbor:"1,keyasint"` // the operator
-	Reason string `cbor:"2,keyasint"`
-	Zone   string `cbor:"3,keyasint"`
-	ForMS  int64  `cbor:"4,keyasint,omitempty"` // leave: duration in ms; 0: until the return command
-	Hold   bool   `cbor:"5,keyasint,omitempty"` // return: the fleet does not evacuate the zone
+	By     string `cbor:"1,keyasint"`           // name of the operator
+	Reason string `cbor:"2,keyasint"`           // shown to operators
+	Zone   string `cbor:"3,keyasint"`           // name of the zone
+	ForMS  int64  `cbor:"4,keyasint,omitempty"` // duration of a leave command in ms; 0: until the return command
+	Hold   bool   `cbor:"5,keyasint,omitempty"` // makes a return command forbid the fleet to evacuate the zone
 }
 
-// Bounds of a command.
+// Limits on the fields of a Command.
 const (
-	maxTextLength     = 512                  // bytes, of the operator's name and of the reason
-	maxZoneNameLength = 64                   // bytes
-	maxDurationMS     = 7 * 24 * 3600 * 1000 // ms
+	maxTextLength     = 512                  // bytes in the operator's name, and in the reason
+	maxZoneNameLength = 64                   // bytes in the zone's name
+	maxDurationMS     = 7 * 24 * 3600 * 1000 // a week
 )
 
-// Causes of a refused command, for errors.Is.
+// Errors of a rejected command, for errors.Is.
 var (
 	ErrIncomplete   = errors.New("zone: which zone, who asks, and why, in up to 512 bytes each")
 	ErrDuration     = errors.New("a week at most")
 	ErrNotEvacuated = errors.New("is not out")
 )
 
-// Encode returns the command as the arguments of a call.
+// Encode returns the command in CBOR, as the argument of a fleet command.
 func (c Command) Encode() []byte {
 	b, err := cbor.Marshal(c)
 	if err != nil {
-		panic("zone: " + err.Error()) // Command has only types that can be encoded
+		panic("evacuation: encode command: " + err.Error()) // unreachable: CBOR encodes every type in Command
 	}
 	return b
 }
 
-// decode reads and checks the arguments of a call. Its errors are those of the decoder, ErrIncomplete and ErrDuration.
+// decode decodes a command and checks its fields. It returns a CBOR error, ErrIncomplete or ErrDuration.
 func decode(args []byte) (c Command, err error) {
 	if err := cbor.Unmarshal(args, &c); err != nil {
 		return c, err
@@ -58,7 +58,7 @@
 	return c, nil
 }
 
-// Commands returns the handlers of the operators' commands by name. The fleet calls them on the leader.
+// Commands returns the handlers of the operators' commands by name. The leader runs them.
 func Commands() map[string]fleet.CommandHandler {
 	return map[string]fleet.CommandHandler{
 		"leave":  handler(evacuateByCommand),
@@ -66,10 +66,12 @@
 	}
 }
 
-// decision returns the status that a command settles, given the current one; nil: the zone is in service.
+// decision returns the status that a command gives to a zone, from the zone's current status. A nil status stands for a zone in
+// service.
 type decision func(c Command, current *Status, unixMS int64) (*Status, error)
 
-// handler applies a decision to the section of the plan. It returns no section if the plan has it already.
+// handler returns a command handler that applies a decision to the zones' section of the plan. The handler returns nil if the command
+// does not change the section.
 func handler(decide decision) fleet.CommandHandler {
 	return func(p *fleet.Plan, args []byte, unixMS int64) (map[string]cbor.RawMessage, error) {
 		c, err := decode(args)
@@ -101,8 +103,7 @@
 	}
 }
 
-// evacuateByCommand evacuates a zone for ForMS or until the return command. The same command again changes nothing, so that it may be
-// sent twice.
+// evacuateByCommand evacuates a zone for ForMS or until the return command. It is idempotent, so that the command can be sent again.
 func evacuateByCommand(c Command, current *Status, unixMS int64) (*Status, error) {
 	if current != nil && current.State == Evacuated && current.orderedBy(c) {
 		return current, nil
@@ -114,7 +115,8 @@
 	return status, nil
 }
 
-// returnByCommand returns an evacuated zone by the recovery ramp, sets a hold, or ends one.
+// returnByCommand returns an evacuated zone to service over the recovery ramp, or sets a hold, or ends a hold. It returns
+// ErrNotEvacuated if there is nothing to return from.
 func returnByCommand(c Command, current *Status, unixMS int64) (*Status, error) {
 	switch {
 	case c.Hold && current != nil && current.KeepInService && current.orderedBy(c):
@@ -131,5 +133,5 @@
 	return &Status{State: Returning, Since: unixMS, FailedReturns: current.FailedReturns, By: c.By, Reason: c.Reason}, nil
 }
 
-// orderedBy tells whether a status is the result of the same operator's command for the same reason.
+// orderedBy returns true if the status results from a command by the same operator for the same reason.
 func (s *Status) orderedBy(c Command) bool { return s.By == c.By && s.Reason == c.Reason }
--- a/internal/fleet/evacuation/config.go
+++ b/internal/fleet/evacuation/config.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// Config bounds the decisions of a Detector.
+// Config has the settings of a Detector.
 type Config struct {
-	Windows       []time.Duration // of evidence, the shortest first; one unhealthy window is enough
-	MaxEvacuated  int             // zones that may be evacuated at once; 0: a third of them, at least one where there are two
-	ProbeDelay    time.Duration   // from an evacuation to the first probe
-	MaxProbeDelay time.Duration   // upper bound of the backoff after failed probes and returns
-	RecoveryTime  time.Duration   // of the recovery ramp of a zone that returns
-	ProbeTimeout  time.Duration   // until a probe without enough evidence goes to another gateway
+	Windows       []time.Duration // lengths of the evidence windows, shortest first; a zone is unhealthy if one window shows it
+	MaxEvacuated  int             // limit on zones evacuated at once; 0: a third of all zones, and at least one if there are several
+	ProbeDelay    time.Duration   // time from an evacuation to the first probe
+	MaxProbeDelay time.Duration   // upper limit of the backoff after failed probes and returns
+	RecoveryTime  time.Duration   // length of the recovery ramp of a returning zone
+	ProbeTimeout  time.Duration   // time after which a probe without enough evidence moves to another gateway
 }
 
-// Defaults are the values that gateways use.
+// Defaults holds the settings that gateways use.
 var Defaults = Config{
 	Windows: []time.Duration{
 		300 * time.Millisecond,
@@ -26,45 +26,45 @@
 	ProbeTimeout:  8 * time.Second,
 }
 
-// Bounds of the detection.
+// Thresholds and intervals of the detection.
 const (
-	bucketSpan         = 200 * time.Millisecond // of a sample
-	gatewayExpiry      = 30 * time.Second       // without a report, until a gateway is forgotten
-	minFailed          = 4                      // attempts to a zone that failed, before it is unhealthy
-	unhealthyRatio     = 0.5                    // failed of all attempts to a zone
-	pathUnhealthyRatio = 0.8                    // failed of all attempts on a path; a cut path carries nothing
-	quorumRatio        = 0.7                    // gateways that see the zone unhealthy, of those that see it at all
-	quorumMin          = 2                      // gateways that see the zone unhealthy, unless only one can see it
-	slowFactor         = 3.5                    // of the baseline: an answer that slow counts as failed
-	neverSlow          = 1e9                    // a slowFactor that no answer reaches
-	minSlowFailed      = 10                     // attempts, before a zone is unhealthy by latency
-	lateAnswerDelay    = 800 * time.Millisecond // until an attempt to a server in slow start counts as failed
-	sharedSlownessHold = 6 * time.Second        // no evacuation by latency for so long after zones were slow together
+	bucketSpan         = 200 * time.Millisecond // length of the time bucket of one sample
+	gatewayExpiry      = 30 * time.Second       // time without a report after which a gateway is removed
+	minFailed          = 4                      // lowest number of failed attempts that makes a zone unhealthy
+	unhealthyRatio     = 0.5                    // lowest fraction of failed attempts that makes a zone unhealthy
+	pathUnhealthyRatio = 0.8                    // like unhealthyRatio, for a path; all attempts on a cut path fail
+	quorumRatio        = 0.7                    // lowest fraction of gateways that must see a zone unhealthy, of those with evidence on it
+	quorumMin          = 2                      // lowest number of gateways that must see a zone unhealthy, unless there is only one gateway
+	slowFactor         = 3.5                    // multiple of the baseline above which a gateway's attempts count as failed
+	neverSlow          = 1e9                    // a factor that no latency reaches, in place of slowFactor
+	minSlowFailed      = 10                     // lowest number of slow or failed attempts that makes a zone unhealthy by latency
+	lateAnswerDelay    = 800 * time.Millisecond // age from which a failed attempt to a zone with servers in slow start counts
+	sharedSlownessHold = 6 * time.Second        // time without evacuations by latency after zones were slow together
 )
 
-// Bounds of what the other zones must be able to take.
+// Thresholds for the health and capacity of the zones that take over the load of an evacuated zone.
 const (
-	othersFailedRatio = 0.25 // failed of all attempts to the other zones, at most
-	othersSlowFactor  = 1.8  // of the baseline: an answer of the other zones that slow counts as failed
-	minRejected       = 5    // requests that servers rejected in the longest window
-	rejectedRatio     = 0.05 // rejected of served and rejected requests
+	othersFailedRatio = 0.25 // highest fraction of failed attempts at which these zones count as healthy
+	othersSlowFactor  = 1.8  // multiple of the baseline above which attempts to these zones count as failed
+	minRejected       = 5    // lowest number of rejected requests, in the longest window, that shows saturation
+	rejectedRatio     = 0.05 // lowest fraction of rejected requests, of those served or rejected, that shows saturation
 )
 
-// Bounds of a probe.
+// Thresholds of a probe.
 const (
-	probeMinServed       = 3                      // attempts
-	probeServedPerFailed = 4                      // served attempts for each failed one
-	probeMaxFailed       = 1                      // attempts; one more ends the probe
-	restartProbeDelay    = 300 * time.Millisecond // of an evacuation, before restarted servers are probed ahead of the backoff
+	probeMinServed       = 3                      // served attempts that a successful probe needs
+	probeServedPerFailed = 4                      // served attempts that a successful probe needs for each failed one
+	probeMaxFailed       = 1                      // failed attempts that a probe tolerates; one more fails it
+	restartProbeDelay    = 300 * time.Millisecond // time from an evacuation to a probe of restarted servers, which does not wait for the backoff
 )
 
-// Bounds of the latency baseline.
+// Parameters of the latency baseline.
 const (
-	baselineSpan          = time.Second
-	baselineMinAnswers    = 5    // in baselineSpan
-	baselineWarmup        = 100  // answers, before the zone may be judged by latency
-	baselineWeight        = 0.02 // of the mean of baselineSpan, in each evaluation
-	baselineOutlier       = 1.5  // of the baseline: a mean above it has the outlier weight
-	baselineOutlierWeight = baselineWeight / 20
-	evaluationsPerSpan    = 5 // each answer is in so many evaluations
+	baselineSpan          = time.Second         // period whose answers update the baseline
+	baselineMinAnswers    = 5                   // lowest number of answers in baselineSpan that updates the baseline
+	baselineWarmup        = 100                 // number of answers after which latency can make a zone unhealthy
+	baselineWeight        = 0.02                // weight of the mean of baselineSpan in each evaluation
+	baselineOutlier       = 1.5                 // multiple of the baseline above which a mean has the outlier weight
+	baselineOutlierWeight = baselineWeight / 20 // weight of such a mean
+	evaluationsPerSpan    = 5                   // number of evaluations that count the same answer
 )
--- a/internal/fleet/evacuation/detector.go
+++ b/internal/fleet/evacuation/detector.go
@@ -1,12 +1,12 @@
-// Package evacuation detects outages of zones from the evidence of all gateways of a fleet. It decides which zones are evacuated, by
-// which gateways they are probed and when they return to service, and it carries the operators' commands on zones. SelfMonitor is
-// a gateway's own detection that it is cut off.
+// Package evacuation detects outages of zones from the evidence of all gateways of a fleet. It decides which zones are evacuated, which
+// gateways probe them and when they return to service. It also implements the operators' commands on zones. With a SelfMonitor, a
+// gateway detects that it is itself isolated.
 //
-// The package is pure: it has no clock, no goroutine and no I/O, and nothing in it may be called concurrently. The owner (package
-// agent) calls Detector.Observe for each load report of a gateway. On the leader it then calls SetServerStarts and Evaluate several
-// times a second, and proposes the returned statuses as the plan's section. A status holds once the plan has it.
+// The package has no clock, no goroutines and no I/O. Its types are not safe for concurrent use. The owner (package agent) calls
+// Detector.Observe for each load report of a gateway. On the leader it also calls SetServerStarts and Evaluate several times a second,
+// and proposes the returned statuses as a section of the plan. A status takes effect when it is part of the plan.
 //
-// docs/design/zone.md has the rules and the alternatives that were rejected.
+// docs/design/zone.md describes the rules and the rejected alternatives.
 package evacuation
 
 import (
@@ -15,25 +15,26 @@
 	"time"
 )
 
-// Detector holds the evidence of the last seconds. Every voter observes, so that the next leader has the evidence; only the leader
-// evaluates. The zero value is not usable. All times of type time.Duration are on the owner's monotonic clock.
+// Detector holds the evidence of the last seconds on every zone, and the latency baselines. Every voter calls Observe, so that a new
+// leader has the evidence; only the leader calls Evaluate. Nothing in a Detector is durable. The zero value is not usable. Times of
+// type time.Duration are on the owner's monotonic clock.
 type Detector struct {
 	cfg Config
 
-	zoneByGateway map[string]string        // zone of each gateway that reported
-	lastReportAt  map[string]time.Duration // last report of each gateway
-	regionByZone  map[string]string        // by zone, where a gateway of the zone names one
-	knownZones    map[string]bool          // every zone that was reported
-	samples       map[path][]sample        // the oldest first
+	zoneByGateway map[string]string        // home zone of each gateway that reported
+	lastReportAt  map[string]time.Duration // time of each gateway's last report
+	regionByZone  map[string]string        // region of each zone whose gateways report one
+	knownZones    map[string]bool          // zones of gateways and of servers in any report so far
+	samples       map[path][]sample        // from a gateway to a zone of servers; oldest first
 
-	baselines         map[path]*baseline  // from a zone of gateways to a zone of servers
-	lastStartByZone   map[string]int64    // by zone, last start of one of its servers, Unix ms
-	gateways          []string            // that reported of late, sorted
-	gatewaysByZone    map[string][]string // the same by their zones
+	baselines         map[path]*baseline  // keyed by zone of gateways and zone of servers
+	lastStartByZone   map[string]int64    // last start of a server in each zone, Unix ms
+	gateways          []string            // gateways that reported within gatewayExpiry, sorted
+	gatewaysByZone    map[string][]string // these gateways by home zone
 	warmingZones      map[string]bool     // zones with servers in slow start
-	now               time.Duration       // of the last evaluation
-	statusesChangedAt time.Duration       // when a status last changed; evidence from before is not used for an evacuation
-	sharedSlownessAt  time.Duration       // when zones were last slow together; 0: never
+	now               time.Duration       // time of the last evaluation
+	statusesChangedAt time.Duration       // time of the last change of a status; evacuations use only later evidence
+	sharedSlownessAt  time.Duration       // time when several zones were last slow together; 0: never
 }
 
 // New returns a Detector without evidence.
@@ -50,36 +51,36 @@
 	}
 }
 
-// SetServerStarts sets the last start of a server by zone, Unix ms. Servers that started after their zone was evacuated are probed
-// ahead of the backoff.
+// SetServerStarts sets the time of the last start of a server in each zone, Unix ms. A zone with a server that started after the
+// evacuation is probed without waiting for the backoff.
 func (d *Detector) SetServerStarts(starts map[string]int64) { d.lastStartByZone = starts }
 
-// ZoneOf returns the zone of a gateway that reported of late.
+// ZoneOf returns the home zone of a gateway. ok is false if the gateway has not reported within gatewayExpiry.
 func (d *Detector) ZoneOf(gateway string) (zone string, ok bool) {
 	zone, ok = d.zoneByGateway[gateway]
 	return zone, ok
 }
 
-// Saturated tells whether servers reject requests, as of the last evaluation.
+// Saturated returns true if the servers of all zones together reject too many requests, as of the last evaluation.
 func (d *Detector) Saturated() bool {
 	_, saturated := d.saturated(slices.Sorted(maps.Keys(d.knownZones)), nil, scope{gateways: d.gateways})
 	return saturated
 }
 
-// evaluation is the state of one call of Evaluate.
+// evaluation holds the state of one call of Evaluate.
 type evaluation struct {
 	*Detector
-	unixMS int64 // leader's clock, Unix ms
-	next   Statuses
-	zones  []string // sorted
-	alive  func(gateway string) bool
+	unixMS int64                     // time by the leader's clock, Unix ms
+	next   Statuses                  // result, modified step by step
+	zones  []string                  // all known zones, sorted
+	alive  func(gateway string) bool // returns true if a gateway can probe
 }
 
-// Evaluate returns the statuses that should hold, given those that do; changed tells whether they differ. now is on the clock of
-// Observe, unix is the leader's clock in Unix ms, and alive tells whether a gateway can probe. current is not modified.
+// Evaluate returns the statuses that should replace the current ones. changed is true if they differ. now is on the clock of Observe,
+// unixMS is the leader's clock in Unix ms, and alive returns true if a gateway can probe. current is not modified.
 //
-// Zones that already have a status are advanced first, then zones are evacuated, then paths: each step sees what the steps before
-// have taken out of service.
+// Evaluate first advances the zones that have a status, then evacuates zones, then paths. Each step takes into account what the
+// previous steps took out of service.
 func (d *Detector) Evaluate(now time.Duration, unixMS int64, current Statuses, alive func(gateway string) bool) (next Statuses, changed bool) {
 	next = maps.Clone(current)
 	if next == nil {
@@ -101,7 +102,7 @@
 	return next, changed
 }
 
-// markWarmingZones finds the zones with servers in slow start: they answer late, which is no failure.
+// markWarmingZones determines the zones with servers in slow start. Such servers answer late, which does not count as a failure.
 func (d *Detector) markWarmingZones(unixMS int64) {
 	d.warmingZones = map[string]bool{}
 	for zone, startedAt := range d.lastStartByZone {
--- a/internal/fleet/evacuation/evacuate.go
+++ b/internal/fleet/evacuation/evacuate.go
@@ -5,7 +5,7 @@
 	"slices"
 )
 
-// evacuateZones evacuates unhealthy zones for all gateways, in the order of their names, within maxEvacuated.
+// evacuateZones evacuates unhealthy zones for all gateways, in the order of their names, as far as mayEvacuate permits.
 func (e *evaluation) evacuateZones() {
 	evacuated := 0
 	unhealthy := map[string]verdict{}
@@ -31,8 +31,8 @@
 	}
 }
 
-// mayEvacuate is the rule that admits the evacuation of an unhealthy zone: within the limit, or as part of a lost region; while the
-// other zones are healthy; and, if the zone still serves some requests, while the others have capacity.
+// mayEvacuate returns true if an unhealthy zone may be evacuated. The number of evacuated zones must be within the limit, unless the
+// zone's whole region fails. The other zones must be healthy and, if the zone still serves some requests, must have capacity.
 func (e *evaluation) mayEvacuate(zone string, evacuated int, unhealthy map[string]verdict) bool {
 	isUnhealthy := func(other string) bool { _, ok := unhealthy[other]; return ok }
 	if evacuated >= e.maxEvacuated() && !(evacuated < len(e.zones)/2 && e.regionFailed(zone, isUnhealthy)) {
@@ -47,7 +47,7 @@
 	return !saturated || !v.partial()
 }
 
-// maxEvacuated is the number of zones that may be out of service at once for all gateways.
+// maxEvacuated returns the limit on the zones that are out of service at once for all gateways.
 func (e *evaluation) maxEvacuated() int {
 	if e.cfg.MaxEvacuated != 0 {
 		return e.cfg.MaxEvacuated
@@ -55,8 +55,8 @@
 	return max(len(e.zones)/3, min(1, len(e.zones)-1))
 }
 
-// regionFailed tells whether a zone's region fails as one: it has several zones, all of them are unhealthy or out of service, and they
-// are at most half of all zones.
+// regionFailed returns true if the region of a zone fails as a whole: it has several zones, all of them are unhealthy, evacuated or
+// probed, and they are at most half of all zones.
 func (e *evaluation) regionFailed(zone string, unhealthy func(string) bool) bool {
 	region := e.regionByZone[zone]
 	if region == "" {
@@ -76,7 +76,7 @@
 	return zonesInRegion > 1 && 2*zonesInRegion <= len(e.zones)
 }
 
-// deletePathStatusesTo drops the statuses of the paths to a zone, as a status for all gateways replaces them.
+// deletePathStatusesTo deletes the statuses of the paths to a zone, which a status for all gateways replaces.
 func (e *evaluation) deletePathStatusesTo(zone string) {
 	maps.DeleteFunc(e.next, func(key string, _ Status) bool {
 		from, to := splitKey(key)
@@ -84,8 +84,8 @@
 	})
 }
 
-// evacuatePaths evacuates zones for the gateways of one zone alone, where other gateways see the servers healthy. At least one zone
-// stays in service for each.
+// evacuatePaths evacuates a zone for the gateways of one other zone alone if the path between the two is cut. At least one zone stays
+// in service for the gateways of each zone.
 func (e *evaluation) evacuatePaths() {
 	for _, from := range e.zones {
 		s := scope{from: from, gateways: e.gatewaysByZone[from]}
@@ -104,7 +104,7 @@
 	}
 }
 
-// evacuatePath evacuates one zone for one scope if the path is cut.
+// evacuatePath evacuates a zone for the gateways of a scope if the path is cut. It returns true if it did.
 func (e *evaluation) evacuatePath(s scope, to string) bool {
 	_, hasStatus := e.next.For(s.from, to)
 	if hasStatus || s.from == to || e.next[to].KeepInService {
@@ -118,8 +118,8 @@
 	return true
 }
 
-// pathCut tells whether a verdict is against the path and not the servers: nearly all attempts fail, gateways in other zones see the
-// servers healthy, and the other zones are healthy for this scope.
+// pathCut returns true if a verdict shows a fault of the path and not of the servers: nearly all attempts fail, gateways in other zones
+// see the servers healthy, and the scope's gateways see the other zones healthy.
 func (e *evaluation) pathCut(s scope, to string, v verdict) bool {
 	if float64(v.failed) < pathUnhealthyRatio*float64(v.failed+v.served) {
 		return false
@@ -132,8 +132,8 @@
 	return e.othersHealthy(s, v, func(zone string) bool { return zone == to })
 }
 
-// restoreLastZones deletes the path statuses of a zone of gateways that would have no zone left: an evacuation for all gateways may
-// have taken the last one.
+// restoreLastZones deletes the path statuses of the gateways that have no zone of servers left. That happens when a zone that was the
+// last one for them is evacuated for all gateways.
 func (e *evaluation) restoreLastZones() {
 	for _, from := range e.zones {
 		if e.next.countAvoided(from, e.zones) == len(e.zones) {
--- a/internal/fleet/evacuation/evidence.go
+++ b/internal/fleet/evacuation/evidence.go
@@ -9,27 +9,27 @@
 	"dewhitch/internal/fleet"
 )
 
-// path leads to a zone of servers, from a gateway (samples) or from a zone of gateways (baselines).
+// path identifies the connection to a zone of servers from one gateway (samples) or from the gateways of a zone (baselines).
 type path struct{ from, to string }
 
-// sample is what one gateway saw of one zone in one bucket of time.
+// sample counts the attempts of one gateway to one zone in one time bucket.
 type sample struct {
-	startedAt    time.Duration // start of the bucket
-	served       uint64        // attempts
-	failed       uint64        // attempts
-	rejected     uint64        // attempts that servers without capacity rejected
-	answeredLate uint64        // attempts counted as failed, here or earlier, that were served after all
-	answered     uint64        // attempts with an answer, in whatever time
-	latencySum   float64       // seconds, sum over the answered attempts
+	startedAt    time.Duration // start of the bucket; in a SelfMonitor, the time of the observation
+	served       uint64        // number of served attempts
+	failed       uint64        // number of failed attempts
+	rejected     uint64        // number of attempts that servers without capacity rejected
+	answeredLate uint64        // number of attempts that were served after they were counted as failed, in this bucket or before
+	answered     uint64        // number of attempts that were served, in time or late
+	latencySum   float64       // total latency of the answered attempts, in seconds
 }
 
-// scope is the gateways that a status holds for.
+// scope selects the gateways that a status applies to.
 type scope struct {
-	from     string // their zone; empty: all gateways
-	gateways []string
+	from     string   // home zone of the gateways; empty: all gateways
+	gateways []string // sorted
 }
 
-// scopeOf returns the gateways of one zone, or all of them if from is empty.
+// scopeOf returns the scope of the gateways in the zone from, or of all gateways if from is empty.
 func (d *Detector) scopeOf(from string) scope {
 	if from == "" {
 		return scope{gateways: d.gateways}
@@ -37,7 +37,8 @@
 	return scope{from: from, gateways: d.gatewaysByZone[from]}
 }
 
-// Observe adds what a gateway in zone home saw since its last report. region may be empty. now must not decrease.
+// Observe adds a gateway's counters since its last report to the evidence. homeZone is the gateway's zone and region the zone's region,
+// which may be empty. now must not decrease between calls.
 func (d *Detector) Observe(now time.Duration, gateway, homeZone, region string, delta fleet.Report) {
 	d.zoneByGateway[gateway] = homeZone
 	d.lastReportAt[gateway] = now
@@ -71,8 +72,8 @@
 	}
 }
 
-// expireGateways forgets the gateways without a report for gatewayExpiry and indexes the others. It runs once an evaluation: done
-// for each report or each pair of zones, the leader's cost would grow with the square of the fleet.
+// expireGateways removes the gateways without a report for gatewayExpiry and indexes the others. It runs once in each evaluation. If it
+// ran for each report or each pair of zones, the leader's cost would grow with the square of the fleet.
 func (d *Detector) expireGateways() {
 	d.gateways = nil
 	d.gatewaysByZone = map[string][]string{}
@@ -93,24 +94,24 @@
 	}
 }
 
-// zoneEvidence is what several gateways saw of a zone.
+// zoneEvidence sums up the evidence of several gateways on a zone.
 type zoneEvidence struct {
-	served      uint64 // attempts
-	failed      uint64 // attempts
-	rejected    uint64 // attempts
-	unhealthyBy int    // gateways that saw more attempts fail than served
-	healthyBy   int    // gateways that saw the zone otherwise
-	slowBy      int    // gateways whose attempts all count as failed, by latency
+	served      uint64 // number of served attempts
+	failed      uint64 // number of failed attempts
+	rejected    uint64 // number of rejected attempts
+	unhealthyBy int    // number of gateways that saw more failed than served attempts
+	healthyBy   int    // number of other gateways with served attempts
+	slowBy      int    // number of gateways whose attempts all count as failed because of their latency
 }
 
-// sumEvidence adds up what gateways saw of a zone since a time. A gateway whose mean latency is above factor times its baseline counts all
-// its attempts as failed.
+// sumEvidence adds up the evidence of gateways on a zone since a time. If the mean latency that a gateway saw is above factor times the
+// baseline, all its attempts count as failed.
 func (d *Detector) sumEvidence(zone string, since time.Duration, factor float64, gateways []string) (sum zoneEvidence) {
 	for _, gateway := range gateways {
 		evidence := d.sumSamples(path{gateway, zone}, since)
 		sum.rejected += evidence.rejected
 		switch {
-		case d.warmingZones[zone]: // servers in slow start answer late
+		case d.warmingZones[zone]: // servers in slow start answer late, which is no failure
 			answeredLate := min(evidence.answeredLate, evidence.failed)
 			evidence.served += answeredLate
 			evidence.failed -= answeredLate
@@ -131,8 +132,8 @@
 	return sum
 }
 
-// sumSamples adds up the samples of one gateway since a time. Attempts to a zone in slow start count as failed only after lateAnswer, as
-// their answers may still come.
+// sumSamples adds up the samples of one gateway since a time. If the zone has servers in slow start, failed attempts count only after
+// lateAnswerDelay, because their answers may still arrive.
 func (d *Detector) sumSamples(p path, since time.Duration) (sum sample) {
 	warming := d.warmingZones[p.to]
 	samples := d.samples[p]
@@ -150,7 +151,7 @@
 	return sum
 }
 
-// String is the text of the evidence in Status.Reason.
+// String returns the text of the evidence for Status.Reason.
 func (z zoneEvidence) String() string {
 	text := fmt.Sprintf("%d of %d fetches ill, by %d of %d gateways", z.failed, z.failed+z.served, z.unhealthyBy, z.unhealthyBy+z.healthyBy)
 	if z.slowBy > 0 {
--- a/internal/fleet/evacuation/probe.go
+++ b/internal/fleet/evacuation/probe.go
@@ -10,17 +10,18 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Backoff of probes. A failed probe costs two attempts and a failed return many, so the delay grows faster after a return.
+// Backoff of probes. A failed probe costs two attempts and a failed return many, so the delay grows faster after failed returns.
 const (
-	returnBackoff    = 3.0 // factor for each failed return
-	maxReturnBackoff = 6   // failed returns that count
-	probeBackoff     = 1.5 // factor for each failed probe
-	maxProbeBackoff  = 12  // failed probes that count
-	backoffJitter    = 0.2 // of the delay
+	returnBackoff    = 3.0 // factor on the delay for each failed return
+	maxReturnBackoff = 6   // number of failed returns beyond which the delay stays
+	probeBackoff     = 1.5 // factor on the delay for each failed probe
+	maxProbeBackoff  = 12  // number of failed probes beyond which the delay stays
+	backoffJitter    = 0.2 // largest fraction of the delay that is added at random
 )
 
-// mayProbe tells whether an evacuated zone may be probed: at the end of an operator's evacuation; or after the backoff; or as soon as
-// a server started after the evacuation, as the fault may be over.
+// mayProbe returns true if an evacuated zone may be probed. A zone that an operator evacuated may be probed at the end of that
+// evacuation. Any other may be probed after the backoff, or as soon as a server has started after the evacuation, because the fault may
+// then be gone.
 func (e *evaluation) mayProbe(c statusContext) bool {
 	if c.status.By != "" {
 		return c.status.Until != 0 && e.unixMS >= c.status.Until
@@ -29,8 +30,8 @@
 	return restarted || c.age >= e.probeDelay(c.key, c.status)
 }
 
-// probeDelay is the backoff from an evacuation to its next probe. The jitter keeps zones that failed together from being probed
-// together; it is a hash of the status, so that every leader computes the same delay.
+// probeDelay returns the backoff from an evacuation to the next probe. The jitter keeps zones that failed together from being probed
+// together. It is a hash of the status's key and start, so that every leader computes the same delay.
 func (d *Detector) probeDelay(key string, status Status) time.Duration {
 	delay := float64(d.cfg.ProbeDelay) *
 		math.Pow(returnBackoff, float64(min(status.FailedReturns, maxReturnBackoff))) *
@@ -39,8 +40,8 @@
 	return time.Duration(min(float64(d.cfg.MaxProbeDelay), delay) * (1 + backoffJitter*jitter))
 }
 
-// chooseProber selects one gateway of the scope that is alive, the turn-th in a round robin that begins with the gateways of the zone
-// itself: they have the shortest path. It returns nil if none is alive.
+// chooseProber returns one gateway of the scope that is alive, by an index into the rotation of these gateways. The rotation begins
+// with the gateways in the zone itself, which have the shortest path. It returns nil if no gateway is alive.
 func (e *evaluation) chooseProber(c statusContext, index int) []string {
 	var candidates []string
 	for _, gateway := range c.scope.gateways {
@@ -57,7 +58,7 @@
 	return []string{candidates[max(0, index)%len(candidates)]}
 }
 
-// distance is 0 for a gateway in the zone and 1 for any other.
+// distance returns 0 for a gateway in the zone and 1 for any other.
 func (d *Detector) distance(gateway, zone string) int {
 	if d.zoneByGateway[gateway] == zone {
 		return 0
--- a/internal/fleet/evacuation/selfmonitor.go
+++ b/internal/fleet/evacuation/selfmonitor.go
@@ -2,28 +2,28 @@
 
 import "time"
 
-// SelfMonitor decides whether a gateway drains itself: it is cut off from the servers, and the fleet has evacuated its zone or the
-// fleet's view can't reach it. It uses only what this gateway sees. The zero value is ready. The owner calls Observe and then
-// ShouldDrain, several times a second.
+// SelfMonitor decides whether a gateway drains itself. A gateway drains if it is isolated from the servers while the fleet has evacuated
+// its zone, or while its view of the fleet is out of date. SelfMonitor relies only on this gateway's own attempts. The zero value is
+// ready to use. The owner calls Observe and then Update several times a second.
 type SelfMonitor struct {
-	samples   []sample // the oldest first
+	samples   []sample // within selfSpan, oldest first
 	drained   bool
-	changedAt time.Duration // start of the present state
-	healthyAt time.Duration // since when it could return; 0: it can't
+	changedAt time.Duration // time of the last change of drained
+	healthyAt time.Duration // start of the current period, while drained, with a fresh view and the zone not evacuated; 0: none
 }
 
-// Bounds of a gateway's own isolation.
+// Thresholds and intervals of a gateway's own draining.
 const (
-	selfSpan        = 3 * time.Second         // of evidence
-	selfMinSpan     = 1500 * time.Millisecond // between the first and the last failure
-	selfMinFailed   = 8                       // attempts
-	selfFailedRatio = 0.8                     // failed of all attempts
-	selfMinDrain    = 5 * time.Second         // drained, at least
-	selfMaxDrain    = 30 * time.Second        // drained, at most: without clients it sees no attempts that could show recovery
-	selfReturnDelay = 2 * time.Second         // between the returns of two gateways of a zone
+	selfSpan        = 3 * time.Second         // period of evidence
+	selfMinSpan     = 1500 * time.Millisecond // shortest time between the first and the last failure that shows isolation
+	selfMinFailed   = 8                       // lowest number of failed attempts that shows isolation
+	selfFailedRatio = 0.8                     // lowest fraction of failed attempts that shows isolation
+	selfMinDrain    = 5 * time.Second         // shortest time in the drained state
+	selfMaxDrain    = 30 * time.Second        // longest time in the drained state: without clients there are no attempts that could show recovery
+	selfReturnDelay = 2 * time.Second         // time between the returns of two gateways of a zone
 )
 
-// Observe adds the attempts of this gateway since the last call.
+// Observe adds this gateway's attempts since the last call, to all servers.
 func (m *SelfMonitor) Observe(now time.Duration, served, failed uint64) {
 	m.samples = append(m.samples, sample{startedAt: now, served: served, failed: failed})
 	for len(m.samples) > 0 && now-m.samples[0].startedAt > selfSpan {
@@ -31,7 +31,7 @@
 	}
 }
 
-// isolated tells whether nearly all attempts fail, to whatever server.
+// isolated returns true if nearly all attempts fail, over all servers.
 func (m *SelfMonitor) isolated() bool {
 	served, failed := uint64(0), uint64(0)
 	first, last := time.Duration(-1), time.Duration(0)
@@ -50,12 +50,12 @@
 		last-first >= selfMinSpan
 }
 
-// Update tells whether the gateway's clients should be sent elsewhere now. evacuated: the fleet has evacuated the servers of its
-// zone; fresh: its view of the fleet is not older than the lease; turn: its index among the gateways of its zone, which return one
-// after the other.
+// Update returns true if the gateway should be drained now, that is, send its clients to other gateways. zoneEvacuated is true if the
+// fleet has evacuated the servers of the gateway's zone. viewFresh is true if the gateway's view of the fleet is not older than the
+// lease. returnIndex is the gateway's index among the gateways of its zone, which return one after the other.
 //
-// Where the fault is shared by all zones the fleet evacuates none and views stay fresh, so no gateway drains. Without a quorum every
-// gateway may drain, hence the bound selfMaxDrain.
+// If all zones share a fault, the fleet evacuates none and the views stay fresh, so that no gateway drains. Without a quorum every gateway
+// may drain, hence the limit selfMaxDrain.
 func (m *SelfMonitor) Update(now time.Duration, zoneEvacuated, viewFresh bool, returnIndex int) bool {
 	if !m.drained {
 		if m.isolated() && (zoneEvacuated || !viewFresh) {
@@ -75,14 +75,15 @@
 	return m.drained
 }
 
-// mayReturn tells whether the gateway may take clients again, in its turn.
+// mayReturn returns true if the gateway may accept clients again: it has been drained for selfMinDrain, and healthy for selfReturnDelay
+// times its returnIndex.
 func (m *SelfMonitor) mayReturn(now time.Duration, returnIndex int) bool {
 	return m.healthyAt > 0 &&
 		now-m.healthyAt >= time.Duration(returnIndex)*selfReturnDelay &&
 		now-m.changedAt >= selfMinDrain
 }
 
-// setDrained changes the state and drops the evidence from before.
+// setDrained changes the state and discards the earlier evidence.
 func (m *SelfMonitor) setDrained(now time.Duration, drained bool) {
 	m.drained = drained
 	m.changedAt = now
--- a/internal/fleet/evacuation/transition.go
+++ b/internal/fleet/evacuation/transition.go
@@ -7,22 +7,22 @@
 	"time"
 )
 
-// statusContext is a zone with a status, as one evaluation finds it.
+// statusContext holds the status of a zone with the values that its transitions depend on.
 type statusContext struct {
-	key       string // in Statuses
+	key       string // key of the status in Statuses
 	zone      string
 	scope     scope
 	status    Status
-	age       time.Duration // of the state, by the leader's clock; negative if the last leader's was ahead
-	startedAt time.Duration // start of the state, on the clock of the evidence
+	age       time.Duration // time since the state began, by the leader's clock; negative if the clock of the previous leader was ahead
+	startedAt time.Duration // start of the state on the monotonic clock of the evidence
 }
 
-// advance moves every zone with a status through its states, in the order of the keys. A zone that an operator holds stays.
+// advance applies the transitions of every status, in the order of the keys. A zone on an operator's hold keeps its status.
 //
 //	Evacuated --startProbe--> Probing --endProbe--> Returning --endReturn--> in service
 //	Probing --endProbe--> Evacuated, or Probing by another gateway
 //	Returning --endReturn--> Evacuated
-//	Evacuated, Probing --returnSaturated--> Returning
+//	Evacuated, Probing --returnIfSaturated--> Returning
 func (e *evaluation) advance() {
 	for _, key := range slices.Sorted(maps.Keys(e.next)) {
 		status := e.next[key]
@@ -44,6 +44,7 @@
 	}
 }
 
+// newStatusContext returns the context of a status at the time of this evaluation.
 func (e *evaluation) newStatusContext(key string, status Status) statusContext {
 	from, zone := splitKey(key)
 	age := time.Duration(e.unixMS-status.Since) * time.Millisecond
@@ -57,8 +58,8 @@
 	}
 }
 
-// returnIfSaturated returns a zone that still served some requests to service while the other zones reject requests: it adds capacity
-// that they lack. It tells whether they do; the zone then keeps Returning.
+// returnIfSaturated handles a zone that still served some requests when the fleet evacuated it. If the other zones are saturated, it
+// sets the zone to Returning, which adds capacity that the others lack, and returns true.
 func (e *evaluation) returnIfSaturated(c statusContext) bool {
 	if !c.status.Partial || c.status.By != "" {
 		return false
@@ -76,7 +77,7 @@
 	return saturated
 }
 
-// startProbe begins a half-open probe by one gateway once it is due.
+// startProbe starts a half-open probe by one gateway when it is due.
 func (e *evaluation) startProbe(c statusContext) {
 	if !e.mayProbe(c) {
 		return
@@ -96,9 +97,9 @@
 	}
 }
 
-// endProbe settles a probe. Enough served (probeMinServed, and probeServedFactor for each failure), or at ProbeTimeout any served and
-// none failed: the zone returns. More than probeMaxFailed failed: it is evacuated again. Otherwise at ProbeTimeout, or if the prober is
-// gone: another gateway probes.
+// endProbe ends a probe when it has a result. The zone returns if enough attempts were served (probeMinServed, and probeServedPerFailed
+// for each failed one), or if after ProbeTimeout any were served and none failed. The zone is evacuated again if more than
+// probeMaxFailed attempts failed. Otherwise another gateway probes after ProbeTimeout, or when the prober is no longer alive.
 func (e *evaluation) endProbe(c statusContext) {
 	evidence := e.sumEvidence(c.zone, c.startedAt+bucketSpan, slowFactor, c.status.Probers)
 	expired := c.age > e.cfg.ProbeTimeout
@@ -126,8 +127,8 @@
 	}
 }
 
-// moveProbe has another gateway probe. After a probe that expired any request may be used: where none is idempotent, the zone would
-// otherwise never be probed.
+// moveProbe moves a probe to another gateway. After a probe expired, probes may use any request: without idempotent requests the zone
+// would otherwise never be probed.
 func (e *evaluation) moveProbe(c statusContext, expired bool) {
 	probers := e.chooseProber(c, int(e.unixMS/1000))
 	if len(probers) == 0 {
@@ -145,8 +146,8 @@
 	}
 }
 
-// endReturn settles a return: the zone is evacuated again if it is unhealthy, and in service once it was healthy for two recovery
-// ramps.
+// endReturn ends the return of a zone when it has a result. The zone is evacuated again if it is unhealthy, and is in service when it has
+// been healthy for two recovery ramps.
 func (e *evaluation) endReturn(c statusContext) {
 	v, unhealthy := e.detectUnhealthy(c.zone, c.startedAt+bucketSpan, c.scope.gateways)
 	switch {
--- a/internal/fleet/evacuation/verdict.go
+++ b/internal/fleet/evacuation/verdict.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// verdict is the evidence against a zone.
+// verdict is the evidence that a zone is unhealthy.
 type verdict struct {
 	zoneEvidence
-	windowStart time.Duration // start of the window that was decisive
+	windowStart time.Duration // start of the evidence window that shows it
 }
 
-// detectUnhealthy looks for a window in which some gateways see a zone unhealthy, by evidence not older than since. In a short window the
-// served attempts from before the outage pass quickly; in a long one sparse traffic adds up to enough evidence.
+// detectUnhealthy returns true, with the evidence, if a zone is unhealthy for the given gateways in one of the evidence windows. It ignores evidence
+// from before since. The served attempts from before an outage soon fall out of a short window; in a long window, sparse traffic adds up
+// to enough evidence.
 func (d *Detector) detectUnhealthy(zone string, since time.Duration, gateways []string) (v verdict, unhealthy bool) {
 	for _, window := range d.cfg.Windows {
 		v.windowStart = max(d.now-window, since)
@@ -21,11 +22,12 @@
 	return v, false
 }
 
-// unhealthy tells whether what a number of gateways saw is enough against a zone: minFailed attempts, half of all, and a quorum of
-// the gateways that saw the zone, so that the fault of one gateway or its path is not taken for one of the zone.
+// unhealthy returns true if the evidence of a number of gateways shows that a zone is unhealthy: at least minFailed attempts and half of
+// all attempts failed, and a quorum of the gateways with evidence agrees. The quorum prevents an evacuation for the fault of one
+// gateway or of its path.
 func (z zoneEvidence) unhealthy(gateways int) bool {
 	if z.slowBy > 0 && z.failed < minSlowFailed {
-		return false // a few slow answers are within the noise
+		return false // a few slow answers are noise
 	}
 	return z.failed >= minFailed &&
 		float64(z.failed) >= unhealthyRatio*float64(z.failed+z.served) &&
@@ -33,10 +35,11 @@
 		float64(z.unhealthyBy) >= quorumRatio*float64(z.unhealthyBy+z.healthyBy)
 }
 
-// partial tells whether an unhealthy zone still serves some requests.
+// partial returns true if an unhealthy zone still serves some requests: it is slow, or a third or more of its attempts are served.
 func (z zoneEvidence) partial() bool { return z.slowBy > 0 || 2*z.served >= z.failed }
 
-// saturated tells whether the zones that a scope sends to reject requests, by the longest window.
+// saturated returns true if the zones that the gateways of a scope send to reject too many requests in the longest window. others has the
+// served and rejected attempts in these zones.
 func (d *Detector) saturated(zones []string, statuses Statuses, s scope) (others zoneEvidence, saturated bool) {
 	since := d.now - d.cfg.Windows[len(d.cfg.Windows)-1]
 	for _, zone := range zones {
@@ -51,16 +54,16 @@
 	return others, saturated
 }
 
-// othersHealthy tells whether the zones that a scope would be left with are healthy, by the window of the verdict. Where all zones
-// are unhealthy the cause is shared: an evacuation would not help, and would load the others. So the others have to be healthy, not
-// only less unhealthy. excluded are the zones that are judged.
+// othersHealthy returns true if the zones that a scope would still use are healthy in the window of the verdict. excluded returns true
+// for the unhealthy zones. If all zones are unhealthy they have a cause in common: an evacuation would not help, and would load the
+// other zones. Therefore the other zones must be healthy, and not just less unhealthy.
 //
-// It records when zones are slow together. They work off their queues at different speeds, so that the last one to recover looks
-// slow alone; for sharedSlowHold no zone is evacuated by its latency.
+// It records when zones are slow together. Such zones work off their queues at different speeds, so that the last one to recover looks
+// like the only slow one. For sharedSlownessHold no zone is evacuated by its latency.
 func (e *evaluation) othersHealthy(s scope, v verdict, excluded func(zone string) bool) bool {
 	factor := othersSlowFactor
 	if v.slowBy == 0 {
-		factor = neverSlow // the load of a zone that answers nothing has moved, and makes the others slow
+		factor = neverSlow // the load of a zone that does not answer moves to the others and makes them slow
 	}
 	var others zoneEvidence
 	for _, zone := range e.zones {
