--- a/internal/fleet/evacuation/detector_test.go
+++ b/internal/fleet/evacuation/detector_test.go
@@ -8,6 +8,8 @@
 	"pgregory.net/rapid"
 )
 
+// A zone whose attempts all fail is evacuated within 2 s, gets few attempts while it is out, and is in service again within 80 s of its
+// recovery. This holds for few gateways with much traffic and for many gateways with little.
 func TestZoneIsEvacuatedAndReturns(t *testing.T) {
 	for _, c := range []struct {
 		gatewaysPerZone int
@@ -18,26 +20,26 @@
 		sim.failureRate = failZone("b")
 		sim.runFor(2 * time.Second)
 		if v := sim.statuses["b"]; v.State != Evacuated || len(sim.statuses) != 1 {
-			t.Fatalf("%d gateways: after 2 s: %+v", len(sim.gateways), sim.statuses)
+			t.Fatalf("%d gateways: 2 s after the fault: got %+v, expected only zone b evacuated", len(sim.gateways), sim.statuses)
 		}
 		sentBefore := sim.attemptsByZone["b"]
 		sim.runFor(8 * time.Second)
 		if n := sim.attemptsByZone["b"] - sentBefore; n > 40 {
-			t.Errorf("%d gateways: %d sent while it is out", len(sim.gateways), n)
+			t.Errorf("%d gateways: %d attempts to the evacuated zone in 8 s, expected 40 at most", len(sim.gateways), n)
 		}
 		sim.failureRate = failZone("")
 		sim.runFor(40 * time.Second)
 		if v := sim.statuses["b"]; v.State != Returning && v.State != "" {
-			t.Errorf("%d gateways: 40 s after it is well: %+v", len(sim.gateways), sim.statuses)
+			t.Errorf("%d gateways: 40 s after recovery: got %+v, expected zone b returning or in service", len(sim.gateways), sim.statuses)
 		}
 		sim.runFor(40 * time.Second)
 		if len(sim.statuses) != 0 {
-			t.Errorf("%d gateways: it is not in again: %+v", len(sim.gateways), sim.statuses)
+			t.Errorf("%d gateways: 80 s after recovery: got %+v, expected all zones in service", len(sim.gateways), sim.statuses)
 		}
 	}
 }
 
-// A fault of one gateway, or one that all zones share, evacuates no zone.
+// No zone is evacuated for a fault of one gateway, a fault that all zones share, or a fault of a minority of a zone's attempts.
 func TestNoFalseEvacuation(t *testing.T) {
 	for name, failureRate := range map[string]func(g, z string) float64{
 		"one gateway is cut off":   func(g, z string) float64 { return map[bool]float64{true: 1, false: 0.01}[g == "a0"] },
@@ -53,14 +55,15 @@
 				sim.failureRate = failureRate
 				sim.runFor(20 * time.Second)
 				if sim.evacuations != 0 {
-					t.Fatalf("seed %d: %d evacuations: %+v", seed, sim.evacuations, sim.statuses)
+					t.Fatalf("seed %d: got %d evacuations, expected none: %+v", seed, sim.evacuations, sim.statuses)
 				}
 			}
 		})
 	}
 }
 
-func TestPathBetweenTwoZonesIsCut(t *testing.T) {
+// If only the attempts between two zones fail, each is evacuated for the gateways of the other, and stays in service for a third zone.
+func TestCutPathIsEvacuated(t *testing.T) {
 	sim := newSimulation(3, 3, 2, 20)
 	sim.runFor(5 * time.Second)
 	sim.failureRate = func(g, z string) float64 {
@@ -71,24 +74,26 @@
 	}
 	sim.runFor(3 * time.Second)
 	if sim.statuses["a>b"].State != Evacuated || sim.statuses["b>a"].State != Evacuated || len(sim.statuses) != 2 {
-		t.Fatalf("%+v", sim.statuses)
+		t.Fatalf("got %+v, expected the paths a>b and b>a evacuated", sim.statuses)
 	}
 	if _, ok := sim.statuses.For("c", "b"); ok {
-		t.Error("c leaves b")
+		t.Error("zone b has a status for the gateways of zone c, expected none")
 	}
 }
 
-func TestSecondUnhealthyZoneStays(t *testing.T) {
+// If two zones of three fail, only one is evacuated.
+func TestSecondUnhealthyZoneStaysInService(t *testing.T) {
 	sim := newSimulation(4, 3, 2, 20)
 	sim.runFor(5 * time.Second)
 	sim.failureRate = func(_, z string) float64 { return map[bool]float64{true: 1, false: 0}[z != "a"] }
 	sim.runFor(10 * time.Second)
 	if n := sim.statuses.countAvoided("a", sim.zones); n != 1 {
-		t.Errorf("%d zones of three are out: %+v", n, sim.statuses)
+		t.Errorf("%d zones of three are evacuated, expected 1: %+v", n, sim.statuses)
 	}
 }
 
-// A zone that becomes five times slower is evacuated; one that becomes twice as slow, all zones together, and one that has always been slow are not.
+// A zone that becomes five times slower is evacuated and returns after its recovery. No zone is evacuated if one becomes only twice as
+// slow, if all become slow together, or if one has always been slow.
 func TestSlowZone(t *testing.T) {
 	for _, c := range []struct {
 		slowZones string
@@ -108,29 +113,31 @@
 		}
 		sim.runFor(30 * time.Second)
 		if sim.evacuations > 0 {
-			t.Fatalf("%q %v times slower (long: %v): %d evacuations before any fault", c.slowZones, c.factor, c.always, sim.evacuations)
+			t.Fatalf("zones %q %v times slower (always: %v): %d evacuations before any fault", c.slowZones, c.factor, c.always, sim.evacuations)
 		}
 		sim.latencyFactor = latencyFactor
 		sim.runFor(2 * time.Second)
-		if n := len(sim.statuses); n != c.evacuated { // a path to it may have been evacuated first
-			t.Errorf("%q %v times slower (long: %v): %d evacuations, expected %d; %+v", c.slowZones, c.factor, c.always, sim.evacuations, c.evacuated, sim.statuses)
+		if n := len(sim.statuses); n != c.evacuated { // a path to the zone may have been evacuated first
+			t.Errorf("zones %q %v times slower (always: %v): %d evacuations, expected %d; %+v", c.slowZones, c.factor, c.always, sim.evacuations,
+				c.evacuated, sim.statuses)
 		}
 		if c.evacuated == 0 {
 			continue
 		}
 		sim.runFor(10 * time.Second)
 		if v := sim.statuses["b"]; v.State == Returning {
-			t.Errorf("returned to while it is slow: %+v", v)
+			t.Errorf("zone b returns while it is slow: %+v", v)
 		}
 		sim.latencyFactor = func(string) float64 { return 1 }
 		sim.runFor(40 * time.Second)
 		if len(sim.statuses) != 0 {
-			t.Errorf("not in again 40 s after it was as ever: %+v", sim.statuses)
+			t.Errorf("40 s after recovery: got %+v, expected all zones in service", sim.statuses)
 		}
 	}
 }
 
-// Zones that were slow together recover one after the other: the last one is not evacuated for that.
+// Zones that were slow together recover one after the other. The last one to recover is then the only slow one, and must not be evacuated
+// for that.
 func TestZonesSlowTogetherRecoverOneByOne(t *testing.T) {
 	sim := newSimulation(14, 3, 2, 24)
 	sim.runFor(30 * time.Second)
@@ -143,18 +150,18 @@
 	}
 	sim.runFor(5 * time.Second)
 	if sim.evacuations > 0 {
-		t.Errorf("%d evacuations: %+v", sim.evacuations, sim.statuses)
+		t.Errorf("got %d evacuations, expected none: %+v", sim.evacuations, sim.statuses)
 	}
 }
 
-// Restarted servers are probed at once, and the latency of slow start is not held against them.
+// A zone whose servers have restarted is probed without waiting for the backoff, and returns although its servers are slow in slow start.
 func TestRestartedZoneIsProbedAtOnce(t *testing.T) {
 	sim := newSimulation(9, 3, 2, 24)
 	sim.runFor(10 * time.Second)
 	sim.failureRate = failZone("b")
 	sim.runFor(20 * time.Second)
 	if v := sim.statuses["b"]; v.State != Evacuated && v.State != Probing {
-		t.Fatalf("%+v", sim.statuses)
+		t.Fatalf("20 s after the fault: got %+v, expected zone b evacuated or probing", sim.statuses)
 	}
 	sim.failureRate, sim.latencyFactor = failZone(""), func(z string) float64 {
 		if z == "b" {
@@ -165,11 +172,12 @@
 	sim.detector.SetServerStarts(map[string]int64{"b": sim.unixMS()})
 	sim.runFor(5 * time.Second)
 	if v := sim.statuses["b"]; v.State != Returning {
-		t.Errorf("5 s after its servers began: %+v", v)
+		t.Errorf("5 s after the restart of its servers: got %+v, expected zone b returning", v)
 	}
 }
 
-func TestFlapping(t *testing.T) {
+// A zone that fails for 2 s in every 4 s is evacuated at most 3 times in 40 s.
+func TestFlappingZoneIsSeldomEvacuated(t *testing.T) {
 	sim := newSimulation(6, 3, 2, 20)
 	sim.runFor(5 * time.Second)
 	for i := range 10 {
@@ -180,47 +188,48 @@
 		_ = i
 	}
 	if sim.evacuations > 3 {
-		t.Errorf("%d evacuations in 40 s", sim.evacuations)
+		t.Errorf("%d evacuations in 40 s, expected 3 at most", sim.evacuations)
 	}
 }
 
-func TestSmallFleets(t *testing.T) {
+// A failing zone is evacuated if there is a second zone, but not if it is the only one. Each zone has one gateway.
+func TestOutageInFleetOfOneOrTwoZones(t *testing.T) {
 	for zones := 1; zones <= 2; zones++ {
 		sim := newSimulation(7, zones, 1, 20)
 		sim.runFor(5 * time.Second)
 		sim.failureRate = failZone("a")
 		sim.runFor(5 * time.Second)
 		if _, out := sim.statuses["a"]; out != (zones == 2) {
-			t.Errorf("%d zones of one gateway: %+v", zones, sim.statuses)
+			t.Errorf("%d zones of one gateway: got %+v, expected zone a evacuated only if there are two zones", zones, sim.statuses)
 		}
 	}
 }
 
-// Whatever is observed, no gateway is left without a zone, and no more than the limit are evacuated for all.
+// Under random faults, every gateway keeps at least one zone, and no more zones than the limit are evacuated for all gateways.
 func TestNeverAllZonesEvacuated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		checkRandomFaults(t, newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 6).Draw(t, "zones"), rapid.IntRange(1, 4).Draw(t, "each"), 10))
+		checkRandomFaults(t, newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 6).Draw(t, "zones"), rapid.IntRange(1, 4).Draw(t, "gateways per zone"), 10))
 	})
 }
 
-// checkRandomFaults plays random faults, each gateway with its own, and checks the limits.
+// checkRandomFaults simulates random faults, in which each gateway sees its own failure rates, and checks the limits every second.
 func checkRandomFaults(t *rapid.T, sim *simulation) {
-	for range rapid.IntRange(1, 6).Draw(t, "spells") {
+	for range rapid.IntRange(1, 6).Draw(t, "faults") {
 		failureRates := map[string]float64{}
 		for _, g := range sim.gateways {
 			for _, z := range sim.zones {
 				failureRates[g+z] = []float64{0, 0, 0.5, 1}[sim.rng.IntN(4)]
 			}
 		}
-		for _, z := range sim.zones { // and zones that fail, or serve, for all gateways
-			if failureRate := rapid.SampledFrom([]float64{-1, -1, 0, 1}).Draw(t, "bad"); failureRate >= 0 {
+		for _, z := range sim.zones { // some zones fail entirely, or serve everything, for all gateways
+			if failureRate := rapid.SampledFrom([]float64{-1, -1, 0, 1}).Draw(t, "zone failure rate"); failureRate >= 0 {
 				for _, g := range sim.gateways {
 					failureRates[g+z] = failureRate
 				}
 			}
 		}
 		sim.failureRate = func(g, z string) float64 { return failureRates[g+z] }
-		for range rapid.IntRange(1, 20).Draw(t, "length") {
+		for range rapid.IntRange(1, 20).Draw(t, "seconds") {
 			sim.runFor(time.Second)
 			for _, from := range sim.zones {
 				avoided, evacuated := 0, 0
@@ -233,21 +242,22 @@
 					}
 				}
 				if avoided >= len(sim.zones) {
-					t.Fatalf("%s has no zone left: %+v", from, sim.statuses)
+					t.Fatalf("the gateways of zone %s have no zone to send to: %+v", from, sim.statuses)
 				}
 				if limit := max(len(sim.zones)/3, min(1, len(sim.zones)-1)); evacuated > limit {
-					t.Fatalf("%d zones out, %d at most: %+v", evacuated, limit, sim.statuses)
+					t.Fatalf("%d zones are evacuated, expected %d at most: %+v", evacuated, limit, sim.statuses)
 				}
 			}
 		}
 	}
 }
 
-// A slow zone is not evacuated, or returns, while the others reject requests; a silent one is evacuated regardless.
+// While the other zones reject requests, a slow zone is not evacuated, or returns if it already was; a zone that does not answer is
+// evacuated in any case.
 func TestOtherZonesAreSaturated(t *testing.T) {
 	for _, c := range []struct {
-		silent         bool
-		saturatedAfter time.Duration // after the fault begins, when the others start to reject
+		down           bool
+		saturatedAfter time.Duration // time from the fault until the other zones reject requests; 0: they reject before it
 		want           State
 	}{{false, 0, ""}, {false, 5 * time.Second, Returning}, {true, 0, Evacuated}, {true, 5 * time.Second, Evacuated}} {
 		sim := newSimulation(10, 3, 2, 24)
@@ -264,7 +274,7 @@
 			saturateOthers()
 			sim.runFor(3 * time.Second)
 		}
-		if c.silent {
+		if c.down {
 			sim.failureRate = failZone("b")
 		} else {
 			sim.latencyFactor = func(z string) float64 {
@@ -277,18 +287,19 @@
 		sim.runFor(2500 * time.Millisecond)
 		if c.saturatedAfter > 0 {
 			if v := sim.statuses["b"]; v.State != Evacuated {
-				t.Fatalf("%+v: not evacuated: %+v", c, v)
+				t.Fatalf("case %+v: got status %+v of zone b before the others are saturated, expected it evacuated", c, v)
 			}
 			saturateOthers()
 			sim.runFor(time.Second)
 		}
 		if v := sim.statuses["b"]; v.State != c.want {
-			t.Errorf("%+v: %+v", c, v)
+			t.Errorf("case %+v: got status %+v of zone b", c, v)
 		}
 	}
 }
 
-// A region that fails as a whole is evacuated as one, beyond the limit of zones; half of one is not.
+// A region whose zones all fail is evacuated as a whole, beyond the limit on evacuated zones. If only half of a region fails, the limit
+// applies.
 func TestRegionIsEvacuatedWhole(t *testing.T) {
 	for _, c := range []struct {
 		failedZones string
@@ -312,7 +323,7 @@
 			}
 		}
 		if evacuated != c.want {
-			t.Errorf("%s lost: %d zones are out, expected %d: %+v", c.failedZones, evacuated, c.want, sim.statuses)
+			t.Errorf("zones %q fail: %d zones are evacuated, expected %d: %+v", c.failedZones, evacuated, c.want, sim.statuses)
 		}
 	}
 }
--- a/internal/fleet/evacuation/golden_test.go
+++ b/internal/fleet/evacuation/golden_test.go
@@ -17,10 +17,11 @@
 var goldenStatuses = Statuses{"hall-a>hall-b": {State: Probing, Since: 1700000000001, FailedReturns: 2, Reason: "ill", Probers: []string{"g1", "g2"},
 	By: "alice", Until: 1700000000003, KeepInService: true, FailedProbes: 4, Partial: true, AnyRequest: true}}
 
-// TestGoldenStatuses freezes the section of the plan that voters store and members read, and the page of it that operators read.
+// TestGoldenStatuses checks the encodings of statuses against golden files: the section of the plan that voters store and members read,
+// and the JSON that operators read.
 func TestGoldenStatuses(t *testing.T) {
 	if Section != "zones" {
-		t.Error("section:", Section)
+		t.Error("unexpected key of the section in a plan:", Section)
 	}
 	for name, v := range map[string]Statuses{"verdicts": goldenStatuses, "verdicts-least": {"hall-b": {State: Evacuated}}} {
 		if name == "verdicts" {
@@ -44,17 +45,17 @@
 	}
 }
 
-// TestGoldenStates freezes the states as the plan and operators have them.
+// TestGoldenStates checks the names of the states in the plan and on operators' pages.
 func TestGoldenStates(t *testing.T) {
 	for state, want := range map[State]string{Evacuated: "out", Probing: "probing", Returning: "returning"} {
 		if string(state) != want {
-			t.Errorf("%s, want %s", state, want)
+			t.Errorf("got state %q, expected %q", state, want)
 		}
 	}
 }
 
-// TestGoldenCalls freezes the arguments of operators' calls, which the leader reads, their names, and what each settles.
-func TestGoldenCalls(t *testing.T) {
+// TestGoldenCommands checks the encoding of operators' commands, their names, and the resulting statuses against golden files.
+func TestGoldenCommands(t *testing.T) {
 	for name, c := range map[string]Command{
 		"call":       {By: "alice", Reason: "power", Zone: "hall-b", ForMS: 1800000, Hold: true},
 		"call-least": {By: "bob", Reason: "day", Zone: "hall-c"},
@@ -68,16 +69,16 @@
 		}
 	}
 	if got := slices.Sorted(maps.Keys(Commands())); !slices.Equal(got, []string{"leave", "return"}) {
-		t.Error("calls:", got)
+		t.Error("unexpected names of commands:", got)
 	}
 	for verb, file := range map[string]string{"leave": "settled-leave.cbor", "return": "settled-return.cbor"} {
 		sections, err := Commands()[verb](&fleet.Plan{}, golden.Read(t, "call.cbor"), 1700000000005)
 		if err != nil || len(sections) != 1 {
-			t.Fatalf("%s: %v, %v", verb, sections, err)
+			t.Fatalf("%s: got sections %v, error %v, expected one section", verb, sections, err)
 		}
 		golden.Compare(t, file, sections["zones"])
 	}
 	if bytes.Equal(golden.Read(t, "settled-leave.cbor"), golden.Read(t, "settled-return.cbor")) {
-		t.Error("leave and return settle the same")
+		t.Error("leave and return have the same golden result, expected different ones")
 	}
 }
--- a/internal/fleet/evacuation/large_test.go
+++ b/internal/fleet/evacuation/large_test.go
@@ -8,17 +8,18 @@
 	"pgregory.net/rapid"
 )
 
-// Large fleets: the time to detection, what was sent to the zone until then, and what an evaluation costs the leader.
+// In large fleets an outage is detected within 2 s. The test logs the time to detection, the attempts to the failed zone in the first 5 s,
+// and the cost of an evaluation on the leader.
 func TestLargeFleets(t *testing.T) {
 	sizes := []int{24, 300}
 	if os.Getenv("LARGE") != "" {
 		sizes = append(sizes, 1000)
 	}
 	for _, n := range sizes {
-		sim := newSimulation(11, 12, n/12, 900/float64(n)/12) // 900 requests a second over all
+		sim := newSimulation(11, 12, n/12, 900/float64(n)/12) // 900 requests a second in total
 		sim.runFor(8 * time.Second)
 		if len(sim.statuses) != 0 {
-			t.Fatalf("%d gateways: %+v before any fault", n, sim.statuses)
+			t.Fatalf("%d gateways: got %+v before any fault, expected all zones in service", n, sim.statuses)
 		}
 		sim.failureRate = failZone("b")
 		sentBefore, faultAt, wallStart := sim.attemptsByZone["b"], sim.now, time.Now()
@@ -27,15 +28,15 @@
 		}
 		detectionTime := sim.now - faultAt
 		if detectionTime > 2*time.Second {
-			t.Errorf("%d gateways: evacuated after %v", n, detectionTime)
+			t.Errorf("%d gateways: evacuated after %v, expected 2 s at most", n, detectionTime)
 		}
 		sim.runFor(5*time.Second - detectionTime)
-		t.Logf("%5d gateways in 12 zones, 900 requests a second: evacuated after %v, %d sent there in 5 s, %v an evaluation", n, detectionTime, sim.attemptsByZone["b"]-sentBefore,
-			time.Since(wallStart)/25)
+		t.Logf("%5d gateways in 12 zones, 900 requests a second: evacuated after %v, %d attempts to the failed zone in 5 s, %v per evaluation",
+			n, detectionTime, sim.attemptsByZone["b"]-sentBefore, time.Since(wallStart)/25)
 	}
 }
 
-// The random faults at large size, by command: LARGE=1 go test ./internal/fleet/evacuation -run LargeRandomFaults -rapid.checks=100
+// The checks of TestNeverAllZonesEvacuated with 300 or 1000 gateways, only on demand: LARGE=1 go test ./internal/fleet/evacuation -run LargeRandomFaults -rapid.checks=100
 func TestLargeRandomFaults(t *testing.T) {
 	if os.Getenv("LARGE") == "" {
 		t.Skip("LARGE is not set")
--- a/internal/fleet/evacuation/selfmonitor_test.go
+++ b/internal/fleet/evacuation/selfmonitor_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// runSelfMonitor plays one gateway's view of itself, five evaluations a second.
+// runSelfMonitor runs a SelfMonitor for the duration d with five updates a second, each with the given numbers of served and failed
+// attempts, and returns the last result of Update. A drained gateway observes no attempts.
 func runSelfMonitor(monitor *SelfMonitor, now *time.Duration, d time.Duration, served, failed uint64, zoneEvacuated, viewFresh bool, returnIndex int) (drained bool) {
 	for end := *now + d; *now < end; {
 		*now += 200 * time.Millisecond
@@ -17,6 +18,9 @@
 	return drained
 }
 
+// A gateway drains if it is isolated from the servers while its zone is evacuated or its view of the fleet is out of date, and otherwise
+// not. Drained gateways of a zone return selfReturnDelay apart. Without a quorum a gateway returns after selfMaxDrain, and does not stay
+// drained.
 func TestSelfMonitorDrains(t *testing.T) {
 	const s = time.Second
 	for _, c := range []struct {
@@ -35,14 +39,14 @@
 	} {
 		monitor, now := &SelfMonitor{}, 10*s
 		if got := runSelfMonitor(monitor, &now, 4*s, c.served, c.failed, c.zoneEvacuated, c.viewFresh, 0); got != c.want {
-			t.Errorf("%s: drained %v", c.name, got)
+			t.Errorf("%s: drained is %v, expected the opposite", c.name, got)
 		}
 	}
-	// They come back one after the other, and not for a moment's view.
+	// Gateways return one after the other, in the order of their indexes, when their zone is back in service.
 	for returnIndex := range 3 {
 		monitor, now := &SelfMonitor{}, 10*s
 		if !runSelfMonitor(monitor, &now, 4*s, 0, 3, true, true, returnIndex) {
-			t.Fatal("not drained")
+			t.Fatal("not drained while isolated in an evacuated zone")
 		}
 		runSelfMonitor(monitor, &now, 4*s, 0, 0, true, true, returnIndex)
 		recoveredAt := now
@@ -50,12 +54,12 @@
 			now += 200 * time.Millisecond
 		}
 		if elapsed := now - recoveredAt; elapsed < time.Duration(returnIndex)*selfReturnDelay || elapsed > time.Duration(returnIndex)*selfReturnDelay+2*s {
-			t.Errorf("the %d. came back after %v", returnIndex, elapsed)
+			t.Errorf("return index %d: returned after %v, expected selfReturnDelay times the index, or up to 2 s more", returnIndex, elapsed)
 		}
 	}
 	monitor, now := &SelfMonitor{}, 10*s
 	runSelfMonitor(monitor, &now, 4*s, 0, 3, false, false, 0)
 	if runSelfMonitor(monitor, &now, selfMaxDrain, 0, 0, false, false, 0) {
-		t.Error("it stays away for good without a quorum")
+		t.Error("still drained after selfMaxDrain without a quorum")
 	}
 }
--- a/internal/fleet/evacuation/simulation_test.go
+++ b/internal/fleet/evacuation/simulation_test.go
@@ -9,7 +9,7 @@
 	"dewhitch/internal/fleet"
 )
 
-// simulation plays gateways that report what they see of zones, on a virtual clock.
+// simulation runs a Detector with simulated gateways, which send attempts to all zones and report the outcomes, on a virtual clock.
 type simulation struct {
 	detector       *Detector
 	rng            *rand.Rand
@@ -17,17 +17,18 @@
 	zones          []string
 	gateways       []string
 	zoneByGateway  map[string]string
-	regionByZone   map[string]string                  // by zone
-	attemptRate    float64                            // attempts a second of a gateway, to each zone
-	failureRate    func(gateway, zone string) float64 // fraction of the attempts that fail
-	latencyFactor  func(zone string) float64          // factor of the baseline latency
-	rejectionRate  func(zone string) float64          // fraction of the attempts that servers reject
-	stopped        map[string]bool
+	regionByZone   map[string]string                  // empty: gateways report no region
+	attemptRate    float64                            // attempts a second of each gateway to each zone
+	failureRate    func(gateway, zone string) float64 // fraction of a gateway's attempts to a zone that time out
+	latencyFactor  func(zone string) float64          // factor on the mean latency of a zone, which is 60 ms
+	rejectionRate  func(zone string) float64          // fraction of the attempts to a zone that its servers reject
+	stopped        map[string]bool                    // gateways that neither report nor probe
 	statuses       Statuses
-	evacuations    int
-	attemptsByZone map[string]int // to each zone
+	evacuations    int            // number of evacuations so far, without failed probes
+	attemptsByZone map[string]int // number of attempts so far
 }
 
+// newSimulation returns a simulation of healthy zones "a", "b" and so on, whose gateways have names such as "a0".
 func newSimulation(seed uint64, zones, gatewaysPerZone int, attemptRate float64) *simulation {
 	sim := &simulation{detector: New(Defaults), rng: rand.New(rand.NewPCG(seed, 1)), attemptRate: attemptRate, zoneByGateway: map[string]string{}, statuses: Statuses{},
 		failureRate: func(string, string) float64 { return 0 }, latencyFactor: func(string) float64 { return 1 },
@@ -43,9 +44,10 @@
 	return sim
 }
 
+// unixMS returns the virtual time in Unix ms.
 func (sim *simulation) unixMS() int64 { return 1_700_000_000_000 + sim.now.Milliseconds() }
 
-// runFor plays for a duration, with a report of each gateway and an evaluation every 200 ms.
+// runFor runs the simulation for a duration, with a report of each gateway and an evaluation every 200 ms.
 func (sim *simulation) runFor(d time.Duration) {
 	for end := sim.now + d; sim.now < end; sim.now += 200 * time.Millisecond {
 		for _, g := range sim.gateways {
@@ -78,7 +80,7 @@
 		next, changed := sim.detector.Evaluate(sim.now, sim.unixMS(), sim.statuses, func(g string) bool { return !sim.stopped[g] })
 		if changed {
 			for key, v := range next {
-				if old, ok := sim.statuses[key]; v.State == Evacuated && (!ok || old.State == Returning) { // a failed probe is no evacuation
+				if old, ok := sim.statuses[key]; v.State == Evacuated && (!ok || old.State == Returning) { // a failed probe does not count as an evacuation
 					sim.evacuations++
 				}
 			}
@@ -87,7 +89,7 @@
 	}
 }
 
-// failZone fails all attempts to one zone, and one in a hundred elsewhere.
+// failZone returns failure rates at which all attempts to one zone fail, and one in a hundred elsewhere.
 func failZone(zone string) func(string, string) float64 {
 	return func(_, z string) float64 {
 		if z == zone {
--- a/internal/fleet/evacuation/status.go
+++ b/internal/fleet/evacuation/status.go
@@ -29,7 +29,7 @@
 	Reason        string   `cbor:"4,keyasint" json:"why"`                          // reason for this state, shown to operators
 	Probers       []string `cbor:"5,keyasint,omitempty" json:"probers,omitempty"`  // names of the gateways that probe
 	By            string   `cbor:"6,keyasint,omitempty" json:"by,omitempty"`       // operator who ordered this state; empty: the fleet decided it
-	Until         int64    `cbor:"7,keyasint,omitempty" json:"until,omitempty"`    // end of an operator's evacuation, Unix ms; 0: the return command ends it
+	Until         int64    `cbor:"7,keyasint,omitempty" json:"until,omitempty"`    // end of an operator's evacuation, Unix ms; 0: no fixed end
 	KeepInService bool     `cbor:"8,keyasint,omitempty" json:"hold,omitempty"`     // operator's hold: the fleet does not evacuate the zone
 	FailedProbes  int      `cbor:"9,keyasint,omitempty" json:"probes,omitempty"`   // number of failed probes since the evacuation or the last return
 	Partial       bool     `cbor:"11,keyasint,omitempty" json:"partial,omitempty"` // true if the zone still served some requests when it was evacuated
--- a/internal/fleet/evacuation/verdict.go
+++ b/internal/fleet/evacuation/verdict.go
@@ -8,9 +8,9 @@
 	windowStart time.Duration // start of the evidence window that shows it
 }
 
-// detectUnhealthy returns true, with the evidence, if a zone is unhealthy for the given gateways in one of the evidence windows. It ignores evidence
-// from before since. The served attempts from before an outage soon fall out of a short window; in a long window, sparse traffic adds up
-// to enough evidence.
+// detectUnhealthy returns true, with the evidence, if a zone is unhealthy for the given gateways in one of the evidence windows. It ignores
+// evidence from before since. The served attempts from before an outage soon fall out of a short window; in a long window, sparse traffic
+// adds up to enough evidence.
 func (d *Detector) detectUnhealthy(zone string, since time.Duration, gateways []string) (v verdict, unhealthy bool) {
 	for _, window := range d.cfg.Windows {
 		v.windowStart = max(d.now-window, since)
--- a/internal/fleet/slowstart/allocator.go
+++ b/internal/fleet/slowstart/allocator.go
@@ -1,12 +1,12 @@
-// Package slowstart allocates, over all gateways of a fleet, the rate at which servers in slow start are sent requests: servers that have
-// just started, or whose zone returns. Each has one budget. The leader divides it by the demand of the gateways and grants each part
-// for a lease.
+// Package slowstart limits the rate at which all gateways of a fleet together send requests to servers in slow start. These are servers
+// that have just started, and the servers of a returning zone. Each has one budget. The leader divides the budget among the gateways in
+// proportion to their demand, and grants each gateway its part for a lease.
 //
-// The package is pure: it has no clock, no goroutine and no I/O, and nothing in it may be called concurrently. The owner (package
-// agent) calls Allocator.Observe for each load report of a gateway and SetLeaderTerm whenever it learns who leads. On the leader it
-// calls Allocate several times a second, and Grant for each report that it answers.
+// The package has no clock, no goroutines and no I/O. Its types are not safe for concurrent use. The owner (package agent) calls
+// Allocator.Observe for each load report of a gateway and SetLeaderTerm whenever it learns which process leads. On the leader it calls
+// Allocate several times a second, and Grant for each report that it answers.
 //
-// docs/design/return.md has the rules and the alternatives that were rejected.
+// docs/design/return.md describes the rules and the rejected alternatives.
 package slowstart
 
 import (
@@ -20,51 +20,51 @@
 type Server struct {
 	ID    uint32
 	Zone  string
-	Since int64 // its last start, or since when its zone returns, Unix ms; 0: long ago
+	Since int64 // start of its slow start (its own start, or its zone's return), Unix ms; 0: slow start is over
 	Use   Use
 }
 
-// Use is which gateways may send to a server.
+// Use determines which gateways may send requests to a server.
 type Use int
 
-// The uses.
+// Uses of a server.
 const (
-	UseFully           Use = iota // all gateways that have a path to it
-	UseForHealthChecks            // only the probers, within probeRate
-	UseNever                      // none: its zone is evacuated
+	UseFully           Use = iota // all gateways that have a path to the server
+	UseForHealthChecks            // only the probers of its zone, within probeRate
+	UseNever                      // no gateway, because its zone is evacuated
 )
 
 // Config has the settings of slow start.
 type Config struct {
-	StartCapacity float64       // fraction of its capacity that a server has when it starts
-	Span          time.Duration // until it has all of it
-	Lease         time.Duration // of a grant
+	StartCapacity float64       // fraction of its capacity that a server has at the beginning of slow start
+	Span          time.Duration // length of slow start, after which a server has its full capacity
+	Lease         time.Duration // validity of a grant
 }
 
-// Bounds of the allocation.
+// Parameters of the allocation.
 const (
-	demandTimeConstant = 2.0              // seconds, time constant of a gateway's demand
-	latencySmoothing   = 0.02             // weight of a report in the mean latency
-	grantPauseLeases   = 1.5              // leases for which a new leader grants nothing, as grants of the last one may still be spent
-	memberExpiry       = 30 * time.Second // without a report, until a gateway is forgotten
-	minDemand          = 1e-9             // attempts a second, so that a share is defined without demand
+	demandTimeConstant = 2.0              // time constant of the smoothing of a gateway's demand, in seconds
+	latencySmoothing   = 0.02             // weight of one zone in one report in the mean latency
+	grantPauseLeases   = 1.5              // pause of a new leader before its first grant, in leases, because earlier grants may still be in use
+	memberExpiry       = 30 * time.Second // time without a report after which a gateway is removed
+	minDemand          = 1e-9             // divisor in place of a demand of 0, in attempts a second
 )
 
-// member is a gateway, as the leader knows it.
+// member holds what is known of a gateway.
 type member struct {
-	lastReportAt time.Duration // last report
-	demand       float64       // attempts a second that it has to send, smoothed
-	grants       []grant       // that it may still act on, the oldest first
+	lastReportAt time.Duration // time of the last report
+	demand       float64       // attempts a second that the gateway has to send, smoothed
+	grants       []grant       // grants that the gateway may still use, oldest first
 }
 
-// grant is what was granted to a gateway in answer to one report.
+// grant holds the rates granted to a gateway in answer to one report.
 type grant struct {
-	reportSeq uint64 // of the report
+	reportSeq uint64 // sequence number of the report
 	expiresAt time.Duration
-	rates     map[uint32]float64 // attempts a second, by server
+	rates     map[uint32]float64 // attempts a second by server ID
 }
 
-// reserved is the highest rate that a gateway may still send to a server by its grants.
+// reserved returns the highest rate at which a gateway may still send to a server under any of its grants.
 func (m *member) reserved(now time.Duration, id uint32) (rate float64) {
 	for _, g := range m.grants {
 		if g.expiresAt > now {
@@ -74,27 +74,28 @@
 	return rate
 }
 
-// allocation is the state of a server's budget until the next call of Allocate, in attempts a second.
+// allocation holds the state of a server's budget until the next call of Allocate, in attempts a second.
 type allocation struct {
-	budget   float64 // of all gateways together
-	demand   float64 // of the gateways that may send to the server
-	reserved float64 // upper bound of what may still be sent by grants
+	budget   float64 // limit for all gateways together
+	demand   float64 // total demand of the gateways that may send to the server
+	reserved float64 // upper limit of the rate that gateways may still use under their grants
 }
 
-// Allocator divides the budgets. Every voter observes, so that the next leader knows the demand; only the leader allocates and grants.
-// All times of type time.Duration are on the owner's monotonic clock.
+// Allocator divides the budgets of servers in slow start among the gateways. Every voter calls Observe, so that a new leader knows the
+// demand; only the leader calls Allocate and Grant. Nothing in an Allocator is durable. Times of type time.Duration are on the owner's
+// monotonic clock.
 type Allocator struct {
 	cfg               Config
-	term              uint64        // in which this process leads; 0: it does not
-	termStart         time.Duration // start of the term
+	term              uint64        // term in which this process leads; 0: it does not lead
+	termStart         time.Duration // time when this process learned that it leads the term
 	members           map[string]*member
-	health            map[uint32]*health // of servers with a budget
+	health            map[uint32]*health // evidence on the servers with a budget
 	allocations       map[uint32]*allocation
-	maySend           func(gateway string, server uint32) bool // of the last Allocate
-	meanLatencyMicros float64                                  // microseconds of a served attempt, smoothed
+	maySend           func(gateway string, server uint32) bool // function passed to the last Allocate
+	meanLatencyMicros float64                                  // mean latency of served attempts, smoothed
 }
 
-// New returns an Allocator that knows no gateway and does not lead.
+// New returns an Allocator that has no gateways and does not lead.
 func New(cfg Config) *Allocator {
 	return &Allocator{
 		cfg:         cfg,
@@ -104,6 +105,7 @@
 	}
 }
 
+// getOrAddMember returns the member of a name, and adds it if it is new.
 func (a *Allocator) getOrAddMember(name string) *member {
 	m := a.members[name]
 	if m == nil {
@@ -113,7 +115,8 @@
 	return m
 }
 
-// Observe adds what a gateway saw since its last report. appliedSeq is the report whose answer it acts on: earlier grants are void.
+// Observe adds a gateway's counters since its last report. appliedSeq is the sequence number of the report whose answer the gateway
+// applies. The gateway no longer uses earlier grants.
 func (a *Allocator) Observe(now time.Duration, gateway string, appliedSeq uint64, delta fleet.Report) {
 	m := a.getOrAddMember(gateway)
 	attempts := uint64(0)
@@ -138,7 +141,7 @@
 	}
 }
 
-// observeLatency adds a mean latency in microseconds to the exponentially weighted moving average.
+// observeLatency adds a mean latency in microseconds to the exponentially weighted moving average meanLatencyMicros.
 func (a *Allocator) observeLatency(micros float64) {
 	if a.meanLatencyMicros == 0 {
 		a.meanLatencyMicros = micros
@@ -146,7 +149,7 @@
 	a.meanLatencyMicros += latencySmoothing * (micros - a.meanLatencyMicros)
 }
 
-// observeDemand adds the attempts since the last report to the smoothed demand.
+// observeDemand adds the number of attempts since the last report to the smoothed demand.
 func (m *member) observeDemand(now time.Duration, attempts float64) {
 	if elapsed := (now - m.lastReportAt).Seconds(); m.lastReportAt > 0 && elapsed > 0 {
 		weight := 1 - math.Exp(-elapsed/demandTimeConstant)
@@ -155,9 +158,9 @@
 	m.lastReportAt = now
 }
 
-// SetLeaderTerm tells in which term this process leads; 0: it does not lead. Grants of another term may still be spent, so that a new
-// term begins with silentLeases without grants. That covers a process that was stopped, and leads again without having noticed that
-// it had lost the term.
+// SetLeaderTerm sets the term in which this process leads, or 0 if it does not lead. Gateways may still use the grants of another term.
+// Therefore a new term begins with a pause of grantPauseLeases without grants. The pause also covers a process that was stopped, lost its
+// term without noticing, and leads again.
 func (a *Allocator) SetLeaderTerm(now time.Duration, term uint64) {
 	if term != a.term && term != 0 {
 		a.termStart = now
@@ -168,7 +171,7 @@
 	a.term = term
 }
 
-// Demand is the rate that all gateways have to send, in attempts a second.
+// Demand returns the rate that all gateways together have to send, in attempts a second.
 func (a *Allocator) Demand() (sum float64) {
 	for _, m := range a.members {
 		sum += m.demand
@@ -176,7 +179,7 @@
 	return sum
 }
 
-// expireMembers forgets the gateways without a report for memberExpiry, and returns the demand of the others.
+// expireMembers removes the gateways without a report for memberExpiry, and returns the total demand of the others.
 func (a *Allocator) expireMembers(now time.Duration) (demand float64) {
 	for name, m := range a.members {
 		if now-m.lastReportAt > memberExpiry {
@@ -188,8 +191,9 @@
 	return demand
 }
 
-// Allocate computes the budgets of servers, and tells whether any has one. mayUse tells which gateways may send to a server; it is called
-// until the next Allocate. The budgets are not computed in each Grant, as the leader's cost would grow with the square of the fleet.
+// Allocate computes the budgets of servers, and returns true if any server has a budget. maySend returns true if a gateway may send to a
+// server. Grant calls maySend until the next Allocate. Grant does not compute the budgets itself, because the leader's cost would then
+// grow with the square of the fleet.
 func (a *Allocator) Allocate(now time.Duration, unixMS int64, servers []Server, maySend func(gateway string, server uint32) bool) bool {
 	a.maySend = maySend
 	a.allocations = map[uint32]*allocation{}
@@ -206,9 +210,10 @@
 	return len(a.allocations) > 0
 }
 
-// Grant returns what a gateway may send for a lease from now, in answer to its report seq: for each server, its part of the budget by
-// demand, less what others may still send by earlier grants. So the sum over all gateways never exceeds the budget, and a gateway that
-// is lost or stalled keeps its part reserved until its lease ends.
+// Grant returns the rates at which a gateway may send for one lease from now, in answer to its report seq. For each server the rate is the
+// gateway's part of the budget in proportion to demand, but no more than the budget minus what other gateways may still use under earlier
+// grants. Therefore the sum over all gateways never exceeds the budget. The part of a gateway that is lost or stalled stays reserved
+// until its lease ends.
 func (a *Allocator) Grant(now time.Duration, gateway string, seq uint64) Grant {
 	m := a.getOrAddMember(gateway)
 	granted := Grant{Rates: map[uint32]float64{}}
@@ -231,7 +236,7 @@
 	return granted
 }
 
-// mayGrant tells whether this process leads, and the grants of the last leader are over.
+// mayGrant returns true if this process leads and the grants of the previous leader have expired.
 func (a *Allocator) mayGrant(now time.Duration) bool {
 	return a.term != 0 && now-a.termStart >= time.Duration(grantPauseLeases*float64(a.cfg.Lease))
 }
--- a/internal/fleet/slowstart/budget.go
+++ b/internal/fleet/slowstart/budget.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// Bounds of the budgets.
+// Parameters of the budgets.
 const (
-	maxBudgets      = 256 // servers with a budget; others wait until their slow start is over
-	probeRate       = 4.0 // attempts a second to all servers of a zone that is probed
-	backoffInterval = time.Second
-	backoffFactor   = 0.5 // for a server with failures or high latency in the last interval
-	backoffRecovery = 0.1 // added in each interval without
-	backoffMin      = 0.1 // of what the warmth allows, whatever the evidence
-	minFailed       = 3   // attempts in an interval
-	minServed       = 3   // attempts in an interval, before a server may be slow
-	failedRatio     = 0.2 // failed of all attempts in an interval
-	slowFactor      = 2.5 // of the mean latency that the warmth explains
-	minProbedRate   = 1.0 // attempts a second, assumed as the capacity of a probed server where the demand is lower
+	maxBudgets      = 256         // largest number of servers with a budget; other servers get nothing until their slow start is over
+	probeRate       = 4.0         // attempts a second to all servers of a probed zone together
+	backoffInterval = time.Second // time between two steps of a server's backoff
+	backoffFactor   = 0.5         // factor on the backoff after an interval with failures or high latency
+	backoffRecovery = 0.1         // increase of the backoff after any other interval
+	backoffMin      = 0.1         // lowest backoff, whatever the evidence
+	minFailed       = 3           // lowest number of failed attempts in an interval that counts against a server
+	minServed       = 3           // lowest number of served attempts in an interval that shows a slow server
+	failedRatio     = 0.2         // lowest fraction of failed attempts in an interval that counts against a server
+	slowFactor      = 2.5         // multiple of the latency expected at the server's warmth above which it is slow
+	minProbedRate   = 1.0         // lowest even rate, in attempts a second, assumed for a probed server
 )
 
-// health is the evidence on a server with a budget since the last interval began.
+// health holds the backoff of a server with a budget, and the evidence of the current interval.
 type health struct {
-	backoff       float64 // fraction of what its warmth allows, backoffMin to 1
-	served        uint64  // attempts
-	failed        uint64  // attempts
-	latencyMicros uint64  // sum over the served attempts
-	intervalStart time.Duration
+	backoff       float64       // factor on the budget, from backoffMin to 1
+	served        uint64        // number of served attempts
+	failed        uint64        // number of failed attempts
+	latencyMicros uint64        // total latency of the served attempts
+	intervalStart time.Duration // time of the last backoff step
 }
 
-// warmth is the smallest fraction of its capacity that a server has reached; it grows linearly over the slow start.
+// warmth returns the fraction of its capacity that a server has reached at least. It grows linearly from StartCapacity to 1 over Span.
 func (a *Allocator) warmth(unixMS int64, s Server) float64 {
 	age := time.Duration(unixMS-s.Since) * time.Millisecond
 	if s.Since <= 0 || age >= a.cfg.Span {
@@ -38,8 +38,8 @@
 	return a.cfg.StartCapacity + (1-a.cfg.StartCapacity)*max(0, age.Seconds())/a.cfg.Span.Seconds()
 }
 
-// budgets returns what all gateways together may send to each server in slow start, in attempts a second: the even share of the
-// demand, times the warmth, times the backoff. A probed zone has probeRate for all its servers.
+// budgets returns the rate at which all gateways together may send to each server in slow start, in attempts a second. The budget is an
+// even share of the total demand, times the warmth, times the backoff. The servers of a probed zone share probeRate.
 func (a *Allocator) budgets(now time.Duration, unixMS int64, servers []Server) map[uint32]float64 {
 	budgets := map[uint32]float64{}
 	inUse, probed := countByUse(servers)
@@ -60,7 +60,7 @@
 	return budgets
 }
 
-// countByUse counts the servers in use, and those of each zone that is probed.
+// countByUse returns the number of servers that all gateways may use, and the number of servers in each probed zone.
 func countByUse(servers []Server) (inUse int, probed map[string]int) {
 	probed = map[string]int{}
 	for _, s := range servers {
@@ -74,8 +74,9 @@
 	return inUse, probed
 }
 
-// backoff returns the fraction of its warmth that a server may be sent. Once an interval it is halved if the evidence is against the
-// server, and raised a step otherwise. A cold server is slow by its warmth, which is no evidence.
+// backoff returns the factor on a server's budget. Once in each backoffInterval it is halved if the server failed or was slow, and raised
+// by backoffRecovery otherwise. A server is expected to be slower while it is cold, so the latency is compared with the one expected at
+// its warmth.
 func (a *Allocator) backoff(now time.Duration, id uint32, warmth float64) float64 {
 	h := a.health[id]
 	if h == nil {
--- a/internal/fleet/slowstart/golden_test.go
+++ b/internal/fleet/slowstart/golden_test.go
@@ -7,7 +7,7 @@
 	"dewhitch/internal/golden"
 )
 
-// TestGoldenGrant freezes what the leader's answer gives a gateway to send to cold servers, and reads it as the gateway does.
+// TestGoldenGrant checks the encoding of a grant in the leader's answer against golden files, and decodes it as a gateway does.
 func TestGoldenGrant(t *testing.T) {
 	for name, grant := range map[string]Grant{"feed": {Rates: map[uint32]float64{0x0a0b0c0d: 12.375}}, "feed-least": {}} {
 		if name == "feed" {
