--- a/internal/fleet/evacuation/baseline.go
+++ b/internal/fleet/evacuation/baseline.go
@@ -3,7 +3,7 @@
 // baseline is the usual latency of a path, as an exponentially weighted moving average (EWMA).
 type baseline struct {
 	mean        float64 // average latency in seconds
-	answerCount uint64  // number of answers in the mean; not counted beyond the warm-up
+	answerCount uint64  // number of answers in the mean, counted until the warm-up ends
 }
 
 // ready returns true if the baseline has enough answers to detect a slow zone.
--- a/internal/fleet/evacuation/probe.go
+++ b/internal/fleet/evacuation/probe.go
@@ -16,7 +16,7 @@
 	maxReturnBackoff = 6   // number of failed returns beyond which the delay stays
 	probeBackoff     = 1.5 // factor on the delay for each failed probe
 	maxProbeBackoff  = 12  // number of failed probes beyond which the delay stays
-	backoffJitter    = 0.2 // largest fraction of the delay that is added at random
+	backoffJitter    = 0.2 // largest fraction of the delay that the jitter adds
 )
 
 // mayProbe returns true if an evacuated zone may be probed. A zone that an operator evacuated may be probed at the end of that
