--- a/internal/fleet/evacuation/detector_test.go
+++ b/internal/fleet/evacuation/detector_test.go
@@ -208,13 +208,13 @@
 // Under random faults, every gateway keeps at least one zone, and no more zones than the limit are evacuated for all gateways.
 func TestNeverAllZonesEvacuated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		checkRandomFaults(t, newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 6).Draw(t, "zones"), rapid.IntRange(1, 4).Draw(t, "gateways per zone"), 10))
+		checkRandomFaults(t, newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 6).Draw(t, "zones"), rapid.IntRange(1, 4).Draw(t, "each"), 10))
 	})
 }
 
 // checkRandomFaults simulates random faults, in which each gateway sees its own failure rates, and checks the limits every second.
 func checkRandomFaults(t *rapid.T, sim *simulation) {
-	for range rapid.IntRange(1, 6).Draw(t, "faults") {
+	for range rapid.IntRange(1, 6).Draw(t, "spells") {
 		failureRates := map[string]float64{}
 		for _, g := range sim.gateways {
 			for _, z := range sim.zones {
@@ -222,14 +222,14 @@
 			}
 		}
 		for _, z := range sim.zones { // some zones fail entirely, or serve everything, for all gateways
-			if failureRate := rapid.SampledFrom([]float64{-1, -1, 0, 1}).Draw(t, "zone failure rate"); failureRate >= 0 {
+			if failureRate := rapid.SampledFrom([]float64{-1, -1, 0, 1}).Draw(t, "bad"); failureRate >= 0 {
 				for _, g := range sim.gateways {
 					failureRates[g+z] = failureRate
 				}
 			}
 		}
 		sim.failureRate = func(g, z string) float64 { return failureRates[g+z] }
-		for range rapid.IntRange(1, 20).Draw(t, "seconds") {
+		for range rapid.IntRange(1, 20).Draw(t, "length") {
 			sim.runFor(time.Second)
 			for _, from := range sim.zones {
 				avoided, evacuated := 0, 0
--- a/internal/fleet/evacuation/golden_test.go
+++ b/internal/fleet/evacuation/golden_test.go
@@ -21,7 +21,7 @@
 // and the JSON that operators read.
 func TestGoldenStatuses(t *testing.T) {
 	if Section != "zones" {
-		t.Error("unexpected key of the section in a plan:", Section)
+		t.Error("section:", Section)
 	}
 	for name, v := range map[string]Statuses{"verdicts": goldenStatuses, "verdicts-least": {"hall-b": {State: Evacuated}}} {
 		if name == "verdicts" {
@@ -69,7 +69,7 @@
 		}
 	}
 	if got := slices.Sorted(maps.Keys(Commands())); !slices.Equal(got, []string{"leave", "return"}) {
-		t.Error("unexpected names of commands:", got)
+		t.Error("calls:", got)
 	}
 	for verb, file := range map[string]string{"leave": "settled-leave.cbor", "return": "settled-return.cbor"} {
 		sections, err := Commands()[verb](&fleet.Plan{}, golden.Read(t, "call.cbor"), 1700000000005)
--- a/internal/fleet/slowstart/allocator_test.go
+++ b/internal/fleet/slowstart/allocator_test.go
@@ -199,9 +199,9 @@
 func TestGrantsNeverExceedBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		sim := newSimulation(rapid.Uint64().Draw(t, "seed"), rapid.IntRange(2, 12).Draw(t, "gateways"), rapid.IntRange(1, 5).Draw(t, "servers"))
-		sim.loss, sim.maxDelay = rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(t, "loss"), time.Duration(rapid.IntRange(0, 1500).Draw(t, "max delay ms"))*time.Millisecond
+		sim.loss, sim.maxDelay = rapid.SampledFrom([]float64{0, 0.1, 0.5}).Draw(t, "loss"), time.Duration(rapid.IntRange(0, 1500).Draw(t, "late"))*time.Millisecond
 		sim.setLeader(0)
-		slowStartStep := rapid.IntRange(20, 80).Draw(t, "slow start step")
+		slowStartStep := rapid.IntRange(20, 80).Draw(t, "cool")
 		var budgetsByStep []map[uint32]float64
 		for i := range 300 {
 			if i == slowStartStep {
