--- a/cmd/dewhitch/forward.go
+++ b/cmd/dewhitch/forward.go
@@ -90,7 +90,7 @@
 		return fmt.Errorf("configuration: registry.servers: %w", err)
 	}
 	f.server = &front.Server{Listener: listener, Log: f.log, Monitor: metrics,
-		Bounds: front.NewBounds(f.limits.Forward.MemoryMB << 20), Open: f.newSession}
+		Bounds: front.NewBounds(f.limits.Forward.MemoryMB << 20), NewCommands: f.newSession}
 	return nil
 }
 
--- a/cmd/dewhitch/gateway.go
+++ b/cmd/dewhitch/gateway.go
@@ -184,7 +184,7 @@
 	g.commands = &platform.Commands{Planner: g.planner, Recorder: g.ledger.recorder, Names: g.node.Names, Settings: g.node.Settings,
 		Figures: g.figures, State: g.state}
 	bounds := front.NewBounds(g.node.MemoryMB << 20)
-	platformServer := &front.Server{Open: func() front.Commands { return g.commands }, Bounds: bounds, Log: g.log,
+	platformServer := &front.Server{NewCommands: func() front.Commands { return g.commands }, Bounds: bounds, Log: g.log,
 		Monitor: g.metrics, Ready: g.ready}
 	if platformServer.Listener, err = listenForClients(g.node); err != nil {
 		return err
@@ -192,7 +192,7 @@
 	g.servers = []*front.Server{platformServer}
 	if g.limits.Listen != "" {
 		limitsCommands := &limits.Commands{Commands: g.commands}
-		limitsServer := &front.Server{Open: func() front.Commands { return sessions.New(limitsCommands, version) }, Bounds: bounds,
+		limitsServer := &front.Server{NewCommands: func() front.Commands { return sessions.New(limitsCommands, version) }, Bounds: bounds,
 			Log: g.log, Monitor: g.metrics, Ready: g.ready}
 		if limitsServer.Listener, err = net.Listen("tcp", g.limits.Listen); err != nil {
 			return fmt.Errorf("configuration: listen (limits file): %w", err)
--- a/cmd/dewhitch/run.go
+++ b/cmd/dewhitch/run.go
@@ -112,8 +112,8 @@
 func serveSessions(ctx context.Context, servers []*front.Server, sessions, idle int) error {
 	group, ctx := errgroup.WithContext(ctx)
 	for _, s := range servers {
-		s.Sessions = sessions / len(servers)
-		s.KeepIdle = idle / len(servers)
+		s.MaxSessions = sessions / len(servers)
+		s.MaxIdleSessions = idle / len(servers)
 		group.Go(func() error { return s.Serve(ctx) })
 	}
 	return group.Wait()
--- a/internal/backend/codec.go
+++ b/internal/backend/codec.go
@@ -72,7 +72,7 @@
 	switch {
 	case v.Kind == resp.Array && v.Len == answerParts && len(v.Items) > 0:
 		return decodeValue(v, complete)
-	case v.Kind == resp.Failure && complete:
+	case v.Kind == resp.Error && complete:
 		return decodeFailure(v.Text)
 	}
 	return core.AttemptResult{Outcome: dw.OutcomeError}, false // the backend may have executed the command
--- a/internal/backend/connections.go
+++ b/internal/backend/connections.go
@@ -102,7 +102,7 @@
 	retryUntil := p.now().Add(p.limits.ConnectTimeout)
 	for {
 		c, err := p.dial(a.ctx, a.Backend.Addr, a.StartBy)
-		if sockets.DialClass(err) != sockets.Shortage || !p.now().Before(retryUntil) {
+		if sockets.ClassifyDialError(err) != sockets.Shortage || !p.now().Before(retryUntil) {
 			return c, err
 		}
 		select {
--- a/internal/backend/outcomes.go
+++ b/internal/backend/outcomes.go
@@ -19,7 +19,7 @@
 // executed. A shortage on this machine, or an end that the planner or the client caused, is not attributed to the backend;
 // otherwise the gateway would avoid every backend because of it.
 func unsentOutcome(ctx context.Context, err error) dw.Outcome {
-	ownFault := errors.Is(err, errNoDescriptor) || sockets.DialClass(err) == sockets.Shortage
+	ownFault := errors.Is(err, errNoDescriptor) || sockets.ClassifyDialError(err) == sockets.Shortage
 	notWanted := errors.Is(err, errClientDeparted) || errors.Is(err, errNotAllowed) || errors.Is(ctx.Err(), context.Canceled)
 	if ownFault || notWanted {
 		return dw.OutcomeNotSent
--- a/internal/counter/answers.go
+++ b/internal/counter/answers.go
@@ -70,7 +70,7 @@
 
 // readAnswer reads one answer. It returns unknownAnswer if the answer can't be read or parsed.
 func readAnswer(r *bufio.Reader) answer {
-	head, err := http1.ReadAnswer(r)
+	head, err := http1.ReadResponse(r)
 	if err != nil {
 		return unknownAnswer
 	}
--- a/internal/discovery/sync.go
+++ b/internal/discovery/sync.go
@@ -117,14 +117,14 @@
 }
 
 // request writes a request and reads the head of its answer. It returns a statusError if the status is not 200.
-func (d *Client) request(c *connection, r *bufio.Reader, addr, target string) (http1.Answer, error) {
+func (d *Client) request(c *connection, r *bufio.Reader, addr, target string) (http1.Response, error) {
 	c.SetWriteDeadline(time.Now().Add(d.pollTimeout))
 	if _, err := c.Write(http1.AppendRequest(nil, "GET", target, addr)); err != nil {
-		return http1.Answer{}, err
+		return http1.Response{}, err
 	}
 	idleTimeout := c.idleTimeout
 	c.idleTimeout = d.pollTimeout
-	head, err := http1.ReadAnswer(r)
+	head, err := http1.ReadResponse(r)
 	c.idleTimeout = idleTimeout
 	if errors.Is(err, io.EOF) {
 		return head, fmt.Errorf("the connection closed without an answer: %w", io.ErrUnexpectedEOF)
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -52,9 +52,9 @@
 }
 
 // postEnd posts the front's end of a call.
-func (k *call) postEnd(f front.Fate) {
+func (k *call) postEnd(f front.Outcome) {
 	switch f {
-	case front.ClientLeft:
+	case front.ClientDeparted:
 		k.post(ledger.FrontClientLeft)
 	case front.WriteFailed:
 		k.post(ledger.FrontWriteFailed)
@@ -97,7 +97,7 @@
 
 // classify gives the ledger's events for a planner's answer: the end of the attempt, and the decision.
 func classify(v resp.Value) (attempt, decided ledger.Event) {
-	if v.Kind != resp.Failure {
+	if v.Kind != resp.Error {
 		return ledger.AttemptOK, ledger.PlanServed
 	}
 	word, _, _ := strings.Cut(string(v.Text), " ")
@@ -115,5 +115,5 @@
 	k.post(ledger.AttemptReset)
 	k.post(ledger.PlanHeard)
 	k.answer(ledger.PlanFailedExhausted,
-		resp.AppendFailure(nil, "ERR the planner was lost; the command may have been applied"))
+		resp.AppendError(nil, "ERR the planner was lost; the command may have been applied"))
 }
--- a/internal/forward/commands.go
+++ b/internal/forward/commands.go
@@ -55,7 +55,7 @@
 func (c *Commands) Do(receivedAt time.Time, cmd resp.Command, s *front.Slot) {
 	customer, r, err := c.parse(cmd)
 	if err != nil {
-		s.Reject(err.Error())
+		s.RejectInvalid(err.Error())
 		return
 	}
 	c.forward(receivedAt, cmd, customer, r, s)
@@ -71,12 +71,12 @@
 	if len(cmd) <= index {
 		return 0, nil, errors.New("wrong number of arguments")
 	}
-	customer, err := platform.Customer(cmd[1])
+	customer, err := platform.ParseCustomer(cmd[1])
 	if err != nil {
 		return 0, nil, err
 	}
 	r := &core.Request{}
-	class, plan, err := platform.Route(cmd[index], r)
+	class, plan, err := platform.ParseRoute(cmd[index], r)
 	if err != nil {
 		return 0, nil, err
 	}
@@ -113,7 +113,7 @@
 			return
 		}
 	}
-	k.answer(ledger.PlanFailedExhausted, resp.AppendFailure(nil, "ERR no planner of this customer's set can be reached"))
+	k.answer(ledger.PlanFailedExhausted, resp.AppendError(nil, "ERR no planner of this customer's set can be reached"))
 }
 
 // linkTo returns the session's link to a planner, a new one if there is none or it was lost. The error is errEnded, or that of
--- a/internal/forward/reset_test.go
+++ b/internal/forward/reset_test.go
@@ -32,8 +32,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &front.Server{Listener: l, Log: zap.NewNop(), Bounds: front.NewBounds(64 << 20), Sessions: 1,
-		Open: func() front.Commands { return New(planners, 1, recorder.Discard{}, zap.NewNop()) }}
+	server := &front.Server{Listener: l, Log: zap.NewNop(), Bounds: front.NewBounds(64 << 20), MaxSessions: 1,
+		NewCommands: func() front.Commands { return New(planners, 1, recorder.Discard{}, zap.NewNop()) }}
 	ctx, stop := context.WithCancel(t.Context())
 	over := make(chan struct{})
 	go func() {
--- a/internal/front/closing_test.go
+++ b/internal/front/closing_test.go
@@ -37,7 +37,7 @@
 // faulty can use no command.
 type faulty struct{}
 
-func (faulty) Do(_ time.Time, _ resp.Command, s *Slot) { s.Reject("of no use") }
+func (faulty) Do(_ time.Time, _ resp.Command, s *Slot) { s.RejectInvalid("of no use") }
 
 // Each way in which a connection ends is counted under its own reason.
 func TestConnectionsEndForAReason(t *testing.T) {
@@ -56,7 +56,7 @@
 			t.Parallel()
 			monitor := &closes{ended: map[string]int{}}
 			l := listener(t)
-			f := &Server{Listener: l, Sessions: 8, Monitor: monitor}
+			f := &Server{Listener: l, MaxSessions: 8, Monitor: monitor}
 			servingCommands(t, f, func() Commands { return c.commands })
 			conn := client(t, l, c.says)
 			if c.does != nil {
--- a/internal/front/drain_test.go
+++ b/internal/front/drain_test.go
@@ -255,7 +255,7 @@
 
 func (refusable) Do(_ time.Time, _ resp.Command, s *Slot) {
 	if s.MustReject() {
-		s.Fill(resp.AppendFailure(nil, "BUSY"))
+		s.Fill(resp.AppendError(nil, "BUSY"))
 		return
 	}
 	s.Fill(resp.AppendStatus(nil, "taken"))
--- a/internal/front/ending_test.go
+++ b/internal/front/ending_test.go
@@ -53,7 +53,7 @@
 
 func (c *slow) Do(_ time.Time, _ resp.Command, s *Slot) {
 	c.started.Add(1)
-	s.OnClientLeft(func() { c.clientsLeft.Add(1) })
+	s.OnClientDeparted(func() { c.clientsLeft.Add(1) })
 	go func() {
 		<-c.answer
 		s.Fill(resp.AppendStatus(nil, "OK"))
@@ -273,7 +273,7 @@
 
 func servingCommands(t *testing.T, f *Server, open func() Commands) (stop func()) {
 	t.Helper()
-	f.Bounds, f.Log, f.Open = NewBounds(64<<20), zap.NewNop(), open
+	f.Bounds, f.Log, f.NewCommands = NewBounds(64<<20), zap.NewNop(), open
 	ctx, stop := context.WithCancel(t.Context())
 	over := make(chan error, 1)
 	go func() { over <- f.Serve(ctx) }()
@@ -320,7 +320,7 @@
 	for name, fault := range map[string]error{"at once": nil, "descriptors are short": syscall.EMFILE} {
 		t.Run(name, func(t *testing.T) {
 			q := &queue{TCPListener: listener(t), fault: fault, deadlineSet: make(chan struct{}), accepted: make(chan struct{})}
-			stop := serving(t, &Server{Listener: q, Sessions: 4})
+			stop := serving(t, &Server{Listener: q, MaxSessions: 4})
 			c := client(t, q, ping)
 			stop()
 			served(t, c)
@@ -346,7 +346,7 @@
 // A connection that waits for a place when the end comes is served without one.
 func TestNoPlaceAtTheEnd(t *testing.T) {
 	l := &counting{listener(t), make(chan struct{}, 8)}
-	stop := serving(t, &Server{Listener: l, Sessions: 1})
+	stop := serving(t, &Server{Listener: l, MaxSessions: 1})
 	first := client(t, l, "*1\r\n$4\r\nWAIT\r\n") // is never answered, and keeps the place
 	<-l.given
 	second := client(t, l, ping)
@@ -362,7 +362,7 @@
 
 func (c *refusing) Do(came time.Time, cmd resp.Command, s *Slot) {
 	if string(cmd[0]) == "BAD" {
-		s.Reject("bad")
+		s.RejectInvalid("bad")
 		return
 	}
 	c.slow.Do(came, cmd, s)
--- a/internal/front/eviction.go
+++ b/internal/front/eviction.go
@@ -51,7 +51,7 @@
 	}
 	f.mu.Unlock()
 	slices.SortFunc(idle, func(a, b evictable) int { return a.since.Compare(b.since) })
-	surplus := min(len(idle), used-f.KeepIdle)
+	surplus := min(len(idle), used-f.MaxIdleSessions)
 	for _, e := range idle[:max(0, surplus)] {
 		e.session.evict()
 	}
--- a/internal/front/eviction_test.go
+++ b/internal/front/eviction_test.go
@@ -97,7 +97,7 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	f := &Server{Listener: l, Open: func() Commands { return echo{} }, Sessions: 100, KeepIdle: 10, Bounds: NewBounds(64 << 20),
+	f := &Server{Listener: l, NewCommands: func() Commands { return echo{} }, MaxSessions: 100, MaxIdleSessions: 10, Bounds: NewBounds(64 << 20),
 		Log: zap.NewNop()}
 	over := make(chan error, 1)
 	go func() { over <- f.Serve(ctx) }()
--- a/internal/front/fate_test.go
+++ b/internal/front/fate_test.go
@@ -54,7 +54,7 @@
 type keep struct {
 	mu    sync.Mutex
 	slots []*Slot
-	fates map[int][]Fate
+	fates map[int][]Outcome
 	all   chan struct{} // closed when want slots are there
 	want  int
 }
@@ -64,7 +64,7 @@
 	defer k.mu.Unlock()
 	i := len(k.slots)
 	k.slots = append(k.slots, s)
-	s.OnSettled(func(f Fate) {
+	s.OnSettled(func(f Outcome) {
 		k.mu.Lock()
 		defer k.mu.Unlock()
 		k.fates[i] = append(k.fates[i], f)
@@ -78,7 +78,7 @@
 // half of a third. Each fate is reported once: an answer counts as written only with its last byte.
 func TestFates(t *testing.T) {
 	conn := &half{in: make(chan []byte, 1), capacity: 25}
-	k := &keep{fates: map[int][]Fate{}, all: make(chan struct{}), want: 5}
+	k := &keep{fates: map[int][]Outcome{}, all: make(chan struct{}), want: 5}
 	s := newSession(conn, k, NewBounds(32<<20))
 	over := make(chan struct{})
 	go func() { s.run(); close(over) }()
@@ -96,7 +96,7 @@
 	k.slots[4].Fill(answer) // too late: its fate is reported
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	for i, want := range []Fate{Written, Written, WriteFailed, WriteFailed, ClientLeft} {
+	for i, want := range []Outcome{Written, Written, WriteFailed, WriteFailed, ClientDeparted} {
 		if got := k.fates[i]; len(got) != 1 || got[0] != want {
 			t.Errorf("answer %d: %v, not %v", i, got, want)
 		}
--- a/internal/front/golden_wire_test.go
+++ b/internal/front/golden_wire_test.go
@@ -25,11 +25,11 @@
 	case "STATUS":
 		s.Fill(resp.AppendStatus(nil, "OK"))
 	case "REJECT":
-		s.Reject("why\r\nit can't be used")
+		s.RejectInvalid("why\r\nit can't be used")
 	case "VALUE":
 		s.FillFrom(resp.AppendBulkHead(nil, 5), scriptedValue{strings.NewReader("12345")})
 	case "LAST":
-		s.Last(resp.AppendBulk(nil, "end"))
+		s.FillAndClose(resp.AppendBulk(nil, "end"))
 	}
 }
 
--- a/internal/front/limits/limits.go
+++ b/internal/front/limits/limits.go
@@ -36,7 +36,7 @@
 func (c *Commands) handleRequest(readAt time.Time, cmd resp.Command, kind core.RequestKind, s *front.Slot) {
 	r, err := c.parse(cmd, kind)
 	if err != nil {
-		s.Reject(err.Error())
+		s.RejectInvalid(err.Error())
 		return
 	}
 	r.ReceivedAt = readAt
@@ -54,10 +54,10 @@
 	}
 	r := &core.Request{Kind: kind}
 	var err error
-	if r.Customer, err = platform.Customer(cmd[1]); err != nil {
+	if r.Customer, err = platform.ParseCustomer(cmd[1]); err != nil {
 		return nil, err
 	}
-	if _, err = c.Arguments(cmd[length-1], r); err != nil {
+	if _, err = c.ParseArguments(cmd[length-1], r); err != nil {
 		return nil, err
 	}
 	plan := c.Settings.Plans[r.Plan]
@@ -87,7 +87,7 @@
 func appendAnswer(b []byte, a core.Answer) []byte {
 	switch {
 	case a.Result == core.ResultFailed:
-		return resp.AppendFailure(b, "ERR no exact answer in time")
+		return resp.AppendError(b, "ERR no exact answer in time")
 	case a.Result == core.ResultRejected:
 		return platform.AppendAnswer(b, a)
 	case a.Limit == nil:
@@ -95,5 +95,5 @@
 	}
 	b = resp.AppendNumber(resp.AppendArray(b, 3), a.Limit.Limit)
 	b = resp.AppendNumber(b, a.Limit.Remaining)
-	return resp.AppendInt(b, platform.Milliseconds(time.Duration(a.Limit.ReplenishedAfter)))
+	return resp.AppendInt(b, platform.CeilMilliseconds(time.Duration(a.Limit.ReplenishedAfter)))
 }
--- a/internal/front/platform/golden_test.go
+++ b/internal/front/platform/golden_test.go
@@ -72,7 +72,7 @@
 		}
 	}
 	var r core.Request
-	class, plan, err := Route([]byte("c=order,t=slim,d=1500.5,k=key-1,r=1,units=2.5,spread=3,first=4"), &r)
+	class, plan, err := ParseRoute([]byte("c=order,t=slim,d=1500.5,k=key-1,r=1,units=2.5,spread=3,first=4"), &r)
 	if want := (&core.Request{Timeout: 1500500 * time.Microsecond, Units: 2.5, Spread: 3, FirstGateway: 4, Repeat: true,
 		Message: core.Message{Key: "key-1"}}); err != nil || class != "order" || plan != "slim" || !reflect.DeepEqual(&r, want) {
 		t.Errorf("%q, %q, %v\n got %+v\nwant %+v", class, plan, err, &r, want)
@@ -130,8 +130,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &front.Server{Listener: l, Log: zap.NewNop(), Bounds: front.NewBounds(64 << 20), Sessions: 1,
-		Open: func() front.Commands { return c }}
+	server := &front.Server{Listener: l, Log: zap.NewNop(), Bounds: front.NewBounds(64 << 20), MaxSessions: 1,
+		NewCommands: func() front.Commands { return c }}
 	ctx, stop := context.WithCancel(t.Context())
 	over := make(chan struct{})
 	go func() {
--- a/internal/front/platform/parse.go
+++ b/internal/front/platform/parse.go
@@ -33,7 +33,7 @@
 	}
 	r := &core.Request{}
 	var err error
-	if r.Customer, err = Customer(cmd[1]); err != nil {
+	if r.Customer, err = ParseCustomer(cmd[1]); err != nil {
 		return nil, err
 	}
 	if len(cmd[2]) == 0 || len(cmd[2]) > maxNameBytes {
@@ -43,7 +43,7 @@
 	if len(cmd) == 5 {
 		r.Message.Body = cmd[4]
 	}
-	class, err := c.Arguments(cmd[3], r)
+	class, err := c.ParseArguments(cmd[3], r)
 	if err != nil {
 		return nil, err
 	}
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// Customer reads a customer: 16 hex digits, in lower case.
-func Customer(text []byte) (dw.CustomerID, error) {
+// ParseCustomer reads a customer: 16 hex digits, in lower case.
+func ParseCustomer(text []byte) (dw.CustomerID, error) {
 	id, err := strconv.ParseUint(string(text), 16, 64)
 	if err != nil || len(text) != 16 || bytes.ContainsAny(text, "ABCDEF") {
 		return 0, fmt.Errorf("customer: %.32q is not 16 hex digits", text)
@@ -84,9 +84,9 @@
 	return dw.CustomerID(id), nil
 }
 
-// Arguments reads the list of names and values into r, and returns the class's name, which may be empty. Units and gateways out of
+// ParseArguments reads the list of names and values into r, and returns the class's name, which may be empty. Units and gateways out of
 // range are refused here, as they would go into the customer's account, which its other requests share.
-func (c *Commands) Arguments(text []byte, r *core.Request) (class string, err error) {
+func (c *Commands) ParseArguments(text []byte, r *core.Request) (class string, err error) {
 	class, plan, err := parseArguments(text, r)
 	if err != nil {
 		return "", err
@@ -105,8 +105,8 @@
 	return class, nil
 }
 
-// Route reads from a list what a forwarder needs: the customer's gateways, the timeout, and the names for its ledger.
-func Route(text []byte, r *core.Request) (class, plan string, err error) {
+// ParseRoute reads from a list what a forwarder needs: the customer's gateways, the timeout, and the names for its ledger.
+func ParseRoute(text []byte, r *core.Request) (class, plan string, err error) {
 	return parseArguments(text, r)
 }
 
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -70,7 +70,7 @@
 	case "SVC.SUBMIT":
 		c.handleRequest(readAt, cmd, false, s)
 	default:
-		s.Reject(fmt.Sprintf("unknown command %.32q", cmd[0]))
+		s.RejectInvalid(fmt.Sprintf("unknown command %.32q", cmd[0]))
 	}
 }
 
@@ -78,7 +78,7 @@
 // one serves at the same address, and the front would take that for drained.
 func (c *Commands) ping(s *front.Slot) {
 	if c.Drained() {
-		s.Fill(resp.AppendFailure(nil, "ERR draining"))
+		s.Fill(resp.AppendError(nil, "ERR draining"))
 		return
 	}
 	s.Fill(resp.AppendStatus(nil, "PONG"))
@@ -88,7 +88,7 @@
 func (c *Commands) handleRequest(readAt time.Time, cmd resp.Command, query bool, s *front.Slot) {
 	r, err := c.parse(cmd, query)
 	if err != nil {
-		s.Reject(err.Error())
+		s.RejectInvalid(err.Error())
 		return
 	}
 	r.ReceivedAt = readAt
@@ -102,12 +102,14 @@
 		return resp.AppendBulk(b, a.Value)
 	case core.ResultRejected:
 		if a.RetryAfter <= 0 {
-			return resp.AppendFailure(b, "BUSY")
+			return resp.AppendError(b, "BUSY")
 		}
-		return resp.AppendFailure(b, "BUSY "+strconv.FormatInt(Milliseconds(a.RetryAfter), 10))
+		return resp.AppendError(b, "BUSY "+strconv.FormatInt(CeilMilliseconds(a.RetryAfter), 10))
 	}
-	return resp.AppendFailure(b, "ERR failed")
+	return resp.AppendError(b, "ERR failed")
 }
 
-// Milliseconds rounds up, so that no client retries a moment too early.
-func Milliseconds(d time.Duration) int64 { return int64((d + time.Millisecond - 1) / time.Millisecond) }
+// CeilMilliseconds rounds up, so that no client retries a moment too early.
+func CeilMilliseconds(d time.Duration) int64 {
+	return int64((d + time.Millisecond - 1) / time.Millisecond)
+}
--- a/internal/front/platform/submit.go
+++ b/internal/front/platform/submit.go
@@ -64,7 +64,7 @@
 		sub.answerHere(core.Answer{Result: core.ResultFailed})
 		return
 	}
-	s.OnClientLeft(func() {
+	s.OnClientDeparted(func() {
 		sub.closeOnce()
 		c.Planner.Cancel(pending)
 	})
@@ -112,13 +112,13 @@
 }
 
 // settled posts to the ledger what became of the request's answer.
-func (s *submission) settled(f front.Fate) {
+func (s *submission) settled(f front.Outcome) {
 	end := ledger.Posting{Key: s.request.LedgerKey, Ref: s.request.LedgerRef}
 	switch {
 	case s.notHanded:
 		end = s.received
 		end.Event = ledger.FrontNotSubmitted
-	case f == front.ClientLeft:
+	case f == front.ClientDeparted:
 		end.Event = ledger.FrontClientLeft
 	case f == front.WriteFailed:
 		end.Event = ledger.FrontWriteFailed
--- a/internal/front/reader.go
+++ b/internal/front/reader.go
@@ -73,7 +73,7 @@
 
 // endWithError answers an unreadable command with its error, and ends the session, as the start of the next command is unknown.
 func (s *session) endWithError(slot *Slot, err error) {
-	slot.Fill(resp.AppendFailure(nil, "ERR "+err.Error()))
+	slot.Fill(resp.AppendError(nil, "ERR "+err.Error()))
 	if errors.Is(err, errCommandTimeout) {
 		s.finish(ClosedSlow)
 	} else {
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -20,14 +20,14 @@
 // Server accepts client sessions at one address. Its exported fields are set before Serve. Its methods are safe for any
 // goroutine.
 type Server struct {
-	Listener net.Listener
-	Open     func() Commands // for each session
-	Sessions int             // the maximum at once
-	KeepIdle int             // idle sessions beyond so many are ended early; 0: none is
-	Bounds   *Bounds
-	Log      *zap.Logger
-	Monitor  Monitor         // nil: none
-	Ready    <-chan struct{} // closed once sessions may be accepted; nil: from the start
+	Listener        net.Listener
+	NewCommands     func() Commands // for each session
+	MaxSessions     int             // the maximum at once
+	MaxIdleSessions int             // idle sessions beyond so many are ended early; 0: none is
+	Bounds          *Bounds
+	Log             *zap.Logger
+	Monitor         Monitor         // nil: none
+	Ready           <-chan struct{} // closed once sessions may be accepted; nil: from the start
 
 	mu              sync.Mutex
 	sessions        map[*session]struct{}
@@ -47,7 +47,7 @@
 	f.mu.Unlock()
 	stop := context.AfterFunc(ctx, func() { finishAccepting(f.Listener) })
 	defer stop()
-	if f.KeepIdle > 0 {
+	if f.MaxIdleSessions > 0 {
 		go f.evictIdle(ctx)
 	}
 	err := f.acceptSessions(ctx)
@@ -62,7 +62,7 @@
 
 // acceptSessions accepts sessions until the listener fails, which it does with sockets.ErrEnded after the context has ended.
 func (f *Server) acceptSessions(ctx context.Context) error {
-	places := make(chan struct{}, f.Sessions)
+	places := make(chan struct{}, f.MaxSessions)
 	for {
 		f.awaitOpen(ctx)
 		conn, err := sockets.Accept(f.Listener, f.Log, "a client session")
@@ -85,7 +85,7 @@
 
 // addSession makes a session, which drains if the gateway does.
 func (f *Server) addSession(conn net.Conn) *session {
-	s := newSession(conn, f.Open(), f.Bounds)
+	s := newSession(conn, f.NewCommands(), f.Bounds)
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.sessions[s] = struct{}{}
--- a/internal/front/server_drain_test.go
+++ b/internal/front/server_drain_test.go
@@ -13,7 +13,7 @@
 func TestDrainBeforeReadiness(t *testing.T) {
 	l := &counting{listener(t), make(chan struct{}, 8)}
 	ready := make(chan struct{})
-	f := &Server{Listener: l, Sessions: 4, Ready: ready}
+	f := &Server{Listener: l, MaxSessions: 4, Ready: ready}
 	servingCommands(t, f, func() Commands { return refusable{} })
 	waiting := client(t, l, ping)
 	f.Drain(true)
@@ -40,7 +40,7 @@
 // served without one, and ended.
 func TestNoPlaceDuringADrain(t *testing.T) {
 	l := &counting{listener(t), make(chan struct{}, 8)}
-	f := &Server{Listener: l, Sessions: 1}
+	f := &Server{Listener: l, MaxSessions: 1}
 	serving(t, f)
 	first := client(t, l, "*1\r\n$4\r\nWAIT\r\n")
 	<-l.given
@@ -56,7 +56,7 @@
 // The drain ends while connections are ending: they end, new ones stay, and a drain that follows ends those too.
 func TestDrainEndsAndBeginsAgain(t *testing.T) {
 	l := listener(t)
-	f := &Server{Listener: l, Sessions: 8}
+	f := &Server{Listener: l, MaxSessions: 8}
 	d := &slow{answer: make(chan struct{})}
 	servingCommands(t, f, func() Commands { return d })
 	owed := client(t, l, ping)
@@ -108,7 +108,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			l := listener(t)
-			f := &Server{Listener: l, Sessions: 8}
+			f := &Server{Listener: l, MaxSessions: 8}
 			servingCommands(t, f, func() Commands { return refusable{} })
 			drainBy(f, c.times)
 			if got := answers(t, client(t, l, c.says)); got != c.want {
@@ -121,7 +121,7 @@
 // Twenty connections in each of the states that a client can hold one in, ended at once by a drain: none is left.
 func TestDrainClosesAllConnections(t *testing.T) {
 	l := listener(t)
-	f := &Server{Listener: l, Sessions: 200}
+	f := &Server{Listener: l, MaxSessions: 200}
 	servingCommands(t, f, func() Commands { return refusable{} })
 	var conns []net.Conn
 	for i := range 60 {
--- a/internal/front/session.go
+++ b/internal/front/session.go
@@ -237,7 +237,7 @@
 			notify = append(notify, o.value.Close)
 		}
 		if o.onSettled != nil {
-			fate := ClientLeft
+			fate := ClientDeparted
 			if o.filled {
 				fate = WriteFailed
 			}
--- a/internal/front/sessions/golden_test.go
+++ b/internal/front/sessions/golden_test.go
@@ -77,8 +77,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &front.Server{Listener: l, Log: zap.NewNop(), Bounds: front.NewBounds(64 << 20), Sessions: 1,
-		Open: func() front.Commands { return c }}
+	server := &front.Server{Listener: l, Log: zap.NewNop(), Bounds: front.NewBounds(64 << 20), MaxSessions: 1,
+		NewCommands: func() front.Commands { return c }}
 	ctx, stop := context.WithCancel(t.Context())
 	over := make(chan struct{})
 	go func() {
--- a/internal/front/sessions/sessions.go
+++ b/internal/front/sessions/sessions.go
@@ -54,7 +54,7 @@
 	case !known || t.handle == nil:
 		c.Commands.Do(came, cmd, s)
 	case len(cmd) < t.minLength || len(cmd) > t.maxLength:
-		s.Reject(wrongNumber(name))
+		s.RejectInvalid(wrongNumber(name))
 	default:
 		t.handle(c, cmd[1:], s)
 	}
@@ -94,7 +94,7 @@
 func replyOK(s *front.Slot) { s.Fill(resp.AppendStatus(nil, "OK")) }
 
 // replyError answers an error that does not count as a faulty command: clients probe for what a server supports by such errors.
-func replyError(s *front.Slot, text string) { s.Fill(resp.AppendFailure(nil, text)) }
+func replyError(s *front.Slot, text string) { s.Fill(resp.AppendError(nil, text)) }
 
 // drainer is a front.Commands of a gateway that may be drained, which PING tells.
 type drainer interface{ Drained() bool }
@@ -113,7 +113,7 @@
 
 func (c *Commands) echo(args [][]byte, s *front.Slot) { s.Fill(resp.AppendBulk(nil, args[0])) }
 
-func (c *Commands) quit(_ [][]byte, s *front.Slot) { s.Last(resp.AppendStatus(nil, "OK")) }
+func (c *Commands) quit(_ [][]byte, s *front.Slot) { s.FillAndClose(resp.AppendStatus(nil, "OK")) }
 
 func (c *Commands) selectDB(args [][]byte, s *front.Slot) {
 	switch n, err := strconv.Atoi(string(args[0])); {
--- a/internal/front/slot.go
+++ b/internal/front/slot.go
@@ -16,10 +16,10 @@
 	answer       []byte
 	value        Value // written after answer, with the end of its bulk string; nil: none
 	filled       bool
-	largeBytes   int64      // of the command, held in Bounds.largeCommands until the slot is filled
-	onClientLeft func()     // nil: none
-	onExpedite   func()     // nil: none
-	onSettled    func(Fate) // nil: none
+	largeBytes   int64         // of the command, held in Bounds.largeCommands until the slot is filled
+	onClientLeft func()        // nil: none
+	onExpedite   func()        // nil: none
+	onSettled    func(Outcome) // nil: none
 	mustReject   bool
 }
 
@@ -29,44 +29,44 @@
 	Close() // from any goroutine; repeated calls do nothing
 }
 
-// Fate is what became of a slot's answer.
-type Fate int
+// Outcome is what became of a slot's answer.
+type Outcome int
 
 // The fates.
 const (
-	Written     Fate = iota // its last byte was written
-	ClientLeft              // the client left before there was an answer
-	WriteFailed             // there was one, and its last byte could not be written
+	Written        Outcome = iota // its last byte was written
+	ClientDeparted                // the client left before there was an answer
+	WriteFailed                   // there was one, and its last byte could not be written
 )
 
 // mark is where an answer ends in what is being written.
 type mark struct {
 	end       int // offset of the byte after it
-	onSettled func(Fate)
+	onSettled func(Outcome)
 }
 
 // MustReject reports whether the gateway no longer accepted requests when the command was read: a request must be rejected, and
 // not be carried out.
 func (o *Slot) MustReject() bool { return o.mustReject }
 
-// Reject answers a command that can't be used with an error. Too many of them end the session.
-func (o *Slot) Reject(why string) {
+// RejectInvalid answers a command that can't be used with an error. Too many of them end the session.
+func (o *Slot) RejectInvalid(why string) {
 	o.session.mu.Lock()
 	o.session.faultyCommands++
 	o.session.mu.Unlock()
-	o.Fill(resp.AppendFailure(nil, "ERR "+why))
+	o.Fill(resp.AppendError(nil, "ERR "+why))
 }
 
-// Last answers the command, and ends the session once all commands before it are answered too. It is called within
+// FillAndClose answers the command, and ends the session once all commands before it are answered too. It is called within
 // Commands.Do.
-func (o *Slot) Last(answer []byte) {
+func (o *Slot) FillAndClose(answer []byte) {
 	o.Fill(answer)
 	o.session.finish(ClosedRequested)
 }
 
-// OnClientLeft has f called, once, if the client leaves before the slot is filled; at once, on a goroutine of its own, if it
+// OnClientDeparted has f called, once, if the client leaves before the slot is filled; at once, on a goroutine of its own, if it
 // has left already.
-func (o *Slot) OnClientLeft(f func()) {
+func (o *Slot) OnClientDeparted(f func()) {
 	s := o.session
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,7 +89,7 @@
 
 // OnSettled has f called, exactly once, with what became of the answer. It is set before the slot can be filled; f may not
 // block.
-func (o *Slot) OnSettled(f func(Fate)) {
+func (o *Slot) OnSettled(f func(Outcome)) {
 	o.session.mu.Lock()
 	defer o.session.mu.Unlock()
 	o.onSettled = f
@@ -163,7 +163,7 @@
 }
 
 // end closes the value of an answer, and reports what became of the answer.
-func (o *Slot) end(f Fate) {
+func (o *Slot) end(f Outcome) {
 	o.value.Close()
 	if o.onSettled != nil {
 		o.onSettled(f)
--- a/internal/front/writer.go
+++ b/internal/front/writer.go
@@ -160,7 +160,7 @@
 	for {
 		n, err := v.Read(buf[:])
 		if errors.Is(err, io.EOF) {
-			_, err = s.send([]byte(resp.End))
+			_, err = s.send([]byte(resp.BulkEnd))
 			return err
 		}
 		if err == nil {
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -23,29 +23,29 @@
 
 func protocolError(what string) error { return fmt.Errorf("%w: %s", ErrProtocol, what) }
 
-// Answer is the head of an answer.
-type Answer struct {
+// Response is the head of an answer.
+type Response struct {
 	Status  int
 	Length  int  // of the body in bytes; -1: until the connection ends
 	Chunked bool // the body is in chunks, and Length does not count
 	Close   bool // the connection ends with this answer
 }
 
-// ReadAnswer reads the head of an answer; the body is next in r. Interim answers before it are skipped. The error wraps
+// ReadResponse reads the head of an answer; the body is next in r. Interim answers before it are skipped. The error wraps
 // ErrProtocol, or is that of r; io.EOF means that r ended before the answer.
-func ReadAnswer(r *bufio.Reader) (Answer, error) {
+func ReadResponse(r *bufio.Reader) (Response, error) {
 	for range maxInterim {
 		a, err := readHead(r)
 		if err != nil || a.Status >= 200 || a.Status == 101 { // nobody asked to switch protocols: it is final
 			return a, err
 		}
 	}
-	return Answer{}, protocolError("too many interim answers")
+	return Response{}, protocolError("too many interim answers")
 }
 
 // readHead reads a status line and the headers.
-func readHead(r *bufio.Reader) (Answer, error) {
-	a := Answer{Length: -1}
+func readHead(r *bufio.Reader) (Response, error) {
+	a := Response{Length: -1}
 	s, err := readLine(r)
 	if err != nil {
 		return a, err
@@ -73,7 +73,7 @@
 }
 
 // parseStatusLine takes a status line into a.
-func (a *Answer) parseStatusLine(s []byte) (err error) {
+func (a *Response) parseStatusLine(s []byte) (err error) {
 	if len(s) < 12 || !bytes.HasPrefix(s, []byte("HTTP/1.")) || s[8] != ' ' || len(s) > 12 && s[12] != ' ' {
 		return protocolError("no status line")
 	}
@@ -86,7 +86,7 @@
 }
 
 // parseHeader takes a header into a. Those that say nothing of the body or the connection are ignored.
-func (a *Answer) parseHeader(s []byte) (err error) {
+func (a *Response) parseHeader(s []byte) (err error) {
 	name, value, ok := bytes.Cut(s, []byte(":"))
 	if !ok {
 		return protocolError("header without a colon")
--- a/internal/http1/answer_test.go
+++ b/internal/http1/answer_test.go
@@ -12,7 +12,7 @@
 func play(in string) (out string) {
 	r := bufio.NewReaderSize(strings.NewReader(in), MaxLine+2)
 	for {
-		a, err := ReadAnswer(r)
+		a, err := ReadResponse(r)
 		if err != nil {
 			return out + err.Error()
 		}
@@ -55,7 +55,7 @@
 	f.Add([]byte("HTTP/1.0 503 x\r\nContent-Length: 2\r\n\r\nab"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := bufio.NewReaderSize(bytes.NewReader(in), MaxLine+2)
-		if a, err := ReadAnswer(r); err == nil {
+		if a, err := ReadResponse(r); err == nil {
 			if body, _ := ReadBody(r, a); len(body) > MaxBody+1 {
 				t.Errorf("%d bytes", len(body))
 			}
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -9,7 +9,7 @@
 
 // Body returns a reader of the body that follows a. It ends with io.EOF where the body does; a stream that ends before that
 // is io.ErrUnexpectedEOF.
-func Body(r *bufio.Reader, a Answer) io.Reader {
+func Body(r *bufio.Reader, a Response) io.Reader {
 	switch {
 	case a.Chunked:
 		return &chunkedBody{r: r}
@@ -20,11 +20,11 @@
 }
 
 // ReadBody reads a complete body, of MaxBody bytes at most.
-func ReadBody(r *bufio.Reader, a Answer) ([]byte, error) { return ReadBodyUpTo(r, a, MaxBody) }
+func ReadBody(r *bufio.Reader, a Response) ([]byte, error) { return ReadBodyUpTo(r, a, MaxBody) }
 
 // ReadBodyUpTo reads a complete body, of limit bytes at most. A longer one is an error that wraps ErrProtocol; with any error, what
 // was read comes too.
-func ReadBodyUpTo(r *bufio.Reader, a Answer, limit int) ([]byte, error) {
+func ReadBodyUpTo(r *bufio.Reader, a Response, limit int) ([]byte, error) {
 	if !a.Chunked && a.Length > limit {
 		return nil, protocolError("body too long")
 	}
--- a/internal/ledger/recorder/planted_test.go
+++ b/internal/ledger/recorder/planted_test.go
@@ -109,7 +109,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &front.Server{Listener: l, Sessions: 64, Open: func() front.Commands { return commands },
+	server := &front.Server{Listener: l, MaxSessions: 64, NewCommands: func() front.Commands { return commands },
 		Bounds: front.NewBounds(64 << 20), Log: o.Log}
 	work, stop := context.WithCancel(context.Background())
 	var all, fronts sync.WaitGroup
--- a/internal/resp/append.go
+++ b/internal/resp/append.go
@@ -19,8 +19,8 @@
 // AppendBulkHead appends what stands before the n bytes of a bulk string; End stands after them.
 func AppendBulkHead(b []byte, n int) []byte { return appendHead(b, Bulk, int64(n)) }
 
-// End is the end of a bulk string.
-const End = "\r\n"
+// BulkEnd is the end of a bulk string.
+const BulkEnd = "\r\n"
 
 // AppendBulk appends a bulk string.
 func AppendBulk[T string | []byte](b []byte, s T) []byte {
@@ -31,8 +31,8 @@
 // AppendStatus appends a status line.
 func AppendStatus(b []byte, s string) []byte { return appendLine(b, Status, s) }
 
-// AppendFailure appends an error line, such as "BUSY 20" or "ERR failed".
-func AppendFailure(b []byte, s string) []byte { return appendLine(b, Failure, s) }
+// AppendError appends an error line, such as "BUSY 20" or "ERR failed".
+func AppendError(b []byte, s string) []byte { return appendLine(b, Error, s) }
 
 // appendLine appends a line, cut off at MaxLine. Line ends in s become spaces: what a peer sent may stand in it.
 func appendLine(b []byte, k Kind, s string) []byte {
--- a/internal/resp/golden_test.go
+++ b/internal/resp/golden_test.go
@@ -17,13 +17,13 @@
 	b = AppendArray(b, 0)
 	b = AppendInt(b, math.MaxInt64)
 	b = AppendStatus(b, "PONG")
-	b = AppendFailure(b, "BUSY 20")
-	b = AppendFailure(b, "ERR a\r\n+PONG")
+	b = AppendError(b, "BUSY 20")
+	b = AppendError(b, "ERR a\r\n+PONG")
 	b = AppendStatus(b, strings.Repeat("x", MaxLine+9))
 	for _, v := range []float64{2.5, -1.25, 9.9996, -0.0001, 1e21, 0} {
 		b = AppendNumber(b, v)
 	}
-	b = append(append(AppendBulkHead(b, 3), "abc"...), End...)
+	b = append(append(AppendBulkHead(b, 3), "abc"...), BulkEnd...)
 	values := []Value{
 		{Kind: Bulk, Text: []byte("bulk\r\n1")},
 		{Kind: Bulk, Text: []byte{}},
@@ -31,8 +31,8 @@
 		{Kind: Array},
 		{Kind: Integer, Int: math.MaxInt64},
 		{Kind: Status, Text: []byte("PONG")},
-		{Kind: Failure, Text: []byte("BUSY 20")},
-		{Kind: Failure, Text: []byte("ERR a  +PONG")},
+		{Kind: Error, Text: []byte("BUSY 20")},
+		{Kind: Error, Text: []byte("ERR a  +PONG")},
 		{Kind: Status, Text: []byte(strings.Repeat("x", MaxLine-1))},
 	}
 	r := NewReader(strings.NewReader(string(b)), 0)
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -54,7 +54,7 @@
 // bulk reads the n bytes of a bulk string and the line end after them. A length is easily announced, so memory is allocated for what has
 // come, doubling each time.
 func (r *Reader) bulk(n int) ([]byte, error) {
-	size := n + len(End)
+	size := n + len(BulkEnd)
 	b := make([]byte, min(size, firstAllocation))
 	for read := 0; ; {
 		if _, err := io.ReadFull(r.b, b[read:]); err != nil {
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -38,11 +38,11 @@
 	Bulk    Kind = '$'
 	Array   Kind = '*'
 	Status  Kind = '+'
-	Failure Kind = '-'
+	Error   Kind = '-'
 	Integer Kind = ':'
 )
 
-var kinds = []byte{byte(Bulk), byte(Array), byte(Status), byte(Failure), byte(Integer)}
+var kinds = []byte{byte(Bulk), byte(Array), byte(Status), byte(Error), byte(Integer)}
 
 // Value is one answer, or an item of one.
 type Value struct {
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -45,7 +45,7 @@
 		t.Error("a line that is too long is read:", err)
 	}
 	// What a peer sent may stand in a line, but can't end it.
-	if got := string(AppendFailure(nil, "ERR a\r\n+PONG")); got != "-ERR a  +PONG\r\n" {
+	if got := string(AppendError(nil, "ERR a\r\n+PONG")); got != "-ERR a  +PONG\r\n" {
 		t.Errorf("%q", got)
 	}
 }
--- a/internal/resp/value.go
+++ b/internal/resp/value.go
@@ -91,7 +91,7 @@
 	v.Kind = Kind(head[0])
 	text := head[1:]
 	switch v.Kind {
-	case Status, Failure:
+	case Status, Error:
 		v.Text = append([]byte(nil), text...)
 	case Integer:
 		v.Int, err = parseInteger(text)
--- a/internal/sockets/accept.go
+++ b/internal/sockets/accept.go
@@ -24,7 +24,7 @@
 	var lastLogged time.Time
 	for {
 		conn, err := l.Accept()
-		switch AcceptClass(err) {
+		switch ClassifyAcceptError(err) {
 		case None:
 			return conn, nil
 		case Ended:
--- a/internal/sockets/errors.go
+++ b/internal/sockets/errors.go
@@ -40,8 +40,8 @@
 // broken are the errors after which a socket can't be used any more.
 var broken = []syscall.Errno{syscall.EBADF, syscall.EFAULT, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP}
 
-// AcceptClass is the class of an error of accept. An unknown one is a shortage: a listener that was good is tried again.
-func AcceptClass(err error) Class {
+// ClassifyAcceptError is the class of an error of accept. An unknown one is a shortage: a listener that was good is tried again.
+func ClassifyAcceptError(err error) Class {
 	class, errno := classify(err)
 	switch {
 	case class != Peer:
@@ -54,8 +54,8 @@
 	return Shortage
 }
 
-// DialClass is the class of an error of a dial. Whatever the class, nothing was sent.
-func DialClass(err error) Class {
+// ClassifyDialError is the class of an error of a dial. Whatever the class, nothing was sent.
+func ClassifyDialError(err error) Class {
 	class, _ := classify(err)
 	return class
 }
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -111,7 +111,7 @@
 		{op("connect", syscall.EHOSTUNREACH), Peer}, {op("connect", syscall.ENETUNREACH), Peer}, {op("connect", syscall.ETIMEDOUT), Peer},
 		{io.EOF, Peer}, {context.Canceled, Peer}, {net.ErrClosed, Ended}, {os.ErrDeadlineExceeded, Ended},
 	} {
-		if got := DialClass(c.err); got != c.want {
+		if got := ClassifyDialError(c.err); got != c.want {
 			t.Errorf("%v: %v, not %v", c.err, got, c.want)
 		}
 	}
