--- a/internal/front/bounds.go
+++ b/internal/front/bounds.go
@@ -18,20 +18,20 @@
 
 // Shares of the memory, as a constant that fits one machine would exceed a smaller one.
 const (
-	unsentMemoryPart  = 8         // one in so many bytes of memory, for unsent answers
-	sessionUnsentPart = 8         // one in so many of those, for each session
-	maxSessionUnsent  = 512 << 10 // bytes, for each session of a machine of any size
-	largeMemoryPart   = 8         // one in so many bytes of memory, for large commands
-	maxPipelined      = 64        // commands of a session without an answer; more are left unread
-	minLargeCommand   = 2 << 10   // bytes; only larger commands count as large
+	unsentMemoryDivisor  = 8         // one in so many bytes of memory, for unsent answers
+	sessionUnsentDivisor = 8         // one in so many of those, for each session
+	maxSessionUnsent     = 512 << 10 // bytes, for each session of a machine of any size
+	largeMemoryDivisor   = 8         // one in so many bytes of memory, for large commands
+	maxPipelined         = 64        // commands of a session without an answer; more are left unread
+	minLargeCommand      = 2 << 10   // bytes; only larger commands count as large
 )
 
 // NewBounds divides so many bytes of memory.
-func NewBounds(memory int) *Bounds {
-	unsent := int64(memory / unsentMemoryPart)
-	large := int64(max(memory/largeMemoryPart, resp.MaxCommand))
+func NewBounds(memoryBytes int) *Bounds {
+	unsent := int64(memoryBytes / unsentMemoryDivisor)
+	large := int64(max(memoryBytes/largeMemoryDivisor, resp.MaxCommand))
 	return &Bounds{
-		maxUnsent:      min(unsent/sessionUnsentPart, maxSessionUnsent),
+		maxUnsent:      min(unsent/sessionUnsentDivisor, maxSessionUnsent),
 		maxUnsentTotal: unsent,
 		largeCommands:  semaphore.NewWeighted(large),
 	}
--- a/internal/front/closing.go
+++ b/internal/front/closing.go
@@ -41,8 +41,8 @@
 	ConnectionsOverdue(n int)
 }
 
-// sessionIDs numbers the client connections of a process, over all its servers, for the log.
-var sessionIDs atomic.Uint64
+// lastSessionID numbers the client connections of a process, over all its servers, for the log.
+var lastSessionID atomic.Uint64
 
 // setCloseReason records why the session ends, unless a reason is recorded already; the lock is held.
 func (s *session) setCloseReason(r CloseReason) {
@@ -54,23 +54,23 @@
 
 // status is the state of a session in the log.
 type status struct {
-	ID       uint64 `json:"id"`
-	Remote   string `json:"remote"`
-	State    string `json:"state"`
-	Owed     int    `json:"owed"`     // commands without an answer
-	Commands int    `json:"commands"` // read so far
-	BusyMS   int64  `json:"busy_ms"`  // ms since it last owed something
+	ID             uint64 `json:"id"`
+	Remote         string `json:"remote"`
+	State          string `json:"state"`
+	PendingAnswers int    `json:"owed"`     // commands without an answer
+	Commands       int    `json:"commands"` // read so far
+	BusyMS         int64  `json:"busy_ms"`  // ms since it last owed something
 }
 
 func (s *session) status() status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return status{ID: s.id, Remote: s.conn.RemoteAddr().String(), State: s.lifecycle.state.String(), Owed: len(s.slots),
-		Commands: s.commandsRead, BusyMS: time.Since(s.lastOwedAt).Milliseconds()}
+	return status{ID: s.id, Remote: s.conn.RemoteAddr().String(), State: s.lifecycle.state.String(), PendingAnswers: len(s.slots),
+		Commands: s.commandsRead, BusyMS: time.Since(s.lastPendingAt).Milliseconds()}
 }
 
 // reportEnd reports why a session ended to the monitor, and logs the ends that are a client's fault.
-func (f *Server) reportEnd(s *session) {
+func (srv *Server) reportEnd(s *session) {
 	s.mu.Lock()
 	reason := ClosedByClient
 	if s.closeReasonSet {
@@ -79,11 +79,11 @@
 	commands := s.commandsRead
 	faults := s.faultyCommands
 	s.mu.Unlock()
-	if f.Monitor != nil {
-		f.Monitor.ConnectionClosed(reason.String())
+	if srv.Monitor != nil {
+		srv.Monitor.ConnectionClosed(reason.String())
 	}
 	if reason >= ClosedSlow && reason <= ClosedUnread {
-		f.Log.Info("a client connection was cut off", zap.Uint64("session", s.id), zap.Stringer("reason", reason),
+		srv.Log.Info("a client connection was cut off", zap.Uint64("session", s.id), zap.Stringer("reason", reason),
 			zap.Stringer("remote", s.conn.RemoteAddr()), zap.Int("commands", commands), zap.Int("faults", faults))
 	}
 }
@@ -92,11 +92,11 @@
 const maxOverdueLogged = 8
 
 // reportOverdue logs and counts the sessions that are overdue, if there are any; cause is what should have ended them.
-func (f *Server) reportOverdue(cause string, overdue func(*session) bool) {
+func (srv *Server) reportOverdue(cause string, overdue func(*session) bool) {
 	var logged []status
 	n := 0
-	f.mu.Lock()
-	for s := range f.sessions {
+	srv.mu.Lock()
+	for s := range srv.sessions {
 		if !overdue(s) {
 			continue
 		}
@@ -105,27 +105,27 @@
 			logged = append(logged, s.status())
 		}
 	}
-	f.mu.Unlock()
+	srv.mu.Unlock()
 	if n == 0 {
 		return
 	}
-	if f.Monitor != nil {
-		f.Monitor.ConnectionsOverdue(n)
+	if srv.Monitor != nil {
+		srv.Monitor.ConnectionsOverdue(n)
 	}
-	f.Log.Warn("client connections are held past their time", zap.String("by", cause), zap.Int("connections", n),
+	srv.Log.Warn("client connections are held past their time", zap.String("by", cause), zap.Int("connections", n),
 		zap.Any("some", logged))
 }
 
 // checkDrained reports the sessions that a drain should have ended by now, if it is still in force.
-func (f *Server) checkDrained(d *drainTimes) {
-	f.mu.Lock()
-	inForce := f.drain == d
-	f.mu.Unlock()
+func (srv *Server) checkDrained(d *drainTimes) {
+	srv.mu.Lock()
+	inForce := srv.drain == d
+	srv.mu.Unlock()
 	if inForce {
-		f.reportOverdue("drain", func(s *session) bool {
+		srv.reportOverdue("drain", func(s *session) bool {
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			return s.owesNothing()
+			return s.hasNoPendingAnswers()
 		})
 	}
 }
@@ -133,18 +133,18 @@
 // expediteDrained expedites the answers of sessions with unread input, in each expediteInterval until the drain ends or its last
 // session does. Otherwise a request at a server that hangs would keep its connection open past the drain's term, and what its
 // client has written since would be lost.
-func (f *Server) expediteDrained(d *drainTimes) {
+func (srv *Server) expediteDrained(d *drainTimes) {
 	var sessions []*session
-	f.mu.Lock()
-	if f.drain == d {
-		sessions = slices.Collect(maps.Keys(f.sessions))
+	srv.mu.Lock()
+	if srv.drain == d {
+		sessions = slices.Collect(maps.Keys(srv.sessions))
 	}
-	f.mu.Unlock()
+	srv.mu.Unlock()
 	for _, s := range sessions {
 		s.expediteIfUnread()
 	}
 	if len(sessions) > 0 {
-		time.AfterFunc(expediteInterval, func() { f.expediteDrained(d) })
+		time.AfterFunc(expediteInterval, func() { srv.expediteDrained(d) })
 	}
 }
 
@@ -158,10 +158,10 @@
 	}
 	var expedite []func()
 	s.mu.Lock()
-	for _, o := range s.slots {
-		if o.onExpedite != nil {
-			expedite = append(expedite, o.onExpedite)
-			o.onExpedite = nil
+	for _, slot := range s.slots {
+		if slot.onExpedite != nil {
+			expedite = append(expedite, slot.onExpedite)
+			slot.onExpedite = nil
 		}
 	}
 	s.mu.Unlock()
--- a/internal/front/drain_test.go
+++ b/internal/front/drain_test.go
@@ -20,11 +20,11 @@
 
 // drainEndsSoon are the times of a drain that was called so long ago that taking requests ends in a moment.
 func drainEndsSoon() drainTimes {
-	return newDrain(time.Now().Add(100*time.Millisecond - drainReadTime))
+	return newDrainTimes(time.Now().Add(100*time.Millisecond - drainReadTime))
 }
 
 // drainIsLate are those of one of which the time to take requests is over.
-func drainIsLate() drainTimes { return newDrain(time.Now().Add(-drainReadTime)) }
+func drainIsLate() drainTimes { return newDrainTimes(time.Now().Add(-drainReadTime)) }
 
 func (s *session) is(at state) bool {
 	s.mu.Lock()
@@ -82,7 +82,7 @@
 			eventually(t, "the session goes on reading", func() bool { return s.is(stateClosing) })
 			c.Write([]byte(ping + ping))
 			// Nobody would tell that nothing is read: the looks for a client that has gone have passed a few times.
-			time.Sleep(3 * hangUpInterval)
+			time.Sleep(3 * hangUpCheckInterval)
 			close(d.answer)
 			if got := answers(t, c); got != "+OK\r\n" {
 				t.Errorf("%q", got)
@@ -134,7 +134,7 @@
 	if n := int64(bytes.Count(got, []byte("+OK\r\n"))); n != d.started.Load() || err != nil && !strings.Contains(err.Error(), "reset") {
 		t.Errorf("%d answers to %d commands, %v", n, d.started.Load(), err)
 	}
-	if n := d.started.Load(); n < maxPipelined || n > maxPipelined+readBuffer/int64(len(ping))+1 {
+	if n := d.started.Load(); n < maxPipelined || n > maxPipelined+readBufferSize/int64(len(ping))+1 {
 		t.Errorf("%d commands were taken: not those that had been read", n)
 	}
 	if n := g.wrongBytes.Load(); n > 0 {
@@ -236,7 +236,7 @@
 	for name, c := range map[string]struct {
 		times func() drainTimes
 		want  string
-	}{"read in time": {func() drainTimes { return newDrain(time.Now()) }, "+taken\r\n"}, "read late": {drainIsLate, "-BUSY\r\n"}} {
+	}{"read in time": {func() drainTimes { return newDrainTimes(time.Now()) }, "+taken\r\n"}, "read late": {drainIsLate, "-BUSY\r\n"}} {
 		t.Run(name, func(t *testing.T) {
 			client, h, s := pair(t, refusable{}, true)
 			client.Write([]byte(ping))
@@ -266,7 +266,7 @@
 	c, _, s, run := gatedPair(t, echo{})
 	run()
 	answered(t, c, ping)
-	s.drain(newDrain(time.Now()))
+	s.drain(newDrainTimes(time.Now()))
 	eventually(t, "the session does not end", func() bool { return s.is(stateClosed) })
 	junk := make([]byte, 64<<10)
 	var err error
@@ -342,7 +342,7 @@
 type dribbling struct{ v *dribble }
 
 func (d dribbling) Do(_ time.Time, _ resp.Command, s *Slot) {
-	s.FillFrom(resp.AppendBulkHead(nil, d.v.left), d.v)
+	s.FillFrom(resp.AppendBulkHeader(nil, d.v.left), d.v)
 }
 
 // A large value that was begun before the end of a drain goes out whole, however slowly it comes; then the connection ends.
@@ -364,10 +364,10 @@
 // Idle connections that are ended to make room for others, and a drain that comes meanwhile: it ends all the same.
 func TestDrainMeetsAnEviction(t *testing.T) {
 	for name, both := range map[string]func(*session){
-		"evicted first": func(s *session) { s.evict(); s.drain(newDrain(time.Now())) },
-		"drained first": func(s *session) { s.drain(newDrain(time.Now())); s.evict() },
-		"stopped first": func(s *session) { s.stop(); s.drain(newDrain(time.Now())) },
-		"drained again": func(s *session) { s.drain(newDrain(time.Now())); s.drain(newDrain(time.Now())); s.stop() },
+		"evicted first": func(s *session) { s.evict(); s.drain(newDrainTimes(time.Now())) },
+		"drained first": func(s *session) { s.drain(newDrainTimes(time.Now())); s.evict() },
+		"stopped first": func(s *session) { s.stop(); s.drain(newDrainTimes(time.Now())) },
+		"drained again": func(s *session) { s.drain(newDrainTimes(time.Now())); s.drain(newDrainTimes(time.Now())); s.stop() },
 	} {
 		t.Run(name, func(t *testing.T) {
 			c, _, s, run := gatedPair(t, echo{})
--- a/internal/front/ending_test.go
+++ b/internal/front/ending_test.go
@@ -110,7 +110,7 @@
 	return string(text)
 }
 
-func drainNow(s *session) { s.drain(newDrain(time.Now())) }
+func drainNow(s *session) { s.drain(newDrainTimes(time.Now())) }
 
 // A command that has been read as a session at rest is asked to end is served, whoever asks.
 func TestCommandThatCrossesTheEndIsServed(t *testing.T) {
--- a/internal/front/eviction.go
+++ b/internal/front/eviction.go
@@ -13,14 +13,14 @@
 
 // evictable is an idle session, and since when it has been idle.
 type evictable struct {
-	session *session
-	since   time.Time
+	session   *session
+	idleSince time.Time
 }
 
 // evictIdle ends idle sessions beyond KeepIdle in each evictionInterval, until the context ends. A platform bounds the
 // connections that its clients hold together: if each client keeps the one that it used once, the commands of others never
 // reach a gateway that has capacity for them.
-func (f *Server) evictIdle(ctx context.Context) {
+func (srv *Server) evictIdle(ctx context.Context) {
 	tick := time.NewTicker(evictionInterval)
 	defer tick.Stop()
 	var idle []evictable
@@ -30,17 +30,17 @@
 			return
 		case <-tick.C:
 		}
-		idle = f.evictBeyondKept(idle[:0])
+		idle = srv.evictBeyondKept(idle[:0])
 	}
 }
 
 // evictBeyondKept evicts the idle sessions beyond KeepIdle, the longest idle first. Of sessions that have sent no usable command
 // none counts, as their time is short in any case. It returns the buffer that it was given.
-func (f *Server) evictBeyondKept(idle []evictable) []evictable {
+func (srv *Server) evictBeyondKept(idle []evictable) []evictable {
 	used := 0
-	f.mu.Lock()
-	for s := range f.sessions {
-		since, useful, resting := s.resting()
+	srv.mu.Lock()
+	for s := range srv.sessions {
+		since, useful, resting := s.idleBetweenCommands()
 		if !useful {
 			continue
 		}
@@ -49,9 +49,9 @@
 			idle = append(idle, evictable{s, since})
 		}
 	}
-	f.mu.Unlock()
-	slices.SortFunc(idle, func(a, b evictable) int { return a.since.Compare(b.since) })
-	surplus := min(len(idle), used-f.MaxIdleSessions)
+	srv.mu.Unlock()
+	slices.SortFunc(idle, func(a, b evictable) int { return a.idleSince.Compare(b.idleSince) })
+	surplus := min(len(idle), used-srv.MaxIdleSessions)
 	for _, e := range idle[:max(0, surplus)] {
 		e.session.evict()
 	}
@@ -61,13 +61,13 @@
 // evictLongestIdle ends the session that has been idle longest, if one is, so that a new one gets its place. Sessions that have
 // sent no usable command go first: connections that send nothing must not displace clients that are served. A session younger
 // than firstCommandTime has had no time for a command, and counts as useful.
-func (f *Server) evictLongestIdle() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (srv *Server) evictLongestIdle() {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
 	var longest *session
 	var longestSince time.Time
 	longestUseful := false
-	for s := range f.sessions {
+	for s := range srv.sessions {
 		since, useful, idle := s.idle()
 		useful = useful || time.Since(since) < firstCommandTime
 		if idle && (longest == nil || longestUseful && !useful || longestUseful == useful && since.Before(longestSince)) {
--- a/internal/front/golden_wire_test.go
+++ b/internal/front/golden_wire_test.go
@@ -27,7 +27,7 @@
 	case "REJECT":
 		s.RejectInvalid("why\r\nit can't be used")
 	case "VALUE":
-		s.FillFrom(resp.AppendBulkHead(nil, 5), scriptedValue{strings.NewReader("12345")})
+		s.FillFrom(resp.AppendBulkHeader(nil, 5), scriptedValue{strings.NewReader("12345")})
 	case "LAST":
 		s.FillAndClose(resp.AppendBulk(nil, "end"))
 	}
@@ -75,7 +75,7 @@
 	for r := range closeReasonCount {
 		b = fmt.Appendf(b, "%v\n", r)
 	}
-	text, err := json.Marshal(status{ID: 1, Remote: "10.0.0.1:2", State: stateDraining.String(), Owed: 3, Commands: 4, BusyMS: 5})
+	text, err := json.Marshal(status{ID: 1, Remote: "10.0.0.1:2", State: stateDraining.String(), PendingAnswers: 3, Commands: 4, BusyMS: 5})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/front/lifecycle.go
+++ b/internal/front/lifecycle.go
@@ -50,9 +50,9 @@
 	closeAt   time.Time // when a connection that is owed nothing is closed
 }
 
-// newDrain derives the times of a drain from the time of the operators' call.
-func newDrain(called time.Time) drainTimes {
-	return drainTimes{readUntil: called.Add(drainReadTime), closeAt: called.Add(drainCloseTime)}
+// newDrainTimes derives the times of a drain from the time of the operators' call.
+func newDrainTimes(calledAt time.Time) drainTimes {
+	return drainTimes{readUntil: calledAt.Add(drainReadTime), closeAt: calledAt.Add(drainCloseTime)}
 }
 
 // lifecycle decides what a client connection may still do. It reads no clock, does no I/O, and is not safe for concurrent use:
@@ -66,26 +66,26 @@
 
 // drain starts the drain of an open connection, which may read until first at least, if that is set. It reports whether the
 // state changed. A connection that drains already keeps its times, which are no later.
-func (l *lifecycle) drain(d drainTimes, first time.Time) bool {
+func (l *lifecycle) drain(times drainTimes, firstCommandBy time.Time) bool {
 	if l.state != stateOpen {
 		return false
 	}
 	l.state = stateDraining
-	l.readUntil = later(d.readUntil, first)
-	l.rejectFrom = d.readUntil
-	l.closeAt = d.closeAt
+	l.readUntil = later(times.readUntil, firstCommandBy)
+	l.rejectFrom = times.readUntil
+	l.closeAt = times.closeAt
 	return true
 }
 
-// boundClose bounds the time at which a connection that is owed nothing is closed.
-func (l *lifecycle) boundClose(at time.Time) {
+// limitCloseAt bounds the time at which a connection that is owed nothing is closed.
+func (l *lifecycle) limitCloseAt(at time.Time) {
 	if l.closeAt.IsZero() || at.Before(l.closeAt) {
 		l.closeAt = at
 	}
 }
 
-// stop lets a connection read until a time and no longer, as the gateway ends. It reports whether the state changed.
-func (l *lifecycle) stop(until time.Time) bool {
+// limitReading lets a connection read until a time and no longer, as the gateway ends. It reports whether the state changed.
+func (l *lifecycle) limitReading(until time.Time) bool {
 	switch l.state {
 	case stateOpen:
 		l.state = stateDraining
@@ -97,30 +97,30 @@
 	return false
 }
 
-// reads reports whether more may be read now.
-func (l *lifecycle) reads(now time.Time) bool {
+// mayRead reports whether more may be read now.
+func (l *lifecycle) mayRead(now time.Time) bool {
 	return l.state == stateOpen || l.state == stateDraining && now.Before(l.readUntil)
 }
 
-// readBy bounds the time by which a read must have ended.
-func (l *lifecycle) readBy(at time.Time) time.Time {
+// limitReadDeadline bounds the time by which a read must have ended.
+func (l *lifecycle) limitReadDeadline(deadline time.Time) time.Time {
 	if l.state == stateDraining {
-		return earlier(at, l.readUntil)
+		return earlier(deadline, l.readUntil)
 	}
-	return at
+	return deadline
 }
 
-// rejects reports whether a request must be rejected, by when its last byte was read.
-func (l *lifecycle) rejects(readAt time.Time) bool {
+// mustReject reports whether a request must be rejected, by when its last byte was read.
+func (l *lifecycle) mustReject(readAt time.Time) bool {
 	return !l.rejectFrom.IsZero() && !readAt.Before(l.rejectFrom)
 }
 
-// close ends reading; what was read is still answered.
-func (l *lifecycle) close() { l.state = max(l.state, stateClosing) }
+// stopReading ends reading; what was read is still answered.
+func (l *lifecycle) stopReading() { l.state = max(l.state, stateClosing) }
 
-// shut ends answering, and sets how long input is discarded: closing a connection with unread input would reset it, and lose
+// closeWrite ends answering, and sets how long input is discarded: closing a connection with unread input would reset it, and lose
 // answers that are on their way.
-func (l *lifecycle) shut(now time.Time) {
+func (l *lifecycle) closeWrite(now time.Time) {
 	if l.state == stateClosed {
 		return
 	}
--- a/internal/front/lifecycle_test.go
+++ b/internal/front/lifecycle_test.go
@@ -10,7 +10,7 @@
 // The times of a drain hold the operators' term with the margins that they ask for.
 func TestDrainTimesHoldTheTerm(t *testing.T) {
 	called := time.Now()
-	d := newDrain(called)
+	d := newDrainTimes(called)
 	// The rule allows sockets 50 ms; the gateway may be held up between its clock and the read, and again before.
 	if last := d.readUntil.Add(2 * stallMargin); drainTerm-last.Sub(called) < recentWindow {
 		t.Errorf("a request that is read %v after the call would be recent at the end of the term", last.Sub(called))
@@ -46,15 +46,15 @@
 				if rng.IntN(2) == 0 {
 					first = born.Add(firstCommandTime)
 				}
-				if l.drain(newDrain(now), first) {
+				if l.drain(newDrainTimes(now), first) {
 					called = now
 				}
 			case 1:
-				l.stop(now.Add(stopTime))
+				l.limitReading(now.Add(stopReadTime))
 			case 2:
-				l.close()
+				l.stopReading()
 			case 3:
-				l.shut(now)
+				l.closeWrite(now)
 			case 4:
 				if rng.IntN(4) == 0 {
 					l.abandon(now)
@@ -79,12 +79,12 @@
 	if before.state == stateDraining && l.readUntil.After(before.readUntil) {
 		t.Errorf("world %d: the time to take requests went from %v to %v", world, before.readUntil, l.readUntil)
 	}
-	if reads := l.reads(now); reads && (l.state >= stateClosing || l.state == stateDraining && !now.Before(l.readUntil)) {
+	if reads := l.mayRead(now); reads && (l.state >= stateClosing || l.state == stateDraining && !now.Before(l.readUntil)) {
 		t.Errorf("world %d: state %d reads", world, l.state)
 	} else if !reads && l.state == stateOpen {
 		t.Errorf("world %d: an open connection does not read", world)
 	}
-	if l.state == stateDraining && l.readBy(now.Add(time.Hour)).After(l.readUntil) {
+	if l.state == stateDraining && l.limitReadDeadline(now.Add(time.Hour)).After(l.readUntil) {
 		t.Errorf("world %d: a read goes on beyond the time to take requests", world)
 	}
 }
@@ -92,10 +92,10 @@
 // checkDrained holds a connection to the term: called is when the gateway was drained.
 func checkDrained(t *testing.T, world int, l lifecycle, called, now time.Time) {
 	t.Helper()
-	if now.Sub(called) >= drainReadTime+firstCommandTime && l.reads(now) {
+	if now.Sub(called) >= drainReadTime+firstCommandTime && l.mayRead(now) {
 		t.Errorf("world %d: it reads %v after the call", world, now.Sub(called))
 	}
-	if read := called.Add(drainReadTime); l.state == stateDraining && !l.rejects(read) {
+	if read := called.Add(drainReadTime); l.state == stateDraining && !l.mustReject(read) {
 		t.Errorf("world %d: a request that is read %v after the call is not refused", world, drainReadTime)
 	}
 	if l.state == stateClosed && !l.closeAt.Before(called.Add(drainTerm)) && now.Before(called.Add(drainTerm-discardTime)) {
@@ -107,24 +107,24 @@
 func TestDrainAgainGivesNoMoreTime(t *testing.T) {
 	begin := time.Now()
 	var l lifecycle
-	l.drain(newDrain(begin), time.Time{})
-	if l.drain(newDrain(begin.Add(time.Second)), time.Time{}) || l.readUntil != begin.Add(drainReadTime) {
+	l.drain(newDrainTimes(begin), time.Time{})
+	if l.drain(newDrainTimes(begin.Add(time.Second)), time.Time{}) || l.readUntil != begin.Add(drainReadTime) {
 		t.Errorf("after a second drain: %+v", l)
 	}
-	l.stop(begin.Add(time.Hour))
+	l.limitReading(begin.Add(time.Hour))
 	if l.readUntil != begin.Add(drainReadTime) {
 		t.Errorf("after a stop that is later: %+v", l)
 	}
-	l.stop(begin.Add(time.Second))
+	l.limitReading(begin.Add(time.Second))
 	if l.readUntil != begin.Add(time.Second) {
 		t.Errorf("after a stop that is earlier: %+v", l)
 	}
-	l.close()
-	l.shut(begin.Add(drainCloseTime - time.Millisecond))
+	l.stopReading()
+	l.closeWrite(begin.Add(drainCloseTime - time.Millisecond))
 	if want := begin.Add(drainCloseTime - time.Millisecond + minDiscardTime); l.closeAt != want {
 		t.Errorf("shut just before its end, it goes at %v, not %v", l.closeAt.Sub(begin), want.Sub(begin))
 	}
-	l.shut(begin.Add(time.Hour))
+	l.closeWrite(begin.Add(time.Hour))
 	if l.closeAt.After(begin.Add(drainTerm)) {
 		t.Errorf("shut again: %+v", l)
 	}
--- a/internal/front/platform/parse.go
+++ b/internal/front/platform/parse.go
@@ -94,13 +94,13 @@
 	if r.Plan = slices.Index(c.Names.Plans, plan); r.Plan < 0 {
 		return "", fmt.Errorf("t: no plan %.32q", plan)
 	}
-	switch set := c.Settings; {
-	case r.Units <= 0 || set.MaxUnits > 0 && r.Units > set.MaxUnits:
-		return "", fmt.Errorf("units: not above 0 and up to %v", set.MaxUnits)
-	case r.Spread > set.Instances:
-		return "", fmt.Errorf("spread: over %d", set.Instances)
-	case r.FirstGateway >= set.Instances:
-		return "", fmt.Errorf("first: not below %d", set.Instances)
+	switch settings := c.Settings; {
+	case r.Units <= 0 || settings.MaxUnits > 0 && r.Units > settings.MaxUnits:
+		return "", fmt.Errorf("units: not above 0 and up to %v", settings.MaxUnits)
+	case r.Spread > settings.Instances:
+		return "", fmt.Errorf("spread: over %d", settings.Instances)
+	case r.FirstGateway >= settings.Instances:
+		return "", fmt.Errorf("first: not below %d", settings.Instances)
 	}
 	return class, nil
 }
@@ -150,11 +150,11 @@
 	case "r":
 		r.Repeat = value == "1"
 	case "d":
-		ms, err := number(name, value, 0, maxTimeout.Seconds()*1e3)
+		milliseconds, err := number(name, value, 0, maxTimeout.Seconds()*1e3)
 		if err != nil {
 			return err
 		}
-		r.Timeout = time.Duration(ms * 1e6)
+		r.Timeout = time.Duration(milliseconds * 1e6)
 	case "units":
 		r.Units, err = number(name, value, 0, maxNumber)
 	case "spread":
--- a/internal/front/platform/submit.go
+++ b/internal/front/platform/submit.go
@@ -28,14 +28,14 @@
 // submission is a request between its slot and the planner. Its answer is given on the planner's goroutine, or on the session's
 // if the request is not handed to the planner; the slot's fate comes after that.
 type submission struct {
-	commands   *Commands
-	request    *core.Request
-	slot       *front.Slot
-	format     FormatAnswer
-	received   ledger.Posting // of the request when it came
-	result     core.Result    // of the answer; ResultFailed until there is one
-	notHanded  bool           // the planner never had the request
-	closedOnce atomic.Bool    // the request is no longer counted as open
+	commands        *Commands
+	request         *core.Request
+	slot            *front.Slot
+	format          FormatAnswer
+	receivedPosting ledger.Posting // of the request when it came
+	result          core.Result    // of the answer; ResultFailed until there is one
+	notSubmitted    bool           // the planner never had the request
+	closed          atomic.Bool    // the request is no longer counted as open
 }
 
 // Submit hands a request to the planner, and its answer to the slot. What it sets is the request's ledger row and its Answer. The
@@ -52,16 +52,16 @@
 	s.OnSettled(sub.settled)
 
 	if s.MustReject() {
-		sub.answerHere(core.Answer{Result: core.ResultRejected})
+		sub.answerUnsubmitted(core.Answer{Result: core.ResultRejected})
 		return
 	}
 	pending, err := c.Planner.Submit(r)
 	if errors.Is(err, core.ErrBusy) {
-		sub.answerHere(core.Answer{Result: core.ResultRejected, RetryAfter: c.busyRetryAfter()})
+		sub.answerUnsubmitted(core.Answer{Result: core.ResultRejected, RetryAfter: c.busyRetryAfter()})
 		return
 	}
 	if err != nil {
-		sub.answerHere(core.Answer{Result: core.ResultFailed})
+		sub.answerUnsubmitted(core.Answer{Result: core.ResultFailed})
 		return
 	}
 	s.OnClientDeparted(func() {
@@ -85,9 +85,9 @@
 // postReceived posts the request to the ledger, and the hash of its idempotency key if it has one.
 func (s *submission) postReceived() {
 	r := s.request
-	s.received = ledger.Posting{Event: ledger.FrontTaken, Key: r.LedgerKey, Ref: r.LedgerRef,
+	s.receivedPosting = ledger.Posting{Event: ledger.FrontTaken, Key: r.LedgerKey, Ref: r.LedgerRef,
 		Units: ledger.MicroUnits(r.Units), Wait: ledger.CeilSeconds(r.Timeout)}
-	s.commands.Recorder.Post(s.received)
+	s.commands.Recorder.Post(s.receivedPosting)
 	if r.Message.Key != "" && r.Kind == core.KindForward {
 		s.commands.Recorder.Post(ledger.Posting{Event: ledger.FrontIdempotencyKey, Key: r.LedgerKey, Ref: r.LedgerRef,
 			Units: int64(xxhash.Sum64String(r.Message.Key))})
@@ -99,33 +99,33 @@
 	s.result = a.Result
 	s.countAnswered(a.Result)
 	if a.Stream != nil {
-		s.slot.FillFrom(resp.AppendBulkHead(nil, a.Stream.Size()), a.Stream)
+		s.slot.FillFrom(resp.AppendBulkHeader(nil, a.Stream.Size()), a.Stream)
 		return
 	}
 	s.slot.Fill(s.format(nil, a))
 }
 
-// answerHere answers a request that the planner never had.
-func (s *submission) answerHere(a core.Answer) {
-	s.notHanded = true
+// answerUnsubmitted answers a request that the planner never had.
+func (s *submission) answerUnsubmitted(a core.Answer) {
+	s.notSubmitted = true
 	s.answer(a)
 }
 
 // settled posts to the ledger what became of the request's answer.
-func (s *submission) settled(f front.Outcome) {
-	end := ledger.Posting{Key: s.request.LedgerKey, Ref: s.request.LedgerRef}
+func (s *submission) settled(outcome front.Outcome) {
+	posting := ledger.Posting{Key: s.request.LedgerKey, Ref: s.request.LedgerRef}
 	switch {
-	case s.notHanded:
-		end = s.received
-		end.Event = ledger.FrontNotSubmitted
-	case f == front.ClientDeparted:
-		end.Event = ledger.FrontClientLeft
-	case f == front.WriteFailed:
-		end.Event = ledger.FrontWriteFailed
+	case s.notSubmitted:
+		posting = s.receivedPosting
+		posting.Event = ledger.FrontNotSubmitted
+	case outcome == front.ClientDeparted:
+		posting.Event = ledger.FrontClientLeft
+	case outcome == front.WriteFailed:
+		posting.Event = ledger.FrontWriteFailed
 	default:
-		end.Event = endEvents[s.result]
+		posting.Event = endEvents[s.result]
 	}
-	s.commands.Recorder.Post(end)
+	s.commands.Recorder.Post(posting)
 }
 
 // countAnswered counts a request as answered, if its client has not left before.
@@ -139,7 +139,7 @@
 // the client's leaving may come at the same time.
 func (s *submission) closeOnce() bool {
 	figures := s.commands.Figures
-	if figures == nil || !s.closedOnce.CompareAndSwap(false, true) {
+	if figures == nil || !s.closed.CompareAndSwap(false, true) {
 		return false
 	}
 	figures.AddOpen(-1)
--- a/internal/front/reader.go
+++ b/internal/front/reader.go
@@ -11,23 +11,23 @@
 
 // How long a session waits for its client.
 const (
-	readBuffer      = 2 << 10                 // bytes
-	firstByteTime   = 1500 * time.Millisecond // from the connection to the first byte
-	byteTime        = 2500 * time.Millisecond // between two bytes of a command: a client may send a head for 2 s
-	commandTime     = 10 * time.Second        // from a command's first byte to its last
-	idleTime        = 5 * time.Second         // between two commands: a client can reconnect
-	drainInterval   = 50 * time.Millisecond   // between two checks whether a draining session is owed nothing
-	lastReadTime    = time.Millisecond        // before a session ends, for input that is on its way
-	stopTime        = 100 * time.Millisecond  // at the end of the gateway, for a command that is on its way
-	hangUpInterval  = 50 * time.Millisecond   // between two checks whether the client has hung up, while nothing is read
-	maxDiscardBytes = 256 << 10               // of input that is discarded at the end; a client that writes more waits for the close
+	readBufferSize      = 2 << 10                 // bytes
+	firstByteTimeout    = 1500 * time.Millisecond // from the connection to the first byte
+	byteTimeout         = 2500 * time.Millisecond // between two bytes of a command: a client may send a head for 2 s
+	commandTimeout      = 10 * time.Second        // from a command's first byte to its last
+	idleTimeout         = 5 * time.Second         // between two commands: a client can reconnect
+	drainCheckInterval  = 50 * time.Millisecond   // between two checks whether a draining session is owed nothing
+	finalReadTime       = time.Millisecond        // before a session ends, for input that is on its way
+	stopReadTime        = 100 * time.Millisecond  // at the end of the gateway, for a command that is on its way
+	hangUpCheckInterval = 50 * time.Millisecond   // between two checks whether the client has hung up, while nothing is read
+	maxDiscardBytes     = 256 << 10               // of input that is discarded at the end; a client that writes more waits for the close
 )
 
 // The pause before the next command is read, after a faulty one.
 const (
-	maxFaults   = 16                    // faulty commands, with which the session ends
-	penaltyStep = 50 * time.Millisecond // for each faulty command so far
-	maxPenalty  = time.Second
+	maxFaults       = 16                    // faulty commands, with which the session ends
+	penaltyPerFault = 50 * time.Millisecond // for each faulty command so far
+	maxPenalty      = time.Second
 )
 
 // Why no more commands are read. The texts are part of the wire.
@@ -38,7 +38,7 @@
 
 // read reads commands until the session ends. It is the session's reading goroutine.
 func (s *session) read() {
-	r := resp.NewReader(s, readBuffer)
+	r := resp.NewReader(s, readBufferSize)
 	for s.readCommand(r) {
 	}
 }
@@ -50,12 +50,12 @@
 		return false
 	}
 	c, err := r.ReadCommand()
-	err = s.commandRead(err)
+	err = s.finishCommandRead(err)
 	if err != nil && !errors.Is(err, errCommandTimeout) && !errors.Is(err, resp.ErrProtocol) {
 		s.endReading(err)
 		return false
 	}
-	if time.Since(s.lastReadAt) > hangUpInterval {
+	if time.Since(s.lastReadAt) > hangUpCheckInterval {
 		s.abortIfHungUp() // the command was in the buffer for a while
 	}
 	slot := s.openSlot(c)
@@ -81,8 +81,8 @@
 	}
 }
 
-// commandRead records that no command is being read any more, and tells a command's time-out from the end of the session.
-func (s *session) commandRead(err error) error {
+// finishCommandRead records that no command is being read any more, and tells a command's time-out from the end of the session.
+func (s *session) finishCommandRead(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.commandDeadline = time.Time{}
@@ -134,11 +134,11 @@
 
 // awaitCommand waits for the first byte of a command. The wait is bounded, as idle clients must not take the places of others.
 func (s *session) awaitCommand(r *resp.Reader) error {
-	for limit := firstByteTime; r.Buffered() == 0; {
+	for timeout := firstByteTimeout; r.Buffered() == 0; {
 		if s.commandsRead > 0 {
-			limit = idleTime
+			timeout = idleTimeout
 		}
-		if !s.beginWait(limit) {
+		if !s.beginWait(timeout) {
 			return errNoMoreCommands
 		}
 		_, err := r.Peek()
@@ -148,7 +148,7 @@
 		if err != nil && !errors.Is(err, os.ErrDeadlineExceeded) {
 			return err
 		}
-		if err != nil && s.endsBetweenCommands(r, limit) {
+		if err != nil && s.endsBetweenCommands(r, timeout) {
 			return errNoMoreCommands
 		}
 	}
@@ -157,7 +157,7 @@
 	if s.lifecycle.state >= stateClosing {
 		return errNoMoreCommands
 	}
-	s.commandDeadline = s.lifecycle.readBy(time.Now().Add(commandTime))
+	s.commandDeadline = s.lifecycle.limitReadDeadline(time.Now().Add(commandTimeout))
 	s.evicted = false // it is in use again; another session is evicted, or this one later
 	return nil
 }
@@ -168,12 +168,12 @@
 func (s *session) Read(b []byte) (int, error) {
 	s.mu.Lock()
 	now := time.Now()
-	reads := s.lifecycle.reads(now)
-	if reads && !s.commandDeadline.IsZero() {
-		s.conn.SetReadDeadline(earlier(s.commandDeadline, now.Add(byteTime)))
+	mayRead := s.lifecycle.mayRead(now)
+	if mayRead && !s.commandDeadline.IsZero() {
+		s.conn.SetReadDeadline(earlier(s.commandDeadline, now.Add(byteTimeout)))
 	}
 	s.mu.Unlock()
-	if !reads {
+	if !mayRead {
 		return 0, errNoMoreCommands
 	}
 	n, err := s.conn.Read(b)
@@ -185,43 +185,43 @@
 
 // beginWait sets the deadline of a wait for the next command; false: no more commands are read. A draining session waits for
 // drainInterval at a time, and an evicted one for lastReadTime.
-func (s *session) beginWait(limit time.Duration) bool {
+func (s *session) beginWait(timeout time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := time.Now()
-	if !s.lifecycle.reads(now) {
+	if !s.lifecycle.mayRead(now) {
 		return false
 	}
 	if s.lifecycle.state == stateDraining {
-		limit = drainInterval
+		timeout = drainCheckInterval
 	}
 	if s.evicted {
-		limit = lastReadTime
+		timeout = finalReadTime
 	}
 	s.awaitingCommand = true
-	s.conn.SetReadDeadline(s.lifecycle.readBy(now.Add(limit)))
+	s.conn.SetReadDeadline(s.lifecycle.limitReadDeadline(now.Add(timeout)))
 	return true
 }
 
 // endsBetweenCommands tells whether the session ends now, between two commands. It reads once more before it does, as a command
 // that came in the meantime would be lost, and must be served.
-func (s *session) endsBetweenCommands(r *resp.Reader, limit time.Duration) bool {
-	if !s.mayEnd(limit) {
+func (s *session) endsBetweenCommands(r *resp.Reader, timeout time.Duration) bool {
+	if !s.mayEnd(timeout) {
 		return false
 	}
-	s.conn.SetReadDeadline(time.Now().Add(lastReadTime))
+	s.conn.SetReadDeadline(time.Now().Add(finalReadTime))
 	_, err := r.Peek()
 	return err != nil
 }
 
 // mayEnd is the rule by which a session that waits for a command, and owes nothing, ends: it was evicted, it drains and has had time
 // for its first command, or it has been idle for limit.
-func (s *session) mayEnd(limit time.Duration) bool {
+func (s *session) mayEnd(timeout time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	wasEvicted := s.evicted
 	s.evicted = false // if it owes something again, another session is evicted
-	if !s.owesNothing() {
+	if !s.hasNoPendingAnswers() {
 		return false
 	}
 	switch {
@@ -230,7 +230,7 @@
 		return true
 	case s.lifecycle.state == stateDraining:
 		return s.commandsRead > 0 || time.Since(s.acceptedAt) >= firstCommandTime
-	case time.Since(s.lastOwedAt) >= limit:
+	case time.Since(s.lastPendingAt) >= timeout:
 		s.setCloseReason(ClosedIdle)
 		return true
 	}
@@ -250,7 +250,7 @@
 	select {
 	case <-s.ctx.Done():
 	case <-s.drainStarted:
-	case <-time.After(min(time.Duration(faults)*penaltyStep, maxPenalty)):
+	case <-time.After(min(time.Duration(faults)*penaltyPerFault, maxPenalty)):
 	}
 	return true
 }
@@ -258,20 +258,20 @@
 // openSlot makes the slot of the next command, once there is capacity for it; nil: the session is over.
 func (s *session) openSlot(c resp.Command) *Slot {
 	slot := &Slot{session: s}
-	size := 0
-	for _, word := range c {
-		size += len(word)
+	bytes := 0
+	for _, arg := range c {
+		bytes += len(arg)
 	}
-	if size > minLargeCommand {
-		if !s.acquireLarge(int64(size)) {
+	if bytes > minLargeCommand {
+		if !s.acquireLargeCommand(int64(bytes)) {
 			return nil
 		}
-		slot.largeBytes = int64(size)
+		slot.largeBytes = int64(bytes)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for s.isFull() && s.lifecycle.state < stateClosed {
-		check := time.AfterFunc(hangUpInterval, func() {
+	for s.pipelineFull() && s.lifecycle.state < stateClosed {
+		check := time.AfterFunc(hangUpCheckInterval, func() {
 			s.abortIfHungUp()
 			s.capacity.Broadcast()
 		})
@@ -283,23 +283,23 @@
 		return nil
 	}
 	s.commandsRead++
-	slot.mustReject = s.lifecycle.rejects(s.lastReadAt)
+	slot.mustReject = s.lifecycle.mustReject(s.lastReadAt)
 	s.slots = append(s.slots, slot)
 	return slot
 }
 
-// isFull tells whether a command has to wait until others of the session are answered; the lock is held.
-func (s *session) isFull() bool {
+// pipelineFull tells whether a command has to wait until others of the session are answered; the lock is held.
+func (s *session) pipelineFull() bool {
 	return len(s.slots) >= maxPipelined || int64(s.unsentBytes) > s.bounds.maxUnsent
 }
 
-// acquireLarge waits for memory for a large command of so many bytes; false: the session is over.
-func (s *session) acquireLarge(size int64) bool {
-	if s.bounds.largeCommands.TryAcquire(size) {
+// acquireLargeCommand waits for memory for a large command of so many bytes; false: the session is over.
+func (s *session) acquireLargeCommand(bytes int64) bool {
+	if s.bounds.largeCommands.TryAcquire(bytes) {
 		return true
 	}
 	stop := s.watchForHangUp()
-	err := s.bounds.largeCommands.Acquire(s.ctx, size)
+	err := s.bounds.largeCommands.Acquire(s.ctx, bytes)
 	stop()
 	if err != nil {
 		return false
@@ -318,7 +318,7 @@
 
 // abortOnHangUp aborts the session once its client has hung up, and returns when the context ends.
 func (s *session) abortOnHangUp(ctx context.Context) {
-	tick := time.NewTicker(hangUpInterval)
+	tick := time.NewTicker(hangUpCheckInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -354,13 +354,13 @@
 	if !time.Now().Before(until) {
 		return
 	}
-	buf := make([]byte, readBuffer)
-	for left := maxDiscardBytes; left > 0; {
+	buf := make([]byte, readBufferSize)
+	for remaining := maxDiscardBytes; remaining > 0; {
 		n, err := s.conn.Read(buf)
 		if err != nil {
 			return
 		}
-		left -= n
+		remaining -= n
 	}
 	time.Sleep(time.Until(until))
 }
--- a/internal/front/send_test.go
+++ b/internal/front/send_test.go
@@ -38,7 +38,7 @@
 	for _, w := range c.waits {
 		all += w
 	}
-	if most := sendTimeout + sendTimeout/sendWaits; all > most || len(c.waits) != sendWaits+1 {
+	if most := sendTimeout + sendTimeout/maxStalledWrites; all > most || len(c.waits) != maxStalledWrites+1 {
 		t.Errorf("it is given %v in %d waits, at most %v wanted", all, len(c.waits), most)
 	}
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	lastAcceptTime = 20 * time.Millisecond // at the end, for connections that the system has accepted
-	placeInterval  = 50 * time.Millisecond // between two evictions for a session that waits for a place
+	finalAcceptTime    = 20 * time.Millisecond // at the end, for connections that the system has accepted
+	placeRetryInterval = 50 * time.Millisecond // between two evictions for a session that waits for a place
 )
 
 // Server accepts client sessions at one address. Its exported fields are set before Serve. Its methods are safe for any
@@ -39,21 +39,21 @@
 
 // Serve accepts sessions until the context ends. It then closes the listener, lets each session end as soon as its client is
 // owed nothing, and returns when the last has. A fault of the listener ends it in the same way, with that error.
-func (f *Server) Serve(ctx context.Context) error {
-	f.mu.Lock()
-	if f.sessions == nil {
-		f.sessions = map[*session]struct{}{}
+func (srv *Server) Serve(ctx context.Context) error {
+	srv.mu.Lock()
+	if srv.sessions == nil {
+		srv.sessions = map[*session]struct{}{}
 	}
-	f.mu.Unlock()
-	stop := context.AfterFunc(ctx, func() { finishAccepting(f.Listener) })
+	srv.mu.Unlock()
+	stop := context.AfterFunc(ctx, func() { finishAccepting(srv.Listener) })
 	defer stop()
-	if f.MaxIdleSessions > 0 {
-		go f.evictIdle(ctx)
+	if srv.MaxIdleSessions > 0 {
+		go srv.evictIdle(ctx)
 	}
-	err := f.acceptSessions(ctx)
-	f.Listener.Close()
-	f.stopSessions()
-	f.running.Wait()
+	err := srv.acceptSessions(ctx)
+	srv.Listener.Close()
+	srv.stopSessions()
+	srv.running.Wait()
 	if errors.Is(err, sockets.ErrEnded) {
 		return nil
 	}
@@ -61,21 +61,21 @@
 }
 
 // acceptSessions accepts sessions until the listener fails, which it does with sockets.ErrEnded after the context has ended.
-func (f *Server) acceptSessions(ctx context.Context) error {
-	places := make(chan struct{}, f.MaxSessions)
+func (srv *Server) acceptSessions(ctx context.Context) error {
+	places := make(chan struct{}, srv.MaxSessions)
 	for {
-		f.awaitOpen(ctx)
-		conn, err := sockets.Accept(f.Listener, f.Log, "a client session")
+		srv.awaitAccepting(ctx)
+		conn, err := sockets.Accept(srv.Listener, srv.Log, "a client session")
 		if err != nil {
 			return err
 		}
-		f.awaitOpen(ctx) // a drain may have ended meanwhile
-		hasPlace := f.acquirePlace(ctx, places)
-		s := f.addSession(conn)
-		f.running.Go(func() {
+		srv.awaitAccepting(ctx) // a drain may have ended meanwhile
+		hasPlace := srv.acquirePlace(ctx, places)
+		s := srv.addSession(conn)
+		srv.running.Go(func() {
 			s.run()
-			f.reportEnd(s)
-			f.removeSession(s)
+			srv.reportEnd(s)
+			srv.removeSession(s)
 			if hasPlace {
 				<-places
 			}
@@ -84,30 +84,30 @@
 }
 
 // addSession makes a session, which drains if the gateway does.
-func (f *Server) addSession(conn net.Conn) *session {
-	s := newSession(conn, f.NewCommands(), f.Bounds)
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.sessions[s] = struct{}{}
-	if f.drain != nil {
-		s.drain(*f.drain)
+func (srv *Server) addSession(conn net.Conn) *session {
+	s := newSession(conn, srv.NewCommands(), srv.Bounds)
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	srv.sessions[s] = struct{}{}
+	if srv.drain != nil {
+		s.drain(*srv.drain)
 	}
 	return s
 }
 
-func (f *Server) removeSession(s *session) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	delete(f.sessions, s)
+func (srv *Server) removeSession(s *session) {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	delete(srv.sessions, s)
 }
 
 // stopSessions has each session end as soon as its client is owed nothing.
-func (f *Server) stopSessions() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for s := range f.sessions {
-		if !f.sessionsCloseBy.IsZero() {
-			s.closeBy(f.sessionsCloseBy)
+func (srv *Server) stopSessions() {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	for s := range srv.sessions {
+		if !srv.sessionsCloseBy.IsZero() {
+			s.closeBy(srv.sessionsCloseBy)
 		}
 		s.stop()
 	}
@@ -115,107 +115,107 @@
 
 // CloseBy sets a time by which each session that is owed nothing is closed, after the context of Serve has ended; those that are
 // open then are reported. It may be called at any time.
-func (f *Server) CloseBy(at time.Time) {
-	f.mu.Lock()
-	f.sessionsCloseBy = at
-	f.mu.Unlock()
+func (srv *Server) CloseBy(at time.Time) {
+	srv.mu.Lock()
+	srv.sessionsCloseBy = at
+	srv.mu.Unlock()
 	time.AfterFunc(time.Until(at), func() {
-		f.reportOverdue("the gateway's end", func(*session) bool { return true })
+		srv.reportOverdue("the gateway's end", func(*session) bool { return true })
 	})
 }
 
 // Drain has each session end between two commands, and new ones as well, until it is called with false. Requests that are read
 // by drainReadTime are served, and later ones rejected; if the gateway is not ready, all are rejected.
-func (f *Server) Drain(on bool) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.drainChanged != nil {
-		close(f.drainChanged)
-		f.drainChanged = nil
+func (srv *Server) Drain(on bool) {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	if srv.drainChanged != nil {
+		close(srv.drainChanged)
+		srv.drainChanged = nil
 	}
 	if !on {
-		f.drain = nil
+		srv.drain = nil
 		return
 	}
 	now := time.Now()
-	d := newDrain(now)
-	if !f.isReady() {
-		d.readUntil = now
+	times := newDrainTimes(now)
+	if !srv.isReady() {
+		times.readUntil = now
 	}
-	f.drain = &d
-	time.AfterFunc(drainExpediteTime, func() { f.expediteDrained(&d) })
-	time.AfterFunc(drainTerm, func() { f.checkDrained(&d) })
-	for s := range f.sessions {
-		s.drain(d)
+	srv.drain = &times
+	time.AfterFunc(drainExpediteTime, func() { srv.expediteDrained(&times) })
+	time.AfterFunc(drainTerm, func() { srv.checkDrained(&times) })
+	for s := range srv.sessions {
+		s.drain(times)
 	}
 }
 
-// awaitOpen waits until sessions may be accepted: the gateway is ready, ends, or drains, as a drained gateway may not keep
+// awaitAccepting waits until sessions may be accepted: the gateway is ready, ends, or drains, as a drained gateway may not keep
 // connections waiting.
-func (f *Server) awaitOpen(ctx context.Context) {
-	for !f.isReady() {
-		f.mu.Lock()
-		draining := f.drain != nil
-		if f.drainChanged == nil {
-			f.drainChanged = make(chan struct{})
+func (srv *Server) awaitAccepting(ctx context.Context) {
+	for !srv.isReady() {
+		srv.mu.Lock()
+		draining := srv.drain != nil
+		if srv.drainChanged == nil {
+			srv.drainChanged = make(chan struct{})
 		}
-		changed := f.drainChanged
-		f.mu.Unlock()
+		changed := srv.drainChanged
+		srv.mu.Unlock()
 		if draining {
 			return
 		}
 		select {
 		case <-changed:
-		case <-f.Ready:
+		case <-srv.Ready:
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-func (f *Server) isReady() bool {
+func (srv *Server) isReady() bool {
 	select {
-	case <-f.Ready:
+	case <-srv.Ready:
 		return true
 	default:
-		return f.Ready == nil
+		return srv.Ready == nil
 	}
 }
 
 // acquirePlace waits for a place for a new session, whose connection uses a reserved descriptor meanwhile. If the gateway ends,
 // or drains and has no place, it returns false, and the session is served without one: its client may have sent a command, which
 // would be lost if its connection was closed.
-func (f *Server) acquirePlace(ctx context.Context, places chan<- struct{}) bool {
+func (srv *Server) acquirePlace(ctx context.Context, places chan<- struct{}) bool {
 	for {
 		select {
 		case places <- struct{}{}:
 			return true
 		default:
 		}
-		f.evictLongestIdle()
+		srv.evictLongestIdle()
 		select {
 		case places <- struct{}{}:
 			return true
 		case <-ctx.Done():
 			return false
-		case <-time.After(placeInterval):
+		case <-time.After(placeRetryInterval):
 		}
-		if f.isDraining() {
+		if srv.isDraining() {
 			return false
 		}
 	}
 }
 
-func (f *Server) isDraining() bool {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.drain != nil
+func (srv *Server) isDraining() bool {
+	srv.mu.Lock()
+	defer srv.mu.Unlock()
+	return srv.drain != nil
 }
 
 // finishAccepting has a listener accept for lastAcceptTime more what is in the system's queue: closing the listener resets those
 // connections, whose clients may have sent a command.
 func finishAccepting(l net.Listener) {
-	if d, ok := l.(interface{ SetDeadline(time.Time) error }); !ok || d.SetDeadline(time.Now().Add(lastAcceptTime)) != nil {
+	if d, ok := l.(interface{ SetDeadline(time.Time) error }); !ok || d.SetDeadline(time.Now().Add(finalAcceptTime)) != nil {
 		l.Close()
 	}
 }
--- a/internal/front/server_drain_test.go
+++ b/internal/front/server_drain_test.go
@@ -93,14 +93,14 @@
 
 // Connections that come during a drain: each ends, and what it said whole is answered.
 func TestConnectionsThatComeDuringADrain(t *testing.T) {
-	early := newDrain(time.Now().Add(patience)) // its time to take requests does not end while the test goes on
+	early := newDrainTimes(time.Now().Add(patience)) // its time to take requests does not end while the test goes on
 	for name, c := range map[string]struct {
 		times      drainTimes
 		says, want string
 	}{
 		"silent":                  {early, "", ""},
 		"whole":                   {early, ping, "+taken\r\n"},
-		"half a command":          {newDrain(time.Now()), ping[:9], ""},
+		"half a command":          {newDrainTimes(time.Now()), ping[:9], ""},
 		"late and silent":         {drainIsLate(), "", ""},
 		"late and whole":          {drainIsLate(), ping, "-BUSY\r\n"},
 		"late and half a command": {drainIsLate(), ping[:9], ""},
--- a/internal/front/session.go
+++ b/internal/front/session.go
@@ -42,13 +42,13 @@
 	lifecycle lifecycle
 
 	// Answers.
-	slots       []*Slot    // in the order of the commands, those whose answers are not in unwritten yet
-	capacity    *sync.Cond // signalled when slots or unsentBytes become less, or the session is over
-	unwritten   []byte     // answers for the writer
-	streaming   *Slot      // whose value is written after unwritten; nil: none
-	marks       []mark     // of the answers in unwritten that have an onSettled
-	unsentBytes int        // of answers, in unwritten and in slots
-	lastOwedAt  time.Time
+	slots         []*Slot     // in the order of the commands, those whose answers are not in unwritten yet
+	capacity      *sync.Cond  // signalled when slots or unsentBytes become less, or the session is over
+	unwritten     []byte      // answers for the writer
+	streaming     *Slot       // whose value is written after unwritten; nil: none
+	answerEnds    []answerEnd // of the answers in unwritten that have an onSettled
+	unsentBytes   int         // of answers, in unwritten and in slots
+	lastPendingAt time.Time
 
 	// Commands.
 	commandDeadline time.Time // of the command that is being read; zero: none is
@@ -65,14 +65,14 @@
 
 func newSession(conn net.Conn, c Commands, b *Bounds) *session {
 	s := &session{
-		id:           sessionIDs.Add(1),
-		conn:         conn,
-		commands:     c,
-		bounds:       b,
-		wake:         make(chan struct{}, 1),
-		drainStarted: make(chan struct{}),
-		acceptedAt:   time.Now(),
-		lastOwedAt:   time.Now(),
+		id:            lastSessionID.Add(1),
+		conn:          conn,
+		commands:      c,
+		bounds:        b,
+		wake:          make(chan struct{}, 1),
+		drainStarted:  make(chan struct{}),
+		acceptedAt:    time.Now(),
+		lastPendingAt: time.Now(),
 	}
 	s.ctx, s.cancel = context.WithCancel(context.Background())
 	s.capacity = sync.NewCond(&s.mu)
@@ -96,14 +96,14 @@
 
 // drain lets the session read commands for as long as a drain of the gateway allows, and end earlier between two of them, once
 // nothing is owed.
-func (s *session) drain(d drainTimes) {
+func (s *session) drain(times drainTimes) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	var first time.Time
+	var firstCommandBy time.Time
 	if s.commandsRead == 0 { // the first command may be on its way
-		first = s.acceptedAt.Add(firstCommandTime)
+		firstCommandBy = s.acceptedAt.Add(firstCommandTime)
 	}
-	if s.lifecycle.drain(d, first) {
+	if s.lifecycle.drain(times, firstCommandBy) {
 		s.shutdownReason = ClosedDrained
 		s.notifyDrain()
 	}
@@ -114,12 +114,12 @@
 func (s *session) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	within := lastReadTime
+	readTime := finalReadTime
 	if s.commandsRead == 0 || !s.commandDeadline.IsZero() { // a command is on its way
-		within = stopTime
+		readTime = stopReadTime
 	}
 	s.shutdownReason = ClosedEnding
-	if s.lifecycle.stop(time.Now().Add(within)) {
+	if s.lifecycle.limitReading(time.Now().Add(readTime)) {
 		s.notifyDrain()
 	} else {
 		s.interruptRead()
@@ -130,7 +130,7 @@
 func (s *session) closeBy(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lifecycle.boundClose(at)
+	s.lifecycle.limitCloseAt(at)
 }
 
 // notifyDrain wakes the reader, wherever it waits, as the session drains; the lock is held.
@@ -148,8 +148,8 @@
 	case s.awaitingCommand:
 		s.conn.SetReadDeadline(now)
 	case !s.commandDeadline.IsZero():
-		s.commandDeadline = s.lifecycle.readBy(s.commandDeadline)
-		s.conn.SetReadDeadline(earlier(s.commandDeadline, now.Add(byteTime)))
+		s.commandDeadline = s.lifecycle.limitReadDeadline(s.commandDeadline)
+		s.conn.SetReadDeadline(earlier(s.commandDeadline, now.Add(byteTimeout)))
 	}
 }
 
@@ -158,7 +158,7 @@
 func (s *session) finish(r CloseReason) {
 	s.mu.Lock()
 	s.setCloseReason(r)
-	s.lifecycle.close()
+	s.lifecycle.stopReading()
 	s.wakeWriter()
 	s.mu.Unlock()
 }
@@ -167,24 +167,24 @@
 func (s *session) idle() (since time.Time, useful, idle bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.lastOwedAt, s.commandsRead > s.faultyCommands, s.owesNothing() && s.isOpen()
+	return s.lastPendingAt, s.commandsRead > s.faultyCommands, s.hasNoPendingAnswers() && s.isOpen()
 }
 
 // isOpen tells whether the session neither ends nor was evicted; the lock is held.
 func (s *session) isOpen() bool { return s.lifecycle.state == stateOpen && !s.evicted }
 
-// owesNothing tells whether no answer is to be given or written; the lock is held.
-func (s *session) owesNothing() bool {
+// hasNoPendingAnswers tells whether no answer is to be given or written; the lock is held.
+func (s *session) hasNoPendingAnswers() bool {
 	return len(s.slots) == 0 && len(s.unwritten) == 0 && s.unsentBytes == 0
 }
 
-// resting is idle for a session that waits for its client's next command: a client in the middle of a command, which may send
+// idleBetweenCommands is idle for a session that waits for its client's next command: a client in the middle of a command, which may send
 // slowly, is not resting. A session that ends is neither useful nor resting.
-func (s *session) resting() (since time.Time, useful, resting bool) {
+func (s *session) idleBetweenCommands() (since time.Time, useful, idleBetweenCommands bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	open := s.isOpen()
-	return s.lastOwedAt, open && s.commandsRead > s.faultyCommands, open && s.owesNothing() && s.awaitingCommand
+	return s.lastPendingAt, open && s.commandsRead > s.faultyCommands, open && s.hasNoPendingAnswers() && s.awaitingCommand
 }
 
 // evict has the session end if nothing is owed to its client. A command that crosses the end was not accepted; its client sends it
@@ -214,13 +214,13 @@
 func (s *session) abandon() {
 	s.mu.Lock()
 	s.lifecycle.abandon(time.Now())
-	marks := s.marks
+	answerEnds := s.answerEnds
 	notify := s.abandonAnswers()
 	s.capacity.Broadcast()
 	s.wakeWriter()
 	s.mu.Unlock()
 	s.cancel()
-	settleMarks(marks, 0)
+	settleAnswers(answerEnds, 0)
 	for _, f := range notify {
 		f()
 	}
@@ -232,29 +232,29 @@
 	if s.streaming != nil {
 		notify = append(notify, s.streaming.value.Close) // the writer may wait for more of it
 	}
-	for _, o := range s.slots {
-		if o.value != nil {
-			notify = append(notify, o.value.Close)
+	for _, slot := range s.slots {
+		if slot.value != nil {
+			notify = append(notify, slot.value.Close)
 		}
-		if o.onSettled != nil {
-			fate := ClientDeparted
-			if o.filled {
-				fate = WriteFailed
+		if slot.onSettled != nil {
+			outcome := ClientDeparted
+			if slot.filled {
+				outcome = WriteFailed
 			}
-			notify = append(notify, func() { o.onSettled(fate) })
+			notify = append(notify, func() { slot.onSettled(outcome) })
 		}
-		if o.filled {
+		if slot.filled {
 			continue
 		}
-		s.bounds.largeCommands.Release(o.largeBytes)
-		o.largeBytes = 0
-		if o.onClientLeft != nil {
-			notify = append(notify, o.onClientLeft)
+		s.bounds.largeCommands.Release(slot.largeBytes)
+		slot.largeBytes = 0
+		if slot.onClientDeparted != nil {
+			notify = append(notify, slot.onClientDeparted)
 		}
 	}
 	s.slots = nil
 	s.unwritten = nil
-	s.marks = nil
+	s.answerEnds = nil
 	s.releaseUnsent(s.unsentBytes)
 	return notify
 }
--- a/internal/front/sessions/golden_test.go
+++ b/internal/front/sessions/golden_test.go
@@ -31,7 +31,7 @@
 
 // The answers about a session: HELLO, CLIENT, SELECT, ECHO, QUIT, COMMAND and PING, and their errors. RESP clients read them.
 func TestGoldenSession(t *testing.T) {
-	long := strings.Repeat("n", maxName+1)
+	long := strings.Repeat("n", maxNameBytes+1)
 	var b []byte
 	for _, c := range []struct {
 		words   string
--- a/internal/front/sessions/sessions.go
+++ b/internal/front/sessions/sessions.go
@@ -17,7 +17,7 @@
 
 // Bounds of a session.
 const (
-	maxName         = 128 // bytes of a name
+	maxNameBytes    = 128 // bytes of a name
 	protocolVersion = 2   // the one version of RESP that is spoken here
 )
 
@@ -47,16 +47,16 @@
 }
 
 // Do implements front.Commands.
-func (c *Commands) Do(came time.Time, cmd resp.Command, s *front.Slot) {
+func (c *Commands) Do(readAt time.Time, cmd resp.Command, s *front.Slot) {
 	name := string(bytes.ToUpper(cmd[0]))
-	t, known := commandTable[name]
+	entry, known := commandTable[name]
 	switch {
-	case !known || t.handle == nil:
-		c.Commands.Do(came, cmd, s)
-	case len(cmd) < t.minLength || len(cmd) > t.maxLength:
+	case !known || entry.handle == nil:
+		c.Commands.Do(readAt, cmd, s)
+	case len(cmd) < entry.minLength || len(cmd) > entry.maxLength:
 		s.RejectInvalid(wrongNumber(name))
 	default:
-		t.handle(c, cmd[1:], s)
+		entry.handle(c, cmd[1:], s)
 	}
 }
 
@@ -139,9 +139,9 @@
 			replyError(s, "NOPROTO unsupported protocol version")
 			return
 		}
-		var fault string
-		if name, fault = helloOptions(args[1:], name); fault != "" {
-			replyError(s, fault)
+		var errText string
+		if name, errText = helloOptions(args[1:], name); errText != "" {
+			replyError(s, errText)
 			return
 		}
 	}
@@ -150,14 +150,14 @@
 }
 
 // helloOptions reads the options of HELLO, and returns the session's name by them, or the text of the fault.
-func helloOptions(options [][]byte, name string) (newName, fault string) {
+func helloOptions(options [][]byte, name string) (newName, errText string) {
 	for len(options) > 0 {
 		switch option := string(bytes.ToUpper(options[0])); {
 		case option == "AUTH" && len(options) >= 3:
-			return "", noPassword
+			return "", noPasswordError
 		case option == "SETNAME" && len(options) >= 2:
 			if !isValidName(options[1]) {
-				return "", badName
+				return "", badNameError
 			}
 			name = string(options[1])
 			options = options[2:]
@@ -183,32 +183,32 @@
 }
 
 const (
-	noPassword = "ERR AUTH <password> called without any password configured for the default user. " +
+	noPasswordError = "ERR AUTH <password> called without any password configured for the default user. " +
 		"Are you sure your configuration is correct?"
-	badName = "ERR Client names cannot contain spaces, newlines or special characters."
+	badNameError = "ERR Client names cannot contain spaces, newlines or special characters."
 )
 
 // isValidName tells whether a name can stand in a list of names: printable, without spaces.
 func isValidName(name []byte) bool {
-	return len(name) <= maxName && bytes.IndexFunc(name, func(r rune) bool { return r < '!' || r > '~' }) < 0
+	return len(name) <= maxNameBytes && bytes.IndexFunc(name, func(r rune) bool { return r < '!' || r > '~' }) < 0
 }
 
 // client answers CLIENT ID, GETNAME, SETNAME and SETINFO.
 func (c *Commands) client(args [][]byte, s *front.Slot) {
-	sub := string(bytes.ToUpper(args[0]))
-	length := map[string]int{"ID": 1, "GETNAME": 1, "SETNAME": 2, "SETINFO": 3}[sub]
+	subcommand := string(bytes.ToUpper(args[0]))
+	length := map[string]int{"ID": 1, "GETNAME": 1, "SETNAME": 2, "SETINFO": 3}[subcommand]
 	switch {
 	case length == 0:
 		replyError(s, fmt.Sprintf("ERR unknown subcommand '%.32s'. Try CLIENT HELP.", args[0]))
 	case length != len(args):
-		replyError(s, "ERR "+wrongNumber("client|"+sub))
-	case sub == "ID":
+		replyError(s, "ERR "+wrongNumber("client|"+subcommand))
+	case subcommand == "ID":
 		s.Fill(resp.AppendInt(nil, int64(c.id)))
-	case sub == "GETNAME":
+	case subcommand == "GETNAME":
 		s.Fill(resp.AppendBulk(nil, c.name))
 	case !isValidName(args[length-1]):
-		replyError(s, badName)
-	case sub == "SETNAME":
+		replyError(s, badNameError)
+	case subcommand == "SETNAME":
 		c.name = string(args[1])
 		replyOK(s)
 	default:
@@ -233,7 +233,7 @@
 		s.Fill(commandInfos(names))
 		return
 	}
-	switch sub := string(bytes.ToUpper(args[0])); sub {
+	switch subcommand := string(bytes.ToUpper(args[0])); subcommand {
 	case "COUNT":
 		s.Fill(resp.AppendInt(nil, int64(len(commandTable))))
 	case "LIST":
@@ -261,21 +261,21 @@
 func commandInfos(names []string) []byte {
 	b := resp.AppendArray(nil, len(names))
 	for _, name := range names {
-		t, known := commandTable[name]
+		entry, known := commandTable[name]
 		if !known {
 			b = append(b, "*-1\r\n"...)
 			continue
 		}
-		arity := t.minLength
-		if t.maxLength != t.minLength {
+		arity := entry.minLength
+		if entry.maxLength != entry.minLength {
 			arity = -arity
 		}
 		b = resp.AppendInt(resp.AppendBulk(resp.AppendArray(b, 6), strings.ToLower(name)), int64(arity))
-		b = resp.AppendArray(b, len(t.flags))
-		for _, flag := range t.flags {
+		b = resp.AppendArray(b, len(entry.flags))
+		for _, flag := range entry.flags {
 			b = resp.AppendStatus(b, flag)
 		}
-		for _, at := range []int{t.key, t.key, min(t.key, 1)} { // the first key, the last, and the step
+		for _, at := range []int{entry.key, entry.key, min(entry.key, 1)} { // the first key, the last, and the step
 			b = resp.AppendInt(b, int64(at))
 		}
 	}
--- a/internal/front/slot.go
+++ b/internal/front/slot.go
@@ -12,15 +12,15 @@
 
 // Slot is the place of one answer in the order of a session's commands. Its methods are safe for any goroutine.
 type Slot struct {
-	session      *session
-	answer       []byte
-	value        Value // written after answer, with the end of its bulk string; nil: none
-	filled       bool
-	largeBytes   int64         // of the command, held in Bounds.largeCommands until the slot is filled
-	onClientLeft func()        // nil: none
-	onExpedite   func()        // nil: none
-	onSettled    func(Outcome) // nil: none
-	mustReject   bool
+	session          *session
+	answer           []byte
+	value            Value // written after answer, with the end of its bulk string; nil: none
+	filled           bool
+	largeBytes       int64         // of the command, held in Bounds.largeCommands until the slot is filled
+	onClientDeparted func()        // nil: none
+	onExpedite       func()        // nil: none
+	onSettled        func(Outcome) // nil: none
+	mustReject       bool
 }
 
 // Value is a large value while it is read. Whoever has it closes it. It is read by one goroutine at a time.
@@ -39,93 +39,93 @@
 	WriteFailed                   // there was one, and its last byte could not be written
 )
 
-// mark is where an answer ends in what is being written.
-type mark struct {
+// answerEnd is where an answer ends in what is being written.
+type answerEnd struct {
 	end       int // offset of the byte after it
 	onSettled func(Outcome)
 }
 
 // MustReject reports whether the gateway no longer accepted requests when the command was read: a request must be rejected, and
 // not be carried out.
-func (o *Slot) MustReject() bool { return o.mustReject }
+func (slot *Slot) MustReject() bool { return slot.mustReject }
 
 // RejectInvalid answers a command that can't be used with an error. Too many of them end the session.
-func (o *Slot) RejectInvalid(why string) {
-	o.session.mu.Lock()
-	o.session.faultyCommands++
-	o.session.mu.Unlock()
-	o.Fill(resp.AppendError(nil, "ERR "+why))
+func (slot *Slot) RejectInvalid(why string) {
+	slot.session.mu.Lock()
+	slot.session.faultyCommands++
+	slot.session.mu.Unlock()
+	slot.Fill(resp.AppendError(nil, "ERR "+why))
 }
 
 // FillAndClose answers the command, and ends the session once all commands before it are answered too. It is called within
 // Commands.Do.
-func (o *Slot) FillAndClose(answer []byte) {
-	o.Fill(answer)
-	o.session.finish(ClosedRequested)
+func (slot *Slot) FillAndClose(answer []byte) {
+	slot.Fill(answer)
+	slot.session.finish(ClosedRequested)
 }
 
 // OnClientDeparted has f called, once, if the client leaves before the slot is filled; at once, on a goroutine of its own, if it
 // has left already.
-func (o *Slot) OnClientDeparted(f func()) {
-	s := o.session
+func (slot *Slot) OnClientDeparted(f func()) {
+	s := slot.session
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if o.filled {
+	if slot.filled {
 		return
 	}
 	if s.lifecycle.state == stateClosed {
 		go f()
 		return
 	}
-	o.onClientLeft = f
+	slot.onClientDeparted = f
 }
 
 // OnExpedite has f called, once, if the answer is needed now, whatever it is, as the connection must end.
-func (o *Slot) OnExpedite(f func()) {
-	o.session.mu.Lock()
-	defer o.session.mu.Unlock()
-	o.onExpedite = f
+func (slot *Slot) OnExpedite(f func()) {
+	slot.session.mu.Lock()
+	defer slot.session.mu.Unlock()
+	slot.onExpedite = f
 }
 
 // OnSettled has f called, exactly once, with what became of the answer. It is set before the slot can be filled; f may not
 // block.
-func (o *Slot) OnSettled(f func(Outcome)) {
-	o.session.mu.Lock()
-	defer o.session.mu.Unlock()
-	o.onSettled = f
+func (slot *Slot) OnSettled(f func(Outcome)) {
+	slot.session.mu.Lock()
+	defer slot.session.mu.Unlock()
+	slot.onSettled = f
 }
 
 // Fill gives the slot its answer, in the form of the wire. It does not block; a second answer is ignored.
-func (o *Slot) Fill(answer []byte) { o.fill(answer, nil) }
+func (slot *Slot) Fill(answer []byte) { slot.fill(answer, nil) }
 
 // FillFrom gives the slot an answer of a bulk string's head and a value of that length, which the session copies to the client
 // in its turn, and closes in any case.
-func (o *Slot) FillFrom(head []byte, v Value) { o.fill(head, v) }
+func (slot *Slot) FillFrom(head []byte, value Value) { slot.fill(head, value) }
 
-func (o *Slot) fill(answer []byte, v Value) {
-	s := o.session
+func (slot *Slot) fill(answer []byte, value Value) {
+	s := slot.session
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if v != nil && (o.filled || s.lifecycle.state == stateClosed) {
-		v.Close()
+	if value != nil && (slot.filled || s.lifecycle.state == stateClosed) {
+		value.Close()
 	}
-	if o.filled {
+	if slot.filled {
 		return
 	}
-	o.answer = answer
-	o.value = v
-	o.filled = true
-	o.onClientLeft = nil
-	o.onExpedite = nil
-	s.bounds.largeCommands.Release(o.largeBytes)
+	slot.answer = answer
+	slot.value = value
+	slot.filled = true
+	slot.onClientDeparted = nil
+	slot.onExpedite = nil
+	s.bounds.largeCommands.Release(slot.largeBytes)
 	if s.lifecycle.state == stateClosed {
 		return
 	}
 	s.countUnsent(len(answer))
-	if s.slots[0] != o {
+	if s.slots[0] != slot {
 		return
 	}
-	s.lastOwedAt = time.Now()
+	s.lastPendingAt = time.Now()
 	s.gatherAnswers()
 	s.wakeWriter()
 }
@@ -146,14 +146,14 @@
 func (s *session) gatherAnswers() {
 	n := 0
 	for n < len(s.slots) && s.slots[n].filled && s.streaming == nil {
-		o := s.slots[n]
-		s.unwritten = append(s.unwritten, o.answer...)
-		if o.value != nil {
-			s.streaming = o
+		slot := s.slots[n]
+		s.unwritten = append(s.unwritten, slot.answer...)
+		if slot.value != nil {
+			s.streaming = slot
 			s.unsentBytes += streamingBytes
 			s.bounds.unsentTotal.Add(streamingBytes)
-		} else if o.onSettled != nil {
-			s.marks = append(s.marks, mark{len(s.unwritten), o.onSettled})
+		} else if slot.onSettled != nil {
+			s.answerEnds = append(s.answerEnds, answerEnd{len(s.unwritten), slot.onSettled})
 		}
 		s.slots[n] = nil
 		n++
@@ -162,22 +162,22 @@
 	s.capacity.Signal()
 }
 
-// end closes the value of an answer, and reports what became of the answer.
-func (o *Slot) end(f Outcome) {
-	o.value.Close()
-	if o.onSettled != nil {
-		o.onSettled(f)
+// settleValue closes the value of an answer, and reports what became of the answer.
+func (slot *Slot) settleValue(outcome Outcome) {
+	slot.value.Close()
+	if slot.onSettled != nil {
+		slot.onSettled(outcome)
 	}
 }
 
-// settleMarks reports what became of consecutive answers of which so many bytes were written.
-func settleMarks(marks []mark, written int) {
-	for _, m := range marks {
-		if m.end <= written {
-			m.onSettled(Written)
+// settleAnswers reports what became of consecutive answers of which so many bytes were written.
+func settleAnswers(answerEnds []answerEnd, written int) {
+	for _, answer := range answerEnds {
+		if answer.end <= written {
+			answer.onSettled(Written)
 		} else {
-			m.onSettled(WriteFailed)
+			answer.onSettled(WriteFailed)
 		}
 	}
-	clear(marks)
+	clear(answerEnds)
 }
--- a/internal/front/writer.go
+++ b/internal/front/writer.go
@@ -13,20 +13,20 @@
 
 // How a session's answers are written.
 const (
-	maxReusedBuffer = 16 << 10        // bytes; a larger buffer of answers is not reused
-	sendTimeout     = 5 * time.Second // of a client that reads nothing
-	sendWaits       = 10              // writes, within sendTimeout, that may take nothing
-	valuePiece      = 16 << 10        // bytes of a large value in memory at once
+	maxReusedBuffer  = 16 << 10        // bytes; a larger buffer of answers is not reused
+	sendTimeout      = 5 * time.Second // of a client that reads nothing
+	maxStalledWrites = 10              // writes, within sendTimeout, that may take nothing
+	valueChunkSize   = 16 << 10        // bytes of a large value in memory at once
 )
 
-// pieces are buffers for large values.
-var pieces = sync.Pool{New: func() any { return new([valuePiece]byte) }}
+// chunkBuffers are buffers for large values.
+var chunkBuffers = sync.Pool{New: func() any { return new([valueChunkSize]byte) }}
 
 // batch is what the writer writes at once: answers, and the value that follows them.
 type batch struct {
-	answers []byte
-	marks   []mark
-	value   *Slot // nil: none
+	answers    []byte
+	answerEnds []answerEnd
+	streamed   *Slot // nil: none
 }
 
 // write writes answers in the order of their commands until the session ends. It is the session's writing goroutine.
@@ -34,17 +34,17 @@
 	defer s.cancel()
 	var b batch
 	for {
-		over := s.nextBatch(&b)
-		if over {
+		ended := s.nextBatch(&b)
+		if ended {
 			s.discardBatch(b)
 			return
 		}
-		if len(b.answers) == 0 && b.value == nil {
+		if len(b.answers) == 0 && b.streamed == nil {
 			<-s.wake
 			continue
 		}
 		if err := s.writeBatch(b); err != nil {
-			s.writeFailed(err)
+			s.abandonAfterWriteError(err)
 			return
 		}
 		s.batchWritten(b)
@@ -56,14 +56,14 @@
 
 // nextBatch takes what is to be written, in exchange for the buffers of the last batch. Once all is written and nothing more is
 // read, it shuts the session, which is over then.
-func (s *session) nextBatch(b *batch) (over bool) {
+func (s *session) nextBatch(b *batch) (ended bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b.answers, s.unwritten = s.unwritten, b.answers[:0]
-	b.marks, s.marks = s.marks, b.marks[:0]
-	b.value = s.streaming
-	if s.lifecycle.state == stateClosing && len(s.slots) == 0 && len(b.answers) == 0 && b.value == nil {
-		s.lifecycle.shut(time.Now())
+	b.answerEnds, s.answerEnds = s.answerEnds, b.answerEnds[:0]
+	b.streamed = s.streaming
+	if s.lifecycle.state == stateClosing && len(s.slots) == 0 && len(b.answers) == 0 && b.streamed == nil {
+		s.lifecycle.closeWrite(time.Now())
 		s.conn.SetReadDeadline(s.lifecycle.closeAt)
 	}
 	return s.lifecycle.state == stateClosed
@@ -71,9 +71,9 @@
 
 // discardBatch reports answers as cut that can't be written any more, and ends the sending side of the connection.
 func (s *session) discardBatch(b batch) {
-	settleMarks(b.marks, 0)
-	if b.value != nil {
-		b.value.end(WriteFailed)
+	settleAnswers(b.answerEnds, 0)
+	if b.streamed != nil {
+		b.streamed.settleValue(WriteFailed)
 	}
 	if tcp, ok := s.conn.(*net.TCPConn); ok {
 		tcp.CloseWrite()
@@ -83,24 +83,24 @@
 // writeBatch writes a batch, and reports what became of its answers. A client can tell by its length that a value is incomplete.
 func (s *session) writeBatch(b batch) error {
 	n, err := s.send(b.answers)
-	settleMarks(b.marks, n)
-	if b.value == nil {
+	settleAnswers(b.answerEnds, n)
+	if b.streamed == nil {
 		return err
 	}
 	if err == nil {
-		err = s.copyValue(b.value.value)
+		err = s.copyValue(b.streamed.value)
 	}
-	fate := Written
+	outcome := Written
 	if err != nil {
-		fate = WriteFailed
+		outcome = WriteFailed
 	}
-	b.value.end(fate)
+	b.streamed.settleValue(outcome)
 	return err
 }
 
-// writeFailed ends a session that nothing can be written to any more. It wakes the reader, which may wait for capacity that only
+// abandonAfterWriteError ends a session that nothing can be written to any more. It wakes the reader, which may wait for capacity that only
 // the writer releases.
-func (s *session) writeFailed(err error) {
+func (s *session) abandonAfterWriteError(err error) {
 	s.mu.Lock()
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		s.setCloseReason(ClosedUnread)
@@ -116,10 +116,10 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.releaseUnsent(len(b.answers))
-	if b.value != nil {
+	if b.streamed != nil {
 		s.releaseUnsent(streamingBytes)
 		s.streaming = nil
-		s.lastOwedAt = time.Now()
+		s.lastPendingAt = time.Now()
 		s.gatherAnswers()
 	}
 	s.capacity.Signal()
@@ -136,16 +136,16 @@
 // send writes all of b. The client may read slowly, but must read something within sendTimeout. The wait is divided into
 // sendWaits, as the time of one write doesn't tell when it last made progress: one long wait could last twice the time-out.
 func (s *session) send(b []byte) (n int, err error) {
-	for waits := 0; n < len(b); {
-		s.conn.SetWriteDeadline(time.Now().Add(sendTimeout / sendWaits))
+	for stalledWrites := 0; n < len(b); {
+		s.conn.SetWriteDeadline(time.Now().Add(sendTimeout / maxStalledWrites))
 		m, err := s.conn.Write(b[n:])
 		n += m
 		if m > 0 {
-			waits = 0
+			stalledWrites = 0
 		} else {
-			waits++
+			stalledWrites++
 		}
-		if err != nil && (waits >= sendWaits || !errors.Is(err, os.ErrDeadlineExceeded)) {
+		if err != nil && (stalledWrites >= maxStalledWrites || !errors.Is(err, os.ErrDeadlineExceeded)) {
 			return n, err
 		}
 	}
@@ -155,8 +155,8 @@
 // copyValue writes a value and the end of its bulk string, a piece at a time: no more is in memory, and no more is read from
 // the backend than the client reads.
 func (s *session) copyValue(v Value) error {
-	buf := pieces.Get().(*[valuePiece]byte)
-	defer pieces.Put(buf)
+	buf := chunkBuffers.Get().(*[valueChunkSize]byte)
+	defer chunkBuffers.Put(buf)
 	for {
 		n, err := v.Read(buf[:])
 		if errors.Is(err, io.EOF) {
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -11,17 +11,17 @@
 
 // The bounds. A peer that exceeds one has broken the protocol.
 const (
-	MaxLine    = 4 << 10 // bytes of a line, its end included
-	MaxHeaders = 64      // of an answer; trailers are bounded by the same number
-	MaxBody    = 1 << 20 // bytes that ReadBody reads
-	maxLength  = 1 << 30 // bytes of a body that is announced; readers have bounds of their own
-	maxInterim = 8       // interim answers before the final one
+	MaxLine             = 4 << 10 // bytes of a line, its end included
+	MaxHeaders          = 64      // of an answer; trailers are bounded by the same number
+	MaxBody             = 1 << 20 // bytes that ReadBody reads
+	maxContentLength    = 1 << 30 // bytes of a body that is announced; readers have bounds of their own
+	maxInterimResponses = 8       // interim answers before the final one
 )
 
 // ErrProtocol is what every breach of the protocol wraps. The connection can't be read any further.
 var ErrProtocol = errors.New("protocol error")
 
-func protocolError(what string) error { return fmt.Errorf("%w: %s", ErrProtocol, what) }
+func protocolError(reason string) error { return fmt.Errorf("%w: %s", ErrProtocol, reason) }
 
 // Response is the head of an answer.
 type Response struct {
@@ -34,10 +34,10 @@
 // ReadResponse reads the head of an answer; the body is next in r. Interim answers before it are skipped. The error wraps
 // ErrProtocol, or is that of r; io.EOF means that r ended before the answer.
 func ReadResponse(r *bufio.Reader) (Response, error) {
-	for range maxInterim {
-		a, err := readHead(r)
-		if err != nil || a.Status >= 200 || a.Status == 101 { // nobody asked to switch protocols: it is final
-			return a, err
+	for range maxInterimResponses {
+		resp, err := readHead(r)
+		if err != nil || resp.Status >= 200 || resp.Status == 101 { // nobody asked to switch protocols: it is final
+			return resp, err
 		}
 	}
 	return Response{}, protocolError("too many interim answers")
@@ -45,66 +45,66 @@
 
 // readHead reads a status line and the headers.
 func readHead(r *bufio.Reader) (Response, error) {
-	a := Response{Length: -1}
-	s, err := readLine(r)
+	resp := Response{Length: -1}
+	line, err := readLine(r)
 	if err != nil {
-		return a, err
+		return resp, err
 	}
-	if err := a.parseStatusLine(s); err != nil {
-		return a, err
+	if err := resp.parseStatusLine(line); err != nil {
+		return resp, err
 	}
 	for range MaxHeaders {
-		s, err = readLine(r)
+		line, err = readLine(r)
 		if err != nil {
-			return a, unexpectedEOF(err)
+			return resp, unexpectedEOF(err)
 		}
-		if len(s) == 0 {
-			if a.Status < 200 || a.Status == 204 || a.Status == 304 { // such an answer has no body, whatever its headers say
-				a.Length = 0
-				a.Chunked = false
+		if len(line) == 0 {
+			if resp.Status < 200 || resp.Status == 204 || resp.Status == 304 { // such an answer has no body, whatever its headers say
+				resp.Length = 0
+				resp.Chunked = false
 			}
-			return a, nil
+			return resp, nil
 		}
-		if err := a.parseHeader(s); err != nil {
-			return a, err
+		if err := resp.parseHeader(line); err != nil {
+			return resp, err
 		}
 	}
-	return a, protocolError("too many headers")
+	return resp, protocolError("too many headers")
 }
 
 // parseStatusLine takes a status line into a.
-func (a *Response) parseStatusLine(s []byte) (err error) {
-	if len(s) < 12 || !bytes.HasPrefix(s, []byte("HTTP/1.")) || s[8] != ' ' || len(s) > 12 && s[12] != ' ' {
+func (resp *Response) parseStatusLine(line []byte) (err error) {
+	if len(line) < 12 || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[8] != ' ' || len(line) > 12 && line[12] != ' ' {
 		return protocolError("no status line")
 	}
-	a.Status, err = strconv.Atoi(string(s[9:12]))
-	if err != nil || a.Status < 100 {
+	resp.Status, err = strconv.Atoi(string(line[9:12]))
+	if err != nil || resp.Status < 100 {
 		return protocolError("bad status")
 	}
-	a.Close = s[7] == '0' // HTTP/1.0
+	resp.Close = line[7] == '0' // HTTP/1.0
 	return nil
 }
 
 // parseHeader takes a header into a. Those that say nothing of the body or the connection are ignored.
-func (a *Response) parseHeader(s []byte) (err error) {
-	name, value, ok := bytes.Cut(s, []byte(":"))
+func (resp *Response) parseHeader(line []byte) (err error) {
+	name, value, ok := bytes.Cut(line, []byte(":"))
 	if !ok {
 		return protocolError("header without a colon")
 	}
 	value = bytes.TrimSpace(value)
 	switch {
 	case bytes.EqualFold(name, []byte("Content-Length")):
-		a.Length, err = strconv.Atoi(string(value))
-		if err != nil || a.Length < 0 || a.Length > maxLength {
+		resp.Length, err = strconv.Atoi(string(value))
+		if err != nil || resp.Length < 0 || resp.Length > maxContentLength {
 			return protocolError("bad Content-Length")
 		}
 	case bytes.EqualFold(name, []byte("Transfer-Encoding")):
-		a.Chunked = bytes.EqualFold(value, []byte("chunked"))
-		if !a.Chunked {
+		resp.Chunked = bytes.EqualFold(value, []byte("chunked"))
+		if !resp.Chunked {
 			return protocolError("unknown Transfer-Encoding")
 		}
 	case bytes.EqualFold(name, []byte("Connection")):
-		a.Close = a.Close || bytes.EqualFold(value, []byte("close"))
+		resp.Close = resp.Close || bytes.EqualFold(value, []byte("close"))
 	}
 	return nil
 }
--- a/internal/http1/answer_test.go
+++ b/internal/http1/answer_test.go
@@ -9,15 +9,15 @@
 	"testing"
 )
 
-func play(in string) (out string) {
+func readResponses(in string) (out string) {
 	r := bufio.NewReaderSize(strings.NewReader(in), MaxLine+2)
 	for {
-		a, err := ReadResponse(r)
+		resp, err := ReadResponse(r)
 		if err != nil {
 			return out + err.Error()
 		}
-		body, err := ReadBody(r, a)
-		out += strconv.Itoa(a.Status) + " " + strconv.Quote(string(body)) + "; "
+		body, err := ReadBody(r, resp)
+		out += strconv.Itoa(resp.Status) + " " + strconv.Quote(string(body)) + "; "
 		if err != nil {
 			return out + err.Error()
 		}
@@ -33,11 +33,11 @@
 	for line := range strings.SplitSeq(strings.TrimSpace(string(text)), "\n") {
 		in, want, _ := strings.Cut(line, " => ")
 		in = strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace(in)
-		if got := play(in); got != want {
+		if got := readResponses(in); got != want {
 			t.Errorf("%q:\n got %s\nwant %s", in, got, want)
 		}
 	}
-	if got := play("HTTP/1.1 200 " + strings.Repeat("x", MaxLine)); got != "protocol error: line too long" {
+	if got := readResponses("HTTP/1.1 200 " + strings.Repeat("x", MaxLine)); got != "protocol error: line too long" {
 		t.Error(got)
 	}
 }
@@ -55,8 +55,8 @@
 	f.Add([]byte("HTTP/1.0 503 x\r\nContent-Length: 2\r\n\r\nab"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := bufio.NewReaderSize(bytes.NewReader(in), MaxLine+2)
-		if a, err := ReadResponse(r); err == nil {
-			if body, _ := ReadBody(r, a); len(body) > MaxBody+1 {
+		if resp, err := ReadResponse(r); err == nil {
+			if body, _ := ReadBody(r, resp); len(body) > MaxBody+1 {
 				t.Errorf("%d bytes", len(body))
 			}
 		}
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -9,27 +9,27 @@
 
 // Body returns a reader of the body that follows a. It ends with io.EOF where the body does; a stream that ends before that
 // is io.ErrUnexpectedEOF.
-func Body(r *bufio.Reader, a Response) io.Reader {
+func Body(r *bufio.Reader, resp Response) io.Reader {
 	switch {
-	case a.Chunked:
+	case resp.Chunked:
 		return &chunkedBody{r: r}
-	case a.Length >= 0:
-		return &fixedBody{r: r, remaining: a.Length}
+	case resp.Length >= 0:
+		return &fixedBody{r: r, remaining: resp.Length}
 	}
 	return r
 }
 
 // ReadBody reads a complete body, of MaxBody bytes at most.
-func ReadBody(r *bufio.Reader, a Response) ([]byte, error) { return ReadBodyUpTo(r, a, MaxBody) }
+func ReadBody(r *bufio.Reader, resp Response) ([]byte, error) { return ReadBodyUpTo(r, resp, MaxBody) }
 
 // ReadBodyUpTo reads a complete body, of limit bytes at most. A longer one is an error that wraps ErrProtocol; with any error, what
 // was read comes too.
-func ReadBodyUpTo(r *bufio.Reader, a Response, limit int) ([]byte, error) {
-	if !a.Chunked && a.Length > limit {
+func ReadBodyUpTo(r *bufio.Reader, resp Response, limit int) ([]byte, error) {
+	if !resp.Chunked && resp.Length > limit {
 		return nil, protocolError("body too long")
 	}
-	text := bytes.NewBuffer(make([]byte, 0, min(MaxBody, max(0, a.Length))+bytes.MinRead))
-	_, err := text.ReadFrom(io.LimitReader(Body(r, a), int64(limit)+1))
+	text := bytes.NewBuffer(make([]byte, 0, min(MaxBody, max(0, resp.Length))+bytes.MinRead))
+	_, err := text.ReadFrom(io.LimitReader(Body(r, resp), int64(limit)+1))
 	if err == nil && text.Len() > limit {
 		err = protocolError("body too long")
 	}
@@ -84,20 +84,20 @@
 // nextChunk reads the end of the chunk before, if there is one, and the size of the next; a size of 0 ends the body.
 func (b *chunkedBody) nextChunk() error {
 	if b.begun {
-		s, err := readLine(b.r)
+		line, err := readLine(b.r)
 		if err != nil {
 			return err
 		}
-		if len(s) != 0 {
+		if len(line) != 0 {
 			return protocolError("chunk runs on")
 		}
 	}
 	b.begun = true
-	s, err := readLine(b.r)
+	line, err := readLine(b.r)
 	if err != nil {
 		return err
 	}
-	size, _, _ := bytes.Cut(s, []byte(";"))
+	size, _, _ := bytes.Cut(line, []byte(";"))
 	n, err := strconv.ParseUint(string(bytes.TrimSpace(size)), 16, 31)
 	if err != nil {
 		return protocolError("bad chunk size")
@@ -112,11 +112,11 @@
 // skipTrailers reads the trailers after the last chunk.
 func (b *chunkedBody) skipTrailers() error {
 	for range MaxHeaders {
-		s, err := readLine(b.r)
+		line, err := readLine(b.r)
 		if err != nil {
 			return err
 		}
-		if len(s) == 0 {
+		if len(line) == 0 {
 			b.ended = true
 			return nil
 		}
--- a/internal/resp/append.go
+++ b/internal/resp/append.go
@@ -5,26 +5,26 @@
 	"strconv"
 )
 
-// appendHead appends the line that begins a value of kind k: a length, or an integer.
-func appendHead(b []byte, k Kind, n int64) []byte {
+// appendHeader appends the line that begins a value of kind k: a length, or an integer.
+func appendHeader(b []byte, k Kind, n int64) []byte {
 	return append(strconv.AppendInt(append(b, byte(k)), n, 10), '\r', '\n')
 }
 
 // AppendArray appends the head of an array of n items, which are to follow.
-func AppendArray(b []byte, n int) []byte { return appendHead(b, Array, int64(n)) }
+func AppendArray(b []byte, n int) []byte { return appendHeader(b, Array, int64(n)) }
 
 // AppendInt appends an integer.
-func AppendInt(b []byte, v int64) []byte { return appendHead(b, Integer, v) }
+func AppendInt(b []byte, v int64) []byte { return appendHeader(b, Integer, v) }
 
-// AppendBulkHead appends what stands before the n bytes of a bulk string; End stands after them.
-func AppendBulkHead(b []byte, n int) []byte { return appendHead(b, Bulk, int64(n)) }
+// AppendBulkHeader appends what stands before the n bytes of a bulk string; End stands after them.
+func AppendBulkHeader(b []byte, n int) []byte { return appendHeader(b, Bulk, int64(n)) }
 
 // BulkEnd is the end of a bulk string.
 const BulkEnd = "\r\n"
 
 // AppendBulk appends a bulk string.
 func AppendBulk[T string | []byte](b []byte, s T) []byte {
-	b = appendHead(b, Bulk, int64(len(s)))
+	b = appendHeader(b, Bulk, int64(len(s)))
 	return append(append(b, s...), '\r', '\n')
 }
 
@@ -57,7 +57,7 @@
 func AppendValue(b []byte, v Value) []byte {
 	switch {
 	case v.Null:
-		return appendHead(b, v.Kind, -1)
+		return appendHeader(b, v.Kind, -1)
 	case v.Kind == Array:
 		b = AppendArray(b, len(v.Items))
 		for _, item := range v.Items {
--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -2,14 +2,14 @@
 
 // ReadCommand reads an array of bulk strings. io.EOF means that the stream ended between commands.
 func (r *Reader) ReadCommand() (Command, error) {
-	head, err := r.line()
+	header, err := r.line()
 	if err != nil {
 		return nil, err
 	}
-	if len(head) == 0 || head[0] != byte(Array) {
+	if len(header) == 0 || header[0] != byte(Array) {
 		return nil, protocolError("a command is an array")
 	}
-	n, err := parseLength(head[1:], MaxArgs)
+	n, err := parseLength(header[1:], MaxArgs)
 	if err != nil {
 		return nil, err
 	}
@@ -17,14 +17,14 @@
 		return nil, protocolError("empty command")
 	}
 	c := make(Command, n)
-	total := 0 // bytes of the words so far
+	totalBytes := 0 // bytes of the words so far
 	for i := range c {
-		size, err := r.wordLength()
+		size, err := r.argLength()
 		if err != nil {
 			return nil, err
 		}
-		total += size
-		if total > MaxCommand {
+		totalBytes += size
+		if totalBytes > MaxCommand {
 			return nil, protocolError("command of over %d bytes", MaxCommand)
 		}
 		if c[i], err = r.bulk(size); err != nil {
@@ -34,16 +34,16 @@
 	return c, nil
 }
 
-// wordLength reads the line before a word of a command, and returns the word's length in bytes.
-func (r *Reader) wordLength() (int, error) {
-	head, err := r.line()
+// argLength reads the line before a word of a command, and returns the word's length in bytes.
+func (r *Reader) argLength() (int, error) {
+	header, err := r.line()
 	if err != nil {
-		return 0, endError(err, true)
+		return 0, midMessageEOF(err, true)
 	}
-	if len(head) == 0 || head[0] != byte(Bulk) {
+	if len(header) == 0 || header[0] != byte(Bulk) {
 		return 0, protocolError("a command holds bulk strings")
 	}
-	size, err := parseLength(head[1:], MaxBulk)
+	size, err := parseLength(header[1:], MaxBulk)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/resp/golden_test.go
+++ b/internal/resp/golden_test.go
@@ -23,7 +23,7 @@
 	for _, v := range []float64{2.5, -1.25, 9.9996, -0.0001, 1e21, 0} {
 		b = AppendNumber(b, v)
 	}
-	b = append(append(AppendBulkHead(b, 3), "abc"...), BulkEnd...)
+	b = append(append(AppendBulkHeader(b, 3), "abc"...), BulkEnd...)
 	values := []Value{
 		{Kind: Bulk, Text: []byte("bulk\r\n1")},
 		{Kind: Bulk, Text: []byte{}},
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -13,8 +13,8 @@
 type Reader struct{ b *bufio.Reader }
 
 // NewReader reads from r through a buffer of size bytes, or of one line if that is more.
-func NewReader(r io.Reader, size int) *Reader {
-	return &Reader{bufio.NewReaderSize(r, max(size, MaxLine+2))}
+func NewReader(r io.Reader, bufferSize int) *Reader {
+	return &Reader{bufio.NewReaderSize(r, max(bufferSize, MaxLine+2))}
 }
 
 // Buffered is how many bytes have been read ahead.
@@ -39,7 +39,7 @@
 		return nil, protocolError("line of over %d bytes", MaxLine)
 	}
 	if err != nil {
-		return nil, endError(err, len(s) > 0)
+		return nil, midMessageEOF(err, len(s) > 0)
 	}
 	if len(s) < 2 || s[len(s)-2] != '\r' {
 		return nil, protocolError("line does not end in CR LF")
@@ -58,7 +58,7 @@
 	b := make([]byte, min(size, firstAllocation))
 	for read := 0; ; {
 		if _, err := io.ReadFull(r.b, b[read:]); err != nil {
-			return nil, endError(err, true)
+			return nil, midMessageEOF(err, true)
 		}
 		read = len(b)
 		if read == size {
@@ -72,9 +72,9 @@
 	return b[:n:n], nil
 }
 
-// endError tells the end of a stream within a command or answer from one between two.
-func endError(err error, within bool) error {
-	if within && errors.Is(err, io.EOF) {
+// midMessageEOF tells the end of a stream within a command or answer from one between two.
+func midMessageEOF(err error, midMessage bool) error {
+	if midMessage && errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
 	}
 	return err
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -34,7 +34,7 @@
 	}
 }
 
-func TestLargest(t *testing.T) {
+func TestMaximumSizes(t *testing.T) {
 	body := bytes.Repeat([]byte("x"), MaxBulk)
 	b := AppendBulk(AppendBulk(AppendArray(nil, 2), "SET"), body)
 	if c, err := NewReader(bytes.NewReader(b), 0).ReadCommand(); err != nil || !bytes.Equal(c[1], body) {
@@ -58,9 +58,9 @@
 	f.Fuzz(func(t *testing.T, in []byte) {
 		v, err := NewReader(bytes.NewReader(in), 0).ReadValue()
 		// An answer is read as any value, but for a large one at its beginning.
-		a, large, errA := NewReader(bytes.NewReader(in), 0).ReadAnswer()
-		if large == 0 && ((err == nil) != (errA == nil) || err == nil && !reflect.DeepEqual(v, a)) || large > 0 && err == nil {
-			t.Errorf("%q: %+v, %v; as an answer %+v, %d, %v", in, v, err, a, large, errA)
+		answer, large, answerErr := NewReader(bytes.NewReader(in), 0).ReadAnswer()
+		if large == 0 && ((err == nil) != (answerErr == nil) || err == nil && !reflect.DeepEqual(v, answer)) || large > 0 && err == nil {
+			t.Errorf("%q: %+v, %v; as an answer %+v, %d, %v", in, v, err, answer, large, answerErr)
 		}
 		if err != nil {
 			return
--- a/internal/resp/value.go
+++ b/internal/resp/value.go
@@ -12,7 +12,7 @@
 		v, err = r.value(0)
 		return v, 0, err
 	}
-	v, err = r.arrayHead()
+	v, err = r.arrayHeader()
 	if err != nil || v.Len <= 0 {
 		return v, 0, err
 	}
@@ -29,11 +29,11 @@
 
 // bulkUnlessLarge reads a bulk string, but of one of over MaxBulk bytes the length alone.
 func (r *Reader) bulkUnlessLarge() (v Value, large int, err error) {
-	head, err := r.line()
+	header, err := r.line()
 	if err != nil {
-		return v, 0, endError(err, true)
+		return v, 0, midMessageEOF(err, true)
 	}
-	n, err := parseLength(head[1:], MaxValue)
+	n, err := parseLength(header[1:], MaxValue)
 	if err != nil {
 		return v, 0, err
 	}
@@ -57,13 +57,13 @@
 	return r.items(v, 0)
 }
 
-// arrayHead reads an array's first line.
-func (r *Reader) arrayHead() (v Value, err error) {
-	head, err := r.line()
+// arrayHeader reads an array's first line.
+func (r *Reader) arrayHeader() (v Value, err error) {
+	header, err := r.line()
 	if err != nil {
-		return v, endError(err, false)
+		return v, midMessageEOF(err, false)
 	}
-	n, err := parseLength(head[1:], MaxArgs)
+	n, err := parseLength(header[1:], MaxArgs)
 	return Value{Kind: Array, Len: n, Null: n < 0}, err
 }
 
@@ -84,12 +84,12 @@
 	if b, err := r.Peek(); err == nil && bytes.IndexByte(kinds, b) < 0 { // what is no RESP need not have a line's end
 		return v, protocolError("unknown type %q", b)
 	}
-	head, err := r.line()
+	header, err := r.line()
 	if err != nil {
-		return v, endError(err, depth > 0)
+		return v, midMessageEOF(err, depth > 0)
 	}
-	v.Kind = Kind(head[0])
-	text := head[1:]
+	v.Kind = Kind(header[0])
+	text := header[1:]
 	switch v.Kind {
 	case Status, Error:
 		v.Text = append([]byte(nil), text...)
--- a/internal/sockets/accept.go
+++ b/internal/sockets/accept.go
@@ -20,7 +20,7 @@
 
 // Accept accepts the next connection; what names its kind in the log. It repeats what can be repeated, and blocks meanwhile. Its
 // error is ErrEnded, or wraps that of a listener that can't be used any more.
-func Accept(l net.Listener, log *zap.Logger, what string) (net.Conn, error) {
+func Accept(l net.Listener, log *zap.Logger, connKind string) (net.Conn, error) {
 	var lastLogged time.Time
 	for {
 		conn, err := l.Accept()
@@ -31,11 +31,11 @@
 			return nil, ErrEnded
 		case Transient:
 		case Broken:
-			return nil, fmt.Errorf("%s could not be taken in: %w", what, err)
+			return nil, fmt.Errorf("%s could not be taken in: %w", connKind, err)
 		default:
 			if lastLogged.IsZero() || time.Since(lastLogged) >= shortageLogInterval {
 				lastLogged = time.Now()
-				log.Warn(what+" could not be taken in", zap.Error(err))
+				log.Warn(connKind+" could not be taken in", zap.Error(err))
 			}
 			time.Sleep(shortageRetryInterval)
 		}
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -15,27 +15,27 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// op wraps an error number as the net package does.
-func op(call string, n syscall.Errno) error {
+// syscallError wraps an error number as the net package does.
+func syscallError(call string, n syscall.Errno) error {
 	return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, n)}
 }
 
-// faulty is a listener that fails with the errors given, one a call, and then accepts.
-type faulty struct {
+// failingListener is a listener that fails with the errors given, one a call, and then accepts.
+type failingListener struct {
 	net.Listener
 	errs []error
 }
 
-func (f *faulty) Accept() (net.Conn, error) {
-	if len(f.errs) == 0 {
-		return f.Listener.Accept()
+func (l *failingListener) Accept() (net.Conn, error) {
+	if len(l.errs) == 0 {
+		return l.Listener.Accept()
 	}
-	err := f.errs[0]
-	f.errs = f.errs[1:]
+	err := l.errs[0]
+	l.errs = l.errs[1:]
 	return nil, err
 }
 
-func repeated(err error, n int) (errs []error) {
+func repeatError(err error, n int) (errs []error) {
 	for range n {
 		errs = append(errs, err)
 	}
@@ -45,7 +45,7 @@
 // Every transient error of accept(2) is passed over, and the connection behind it is accepted; a shortage
 // is logged once, not at each attempt.
 func TestAcceptGoesOn(t *testing.T) {
-	for errno, lines := range map[syscall.Errno]int{
+	for errno, wantLogLines := range map[syscall.Errno]int{
 		syscall.ECONNABORTED: 0, syscall.EINTR: 0, syscall.EAGAIN: 0, syscall.EPERM: 0, syscall.EPROTO: 0, syscall.ENETDOWN: 0,
 		syscall.ENOPROTOOPT: 0, syscall.EHOSTDOWN: 0, syscall.ENONET: 0, syscall.EHOSTUNREACH: 0, syscall.ENETUNREACH: 0,
 		syscall.ETIMEDOUT: 0, syscall.ECONNRESET: 0,
@@ -63,14 +63,14 @@
 				t.Fatal(err)
 			}
 			defer client.Close()
-			core, seen := observer.New(zap.WarnLevel)
-			conn, err := Accept(&faulty{l, repeated(op("accept4", errno), 5)}, zap.New(core), "a client")
+			core, logs := observer.New(zap.WarnLevel)
+			conn, err := Accept(&failingListener{l, repeatError(syscallError("accept4", errno), 5)}, zap.New(core), "a client")
 			if err != nil {
 				t.Fatal(err)
 			}
 			conn.Close()
-			if seen.Len() != lines {
-				t.Errorf("%d log lines, not %d", seen.Len(), lines)
+			if logs.Len() != wantLogLines {
+				t.Errorf("%d log lines, not %d", logs.Len(), wantLogLines)
 			}
 		})
 	}
@@ -79,7 +79,7 @@
 // A listener that can't be used says so, and one that was ended ends the loop.
 func TestAcceptEnds(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP, syscall.EFAULT} {
-		if _, err := Accept(&faulty{errs: []error{op("accept4", errno)}}, zap.NewNop(), "a client"); !errors.Is(err, errno) {
+		if _, err := Accept(&failingListener{errs: []error{syscallError("accept4", errno)}}, zap.NewNop(), "a client"); !errors.Is(err, errno) {
 			t.Errorf("%v: %v", errno, err)
 		}
 	}
@@ -104,11 +104,11 @@
 		want Class
 	}{
 		{nil, None},
-		{op("socket", syscall.EMFILE), Shortage}, {op("socket", syscall.ENFILE), Shortage}, {op("socket", syscall.ENOBUFS), Shortage},
-		{op("socket", syscall.ENOMEM), Shortage}, {op("connect", syscall.EADDRNOTAVAIL), Shortage},
-		{fmt.Errorf("to a server: %w", op("connect", syscall.EADDRNOTAVAIL)), Shortage},
-		{op("connect", syscall.ECONNREFUSED), Peer}, {op("connect", syscall.ECONNRESET), Peer},
-		{op("connect", syscall.EHOSTUNREACH), Peer}, {op("connect", syscall.ENETUNREACH), Peer}, {op("connect", syscall.ETIMEDOUT), Peer},
+		{syscallError("socket", syscall.EMFILE), Shortage}, {syscallError("socket", syscall.ENFILE), Shortage}, {syscallError("socket", syscall.ENOBUFS), Shortage},
+		{syscallError("socket", syscall.ENOMEM), Shortage}, {syscallError("connect", syscall.EADDRNOTAVAIL), Shortage},
+		{fmt.Errorf("to a server: %w", syscallError("connect", syscall.EADDRNOTAVAIL)), Shortage},
+		{syscallError("connect", syscall.ECONNREFUSED), Peer}, {syscallError("connect", syscall.ECONNRESET), Peer},
+		{syscallError("connect", syscall.EHOSTUNREACH), Peer}, {syscallError("connect", syscall.ENETUNREACH), Peer}, {syscallError("connect", syscall.ETIMEDOUT), Peer},
 		{io.EOF, Peer}, {context.Canceled, Peer}, {net.ErrClosed, Ended}, {os.ErrDeadlineExceeded, Ended},
 	} {
 		if got := ClassifyDialError(c.err); got != c.want {
