--- a/internal/front/eviction_test.go
+++ b/internal/front/eviction_test.go
@@ -14,10 +14,10 @@
 	"dewhitch/internal/resp"
 )
 
-// echo answers each command at once, but for WAIT, which it never answers.
-type echo struct{}
+// okCommands answers each command at once, but for WAIT, which it never answers.
+type okCommands struct{}
 
-func (echo) Do(_ time.Time, c resp.Command, s *Slot) {
+func (okCommands) Do(_ time.Time, c resp.Command, s *Slot) {
 	if string(c[0]) != "WAIT" {
 		s.Fill(resp.AppendStatus(nil, "OK"))
 	}
@@ -66,9 +66,9 @@
 // sendUntilEnded has a client send one command after another until so many others have ended, and fails if it is ended while it
 // does. A machine that stands still makes it an idle one: then it connects again.
 func (e *evictionTest) sendUntilEnded(busy net.Conn, answers *bufio.Reader, want int) {
-	seen := 0
+	endedCount := 0
 	lastSentAt := time.Now()
-	for begin := lastSentAt; time.Since(begin) < 10*time.Second && seen < want; {
+	for begin := lastSentAt; time.Since(begin) < 10*time.Second && endedCount < want; {
 		busy.Write([]byte("*1\r\n$4\r\nECHO\r\n"))
 		line, err := answers.ReadString('\n')
 		if gap := time.Since(lastSentAt); err != nil && gap < evictableAfter {
@@ -79,12 +79,12 @@
 		lastSentAt = time.Now()
 		select {
 		case <-e.ended:
-			seen++
+			endedCount++
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
-	if seen < want {
-		e.t.Fatalf("%d of 40 ended", seen)
+	if endedCount < want {
+		e.t.Fatalf("%d of 40 ended", endedCount)
 	}
 }
 
@@ -97,12 +97,12 @@
 		t.Fatal(err)
 	}
 	ctx, stop := context.WithCancel(t.Context())
-	f := &Server{Listener: l, NewCommands: func() Commands { return echo{} }, MaxSessions: 100, MaxIdleSessions: 10, Bounds: NewBounds(64 << 20),
+	srv := &Server{Listener: l, NewCommands: func() Commands { return okCommands{} }, MaxSessions: 100, MaxIdleSessions: 10, Bounds: NewBounds(64 << 20),
 		Log: zap.NewNop()}
-	over := make(chan error, 1)
-	go func() { over <- f.Serve(ctx) }()
+	served := make(chan error, 1)
+	go func() { served <- srv.Serve(ctx) }()
 	e := &evictionTest{t: t, l: l, ctx: ctx, ended: make(chan int, 40)}
-	owed, _ := e.dial("WAIT")
+	pending, _ := e.dial("WAIT")
 	silent, _ := e.dial("")
 	slow, _ := e.dial("ECHO")
 	slow.Write([]byte("*1\r\n$4\r\nEC"))
@@ -113,15 +113,15 @@
 	if len(e.ended) > 0 {
 		t.Errorf("%d more than 33 ended", len(e.ended))
 	}
-	for name, c := range map[string]net.Conn{"that is owed an answer": owed, "that never asked": silent, "that is slow": slow} {
+	for name, c := range map[string]net.Conn{"that is owed an answer": pending, "that never asked": silent, "that is slow": slow} {
 		c.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
 			t.Errorf("the one %s: %v", name, err)
 		}
 	}
-	owed.Close() // or the end waits for its answer
+	pending.Close() // or the end waits for its answer
 	stop()
-	if err := <-over; err != nil {
+	if err := <-served; err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/front/fate_test.go
+++ b/internal/front/fate_test.go
@@ -10,94 +10,94 @@
 	"dewhitch/internal/resp"
 )
 
-// half is a client's connection that takes so many bytes and then breaks in the middle of a write.
-type half struct {
+// breakingConn is a client's connection that takes so many bytes and then breaks in the middle of a write.
+type breakingConn struct {
 	net.Conn
-	in       chan []byte
+	input    chan []byte
 	capacity int
 	mu       sync.Mutex
 	closed   bool
 }
 
-func (h *half) Read(b []byte) (int, error) {
-	text, ok := <-h.in
+func (c *breakingConn) Read(b []byte) (int, error) {
+	text, ok := <-c.input
 	if !ok {
 		return 0, net.ErrClosed
 	}
 	return copy(b, text), nil
 }
 
-func (h *half) Write(b []byte) (int, error) {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	n := min(len(b), h.capacity)
-	if h.capacity -= n; n < len(b) {
+func (c *breakingConn) Write(b []byte) (int, error) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	n := min(len(b), c.capacity)
+	if c.capacity -= n; n < len(b) {
 		return n, errors.New("broken")
 	}
 	return n, nil
 }
 
-func (h *half) Close() error {
-	h.mu.Lock()
-	defer h.mu.Unlock()
-	if !h.closed {
-		h.closed = true
-		close(h.in)
+func (c *breakingConn) Close() error {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if !c.closed {
+		c.closed = true
+		close(c.input)
 	}
 	return nil
 }
 
-func (h *half) SetReadDeadline(time.Time) error  { return nil }
-func (h *half) SetWriteDeadline(time.Time) error { return nil }
+func (c *breakingConn) SetReadDeadline(time.Time) error  { return nil }
+func (c *breakingConn) SetWriteDeadline(time.Time) error { return nil }
 
-// keep collects slots, for the test to fill.
-type keep struct {
-	mu    sync.Mutex
-	slots []*Slot
-	fates map[int][]Outcome
-	all   chan struct{} // closed when want slots are there
-	want  int
+// slotCollector collects slots, for the test to fill.
+type slotCollector struct {
+	mu       sync.Mutex
+	slots    []*Slot
+	outcomes map[int][]Outcome
+	all      chan struct{} // closed when want slots are there
+	want     int
 }
 
-func (k *keep) Do(_ time.Time, _ resp.Command, s *Slot) {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	i := len(k.slots)
-	k.slots = append(k.slots, s)
-	s.OnSettled(func(f Outcome) {
-		k.mu.Lock()
-		defer k.mu.Unlock()
-		k.fates[i] = append(k.fates[i], f)
+func (c *slotCollector) Do(_ time.Time, _ resp.Command, s *Slot) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	i := len(c.slots)
+	c.slots = append(c.slots, s)
+	s.OnSettled(func(outcome Outcome) {
+		c.mu.Lock()
+		defer c.mu.Unlock()
+		c.outcomes[i] = append(c.outcomes[i], outcome)
 	})
-	if len(k.slots) == k.want {
-		close(k.all)
+	if len(c.slots) == c.want {
+		close(c.all)
 	}
 }
 
 // Five commands are answered out of order and in one write, of which the client takes 25 bytes: two answers of ten and
 // half of a third. Each fate is reported once: an answer counts as written only with its last byte.
-func TestFates(t *testing.T) {
-	conn := &half{in: make(chan []byte, 1), capacity: 25}
-	k := &keep{fates: map[int][]Outcome{}, all: make(chan struct{}), want: 5}
-	s := newSession(conn, k, NewBounds(32<<20))
-	over := make(chan struct{})
-	go func() { s.run(); close(over) }()
+func TestOutcomesAfterPartialWrite(t *testing.T) {
+	conn := &breakingConn{input: make(chan []byte, 1), capacity: 25}
+	collector := &slotCollector{outcomes: map[int][]Outcome{}, all: make(chan struct{}), want: 5}
+	s := newSession(conn, collector, NewBounds(32<<20))
+	ended := make(chan struct{})
+	go func() { s.run(); close(ended) }()
 	var commands []byte
-	for range k.want {
+	for range collector.want {
 		commands = append(commands, "*1\r\n$4\r\nPING\r\n"...)
 	}
-	conn.in <- commands
-	<-k.all
+	conn.input <- commands
+	<-collector.all
 	answer := []byte("+12345678\r")[:10]
 	for _, i := range []int{3, 1, 2, 0} { // the fifth is never answered; nothing is written before the first is
-		k.slots[i].Fill(answer)
+		collector.slots[i].Fill(answer)
 	}
-	<-over
-	k.slots[4].Fill(answer) // too late: its fate is reported
-	k.mu.Lock()
-	defer k.mu.Unlock()
+	<-ended
+	collector.slots[4].Fill(answer) // too late: its fate is reported
+	collector.mu.Lock()
+	defer collector.mu.Unlock()
 	for i, want := range []Outcome{Written, Written, WriteFailed, WriteFailed, ClientDeparted} {
-		if got := k.fates[i]; len(got) != 1 || got[0] != want {
+		if got := collector.outcomes[i]; len(got) != 1 || got[0] != want {
 			t.Errorf("answer %d: %v, not %v", i, got, want)
 		}
 	}
--- a/internal/front/golden_test.go
+++ b/internal/front/golden_test.go
@@ -9,9 +9,9 @@
 
 // TestGoldenCloseReasons keeps the words for why connections ended, in their order: a label of a metric, and in logs.
 func TestGoldenCloseReasons(t *testing.T) {
-	var words strings.Builder
+	var names strings.Builder
 	for r := range closeReasonCount {
-		words.WriteString(r.String() + "\n")
+		names.WriteString(r.String() + "\n")
 	}
-	golden.Compare(t, "close_reasons", []byte(words.String()))
+	golden.Compare(t, "close_reasons", []byte(names.String()))
 }
--- a/internal/front/golden_wire_test.go
+++ b/internal/front/golden_wire_test.go
@@ -17,10 +17,10 @@
 
 func (scriptedValue) Close() {}
 
-// scripted gives each form of answer that a slot takes, by the command's name.
-type scripted struct{}
+// scriptedCommands gives each form of answer that a slot takes, by the command's name.
+type scriptedCommands struct{}
 
-func (scripted) Do(_ time.Time, cmd resp.Command, s *Slot) {
+func (scriptedCommands) Do(_ time.Time, cmd resp.Command, s *Slot) {
 	switch string(cmd[0]) {
 	case "STATUS":
 		s.Fill(resp.AppendStatus(nil, "OK"))
@@ -36,17 +36,17 @@
 // What a session writes: each form of answer in the commands' order, and the error of a stream that breaks the protocol, behind which
 // it ends. Clients read it.
 func TestGoldenSession(t *testing.T) {
-	word := func(words ...string) string {
+	command := func(words ...string) string {
 		b := resp.AppendArray(nil, len(words))
 		for _, w := range words {
 			b = resp.AppendBulk(b, w)
 		}
 		return string(b)
 	}
-	const many = resp.MaxBulk + 1
+	const tooLarge = resp.MaxBulk + 1
 	var b []byte
 	for _, in := range []string{
-		word("STATUS") + word("VALUE") + word("STATUS", "x") + word("REJECT") + word("LAST"),
+		command("STATUS") + command("VALUE") + command("STATUS", "x") + command("REJECT") + command("LAST"),
 		"PING\r\n",
 		"*x\r\n",
 		"*0\r\n",
@@ -55,15 +55,15 @@
 		"*1\r\n:1\r\n",
 		"*1\r\n$-1\r\n",
 		"*1\r\n$-2\r\n",
-		fmt.Sprintf("*1\r\n$%d\r\n", many),
+		fmt.Sprintf("*1\r\n$%d\r\n", tooLarge),
 		"*1\r\n$1\r\nabc\r\n",
 		"*1\n",
 		"*1\r1\r\n",
 		"*1\r\n$" + strings.Repeat("1", resp.MaxLine+2) + "\r\n",
 	} {
-		c, _, _ := pair(t, scripted{}, false)
+		c, _, _ := newSessionPair(t, scriptedCommands{}, false)
 		c.Write([]byte(in))
-		b = fmt.Appendf(b, "%.200q\n\t%q\n", in, answers(t, c))
+		b = fmt.Appendf(b, "%.200q\n\t%q\n", in, readUntilClosed(t, c))
 	}
 	golden.Compare(t, "session.txt", fmt.Appendf(b, "%v\n", errCommandTimeout))
 }
--- a/internal/front/hangup_test.go
+++ b/internal/front/hangup_test.go
@@ -18,8 +18,8 @@
 // that others hold. Its open request must not be forwarded, so that those who work for it are notified within the term, by
 // session.watchForHangUp. A close that was noticed by reading alone was reported after 750 ms, the pause, and in the other case not
 // within the second looked at.
-func TestCloseIsSeenWhileNothingIsRead(t *testing.T) {
-	for name, wait := range map[string]func(t *testing.T, s *session) (next string){
+func TestHangUpIsDetectedWhileNothingIsRead(t *testing.T) {
+	for name, block := range map[string]func(t *testing.T, s *session) (next string){
 		"behind a pause": func(_ *testing.T, s *session) string {
 			s.mu.Lock()
 			s.faultyCommands = maxFaults - 2 // the next pause is the longest
@@ -36,12 +36,12 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			d := &refusing{slow{answer: make(chan struct{})}}
-			defer close(d.answer)
-			c, _, s := pair(t, d, false)
-			next := wait(t, s)
+			commands := &rejectBadCommands{delayedCommands{answer: make(chan struct{})}}
+			defer close(commands.answer)
+			c, _, s := newSessionPair(t, commands, false)
+			next := block(t, s)
 			c.Write([]byte(ping))
-			eventually(t, "the request is not taken", func() bool { return d.started.Load() == 1 })
+			eventually(t, "the request is not taken", func() bool { return commands.started.Load() == 1 })
 			c.Write([]byte(next))
 			eventually(t, "the session still reads", func() bool {
 				s.mu.Lock()
@@ -50,7 +50,7 @@
 			})
 			closed := time.Now()
 			c.Close()
-			for d.clientsLeft.Load() == 0 && time.Since(closed) < time.Second {
+			for commands.clientsDeparted.Load() == 0 && time.Since(closed) < time.Second {
 				time.Sleep(time.Millisecond)
 			}
 			if elapsed := time.Since(closed); elapsed > hangUpTerm+hangUpSlack {
--- a/internal/front/lifecycle_test.go
+++ b/internal/front/lifecycle_test.go
@@ -8,15 +8,15 @@
 )
 
 // The times of a drain hold the operators' term with the margins that they ask for.
-func TestDrainTimesHoldTheTerm(t *testing.T) {
-	called := time.Now()
-	d := newDrainTimes(called)
+func TestDrainTimesMeetTheTerm(t *testing.T) {
+	calledAt := time.Now()
+	d := newDrainTimes(calledAt)
 	// The rule allows sockets 50 ms; the gateway may be held up between its clock and the read, and again before.
-	if last := d.readUntil.Add(2 * stallMargin); drainTerm-last.Sub(called) < recentWindow {
-		t.Errorf("a request that is read %v after the call would be recent at the end of the term", last.Sub(called))
+	if latest := d.readUntil.Add(2 * stallMargin); drainTerm-latest.Sub(calledAt) < recentWindow {
+		t.Errorf("a request that is read %v after the call would be recent at the end of the term", latest.Sub(calledAt))
 	}
-	if last := d.closeAt.Add(stallMargin); last.Sub(called) >= drainTerm {
-		t.Errorf("a connection may be held for %v", last.Sub(called))
+	if latest := d.closeAt.Add(stallMargin); latest.Sub(calledAt) >= drainTerm {
+		t.Errorf("a connection may be held for %v", latest.Sub(calledAt))
 	}
 	// A wall clock that is stepped moves neither: both carry the monotonic clock's reading.
 	for _, at := range []time.Time{d.readUntil, d.closeAt} {
@@ -28,26 +28,26 @@
 
 // Whatever happens to a connection, in whatever order: its state never goes back, its times never move later once it
 // drains, nothing is read after its time, and a draining connection that is owed nothing is closed in time.
-func TestLifecycleHoldsItsTimes(t *testing.T) {
-	const seed, worlds, steps = 20261202, 20_000, 20
+func TestLifecycleInvariants(t *testing.T) {
+	const seed, runs, steps = 20261202, 20_000, 20
 	t.Logf("seed %d", seed)
 	rng := rand.New(rand.NewPCG(seed, 37))
-	begin := time.Now() // of a clock that only the test moves
-	for world := range worlds {
+	start := time.Now() // of a clock that only the test moves
+	for run := range runs {
 		var l lifecycle
-		var called time.Time // of the first drain; zero: none
-		now, born := begin, begin
+		var calledAt time.Time // of the first drain; zero: none
+		now, acceptedAt := start, start
 		for range steps {
 			now = now.Add(time.Duration(rng.Int64N(int64(400 * time.Millisecond))))
 			before := l
 			switch rng.IntN(6) {
 			case 0:
-				var first time.Time
+				var firstCommandBy time.Time
 				if rng.IntN(2) == 0 {
-					first = born.Add(firstCommandTime)
+					firstCommandBy = acceptedAt.Add(firstCommandTime)
 				}
-				if l.drain(newDrainTimes(now), first) {
-					called = now
+				if l.drain(newDrainTimes(now), firstCommandBy) {
+					calledAt = now
 				}
 			case 1:
 				l.limitReading(now.Add(stopReadTime))
@@ -60,72 +60,72 @@
 					l.abandon(now)
 				}
 			}
-			checkStep(t, world, before, l, now)
+			checkStep(t, run, before, l, now)
 			if t.Failed() {
 				return
 			}
-			if !called.IsZero() {
-				checkDrained(t, world, l, called, now)
+			if !calledAt.IsZero() {
+				checkDrained(t, run, l, calledAt, now)
 			}
 		}
 	}
 }
 
-func checkStep(t *testing.T, world int, before, l lifecycle, now time.Time) {
+func checkStep(t *testing.T, run int, before, l lifecycle, now time.Time) {
 	t.Helper()
 	if l.state < before.state {
-		t.Errorf("world %d: from state %d back to %d", world, before.state, l.state)
+		t.Errorf("world %d: from state %d back to %d", run, before.state, l.state)
 	}
 	if before.state == stateDraining && l.readUntil.After(before.readUntil) {
-		t.Errorf("world %d: the time to take requests went from %v to %v", world, before.readUntil, l.readUntil)
+		t.Errorf("world %d: the time to take requests went from %v to %v", run, before.readUntil, l.readUntil)
 	}
 	if reads := l.mayRead(now); reads && (l.state >= stateClosing || l.state == stateDraining && !now.Before(l.readUntil)) {
-		t.Errorf("world %d: state %d reads", world, l.state)
+		t.Errorf("world %d: state %d reads", run, l.state)
 	} else if !reads && l.state == stateOpen {
-		t.Errorf("world %d: an open connection does not read", world)
+		t.Errorf("world %d: an open connection does not read", run)
 	}
 	if l.state == stateDraining && l.limitReadDeadline(now.Add(time.Hour)).After(l.readUntil) {
-		t.Errorf("world %d: a read goes on beyond the time to take requests", world)
+		t.Errorf("world %d: a read goes on beyond the time to take requests", run)
 	}
 }
 
 // checkDrained holds a connection to the term: called is when the gateway was drained.
-func checkDrained(t *testing.T, world int, l lifecycle, called, now time.Time) {
+func checkDrained(t *testing.T, run int, l lifecycle, calledAt, now time.Time) {
 	t.Helper()
-	if now.Sub(called) >= drainReadTime+firstCommandTime && l.mayRead(now) {
-		t.Errorf("world %d: it reads %v after the call", world, now.Sub(called))
+	if now.Sub(calledAt) >= drainReadTime+firstCommandTime && l.mayRead(now) {
+		t.Errorf("world %d: it reads %v after the call", run, now.Sub(calledAt))
 	}
-	if read := called.Add(drainReadTime); l.state == stateDraining && !l.mustReject(read) {
-		t.Errorf("world %d: a request that is read %v after the call is not refused", world, drainReadTime)
+	if readAt := calledAt.Add(drainReadTime); l.state == stateDraining && !l.mustReject(readAt) {
+		t.Errorf("world %d: a request that is read %v after the call is not refused", run, drainReadTime)
 	}
-	if l.state == stateClosed && !l.closeAt.Before(called.Add(drainTerm)) && now.Before(called.Add(drainTerm-discardTime)) {
-		t.Errorf("world %d: closed %v after the call, and held for %v", world, now.Sub(called), l.closeAt.Sub(called))
+	if l.state == stateClosed && !l.closeAt.Before(calledAt.Add(drainTerm)) && now.Before(calledAt.Add(drainTerm-discardTime)) {
+		t.Errorf("world %d: closed %v after the call, and held for %v", run, now.Sub(calledAt), l.closeAt.Sub(calledAt))
 	}
 }
 
 // A drain that comes again, ends and begins anew, or meets the gateway's end, gives nobody more time.
-func TestDrainAgainGivesNoMoreTime(t *testing.T) {
-	begin := time.Now()
+func TestRepeatedDrainDoesNotExtendDeadlines(t *testing.T) {
+	start := time.Now()
 	var l lifecycle
-	l.drain(newDrainTimes(begin), time.Time{})
-	if l.drain(newDrainTimes(begin.Add(time.Second)), time.Time{}) || l.readUntil != begin.Add(drainReadTime) {
+	l.drain(newDrainTimes(start), time.Time{})
+	if l.drain(newDrainTimes(start.Add(time.Second)), time.Time{}) || l.readUntil != start.Add(drainReadTime) {
 		t.Errorf("after a second drain: %+v", l)
 	}
-	l.limitReading(begin.Add(time.Hour))
-	if l.readUntil != begin.Add(drainReadTime) {
+	l.limitReading(start.Add(time.Hour))
+	if l.readUntil != start.Add(drainReadTime) {
 		t.Errorf("after a stop that is later: %+v", l)
 	}
-	l.limitReading(begin.Add(time.Second))
-	if l.readUntil != begin.Add(time.Second) {
+	l.limitReading(start.Add(time.Second))
+	if l.readUntil != start.Add(time.Second) {
 		t.Errorf("after a stop that is earlier: %+v", l)
 	}
 	l.stopReading()
-	l.closeWrite(begin.Add(drainCloseTime - time.Millisecond))
-	if want := begin.Add(drainCloseTime - time.Millisecond + minDiscardTime); l.closeAt != want {
-		t.Errorf("shut just before its end, it goes at %v, not %v", l.closeAt.Sub(begin), want.Sub(begin))
+	l.closeWrite(start.Add(drainCloseTime - time.Millisecond))
+	if want := start.Add(drainCloseTime - time.Millisecond + minDiscardTime); l.closeAt != want {
+		t.Errorf("shut just before its end, it goes at %v, not %v", l.closeAt.Sub(start), want.Sub(start))
 	}
-	l.closeWrite(begin.Add(time.Hour))
-	if l.closeAt.After(begin.Add(drainTerm)) {
+	l.closeWrite(start.Add(time.Hour))
+	if l.closeAt.After(start.Add(drainTerm)) {
 		t.Errorf("shut again: %+v", l)
 	}
 }
--- a/internal/front/limits/golden_test.go
+++ b/internal/front/limits/golden_test.go
@@ -102,9 +102,9 @@
 	server := &front.Server{Listener: l, Log: zap.NewNop(), Bounds: front.NewBounds(64 << 20), MaxSessions: 1,
 		NewCommands: func() front.Commands { return c }}
 	ctx, stop := context.WithCancel(t.Context())
-	over := make(chan struct{})
+	served := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(served)
 		server.Serve(ctx)
 	}()
 	client, err := standin.Dial(l.Addr().String(), 10*time.Second)
@@ -114,7 +114,7 @@
 	defer func() {
 		client.Close()
 		stop()
-		<-over
+		<-served
 	}()
 	client.SetDeadline(time.Now().Add(10 * time.Second))
 	if err := client.Send(words); err != nil {
--- a/internal/front/sessions/golden_test.go
+++ b/internal/front/sessions/golden_test.go
@@ -20,14 +20,14 @@
 	"dewhitch/internal/standin"
 )
 
-// passed answers what a session hands on with the words that it was handed; drained, it has PING say so.
-type passed struct{ drained bool }
+// echoCommands answers what a session hands on with the words that it was handed; drained, it has PING say so.
+type echoCommands struct{ drained bool }
 
-func (p passed) Do(_ time.Time, cmd resp.Command, s *front.Slot) {
+func (c echoCommands) Do(_ time.Time, cmd resp.Command, s *front.Slot) {
 	s.Fill(resp.AppendBulk(nil, bytes.Join(cmd, []byte("|"))))
 }
 
-func (p passed) Drained() bool { return p.drained }
+func (c echoCommands) Drained() bool { return c.drained }
 
 // The answers about a session: HELLO, CLIENT, SELECT, ECHO, QUIT, COMMAND and PING, and their errors. RESP clients read them.
 func TestGoldenSession(t *testing.T) {
@@ -50,7 +50,7 @@
 		{"COMMAND INFO svc.query svc.submit limit.get limit.adjust", false},
 		{"SVC.SUBMIT a b c", false}, {"novel x", false},
 	} {
-		s := &Commands{Commands: passed{c.drained}, id: 7, name: "name-1", version: "v1.2.3"}
+		s := &Commands{Commands: echoCommands{c.drained}, id: 7, name: "name-1", version: "v1.2.3"}
 		b = append(b, exchange(t, s, strings.Fields(c.words)...)...)
 	}
 	golden.Compare(t, "session.txt", b)
@@ -58,7 +58,7 @@
 
 // The commands that COMMAND and COMMAND LIST tell of, which have no order. RESP clients read them.
 func TestGoldenCommandList(t *testing.T) {
-	s := &Commands{Commands: passed{}}
+	s := &Commands{Commands: echoCommands{}}
 	var b []byte
 	for _, words := range []string{"COMMAND LIST", "COMMAND"} {
 		text := exchange(t, s, strings.Fields(words)...)
@@ -80,9 +80,9 @@
 	server := &front.Server{Listener: l, Log: zap.NewNop(), Bounds: front.NewBounds(64 << 20), MaxSessions: 1,
 		NewCommands: func() front.Commands { return c }}
 	ctx, stop := context.WithCancel(t.Context())
-	over := make(chan struct{})
+	served := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(served)
 		server.Serve(ctx)
 	}()
 	client, err := standin.Dial(l.Addr().String(), 10*time.Second)
@@ -92,7 +92,7 @@
 	defer func() {
 		client.Close()
 		stop()
-		<-over
+		<-served
 	}()
 	client.SetDeadline(time.Now().Add(10 * time.Second))
 	if err := client.Send(words); err != nil {
