--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -9,38 +9,38 @@
 	"strconv"
 )
 
-// The bounds. A peer that exceeds one has broken the protocol.
+// Bounds on what is read. A peer that exceeds one violates the protocol.
 const (
-	MaxLine             = 4 << 10 // bytes of a line, its end included
-	MaxHeaders          = 64      // of an answer; trailers are bounded by the same number
-	MaxBody             = 1 << 20 // bytes that ReadBody reads
-	maxContentLength    = 1 << 30 // bytes of a body that is announced; readers have bounds of their own
-	maxInterimResponses = 8       // interim answers before the final one
+	MaxLine             = 4 << 10 // bytes of a line, including its CR LF
+	MaxHeaders          = 64      // headers of a response; the number of trailers has the same bound
+	MaxBody             = 1 << 20 // bytes of a body that ReadBody accepts
+	maxContentLength    = 1 << 30 // bytes that Content-Length may announce; the readers of a body have lower bounds
+	maxInterimResponses = 8       // interim (1xx) responses before the final one
 )
 
-// ErrProtocol is what every breach of the protocol wraps. The connection can't be read any further.
+// ErrProtocol is wrapped by every error that reports a violation of the protocol. After it, nothing more can be read from the connection.
 var ErrProtocol = errors.New("protocol error")
 
 func protocolError(reason string) error { return fmt.Errorf("%w: %s", ErrProtocol, reason) }
 
-// Response is the head of an answer.
+// Response is the head of a response: what the status line and the headers say about the body and the connection.
 type Response struct {
 	Status  int
-	Length  int  // of the body in bytes; -1: until the connection ends
-	Chunked bool // the body is in chunks, and Length does not count
-	Close   bool // the connection ends with this answer
+	Length  int  // bytes of the body; -1 if the body ends with the connection
+	Chunked bool // the body has the chunked encoding, and Length is unused
+	Close   bool // the server closes the connection after this response
 }
 
-// ReadResponse reads the head of an answer; the body is next in r. Interim answers before it are skipped. The error wraps
-// ErrProtocol, or is that of r; io.EOF means that r ended before the answer.
+// ReadResponse reads the head of a response and leaves r at the body. It skips interim responses. Its error wraps ErrProtocol, or is
+// an error of r; io.EOF means that r ended before the response began.
 func ReadResponse(r *bufio.Reader) (Response, error) {
 	for range maxInterimResponses {
 		resp, err := readHead(r)
-		if err != nil || resp.Status >= 200 || resp.Status == 101 { // nobody asked to switch protocols: it is final
+		if err != nil || resp.Status >= 200 || resp.Status == 101 { // 101 is final, as no request asks to switch protocols
 			return resp, err
 		}
 	}
-	return Response{}, protocolError("too many interim answers")
+	return Response{}, protocolError("too many interim responses")
 }
 
 // readHead reads a status line and the headers.
@@ -59,7 +59,7 @@
 			return resp, unexpectedEOF(err)
 		}
 		if len(line) == 0 {
-			if resp.Status < 200 || resp.Status == 204 || resp.Status == 304 { // such an answer has no body, whatever its headers say
+			if resp.Status < 200 || resp.Status == 204 || resp.Status == 304 { // such a response has no body, whatever its headers announce
 				resp.Length = 0
 				resp.Chunked = false
 			}
@@ -72,7 +72,7 @@
 	return resp, protocolError("too many headers")
 }
 
-// parseStatusLine takes a status line into a.
+// parseStatusLine sets Status and Close from a status line.
 func (resp *Response) parseStatusLine(line []byte) (err error) {
 	if len(line) < 12 || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[8] != ' ' || len(line) > 12 && line[12] != ' ' {
 		return protocolError("no status line")
@@ -85,7 +85,7 @@
 	return nil
 }
 
-// parseHeader takes a header into a. Those that say nothing of the body or the connection are ignored.
+// parseHeader sets the field for a header. It ignores headers that do not concern the body or the connection.
 func (resp *Response) parseHeader(line []byte) (err error) {
 	name, value, ok := bytes.Cut(line, []byte(":"))
 	if !ok {
@@ -109,7 +109,7 @@
 	return nil
 }
 
-// readLine returns the next line without its end; it is valid until the next read.
+// readLine returns the next line without its line end. The slice is valid until the next read.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	s, err := r.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) || err == nil && len(s) > MaxLine {
@@ -121,7 +121,7 @@
 	return bytes.TrimSuffix(s[:len(s)-1], []byte("\r")), nil
 }
 
-// unexpectedEOF is the error of a read within an answer, where the end of the stream is a fault.
+// unexpectedEOF replaces io.EOF with io.ErrUnexpectedEOF, for reads within a response.
 func unexpectedEOF(err error) error {
 	if errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
--- a/internal/http1/answer_test.go
+++ b/internal/http1/answer_test.go
@@ -9,6 +9,7 @@
 	"testing"
 )
 
+// readResponses reads responses from a stream until an error, and returns their statuses and bodies and the error as text.
 func readResponses(in string) (out string) {
 	r := bufio.NewReaderSize(strings.NewReader(in), MaxLine+2)
 	for {
@@ -24,7 +25,8 @@
 	}
 }
 
-// Each line of testdata/streams.txt is a stream, and the answers that are read from it.
+// TestStreams reads the stream in each line of testdata/streams.txt, and compares the responses and the final error with the rest of the
+// line.
 func TestStreams(t *testing.T) {
 	text, err := os.ReadFile("testdata/streams.txt")
 	if err != nil {
@@ -34,7 +36,7 @@
 		in, want, _ := strings.Cut(line, " => ")
 		in = strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace(in)
 		if got := readResponses(in); got != want {
-			t.Errorf("%q:\n got %s\nwant %s", in, got, want)
+			t.Errorf("stream %q:\n got %s\nwant %s", in, got, want)
 		}
 	}
 	if got := readResponses("HTTP/1.1 200 " + strings.Repeat("x", MaxLine)); got != "protocol error: line too long" {
@@ -46,7 +48,7 @@
 	got := AppendRequest(nil, "POST", "/counters/a.1?by=-2.5&expire_ms=4000", "127.0.0.1:1")
 	want := "POST /counters/a.1?by=-2.5&expire_ms=4000 HTTP/1.1\r\nHost: 127.0.0.1:1\r\nContent-Length: 0\r\n\r\n"
 	if string(got) != want {
-		t.Errorf("%q", got)
+		t.Errorf("AppendRequest returned an unexpected request: %q", got)
 	}
 }
 
@@ -57,7 +59,7 @@
 		r := bufio.NewReaderSize(bytes.NewReader(in), MaxLine+2)
 		if resp, err := ReadResponse(r); err == nil {
 			if body, _ := ReadBody(r, resp); len(body) > MaxBody+1 {
-				t.Errorf("%d bytes", len(body))
+				t.Errorf("ReadBody returned %d bytes, more than its limit", len(body))
 			}
 		}
 	})
--- a/internal/http1/body.go
+++ b/internal/http1/body.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// Body returns a reader of the body that follows a. It ends with io.EOF where the body does; a stream that ends before that
-// is io.ErrUnexpectedEOF.
+// Body returns a reader of the body that follows the head resp in r. It returns io.EOF at the end of the body, and
+// io.ErrUnexpectedEOF if the stream ends earlier.
 func Body(r *bufio.Reader, resp Response) io.Reader {
 	switch {
 	case resp.Chunked:
@@ -19,11 +19,11 @@
 	return r
 }
 
-// ReadBody reads a complete body, of MaxBody bytes at most.
+// ReadBody reads a complete body of at most MaxBody bytes. Its errors are those of ReadBodyUpTo.
 func ReadBody(r *bufio.Reader, resp Response) ([]byte, error) { return ReadBodyUpTo(r, resp, MaxBody) }
 
-// ReadBodyUpTo reads a complete body, of limit bytes at most. A longer one is an error that wraps ErrProtocol; with any error, what
-// was read comes too.
+// ReadBodyUpTo reads a complete body of at most limit bytes. For a longer body the error wraps ErrProtocol. With an error, it also
+// returns the bytes that were read before it.
 func ReadBodyUpTo(r *bufio.Reader, resp Response, limit int) ([]byte, error) {
 	if !resp.Chunked && resp.Length > limit {
 		return nil, protocolError("body too long")
@@ -36,10 +36,10 @@
 	return text.Bytes(), err
 }
 
-// fixedBody reads a body of a given length.
+// fixedBody reads a body whose length is known.
 type fixedBody struct {
 	r         io.Reader
-	remaining int // bytes
+	remaining int // bytes of the body that are unread
 }
 
 // Read implements io.Reader.
@@ -55,11 +55,11 @@
 	return n, err
 }
 
-// chunkedBody reads a chunked body.
+// chunkedBody reads a body in the chunked encoding.
 type chunkedBody struct {
 	r         *bufio.Reader
-	remaining int  // bytes of the chunk that is being read
-	begun     bool // a chunk was read
+	remaining int  // unread bytes of the current chunk
+	begun     bool // the first chunk was reached
 	ended     bool // the last chunk and the trailers were read
 }
 
@@ -81,7 +81,8 @@
 	return n, unexpectedEOF(err)
 }
 
-// nextChunk reads the end of the chunk before, if there is one, and the size of the next; a size of 0 ends the body.
+// nextChunk reads the line end after the previous chunk, if there is one, and the size of the next chunk. After a size of 0, which ends
+// the body, it reads the trailers.
 func (b *chunkedBody) nextChunk() error {
 	if b.begun {
 		line, err := readLine(b.r)
@@ -109,7 +110,7 @@
 	return b.skipTrailers()
 }
 
-// skipTrailers reads the trailers after the last chunk.
+// skipTrailers reads and drops the trailers after the last chunk.
 func (b *chunkedBody) skipTrailers() error {
 	for range MaxHeaders {
 		line, err := readLine(b.r)
--- a/internal/sockets/errors.go
+++ b/internal/sockets/errors.go
@@ -1,5 +1,5 @@
-// Package sockets classifies the errors of calls on sockets by what their callers can do about them, and accepts
-// connections by that. It owns no connection.
+// Package sockets classifies errors of socket calls by how the caller can react to them, and accepts connections accordingly. It
+// owns no connection.
 package sockets
 
 import (
@@ -10,37 +10,38 @@
 	"syscall"
 )
 
-// Class says what can be done about an error.
+// Class is a class of socket errors that call for the same reaction.
 type Class int
 
-// The classes.
+// The classes of errors, by what the caller can do.
 const (
-	None      Class = iota // there is no error
-	Ended                  // the caller's own side closed the socket, or its deadline passed
-	Transient              // the call can be repeated at once: what failed was one connection, or nothing
-	Shortage               // this machine lacks descriptors, memory or ports: the call can be repeated after a moment
-	Peer                   // the other side, or the way to it, failed
-	Broken                 // the socket can't be used any more
+	None      Class = iota // the call succeeded
+	Ended                  // this process closed the socket, or its deadline has passed
+	Transient              // the call can be repeated at once: at most one connection failed
+	Shortage               // this machine lacks descriptors, memory or ports: the call can be repeated after a pause
+	Peer                   // the peer or the network failed
+	Broken                 // the socket is unusable
 )
 
-// String is the name of the class.
+// String returns the name of the class.
 func (c Class) String() string {
 	return [...]string{"none", "ended", "transient", "shortage", "peer", "broken"}[c]
 }
 
-// transientAccept are the errors of accept(2) that concern the one connection that was being accepted: Linux returns errors that
-// are already pending on it.
+// transientAccept lists the errors of accept(2) that concern only the connection that was being accepted: Linux returns the network
+// errors that are already pending on the new socket.
 var transientAccept = []syscall.Errno{syscall.EINTR, syscall.EAGAIN, syscall.ECONNABORTED, syscall.EPERM, syscall.EPROTO,
 	syscall.ENOPROTOOPT, syscall.ENETDOWN, syscall.EHOSTDOWN, syscall.ENONET, syscall.EHOSTUNREACH, syscall.ENETUNREACH,
 	syscall.ETIMEDOUT, syscall.ECONNRESET}
 
-// shortage are the errors of accept(2), socket(2) and connect(2) for want of something on this machine.
+// shortage lists the errors of accept(2), socket(2) and connect(2) that are due to a lack of resources on this machine.
 var shortage = []syscall.Errno{syscall.EMFILE, syscall.ENFILE, syscall.ENOBUFS, syscall.ENOMEM, syscall.EADDRNOTAVAIL}
 
-// broken are the errors after which a socket can't be used any more.
+// broken lists the errors after which a socket is unusable.
 var broken = []syscall.Errno{syscall.EBADF, syscall.EFAULT, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP}
 
-// ClassifyAcceptError is the class of an error of accept. An unknown one is a shortage: a listener that was good is tried again.
+// ClassifyAcceptError returns the class of an error of accept. An unknown error counts as a shortage, so that the caller retries: the
+// listener worked before.
 func ClassifyAcceptError(err error) Class {
 	class, errno := classify(err)
 	switch {
@@ -54,13 +55,13 @@
 	return Shortage
 }
 
-// ClassifyDialError is the class of an error of a dial. Whatever the class, nothing was sent.
+// ClassifyDialError returns the class of an error of a dial. Whatever the class, nothing was sent to the peer.
 func ClassifyDialError(err error) Class {
 	class, _ := classify(err)
 	return class
 }
 
-// classify gives the class that an error has whatever the call, and its number, if it has one.
+// classify returns the class that an error has for any socket call, and its error number, or 0 if it has none.
 func classify(err error) (class Class, errno syscall.Errno) {
 	errors.As(err, &errno)
 	switch {
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -15,12 +15,12 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// syscallError wraps an error number as the net package does.
+// syscallError wraps an error number in the way of the net package.
 func syscallError(call string, n syscall.Errno) error {
 	return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, n)}
 }
 
-// failingListener is a listener that fails with the errors given, one a call, and then accepts.
+// failingListener is a listener whose Accept returns the errors of errs in order, one for each call, and then accepts connections.
 type failingListener struct {
 	net.Listener
 	errs []error
@@ -42,14 +42,14 @@
 	return errs
 }
 
-// Every transient error of accept(2) is passed over, and the connection behind it is accepted; a shortage
-// is logged once, not at each attempt.
-func TestAcceptGoesOn(t *testing.T) {
+// TestAcceptRetries guards against a gateway that stops accepting after an error that does not break the listener. Accept retries after
+// each such error and accepts the next connection. It logs a shortage once, and not at each attempt.
+func TestAcceptRetries(t *testing.T) {
 	for errno, wantLogLines := range map[syscall.Errno]int{
 		syscall.ECONNABORTED: 0, syscall.EINTR: 0, syscall.EAGAIN: 0, syscall.EPERM: 0, syscall.EPROTO: 0, syscall.ENETDOWN: 0,
 		syscall.ENOPROTOOPT: 0, syscall.EHOSTDOWN: 0, syscall.ENONET: 0, syscall.EHOSTUNREACH: 0, syscall.ENETUNREACH: 0,
 		syscall.ETIMEDOUT: 0, syscall.ECONNRESET: 0,
-		syscall.EMFILE: 1, syscall.ENFILE: 1, syscall.ENOBUFS: 1, syscall.ENOMEM: 1, syscall.EXDEV: 1, // the last is none that Linux names
+		syscall.EMFILE: 1, syscall.ENFILE: 1, syscall.ENOBUFS: 1, syscall.ENOMEM: 1, syscall.EXDEV: 1, // Linux does not document EXDEV for accept(2)
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
@@ -70,17 +70,17 @@
 			}
 			conn.Close()
 			if logs.Len() != wantLogLines {
-				t.Errorf("%d log lines, not %d", logs.Len(), wantLogLines)
+				t.Errorf("got %d log lines, expected %d", logs.Len(), wantLogLines)
 			}
 		})
 	}
 }
 
-// A listener that can't be used says so, and one that was ended ends the loop.
-func TestAcceptEnds(t *testing.T) {
+// TestAcceptReturnsFinalErrors checks that Accept returns the error of an unusable listener, and ErrEnded after the listener's deadline or close.
+func TestAcceptReturnsFinalErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP, syscall.EFAULT} {
 		if _, err := Accept(&failingListener{errs: []error{syscallError("accept4", errno)}}, zap.NewNop(), "a client"); !errors.Is(err, errno) {
-			t.Errorf("%v: %v", errno, err)
+			t.Errorf("got error %[2]v, expected one that wraps %[1]v", errno, err)
 		}
 	}
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -89,15 +89,15 @@
 	}
 	l.(*net.TCPListener).SetDeadline(time.Now())
 	if _, err := Accept(l, zap.NewNop(), "a client"); !errors.Is(err, ErrEnded) {
-		t.Errorf("at its deadline: %v", err)
+		t.Errorf("after the deadline: got error %v, expected ErrEnded", err)
 	}
 	l.Close()
 	if _, err := Accept(l, zap.NewNop(), "a client"); !errors.Is(err, ErrEnded) {
-		t.Errorf("closed: %v", err)
+		t.Errorf("after Close: got error %v, expected ErrEnded", err)
 	}
 }
 
-// What a dial fails with is this machine's shortage, or a matter of the other side.
+// TestDialClass checks that errors of a dial that are due to this machine's shortages are told from errors of the peer and the network.
 func TestDialClass(t *testing.T) {
 	for _, c := range []struct {
 		err  error
@@ -112,7 +112,7 @@
 		{io.EOF, Peer}, {context.Canceled, Peer}, {net.ErrClosed, Ended}, {os.ErrDeadlineExceeded, Ended},
 	} {
 		if got := ClassifyDialError(c.err); got != c.want {
-			t.Errorf("%v: %v, not %v", c.err, got, c.want)
+			t.Errorf("%v: got class %v, expected %v", c.err, got, c.want)
 		}
 	}
 }
