--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -1,6 +1,7 @@
 package resp
 
-// ReadCommand reads an array of bulk strings. io.EOF means that the stream ended between commands.
+// ReadCommand reads a command, which is an array of bulk strings. It returns io.EOF if the stream ended between commands, and an error
+// that wraps ErrProtocol for anything else than a command within the bounds.
 func (r *Reader) ReadCommand() (Command, error) {
 	header, err := r.line()
 	if err != nil {
@@ -17,7 +18,7 @@
 		return nil, protocolError("empty command")
 	}
 	c := make(Command, n)
-	totalBytes := 0 // bytes of the words so far
+	totalBytes := 0 // bytes of the arguments read so far
 	for i := range c {
 		size, err := r.argLength()
 		if err != nil {
@@ -34,7 +35,7 @@
 	return c, nil
 }
 
-// argLength reads the line before a word of a command, and returns the word's length in bytes.
+// argLength reads the header of an argument of a command, and returns the length of the argument in bytes.
 func (r *Reader) argLength() (int, error) {
 	header, err := r.line()
 	if err != nil {
--- a/internal/resp/golden_test.go
+++ b/internal/resp/golden_test.go
@@ -9,7 +9,8 @@
 	"dewhitch/internal/golden"
 )
 
-// Each kind of value as it is written, and as it is read from the same bytes. Clients, servers and planners read and write them.
+// TestGoldenValues compares the encoding of each kind of value with a golden file, and checks that the same bytes decode to the value.
+// Clients, servers and planners read and write these values.
 func TestGoldenValues(t *testing.T) {
 	b := AppendBulk(nil, "bulk\r\n1")
 	b = AppendBulk(b, []byte{})
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -8,19 +8,19 @@
 	"strconv"
 )
 
-// Reader reads commands or answers from a stream. It is not safe for concurrent use. An error of it wraps ErrProtocol, or is
-// that of the stream: io.EOF between two commands or answers, io.ErrUnexpectedEOF within one.
+// Reader reads commands or answers from a stream. It is not safe for concurrent use. Its errors wrap ErrProtocol, or are those of
+// the stream: io.EOF if it ends between two commands or answers, io.ErrUnexpectedEOF if it ends within one.
 type Reader struct{ b *bufio.Reader }
 
-// NewReader reads from r through a buffer of size bytes, or of one line if that is more.
+// NewReader returns a Reader of r whose buffer has bufferSize bytes, or enough for one line if that is more.
 func NewReader(r io.Reader, bufferSize int) *Reader {
 	return &Reader{bufio.NewReaderSize(r, max(bufferSize, MaxLine+2))}
 }
 
-// Buffered is how many bytes have been read ahead.
+// Buffered returns the number of bytes that are in the buffer and unread.
 func (r *Reader) Buffered() int { return r.b.Buffered() }
 
-// Peek waits for the first byte of what comes next, and returns it without reading it.
+// Peek waits for the next byte, and returns it without consuming it.
 func (r *Reader) Peek() (byte, error) {
 	b, err := r.b.Peek(1)
 	if err != nil {
@@ -29,10 +29,10 @@
 	return b[0], nil
 }
 
-// Read reads what comes next as it is.
+// Read reads the next bytes without decoding them.
 func (r *Reader) Read(b []byte) (int, error) { return r.b.Read(b) }
 
-// line returns the next line without its end; it is valid until the next read.
+// line returns the next line without its CR LF. The slice is valid until the next read.
 func (r *Reader) line() ([]byte, error) {
 	s, err := r.b.ReadSlice('\n')
 	if errors.Is(err, bufio.ErrBufferFull) || err == nil && len(s) > MaxLine+2 {
@@ -45,14 +45,14 @@
 		return nil, protocolError("line does not end in CR LF")
 	}
 	s = s[:len(s)-2]
-	if bytes.IndexByte(s, '\r') >= 0 { // a peer that it is forwarded to would end the line there
+	if bytes.IndexByte(s, '\r') >= 0 { // a peer to which the line is forwarded could end it at the CR
 		return nil, protocolError("CR within a line")
 	}
 	return s, nil
 }
 
-// bulk reads the n bytes of a bulk string and the line end after them. A length is easily announced, so memory is allocated for what has
-// come, doubling each time.
+// bulk reads the n bytes of a bulk string and its end. A peer can announce any length at no cost, so the buffer starts at
+// firstAllocation bytes and doubles as bytes arrive.
 func (r *Reader) bulk(n int) ([]byte, error) {
 	size := n + len(BulkEnd)
 	b := make([]byte, min(size, firstAllocation))
@@ -72,7 +72,7 @@
 	return b[:n:n], nil
 }
 
-// midMessageEOF tells the end of a stream within a command or answer from one between two.
+// midMessageEOF replaces io.EOF with io.ErrUnexpectedEOF if the stream ended within a command or answer.
 func midMessageEOF(err error, midMessage bool) error {
 	if midMessage && errors.Is(err, io.EOF) {
 		return io.ErrUnexpectedEOF
@@ -80,6 +80,7 @@
 	return err
 }
 
+// parseInteger parses a decimal integer that may have a minus sign, but no plus sign.
 func parseInteger(s []byte) (int64, error) {
 	v, err := strconv.ParseInt(string(s), 10, 64)
 	if err != nil || len(s) > 0 && s[0] == '+' {
@@ -88,7 +89,7 @@
 	return v, nil
 }
 
-// parseLength parses a length of limit at most; -1 stands for null.
+// parseLength parses a length of at most limit; -1 stands for null.
 func parseLength(s []byte, limit int64) (int, error) {
 	n, err := parseInteger(s)
 	if err != nil {
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -10,7 +10,8 @@
 	"testing"
 )
 
-// Each line of testdata/streams.txt is a stream, and what its reading as commands comes to.
+// TestStreams reads the stream in each line of testdata/streams.txt as commands, and compares the commands and the final error with the
+// rest of the line.
 func TestStreams(t *testing.T) {
 	text, err := os.ReadFile("testdata/streams.txt")
 	if err != nil {
@@ -29,11 +30,13 @@
 			got += string(bytes.Join(c, []byte("|"))) + ";"
 		}
 		if got != want {
-			t.Errorf("%q:\n got %s\nwant %s", in, got, want)
+			t.Errorf("stream %q:\n got %s\nwant %s", in, got, want)
 		}
 	}
 }
 
+// TestMaximumSizes checks that a bulk string of MaxBulk bytes is read, that a line of over MaxLine bytes is a protocol error even if
+// it fits into the buffer, and that the text of an error line cannot contain a line end.
 func TestMaximumSizes(t *testing.T) {
 	body := bytes.Repeat([]byte("x"), MaxBulk)
 	b := AppendBulk(AppendBulk(AppendArray(nil, 2), "SET"), body)
@@ -42,36 +45,38 @@
 	}
 	long := "+" + strings.Repeat("x", MaxLine+1) + "\r\n"
 	if _, err := NewReader(strings.NewReader(long), 1<<16).ReadValue(); !errors.Is(err, ErrProtocol) {
-		t.Error("a line that is too long is read:", err)
+		t.Error("a line of over MaxLine bytes: expected a protocol error, got", err)
 	}
-	// What a peer sent may stand in a line, but can't end it.
+	// An error line may contain text that a peer sent, which must not end the line.
 	if got := string(AppendError(nil, "ERR a\r\n+PONG")); got != "-ERR a  +PONG\r\n" {
-		t.Errorf("%q", got)
+		t.Errorf("AppendError with a line end in its text: got %q", got)
 	}
 }
 
-// Whatever is read is written as it was read, and nothing makes a reader panic.
+// FuzzValue checks that no input makes a reader panic, that ReadAnswer returns the same as ReadValue for all answers without a large
+// first item, and that AppendValue writes a value from which the same value is read.
 func FuzzValue(f *testing.F) {
 	for _, s := range []string{"*2\r\n$70000\r\n", "*1\r\n$-1\r\n", "$-1\r\n", "*3\r\n$1\r\na\r\n$-1\r\n:7\r\n", "-BUSY 20\r\n", "*1\r\n*1\r\n*0\r\n", "+\r\n"} {
 		f.Add([]byte(s))
 	}
 	f.Fuzz(func(t *testing.T, in []byte) {
 		v, err := NewReader(bytes.NewReader(in), 0).ReadValue()
-		// An answer is read as any value, but for a large one at its beginning.
+		// ReadAnswer differs from ReadValue only for an array that begins with a large bulk string.
 		answer, large, answerErr := NewReader(bytes.NewReader(in), 0).ReadAnswer()
 		if large == 0 && ((err == nil) != (answerErr == nil) || err == nil && !reflect.DeepEqual(v, answer)) || large > 0 && err == nil {
-			t.Errorf("%q: %+v, %v; as an answer %+v, %d, %v", in, v, err, answer, large, answerErr)
+			t.Errorf("%q: ReadValue returned %+v, %v; ReadAnswer returned %+v, %d, %v", in, v, err, answer, large, answerErr)
 		}
 		if err != nil {
 			return
 		}
 		again, err := NewReader(bytes.NewReader(AppendValue(nil, v)), 0).ReadValue()
 		if err != nil || !reflect.DeepEqual(v, again) {
-			t.Errorf("%q: %+v, and then %+v, %v", in, v, again, err)
+			t.Errorf("%q: read %+v; after AppendValue, read %+v, %v", in, v, again, err)
 		}
 	})
 }
 
+// FuzzCommand checks that ReadCommand ends every input with one of its documented errors, and returns 1 to MaxArgs arguments.
 func FuzzCommand(f *testing.F) {
 	f.Add([]byte("*2\r\n$4\r\nPING\r\n$0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
@@ -84,7 +89,7 @@
 				return
 			}
 			if len(c) == 0 || len(c) > MaxArgs {
-				t.Errorf("%d words", len(c))
+				t.Errorf("a command of %d arguments was read", len(c))
 			}
 		}
 	})
--- a/internal/resp/value.go
+++ b/internal/resp/value.go
@@ -2,11 +2,12 @@
 
 import "bytes"
 
-// ReadValue reads one answer.
+// ReadValue reads one answer, with bulk strings of at most MaxBulk bytes.
 func (r *Reader) ReadValue() (Value, error) { return r.value(0) }
 
-// ReadAnswer reads one answer, but for an array that begins with a bulk string of over MaxBulk bytes: of that it reads up to the
-// string's first byte, and returns the string's length as large. Read then gives the string, and ReadRest what follows it.
+// ReadAnswer reads one answer. If the answer is an array that begins with a bulk string of over MaxBulk bytes, it stops before the
+// string's first byte and returns the string's length as large. The caller then reads the string with Read and the rest of the array
+// with ReadRest. Otherwise, large is 0.
 func (r *Reader) ReadAnswer() (v Value, large int, err error) {
 	if b, err := r.Peek(); err != nil || Kind(b) != Array {
 		v, err = r.value(0)
@@ -27,7 +28,7 @@
 	return v, 0, err
 }
 
-// bulkUnlessLarge reads a bulk string, but of one of over MaxBulk bytes the length alone.
+// bulkUnlessLarge reads a bulk string. If it has over MaxBulk bytes, it reads only the header and returns the length as large.
 func (r *Reader) bulkUnlessLarge() (v Value, large int, err error) {
 	header, err := r.line()
 	if err != nil {
@@ -47,7 +48,7 @@
 	return v, 0, err
 }
 
-// ReadRest reads what follows a large bulk string that was read to its last byte: its end, and the array's other items.
+// ReadRest reads the rest of an array after the last byte of a large bulk string was read: the end of the string, and the other items.
 func (r *Reader) ReadRest(v *Value) error {
 	end, err := r.bulk(0)
 	if err != nil {
@@ -57,7 +58,7 @@
 	return r.items(v, 0)
 }
 
-// arrayHeader reads an array's first line.
+// arrayHeader reads the first line of an array.
 func (r *Reader) arrayHeader() (v Value, err error) {
 	header, err := r.line()
 	if err != nil {
@@ -67,7 +68,7 @@
 	return Value{Kind: Array, Len: n, Null: n < 0}, err
 }
 
-// items reads the items of an array that are not read yet.
+// items reads the items of an array that are missing in v.Items.
 func (r *Reader) items(v *Value, depth int) error {
 	for len(v.Items) < v.Len {
 		item, err := r.value(depth + 1)
@@ -79,9 +80,9 @@
 	return nil
 }
 
-// value reads a value; of an array that breaks off, what was read of it comes with the error.
+// value reads a value at a depth of nested arrays. If an array breaks off, it returns the items that were read, with the error.
 func (r *Reader) value(depth int) (v Value, err error) {
-	if b, err := r.Peek(); err == nil && bytes.IndexByte(kinds, b) < 0 { // what is no RESP need not have a line's end
+	if b, err := r.Peek(); err == nil && bytes.IndexByte(kinds, b) < 0 { // other input may have no line end: do not wait for one
 		return v, protocolError("unknown type %q", b)
 	}
 	header, err := r.line()
@@ -95,7 +96,7 @@
 		v.Text = append([]byte(nil), text...)
 	case Integer:
 		v.Int, err = parseInteger(text)
-		if err != nil { // the line was complete, so what follows can be read
+		if err != nil { // the line is complete, so the value after it can be read
 			v.Text = append([]byte(nil), text...)
 			err = nil
 		}
