--- a/internal/front/bounds.go
+++ b/internal/front/bounds.go
@@ -8,25 +8,26 @@
 	"dewhitch/internal/resp"
 )
 
-// Bounds limit the memory that all client sessions of a gateway use. They are safe for any goroutine.
+// Bounds limits the memory that all client sessions of a gateway use together. It is safe for concurrent use.
 type Bounds struct {
-	maxUnsent      int64               // bytes of unsent answers of a session, beyond which none of its commands is read
-	maxUnsentTotal int64               // bytes of unsent answers of all sessions, beyond which a session over maxUnsent is ended
-	unsentTotal    atomic.Int64        // bytes of unsent answers of all sessions
-	largeCommands  *semaphore.Weighted // bytes of large commands without an answer
+	maxUnsent      int64               // bytes of unsent answers of a session, above which no more of its commands are read
+	maxUnsentTotal int64               // bytes of unsent answers of all sessions, above which a session over maxUnsent is closed
+	unsentTotal    atomic.Int64        // current bytes of unsent answers of all sessions
+	largeCommands  *semaphore.Weighted // bytes of large commands that are not answered yet
 }
 
-// Shares of the memory, as a constant that fits one machine would exceed a smaller one.
+// Limits of the memory of sessions. Most are shares of the machine's memory, because a constant that fits one machine exceeds the memory
+// of a smaller one.
 const (
-	unsentMemoryDivisor  = 8         // one in so many bytes of memory, for unsent answers
-	sessionUnsentDivisor = 8         // one in so many of those, for each session
-	maxSessionUnsent     = 512 << 10 // bytes, for each session of a machine of any size
-	largeMemoryDivisor   = 8         // one in so many bytes of memory, for large commands
-	maxPipelined         = 64        // commands of a session without an answer; more are left unread
-	minLargeCommand      = 2 << 10   // bytes; only larger commands count as large
+	unsentMemoryDivisor  = 8         // the unsent answers of all sessions get the memory divided by this
+	sessionUnsentDivisor = 8         // each session gets the memory for unsent answers divided by this
+	maxSessionUnsent     = 512 << 10 // bytes of unsent answers of a session on a machine of any size
+	largeMemoryDivisor   = 8         // large commands get the memory divided by this
+	maxPipelined         = 64        // commands of a session that may be unanswered; further ones stay unread
+	minLargeCommand      = 2 << 10   // bytes of a command, above which it counts as large
 )
 
-// NewBounds divides so many bytes of memory.
+// NewBounds returns the bounds for a gateway that may use memoryBytes bytes. One command of maximum size fits in any case.
 func NewBounds(memoryBytes int) *Bounds {
 	unsent := int64(memoryBytes / unsentMemoryDivisor)
 	large := int64(max(memoryBytes/largeMemoryDivisor, resp.MaxCommand))
--- a/internal/front/closing.go
+++ b/internal/front/closing.go
@@ -9,42 +9,43 @@
 	"go.uber.org/zap"
 )
 
-// CloseReason is why a client connection ended.
+// CloseReason is the reason for which a client connection was closed.
 type CloseReason int
 
-// The reasons.
+// The reasons for closing a connection, in the order of their names in closeReasonNames.
 const (
-	ClosedByClient  CloseReason = iota // it closed or half-closed, or its connection broke
-	ClosedIdle                         // it asked for nothing for too long
-	ClosedEvicted                      // to release its place to another client
+	ClosedByClient  CloseReason = iota // the client closed or half-closed the connection, or the connection broke
+	ClosedIdle                         // the client sent no command for too long
+	ClosedEvicted                      // the place was needed for another client
 	ClosedDrained                      // the gateway was drained
-	ClosedEnding                       // the gateway ends
-	ClosedSlow                         // a command was not complete in time
-	ClosedProtocol                     // a command could not be read
-	ClosedFaults                       // too many commands could not be used
-	ClosedUnread                       // it did not read its answers
-	ClosedRequested                    // by a command of its client's
+	ClosedEnding                       // the gateway shuts down
+	ClosedSlow                         // a command did not arrive completely in time
+	ClosedProtocol                     // a command violated the protocol
+	ClosedFaults                       // too many commands were invalid
+	ClosedUnread                       // the client did not read its answers
+	ClosedRequested                    // the client requested it with a command
 	closeReasonCount
 )
 
 var closeReasonNames = [closeReasonCount]string{"client", "idle", "evicted", "drained", "ending", "slow", "protocol", "faults",
 	"unread_answers", "requested"}
 
-// String is the reason's name in metrics and logs.
+// String returns the name of the reason in metrics and logs.
 func (r CloseReason) String() string { return closeReasonNames[r] }
 
-// Monitor observes client connections. Its methods are called on any goroutine, also at the same time, and may not block.
+// Monitor observes client connections. Its methods are called concurrently from any goroutine and must not block.
 type Monitor interface {
-	// ConnectionClosed reports that a connection ended, for a CloseReason's name.
+	// ConnectionClosed reports that a connection was closed; reason is the name of a CloseReason.
 	ConnectionClosed(reason string)
-	// ConnectionsOverdue reports that so many connections are open past the time of a drain or of the gateway's end.
+	// ConnectionsOverdue reports that n connections are open after the term of a drain or after the time by which a gateway that shuts
+	// down closes them.
 	ConnectionsOverdue(n int)
 }
 
-// lastSessionID numbers the client connections of a process, over all its servers, for the log.
+// lastSessionID is the number of the last client connection of the process, over all its servers. The log uses these numbers.
 var lastSessionID atomic.Uint64
 
-// setCloseReason records why the session ends, unless a reason is recorded already; the lock is held.
+// setCloseReason records the reason for closing the session, unless one is recorded already. The caller holds the lock.
 func (s *session) setCloseReason(r CloseReason) {
 	if !s.closeReasonSet {
 		s.closeReasonSet = true
@@ -52,16 +53,17 @@
 	}
 }
 
-// status is the state of a session in the log.
+// status describes a session in the log.
 type status struct {
 	ID             uint64 `json:"id"`
 	Remote         string `json:"remote"`
 	State          string `json:"state"`
-	PendingAnswers int    `json:"owed"`     // commands without an answer
-	Commands       int    `json:"commands"` // read so far
-	BusyMS         int64  `json:"busy_ms"`  // ms since it last owed something
+	PendingAnswers int    `json:"owed"`     // number of commands without an answer
+	Commands       int    `json:"commands"` // number of commands read
+	BusyMS         int64  `json:"busy_ms"`  // milliseconds since an answer was last pending
 }
 
+// status returns the description of the session for the log.
 func (s *session) status() status {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +71,7 @@
 		Commands: s.commandsRead, BusyMS: time.Since(s.lastPendingAt).Milliseconds()}
 }
 
-// reportEnd reports why a session ended to the monitor, and logs the ends that are a client's fault.
+// reportEnd reports the close reason of a session to the monitor, and logs it if the client is at fault.
 func (srv *Server) reportEnd(s *session) {
 	s.mu.Lock()
 	reason := ClosedByClient
@@ -88,10 +90,11 @@
 	}
 }
 
-// maxOverdueLogged bounds the sessions that one log line names.
+// maxOverdueLogged is the maximum number of sessions that one log line describes.
 const maxOverdueLogged = 8
 
-// reportOverdue logs and counts the sessions that are overdue, if there are any; cause is what should have ended them.
+// reportOverdue logs the sessions for which overdue returns true, and reports their number to the monitor, if there are any. cause names
+// what should have ended them.
 func (srv *Server) reportOverdue(cause string, overdue func(*session) bool) {
 	var logged []status
 	n := 0
@@ -112,11 +115,11 @@
 	if srv.Monitor != nil {
 		srv.Monitor.ConnectionsOverdue(n)
 	}
-	srv.Log.Warn("client connections are held past their time", zap.String("by", cause), zap.Int("connections", n),
+	srv.Log.Warn("client connections are open past their deadline", zap.String("by", cause), zap.Int("connections", n),
 		zap.Any("some", logged))
 }
 
-// checkDrained reports the sessions that a drain should have ended by now, if it is still in force.
+// checkDrained reports the sessions without pending answers that are still open at the term of drain d. It does nothing if d has ended.
 func (srv *Server) checkDrained(d *drainTimes) {
 	srv.mu.Lock()
 	inForce := srv.drain == d
@@ -130,9 +133,9 @@
 	}
 }
 
-// expediteDrained expedites the answers of sessions with unread input, in each expediteInterval until the drain ends or its last
-// session does. Otherwise a request at a server that hangs would keep its connection open past the drain's term, and what its
-// client has written since would be lost.
+// expediteDrained expedites the answers of sessions with unread input. It repeats this after each expediteInterval until drain d ends
+// or no session is left. Without it, a request at a server that hangs keeps its connection open past the term of the drain, and the
+// input that the client has written since is lost.
 func (srv *Server) expediteDrained(d *drainTimes) {
 	var sessions []*session
 	srv.mu.Lock()
@@ -148,7 +151,7 @@
 	}
 }
 
-// expediteIfUnread expedites a session's answers, if it ends and its client has written more than it will read.
+// expediteIfUnread expedites the pending answers of a session that is ending and has input that it will not read.
 func (s *session) expediteIfUnread() {
 	s.mu.Lock()
 	ends := s.lifecycle.state != stateOpen && len(s.slots) > 0
--- a/internal/front/eviction.go
+++ b/internal/front/eviction.go
@@ -7,19 +7,19 @@
 )
 
 const (
-	evictionInterval = 50 * time.Millisecond
-	evictableAfter   = 250 * time.Millisecond // of idleness: a client in use sends its next command by then, or can reconnect
+	evictionInterval = 50 * time.Millisecond  // time between two evictions of idle sessions
+	evictableAfter   = 250 * time.Millisecond // minimum idle time: an active client sends its next command by then, or can reconnect
 )
 
-// evictable is an idle session, and since when it has been idle.
+// evictable is an idle session with the time since which it has been idle.
 type evictable struct {
 	session   *session
 	idleSince time.Time
 }
 
-// evictIdle ends idle sessions beyond KeepIdle in each evictionInterval, until the context ends. A platform bounds the
-// connections that its clients hold together: if each client keeps the one that it used once, the commands of others never
-// reach a gateway that has capacity for them.
+// evictIdle evicts idle sessions above MaxIdleSessions after each evictionInterval, until the context ends. A platform limits the total
+// number of connections of its clients. If each client keeps the connection that it used once, the commands of other clients never reach
+// a gateway that has capacity for them.
 func (srv *Server) evictIdle(ctx context.Context) {
 	tick := time.NewTicker(evictionInterval)
 	defer tick.Stop()
@@ -34,18 +34,18 @@
 	}
 }
 
-// evictBeyondKept evicts the idle sessions beyond KeepIdle, the longest idle first. Of sessions that have sent no usable command
-// none counts, as their time is short in any case. It returns the buffer that it was given.
+// evictBeyondKept evicts idle sessions while the number of sessions exceeds MaxIdleSessions, the longest idle first. It ignores sessions
+// that have sent no valid command, because they time out soon. It returns the buffer that it was given, for reuse.
 func (srv *Server) evictBeyondKept(idle []evictable) []evictable {
 	used := 0
 	srv.mu.Lock()
 	for s := range srv.sessions {
-		since, useful, resting := s.idleBetweenCommands()
+		since, useful, waiting := s.idleBetweenCommands()
 		if !useful {
 			continue
 		}
 		used++
-		if resting && time.Since(since) >= evictableAfter {
+		if waiting && time.Since(since) >= evictableAfter {
 			idle = append(idle, evictable{s, since})
 		}
 	}
@@ -58,9 +58,9 @@
 	return idle
 }
 
-// evictLongestIdle ends the session that has been idle longest, if one is, so that a new one gets its place. Sessions that have
-// sent no usable command go first: connections that send nothing must not displace clients that are served. A session younger
-// than firstCommandTime has had no time for a command, and counts as useful.
+// evictLongestIdle evicts the session that has been idle longest, if there is one, so that a new session gets its place. Sessions that
+// have sent no valid command go first: connections that send nothing must not displace clients that are served. A session that has been
+// idle for less than firstCommandTime has had no time for a command, and counts as useful.
 func (srv *Server) evictLongestIdle() {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
--- a/internal/front/hangup.go
+++ b/internal/front/hangup.go
@@ -7,7 +7,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// withDescriptor calls f with the descriptor of a connection, if it has one.
+// withDescriptor calls f with the file descriptor of a connection, if the connection has one.
 func withDescriptor(c net.Conn, f func(fd int)) {
 	s, ok := c.(syscall.Conn)
 	if !ok {
@@ -18,8 +18,8 @@
 	}
 }
 
-// hasUnread reports whether bytes have come on a connection that are not read yet; false if the system does not tell. It does not
-// block and reads nothing.
+// hasUnread reports whether a connection has received bytes that are not read yet. It returns false if the system cannot tell. It
+// does not block and consumes nothing.
 func hasUnread(c net.Conn) (unread bool) {
 	withDescriptor(c, func(fd int) {
 		var b [1]byte
@@ -29,8 +29,8 @@
 	return unread
 }
 
-// hungUp reports whether the peer has closed a connection or its sending side, even if bytes before that are not read yet; false
-// if the system does not tell. It does not block.
+// hungUp reports whether the peer has closed a connection or its sending side, even if earlier bytes are not read yet. It returns
+// false if the system cannot tell. It does not block.
 func hungUp(c net.Conn) (closed bool) {
 	withDescriptor(c, func(fd int) {
 		p := []unix.PollFd{{Fd: int32(fd), Events: unix.POLLRDHUP}}
--- a/internal/front/lifecycle.go
+++ b/internal/front/lifecycle.go
@@ -2,52 +2,53 @@
 
 import "time"
 
-// The terms that operators set for a drained gateway, from their call on.
+// Terms that operators set for a drained gateway. They start with the call that drains it.
 const (
-	drainTerm    = 4 * time.Second        // after it no client connection may be idle, or have a recent request
-	recentWindow = 2 * time.Second        // a request that is no older than this is recent
-	stallMargin  = 150 * time.Millisecond // the gateway may be held up so long between reading its clock and acting
+	drainTerm    = 4 * time.Second        // time after which no client connection may be idle or have a recent request
+	recentWindow = 2 * time.Second        // maximum age of a recent request
+	stallMargin  = 150 * time.Millisecond // allowance for a stall of the gateway between reading its clock and acting
 )
 
-// The times that the gateway keeps, so as to hold those terms.
+// Times by which the gateway acts in order to meet these terms.
 const (
-	// drainReadTime is how long requests are read. At drainTerm the last is older than recentWindow, with stallMargin, and as
-	// much again for a late machine, to spare.
+	// drainReadTime is how long requests are accepted. The last one is older than recentWindow at drainTerm, even if the gateway stalls
+	// for stallMargin and the machine is late by as much again.
 	drainReadTime = drainTerm - recentWindow - 500*time.Millisecond
-	// drainCloseTime is when a connection that is owed nothing has been closed.
+	// drainCloseTime is the time by which a connection without pending answers is closed.
 	drainCloseTime = drainTerm - stallMargin - 100*time.Millisecond
-	// firstCommandTime is how long a connection that came during the drain has for its first command.
+	// firstCommandTime is the time for the first command of a connection that is accepted during the drain.
 	firstCommandTime = 200 * time.Millisecond
-	// drainExpediteTime is when the answers of a connection with unread input are expedited: it may not be open at drainTerm.
+	// drainExpediteTime is when the answers of connections with unread input are expedited, because such a connection must not be
+	// open at drainTerm.
 	drainExpediteTime = drainTerm - time.Second
 	// expediteInterval is the time between two checks for such connections.
 	expediteInterval = 50 * time.Millisecond
 )
 
-// How long input is discarded after the sending side was shut.
+// Times for which input is discarded after the sending side of a connection is closed.
 const (
-	discardTime    = 300 * time.Millisecond
-	minDiscardTime = 50 * time.Millisecond // even if the connection should be closed by then
+	discardTime    = 300 * time.Millisecond // maximum time; closeAt may be earlier
+	minDiscardTime = 50 * time.Millisecond  // minimum time, even if closeAt is earlier
 )
 
-// state is a stage of a client connection. It only ever advances.
+// state is a stage of a client connection. It never goes back.
 type state int
 
-// The states.
+// The states of a client connection, in their order.
 const (
 	stateOpen     state = iota // commands are read
-	stateDraining              // commands are read until readUntil; it may close earlier, between two commands
-	stateClosing               // nothing is read; what was read is carried out and answered
-	stateClosed                // nothing is answered any more; input is discarded until closeAt
+	stateDraining              // commands are read until readUntil; the connection may close earlier, between two commands
+	stateClosing               // nothing is read; commands that were read are carried out and answered
+	stateClosed                // nothing is written; input is discarded until closeAt
 )
 
-// String is the state's name in the log.
+// String returns the name of the state in the log.
 func (s state) String() string { return [...]string{"open", "draining", "closing", "closed"}[s] }
 
-// drainTimes are the times of one drain of the gateway.
+// drainTimes holds the times of one drain of the gateway.
 type drainTimes struct {
-	readUntil time.Time // requests that are read later are rejected
-	closeAt   time.Time // when a connection that is owed nothing is closed
+	readUntil time.Time // time from which requests are rejected
+	closeAt   time.Time // time at which a connection without pending answers is closed
 }
 
 // newDrainTimes derives the times of a drain from the time of the operators' call.
@@ -55,17 +56,17 @@
 	return drainTimes{readUntil: calledAt.Add(drainReadTime), closeAt: calledAt.Add(drainCloseTime)}
 }
 
-// lifecycle decides what a client connection may still do. It reads no clock, does no I/O, and is not safe for concurrent use:
-// its session's lock guards it. The zero value is an open connection.
+// lifecycle decides what a client connection may still do. It reads no clock and does no I/O. It is not safe for concurrent use: the
+// lock of its session guards it. The zero value is an open connection.
 type lifecycle struct {
 	state      state
-	readUntil  time.Time // while draining: when the last read starts
-	rejectFrom time.Time // requests read from then on are rejected; zero: none
-	closeAt    time.Time // when the connection is closed, if it is owed nothing; zero: not set
+	readUntil  time.Time // while draining: time after which no read starts
+	rejectFrom time.Time // time from which requests that are read are rejected; zero if none are
+	closeAt    time.Time // time at which the connection is closed if no answer is pending; zero if not set
 }
 
-// drain starts the drain of an open connection, which may read until first at least, if that is set. It reports whether the
-// state changed. A connection that drains already keeps its times, which are no later.
+// drain starts the drain of an open connection. The connection may read at least until firstCommandBy, if that is set. It reports
+// whether the state changed. A connection that drains already keeps its times, which are no later than those of a new drain.
 func (l *lifecycle) drain(times drainTimes, firstCommandBy time.Time) bool {
 	if l.state != stateOpen {
 		return false
@@ -77,14 +78,14 @@
 	return true
 }
 
-// limitCloseAt bounds the time at which a connection that is owed nothing is closed.
+// limitCloseAt moves the time at which a connection without pending answers is closed to at, if that is earlier.
 func (l *lifecycle) limitCloseAt(at time.Time) {
 	if l.closeAt.IsZero() || at.Before(l.closeAt) {
 		l.closeAt = at
 	}
 }
 
-// limitReading lets a connection read until a time and no longer, as the gateway ends. It reports whether the state changed.
+// limitReading lets a connection read until the given time at the latest, as the gateway shuts down. It reports whether the state changed.
 func (l *lifecycle) limitReading(until time.Time) bool {
 	switch l.state {
 	case stateOpen:
@@ -97,12 +98,12 @@
 	return false
 }
 
-// mayRead reports whether more may be read now.
+// mayRead reports whether more may be read at the time now.
 func (l *lifecycle) mayRead(now time.Time) bool {
 	return l.state == stateOpen || l.state == stateDraining && now.Before(l.readUntil)
 }
 
-// limitReadDeadline bounds the time by which a read must have ended.
+// limitReadDeadline returns deadline, or the end of the time to read if that is earlier.
 func (l *lifecycle) limitReadDeadline(deadline time.Time) time.Time {
 	if l.state == stateDraining {
 		return earlier(deadline, l.readUntil)
@@ -110,16 +111,16 @@
 	return deadline
 }
 
-// mustReject reports whether a request must be rejected, by when its last byte was read.
+// mustReject reports whether a request whose last byte was read at readAt must be rejected.
 func (l *lifecycle) mustReject(readAt time.Time) bool {
 	return !l.rejectFrom.IsZero() && !readAt.Before(l.rejectFrom)
 }
 
-// stopReading ends reading; what was read is still answered.
+// stopReading ends reading. Commands that were read are still answered.
 func (l *lifecycle) stopReading() { l.state = max(l.state, stateClosing) }
 
-// closeWrite ends answering, and sets how long input is discarded: closing a connection with unread input would reset it, and lose
-// answers that are on their way.
+// closeWrite ends writing, and sets the time until which input is discarded. Closing a connection with unread input would reset it
+// and lose answers that the client has not received yet.
 func (l *lifecycle) closeWrite(now time.Time) {
 	if l.state == stateClosed {
 		return
@@ -132,7 +133,7 @@
 	l.closeAt = until
 }
 
-// abandon ends a connection that nothing can be written to any more: it is closed at once.
+// abandon ends a connection to which nothing can be written any more. The connection is closed at once.
 func (l *lifecycle) abandon(now time.Time) {
 	l.state = stateClosed
 	l.closeAt = now
--- a/internal/front/reader.go
+++ b/internal/front/reader.go
@@ -9,41 +9,41 @@
 	"dewhitch/internal/resp"
 )
 
-// How long a session waits for its client.
+// Times for which a session waits for its client, and sizes of its input.
 const (
-	readBufferSize      = 2 << 10                 // bytes
-	firstByteTimeout    = 1500 * time.Millisecond // from the connection to the first byte
-	byteTimeout         = 2500 * time.Millisecond // between two bytes of a command: a client may send a head for 2 s
-	commandTimeout      = 10 * time.Second        // from a command's first byte to its last
-	idleTimeout         = 5 * time.Second         // between two commands: a client can reconnect
-	drainCheckInterval  = 50 * time.Millisecond   // between two checks whether a draining session is owed nothing
-	finalReadTime       = time.Millisecond        // before a session ends, for input that is on its way
-	stopReadTime        = 100 * time.Millisecond  // at the end of the gateway, for a command that is on its way
-	hangUpCheckInterval = 50 * time.Millisecond   // between two checks whether the client has hung up, while nothing is read
-	maxDiscardBytes     = 256 << 10               // of input that is discarded at the end; a client that writes more waits for the close
+	readBufferSize      = 2 << 10                 // bytes of the read buffer
+	firstByteTimeout    = 1500 * time.Millisecond // maximum time from the accept to the first byte
+	byteTimeout         = 2500 * time.Millisecond // maximum time between two bytes of a command; clients may take 2 s for a header
+	commandTimeout      = 10 * time.Second        // maximum time from the first byte of a command to its last
+	idleTimeout         = 5 * time.Second         // maximum time between two commands, after which a client must reconnect
+	drainCheckInterval  = 50 * time.Millisecond   // time between two checks whether a draining session has pending answers
+	finalReadTime       = time.Millisecond        // last wait for input before a session ends
+	stopReadTime        = 100 * time.Millisecond  // wait for a command that is arriving when the gateway shuts down
+	hangUpCheckInterval = 50 * time.Millisecond   // time between two checks whether the client has hung up while nothing is read
+	maxDiscardBytes     = 256 << 10               // bytes of input to discard at the end; a client that writes more is blocked until the close
 )
 
-// The pause before the next command is read, after a faulty one.
+// Bounds of the pause after an invalid command, before the next one is read.
 const (
-	maxFaults       = 16                    // faulty commands, with which the session ends
-	penaltyPerFault = 50 * time.Millisecond // for each faulty command so far
-	maxPenalty      = time.Second
+	maxFaults       = 16                    // number of invalid commands at which the session ends
+	penaltyPerFault = 50 * time.Millisecond // pause for each invalid command so far
+	maxPenalty      = time.Second           // maximum pause
 )
 
-// Why no more commands are read. The texts are part of the wire.
+// Errors after which no more commands are read. The texts are sent to clients and must not change.
 var (
 	errNoMoreCommands = errors.New("the session takes no more commands")
 	errCommandTimeout = errors.New("the command is not whole in time")
 )
 
-// read reads commands until the session ends. It is the session's reading goroutine.
+// read reads commands until the session ends. It runs on the session's reading goroutine.
 func (s *session) read() {
 	r := resp.NewReader(s, readBufferSize)
 	for s.readCommand(r) {
 	}
 }
 
-// readCommand reads and starts one command; false: it was the last.
+// readCommand reads and starts one command. It returns false if no more commands are to be read.
 func (s *session) readCommand(r *resp.Reader) bool {
 	if err := s.awaitCommand(r); err != nil {
 		s.endReading(err)
@@ -56,7 +56,7 @@
 		return false
 	}
 	if time.Since(s.lastReadAt) > hangUpCheckInterval {
-		s.abortIfHungUp() // the command was in the buffer for a while
+		s.abortIfHungUp() // the client may have hung up while the command was in the buffer
 	}
 	slot := s.openSlot(c)
 	if slot == nil {
@@ -71,7 +71,7 @@
 	return s.mayContinue(faultsBefore)
 }
 
-// endWithError answers an unreadable command with its error, and ends the session, as the start of the next command is unknown.
+// endWithError answers an unreadable command with its error, and ends the session because the start of the next command is unknown.
 func (s *session) endWithError(slot *Slot, err error) {
 	slot.Fill(resp.AppendError(nil, "ERR "+err.Error()))
 	if errors.Is(err, errCommandTimeout) {
@@ -81,7 +81,8 @@
 	}
 }
 
-// finishCommandRead records that no command is being read any more, and tells a command's time-out from the end of the session.
+// finishCommandRead records that no command is being read any more. If err is an exceeded deadline, it returns errCommandTimeout, or
+// errNoMoreCommands if the session ends.
 func (s *session) finishCommandRead(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -89,14 +90,15 @@
 	if !errors.Is(err, os.ErrDeadlineExceeded) {
 		return err
 	}
-	if s.evicted || s.lifecycle.state != stateOpen { // the command was not accepted: its client sends it elsewhere
+	if s.evicted || s.lifecycle.state != stateOpen { // the command is not accepted, and its client sends it elsewhere
 		return errNoMoreCommands
 	}
 	return errCommandTimeout
 }
 
-// endReading ends a session after the last read, which failed with err. A session of an open gateway that never sent a command is
-// closed at once, and releases its place; any other ends gracefully, so that input that is on its way does not reset it.
+// endReading ends a session after the last read, which failed with err. If the gateway ends a session that has read no command, and does
+// not drain or shut down, the session is closed at once and releases its place. Any other session that the gateway ends is closed
+// gracefully, so that input that arrives late does not reset the connection. If the connection failed, the session is closed at once.
 func (s *session) endReading(err error) {
 	s.mu.Lock()
 	byGateway := errors.Is(err, errNoMoreCommands)
@@ -107,7 +109,7 @@
 	s.mu.Unlock()
 	switch {
 	case graceful:
-		s.finish(ClosedEvicted) // if no other reason is recorded
+		s.finish(ClosedEvicted) // unless another reason is recorded
 	case byGateway:
 		s.abort(ClosedIdle)
 	default:
@@ -115,15 +117,15 @@
 	}
 }
 
-// faultyCount is how many commands so far could not be used.
+// faultyCount returns the number of invalid commands so far.
 func (s *session) faultyCount() int {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faultyCommands
 }
 
-// mayContinue tells whether another command is read after one that was started. If that one could not be used, which
-// faultsBefore tells, the session pauses first, or ends.
+// mayContinue reports whether another command may be read after one that was started. If the number of invalid commands has grown since
+// faultsBefore, it pauses first, or ends the session.
 func (s *session) mayContinue(faultsBefore int) bool {
 	s.mu.Lock()
 	faults := s.faultyCommands
@@ -132,7 +134,8 @@
 	return !closing && (faults == faultsBefore || s.penalize(faults))
 }
 
-// awaitCommand waits for the first byte of a command. The wait is bounded, as idle clients must not take the places of others.
+// awaitCommand waits for the first byte of a command. The wait is bounded, because idle clients must not take the places of others. It
+// returns errNoMoreCommands if the session ends, or the error of the connection.
 func (s *session) awaitCommand(r *resp.Reader) error {
 	for timeout := firstByteTimeout; r.Buffered() == 0; {
 		if s.commandsRead > 0 {
@@ -158,13 +161,13 @@
 		return errNoMoreCommands
 	}
 	s.commandDeadline = s.lifecycle.limitReadDeadline(time.Now().Add(commandTimeout))
-	s.evicted = false // it is in use again; another session is evicted, or this one later
+	s.evicted = false // the session is in use again; another one is evicted, or this one later
 	return nil
 }
 
-// Read reads from the client's connection, which nothing else does while commands are read. Once the lifecycle forbids it,
-// nothing more is read, even within a command. It sets the deadline of each read within a command; a wait for a command has a
-// deadline of its own, by beginWait.
+// Read reads from the client's connection. Nothing else reads from it while commands are read. When the lifecycle forbids reading, it
+// returns errNoMoreCommands, even within a command. It sets the deadline of each read within a command; beginWait sets the deadline
+// of a wait for a command.
 func (s *session) Read(b []byte) (int, error) {
 	s.mu.Lock()
 	now := time.Now()
@@ -183,8 +186,8 @@
 	return n, err
 }
 
-// beginWait sets the deadline of a wait for the next command; false: no more commands are read. A draining session waits for
-// drainInterval at a time, and an evicted one for lastReadTime.
+// beginWait sets the deadline of a wait for the next command. It returns false if no more commands are read. A draining session waits
+// for drainCheckInterval at a time, and an evicted one for finalReadTime.
 func (s *session) beginWait(timeout time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -203,8 +206,8 @@
 	return true
 }
 
-// endsBetweenCommands tells whether the session ends now, between two commands. It reads once more before it does, as a command
-// that came in the meantime would be lost, and must be served.
+// endsBetweenCommands reports whether the session ends now, between two commands. It reads once more before the end, because a command
+// that has arrived in the meantime must be served and would be lost.
 func (s *session) endsBetweenCommands(r *resp.Reader, timeout time.Duration) bool {
 	if !s.mayEnd(timeout) {
 		return false
@@ -214,13 +217,13 @@
 	return err != nil
 }
 
-// mayEnd is the rule by which a session that waits for a command, and owes nothing, ends: it was evicted, it drains and has had time
-// for its first command, or it has been idle for limit.
+// mayEnd reports whether a session that waits for a command ends. It ends only if no answer is pending, and if it was evicted, it drains
+// and has had time for its first command, or it has been idle for timeout.
 func (s *session) mayEnd(timeout time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	wasEvicted := s.evicted
-	s.evicted = false // if it owes something again, another session is evicted
+	s.evicted = false // if an answer is pending again, another session is evicted
 	if !s.hasNoPendingAnswers() {
 		return false
 	}
@@ -237,9 +240,9 @@
 	return false
 }
 
-// penalize pauses after a faulty command, by the number of them so far, as a client that repeats faults at full speed would take
-// the CPU of all others. False: there were too many, and the session ends. A draining session does not pause: its time is short,
-// and it reads little.
+// penalize pauses after an invalid command, in proportion to the number of invalid commands so far, because a client that repeats them at
+// full speed would take the CPU time of all others. It returns false if there were too many and the session ends. A draining session
+// does not pause: its time is short, and it reads little.
 func (s *session) penalize(faults int) bool {
 	if faults >= maxFaults {
 		s.finish(ClosedFaults)
@@ -255,7 +258,7 @@
 	return true
 }
 
-// openSlot makes the slot of the next command, once there is capacity for it; nil: the session is over.
+// openSlot waits until there is capacity for the next command, and returns its slot, or nil if the session has ended.
 func (s *session) openSlot(c resp.Command) *Slot {
 	slot := &Slot{session: s}
 	bytes := 0
@@ -288,12 +291,12 @@
 	return slot
 }
 
-// pipelineFull tells whether a command has to wait until others of the session are answered; the lock is held.
+// pipelineFull reports whether the next command must wait until others of the session are answered. The caller holds the lock.
 func (s *session) pipelineFull() bool {
 	return len(s.slots) >= maxPipelined || int64(s.unsentBytes) > s.bounds.maxUnsent
 }
 
-// acquireLargeCommand waits for memory for a large command of so many bytes; false: the session is over.
+// acquireLargeCommand waits for the memory for a large command. It returns false if the session has ended.
 func (s *session) acquireLargeCommand(bytes int64) bool {
 	if s.bounds.largeCommands.TryAcquire(bytes) {
 		return true
@@ -308,15 +311,15 @@
 	return true
 }
 
-// watchForHangUp checks whether the client has hung up in each hangUpInterval, until it is stopped. It is for a reader that waits
-// for something other than its client: requests of a client that has left must not be forwarded meanwhile.
+// watchForHangUp checks after each hangUpCheckInterval whether the client has hung up, until stop is called. The reading goroutine uses
+// it while it waits for something other than its client: the requests of a client that has hung up must not be forwarded meanwhile.
 func (s *session) watchForHangUp() (stop func()) {
 	ctx, stop := context.WithCancel(s.ctx)
 	go s.abortOnHangUp(ctx)
 	return stop
 }
 
-// abortOnHangUp aborts the session once its client has hung up, and returns when the context ends.
+// abortOnHangUp aborts the session when its client hangs up. It returns when the context ends.
 func (s *session) abortOnHangUp(ctx context.Context) {
 	tick := time.NewTicker(hangUpCheckInterval)
 	defer tick.Stop()
@@ -330,23 +333,23 @@
 	}
 }
 
-// abortIfHungUp aborts the session if its client has closed or half-closed the connection. The end of the input would be read only
-// after all commands before it, each of which would be forwarded for nobody.
+// abortIfHungUp aborts the session if its client has closed or half-closed the connection. A read would return the end of the input only
+// after all commands before it, and each of these would be forwarded although no client waits for the answer.
 func (s *session) abortIfHungUp() {
 	if hungUp(s.conn) {
 		s.abort(ClosedByClient)
 	}
 }
 
-// awaitAnswers waits until all commands are answered and the sending side is shut, or the client has hung up. Nothing is read
-// meanwhile: a client may take what was read as accepted, and sends elsewhere what was not.
+// awaitAnswers waits until all commands are answered and the sending side is closed, or the client has hung up. Nothing is read
+// meanwhile: a client may assume that commands that were read are accepted, and sends the others elsewhere.
 func (s *session) awaitAnswers() {
 	s.abortOnHangUp(s.ctx)
 }
 
-// discard reads and drops input until the client closes, or until closeAt: closing a connection with unread input would reset it,
-// and the client could lose answers that are on their way. It reads maxDiscardBytes at most, as a client may write without end,
-// and then waits for closeAt.
+// discard reads and drops input until the client closes the connection, or until closeAt. Closing a connection with unread input would
+// reset it, and the client could lose answers that it has not received yet. It reads at most maxDiscardBytes, because a client may
+// write without end, and then waits for closeAt.
 func (s *session) discard() {
 	s.mu.Lock()
 	until := s.lifecycle.closeAt
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -13,32 +13,32 @@
 )
 
 const (
-	finalAcceptTime    = 20 * time.Millisecond // at the end, for connections that the system has accepted
-	placeRetryInterval = 50 * time.Millisecond // between two evictions for a session that waits for a place
+	finalAcceptTime    = 20 * time.Millisecond // time at shutdown to accept connections that are in the queue of the system
+	placeRetryInterval = 50 * time.Millisecond // time between two evictions for a session that waits for a place
 )
 
-// Server accepts client sessions at one address. Its exported fields are set before Serve. Its methods are safe for any
-// goroutine.
+// Server accepts client sessions at one address. The exported fields must be set before Serve is called. The methods are safe for
+// concurrent use.
 type Server struct {
 	Listener        net.Listener
-	NewCommands     func() Commands // for each session
-	MaxSessions     int             // the maximum at once
-	MaxIdleSessions int             // idle sessions beyond so many are ended early; 0: none is
+	NewCommands     func() Commands // returns the commands of a new session
+	MaxSessions     int             // maximum number of concurrent sessions; each takes one place
+	MaxIdleSessions int             // number of sessions above which idle ones are evicted early; 0 disables this
 	Bounds          *Bounds
 	Log             *zap.Logger
-	Monitor         Monitor         // nil: none
-	Ready           <-chan struct{} // closed once sessions may be accepted; nil: from the start
+	Monitor         Monitor         // may be nil
+	Ready           <-chan struct{} // closed when sessions may be accepted; nil if they may be from the start
 
 	mu              sync.Mutex
 	sessions        map[*session]struct{}
-	running         sync.WaitGroup // of sessions
-	drain           *drainTimes    // nil: the gateway is not drained
-	drainChanged    chan struct{}  // closed at the next change of drain; nil: nobody waits for one
-	sessionsCloseBy time.Time      // at the end of the gateway; zero: not set
+	running         sync.WaitGroup // running sessions
+	drain           *drainTimes    // times of the current drain; nil if the gateway is not drained
+	drainChanged    chan struct{}  // closed at the next change of drain; nil if no goroutine waits for it
+	sessionsCloseBy time.Time      // time to close sessions as the gateway shuts down; zero if not set
 }
 
-// Serve accepts sessions until the context ends. It then closes the listener, lets each session end as soon as its client is
-// owed nothing, and returns when the last has. A fault of the listener ends it in the same way, with that error.
+// Serve accepts sessions until the context ends. Then it closes the listener, lets each session end as soon as it has no pending
+// answers, and returns when the last session has ended. An error of the listener ends it in the same way, and is returned.
 func (srv *Server) Serve(ctx context.Context) error {
 	srv.mu.Lock()
 	if srv.sessions == nil {
@@ -60,7 +60,7 @@
 	return err
 }
 
-// acceptSessions accepts sessions until the listener fails, which it does with sockets.ErrEnded after the context has ended.
+// acceptSessions accepts sessions until the listener fails. The error is sockets.ErrEnded after the context has ended.
 func (srv *Server) acceptSessions(ctx context.Context) error {
 	places := make(chan struct{}, srv.MaxSessions)
 	for {
@@ -69,7 +69,7 @@
 		if err != nil {
 			return err
 		}
-		srv.awaitAccepting(ctx) // a drain may have ended meanwhile
+		srv.awaitAccepting(ctx) // a drain may have ended before the gateway is ready
 		hasPlace := srv.acquirePlace(ctx, places)
 		s := srv.addSession(conn)
 		srv.running.Go(func() {
@@ -83,7 +83,7 @@
 	}
 }
 
-// addSession makes a session, which drains if the gateway does.
+// addSession creates a session, which drains if the gateway does.
 func (srv *Server) addSession(conn net.Conn) *session {
 	s := newSession(conn, srv.NewCommands(), srv.Bounds)
 	srv.mu.Lock()
@@ -101,7 +101,7 @@
 	delete(srv.sessions, s)
 }
 
-// stopSessions has each session end as soon as its client is owed nothing.
+// stopSessions makes each session end as soon as it has no pending answers.
 func (srv *Server) stopSessions() {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -113,8 +113,8 @@
 	}
 }
 
-// CloseBy sets a time by which each session that is owed nothing is closed, after the context of Serve has ended; those that are
-// open then are reported. It may be called at any time.
+// CloseBy sets a time by which sessions without pending answers are closed after the context of Serve has ended. Sessions that are open
+// at that time are reported. It may be called at any time.
 func (srv *Server) CloseBy(at time.Time) {
 	srv.mu.Lock()
 	srv.sessionsCloseBy = at
@@ -124,8 +124,8 @@
 	})
 }
 
-// Drain has each session end between two commands, and new ones as well, until it is called with false. Requests that are read
-// by drainReadTime are served, and later ones rejected; if the gateway is not ready, all are rejected.
+// Drain makes each session, including new ones, end between two commands, until it is called with false. Requests that are read within
+// drainReadTime are served, and later ones are rejected. If the gateway is not ready, all are rejected.
 func (srv *Server) Drain(on bool) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
@@ -150,8 +150,8 @@
 	}
 }
 
-// awaitAccepting waits until sessions may be accepted: the gateway is ready, ends, or drains, as a drained gateway may not keep
-// connections waiting.
+// awaitAccepting waits until sessions may be accepted. This is when the gateway is ready, shuts down or drains: a drained gateway must not
+// keep connections waiting.
 func (srv *Server) awaitAccepting(ctx context.Context) {
 	for !srv.isReady() {
 		srv.mu.Lock()
@@ -173,6 +173,7 @@
 	}
 }
 
+// isReady reports whether sessions may be accepted.
 func (srv *Server) isReady() bool {
 	select {
 	case <-srv.Ready:
@@ -182,9 +183,9 @@
 	}
 }
 
-// acquirePlace waits for a place for a new session, whose connection uses a reserved descriptor meanwhile. If the gateway ends,
-// or drains and has no place, it returns false, and the session is served without one: its client may have sent a command, which
-// would be lost if its connection was closed.
+// acquirePlace waits for a place for a new session, and returns true if it got one. Meanwhile, the connection uses a reserved descriptor.
+// It returns false if the gateway shuts down, or drains and has no place. The session is then served without a place: its client may
+// have sent a command, which would be lost if the connection was closed.
 func (srv *Server) acquirePlace(ctx context.Context, places chan<- struct{}) bool {
 	for {
 		select {
@@ -212,8 +213,8 @@
 	return srv.drain != nil
 }
 
-// finishAccepting has a listener accept for lastAcceptTime more what is in the system's queue: closing the listener resets those
-// connections, whose clients may have sent a command.
+// finishAccepting lets a listener accept the connections in the queue of the system for finalAcceptTime. Closing the listener at once
+// would reset these connections, and their clients may have sent a command.
 func finishAccepting(l net.Listener) {
 	if d, ok := l.(interface{ SetDeadline(time.Time) error }); !ok || d.SetDeadline(time.Now().Add(finalAcceptTime)) != nil {
 		l.Close()
--- a/internal/front/session.go
+++ b/internal/front/session.go
@@ -1,8 +1,10 @@
-// Package front serves client sessions: it reads commands, and writes their answers in the order of the commands. The packages
-// in the folders below define and carry out the commands.
+// Package front serves client sessions: it reads commands, and writes their answers in the order of the commands. The packages in its
+// subdirectories define and carry out the commands.
 //
-// A session (session.go) has a reading goroutine (reader.go) and a writing one (writer.go). Slot is the place of an answer;
-// lifecycle.go decides what a connection may still do; eviction.go and closing.go end sessions; server.go accepts them.
+// A session (session.go) has a reading goroutine (reader.go) and a writing one (writer.go). A Slot holds the place of an answer.
+// lifecycle.go decides what a connection may still do, eviction.go and closing.go end sessions, and server.go accepts them.
+//
+// An answer is pending from the time its command was read until the answer is written completely.
 package front
 
 import (
@@ -15,51 +17,51 @@
 	"dewhitch/internal/resp"
 )
 
-// Commands carries out the commands of a client session. If it is an io.Closer, it is closed when the session ends.
+// Commands carries out the commands of a client session. If it implements io.Closer, it is closed when the session ends.
 type Commands interface {
-	// Do starts a command, whose last byte was read at a time. It is called on the session's reading goroutine, in the order of
-	// the commands. It leads to one Fill of the slot, at any time, and does not wait for that.
+	// Do starts a command whose last byte was read at readAt. It is called on the session's reading goroutine, in the order of the
+	// commands. It must not wait for the answer. The implementation fills the slot once, at any time and on any goroutine.
 	Do(readAt time.Time, c resp.Command, s *Slot)
 }
 
-// session is one client's connection, which is closed at the end of run. The lifecycle decides what the connection may still do.
-// Only the reader advances it to closing, between two commands: anyone else would close it over a command that was read and is
-// not answered.
+// session serves one client connection, which is closed at the end of run. The lifecycle decides what the connection may still do.
+// Only the reading goroutine advances it to stateClosing, between two commands: any other goroutine could close the connection
+// between the reading and the answer of a command.
 type session struct {
-	id       uint64 // in the log
+	id       uint64 // number of the session in the log
 	conn     net.Conn
 	commands Commands
 	bounds   *Bounds
-	ctx      context.Context // ends when the session is over
+	ctx      context.Context // ends with the session
 	cancel   context.CancelFunc
 
-	wake         chan struct{} // has a buffer of one: something is unwritten, or the session is over
-	drainStarted chan struct{} // closed once the session drains
+	wake         chan struct{} // signals the writer that there is something to write or that the session has ended; buffer of one
+	drainStarted chan struct{} // closed when the session starts to drain
 	acceptedAt   time.Time
-	lastReadAt   time.Time // of the last bytes; the reader's own
+	lastReadAt   time.Time // time of the last bytes received; used by the reading goroutine alone
 
 	mu        sync.Mutex // guards all fields below
 	lifecycle lifecycle
 
-	// Answers.
-	slots         []*Slot     // in the order of the commands, those whose answers are not in unwritten yet
-	capacity      *sync.Cond  // signalled when slots or unsentBytes become less, or the session is over
-	unwritten     []byte      // answers for the writer
-	streaming     *Slot       // whose value is written after unwritten; nil: none
-	answerEnds    []answerEnd // of the answers in unwritten that have an onSettled
-	unsentBytes   int         // of answers, in unwritten and in slots
-	lastPendingAt time.Time
+	// State of the answers.
+	slots         []*Slot     // commands whose answers are not in unwritten yet, in the order of the commands
+	capacity      *sync.Cond  // signalled when slots or unsentBytes shrink, or the session ends
+	unwritten     []byte      // encoded answers that the writer takes next
+	streaming     *Slot       // slot whose value is written after unwritten; nil if none is
+	answerEnds    []answerEnd // ends of the answers in unwritten that have an onSettled
+	unsentBytes   int         // bytes of answers in unwritten and in slots
+	lastPendingAt time.Time   // last time at which an answer was pending; the accept time if none was
 
-	// Commands.
-	commandDeadline time.Time // of the command that is being read; zero: none is
-	awaitingCommand bool      // the reader waits for the first byte of a command
-	evicted         bool      // another client needs the place: the session ends if it owes nothing
-	commandsRead    int
-	faultyCommands  int // of commandsRead, those that could not be used
+	// State of the commands.
+	commandDeadline time.Time // deadline of the command that is being read; zero if none is
+	awaitingCommand bool      // the reading goroutine waits for the first byte of a command
+	evicted         bool      // chosen for eviction: the session ends if no answer is pending
+	commandsRead    int       // number of commands read
+	faultyCommands  int       // number of invalid commands among commandsRead
 
-	// The end.
-	shutdownReason CloseReason // if the session ends by the state of the gateway
-	closeReasonSet bool
+	// State of the closing.
+	shutdownReason CloseReason // close reason if the gateway drains or shuts down
+	closeReasonSet bool        // closeReason is valid
 	closeReason    CloseReason
 }
 
@@ -94,13 +96,13 @@
 	writer.Wait()
 }
 
-// drain lets the session read commands for as long as a drain of the gateway allows, and end earlier between two of them, once
-// nothing is owed.
+// drain limits the time in which the session reads commands to that of a drain of the gateway. The session ends earlier, between two
+// commands, as soon as no answer is pending.
 func (s *session) drain(times drainTimes) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	var firstCommandBy time.Time
-	if s.commandsRead == 0 { // the first command may be on its way
+	if s.commandsRead == 0 { // the first command may not have arrived yet
 		firstCommandBy = s.acceptedAt.Add(firstCommandTime)
 	}
 	if s.lifecycle.drain(times, firstCommandBy) {
@@ -109,13 +111,13 @@
 	}
 }
 
-// stop has the session read no more than what has come by now, and end once that is answered. A client that goes on sending would
-// otherwise be served until the process is killed, and have no answers to its last commands.
+// stop makes the session read only the commands that have arrived by now, and end when these are answered. Otherwise, a client that
+// goes on sending would be served until the process is killed, and would get no answers to its last commands.
 func (s *session) stop() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	readTime := finalReadTime
-	if s.commandsRead == 0 || !s.commandDeadline.IsZero() { // a command is on its way
+	if s.commandsRead == 0 || !s.commandDeadline.IsZero() { // a command may be arriving
 		readTime = stopReadTime
 	}
 	s.shutdownReason = ClosedEnding
@@ -126,21 +128,21 @@
 	}
 }
 
-// closeBy has the session closed by a time, if it is owed nothing then.
+// closeBy makes the session close at a time, if no answer is pending then.
 func (s *session) closeBy(at time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.lifecycle.limitCloseAt(at)
 }
 
-// notifyDrain wakes the reader, wherever it waits, as the session drains; the lock is held.
+// notifyDrain wakes the reading goroutine from any wait when the session starts to drain. The caller holds the lock.
 func (s *session) notifyDrain() {
 	close(s.drainStarted)
 	s.interruptRead()
 }
 
-// interruptRead has a reader that waits for a command check whether the session ends, and shortens the deadline of one within a
-// command; the lock is held.
+// interruptRead makes a reading goroutine that waits for a command check whether the session ends. Within a command, it shortens the
+// read deadline as the lifecycle requires. The caller holds the lock.
 func (s *session) interruptRead() {
 	now := time.Now()
 	switch {
@@ -153,8 +155,8 @@
 	}
 }
 
-// finish ends the session, for a reason, as soon as all commands that it has read are answered. Only the reader calls it, and reads
-// nothing after.
+// finish ends the session for a reason, as soon as all commands that it has read are answered. Only the reading goroutine calls it,
+// and reads nothing afterwards.
 func (s *session) finish(r CloseReason) {
 	s.mu.Lock()
 	s.setCloseReason(r)
@@ -163,32 +165,33 @@
 	s.mu.Unlock()
 }
 
-// idle tells whether nothing is owed to the client, since when, and whether it has sent a usable command.
+// idle reports whether an open session has no pending answers, since when, and whether its client has sent a valid command, which makes
+// the session useful.
 func (s *session) idle() (since time.Time, useful, idle bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastPendingAt, s.commandsRead > s.faultyCommands, s.hasNoPendingAnswers() && s.isOpen()
 }
 
-// isOpen tells whether the session neither ends nor was evicted; the lock is held.
+// isOpen reports whether the session is neither ending nor evicted. The caller holds the lock.
 func (s *session) isOpen() bool { return s.lifecycle.state == stateOpen && !s.evicted }
 
-// hasNoPendingAnswers tells whether no answer is to be given or written; the lock is held.
+// hasNoPendingAnswers reports whether no answer remains to be given or written. The caller holds the lock.
 func (s *session) hasNoPendingAnswers() bool {
 	return len(s.slots) == 0 && len(s.unwritten) == 0 && s.unsentBytes == 0
 }
 
-// idleBetweenCommands is idle for a session that waits for its client's next command: a client in the middle of a command, which may send
-// slowly, is not resting. A session that ends is neither useful nor resting.
-func (s *session) idleBetweenCommands() (since time.Time, useful, idleBetweenCommands bool) {
+// idleBetweenCommands is like idle, but reports true only for a session that waits for the next command. A client in the middle of a
+// command may send slowly and is not idle. A session that is ending is neither useful nor idle.
+func (s *session) idleBetweenCommands() (since time.Time, useful, idle bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	open := s.isOpen()
 	return s.lastPendingAt, open && s.commandsRead > s.faultyCommands, open && s.hasNoPendingAnswers() && s.awaitingCommand
 }
 
-// evict has the session end if nothing is owed to its client. A command that crosses the end was not accepted; its client sends it
-// again.
+// evict makes an open session end if no answer is pending. A command that arrives at the same time is not accepted, and its client
+// sends it again.
 func (s *session) evict() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -202,7 +205,7 @@
 	s.interruptRead()
 }
 
-// abort ends the session at once, for a reason: nothing is written to its client any more.
+// abort ends the session at once for a reason. Nothing more is written to its client.
 func (s *session) abort(r CloseReason) {
 	s.mu.Lock()
 	s.setCloseReason(r)
@@ -210,7 +213,7 @@
 	s.abandon()
 }
 
-// abandon ends the session at once: nothing is read or written any more, and all that work for its client are notified.
+// abandon ends the session at once. Nothing more is read or written, and the callbacks of all open commands are called.
 func (s *session) abandon() {
 	s.mu.Lock()
 	s.lifecycle.abandon(time.Now())
@@ -226,11 +229,11 @@
 	}
 }
 
-// abandonAnswers drops all answers, and returns what is to be called for them without the lock; the lock is held. The fate of an
-// answer is reported before anyone is notified that the client left.
+// abandonAnswers drops all answers, and returns the callbacks to call after the lock is released. The outcome of an answer is reported
+// before the departure of its client. The caller holds the lock.
 func (s *session) abandonAnswers() (notify []func()) {
 	if s.streaming != nil {
-		notify = append(notify, s.streaming.value.Close) // the writer may wait for more of it
+		notify = append(notify, s.streaming.value.Close) // unblocks a writer that waits for more of the value
 	}
 	for _, slot := range s.slots {
 		if slot.value != nil {
--- a/internal/front/slot.go
+++ b/internal/front/slot.go
@@ -7,49 +7,50 @@
 	"dewhitch/internal/resp"
 )
 
-// streamingBytes is what an answer counts among the unsent bytes while its value is streamed.
+// streamingBytes is the number of unsent bytes for which an answer counts while its value is streamed.
 const streamingBytes = 1
 
-// Slot is the place of one answer in the order of a session's commands. Its methods are safe for any goroutine.
+// Slot holds the place of one answer in the order of a session's commands. Its methods are safe for concurrent use. A slot is filled
+// once; later answers are ignored.
 type Slot struct {
 	session          *session
 	answer           []byte
-	value            Value // written after answer, with the end of its bulk string; nil: none
-	filled           bool
-	largeBytes       int64         // of the command, held in Bounds.largeCommands until the slot is filled
-	onClientDeparted func()        // nil: none
-	onExpedite       func()        // nil: none
-	onSettled        func(Outcome) // nil: none
-	mustReject       bool
+	value            Value         // streamed after answer, followed by the end of the bulk string; nil if there is none
+	filled           bool          // the slot has its answer
+	largeBytes       int64         // bytes of a large command, acquired from Bounds.largeCommands until the slot is filled
+	onClientDeparted func()        // callback of OnClientDeparted; nil if there is none
+	onExpedite       func()        // callback of OnExpedite; nil if there is none
+	onSettled        func(Outcome) // callback of OnSettled; nil if there is none
+	mustReject       bool          // result of MustReject
 }
 
-// Value is a large value while it is read. Whoever has it closes it. It is read by one goroutine at a time.
+// Value is a large value that is streamed. Its owner closes it. One goroutine at a time reads it.
 type Value interface {
 	io.Reader
-	Close() // from any goroutine; repeated calls do nothing
+	Close() // safe for any goroutine, also during a Read; repeated calls do nothing
 }
 
-// Outcome is what became of a slot's answer.
+// Outcome is the outcome of the delivery of an answer.
 type Outcome int
 
-// The fates.
+// The outcomes of the delivery of an answer.
 const (
-	Written        Outcome = iota // its last byte was written
-	ClientDeparted                // the client left before there was an answer
-	WriteFailed                   // there was one, and its last byte could not be written
+	Written        Outcome = iota // the last byte of the answer was written
+	ClientDeparted                // the client disconnected before the slot was filled
+	WriteFailed                   // the slot was filled, but the last byte of the answer could not be written
 )
 
-// answerEnd is where an answer ends in what is being written.
+// answerEnd is the position at which an answer ends in a buffer of answers.
 type answerEnd struct {
-	end       int // offset of the byte after it
-	onSettled func(Outcome)
+	end       int           // offset of the byte after the answer
+	onSettled func(Outcome) // callback of the slot
 }
 
-// MustReject reports whether the gateway no longer accepted requests when the command was read: a request must be rejected, and
-// not be carried out.
+// MustReject reports whether the gateway no longer accepted requests when the command was read. Such a request must be rejected and
+// must not be carried out.
 func (slot *Slot) MustReject() bool { return slot.mustReject }
 
-// RejectInvalid answers a command that can't be used with an error. Too many of them end the session.
+// RejectInvalid answers an invalid command with an error. Too many invalid commands end the session.
 func (slot *Slot) RejectInvalid(why string) {
 	slot.session.mu.Lock()
 	slot.session.faultyCommands++
@@ -57,15 +58,14 @@
 	slot.Fill(resp.AppendError(nil, "ERR "+why))
 }
 
-// FillAndClose answers the command, and ends the session once all commands before it are answered too. It is called within
-// Commands.Do.
+// FillAndClose fills the slot, and ends the session when all earlier commands are answered too. It must be called within Commands.Do.
 func (slot *Slot) FillAndClose(answer []byte) {
 	slot.Fill(answer)
 	slot.session.finish(ClosedRequested)
 }
 
-// OnClientDeparted has f called, once, if the client leaves before the slot is filled; at once, on a goroutine of its own, if it
-// has left already.
+// OnClientDeparted sets a function that is called once if the client disconnects before the slot is filled. If the client has already
+// disconnected, f is called at once on its own goroutine.
 func (slot *Slot) OnClientDeparted(f func()) {
 	s := slot.session
 	s.mu.Lock()
@@ -80,28 +80,29 @@
 	slot.onClientDeparted = f
 }
 
-// OnExpedite has f called, once, if the answer is needed now, whatever it is, as the connection must end.
+// OnExpedite sets a function that is called at most once, when the connection must end and any answer is needed immediately.
 func (slot *Slot) OnExpedite(f func()) {
 	slot.session.mu.Lock()
 	defer slot.session.mu.Unlock()
 	slot.onExpedite = f
 }
 
-// OnSettled has f called, exactly once, with what became of the answer. It is set before the slot can be filled; f may not
-// block.
+// OnSettled sets a function that is called exactly once, with the outcome of the answer. It must be set before the slot can be filled.
+// f must not block.
 func (slot *Slot) OnSettled(f func(Outcome)) {
 	slot.session.mu.Lock()
 	defer slot.session.mu.Unlock()
 	slot.onSettled = f
 }
 
-// Fill gives the slot its answer, in the form of the wire. It does not block; a second answer is ignored.
+// Fill gives the slot its encoded answer. It does not block. A second answer is ignored.
 func (slot *Slot) Fill(answer []byte) { slot.fill(answer, nil) }
 
-// FillFrom gives the slot an answer of a bulk string's head and a value of that length, which the session copies to the client
-// in its turn, and closes in any case.
+// FillFrom gives the slot an answer that consists of the header of a bulk string and a value of that length. The session copies the
+// value to the client when all earlier answers are written. It closes the value in any case.
 func (slot *Slot) FillFrom(head []byte, value Value) { slot.fill(head, value) }
 
+// fill gives the slot its answer, and hands all answers that are complete in the order of the commands to the writer.
 func (slot *Slot) fill(answer []byte, value Value) {
 	s := slot.session
 	s.mu.Lock()
@@ -130,8 +131,8 @@
 	s.wakeWriter()
 }
 
-// countUnsent counts n bytes of an answer as unsent; the lock is held. It ends a session that holds too much of the gateway's
-// memory, as its client does not read: the reader sees the closed connection.
+// countUnsent counts n bytes of an answer as unsent. It closes the connection if the client does not read and its answers take too much of
+// the gateway's memory; the reading goroutine then ends the session. The caller holds the lock.
 func (s *session) countUnsent(n int) {
 	s.unsentBytes += n
 	total := s.bounds.unsentTotal.Add(int64(n))
@@ -141,8 +142,8 @@
 	}
 }
 
-// gatherAnswers moves the answers at the head of the slots to what is written next, up to the first with a value; the lock is
-// held. Until that value is written, the answer counts as owed.
+// gatherAnswers moves the filled slots at the head of slots to unwritten, up to and including the first one with a value. Until that
+// value is written, the answer is pending. The caller holds the lock.
 func (s *session) gatherAnswers() {
 	n := 0
 	for n < len(s.slots) && s.slots[n].filled && s.streaming == nil {
@@ -162,7 +163,7 @@
 	s.capacity.Signal()
 }
 
-// settleValue closes the value of an answer, and reports what became of the answer.
+// settleValue closes the value of an answer, and reports the outcome of the answer.
 func (slot *Slot) settleValue(outcome Outcome) {
 	slot.value.Close()
 	if slot.onSettled != nil {
@@ -170,7 +171,7 @@
 	}
 }
 
-// settleAnswers reports what became of consecutive answers of which so many bytes were written.
+// settleAnswers reports the outcomes of consecutive answers of which the first written bytes were written.
 func settleAnswers(answerEnds []answerEnd, written int) {
 	for _, answer := range answerEnds {
 		if answer.end <= written {
--- a/internal/front/writer.go
+++ b/internal/front/writer.go
@@ -11,25 +11,25 @@
 	"dewhitch/internal/resp"
 )
 
-// How a session's answers are written.
+// Bounds on the writing of a session's answers.
 const (
-	maxReusedBuffer  = 16 << 10        // bytes; a larger buffer of answers is not reused
-	sendTimeout      = 5 * time.Second // of a client that reads nothing
-	maxStalledWrites = 10              // writes, within sendTimeout, that may take nothing
-	valueChunkSize   = 16 << 10        // bytes of a large value in memory at once
+	maxReusedBuffer  = 16 << 10        // bytes of a buffer of answers, above which it is not reused
+	sendTimeout      = 5 * time.Second // time after which a client that reads nothing is disconnected
+	maxStalledWrites = 10              // consecutive writes without progress that make up sendTimeout
+	valueChunkSize   = 16 << 10        // bytes of a large value that are in memory at once
 )
 
-// chunkBuffers are buffers for large values.
+// chunkBuffers holds buffers for copying large values.
 var chunkBuffers = sync.Pool{New: func() any { return new([valueChunkSize]byte) }}
 
-// batch is what the writer writes at once: answers, and the value that follows them.
+// batch holds what the writer writes at once: encoded answers, and optionally a streamed value after them.
 type batch struct {
-	answers    []byte
-	answerEnds []answerEnd
-	streamed   *Slot // nil: none
+	answers    []byte      // encoded answers
+	answerEnds []answerEnd // ends of the answers that have an onSettled
+	streamed   *Slot       // slot whose value follows the answers; nil if there is none
 }
 
-// write writes answers in the order of their commands until the session ends. It is the session's writing goroutine.
+// write writes answers in the order of their commands until the session ends. It runs on the session's writing goroutine.
 func (s *session) write() {
 	defer s.cancel()
 	var b batch
@@ -54,8 +54,8 @@
 	}
 }
 
-// nextBatch takes what is to be written, in exchange for the buffers of the last batch. Once all is written and nothing more is
-// read, it shuts the session, which is over then.
+// nextBatch takes the next answers to write, in exchange for the buffers of the last batch. When everything is written and nothing more
+// is read, it closes the writing side of the lifecycle. It returns true if nothing more may be written.
 func (s *session) nextBatch(b *batch) (ended bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -69,7 +69,7 @@
 	return s.lifecycle.state == stateClosed
 }
 
-// discardBatch reports answers as cut that can't be written any more, and ends the sending side of the connection.
+// discardBatch reports WriteFailed for the answers of a batch that can no longer be written, and closes the sending side of the connection.
 func (s *session) discardBatch(b batch) {
 	settleAnswers(b.answerEnds, 0)
 	if b.streamed != nil {
@@ -80,7 +80,8 @@
 	}
 }
 
-// writeBatch writes a batch, and reports what became of its answers. A client can tell by its length that a value is incomplete.
+// writeBatch writes a batch, and reports the outcomes of its answers. If a value is cut off, the client recognizes that by the announced
+// length.
 func (s *session) writeBatch(b batch) error {
 	n, err := s.send(b.answers)
 	settleAnswers(b.answerEnds, n)
@@ -98,8 +99,8 @@
 	return err
 }
 
-// abandonAfterWriteError ends a session that nothing can be written to any more. It wakes the reader, which may wait for capacity that only
-// the writer releases.
+// abandonAfterWriteError ends a session to which nothing more can be written. It wakes the reading goroutine, which may wait for capacity
+// that only the writer releases.
 func (s *session) abandonAfterWriteError(err error) {
 	s.mu.Lock()
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -108,10 +109,10 @@
 	s.lifecycle.abandon(time.Now())
 	s.capacity.Broadcast()
 	s.mu.Unlock()
-	s.conn.Close() // the reader's Read returns
+	s.conn.Close() // unblocks a Read of the reading goroutine
 }
 
-// batchWritten releases the capacity of a batch, and gathers the answers behind its value.
+// batchWritten releases the capacity that a batch took, and gathers the answers that follow its value.
 func (s *session) batchWritten(b batch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -125,7 +126,7 @@
 	s.capacity.Signal()
 }
 
-// wakeWriter has the writer look for a batch; it never blocks.
+// wakeWriter makes the writer check for a batch. It never blocks.
 func (s *session) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
@@ -133,8 +134,8 @@
 	}
 }
 
-// send writes all of b. The client may read slowly, but must read something within sendTimeout. The wait is divided into
-// sendWaits, as the time of one write doesn't tell when it last made progress: one long wait could last twice the time-out.
+// send writes all of b. The client may read slowly, but must read something within sendTimeout. The timeout is divided into
+// maxStalledWrites writes, because a write does not tell when it last made progress: one long write could last twice the timeout.
 func (s *session) send(b []byte) (n int, err error) {
 	for stalledWrites := 0; n < len(b); {
 		s.conn.SetWriteDeadline(time.Now().Add(sendTimeout / maxStalledWrites))
@@ -152,8 +153,8 @@
 	return n, nil
 }
 
-// copyValue writes a value and the end of its bulk string, a piece at a time: no more is in memory, and no more is read from
-// the backend than the client reads.
+// copyValue writes a value and the end of its bulk string in chunks, so that only one chunk is in memory and the value is read from the
+// backend no faster than the client reads it.
 func (s *session) copyValue(v Value) error {
 	buf := chunkBuffers.Get().(*[valueChunkSize]byte)
 	defer chunkBuffers.Put(buf)
@@ -172,7 +173,7 @@
 	}
 }
 
-// releaseUnsent counts n bytes of answers as sent; the lock is held. An abandoned session has released all of its bytes before.
+// releaseUnsent counts n bytes of answers as sent. An abandoned session has already released all of its bytes. The caller holds the lock.
 func (s *session) releaseUnsent(n int) {
 	n = min(n, s.unsentBytes)
 	s.unsentBytes -= n
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -76,7 +76,8 @@
 	}
 }
 
-// TestAcceptReturnsFinalErrors checks that Accept returns the error of an unusable listener, and ErrEnded after the listener's deadline or close.
+// TestAcceptReturnsFinalErrors checks that Accept returns the error of an unusable listener, and ErrEnded after the listener's deadline
+// or its close.
 func TestAcceptReturnsFinalErrors(t *testing.T) {
 	for _, errno := range []syscall.Errno{syscall.EBADF, syscall.EINVAL, syscall.ENOTSOCK, syscall.EOPNOTSUPP, syscall.EFAULT} {
 		if _, err := Accept(&failingListener{errs: []error{syscallError("accept4", errno)}}, zap.NewNop(), "a client"); !errors.Is(err, errno) {
