--- a/internal/front/limits/golden_test.go
+++ b/internal/front/limits/golden_test.go
@@ -24,12 +24,13 @@
 	"dewhitch/internal/standin"
 )
 
+// goldenCommands returns commands without a planner, with two plans that have a limit and one, open, that has none.
 func goldenCommands() *Commands {
 	return &Commands{&platform.Commands{Recorder: recorder.Discard{}, Names: settings.Names{Plans: []string{"wide", "slim", "open"}},
 		Settings: dw.Settings{Instances: 9, MaxUnits: 40, Plans: []dw.Plan{{Rate: 5, Burst: 10}, {Rate: 6, Burst: 20.5}, {MaxInFlight: 3}}}}}
 }
 
-// The answers to LIMIT.GET and LIMIT.ADJUST by verdict. Clients read them.
+// TestGoldenAnswers compares the answers to LIMIT.GET and LIMIT.ADJUST for each result with a golden file. Clients read them.
 func TestGoldenAnswers(t *testing.T) {
 	var b []byte
 	for _, a := range []core.Answer{
@@ -46,7 +47,7 @@
 	golden.Compare(t, "answers.txt", b)
 }
 
-// The words of LIMIT.GET and LIMIT.ADJUST. Clients write them, and forwarders pass them on.
+// TestGoldenRequest checks how the arguments of LIMIT.GET and LIMIT.ADJUST are parsed. Clients write them, and forwarders pass them on.
 func TestGoldenRequest(t *testing.T) {
 	for _, c := range []struct {
 		words []string
@@ -69,7 +70,8 @@
 	}
 }
 
-// The errors for commands on limits that can't be used, and the way to the platform's commands. Clients read them.
+// TestGoldenErrors compares the errors for invalid commands on limits with a golden file, as well as the answers to commands that are
+// passed to package platform. Clients read them.
 func TestGoldenErrors(t *testing.T) {
 	const customer, list = "00000000b4d65521", "t=slim,d=50,spread=1,first=0"
 	var b []byte
@@ -92,7 +94,7 @@
 	golden.Compare(t, "errors.txt", b)
 }
 
-// exchange is one command and what a client reads for it, over a session of its own.
+// exchange sends one command over a new session, and returns the command and the bytes of the answer as text.
 func exchange(t *testing.T, c front.Commands, words ...string) []byte {
 	t.Helper()
 	l, err := net.Listen("tcp", standin.OwnAddr())
--- a/internal/front/limits/limits.go
+++ b/internal/front/limits/limits.go
@@ -1,5 +1,5 @@
-// Package limits is the front for RESP commands on limits, LIMIT.GET and LIMIT.ADJUST. It also carries out the platform's commands,
-// so that a session can mix them.
+// Package limits carries out the RESP commands on limits, LIMIT.GET and LIMIT.ADJUST. It passes other commands to package platform, so
+// that a session can mix them.
 package limits
 
 import (
@@ -15,7 +15,7 @@
 	"dewhitch/internal/resp"
 )
 
-// Commands carries out the commands of this front (front.Commands).
+// Commands implements front.Commands for commands on limits and for the commands of the platform.
 type Commands struct {
 	*platform.Commands
 }
@@ -32,7 +32,7 @@
 	}
 }
 
-// handleRequest parses a request and submits it to the planner.
+// handleRequest parses a request and submits it to the planner. It answers an invalid command with an error.
 func (c *Commands) handleRequest(readAt time.Time, cmd resp.Command, kind core.RequestKind, s *front.Slot) {
 	r, err := c.parse(cmd, kind)
 	if err != nil {
@@ -43,7 +43,7 @@
 	c.Submit(r, s, appendAnswer)
 }
 
-// parse reads LIMIT.GET CUSTOMER ARGUMENTS or LIMIT.ADJUST CUSTOMER UNITS ARGUMENTS. The texts of its errors are answered to the client.
+// parse reads LIMIT.GET CUSTOMER ARGUMENTS or LIMIT.ADJUST CUSTOMER UNITS ARGUMENTS. The texts of its errors are sent to the client.
 func (c *Commands) parse(cmd resp.Command, kind core.RequestKind) (*core.Request, error) {
 	length := 3
 	if kind == core.KindAdjustLimit {
@@ -73,7 +73,7 @@
 	return r, nil
 }
 
-// adjustment reads units to take, or below 0 to return: at most a burst at once.
+// adjustment parses the units to take, or to return if they are negative. The amount is at most the burst of the plan, and not 0.
 func adjustment(text []byte, burst float64) (float64, error) {
 	units, err := strconv.ParseFloat(string(text), 64)
 	if err != nil || units == 0 || !(units >= -burst && units <= burst) {
@@ -82,8 +82,8 @@
 	return units, nil
 }
 
-// appendAnswer appends an answer in the form of the wire: for a query, the limit, what is left, and the milliseconds until there is
-// more; for an adjustment, the units that were taken, below 0 for those returned.
+// appendAnswer appends an encoded answer. The answer to a query holds the limit, the remaining units, and the milliseconds until more
+// units are available. The answer to an adjustment holds the units that were taken, which are negative if units were returned.
 func appendAnswer(b []byte, a core.Answer) []byte {
 	switch {
 	case a.Result == core.ResultFailed:
--- a/internal/front/platform/golden_test.go
+++ b/internal/front/platform/golden_test.go
@@ -25,13 +25,14 @@
 	"dewhitch/internal/standin"
 )
 
+// goldenCommands returns commands without a planner, with one class for each kind of idempotency.
 func goldenCommands() *Commands {
 	return &Commands{Recorder: recorder.Discard{}, Names: settings.Names{Classes: []string{"quote", "order", "charge"}, Plans: []string{"wide", "slim"}},
 		Settings: dw.Settings{Instances: 9, MaxUnits: 40, Classes: []dw.Class{{Idempotency: dw.Idempotent, Objective: 1, Deadline: 1},
 			{Idempotency: dw.IdempotentByKey, Objective: 1, Deadline: 1}, {Idempotency: dw.NotIdempotent, Objective: 1, Deadline: 1}}}}
 }
 
-// The answers to SVC.QUERY and SVC.SUBMIT by verdict. Clients read them.
+// TestGoldenAnswers compares the answers to SVC.QUERY and SVC.SUBMIT for each result with a golden file. Clients read them.
 func TestGoldenAnswers(t *testing.T) {
 	var b []byte
 	for _, a := range []core.Answer{
@@ -47,8 +48,8 @@
 	golden.Compare(t, "answers.txt", b)
 }
 
-// The words of SVC.QUERY and SVC.SUBMIT, and each name of their list of names and values. Clients write them, and forwarders pass
-// them on.
+// TestGoldenRequest checks how the arguments of SVC.QUERY and SVC.SUBMIT are parsed, with each name in the list of names and values.
+// Clients write them, and forwarders pass them on.
 func TestGoldenRequest(t *testing.T) {
 	for _, c := range []struct {
 		words []string
@@ -79,7 +80,8 @@
 	}
 }
 
-// The errors for commands that can't be used, and the answers to PING. Clients read them, and forwarders pass them on.
+// TestGoldenErrors compares the errors for invalid commands and the answers to PING with a golden file. Clients read them, and
+// forwarders pass them on.
 func TestGoldenErrors(t *testing.T) {
 	const customer, order = "00000000b4d65521", "c=order,t=wide,d=50,k=a,units=1,spread=1,first=0"
 	var b []byte
@@ -123,7 +125,7 @@
 	golden.Compare(t, "errors.txt", append(b, exchange(t, drained, "PING")...))
 }
 
-// exchange is one command and what a client reads for it, over a session of its own.
+// exchange sends one command over a new session, and returns the command and the bytes of the answer as text.
 func exchange(t *testing.T, c front.Commands, words ...string) []byte {
 	t.Helper()
 	l, err := net.Listen("tcp", standin.OwnAddr())
--- a/internal/front/platform/parse.go
+++ b/internal/front/platform/parse.go
@@ -15,18 +15,18 @@
 	"dewhitch/internal/resp"
 )
 
-// Bounds of what a client may send.
+// Bounds on the arguments that a client may send.
 const (
-	maxTimeout    = time.Hour
-	customerCount = 1 << 33 // all customers are below
-	maxNameBytes  = 64
-	maxKeyBytes   = 64
-	maxNumber     = 1e6 // of units, spread and first
+	maxTimeout    = time.Hour // maximum timeout of a request
+	customerCount = 1 << 33   // all customer IDs are below this number
+	maxNameBytes  = 64        // bytes of the name of a request
+	maxKeyBytes   = 64        // bytes of an idempotency key
+	maxNumber     = 1e6       // maximum of the arguments units, spread and first
 )
 
 var errArgumentCount = errors.New("wrong number of arguments")
 
-// parse reads SVC.QUERY or SVC.SUBMIT CUSTOMER NAME ARGUMENTS [BODY]. The texts of its errors are answered to the client.
+// parse reads SVC.QUERY or SVC.SUBMIT CUSTOMER NAME ARGUMENTS [BODY]. The texts of its errors are sent to the client.
 func (c *Commands) parse(cmd resp.Command, query bool) (*core.Request, error) {
 	if len(cmd) != 4 && len(cmd) != 5 {
 		return nil, errArgumentCount
@@ -53,8 +53,8 @@
 	return r, nil
 }
 
-// setClass sets the class of a request, by its name in the table in force. The class must be for the command that the request
-// came by, and the request must have an idempotency key if the class needs one.
+// setClass sets the class of a request by its name in the current class table. It returns an error if there is no such class, if the
+// class is for the other command, or if the class needs an idempotency key and the request has none.
 func (c *Commands) setClass(r *core.Request, name string, query bool) error {
 	entry, known := c.Classes().Find(name)
 	if !known || entry.Class < 0 {
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// ParseCustomer reads a customer: 16 hex digits, in lower case.
+// ParseCustomer parses a customer ID, which has 16 hex digits in lower case.
 func ParseCustomer(text []byte) (dw.CustomerID, error) {
 	id, err := strconv.ParseUint(string(text), 16, 64)
 	if err != nil || len(text) != 16 || bytes.ContainsAny(text, "ABCDEF") {
@@ -84,8 +84,8 @@
 	return dw.CustomerID(id), nil
 }
 
-// ParseArguments reads the list of names and values into r, and returns the class's name, which may be empty. Units and gateways out of
-// range are refused here, as they would go into the customer's account, which its other requests share.
+// ParseArguments parses the list of names and values into r, and returns the name of the class, which may be empty. It returns an error
+// for units and gateways out of range, because they would enter the customer's account, which the customer's other requests share.
 func (c *Commands) ParseArguments(text []byte, r *core.Request) (class string, err error) {
 	class, plan, err := parseArguments(text, r)
 	if err != nil {
@@ -105,12 +105,13 @@
 	return class, nil
 }
 
-// ParseRoute reads from a list what a forwarder needs: the customer's gateways, the timeout, and the names for its ledger.
+// ParseRoute parses from a list of names and values what a forwarder needs: the customer's gateways and the timeout, which it sets in r,
+// and the names of class and plan for its ledger.
 func ParseRoute(text []byte, r *core.Request) (class, plan string, err error) {
 	return parseArguments(text, r)
 }
 
-// parseArguments reads a list of names and values, NAME=VALUE[,NAME=VALUE]...; unknown names are ignored.
+// parseArguments parses a list of names and values, NAME=VALUE[,NAME=VALUE]..., into r. It ignores unknown names.
 func parseArguments(text []byte, r *core.Request) (class, plan string, err error) {
 	r.Units = 1
 	r.Spread = 0
@@ -139,7 +140,7 @@
 	return class, plan, nil
 }
 
-// setArgument sets the field of a request that an argument names.
+// setArgument parses the value of an argument into the field of r to which it belongs.
 func setArgument(r *core.Request, name, value string) (err error) {
 	switch name {
 	case "k":
@@ -165,7 +166,7 @@
 	return err
 }
 
-// number reads a decimal number of digits and a point; other forms that a parser accepts are refused.
+// number parses a decimal number of digits and a point. It refuses other forms that strconv accepts, such as exponents.
 func number(name, text string, lowest, highest float64) (float64, error) {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || strings.Trim(text, "0123456789.") != "" || !(v >= lowest && v <= highest) {
@@ -174,7 +175,7 @@
 	return v, nil
 }
 
-// wholeNumber reads a number without a fraction, which would be lost on the way to the backend.
+// wholeNumber parses a number without a fraction, because a fraction would be lost on the way to the backend.
 func wholeNumber(name, text string, lowest, highest float64) (int, error) {
 	v, err := number(name, text, lowest, highest)
 	if err == nil && v != math.Trunc(v) {
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform is the front for the platform's protocol: PING, SVC.QUERY and SVC.SUBMIT.
+// Package platform carries out the RESP commands of the platform: PING, SVC.QUERY and SVC.SUBMIT.
 package platform
 
 import (
@@ -18,28 +18,28 @@
 	"dewhitch/internal/resp"
 )
 
-// Commands carries out the platform's commands (front.Commands). Its exported fields are set before it is used; it is safe for any
-// goroutine.
+// Commands implements front.Commands for the commands of the platform. The exported fields must be set before its use. It is safe for
+// concurrent use.
 type Commands struct {
 	Planner  *core.Planner
 	Recorder Recorder
 	Names    settings.Names
 	Settings dw.Settings
-	Figures  *ops.Figures // nil: none
-	State    *ops.State   // whether the gateway is drained; nil: it never is
+	Figures  *ops.Figures // may be nil
+	State    *ops.State   // drain state of the gateway; nil if it is never drained
 
-	classes atomic.Pointer[classtable.Table] // in force for new requests; nil: the classes of Settings
+	classes atomic.Pointer[classtable.Table] // class table for new requests; nil until first used, then starts with the classes of Settings
 }
 
-// Recorder is the ledger as the fronts post to it. It is safe for any goroutine.
+// Recorder is the part of the ledger to which the commands post. It must be safe for concurrent use.
 type Recorder interface {
-	Ref() uint64 // a new number for a request
+	Ref() uint64 // returns a new number for a request
 	Post(ledger.Posting)
-	// Row is the key of a customer's row, by the indices of plan and class in the settings.
+	// Row returns the key of a customer's row; plan and class are indices in the settings.
 	Row(customer uint64, plan, class int) ledger.Key
 }
 
-// Classes is the table of class names in force.
+// Classes returns the class table for new requests.
 func (c *Commands) Classes() classtable.Table {
 	if t := c.classes.Load(); t != nil {
 		return *t
@@ -49,8 +49,8 @@
 	return *c.classes.Load()
 }
 
-// ReloadClasses brings the classes of reloaded settings into force for new requests; earlier requests keep their class. One goroutine at
-// a time may call it.
+// ReloadClasses applies the classes of reloaded settings to new requests, and returns the new class table. Earlier requests keep their
+// class. It must not be called concurrently with itself.
 func (c *Commands) ReloadClasses(names []string, classes []dw.Class) classtable.Table {
 	t := c.Classes().Reload(c.Settings.Classes, names, classes)
 	c.classes.Store(&t)
@@ -74,8 +74,8 @@
 	}
 }
 
-// ping tells the platform's front whether to send clients here. It answers as usual after SIGTERM: the process that replaces this
-// one serves at the same address, and the front would take that for drained.
+// ping answers PING, by which the platform's front end decides whether to send clients here. After SIGTERM, it still answers PONG: the
+// process that replaces this one serves at the same address, and the front end would regard it as drained.
 func (c *Commands) ping(s *front.Slot) {
 	if c.Drained() {
 		s.Fill(resp.AppendError(nil, "ERR draining"))
@@ -84,7 +84,7 @@
 	s.Fill(resp.AppendStatus(nil, "PONG"))
 }
 
-// handleRequest parses a request and submits it to the planner.
+// handleRequest parses a request and submits it to the planner. It answers an invalid command with an error.
 func (c *Commands) handleRequest(readAt time.Time, cmd resp.Command, query bool, s *front.Slot) {
 	r, err := c.parse(cmd, query)
 	if err != nil {
@@ -95,7 +95,7 @@
 	c.Submit(r, s, AppendAnswer)
 }
 
-// AppendAnswer appends an answer in the form of the wire.
+// AppendAnswer appends an encoded answer, other than one with a streamed value.
 func AppendAnswer(b []byte, a core.Answer) []byte {
 	switch a.Result {
 	case core.ResultServed:
@@ -109,7 +109,7 @@
 	return resp.AppendError(b, "ERR failed")
 }
 
-// CeilMilliseconds rounds up, so that no client retries a moment too early.
+// CeilMilliseconds returns d in milliseconds, rounded up so that no client retries too early.
 func CeilMilliseconds(d time.Duration) int64 {
 	return int64((d + time.Millisecond - 1) / time.Millisecond)
 }
--- a/internal/front/platform/submit.go
+++ b/internal/front/platform/submit.go
@@ -15,31 +15,31 @@
 	"dewhitch/internal/resp"
 )
 
-// Forms of a result for the figures and for the ledger.
+// Results of requests, as the figures (opsVerdicts) and the ledger (endEvents) count them.
 var (
 	opsVerdicts = [...]ops.Verdict{core.ResultServed: ops.Success, core.ResultRejected: ops.Overload, core.ResultFailed: ops.Error}
 	endEvents   = [...]ledger.Event{core.ResultServed: ledger.FrontServed, core.ResultRejected: ledger.FrontRejected,
 		core.ResultFailed: ledger.FrontFailed}
 )
 
-// FormatAnswer appends an answer in the form of the wire.
+// FormatAnswer appends an encoded answer to b.
 type FormatAnswer func(b []byte, a core.Answer) []byte
 
-// submission is a request between its slot and the planner. Its answer is given on the planner's goroutine, or on the session's
-// if the request is not handed to the planner; the slot's fate comes after that.
+// submission connects a request in the planner with its slot. The answer is given on the planner's goroutine, or on the session's if the
+// request is not submitted to the planner. The outcome of the slot is reported after the answer, or after the client has disconnected.
 type submission struct {
 	commands        *Commands
 	request         *core.Request
 	slot            *front.Slot
 	format          FormatAnswer
-	receivedPosting ledger.Posting // of the request when it came
-	result          core.Result    // of the answer; ResultFailed until there is one
-	notSubmitted    bool           // the planner never had the request
-	closed          atomic.Bool    // the request is no longer counted as open
+	receivedPosting ledger.Posting // posting for the received request
+	result          core.Result    // result of the answer; ResultFailed until there is one
+	notSubmitted    bool           // the request was not submitted to the planner
+	closed          atomic.Bool    // the request no longer counts as open
 }
 
-// Submit hands a request to the planner, and its answer to the slot. What it sets is the request's ledger row and its Answer. The
-// ledger has the request before the planner does.
+// Submit submits a request to the planner, and fills the slot with the answer. It sets the request's LedgerRef, LedgerKey and Answer. The
+// request is posted to the ledger before it is submitted to the planner.
 func (c *Commands) Submit(r *core.Request, s *front.Slot, format FormatAnswer) {
 	r.LedgerRef = c.Recorder.Ref()
 	r.LedgerKey = c.Recorder.Row(uint64(r.Customer), r.Plan, ledgerClass(r))
@@ -71,7 +71,7 @@
 	s.OnExpedite(func() { c.Planner.Expedite(pending) })
 }
 
-// ledgerClass is the class of a request's row in the ledger.
+// ledgerClass returns the class of a request's row in the ledger.
 func ledgerClass(r *core.Request) int {
 	switch r.Kind {
 	case core.KindQueryLimit:
@@ -94,7 +94,7 @@
 	}
 }
 
-// answer gives the slot its answer.
+// answer fills the slot with an answer.
 func (s *submission) answer(a core.Answer) {
 	s.result = a.Result
 	s.countAnswered(a.Result)
@@ -105,13 +105,13 @@
 	s.slot.Fill(s.format(nil, a))
 }
 
-// answerUnsubmitted answers a request that the planner never had.
+// answerUnsubmitted answers a request that was not submitted to the planner.
 func (s *submission) answerUnsubmitted(a core.Answer) {
 	s.notSubmitted = true
 	s.answer(a)
 }
 
-// settled posts to the ledger what became of the request's answer.
+// settled posts the outcome of the request's answer to the ledger.
 func (s *submission) settled(outcome front.Outcome) {
 	posting := ledger.Posting{Key: s.request.LedgerKey, Ref: s.request.LedgerRef}
 	switch {
@@ -128,15 +128,15 @@
 	s.commands.Recorder.Post(posting)
 }
 
-// countAnswered counts a request as answered, if its client has not left before.
+// countAnswered counts a request as answered, unless its client has already disconnected.
 func (s *submission) countAnswered(result core.Result) {
 	if s.closeOnce() && s.request.Kind == core.KindForward {
 		s.commands.Figures.RequestEnded(s.request.ClassName, opsVerdicts[result])
 	}
 }
 
-// closeOnce counts the request as no longer open. It reports whether there are figures and this is the first call; the answer and
-// the client's leaving may come at the same time.
+// closeOnce counts the request as no longer open. It returns true if there are figures and this is the first call. The answer and the
+// disconnection of the client may call it at the same time.
 func (s *submission) closeOnce() bool {
 	figures := s.commands.Figures
 	if figures == nil || !s.closed.CompareAndSwap(false, true) {
@@ -146,8 +146,8 @@
 	return true
 }
 
-// busyRetryAfter is the Retry-After of a request that is rejected as the planner is busy: half of the maximum to all of it, at
-// random, so that the clients do not return all at once.
+// busyRetryAfter returns the Retry-After of a request that is rejected because the planner is busy. It is random, between half of the
+// maximum and the maximum, so that the clients do not return at the same time.
 func (c *Commands) busyRetryAfter() time.Duration {
 	maximum := time.Duration(c.Settings.MaxRetryAfter)
 	return maximum/2 + rand.N(maximum/2+1)
--- a/internal/front/sessions/golden_test.go
+++ b/internal/front/sessions/golden_test.go
@@ -20,7 +20,7 @@
 	"dewhitch/internal/standin"
 )
 
-// echoCommands answers what a session hands on with the words that it was handed; drained, it has PING say so.
+// echoCommands answers each command that a session passes on with the arguments of the command. If drained is true, PING reports a drain.
 type echoCommands struct{ drained bool }
 
 func (c echoCommands) Do(_ time.Time, cmd resp.Command, s *front.Slot) {
@@ -29,7 +29,8 @@
 
 func (c echoCommands) Drained() bool { return c.drained }
 
-// The answers about a session: HELLO, CLIENT, SELECT, ECHO, QUIT, COMMAND and PING, and their errors. RESP clients read them.
+// TestGoldenSession compares the answers to HELLO, CLIENT, SELECT, ECHO, QUIT, COMMAND and PING, and their errors, with a golden file. RESP
+// clients read them.
 func TestGoldenSession(t *testing.T) {
 	long := strings.Repeat("n", maxNameBytes+1)
 	var b []byte
@@ -56,7 +57,8 @@
 	golden.Compare(t, "session.txt", b)
 }
 
-// The commands that COMMAND and COMMAND LIST tell of, which have no order. RESP clients read them.
+// TestGoldenCommandList compares the answers to COMMAND and COMMAND LIST with a golden file. Their items are sorted, because they come in
+// no fixed order. RESP clients read them.
 func TestGoldenCommandList(t *testing.T) {
 	s := &Commands{Commands: echoCommands{}}
 	var b []byte
@@ -70,7 +72,7 @@
 	golden.Compare(t, "commands.txt", b)
 }
 
-// exchange is one command and what a client reads for it, over a session of its own.
+// exchange sends one command over a new session, and returns the command and the bytes of the answer as text.
 func exchange(t *testing.T, c front.Commands, words ...string) []byte {
 	t.Helper()
 	l, err := net.Listen("tcp", standin.OwnAddr())
--- a/internal/front/sessions/sessions.go
+++ b/internal/front/sessions/sessions.go
@@ -1,5 +1,5 @@
 // Package sessions answers the commands that RESP clients send about their own session, before or between requests: HELLO, CLIENT,
-// SELECT, ECHO, QUIT, COMMAND and PING. It owns a session's name and number, and passes every other command on.
+// SELECT, ECHO, QUIT, COMMAND and PING. It holds the name and the number of a session, and passes all other commands on.
 package sessions
 
 import (
@@ -15,30 +15,30 @@
 	"dewhitch/internal/resp"
 )
 
-// Bounds of a session.
+// Bounds and version of a session.
 const (
-	maxNameBytes    = 128 // bytes of a name
-	protocolVersion = 2   // the one version of RESP that is spoken here
+	maxNameBytes    = 128 // bytes of the name of a client
+	protocolVersion = 2   // the only supported version of RESP
 )
 
-// Commands carries out the commands of one session. It belongs to the session's reading goroutine.
+// Commands carries out the commands of one session. Only the session's reading goroutine uses it.
 type Commands struct {
-	front.Commands // carries out all other commands
-	id             uint64
-	name           string
-	version        string
-	library        [2]string // name and version of the client's library
+	front.Commands           // carries out all other commands
+	id             uint64    // number of the session in the process
+	name           string    // name that the client gave itself
+	version        string    // version of this program
+	library        [2]string // name and version of the client's library, as set by CLIENT SETINFO
 }
 
-// lastID numbers the sessions of the process, from 1.
+// lastID is the number of the last session of the process. The first session has number 1.
 var lastID atomic.Uint64
 
-// New adds a session's own commands to next; version is the program's.
+// New returns the commands of a new session, which passes the commands of other packages to next. version is the version of this program.
 func New(next front.Commands, version string) *Commands {
 	return &Commands{Commands: next, id: lastID.Add(1), version: version}
 }
 
-// Close implements io.Closer.
+// Close implements io.Closer. It closes the next commands if they are an io.Closer.
 func (c *Commands) Close() error {
 	if next, ok := c.Commands.(io.Closer); ok {
 		return next.Close()
@@ -60,18 +60,19 @@
 	}
 }
 
-// command is a command as it is carried out, and as COMMAND describes it.
+// command describes how a command is carried out and what COMMAND reports about it.
 type command struct {
-	minLength int // in arguments, with the command's name
-	maxLength int
-	handle    func(c *Commands, args [][]byte, s *front.Slot) // nil: it is passed on
-	flags     []string
-	key       int // the position of its one key; 0: none
+	minLength int                                             // minimum number of arguments, including the name of the command
+	maxLength int                                             // maximum number of arguments, including the name of the command
+	handle    func(c *Commands, args [][]byte, s *front.Slot) // nil if the command is passed on
+	flags     []string                                        // flags in the terms of Redis
+	key       int                                             // position of its only key; 0 if it has none
 }
 
+// commandTable holds all commands of a gateway, by their names in upper case.
 var commandTable map[string]command
 
-func init() { // the handler of COMMAND reads the table, which an initializer may not refer to
+func init() { // not an initializer, because the handler of COMMAND reads the table and Go forbids the cycle
 	commandTable = map[string]command{
 		"HELLO":        {1, 7, (*Commands).hello, []string{"noscript", "loading", "stale", "fast", "no_auth"}, 0},
 		"CLIENT":       {2, 4, (*Commands).client, []string{"noscript", "loading", "stale"}, 0},
@@ -93,10 +94,11 @@
 
 func replyOK(s *front.Slot) { s.Fill(resp.AppendStatus(nil, "OK")) }
 
-// replyError answers an error that does not count as a faulty command: clients probe for what a server supports by such errors.
+// replyError answers with an error that does not count as an invalid command, because clients find out by such errors what a server
+// supports.
 func replyError(s *front.Slot, text string) { s.Fill(resp.AppendError(nil, text)) }
 
-// drainer is a front.Commands of a gateway that may be drained, which PING tells.
+// drainer is implemented by front.Commands of a gateway that can be drained. PING then reports the drain.
 type drainer interface{ Drained() bool }
 
 func (c *Commands) ping(args [][]byte, s *front.Slot) {
@@ -126,7 +128,7 @@
 	}
 }
 
-// hello reads [VERSION [AUTH USER PASSWORD] [SETNAME NAME]]. A fault leaves the session unchanged.
+// hello answers HELLO [VERSION [AUTH USER PASSWORD] [SETNAME NAME]]. An error leaves the session unchanged.
 func (c *Commands) hello(args [][]byte, s *front.Slot) {
 	name := c.name
 	if len(args) > 0 {
@@ -149,7 +151,8 @@
 	s.Fill(c.helloReply())
 }
 
-// helloOptions reads the options of HELLO, and returns the session's name by them, or the text of the fault.
+// helloOptions parses the options of HELLO. It returns the name that they give the session, which is name by default, or the text of an
+// error.
 func helloOptions(options [][]byte, name string) (newName, errText string) {
 	for len(options) > 0 {
 		switch option := string(bytes.ToUpper(options[0])); {
@@ -168,7 +171,7 @@
 	return name, ""
 }
 
-// helloReply is the answer to HELLO: pairs of names and values.
+// helloReply returns the answer to HELLO, which consists of pairs of names and values.
 func (c *Commands) helloReply() []byte {
 	b := resp.AppendArray(nil, 14)
 	for _, pair := range [][2]string{{"server", "dewhitch"}, {"version", c.version}} {
@@ -188,7 +191,7 @@
 	badNameError = "ERR Client names cannot contain spaces, newlines or special characters."
 )
 
-// isValidName tells whether a name can stand in a list of names: printable, without spaces.
+// isValidName reports whether a name has at most maxNameBytes bytes, all of them printable ASCII characters other than a space.
 func isValidName(name []byte) bool {
 	return len(name) <= maxNameBytes && bytes.IndexFunc(name, func(r rune) bool { return r < '!' || r > '~' }) < 0
 }
@@ -243,7 +246,7 @@
 		}
 		s.Fill(b)
 	case "DOCS":
-		s.Fill(resp.AppendArray(nil, 0)) // a list of names and texts: there are none
+		s.Fill(resp.AppendArray(nil, 0)) // a list of names and texts, which is empty as there are no texts
 	case "INFO":
 		if len(args) > 1 {
 			names = names[:0]
@@ -257,7 +260,7 @@
 	}
 }
 
-// commandInfos describes commands in the form of COMMAND; an arity below 0 is a minimum.
+// commandInfos returns the descriptions of commands in the form of COMMAND. A negative arity stands for a minimum.
 func commandInfos(names []string) []byte {
 	b := resp.AppendArray(nil, len(names))
 	for _, name := range names {
