--- a/internal/front/bounds.go
+++ b/internal/front/bounds.go
@@ -16,8 +16,8 @@
 	largeCommands  *semaphore.Weighted // bytes of large commands that are not answered yet
 }
 
-// Limits of the memory of sessions. Most are shares of the machine's memory, because a constant that fits one machine exceeds the memory
-// of a smaller one.
+// Limits of the memory of sessions. Most are shares of the machine's memory, because a constant that fits one machine exceeds the
+// memory of a smaller one.
 const (
 	unsentMemoryDivisor  = 8         // the unsent answers of all sessions get the memory divided by this
 	sessionUnsentDivisor = 8         // each session gets the memory for unsent answers divided by this
--- a/internal/front/closing.go
+++ b/internal/front/closing.go
@@ -93,8 +93,8 @@
 // maxOverdueLogged is the maximum number of sessions that one log line describes.
 const maxOverdueLogged = 8
 
-// reportOverdue logs the sessions for which overdue returns true, and reports their number to the monitor, if there are any. cause names
-// what should have ended them.
+// reportOverdue logs the sessions for which overdue returns true, and reports their number to the monitor, if there are any. cause
+// names what should have ended them.
 func (srv *Server) reportOverdue(cause string, overdue func(*session) bool) {
 	var logged []status
 	n := 0
--- a/internal/front/closing_test.go
+++ b/internal/front/closing_test.go
@@ -9,7 +9,7 @@
 	"dewhitch/internal/resp"
 )
 
-// closeCounts counts the ends of connections by reason.
+// closeCounts is a Monitor that counts closed connections by reason, and overdue ones.
 type closeCounts struct {
 	mu       sync.Mutex
 	byReason map[string]int
@@ -34,12 +34,12 @@
 	return m.byReason[reason]
 }
 
-// rejectingCommands can use no command.
+// rejectingCommands rejects every command as invalid.
 type rejectingCommands struct{}
 
-func (rejectingCommands) Do(_ time.Time, _ resp.Command, s *Slot) { s.RejectInvalid("of no use") }
+func (rejectingCommands) Do(_ time.Time, _ resp.Command, s *Slot) { s.RejectInvalid("invalid") }
 
-// Each way in which a connection ends is counted under its own reason.
+// TestCloseReasonsAreReported checks that a connection that is closed for a reason is reported once under the name of that reason.
 func TestCloseReasonsAreReported(t *testing.T) {
 	for reason, c := range map[string]struct {
 		commands Commands
@@ -60,10 +60,10 @@
 			startServerWith(t, srv, func() Commands { return c.commands })
 			conn := dialClient(t, ln, c.input)
 			if c.action != nil {
-				conn.Read(make([]byte, 1)) // it is served
+				conn.Read(make([]byte, 1)) // waits until the command is served
 				c.action(srv, conn)
 			}
-			eventually(t, "no end was reported for the reason", func() bool { return monitor.count(reason) == 1 })
+			eventually(t, "the connection was not reported as closed for the reason", func() bool { return monitor.count(reason) == 1 })
 		})
 	}
 }
--- a/internal/front/drain_test.go
+++ b/internal/front/drain_test.go
@@ -18,26 +18,27 @@
 	"dewhitch/internal/resp"
 )
 
-// drainReadingEndsSoon are the times of a drain that was called so long ago that taking requests ends in a moment.
+// drainReadingEndsSoon returns the times of a drain whose time to accept requests ends in 100 ms.
 func drainReadingEndsSoon() drainTimes {
 	return newDrainTimes(time.Now().Add(100*time.Millisecond - drainReadTime))
 }
 
-// drainPastReading are those of one of which the time to take requests is over.
+// drainPastReading returns the times of a drain whose time to accept requests has just ended.
 func drainPastReading() drainTimes { return newDrainTimes(time.Now().Add(-drainReadTime)) }
 
+// reached reports whether the session is in the given state or a later one.
 func (s *session) reached(at state) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lifecycle.state >= at
 }
 
-// readChecker counts what is read of a connection, and notes reads between the end of reading commands and the shut of the
-// sending side: what they got would be lost.
+// readChecker is a connection that counts the bytes that are read after the session stops reading commands and before it closes its
+// sending side. Commands in these bytes would be lost.
 type readChecker struct {
 	*net.TCPConn
 	session           atomic.Pointer[session]
-	bytesWhileClosing atomic.Int64 // bytes
+	bytesWhileClosing atomic.Int64 // bytes that are read in stateClosing
 }
 
 func (checker *readChecker) Read(b []byte) (int, error) {
@@ -50,7 +51,7 @@
 	return n, err
 }
 
-// newCheckedPair is a client's connection and a session that has not begun to run, with what sees its reads.
+// newCheckedPair returns a client's connection, the readChecker at its other end, and the session of that. run starts the session.
 func newCheckedPair(t *testing.T, c Commands) (conn *net.TCPConn, checker *readChecker, s *session, run func()) {
 	t.Helper()
 	conn, serverConn := connectedPair(t)
@@ -65,8 +66,9 @@
 	return conn, checker, s, func() { running.Go(s.run) }
 }
 
-// While an answer is owed at the end of a drain, nothing more is read of the client: what it writes stays unread, so that
-// it can send it elsewhere. Its answer comes, and then an end that is no reset.
+// TestNothingIsReadWhileAnswersArePending guards against the loss of commands that a session reads but does not answer while it closes.
+// Input that arrives while the last answer is pending must stay unread, so that the client can send it elsewhere. The client then gets
+// its answer and an end of the stream without a reset.
 func TestNothingIsReadWhileAnswersArePending(t *testing.T) {
 	for name, end := range map[string]func(*session){
 		"by a drain": func(s *session) { s.drain(drainReadingEndsSoon()) },
@@ -77,24 +79,25 @@
 			c, checker, s, run := newCheckedPair(t, commands)
 			run()
 			c.Write([]byte(ping))
-			eventually(t, "the command was not taken", func() bool { return commands.started.Load() == 1 })
+			eventually(t, "the command was not started", func() bool { return commands.started.Load() == 1 })
 			end(s)
-			eventually(t, "the session goes on reading", func() bool { return s.reached(stateClosing) })
+			eventually(t, "the session did not stop reading", func() bool { return s.reached(stateClosing) })
 			c.Write([]byte(ping + ping))
-			// Nobody would tell that nothing is read: the looks for a client that has gone have passed a few times.
+			// No event shows that nothing is read, so wait until the session has checked for a hang-up a few times.
 			time.Sleep(3 * hangUpCheckInterval)
 			close(commands.answer)
 			if got := readUntilClosed(t, c); got != "+OK\r\n" {
-				t.Errorf("%q", got)
+				t.Errorf("got unexpected answers: %q", got)
 			}
 			if n := checker.bytesWhileClosing.Load(); n > 0 || commands.started.Load() != 1 {
-				t.Errorf("%d bytes were read, and %d commands taken", n, commands.started.Load())
+				t.Errorf("%d bytes were read while closing, and %d commands were started, expected 0 and 1", n, commands.started.Load())
 			}
 		})
 	}
 }
 
-// A client leaves while it is owed an answer and nothing is read any more: its attempt is given up.
+// TestClientDepartsWhileSessionCloses checks that a departure is reported when the client disconnects while its answer is pending and
+// the session reads nothing any more. Otherwise, the request would be attempted although no client waits for it.
 func TestClientDepartsWhileSessionCloses(t *testing.T) {
 	for name, closeConn := range map[string]func(*net.TCPConn) error{"closes": (*net.TCPConn).Close, "half-closes": (*net.TCPConn).CloseWrite} {
 		t.Run(name, func(t *testing.T) {
@@ -103,18 +106,18 @@
 			c, _, s, run := newCheckedPair(t, commands)
 			run()
 			c.Write([]byte(ping))
-			eventually(t, "the command was not taken", func() bool { return commands.started.Load() == 1 })
+			eventually(t, "the command was not started", func() bool { return commands.started.Load() == 1 })
 			s.drain(drainPastReading())
-			eventually(t, "the session goes on reading", func() bool { return s.reached(stateClosing) })
+			eventually(t, "the session did not stop reading", func() bool { return s.reached(stateClosing) })
 			c.Write([]byte(ping))
 			closeConn(c)
-			eventually(t, "nobody knows that the client has gone", func() bool { return commands.clientsDeparted.Load() == 1 })
+			eventually(t, "the departure of the client was not reported", func() bool { return commands.clientsDeparted.Load() == 1 })
 		})
 	}
 }
 
-// A client with more commands on their way than may wait: as the time ends, those that were read are answered, all of them,
-// and no more are read, however long the others had to wait for room.
+// TestDrainWithFullPipeline guards against lost commands when a client sends more commands than a session may hold. At the end of
+// the time to read, all commands that were read are answered, and no more are read, however long they have waited for capacity.
 func TestDrainWithFullPipeline(t *testing.T) {
 	commands := &delayedCommands{answer: make(chan struct{})}
 	c, checker, s, run := newCheckedPair(t, commands)
@@ -127,31 +130,31 @@
 		}
 		sent <- n
 	}()
-	eventually(t, "the pipeline is not full", func() bool { return commands.started.Load() == maxPipelined })
+	eventually(t, "the pipeline did not fill up", func() bool { return commands.started.Load() == maxPipelined })
 	s.drain(drainPastReading())
 	close(commands.answer)
 	got, err := io.ReadAll(c)
 	if n := int64(bytes.Count(got, []byte("+OK\r\n"))); n != commands.started.Load() || err != nil && !strings.Contains(err.Error(), "reset") {
-		t.Errorf("%d answers to %d commands, %v", n, commands.started.Load(), err)
+		t.Errorf("got %d answers to %d commands, error %v", n, commands.started.Load(), err)
 	}
 	if n := commands.started.Load(); n < maxPipelined || n > maxPipelined+readBufferSize/int64(len(ping))+1 {
-		t.Errorf("%d commands were taken: not those that had been read", n)
+		t.Errorf("%d commands were started, expected those that had been read", n)
 	}
 	if n := checker.bytesWhileClosing.Load(); n > 0 {
-		t.Errorf("%d bytes were read and dropped", n)
+		t.Errorf("%d bytes were read while closing", n)
 	}
 	c.Close()
 	<-sent
 }
 
-// misalignedConn is a connection of which no read ends between two commands, however much its client writes.
+// misalignedConn is a connection on which every read ends within a command, however much its client writes.
 type misalignedConn struct {
 	*net.TCPConn
-	read int
+	read int // bytes read so far
 }
 
 func (conn *misalignedConn) Read(b []byte) (int, error) {
-	const tailBytes = 5 // bytes of a command, beyond the whole ones
+	const tailBytes = 5 // bytes of an incomplete command at the end of each read
 	n := len(b) - (conn.read+len(b)-tailBytes)%len(ping)
 	if n <= 0 {
 		n = len(b)
@@ -161,7 +164,8 @@
 	return n, err
 }
 
-// The reader always has a part of the next command: no moment comes at which nothing is read ahead.
+// TestDrainEndsWhileInputIsAlwaysBuffered guards against a drain that waits for an empty read buffer: with this client, the buffer
+// always holds a part of the next command.
 func TestDrainEndsWhileInputIsAlwaysBuffered(t *testing.T) {
 	c, checker, _, _ := newCheckedPair(t, okCommands{})
 	s := newSession(&misalignedConn{TCPConn: checker.TCPConn}, okCommands{}, NewBounds(64<<20))
@@ -175,30 +179,30 @@
 	s.drain(drainReadingEndsSoon())
 	c.SetReadDeadline(time.Now().Add(drainTerm))
 	if _, err := io.Copy(io.Discard, c); errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the connection is still held after %v", drainTerm)
+		t.Errorf("the connection was still open after %v", drainTerm)
 	}
 	c.Close()
 	running.Wait()
 }
 
-// largeCommand is one that needs a place among the large commands in hand.
+// largeCommand returns a command that counts as large.
 func largeCommand() []byte {
 	return resp.AppendBulk(resp.AppendBulk(resp.AppendArray(nil, 2), "ECHO"), strings.Repeat("x", 2*minLargeCommand))
 }
 
-// A large command was read, and waits for memory as the time ends: it is answered once there is some, and the connection
-// ends.
+// TestDrainWaitsForLargeCommand checks that a large command that was read, and waits for memory when the time to read ends, is
+// answered when memory is free, and that the connection then ends.
 func TestDrainWaitsForLargeCommand(t *testing.T) {
 	commands := &delayedCommands{answer: make(chan struct{})}
 	close(commands.answer)
 	c, _, s, run := newCheckedPair(t, commands)
 	s.bounds.largeCommands = semaphore.NewWeighted(4 * minLargeCommand)
 	if !s.bounds.largeCommands.TryAcquire(4 * minLargeCommand) {
-		t.Fatal("no memory to take")
+		t.Fatal("the memory for large commands could not be acquired")
 	}
 	run()
 	c.Write(largeCommand())
-	eventually(t, "the command is not read", func() bool {
+	eventually(t, "the command was not read", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return !s.awaitingCommand && s.commandDeadline.IsZero() && !s.lastReadAt.IsZero() && s.commandsRead == 0
@@ -206,32 +210,33 @@
 	s.drain(drainPastReading())
 	s.bounds.largeCommands.Release(4 * minLargeCommand)
 	if got := readUntilClosed(t, c); got != "+OK\r\n" {
-		t.Errorf("%q", got)
+		t.Errorf("got unexpected answers: %q", got)
 	}
 }
 
-// A client that sent what can't be used waits out no penalty once the gateway drains: what was read is answered.
+// TestDrainSkipsPenalties checks that the pauses after invalid commands do not delay a drain, and that the commands that were read are
+// answered.
 func TestDrainSkipsPenalties(t *testing.T) {
 	commands := &rejectBadCommands{delayedCommands{answer: make(chan struct{})}}
 	close(commands.answer)
 	c, _, s := newSessionPair(t, commands, false)
 	const commandCount = maxFaults - 1
 	c.Write([]byte(strings.Repeat("*1\r\n$3\r\nBAD\r\n", commandCount)))
-	eventually(t, "nothing was rejected", func() bool { return s.faultyCount() > 2 })
+	eventually(t, "no command was rejected", func() bool { return s.faultyCount() > 2 })
 	s.drain(drainPastReading())
 	startedAt := time.Now()
 	got := readUntilClosed(t, c)
 	if n := strings.Count(got, "-ERR bad\r\n"); n != commandCount {
-		t.Errorf("%d of %d commands were answered: %q", n, commandCount, got)
+		t.Errorf("got %d answers, expected %d: %q", n, commandCount, got)
 	}
-	// The penalties together are over 5 s; one that had begun goes on for a moment at most.
+	// All penalties together take over 5 s. The drain cuts short the current one.
 	if elapsed := time.Since(startedAt); elapsed > maxPenalty*commandCount/3 {
-		t.Errorf("it took %v", elapsed)
+		t.Errorf("the drain took %v", elapsed)
 	}
 }
 
-// A command that was read although its time was over, as by a process that stood still, is refused and not carried out; one
-// that was read in time is not, though it has waited since.
+// TestLateCommandIsRejected checks that a request that was read after the time to accept requests is rejected, as happens if the
+// process stalls. A request that was read in time is carried out, even if it has waited since.
 func TestLateCommandIsRejected(t *testing.T) {
 	for name, c := range map[string]struct {
 		times func() drainTimes
@@ -244,13 +249,13 @@
 			s.drain(c.times())
 			close(buffered.release)
 			if got := readUntilClosed(t, client); got != c.want {
-				t.Errorf("%q, not %q", got, c.want)
+				t.Errorf("got %q, expected %q", got, c.want)
 			}
 		})
 	}
 }
 
-// acceptOrBusy answers whether it must reject.
+// acceptOrBusy answers each command with "taken", or with BUSY if the command must be rejected.
 type acceptOrBusy struct{}
 
 func (acceptOrBusy) Do(_ time.Time, _ resp.Command, s *Slot) {
@@ -261,42 +266,44 @@
 	s.Fill(resp.AppendStatus(nil, "taken"))
 }
 
-// After its sending side was shut, a connection is closed in time though its client goes on writing.
+// TestDrainEndsWhileClientKeepsWriting checks that a connection whose sending side is closed is also closed if its client never
+// stops writing.
 func TestDrainEndsWhileClientKeepsWriting(t *testing.T) {
 	c, _, s, run := newCheckedPair(t, okCommands{})
 	run()
 	sendAndExpectOK(t, c, ping)
 	s.drain(newDrainTimes(time.Now()))
-	eventually(t, "the session does not end", func() bool { return s.reached(stateClosed) })
+	eventually(t, "the session did not end", func() bool { return s.reached(stateClosed) })
 	junk := make([]byte, 64<<10)
 	var err error
-	for err == nil { // until the close resets the connection
+	for err == nil { // ends when the close resets the connection
 		c.SetWriteDeadline(time.Now().Add(drainTerm))
 		_, err = c.Write(junk)
 	}
 	if strings.Contains(err.Error(), "timeout") {
-		t.Errorf("the connection is held for %v and more", drainTerm)
+		t.Errorf("the connection was still open after %v", drainTerm)
 	}
 }
 
+// sendAndExpectOK sends a command, fails the test unless the answer is OK, and returns a reader of the rest.
 func sendAndExpectOK(t *testing.T, c net.Conn, command string) *bufio.Reader {
 	t.Helper()
 	c.Write([]byte(command))
 	r := bufio.NewReader(c)
 	if line, err := r.ReadString('\n'); line != "+OK\r\n" {
-		t.Fatalf("%q, %v", line, err)
+		t.Fatalf("got answer %q, error %v", line, err)
 	}
 	return r
 }
 
-// A client that has not read its answers yet gets all of them, though the gateway has nothing more to say to it.
+// TestDrainDeliversAnswersToLateReader checks that a client that reads its answers only after the drain has started gets all of them.
 func TestDrainDeliversAnswersToLateReader(t *testing.T) {
 	const size, commands = 60 << 10, 40
 	c, checker, s, run := newCheckedPair(t, fixedSizeValues{size})
 	checker.SetWriteBuffer(16 << 10)
 	run()
 	c.Write([]byte(strings.Repeat(ping, commands)))
-	eventually(t, "no answer waits to be read", func() bool {
+	eventually(t, "no answer is unsent", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.unsentBytes > 0
@@ -304,22 +311,22 @@
 	s.drain(drainPastReading())
 	got, err := io.Copy(io.Discard, c)
 	if want := int64(len(resp.AppendBulk(nil, make([]byte, size)))); got != commands*want || err != nil {
-		t.Errorf("%d bytes came, of %d commands that had been read, %d bytes each: %v", got, commands, want, err)
+		t.Errorf("got %d bytes of the answers to %d commands, expected %d bytes for each: %v", got, commands, want, err)
 	}
 }
 
-// fixedSizeValues answers each command with a value of that size.
+// fixedSizeValues answers each command with a value of size bytes.
 type fixedSizeValues struct{ size int }
 
 func (v fixedSizeValues) Do(_ time.Time, _ resp.Command, s *Slot) {
 	s.Fill(resp.AppendBulk(nil, make([]byte, v.size)))
 }
 
-// slowValue is a large value that comes a byte at a time, each when the test says so.
+// slowValue is a large value that yields one byte for each message on next.
 type slowValue struct {
-	remaining int
+	remaining int // bytes that were not read
 	next      chan struct{}
-	closed    chan struct{}
+	closed    chan struct{} // closed by Close
 	once      sync.Once
 }
 
@@ -339,13 +346,15 @@
 
 func (v *slowValue) Close() { v.once.Do(func() { close(v.closed) }) }
 
+// slowValueCommands answers each command with value v.
 type slowValueCommands struct{ v *slowValue }
 
 func (d slowValueCommands) Do(_ time.Time, _ resp.Command, s *Slot) {
 	s.FillFrom(resp.AppendBulkHeader(nil, d.v.remaining), d.v)
 }
 
-// A large value that was begun before the end of a drain goes out whole, however slowly it comes; then the connection ends.
+// TestDrainDeliversLargeValue checks that a large value whose transfer has started is sent completely during a drain, however slow
+// its source is, and that the connection then ends.
 func TestDrainDeliversLargeValue(t *testing.T) {
 	v := &slowValue{remaining: 3, next: make(chan struct{}), closed: make(chan struct{})}
 	c, _, s, run := newCheckedPair(t, slowValueCommands{v})
@@ -353,15 +362,15 @@
 	c.Write([]byte(ping))
 	v.next <- struct{}{}
 	s.drain(drainPastReading())
-	eventually(t, "the session goes on reading", func() bool { return s.reached(stateClosing) })
+	eventually(t, "the session did not stop reading", func() bool { return s.reached(stateClosing) })
 	v.next <- struct{}{}
 	v.next <- struct{}{}
 	if got := readUntilClosed(t, c); got != "$3\r\nxxx\r\n" {
-		t.Errorf("%q", got)
+		t.Errorf("got unexpected answers: %q", got)
 	}
 }
 
-// Idle connections that are ended to make room for others, and a drain that comes meanwhile: it ends all the same.
+// TestDrainAndEvictionTogether checks that an idle connection ends without a reset for each order of eviction, drain and stop.
 func TestDrainAndEvictionTogether(t *testing.T) {
 	for name, action := range map[string]func(*session){
 		"evicted first": func(s *session) { s.evict(); s.drain(newDrainTimes(time.Now())) },
@@ -375,7 +384,7 @@
 			r := sendAndExpectOK(t, c, ping)
 			action(s)
 			if rest, err := io.ReadAll(r); len(rest) > 0 || err != nil {
-				t.Errorf("%q, %v", rest, err)
+				t.Errorf("got %q, error %v, expected the end of the stream", rest, err)
 			}
 		})
 	}
--- a/internal/front/ending_test.go
+++ b/internal/front/ending_test.go
@@ -20,16 +20,18 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
+// testTimeout is the time after which a wait in a test fails.
 const testTimeout = 20 * time.Second
 
+// ping is an encoded command.
 const ping = "*1\r\n$4\r\nPING\r\n"
 
-// bufferedConn is the server's end of a connection on which what was read can be held back: it has left the machine's buffers, and
-// the session does not have it yet.
+// bufferedConn is the server's end of a connection, and holds back bytes that it has read: they have left the system's buffers, but the
+// session does not have them yet.
 type bufferedConn struct {
 	*net.TCPConn
-	holding chan int      // bytes were read, and are held
-	release chan struct{} // closed: nothing is held any more
+	holding chan int      // receives the number of bytes that were read and are held back
+	release chan struct{} // closed when bytes are no longer held back
 }
 
 func (c *bufferedConn) Read(b []byte) (int, error) {
@@ -44,9 +46,9 @@
 	return n, err
 }
 
-// delayedCommands answers each command when the test says so, and counts them.
+// delayedCommands answers each command with OK after a message on answer, and counts started commands and departed clients.
 type delayedCommands struct {
-	answer          chan struct{} // one answer each; closed: all at once
+	answer          chan struct{} // each message permits one answer; closing it permits all
 	started         atomic.Int64
 	clientsDeparted atomic.Int64
 }
@@ -60,7 +62,7 @@
 	}()
 }
 
-// connectedPair is both ends of a connection; the client's is closed with the test.
+// connectedPair returns both ends of a connection. The client's end is closed at the end of the test.
 func connectedPair(t *testing.T) (clientConn, serverConn *net.TCPConn) {
 	t.Helper()
 	l := listen(t)
@@ -73,7 +75,8 @@
 	return clientConn, conn.(*net.TCPConn)
 }
 
-// newSessionPair is a client's connection and the session at its other end.
+// newSessionPair returns a client's connection, the server's end of it, and the running session. If hold is true, the server's end
+// holds back input until its release channel is closed.
 func newSessionPair(t *testing.T, c Commands, hold bool) (*net.TCPConn, *bufferedConn, *session) {
 	t.Helper()
 	client, serverConn := connectedPair(t)
@@ -91,6 +94,7 @@
 	return client, buffered, s
 }
 
+// eventually waits until a condition holds, and fails the test with a message after testTimeout.
 func eventually(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
 	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
@@ -100,19 +104,21 @@
 	}
 }
 
-// readUntilClosed reads all that comes until the session ends, which must be an end and no reset.
+// readUntilClosed returns everything that the server sends until it closes the connection. It fails the test if the connection is
+// reset.
 func readUntilClosed(t *testing.T, c net.Conn) string {
 	t.Helper()
 	text, err := io.ReadAll(c)
 	if err != nil {
-		t.Errorf("after %q: %v", text, err)
+		t.Errorf("read %q, then error %v", text, err)
 	}
 	return string(text)
 }
 
 func startDrain(s *session) { s.drain(newDrainTimes(time.Now())) }
 
-// A command that has been read as a session at rest is asked to end is served, whoever asks.
+// TestCommandReadBeforeTheEndIsServed guards against the loss of a command that has left the system's buffers when an idle session is
+// told to end.
 func TestCommandReadBeforeTheEndIsServed(t *testing.T) {
 	for name, end := range map[string]func(*session){"for room": (*session).evict, "at the end": (*session).stop,
 		"by a drain": startDrain} {
@@ -124,21 +130,21 @@
 			close(buffered.release)
 			r := bufio.NewReader(c)
 			if line, err := r.ReadString('\n'); line != "+OK\r\n" {
-				t.Errorf("%q, %v", line, err)
+				t.Errorf("got answer %q, error %v, expected OK", line, err)
 			}
 		})
 	}
 }
 
-// Once the gateway ends, a session takes no more than what has come, answers that, and ends: also if its client goes on
-// sending, and is owed answers all the while.
+// TestStoppedSessionReadsNoMoreCommands checks that a session of a gateway that shuts down answers the commands that have arrived
+// and then ends, even if its client goes on sending and always has pending answers.
 func TestStoppedSessionReadsNoMoreCommands(t *testing.T) {
 	commands := &delayedCommands{answer: make(chan struct{})}
 	c, _, s := newSessionPair(t, commands, false)
 	c.Write([]byte(ping + ping))
-	eventually(t, "the commands were not taken", func() bool { return commands.started.Load() == 2 })
+	eventually(t, "the commands were not started", func() bool { return commands.started.Load() == 2 })
 	s.stop()
-	eventually(t, "the session goes on taking", func() bool {
+	eventually(t, "the session did not stop reading", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.lifecycle.state >= stateClosing
@@ -146,14 +152,15 @@
 	c.Write([]byte(ping + ping))
 	close(commands.answer)
 	if got := readUntilClosed(t, c); got != "+OK\r\n+OK\r\n" {
-		t.Errorf("%q", got)
+		t.Errorf("got unexpected answers: %q", got)
 	}
 	if n := commands.started.Load(); n != 2 {
-		t.Errorf("%d commands were taken, want 2", n)
+		t.Errorf("%d commands were started, expected 2", n)
 	}
 }
 
-// What has come by the end is taken, all of it, though the session is busy with what came before.
+// TestStoppedSessionServesReceivedCommands checks that all commands that arrived before the stop are served, even if the session is
+// busy.
 func TestStoppedSessionServesReceivedCommands(t *testing.T) {
 	commands := &delayedCommands{answer: make(chan struct{})}
 	close(commands.answer)
@@ -163,11 +170,11 @@
 	s.stop()
 	close(buffered.release)
 	if got := readUntilClosed(t, c); got != "+OK\r\n+OK\r\n+OK\r\n" {
-		t.Errorf("%q", got)
+		t.Errorf("got unexpected answers: %q", got)
 	}
 }
 
-// Half a command at the end was not taken: nothing is said to it, and what came before is answered.
+// TestIncompleteCommandAtTheEnd checks that an incomplete command gets no answer when the session ends, and that earlier commands do.
 func TestIncompleteCommandAtTheEnd(t *testing.T) {
 	for name, end := range map[string]func(*session){"for room": (*session).evict, "at the end": (*session).stop} {
 		t.Run(name, func(t *testing.T) {
@@ -175,23 +182,24 @@
 			c.Write([]byte(ping + ping[:9]))
 			r := bufio.NewReader(c)
 			if line, err := r.ReadString('\n'); line != "+OK\r\n" {
-				t.Fatalf("%q, %v", line, err)
+				t.Fatalf("got answer %q, error %v, expected OK", line, err)
 			}
-			// Before that it is busy with the first, and one that is asked to make room then goes on.
-			eventually(t, "the half command is not being read", func() bool {
+			// A session that is evicted while it is still busy with the first command does not end, so wait until it reads the second.
+			eventually(t, "the incomplete command was not read", func() bool {
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				return s.commandsRead == 1 && !s.commandDeadline.IsZero()
 			})
 			end(s)
 			if rest, err := io.ReadAll(r); len(rest) > 0 || err != nil {
-				t.Errorf("%q, %v", rest, err)
+				t.Errorf("got %q, error %v, expected the end of the stream", rest, err)
 			}
 		})
 	}
 }
 
-// A session that ends over unread bytes does not take answers back that are on their way.
+// TestUnreadInputDoesNotLoseAnswers checks that input that arrives after the end of a session does not reset the connection, which
+// would lose answers that the client has not read yet.
 func TestUnreadInputDoesNotLoseAnswers(t *testing.T) {
 	c, _, s := newSessionPair(t, okCommands{}, false)
 	c.Write([]byte(ping))
@@ -201,19 +209,19 @@
 		return s.commandsRead == 1 && s.unsentBytes == 0 && s.awaitingCommand
 	})
 	s.evict()
-	eventually(t, "it does not end", func() bool {
+	eventually(t, "the session did not end", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.lifecycle.state == stateClosed
 	})
-	c.Write([]byte(ping)) // crosses the end
+	c.Write([]byte(ping)) // arrives after the end of the session
 	if got := readUntilClosed(t, c); got != "+OK\r\n" {
-		t.Errorf("%q", got)
+		t.Errorf("got unexpected answers: %q", got)
 	}
 }
 
-// A client that sent more than is taken at once, and left, is known to have gone while what it sent is unread: what waits
-// is given up, and nothing more of it is taken.
+// TestClientDepartsWithFullPipeline checks that the departure of a client is reported for its open commands even though the session
+// has not read all of its input, and that no more of its commands are started.
 func TestClientDepartsWithFullPipeline(t *testing.T) {
 	for name, closeConn := range map[string]func(*net.TCPConn) error{"closes": (*net.TCPConn).Close, "half-closes": (*net.TCPConn).CloseWrite} {
 		t.Run(name, func(t *testing.T) {
@@ -225,18 +233,19 @@
 			}
 			eventually(t, "the pipeline is not full", func() bool { return commands.started.Load() == maxPipelined })
 			closeConn(c)
-			eventually(t, "nobody knows that the client has gone", func() bool { return commands.clientsDeparted.Load() == maxPipelined })
+			eventually(t, "the departure of the client was not reported", func() bool { return commands.clientsDeparted.Load() == maxPipelined })
 			if n := commands.started.Load(); n != maxPipelined {
-				t.Errorf("%d commands were taken, want %d", n, maxPipelined)
+				t.Errorf("%d commands were started, expected %d", n, maxPipelined)
 			}
 		})
 	}
 }
 
-// queuedListener is a listener whose first connection stands in the machine's queue until the listener gets its last deadline.
+// queuedListener is a listener whose first connection waits in the queue of the system until the listener gets its deadline at
+// shutdown.
 type queuedListener struct {
 	*net.TCPListener
-	acceptErr                     error // of the first try to take it, if any
+	acceptErr                     error // error of the first Accept; nil if there is none
 	deadlineSet, accepted         chan struct{}
 	onceDeadlineSet, onceAccepted sync.Once
 }
@@ -265,12 +274,13 @@
 	return err
 }
 
-// startServer is a server at work, until stop.
+// startServer starts a server that answers all commands with OK, until stop is called.
 func startServer(t *testing.T, srv *Server) (stop func()) {
 	t.Helper()
 	return startServerWith(t, srv, func() Commands { return okCommands{} })
 }
 
+// startServerWith starts a server with the commands of newCommands, until stop is called.
 func startServerWith(t *testing.T, srv *Server, newCommands func() Commands) (stop func()) {
 	t.Helper()
 	srv.Bounds, srv.Log, srv.NewCommands = NewBounds(64<<20), zap.NewNop(), newCommands
@@ -286,6 +296,7 @@
 	return stop
 }
 
+// listen returns a listener on a free port.
 func listen(t *testing.T) *net.TCPListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -295,6 +306,7 @@
 	return l.(*net.TCPListener)
 }
 
+// dialClient connects to a listener and sends a command.
 func dialClient(t *testing.T, l net.Listener, command string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", l.Addr().String())
@@ -307,15 +319,16 @@
 	return c
 }
 
+// expectOK fails the test unless the next answer is OK.
 func expectOK(t *testing.T, c net.Conn) {
 	t.Helper()
 	if line, err := bufio.NewReader(c).ReadString('\n'); line != "+OK\r\n" {
-		t.Errorf("%q, %v", line, err)
+		t.Errorf("got answer %q, error %v, expected OK", line, err)
 	}
 }
 
-// A connection that the machine has accepted before the end, with a command on it, is served, also if taking it in fails at
-// first, as it does while descriptors are short.
+// TestQueuedConnectionAtTheEnd checks that a connection in the queue of the system is accepted at shutdown and its command is
+// served, even if the first attempt to accept it fails for lack of descriptors.
 func TestQueuedConnectionAtTheEnd(t *testing.T) {
 	for name, acceptErr := range map[string]error{"at once": nil, "descriptors are short": syscall.EMFILE} {
 		t.Run(name, func(t *testing.T) {
@@ -329,7 +342,7 @@
 	}
 }
 
-// notifyingListener tells of each connection that it gives out.
+// notifyingListener sends a message on accepted for each connection that it accepts.
 type notifyingListener struct {
 	*net.TCPListener
 	accepted chan struct{}
@@ -343,11 +356,11 @@
 	return c, err
 }
 
-// A connection that waits for a place when the end comes is served without one.
+// TestNoPlaceAtTheEnd checks that a connection that waits for a place when the gateway shuts down is served without one.
 func TestNoPlaceAtTheEnd(t *testing.T) {
 	ln := &notifyingListener{listen(t), make(chan struct{}, 8)}
 	stop := startServer(t, &Server{Listener: ln, MaxSessions: 1})
-	first := dialClient(t, ln, "*1\r\n$4\r\nWAIT\r\n") // is never answered, and keeps the place
+	first := dialClient(t, ln, "*1\r\n$4\r\nWAIT\r\n") // never answered, so that it keeps the only place
 	<-ln.accepted
 	second := dialClient(t, ln, ping)
 	<-ln.accepted
@@ -357,7 +370,7 @@
 	first.Close()
 }
 
-// rejectBadCommands rejects the commands BAD, and counts the others.
+// rejectBadCommands rejects the command BAD as invalid, and passes the others on.
 type rejectBadCommands struct{ delayedCommands }
 
 func (c *rejectBadCommands) Do(readAt time.Time, cmd resp.Command, s *Slot) {
@@ -368,7 +381,8 @@
 	c.delayedCommands.Do(readAt, cmd, s)
 }
 
-// A client leaves while a command of its waits behind a pause: it is not taken any more.
+// TestClientDepartsDuringPenalty checks that a command that waits behind the pause after an invalid one is not started if its client
+// disconnects meanwhile.
 func TestClientDepartsDuringPenalty(t *testing.T) {
 	commands := &rejectBadCommands{delayedCommands{answer: make(chan struct{})}}
 	defer close(commands.answer)
@@ -376,10 +390,10 @@
 	c.Write([]byte("*1\r\n$3\r\nBAD\r\n" + ping))
 	<-buffered.holding
 	c.Close()
-	eventually(t, "the machine does not tell that the client has gone", func() bool { return hungUp(buffered) })
+	eventually(t, "the system did not report the hang-up", func() bool { return hungUp(buffered) })
 	close(buffered.release)
-	eventually(t, "the session does not end", func() bool { return s.ctx.Err() != nil })
+	eventually(t, "the session did not end", func() bool { return s.ctx.Err() != nil })
 	if n := commands.started.Load(); n != 0 {
-		t.Errorf("%d commands were taken for nobody", n)
+		t.Errorf("%d commands of a departed client were started", n)
 	}
 }
--- a/internal/front/eviction.go
+++ b/internal/front/eviction.go
@@ -17,9 +17,9 @@
 	idleSince time.Time
 }
 
-// evictIdle evicts idle sessions above MaxIdleSessions after each evictionInterval, until the context ends. A platform limits the total
-// number of connections of its clients. If each client keeps the connection that it used once, the commands of other clients never reach
-// a gateway that has capacity for them.
+// evictIdle evicts idle sessions above MaxIdleSessions after each evictionInterval, until the context ends. A platform limits the
+// total number of connections of its clients. If each client keeps the connection that it used once, the commands of other clients
+// never reach a gateway that has capacity for them.
 func (srv *Server) evictIdle(ctx context.Context) {
 	tick := time.NewTicker(evictionInterval)
 	defer tick.Stop()
@@ -34,8 +34,8 @@
 	}
 }
 
-// evictBeyondKept evicts idle sessions while the number of sessions exceeds MaxIdleSessions, the longest idle first. It ignores sessions
-// that have sent no valid command, because they time out soon. It returns the buffer that it was given, for reuse.
+// evictBeyondKept evicts idle sessions while the number of sessions exceeds MaxIdleSessions, the longest idle first. It ignores
+// sessions that have sent no valid command, because they time out soon. It returns the buffer that it was given, for reuse.
 func (srv *Server) evictBeyondKept(idle []evictable) []evictable {
 	used := 0
 	srv.mu.Lock()
--- a/internal/front/eviction_test.go
+++ b/internal/front/eviction_test.go
@@ -14,7 +14,7 @@
 	"dewhitch/internal/resp"
 )
 
-// okCommands answers each command at once, but for WAIT, which it never answers.
+// okCommands answers each command with OK at once, except WAIT, which it never answers.
 type okCommands struct{}
 
 func (okCommands) Do(_ time.Time, c resp.Command, s *Slot) {
@@ -23,15 +23,15 @@
 	}
 }
 
-// evictionTest is a server of KeepIdle 10 that evicts, and its clients.
+// evictionTest holds the state of a test with a server whose MaxIdleSessions is 10.
 type evictionTest struct {
 	t     *testing.T
 	l     net.Listener
-	ctx   context.Context // of the server
-	ended chan int        // clients of idleClients whose connection has ended
+	ctx   context.Context // context of the server
+	ended chan int        // receives each client of idleClients whose connection has ended
 }
 
-// dial connects a client, which sends a command, or none, and reads the answer to an ECHO.
+// dial connects a client that sends command, unless it is empty. It waits for the answer to an ECHO.
 func (e *evictionTest) dial(command string) (net.Conn, *bufio.Reader) {
 	c, err := net.Dial("tcp", e.l.Addr().String())
 	if err != nil {
@@ -51,7 +51,7 @@
 	return c, r
 }
 
-// idleClients connects clients that send one command each.
+// idleClients connects n clients that send one command each and then stay idle.
 func (e *evictionTest) idleClients(n int) {
 	for i := range n {
 		c, _ := e.dial("ECHO")
@@ -63,8 +63,8 @@
 	}
 }
 
-// sendUntilEnded has a client send one command after another until so many others have ended, and fails if it is ended while it
-// does. A machine that stands still makes it an idle one: then it connects again.
+// sendUntilEnded makes a client send commands until want idle clients were evicted, and fails the test if the sending client is
+// evicted. If the machine stalls, the sending client counts as idle and may be evicted; it then reconnects.
 func (e *evictionTest) sendUntilEnded(busy net.Conn, answers *bufio.Reader, want int) {
 	endedCount := 0
 	lastSentAt := time.Now()
@@ -72,7 +72,7 @@
 		busy.Write([]byte("*1\r\n$4\r\nECHO\r\n"))
 		line, err := answers.ReadString('\n')
 		if gap := time.Since(lastSentAt); err != nil && gap < evictableAfter {
-			e.t.Fatalf("the busy one, which asked %v ago: %q, %v", gap, line, err)
+			e.t.Fatalf("the client that sends commands, the last %v ago, got %q, error %v", gap, line, err)
 		} else if err != nil {
 			busy, answers = e.dial("ECHO")
 		}
@@ -84,14 +84,14 @@
 		}
 	}
 	if endedCount < want {
-		e.t.Fatalf("%d of 40 ended", endedCount)
+		e.t.Fatalf("%d of 40 idle clients were evicted", endedCount)
 	}
 }
 
-// Of clients that send one command and keep their connections, the longest idle lose theirs beyond KeepIdle. One that sends again
-// and again, one that is owed an answer, and one in the middle of a command keep theirs, and so does one that never sent any: it
-// has its own time.
-func TestIdleSessionsBeyondKeepIdleAreEvicted(t *testing.T) {
+// TestIdleSessionsAreEvicted guards against idle clients that hold connections which other clients need. The longest idle sessions
+// above MaxIdleSessions are evicted. A client that keeps sending, one with a pending answer, one in the middle of a command, and
+// one that has never sent a command, which has a timeout of its own, keep their connections.
+func TestIdleSessionsAreEvicted(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -108,18 +108,18 @@
 	slow.Write([]byte("*1\r\n$4\r\nEC"))
 	busy, answers := e.dial("ECHO")
 	e.idleClients(40)
-	// Three that send, are slow at it or are owed, and seven more, are kept: 33 end, and no more do in a while of sending.
+	// The three clients that send, send slowly or have a pending answer stay, and seven more: 33 of 40 are evicted, and no more.
 	e.sendUntilEnded(busy, answers, 33)
 	if len(e.ended) > 0 {
-		t.Errorf("%d more than 33 ended", len(e.ended))
+		t.Errorf("%d more than 33 clients were evicted", len(e.ended))
 	}
-	for name, c := range map[string]net.Conn{"that is owed an answer": pending, "that never asked": silent, "that is slow": slow} {
+	for name, c := range map[string]net.Conn{"with a pending answer": pending, "that never sent a command": silent, "that sends slowly": slow} {
 		c.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
 		if _, err := c.Read(make([]byte, 1)); !errors.Is(err, os.ErrDeadlineExceeded) {
-			t.Errorf("the one %s: %v", name, err)
+			t.Errorf("the client %s: got error %v, expected an open connection", name, err)
 		}
 	}
-	pending.Close() // or the end waits for its answer
+	pending.Close() // otherwise, the shutdown would wait for its answer
 	stop()
 	if err := <-served; err != nil {
 		t.Error(err)
--- a/internal/front/fate_test.go
+++ b/internal/front/fate_test.go
@@ -10,7 +10,7 @@
 	"dewhitch/internal/resp"
 )
 
-// breakingConn is a client's connection that takes so many bytes and then breaks in the middle of a write.
+// breakingConn is a client's connection that accepts capacity bytes and then fails in the middle of a write.
 type breakingConn struct {
 	net.Conn
 	input    chan []byte
@@ -50,12 +50,12 @@
 func (c *breakingConn) SetReadDeadline(time.Time) error  { return nil }
 func (c *breakingConn) SetWriteDeadline(time.Time) error { return nil }
 
-// slotCollector collects slots, for the test to fill.
+// slotCollector collects slots for the test to fill, and records their outcomes.
 type slotCollector struct {
 	mu       sync.Mutex
 	slots    []*Slot
-	outcomes map[int][]Outcome
-	all      chan struct{} // closed when want slots are there
+	outcomes map[int][]Outcome // outcomes by the index of the slot
+	all      chan struct{}     // closed when want slots were collected
 	want     int
 }
 
@@ -74,8 +74,9 @@
 	}
 }
 
-// Five commands are answered out of order and in one write, of which the client takes 25 bytes: two answers of ten and
-// half of a third. Each fate is reported once: an answer counts as written only with its last byte.
+// TestOutcomesAfterPartialWrite checks that each outcome is reported once, and that an answer counts as written only with its last
+// byte. Five commands are answered out of order and in one write, of which the client receives 25 bytes: two answers of ten bytes
+// and half of a third.
 func TestOutcomesAfterPartialWrite(t *testing.T) {
 	conn := &breakingConn{input: make(chan []byte, 1), capacity: 25}
 	collector := &slotCollector{outcomes: map[int][]Outcome{}, all: make(chan struct{}), want: 5}
@@ -89,16 +90,16 @@
 	conn.input <- commands
 	<-collector.all
 	answer := []byte("+12345678\r")[:10]
-	for _, i := range []int{3, 1, 2, 0} { // the fifth is never answered; nothing is written before the first is
+	for _, i := range []int{3, 1, 2, 0} { // the fifth is not answered; nothing is written before the first one is answered
 		collector.slots[i].Fill(answer)
 	}
 	<-ended
-	collector.slots[4].Fill(answer) // too late: its fate is reported
+	collector.slots[4].Fill(answer) // too late: its outcome was reported already
 	collector.mu.Lock()
 	defer collector.mu.Unlock()
 	for i, want := range []Outcome{Written, Written, WriteFailed, WriteFailed, ClientDeparted} {
 		if got := collector.outcomes[i]; len(got) != 1 || got[0] != want {
-			t.Errorf("answer %d: %v, not %v", i, got, want)
+			t.Errorf("answer %d: got outcomes %v, expected %v", i, got, want)
 		}
 	}
 }
--- a/internal/front/golden_test.go
+++ b/internal/front/golden_test.go
@@ -7,7 +7,8 @@
 	"dewhitch/internal/golden"
 )
 
-// TestGoldenCloseReasons keeps the words for why connections ended, in their order: a label of a metric, and in logs.
+// TestGoldenCloseReasons compares the names of the close reasons, in their order, with a golden file. They are a label of a metric and
+// appear in logs.
 func TestGoldenCloseReasons(t *testing.T) {
 	var names strings.Builder
 	for r := range closeReasonCount {
--- a/internal/front/golden_wire_test.go
+++ b/internal/front/golden_wire_test.go
@@ -12,12 +12,12 @@
 	"dewhitch/internal/resp"
 )
 
-// scriptedValue is a large value whose bytes are known.
+// scriptedValue is a large value with known bytes.
 type scriptedValue struct{ io.Reader }
 
 func (scriptedValue) Close() {}
 
-// scriptedCommands gives each form of answer that a slot takes, by the command's name.
+// scriptedCommands gives each form of answer that a slot accepts, depending on the name of the command.
 type scriptedCommands struct{}
 
 func (scriptedCommands) Do(_ time.Time, cmd resp.Command, s *Slot) {
@@ -33,8 +33,8 @@
 	}
 }
 
-// What a session writes: each form of answer in the commands' order, and the error of a stream that breaks the protocol, behind which
-// it ends. Clients read it.
+// TestGoldenSession compares what a session writes with a golden file: each form of answer in the order of the commands, and the
+// error for input that violates the protocol, after which the session ends. Clients read it.
 func TestGoldenSession(t *testing.T) {
 	command := func(words ...string) string {
 		b := resp.AppendArray(nil, len(words))
@@ -68,8 +68,8 @@
 	golden.Compare(t, "session.txt", fmt.Appendf(b, "%v\n", errCommandTimeout))
 }
 
-// The reasons for which a connection ended, which are a label of the metrics and a field of the log, in their order; and what the log
-// says of a session. Operators read them.
+// TestGoldenReports compares what operators read about sessions with a golden file: the close reasons in their order, which are a
+// label of the metrics and a field of the log, and the description of a session in the log.
 func TestGoldenReports(t *testing.T) {
 	var b []byte
 	for r := range closeReasonCount {
--- a/internal/front/hangup_test.go
+++ b/internal/front/hangup_test.go
@@ -8,21 +8,22 @@
 	"dewhitch/internal/resp"
 )
 
-// The operators' term: no attempt begins so long after its client has closed, with the slack of the rules on sockets.
+// The operators' term after a client has closed its connection. Later than this, and the slack of the rules on sockets, no attempt
+// for the client may start.
 const (
 	hangUpTerm  = 100 * time.Millisecond
 	hangUpSlack = 50 * time.Millisecond
 )
 
-// A client hangs up while its session reads nothing: in the pause after a faulty command, or while a large command waits for memory
-// that others hold. Its open request must not be forwarded, so that those who work for it are notified within the term, by
-// session.watchForHangUp. A close that was noticed by reading alone was reported after 750 ms, the pause, and in the other case not
-// within the second looked at.
+// TestHangUpIsDetectedWhileNothingIsRead guards against requests that are forwarded after their client has hung up. A session reads
+// nothing in the pause after an invalid command, and while a large command waits for memory that others hold. In both cases,
+// session.watchForHangUp must report the hang-up within the term. Detection by reads alone reported it after the pause of 750 ms in
+// the first case, and not within the observed second in the other.
 func TestHangUpIsDetectedWhileNothingIsRead(t *testing.T) {
 	for name, block := range map[string]func(t *testing.T, s *session) (next string){
 		"behind a pause": func(_ *testing.T, s *session) string {
 			s.mu.Lock()
-			s.faultyCommands = maxFaults - 2 // the next pause is the longest
+			s.faultyCommands = maxFaults - 2 // makes the next pause the longest one
 			s.mu.Unlock()
 			return "*1\r\n$3\r\nBAD\r\n"
 		},
@@ -41,9 +42,9 @@
 			c, _, s := newSessionPair(t, commands, false)
 			next := block(t, s)
 			c.Write([]byte(ping))
-			eventually(t, "the request is not taken", func() bool { return commands.started.Load() == 1 })
+			eventually(t, "the request was not started", func() bool { return commands.started.Load() == 1 })
 			c.Write([]byte(next))
-			eventually(t, "the session still reads", func() bool {
+			eventually(t, "the session did not stop reading", func() bool {
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				return !s.awaitingCommand && s.commandDeadline.IsZero()
@@ -54,7 +55,7 @@
 				time.Sleep(time.Millisecond)
 			}
 			if elapsed := time.Since(closed); elapsed > hangUpTerm+hangUpSlack {
-				t.Errorf("it was reported after %v, and the term is %v", elapsed, hangUpTerm)
+				t.Errorf("the hang-up was reported after %v, and the term is %v", elapsed, hangUpTerm)
 			}
 		})
 	}
--- a/internal/front/lifecycle.go
+++ b/internal/front/lifecycle.go
@@ -85,7 +85,8 @@
 	}
 }
 
-// limitReading lets a connection read until the given time at the latest, as the gateway shuts down. It reports whether the state changed.
+// limitReading lets a connection read until the given time at the latest, as the gateway shuts down. It reports whether the state
+// changed.
 func (l *lifecycle) limitReading(until time.Time) bool {
 	switch l.state {
 	case stateOpen:
--- a/internal/front/platform/parse.go
+++ b/internal/front/platform/parse.go
@@ -105,8 +105,8 @@
 	return class, nil
 }
 
-// ParseRoute parses from a list of names and values what a forwarder needs: the customer's gateways and the timeout, which it sets in r,
-// and the names of class and plan for its ledger.
+// ParseRoute parses from a list of names and values what a forwarder needs: the customer's gateways and the timeout, which it sets
+// in r, and the names of class and plan for its ledger.
 func ParseRoute(text []byte, r *core.Request) (class, plan string, err error) {
 	return parseArguments(text, r)
 }
--- a/internal/front/platform/submit.go
+++ b/internal/front/platform/submit.go
@@ -25,8 +25,9 @@
 // FormatAnswer appends an encoded answer to b.
 type FormatAnswer func(b []byte, a core.Answer) []byte
 
-// submission connects a request in the planner with its slot. The answer is given on the planner's goroutine, or on the session's if the
-// request is not submitted to the planner. The outcome of the slot is reported after the answer, or after the client has disconnected.
+// submission connects a request in the planner with its slot. The answer is given on the planner's goroutine, or on the session's
+// if the request is not submitted to the planner. The outcome of the slot is reported after the answer, or after the client has
+// disconnected.
 type submission struct {
 	commands        *Commands
 	request         *core.Request
@@ -38,8 +39,8 @@
 	closed          atomic.Bool    // the request no longer counts as open
 }
 
-// Submit submits a request to the planner, and fills the slot with the answer. It sets the request's LedgerRef, LedgerKey and Answer. The
-// request is posted to the ledger before it is submitted to the planner.
+// Submit submits a request to the planner, and fills the slot with the answer. It sets the request's LedgerRef, LedgerKey and
+// Answer. The request is posted to the ledger before it is submitted to the planner.
 func (c *Commands) Submit(r *core.Request, s *front.Slot, format FormatAnswer) {
 	r.LedgerRef = c.Recorder.Ref()
 	r.LedgerKey = c.Recorder.Row(uint64(r.Customer), r.Plan, ledgerClass(r))
--- a/internal/front/reader.go
+++ b/internal/front/reader.go
@@ -96,9 +96,10 @@
 	return errCommandTimeout
 }
 
-// endReading ends a session after the last read, which failed with err. If the gateway ends a session that has read no command, and does
-// not drain or shut down, the session is closed at once and releases its place. Any other session that the gateway ends is closed
-// gracefully, so that input that arrives late does not reset the connection. If the connection failed, the session is closed at once.
+// endReading ends a session after the last read, which failed with err. If the gateway ends a session that has read no command, and
+// does not drain or shut down, the session is closed at once and releases its place. Any other session that the gateway ends is
+// closed gracefully, so that input that arrives late does not reset the connection. If the connection failed, the session is closed
+// at once.
 func (s *session) endReading(err error) {
 	s.mu.Lock()
 	byGateway := errors.Is(err, errNoMoreCommands)
@@ -217,8 +218,8 @@
 	return err != nil
 }
 
-// mayEnd reports whether a session that waits for a command ends. It ends only if no answer is pending, and if it was evicted, it drains
-// and has had time for its first command, or it has been idle for timeout.
+// mayEnd reports whether a session that waits for a command ends. It ends only if no answer is pending, and if it was evicted, it
+// drains and has had time for its first command, or it has been idle for timeout.
 func (s *session) mayEnd(timeout time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -240,9 +241,9 @@
 	return false
 }
 
-// penalize pauses after an invalid command, in proportion to the number of invalid commands so far, because a client that repeats them at
-// full speed would take the CPU time of all others. It returns false if there were too many and the session ends. A draining session
-// does not pause: its time is short, and it reads little.
+// penalize pauses after an invalid command, in proportion to the number of invalid commands so far, because a client that repeats
+// them at full speed would take the CPU time of all others. It returns false if there were too many and the session ends. A
+// draining session does not pause: its time is short, and it reads little.
 func (s *session) penalize(faults int) bool {
 	if faults >= maxFaults {
 		s.finish(ClosedFaults)
@@ -333,8 +334,8 @@
 	}
 }
 
-// abortIfHungUp aborts the session if its client has closed or half-closed the connection. A read would return the end of the input only
-// after all commands before it, and each of these would be forwarded although no client waits for the answer.
+// abortIfHungUp aborts the session if its client has closed or half-closed the connection. A read would return the end of the input
+// only after all commands before it, and each of these would be forwarded although no client waits for the answer.
 func (s *session) abortIfHungUp() {
 	if hungUp(s.conn) {
 		s.abort(ClosedByClient)
--- a/internal/front/send_test.go
+++ b/internal/front/send_test.go
@@ -7,12 +7,12 @@
 	"time"
 )
 
-// stalledConn is a connection whose buffer takes a little of the first write, and nothing after; each wait ends at once.
+// stalledConn is a connection that accepts capacity bytes in total. Each write returns an exceeded deadline at once.
 type stalledConn struct {
 	net.Conn
 	capacity int
 	deadline time.Time
-	waits    []time.Duration // how long each write was given
+	waits    []time.Duration // time until the deadline of each write
 }
 
 func (c *stalledConn) SetWriteDeadline(t time.Time) error {
@@ -27,18 +27,19 @@
 	return n, os.ErrDeadlineExceeded
 }
 
-// A client that reads nothing is given up after its time and one look more, though its machine took a little at first.
+// TestSendTimeoutIsNotExtendedByFirstWrite checks that a client that reads nothing is disconnected after sendTimeout and one more
+// write, even though its system's buffer accepted some bytes of the first write.
 func TestSendTimeoutIsNotExtendedByFirstWrite(t *testing.T) {
 	c := &stalledConn{capacity: 10}
 	s := &session{conn: c}
 	if n, err := s.send(make([]byte, 100)); n != 10 || err == nil {
-		t.Errorf("%d, %v", n, err)
+		t.Errorf("send wrote %d bytes, error %v", n, err)
 	}
 	total := time.Duration(0)
 	for _, w := range c.waits {
 		total += w
 	}
 	if maximum := sendTimeout + sendTimeout/maxStalledWrites; total > maximum || len(c.waits) != maxStalledWrites+1 {
-		t.Errorf("it is given %v in %d waits, at most %v wanted", total, len(c.waits), maximum)
+		t.Errorf("send waited %v in %d writes, expected at most %v", total, len(c.waits), maximum)
 	}
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -150,8 +150,8 @@
 	}
 }
 
-// awaitAccepting waits until sessions may be accepted. This is when the gateway is ready, shuts down or drains: a drained gateway must not
-// keep connections waiting.
+// awaitAccepting waits until sessions may be accepted. This is when the gateway is ready, shuts down or drains: a drained gateway
+// must not keep connections waiting.
 func (srv *Server) awaitAccepting(ctx context.Context) {
 	for !srv.isReady() {
 		srv.mu.Lock()
@@ -183,9 +183,9 @@
 	}
 }
 
-// acquirePlace waits for a place for a new session, and returns true if it got one. Meanwhile, the connection uses a reserved descriptor.
-// It returns false if the gateway shuts down, or drains and has no place. The session is then served without a place: its client may
-// have sent a command, which would be lost if the connection was closed.
+// acquirePlace waits for a place for a new session, and returns true if it got one. Meanwhile, the connection uses a reserved
+// descriptor. It returns false if the gateway shuts down, or drains and has no place. The session is then served without a place:
+// its client may have sent a command, which would be lost if the connection was closed.
 func (srv *Server) acquirePlace(ctx context.Context, places chan<- struct{}) bool {
 	for {
 		select {
--- a/internal/front/server_drain_test.go
+++ b/internal/front/server_drain_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Connections stand in the system's queue as the gateway is drained before it is ready: they are accepted, get a rejection, and
-// ended. A drain that ends before readiness has new ones wait again.
+// TestDrainBeforeReadiness checks that connections in the queue of the system are accepted, rejected and closed if the gateway is
+// drained before it is ready. After the drain, new connections wait for readiness again.
 func TestDrainBeforeReadiness(t *testing.T) {
 	ln := &notifyingListener{listen(t), make(chan struct{}, 8)}
 	ready := make(chan struct{})
@@ -18,7 +18,7 @@
 	waiting := dialClient(t, ln, ping)
 	srv.Drain(true)
 	if got := readUntilClosed(t, waiting); got != "-BUSY\r\n" {
-		t.Errorf("while it is not ready: %q", got)
+		t.Errorf("before readiness: got %q", got)
 	}
 	<-ln.accepted
 	srv.Drain(false)
@@ -26,18 +26,18 @@
 	srv.mu.Lock()
 	sessions := len(srv.sessions)
 	srv.mu.Unlock()
-	if sessions > 1 { // the one that ended may still be leaving
-		t.Errorf("%d sessions before readiness", sessions)
+	if sessions > 1 { // the session that ended may not be removed yet
+		t.Errorf("%d sessions before readiness, expected at most 1", sessions)
 	}
 	close(ready)
 	if line, err := bufio.NewReader(held).ReadString('\n'); line != "+taken\r\n" {
-		t.Errorf("once it is ready: %q, %v", line, err)
+		t.Errorf("after readiness: got answer %q, error %v", line, err)
 	}
 	held.Close()
 }
 
-// All places are taken by sessions that are owed answers as the gateway is drained: a connection that waits for a place is
-// served without one, and ended.
+// TestNoPlaceDuringADrain checks that a connection that waits for a place during a drain is served without one, and closed, if
+// sessions with pending answers hold all places.
 func TestNoPlaceDuringADrain(t *testing.T) {
 	ln := &notifyingListener{listen(t), make(chan struct{}, 8)}
 	srv := &Server{Listener: ln, MaxSessions: 1}
@@ -48,31 +48,32 @@
 	<-ln.accepted
 	srv.Drain(true)
 	if got := readUntilClosed(t, second); got != "+OK\r\n" {
-		t.Errorf("%q", got)
+		t.Errorf("got unexpected answers: %q", got)
 	}
 	first.Close()
 }
 
-// The drain ends while connections are ending: they end, new ones stay, and a drain that follows ends those too.
+// TestDrainEndsAndBeginsAgain checks that connections that are closing when a drain ends still close, that new connections stay
+// open, and that the next drain closes these too.
 func TestDrainEndsAndBeginsAgain(t *testing.T) {
 	ln := listen(t)
 	srv := &Server{Listener: ln, MaxSessions: 8}
 	commands := &delayedCommands{answer: make(chan struct{})}
 	startServerWith(t, srv, func() Commands { return commands })
 	pending := dialClient(t, ln, ping)
-	eventually(t, "the command was not taken", func() bool { return commands.started.Load() == 1 })
+	eventually(t, "the command was not started", func() bool { return commands.started.Load() == 1 })
 	srv.Drain(true)
 	srv.Drain(false)
 	next := dialClient(t, ln, ping)
-	eventually(t, "the command was not taken", func() bool { return commands.started.Load() == 2 })
+	eventually(t, "the command was not started", func() bool { return commands.started.Load() == 2 })
 	close(commands.answer)
 	if got := readUntilClosed(t, pending); got != "+OK\r\n" {
-		t.Errorf("of the drain: %q", got)
+		t.Errorf("first drain: got %q", got)
 	}
 	r := bufio.NewReader(next)
 	for i := range 3 {
 		if line, err := r.ReadString('\n'); line != "+OK\r\n" {
-			t.Fatalf("after the drain, command %d: %q, %v", i, line, err)
+			t.Fatalf("after the drain, command %d: got answer %q, error %v", i, line, err)
 		}
 		if i < 2 {
 			next.Write([]byte(ping))
@@ -80,20 +81,21 @@
 	}
 	srv.Drain(true)
 	if rest, err := io.ReadAll(r); len(rest) > 0 || err != nil {
-		t.Errorf("of the second drain: %q, %v", rest, err)
+		t.Errorf("second drain: got %q, error %v, expected the end of the stream", rest, err)
 	}
 }
 
-// drainBy drains a server by given times.
+// drainBy sets the drain of a server to the given times, for connections that are accepted later.
 func drainBy(srv *Server, times drainTimes) {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	srv.drain = &times
 }
 
-// Connections that come during a drain: each ends, and what it said whole is answered.
+// TestConnectionsAcceptedDuringADrain checks that each connection that is accepted during a drain is closed after its complete commands
+// are answered.
 func TestConnectionsAcceptedDuringADrain(t *testing.T) {
-	early := newDrainTimes(time.Now().Add(testTimeout)) // its time to take requests does not end while the test goes on
+	early := newDrainTimes(time.Now().Add(testTimeout)) // its time to read does not end during the test
 	for name, c := range map[string]struct {
 		times       drainTimes
 		input, want string
@@ -112,13 +114,14 @@
 			startServerWith(t, srv, func() Commands { return acceptOrBusy{} })
 			drainBy(srv, c.times)
 			if got := readUntilClosed(t, dialClient(t, ln, c.input)); got != c.want {
-				t.Errorf("%q, not %q", got, c.want)
+				t.Errorf("got %q, expected %q", got, c.want)
 			}
 		})
 	}
 }
 
-// Twenty connections in each of the states that a client can hold one in, ended at once by a drain: none is left.
+// TestDrainClosesAllConnections checks that a drain closes all connections: twenty each that have sent nothing, a complete command
+// and an incomplete one.
 func TestDrainClosesAllConnections(t *testing.T) {
 	ln := listen(t)
 	srv := &Server{Listener: ln, MaxSessions: 200}
@@ -127,7 +130,7 @@
 	for i := range 60 {
 		conns = append(conns, dialClient(t, ln, []string{"", ping, ping[:5]}[i%3]))
 	}
-	eventually(t, "not all are taken in", func() bool {
+	eventually(t, "not all connections were accepted, or not all commands were read", func() bool {
 		srv.mu.Lock()
 		defer srv.mu.Unlock()
 		commandsRead := 0
@@ -141,10 +144,10 @@
 	srv.Drain(true)
 	for i, c := range conns {
 		if got := readUntilClosed(t, c); i%3 == 1 && got != "+taken\r\n" || i%3 != 1 && got != "" {
-			t.Errorf("connection %d: %q", i, got)
+			t.Errorf("connection %d: got %q", i, got)
 		}
 	}
-	eventually(t, "connections are left", func() bool {
+	eventually(t, "some sessions did not end", func() bool {
 		srv.mu.Lock()
 		defer srv.mu.Unlock()
 		return len(srv.sessions) == 0
--- a/internal/front/sessions/golden_test.go
+++ b/internal/front/sessions/golden_test.go
@@ -20,7 +20,8 @@
 	"dewhitch/internal/standin"
 )
 
-// echoCommands answers each command that a session passes on with the arguments of the command. If drained is true, PING reports a drain.
+// echoCommands answers each command that a session passes on with the arguments of the command. If drained is true, PING reports a
+// drain.
 type echoCommands struct{ drained bool }
 
 func (c echoCommands) Do(_ time.Time, cmd resp.Command, s *front.Slot) {
@@ -29,8 +30,8 @@
 
 func (c echoCommands) Drained() bool { return c.drained }
 
-// TestGoldenSession compares the answers to HELLO, CLIENT, SELECT, ECHO, QUIT, COMMAND and PING, and their errors, with a golden file. RESP
-// clients read them.
+// TestGoldenSession compares the answers to HELLO, CLIENT, SELECT, ECHO, QUIT, COMMAND and PING, and their errors, with a golden
+// file. RESP clients read them.
 func TestGoldenSession(t *testing.T) {
 	long := strings.Repeat("n", maxNameBytes+1)
 	var b []byte
@@ -57,8 +58,8 @@
 	golden.Compare(t, "session.txt", b)
 }
 
-// TestGoldenCommandList compares the answers to COMMAND and COMMAND LIST with a golden file. Their items are sorted, because they come in
-// no fixed order. RESP clients read them.
+// TestGoldenCommandList compares the answers to COMMAND and COMMAND LIST with a golden file. Their items are sorted, because they
+// come in no fixed order. RESP clients read them.
 func TestGoldenCommandList(t *testing.T) {
 	s := &Commands{Commands: echoCommands{}}
 	var b []byte
--- a/internal/front/sessions/sessions.go
+++ b/internal/front/sessions/sessions.go
@@ -33,7 +33,8 @@
 // lastID is the number of the last session of the process. The first session has number 1.
 var lastID atomic.Uint64
 
-// New returns the commands of a new session, which passes the commands of other packages to next. version is the version of this program.
+// New returns the commands of a new session, which passes the commands of other packages to next. version is the version of this
+// program.
 func New(next front.Commands, version string) *Commands {
 	return &Commands{Commands: next, id: lastID.Add(1), version: version}
 }
--- a/internal/front/slot.go
+++ b/internal/front/slot.go
@@ -131,8 +131,8 @@
 	s.wakeWriter()
 }
 
-// countUnsent counts n bytes of an answer as unsent. It closes the connection if the client does not read and its answers take too much of
-// the gateway's memory; the reading goroutine then ends the session. The caller holds the lock.
+// countUnsent counts n bytes of an answer as unsent. It closes the connection if the client does not read and its answers take too
+// much of the gateway's memory; the reading goroutine then ends the session. The caller holds the lock.
 func (s *session) countUnsent(n int) {
 	s.unsentBytes += n
 	total := s.bounds.unsentTotal.Add(int64(n))
--- a/internal/front/writer.go
+++ b/internal/front/writer.go
@@ -69,7 +69,8 @@
 	return s.lifecycle.state == stateClosed
 }
 
-// discardBatch reports WriteFailed for the answers of a batch that can no longer be written, and closes the sending side of the connection.
+// discardBatch reports WriteFailed for the answers of a batch that can no longer be written, and closes the sending side of the
+// connection.
 func (s *session) discardBatch(b batch) {
 	settleAnswers(b.answerEnds, 0)
 	if b.streamed != nil {
@@ -80,8 +81,8 @@
 	}
 }
 
-// writeBatch writes a batch, and reports the outcomes of its answers. If a value is cut off, the client recognizes that by the announced
-// length.
+// writeBatch writes a batch, and reports the outcomes of its answers. If a value is cut off, the client recognizes that by the
+// announced length.
 func (s *session) writeBatch(b batch) error {
 	n, err := s.send(b.answers)
 	settleAnswers(b.answerEnds, n)
@@ -99,8 +100,8 @@
 	return err
 }
 
-// abandonAfterWriteError ends a session to which nothing more can be written. It wakes the reading goroutine, which may wait for capacity
-// that only the writer releases.
+// abandonAfterWriteError ends a session to which nothing more can be written. It wakes the reading goroutine, which may wait for
+// capacity that only the writer releases.
 func (s *session) abandonAfterWriteError(err error) {
 	s.mu.Lock()
 	if errors.Is(err, os.ErrDeadlineExceeded) {
@@ -173,7 +174,8 @@
 	}
 }
 
-// releaseUnsent counts n bytes of answers as sent. An abandoned session has already released all of its bytes. The caller holds the lock.
+// releaseUnsent counts n bytes of answers as sent. An abandoned session has already released all of its bytes. The caller holds the
+// lock.
 func (s *session) releaseUnsent(n int) {
 	n = min(n, s.unsentBytes)
 	s.unsentBytes -= n
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -18,7 +18,8 @@
 	maxInterimResponses = 8       // interim (1xx) responses before the final one
 )
 
-// ErrProtocol is wrapped by every error that reports a violation of the protocol. After it, nothing more can be read from the connection.
+// ErrProtocol is wrapped by every error that reports a violation of the protocol. After it, nothing more can be read from the
+// connection.
 var ErrProtocol = errors.New("protocol error")
 
 func protocolError(reason string) error { return fmt.Errorf("%w: %s", ErrProtocol, reason) }
--- a/internal/http1/answer_test.go
+++ b/internal/http1/answer_test.go
@@ -25,8 +25,8 @@
 	}
 }
 
-// TestStreams reads the stream in each line of testdata/streams.txt, and compares the responses and the final error with the rest of the
-// line.
+// TestStreams reads the stream in each line of testdata/streams.txt, and compares the responses and the final error with the rest
+// of the line.
 func TestStreams(t *testing.T) {
 	text, err := os.ReadFile("testdata/streams.txt")
 	if err != nil {
