--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -57,7 +57,7 @@
 	return t
 }
 
-// Drained reports whether clients should be sent elsewhere.
+// Drained reports whether the gateway is drained, so that clients should be sent elsewhere.
 func (c *Commands) Drained() bool { return c.State != nil && c.State.Drained() }
 
 // Do implements front.Commands.
--- a/internal/front/reader.go
+++ b/internal/front/reader.go
@@ -30,7 +30,7 @@
 	maxPenalty      = time.Second           // maximum pause
 )
 
-// Errors after which no more commands are read. The texts are sent to clients and must not change.
+// Errors after which no more commands are read. The text of errCommandTimeout is sent to clients and must not change.
 var (
 	errNoMoreCommands = errors.New("the session takes no more commands")
 	errCommandTimeout = errors.New("the command is not whole in time")
--- a/internal/front/sessions/sessions.go
+++ b/internal/front/sessions/sessions.go
@@ -279,7 +279,7 @@
 		for _, flag := range entry.flags {
 			b = resp.AppendStatus(b, flag)
 		}
-		for _, at := range []int{entry.key, entry.key, min(entry.key, 1)} { // the first key, the last, and the step
+		for _, at := range []int{entry.key, entry.key, min(entry.key, 1)} { // positions of the first and the last key, and the step between keys
 			b = resp.AppendInt(b, int64(at))
 		}
 	}
