--- a/internal/fleet/schedule_test.go
+++ b/internal/fleet/schedule_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// playSchedule injects random faults.
-func playSchedule(t *rapid.T, s *sim) {
+// runSchedule injects random faults and submits commands.
+func runSchedule(t *rapid.T, s *sim) {
 	for i := range rapid.IntRange(3, 12).Draw(t, "troubles") {
 		m := s.members[rapid.IntRange(0, len(s.members)-1).Draw(t, "member")]
 		switch rapid.SampledFrom([]string{"kill", "wipe", "stall", "part", "oneway", "lossy", "slow", "heal", "full", "ask", "all"}).Draw(t, "what") {
@@ -43,9 +43,9 @@
 		case "full":
 			m.diskFull = true
 		case "all":
-			keep := rapid.Bool().Draw(t, "keep")
+			keepStorage := rapid.Bool().Draw(t, "keep")
 			for _, m := range s.members {
-				s.start(m, keep)
+				s.start(m, keepStorage)
 			}
 		case "heal":
 			s.heal()
@@ -57,14 +57,14 @@
 	}
 }
 
-// In random schedules no two plans share an epoch, no member goes back, no two generations commit side by
-// side, no stale view is fresh; and once all is healed, all members act on one plan. -rapid.checks=10000 for
-// the long form.
+// In random schedules of faults no two plans may share an epoch, no member may return to an older epoch, no two
+// generations may commit concurrently, and no stale view may count as fresh. Once all faults are healed, all members
+// must apply one plan. The long form runs with -rapid.checks=10000.
 func TestSchedules(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(t, rapid.Uint64().Draw(t, "seed"), rapid.IntRange(3, 7).Draw(t, "members"), 3)
 		s.run(4 * time.Second)
-		playSchedule(t, s)
+		runSchedule(t, s)
 		s.checkConvergence()
 		s.checkOrder()
 	})
