--- a/internal/front/sessions/golden_test.go
+++ b/internal/front/sessions/golden_test.go
@@ -20,18 +20,20 @@
 	"dewhitch/internal/standin"
 )
 
-// passed answers what a session hands on with the words that it was handed; drained, it has PING say so.
-type passed struct{ drained bool }
+// echoCommands answers each command that a session passes on with the arguments of the command. If drained is true, PING reports a
+// drain.
+type echoCommands struct{ drained bool }
 
-func (p passed) Do(_ time.Time, cmd resp.Command, s *front.Slot) {
+func (c echoCommands) Do(_ time.Time, cmd resp.Command, s *front.Slot) {
 	s.Fill(resp.AppendBulk(nil, bytes.Join(cmd, []byte("|"))))
 }
 
-func (p passed) Drained() bool { return p.drained }
+func (c echoCommands) Drained() bool { return c.drained }
 
-// The answers about a session: HELLO, CLIENT, SELECT, ECHO, QUIT, COMMAND and PING, and their errors. RESP clients read them.
+// TestGoldenSession compares the answers to HELLO, CLIENT, SELECT, ECHO, QUIT, COMMAND and PING, and their errors, with a golden
+// file. RESP clients read them.
 func TestGoldenSession(t *testing.T) {
-	long := strings.Repeat("n", maxName+1)
+	long := strings.Repeat("n", maxNameBytes+1)
 	var b []byte
 	for _, c := range []struct {
 		words   string
@@ -50,15 +52,16 @@
 		{"COMMAND INFO svc.query svc.submit limit.get limit.adjust", false},
 		{"SVC.SUBMIT a b c", false}, {"novel x", false},
 	} {
-		s := &Commands{Commands: passed{c.drained}, id: 7, name: "name-1", version: "v1.2.3"}
+		s := &Commands{Commands: echoCommands{c.drained}, id: 7, name: "name-1", version: "v1.2.3"}
 		b = append(b, exchange(t, s, strings.Fields(c.words)...)...)
 	}
 	golden.Compare(t, "session.txt", b)
 }
 
-// The commands that COMMAND and COMMAND LIST tell of, which have no order. RESP clients read them.
+// TestGoldenCommandList compares the answers to COMMAND and COMMAND LIST with a golden file. Their items are sorted, because they
+// come in no fixed order. RESP clients read them.
 func TestGoldenCommandList(t *testing.T) {
-	s := &Commands{Commands: passed{}}
+	s := &Commands{Commands: echoCommands{}}
 	var b []byte
 	for _, words := range []string{"COMMAND LIST", "COMMAND"} {
 		text := exchange(t, s, strings.Fields(words)...)
@@ -70,19 +73,19 @@
 	golden.Compare(t, "commands.txt", b)
 }
 
-// exchange is one command and what a client reads for it, over a session of its own.
+// exchange sends one command over a new session, and returns the command and the bytes of the answer as text.
 func exchange(t *testing.T, c front.Commands, words ...string) []byte {
 	t.Helper()
 	l, err := net.Listen("tcp", standin.OwnAddr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &front.Server{Listener: l, Log: zap.NewNop(), Bounds: front.NewBounds(64 << 20), Sessions: 1,
-		Open: func() front.Commands { return c }}
+	server := &front.Server{Listener: l, Log: zap.NewNop(), Bounds: front.NewBounds(64 << 20), MaxSessions: 1,
+		NewCommands: func() front.Commands { return c }}
 	ctx, stop := context.WithCancel(t.Context())
-	over := make(chan struct{})
+	served := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(served)
 		server.Serve(ctx)
 	}()
 	client, err := standin.Dial(l.Addr().String(), 10*time.Second)
@@ -92,7 +95,7 @@
 	defer func() {
 		client.Close()
 		stop()
-		<-over
+		<-served
 	}()
 	client.SetDeadline(time.Now().Add(10 * time.Second))
 	if err := client.Send(words); err != nil {
--- a/internal/http1/answer_test.go
+++ b/internal/http1/answer_test.go
@@ -9,22 +9,24 @@
 	"testing"
 )
 
-func play(in string) (out string) {
+// readResponses reads responses from a stream until an error, and returns their statuses and bodies and the error as text.
+func readResponses(in string) (out string) {
 	r := bufio.NewReaderSize(strings.NewReader(in), MaxLine+2)
 	for {
-		a, err := ReadAnswer(r)
+		resp, err := ReadResponse(r)
 		if err != nil {
 			return out + err.Error()
 		}
-		body, err := ReadBody(r, a)
-		out += strconv.Itoa(a.Status) + " " + strconv.Quote(string(body)) + "; "
+		body, err := ReadBody(r, resp)
+		out += strconv.Itoa(resp.Status) + " " + strconv.Quote(string(body)) + "; "
 		if err != nil {
 			return out + err.Error()
 		}
 	}
 }
 
-// Each line of testdata/streams.txt is a stream, and the answers that are read from it.
+// TestStreams reads the stream in each line of testdata/streams.txt, and compares the responses and the final error with the rest
+// of the line.
 func TestStreams(t *testing.T) {
 	text, err := os.ReadFile("testdata/streams.txt")
 	if err != nil {
@@ -33,11 +35,11 @@
 	for line := range strings.SplitSeq(strings.TrimSpace(string(text)), "\n") {
 		in, want, _ := strings.Cut(line, " => ")
 		in = strings.NewReplacer(`\r`, "\r", `\n`, "\n").Replace(in)
-		if got := play(in); got != want {
-			t.Errorf("%q:\n got %s\nwant %s", in, got, want)
+		if got := readResponses(in); got != want {
+			t.Errorf("stream %q:\n got %s\nwant %s", in, got, want)
 		}
 	}
-	if got := play("HTTP/1.1 200 " + strings.Repeat("x", MaxLine)); got != "protocol error: line too long" {
+	if got := readResponses("HTTP/1.1 200 " + strings.Repeat("x", MaxLine)); got != "protocol error: line too long" {
 		t.Error(got)
 	}
 }
@@ -46,7 +48,7 @@
 	got := AppendRequest(nil, "POST", "/counters/a.1?by=-2.5&expire_ms=4000", "127.0.0.1:1")
 	want := "POST /counters/a.1?by=-2.5&expire_ms=4000 HTTP/1.1\r\nHost: 127.0.0.1:1\r\nContent-Length: 0\r\n\r\n"
 	if string(got) != want {
-		t.Errorf("%q", got)
+		t.Errorf("AppendRequest returned an unexpected request: %q", got)
 	}
 }
 
@@ -55,9 +57,9 @@
 	f.Add([]byte("HTTP/1.0 503 x\r\nContent-Length: 2\r\n\r\nab"))
 	f.Fuzz(func(t *testing.T, in []byte) {
 		r := bufio.NewReaderSize(bytes.NewReader(in), MaxLine+2)
-		if a, err := ReadAnswer(r); err == nil {
-			if body, _ := ReadBody(r, a); len(body) > MaxBody+1 {
-				t.Errorf("%d bytes", len(body))
+		if resp, err := ReadResponse(r); err == nil {
+			if body, _ := ReadBody(r, resp); len(body) > MaxBody+1 {
+				t.Errorf("ReadBody returned %d bytes, more than its limit", len(body))
 			}
 		}
 	})
