--- a/gateway.go
+++ b/gateway.go
@@ -6,13 +6,13 @@
 	"dewhitch/internal/ratelimit"
 )
 
-// Gateway is the decision module of one gateway: a state machine that Handle drives. It holds the owners of
-// the decisions and routes each event to them. Each owner uses those above it in this list only, and changes
-// only its own state and what it documents. A Gateway is owned by one goroutine; none of its methods may run
-// beside another.
+// Gateway is the decision module of one gateway: a state machine that Handle advances. It holds the
+// components that make the decisions and routes each event to one of them. A component uses only the
+// components above it in this list, and changes only its own state and what it documents. One goroutine owns
+// a Gateway; its methods must not run concurrently.
 type Gateway struct {
 	ctx     *stepContext
-	started bool // the first event has come
+	started bool // true once Handle has received its first event
 
 	traffic   *trafficStatistics
 	endpoints *endpointSet
@@ -35,8 +35,8 @@
 	limits      *limitQueries
 }
 
-// New makes a gateway without any state. Seed is that of its random choices: the same settings, seed and
-// events lead to the same actions. The error is that of Settings.Check.
+// New returns a gateway without any state. The seed initializes its random choices: the same settings, seed
+// and events lead to the same actions. New returns the error of Settings.Check.
 func New(s Settings, seed uint64) (*Gateway, error) {
 	if err := s.Check(); err != nil {
 		return nil, err
@@ -44,31 +44,31 @@
 	ctx := &stepContext{settings: s, rng: rand.New(rand.NewPCG(seed, 1)),
 		timers: timerTable{callbacks: map[TimerID]func(){}}}
 	g := &Gateway{ctx: ctx}
-	g.newServerOwners()
-	g.newRequestOwners()
+	g.newServerComponents()
+	g.newRequestComponents()
 	return g, nil
 }
 
-// newServerOwners makes the owners of what is known of the servers.
-func (g *Gateway) newServerOwners() {
+// newServerComponents creates the components that keep statistics of the servers and choose among them.
+func (g *Gateway) newServerComponents() {
 	ctx, classes := g.ctx, len(g.ctx.settings.Classes)
 	g.traffic = &trafficStatistics{ctx: ctx, zoneFailures: map[int]float64{}}
 	g.endpoints = &endpointSet{ctx: ctx, byID: map[ServerID]*server{}}
 	g.aperture = &aperture{endpoints: g.endpoints, traffic: g.traffic}
 	g.slowStart = &slowStart{ctx: ctx, endpoints: g.endpoints, aperture: g.aperture, traffic: g.traffic}
 	g.outliers = &outlierDetector{ctx: ctx, endpoints: g.endpoints, aperture: g.aperture, traffic: g.traffic,
-		suspects: map[*server]bool{}, counts: make([]int, classes), countedAt: make([]Instant, classes)}
+		suspects: map[*server]bool{}, ejectedCounts: make([]int, classes), countedAt: make([]Instant, classes)}
 	g.latency = newLatencyEstimator(ctx, g.endpoints, g.aperture, g.slowStart)
 	g.balancer = &balancer{ctx: ctx, endpoints: g.endpoints, aperture: g.aperture, traffic: g.traffic,
 		slowStart: g.slowStart, outliers: g.outliers, latency: g.latency, rules: attemptRules{ctx}}
 }
 
-// newRequestOwners makes the owners of requests and accounts.
-func (g *Gateway) newRequestOwners() {
+// newRequestComponents creates the components that hold requests and accounts and decide on requests.
+func (g *Gateway) newRequestComponents() {
 	ctx, set := g.ctx, &g.ctx.settings
 	g.requests = &requestTable{ctx: ctx, byID: map[RequestID]*request{}}
 	g.accounts = &accounts{ctx: ctx, byID: map[CustomerID]*account{}}
-	g.counter = &counterSync{ctx: ctx, calls: map[string]*account{},
+	g.counter = &counterSync{ctx: ctx, accountByCall: map[string]*account{},
 		limiter: ratelimit.New(seconds(set.CounterTimeout), set.Instances)}
 	g.priorities = &priorities{latency: g.latency, mean: max(set.Classes[0].Weight, minPriority)}
 	g.quota = &quotaRules{ctx: ctx, latency: g.latency, counter: g.counter}
@@ -86,8 +86,8 @@
 		shutdown: g.shutdown}
 }
 
-// Handle takes one event and appends the actions it leads to, which the caller carries out in that order.
-// Now must not go back from one event to the next.
+// Handle processes one event, appends the resulting actions to actions and returns the extended slice; the
+// caller carries them out in that order. Now must not go back from one event to the next.
 func (g *Gateway) Handle(now Instant, e Event, actions []Action) []Action {
 	g.ctx.now = now
 	g.ctx.actions = actions
@@ -100,7 +100,7 @@
 	return actions
 }
 
-// start begins the periodic work, with the first event.
+// start begins the periodic work. Handle calls it before it routes the first event.
 func (g *Gateway) start() {
 	g.started = true
 	g.ctx.startedAt = g.ctx.now
@@ -112,27 +112,27 @@
 	g.ctx.setTimerAfter(accountExpiryPeriod, g.accounts.expire)
 }
 
-// sweep runs the periodic work.
+// sweep runs the periodic work and schedules its next run.
 func (g *Gateway) sweep() {
 	g.ctx.setTimerAfter(g.ctx.sweepInterval(), g.sweep)
 	g.counter.sweep()
 	g.latency.recoverIdle()
 }
 
-// route hands an event to the owner that decides on it. HealthChecked and PeerMessage lead to nothing.
+// route passes an event to the component that handles it. HealthChecked and PeerMessage are ignored.
 func (g *Gateway) route(e Event) {
 	switch e := e.(type) {
 	case EndpointList:
 		g.updateEndpoints(e)
 	case Arrival:
-		g.admission.arrive(e, false)
+		g.admission.handleArrival(e, false)
 	case LimitQuery:
-		g.limits.query(e.arrival(0))
+		g.limits.enqueue(e.arrival(0))
 	case LimitAdjust:
 		if e.Units > 0 {
-			g.admission.arrive(e.arrival(e.Units), true)
+			g.admission.handleArrival(e.arrival(e.Units), true)
 		} else {
-			g.limits.query(e.arrival(e.Units))
+			g.limits.enqueue(e.arrival(e.Units))
 		}
 	case AnswerStarted:
 		g.requests.answerStarted(e.Request)
@@ -151,7 +151,8 @@
 	}
 }
 
-// updateEndpoints applies an endpoint list and starts the statistics of new and restarted servers anew.
+// updateEndpoints applies an endpoint list and resets the statistics of servers that are new or have
+// restarted.
 func (g *Gateway) updateEndpoints(e EndpointList) {
 	started, forgotten := g.endpoints.update(e)
 	for _, s := range started {
@@ -164,24 +165,24 @@
 	}
 }
 
-// counterAnswered applies the end of a counter call, then decides on what waited for it.
+// counterAnswered applies the outcome of a counter call, then decides on the requests that waited for it.
 func (g *Gateway) counterAnswered(e CounterAnswered) {
-	a := g.counter.answered(e)
+	a := g.counter.handleAnswer(e)
 	if a == nil {
 		return
 	}
 	counted := e.Outcome == OutcomeOK
 	if counted {
-		g.limits.answer(a)
+		g.limits.answerQueries(a)
 	}
 	g.admission.decideCounted(a, counted)
-	if len(a.sync.queries) > 0 {
+	if len(a.sync.waitingQueries) > 0 {
 		g.counter.enqueue(a, true)
 	}
 }
 
-// Tally is how many units a customer's tally holds, for bookkeeping. Known is false if there is no account:
-// one that is dropped takes its tally along.
+// Tally returns the number of units on a customer's tally, for bookkeeping. Known is false if the customer
+// has no account: dropping an account discards its tally.
 func (g *Gateway) Tally(id CustomerID) (units float64, known bool) {
 	a, known := g.accounts.byID[id]
 	if known {
@@ -190,6 +191,6 @@
 	return units, known
 }
 
-// EjectedServers counts the ready servers that get nothing new because their attempts fail; 0 where so many
-// fail that none is left out.
+// EjectedServers returns the number of ready servers that get no new attempts because their attempts fail, or
+// 0 if so many servers fail that none is excluded.
 func (g *Gateway) EjectedServers(now Instant) int { return g.outliers.countEjectedForAll(now) }
--- a/internal/ledger/recorder/planted_test.go
+++ b/internal/ledger/recorder/planted_test.go
@@ -111,7 +111,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &front.Server{Listener: l, Sessions: 64, Open: func() front.Commands { return commands },
+	server := &front.Server{Listener: l, MaxSessions: 64, NewCommands: func() front.Commands { return commands },
 		Bounds: front.NewBounds(64 << 20), Log: o.Log}
 	ctx, stop := context.WithCancel(context.Background())
 	var background, fronts sync.WaitGroup
--- a/load_shedding_test.go
+++ b/load_shedding_test.go
@@ -6,7 +6,7 @@
 	dw "dewhitch"
 )
 
-// A gateway that sheds everything by its latency estimate must find out when the servers have recovered (incident
+// A gateway that sheds everything because of its latency estimate must notice when the servers have recovered (incident
 // i7b957a).
 func TestRecoveryFromSheddingAll(t *testing.T) {
 	s := settings()
@@ -19,47 +19,47 @@
 		b.advance(millisecond)
 	}
 	if _, ok := b.request(dw.Arrival{}); ok {
-		t.Fatal("slow servers do not lead to rejections")
+		t.Fatal("request admitted although all servers are slow")
 	}
 	b.advance(4 * second)
 	if _, ok := b.request(dw.Arrival{}); !ok {
-		t.Error("no way back")
+		t.Error("request rejected although the servers have had time to recover")
 	}
 }
 
-// When most attempts fail, less is sent, and recovery needs nothing else: servers full of expired work were sent as much
-// again, with retries budgeted by arrivals (incidents ife4101 and i0b2662).
+// While most attempts fail, the gateway must send less, and that alone must let the servers recover. With retries budgeted by
+// arrivals, servers full of expired work received as much load again (incidents ife4101 and i0b2662).
 func TestThrottlingEndsCollapse(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
 	b := newHarness(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8}, dw.Endpoint{ID: 9})
-	play := func(outcome dw.Outcome) int {
-		before, seen := len(b.attempts), len(b.attempts)
+	runRequests := func(outcome dw.Outcome) int {
+		before, handled := len(b.attempts), len(b.attempts)
 		for range 500 {
 			id, ok := b.request(dw.Arrival{})
-			for attempt := 0; ok && seen < len(b.attempts); attempt++ {
-				e := dw.AttemptEnded{Request: id, Attempt: attempt, Server: b.attempts[seen].Server, Outcome: outcome, Latency: 5 * millisecond}
+			for attempt := 0; ok && handled < len(b.attempts); attempt++ {
+				e := dw.AttemptEnded{Request: id, Attempt: attempt, Server: b.attempts[handled].Server, Outcome: outcome, Latency: 5 * millisecond}
 				e.Final = outcome == dw.OutcomeOK
-				seen++
+				handled++
 				b.handle(e)
 			}
 			b.advance(20 * millisecond)
 		}
 		return len(b.attempts) - before
 	}
-	if n := play(dw.OutcomeOK); n < 450 {
-		t.Fatalf("%d of 500 go on when all is well", n)
+	if n := runRequests(dw.OutcomeOK); n < 450 {
+		t.Fatalf("got %d attempts for 500 requests while servers are healthy, expected at least 450", n)
 	}
-	if n := play(dw.OutcomeError); n > 400 { // and up to a tenth more as further attempts, if all went on
-		t.Errorf("%d attempts for 500 requests that all end badly", n)
+	if n := runRequests(dw.OutcomeError); n > 400 { // without throttling: all requests, and up to a tenth more as further attempts
+		t.Errorf("got %d attempts for 500 requests that all fail, expected at most 400", n)
 	}
-	if play(dw.OutcomeOK); play(dw.OutcomeOK) < 450 {
-		t.Error("no way back")
+	if runRequests(dw.OutcomeOK); runRequests(dw.OutcomeOK) < 450 {
+		t.Error("requests rejected although the servers have recovered")
 	}
 }
 
-// Of a hundred servers there is always one whose last sample dates from before the overload; the gateway must shed load all
-// the same (report L2da371, incident ife4101).
+// Among a hundred servers there is always one whose last sample dates from before the overload. The gateway must shed load
+// nevertheless (report L2da371, incident ife4101).
 func TestOverloadIsSeenAmongManyServers(t *testing.T) {
 	s := manyGateways()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
@@ -68,7 +68,7 @@
 		servers = append(servers, dw.Endpoint{ID: dw.ServerID(i)})
 	}
 	b := newHarness(t, s, servers...)
-	in := 0
+	forwarded := 0
 	for i := range 300 {
 		latency := 10 * millisecond
 		if i >= 200 {
@@ -78,17 +78,17 @@
 			b.advance(latency)
 			b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[len(b.attempts)-1].Server, Final: true, Latency: latency})
 			if i >= 230 && i < 300 {
-				in++
+				forwarded++
 			}
 		}
 		b.advance(100 * millisecond)
 	}
-	if in > 20 || in == 0 {
-		t.Errorf("%d of 70 requests go on to servers that all take three quarters of the aim", in)
+	if forwarded > 20 || forwarded == 0 {
+		t.Errorf("got %d of 70 requests forwarded to servers that all take 3/4 of the objective, expected 1 to 20", forwarded)
 	}
 }
 
-// Retry-After differs from request to request, so that clients do not come back together (report L2da371), and leaves time
+// Retry-After must differ from request to request, so that clients do not return together (report L2da371), and must leave time
 // for an answer.
 func TestRetryAfterIsSpread(t *testing.T) {
 	s := settings()
@@ -106,11 +106,11 @@
 		b.advance(millisecond)
 	}
 	if least <= 0 || most < 2*least || most > 400*millisecond {
-		t.Errorf("advice of %v to %v", least, most)
+		t.Errorf("got a RetryAfter of %v to %v, expected a positive range, spread twofold within 400 millisecond", least, most)
 	}
 }
 
-// Latency that is due to long work, not to load, does not shed: the threshold is a multiple of the idle latency.
+// Latency that is due to long work instead of load must not shed requests: the threshold is a multiple of the idle latency.
 func TestLongWorkIsNotShed(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
@@ -119,19 +119,19 @@
 		latency  dw.Span
 		min, max int
 	}{{70 * millisecond, 95, 100}, {130 * millisecond, 95, 100}, {300 * millisecond, 1, 60}} {
-		in := 0
+		forwarded := 0
 		for i := range 200 {
 			if id, ok := b.request(dw.Arrival{}); ok {
 				b.advance(c.latency)
 				b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[len(b.attempts)-1].Server, Final: true, Latency: c.latency})
 				if i >= 100 {
-					in++
+					forwarded++
 				}
 			}
 			b.advance(10 * millisecond)
 		}
-		if in < c.min || in > c.max {
-			t.Errorf("answers in %v: %d of 100 go on, want %d to %d", c.latency, in, c.min, c.max)
+		if forwarded < c.min || forwarded > c.max {
+			t.Errorf("latency %v: got %d of 100 requests forwarded, expected %d to %d", c.latency, forwarded, c.min, c.max)
 		}
 	}
 }
