--- a/cmd/dewhitch/exclusions.go
+++ b/cmd/dewhitch/exclusions.go
@@ -35,7 +35,7 @@
 // newExclusionHandover has the planner pass on its exclusions; before the planner runs. The planner never blocks on the
 // channel, as it alone sends there, and takes an older value out first.
 func newExclusionHandover(n *config.Node, p *core.Planner, d *discovery.Decoder, log *zap.Logger) *exclusionHandover {
-	h := &exclusionHandover{path: handover.Path(n.Scratch, n.Name), planner: p, decoder: d, log: log,
+	h := &exclusionHandover{path: handover.Path(n.TempDir, n.Name), planner: p, decoder: d, log: log,
 		latest: make(chan []dw.ServerID, 1)}
 	p.OnExcluded(func(ids []dw.ServerID) {
 		select {
--- a/cmd/dewhitch/fleet.go
+++ b/cmd/dewhitch/fleet.go
@@ -40,7 +40,7 @@
 	return agent.Options{
 		Maintenance: maintenance.Defaults,
 		OnDecisions: g.replaceDecisions,
-		Drain:       g.state.DrainItself,
+		Drain:       g.state.DrainByFleet,
 		Quiesced:    g.quiesced,
 		Zones:       zones,
 		SlowStart: slowstart.Config{
@@ -50,7 +50,7 @@
 		Voters:         g.fleetConfig.Voters,
 		Dir:            g.fleetConfig.Dir,
 		Lease:          g.fleetConfig.Lease,
-		StatusInterval: g.fleetConfig.Status,
+		StatusInterval: g.fleetConfig.StatusInterval,
 		Log:            g.log,
 		Gossip: gossip.Options{
 			Fleet:   g.fleetConfig.Name,
--- a/cmd/dewhitch/forward.go
+++ b/cmd/dewhitch/forward.go
@@ -156,7 +156,7 @@
 func (f *forwarder) shutDown(signalledAt time.Time) shutdown.Plan {
 	plan := shutdown.New(signalledAt, math.MaxInt64)
 	f.server.CloseBy(plan.CloseBy)
-	f.planners.End(plan.AnswerBy)
+	f.planners.FailUnansweredAt(plan.AnswerBy)
 	return plan
 }
 
--- a/cmd/dewhitch/gateway.go
+++ b/cmd/dewhitch/gateway.go
@@ -111,7 +111,7 @@
 	g.state = &ops.State{}
 	g.figures = &ops.Figures{}
 	g.metrics = telemetry.New()
-	g.figures.Classes(g.node.Names.Classes)
+	g.figures.AddClasses(g.node.Names.Classes)
 	names := ledger.Names{Plans: g.node.Names.Plans, Classes: g.classes}
 	g.ledger, err = startLedger(g.operations, g.node.Name, statement.Gateway, names, g.log)
 	return err
@@ -147,7 +147,7 @@
 // openDiscovery opens the client of discovery, which starts from the endpoint list of the configuration.
 func (g *gateway) openDiscovery() (err error) {
 	g.decoder = discovery.NewDecoder(discovery.Names{Zones: g.node.Names.Zones, Kinds: g.node.Names.Kinds})
-	if g.configuredList, err = g.decoder.DecodeConfigured(g.node.Known); err != nil {
+	if g.configuredList, err = g.decoder.DecodeConfigured(g.node.KnownList); err != nil {
 		return fmt.Errorf("configuration: known: %w", err)
 	}
 	g.discovery = discovery.New(g.node.Discovery, g.decoder, g.planner.UpdateEndpoints, g.node.Seed, g.log)
@@ -199,12 +199,12 @@
 		}
 		g.servers = append(g.servers, limitsServer)
 	}
-	g.state.Watch(func(drained bool) {
+	g.state.OnDrainChange(func(drained bool) {
 		for _, s := range g.servers {
 			s.Drain(drained)
 		}
 	})
-	g.longestDeadline.Store(int64(g.node.Longest()))
+	g.longestDeadline.Store(int64(g.node.LongestDeadline()))
 	return nil
 }
 
--- a/cmd/dewhitch/golden_test.go
+++ b/cmd/dewhitch/golden_test.go
@@ -111,7 +111,7 @@
 func TestGoldenCalls(t *testing.T) {
 	calls := &adminCalls{state: &ops.State{}, figures: &ops.Figures{}, metrics: telemetry.New(),
 		decoder: discovery.NewDecoder(discovery.Names{}), log: zap.NewNop()}
-	calls.figures.Classes([]string{"lookup"})
+	calls.figures.AddClasses([]string{"lookup"})
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/cmd/dewhitch/ledger_process.go
+++ b/cmd/dewhitch/ledger_process.go
@@ -42,9 +42,9 @@
 	if !o.Ledger.Enabled {
 		return p, nil
 	}
-	limits := ledger.Limits{Rows: o.Ledger.Rows, Open: o.Ledger.Open, RecentPostings: o.Ledger.Flight}
-	options := recorder.Options{Limits: limits, Names: names, OverdueAfter: overdueAlarm, AuditInterval: o.Ledger.Audit,
-		StatementInterval: o.Ledger.Statement, AlarmFile: o.Ledger.AlarmFile, Log: log}
+	limits := ledger.Limits{Rows: o.Ledger.Rows, Open: o.Ledger.Open, RecentPostings: o.Ledger.RecentPostings}
+	options := recorder.Options{Limits: limits, Names: names, OverdueAfter: overdueAlarm, AuditInterval: o.Ledger.AuditInterval,
+		StatementInterval: o.Ledger.StatementInterval, AlarmFile: o.Ledger.AlarmFile, Log: log}
 	stored, storedNames := p.openStore(o, node, role, limits, log)
 	if p.store != nil {
 		p.active = recorder.New(stored, storedNames, p.store, options)
@@ -90,11 +90,11 @@
 }
 
 // operatorParts are the ledger's pages on the operators' listener, if there are any.
-func (p *ledgerProcess) operatorParts() []operator.Part {
+func (p *ledgerProcess) operatorParts() []operator.Component {
 	if p.active == nil {
 		return nil
 	}
-	return []operator.Part{operator.Ledger(p.active, p.isDurable)}
+	return []operator.Component{operator.Ledger(p.active, p.isDurable)}
 }
 
 // isDurable reports whether the figures outlast the process.
--- a/cmd/dewhitch/listeners.go
+++ b/cmd/dewhitch/listeners.go
@@ -15,18 +15,18 @@
 
 // listenForClients opens the clients' address, or takes the socket that the platform handed down.
 func listenForClients(n *config.Node) (net.Listener, error) {
-	if n.Inherited == 0 {
+	if n.InheritedFD == 0 {
 		l, err := net.Listen("tcp", n.Listen)
 		if err != nil {
 			return nil, fmt.Errorf("configuration: listen (NODE_LISTEN): %w", err)
 		}
 		return l, nil
 	}
-	f := os.NewFile(uintptr(n.Inherited), "clients")
+	f := os.NewFile(uintptr(n.InheritedFD), "clients")
 	defer f.Close() // the listener has a duplicate of the descriptor
 	l, err := net.FileListener(f)
 	if err != nil {
-		return nil, fmt.Errorf("configuration: NODE_FD: descriptor %d: %w", n.Inherited, err)
+		return nil, fmt.Errorf("configuration: NODE_FD: descriptor %d: %w", n.InheritedFD, err)
 	}
 	return l, nil
 }
@@ -44,7 +44,7 @@
 }
 
 // operatorListener opens the operators' HTTP listener; nil: there is none. A fault of it while it runs does not end the process.
-func operatorListener(o *config.Operations, parts []operator.Part, log *zap.Logger) (service, error) {
+func operatorListener(o *config.Operations, parts []operator.Component, log *zap.Logger) (service, error) {
 	if o.Operator.Listen == "" {
 		return nil, nil
 	}
--- a/cmd/dewhitch/registration.go
+++ b/cmd/dewhitch/registration.go
@@ -13,7 +13,7 @@
 		return nil
 	}
 	changes := make(chan struct{}, 1) // holds one: what is read afterwards is the state after all changes so far
-	g.state.Watch(func(bool) {
+	g.state.OnDrainChange(func(bool) {
 		select {
 		case changes <- struct{}{}:
 		default:
--- a/cmd/dewhitch/reload.go
+++ b/cmd/dewhitch/reload.go
@@ -19,7 +19,7 @@
 		case <-signals:
 		}
 		m, err := checkedReload()
-		g.figures.Reloaded(err == nil)
+		g.figures.CountReload(err == nil)
 		if err != nil {
 			g.log.Error("the new configuration is faulty; the old one stays", zap.Error(err))
 			continue
@@ -55,7 +55,7 @@
 	}
 	g.applyClassesAndAttempts(m)
 	g.log.Info("new configuration", zap.String("discovery", m.Discovery), zap.String("counter", m.Counter),
-		zap.Strings("needs_a_restart", g.node.Fixed(m)))
+		zap.Strings("needs_a_restart", g.node.KeysNeedingRestart(m)))
 	g.node.Discovery = m.Discovery
 	g.node.Counter = m.Counter
 }
@@ -63,8 +63,8 @@
 // applyClassesAndAttempts has new requests use the classes of the new settings, and the maximum of attempts that they allow.
 func (g *gateway) applyClassesAndAttempts(m *config.Node) {
 	table := g.commands.ReloadClasses(m.Names.Classes, m.Settings.Classes)
-	g.figures.Classes(table.Names())
-	g.longestDeadline.Store(int64(m.Longest()))
+	g.figures.AddClasses(table.Names())
+	g.longestDeadline.Store(int64(m.LongestDeadline()))
 	g.planner.SetMaxAttempts(m.Settings.MaxAttempts)
 	g.log.Info("retuned", zap.Any("classes", table), zap.Int("attempts", m.Settings.MaxAttempts))
 }
--- a/cmd/dewhitch/run.go
+++ b/cmd/dewhitch/run.go
@@ -46,7 +46,7 @@
 	})
 	g.log.Info("serving", zap.String("name", g.node.Name), zap.String("listen", g.node.Listen),
 		zap.Int("fetches", g.attemptSockets), zap.Int("sessions", g.sessionSockets), zap.String("limits", g.limits.Listen),
-		zap.String("admin", g.node.Admin), zap.Int("inherited", g.node.Inherited))
+		zap.String("admin", g.node.Admin), zap.Int("inherited", g.node.InheritedFD))
 	err := group.Wait()
 	g.log.Info("ended", zap.Error(err))
 	return err
--- a/cmd/dewhitch/snapshots.go
+++ b/cmd/dewhitch/snapshots.go
@@ -32,18 +32,18 @@
 // It is nil where warm start is off or the folder can't be used.
 func openSnapshots(n *config.Node, w config.WarmStart, classes []string, p *core.Planner, f *ops.Figures,
 	log *zap.Logger) *snapshotKeeper {
-	if !w.Enabled(n.Inherited != 0) {
+	if !w.Enabled(n.InheritedFD != 0) {
 		return nil
 	}
 	k := &snapshotKeeper{
 		planner:  p,
-		image:    snapshot.Of(n.Name, &n.Settings, classes, n.Names.Plans),
-		interval: w.Every,
+		image:    snapshot.NewImage(n.Name, &n.Settings, classes, n.Names.Plans),
+		interval: w.Interval,
 		stop:     make(chan struct{}),
 		stopped:  make(chan struct{}),
 		log:      log,
 	}
-	dir := cmp.Or(w.Dir, n.Scratch)
+	dir := cmp.Or(w.Dir, n.TempDir)
 	found, err := snapshot.Latest(dir, n.Name)
 	if err != nil {
 		log.Warn("no snapshots are kept, and the start is a cold one", zap.Error(err))
@@ -73,7 +73,7 @@
 			rejected++
 		}
 	}
-	f.SnapshotsFound(loaded, rejected, age)
+	f.SetSnapshots(loaded, rejected, age)
 }
 
 // importState fits a snapshot's state to this process's settings and imports it, unless it is too old to be trusted. Its age
--- a/internal/classtable/classtable.go
+++ b/internal/classtable/classtable.go
@@ -26,8 +26,8 @@
 // MaxNames bounds the names of a table: those of dropped classes are forgotten first, the oldest first.
 const MaxNames = 256
 
-// Start is the table of the settings that the module was made with. Of a repeated name the first counts.
-func Start(names []string, classes []dw.Class) Table {
+// New is the table of the settings that the module was made with. Of a repeated name the first counts.
+func New(names []string, classes []dw.Class) Table {
 	t := make(Table, 0, len(names))
 	for i, n := range names {
 		if _, repeated := t.Find(n); !repeated {
--- a/internal/classtable/classtable_test.go
+++ b/internal/classtable/classtable_test.go
@@ -39,7 +39,7 @@
 func TestReloadedTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names, module := classes(t, "module")
-		table := Start(names, module)
+		table := New(names, module)
 		for round := range rapid.IntRange(1, 5).Draw(t, "rounds") {
 			newNames, cs := classes(t, fmt.Sprintf("round%d", round))
 			before := table
@@ -96,7 +96,7 @@
 				t.Fatalf("class %d is %+v, was %+v", i, spared[i], m)
 			}
 		}
-		if got, want := Start(names, spared), Start(names, module); !reflect.DeepEqual(got, want) {
+		if got, want := New(names, spared), New(names, module); !reflect.DeepEqual(got, want) {
 			t.Fatalf("%+v, not %+v", got, want)
 		}
 		c := class(t, "new")
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -20,12 +20,12 @@
 type Node struct {
 	Name, Listen, Discovery, Counter string
 	Admin                            string // the operators' address; empty: none
-	Inherited                        int    // the descriptor of the clients' listening socket, handed down; 0: none
-	Scratch                          string // $TMPDIR: shared with the process that replaces this one
+	InheritedFD                      int    // the descriptor of the clients' listening socket, handed down; 0: none
+	TempDir                          string // $TMPDIR: shared with the process that replaces this one
 	Seed                             uint64
 	Cores                            float64
 	MemoryMB, Sockets                int
-	Known                            json.RawMessage // the list as last held, in discovery's form; may be nil
+	KnownList                        json.RawMessage // the list as last held, in discovery's form; may be nil
 	Settings                         dw.Settings
 	Names                            settings.Names
 }
@@ -102,7 +102,7 @@
 		return nil, fault("NODE_CONFIG", "not JSON: %v", err)
 	}
 	n := &Node{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Counter: f.Counter, Admin: f.Admin, Cores: f.Limits.Cores,
-		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Known: f.Known}
+		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, KnownList: f.Known}
 	if err := n.readEnvironment(getenv, reload); err != nil {
 		return nil, err
 	}
@@ -139,12 +139,12 @@
 	}
 	if fd := getenv("NODE_FD"); fd != "" {
 		// Descriptors 0 to 2 are the standard streams; taking one for a listener would end the log.
-		if n.Inherited, err = strconv.Atoi(fd); err != nil || n.Inherited < firstDescriptor {
+		if n.InheritedFD, err = strconv.Atoi(fd); err != nil || n.InheritedFD < firstDescriptor {
 			return fault("NODE_FD", "%q is not a descriptor above 2", fd)
 		}
 	}
-	if n.Scratch = getenv("TMPDIR"); n.Scratch == "" {
-		n.Scratch = os.TempDir()
+	if n.TempDir = getenv("TMPDIR"); n.TempDir == "" {
+		n.TempDir = os.TempDir()
 	}
 	return nil
 }
@@ -203,9 +203,9 @@
 	return nil
 }
 
-// Fixed names the keys in which m differs from n and which are read at the start only. Of the settings, classes and
+// KeysNeedingRestart names the keys in which m differs from n and which are read at the start only. Of the settings, classes and
 // attempts are retuned while the program runs.
-func (n *Node) Fixed(m *Node) (keys []string) {
+func (n *Node) KeysNeedingRestart(m *Node) (keys []string) {
 	a, b, aw, bw := n.Settings, m.Settings, n.Names, m.Names
 	a.Classes, a.MaxAttempts, aw.Classes = b.Classes, b.MaxAttempts, bw.Classes
 	for _, v := range []struct {
@@ -221,8 +221,8 @@
 	return keys
 }
 
-// Longest is the longest deadline of a class.
-func (n *Node) Longest() (longest time.Duration) {
+// LongestDeadline is the longest deadline of a class.
+func (n *Node) LongestDeadline() (longest time.Duration) {
 	for _, c := range n.Settings.Classes {
 		longest = max(longest, time.Duration(c.Deadline))
 	}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -14,13 +14,13 @@
 
 // Fleet is how a process takes part in a fleet; nil: it does not.
 type Fleet struct {
-	Name, Listen, Region string
-	Voters, Seeds        []string
-	Keyring, Dir         string
-	Lease, Status        time.Duration
-	Peers                map[string]string
-	MaxEvacuatedZones    int      // that the fleet may have out at once of its own accord; 0: a third
-	Registry             Registry // where members are found; without servers they are found by seeds alone
+	Name, Listen, Region  string
+	Voters, Seeds         []string
+	Keyring, Dir          string
+	Lease, StatusInterval time.Duration
+	Peers                 map[string]string
+	MaxEvacuatedZones     int      // that the fleet may have out at once of its own accord; 0: a third
+	Registry              Registry // where members are found; without servers they are found by seeds alone
 }
 
 // LoadFleet reads the fleet file and checks it against the published schema; an empty path is no fleet.
@@ -120,5 +120,5 @@
 	}
 	reg.Path += "/" + url.PathEscape(l.Name)
 	return &Fleet{MaxEvacuatedZones: l.MaxZones, Registry: reg, Name: l.Name, Listen: l.Listen, Region: l.Region, Voters: l.Voters, Seeds: l.Seeds, Keyring: l.Keyring, Dir: l.Dir,
-		Lease: time.Duration(l.LeaseMS) * time.Millisecond, Status: time.Duration(l.StatusMS) * time.Millisecond, Peers: f.Peers}, nil
+		Lease: time.Duration(l.LeaseMS) * time.Millisecond, StatusInterval: time.Duration(l.StatusMS) * time.Millisecond, Peers: f.Peers}, nil
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	return Node{Name: "node-1", Listen: "10.0.0.1:1001", Discovery: "10.0.0.2:1002", Counter: "10.0.0.3:1003", Admin: "10.0.0.4:1004",
-		Scratch: "/scratch", Seed: 0x1f, Cores: 1.5, MemoryMB: 101, Sockets: 102, Known: json.RawMessage(`{"revision":7,"members":[]}`),
+		TempDir: "/scratch", Seed: 0x1f, Cores: 1.5, MemoryMB: 101, Sockets: 102, KnownList: json.RawMessage(`{"revision":7,"members":[]}`),
 		Settings: s, Names: w}
 }
 
@@ -38,7 +38,7 @@
 func TestGoldenNode(t *testing.T) {
 	file := goldenNode(t)
 	above := file
-	above.Name, above.Listen, above.Discovery, above.Admin, above.Inherited = "node-2", "10.0.1.1:1101", "10.0.1.2:1102", "10.0.1.4:1104", 5
+	above.Name, above.Listen, above.Discovery, above.Admin, above.InheritedFD = "node-2", "10.0.1.1:1101", "10.0.1.2:1102", "10.0.1.4:1104", 5
 	again := above
 	again.Discovery = file.Discovery
 	variables := map[string]string{"NODE_CONFIG": goldenFile("node.json"), "TMPDIR": "/scratch"}
@@ -84,9 +84,9 @@
 		t.Fatal(err)
 	}
 	if want := (Operations{Operator: Operator{Listen: "10.0.0.1:3001"},
-		Ledger: Ledger{Enabled: true, Rows: 3002, Open: 3003, Flight: 3004, Audit: 3005 * time.Millisecond, Statement: 3006 * time.Millisecond,
+		Ledger: Ledger{Enabled: true, Rows: 3002, Open: 3003, RecentPostings: 3004, AuditInterval: 3005 * time.Millisecond, StatementInterval: 3006 * time.Millisecond,
 			AlarmFile: "alarms.jsonl", Dir: "books", SegmentBytes: 7 << 20, Segments: 11, Records: 3009},
-		Warm: WarmStart{Mode: "on", Every: 3010 * time.Millisecond, Dir: "warm"}}); !reflect.DeepEqual(*got, want) {
+		Warm: WarmStart{Mode: "on", Interval: 3010 * time.Millisecond, Dir: "warm"}}); !reflect.DeepEqual(*got, want) {
 		t.Errorf("\n got %+v\nwant %+v", *got, want)
 	}
 }
@@ -98,7 +98,7 @@
 		t.Fatal(err)
 	}
 	if want := (Fleet{Name: "golden", Listen: "10.0.0.1:4001", Region: "north", Voters: []string{"n0", "n1", "n2"},
-		Seeds: []string{"n0/10.0.0.2:4002", "n1"}, Keyring: "keys", Dir: "votes", Lease: 4003 * time.Millisecond, Status: 404 * time.Millisecond,
+		Seeds: []string{"n0/10.0.0.2:4002", "n1"}, Keyring: "keys", Dir: "votes", Lease: 4003 * time.Millisecond, StatusInterval: 404 * time.Millisecond,
 		Peers: map[string]string{"n1": "10.0.0.5:4009", "n2": "10.0.0.6:4010"}, MaxEvacuatedZones: 5,
 		Registry: Registry{Servers: []string{"10.0.0.3:4006", "10.0.0.4:4007"}, Path: "/golden/members/golden",
 			Session: 4008 * time.Millisecond}}); !reflect.DeepEqual(*got, want) {
@@ -122,19 +122,19 @@
 		t.Errorf("limits: %v\n got %+v\nwant %+v", err, limits, want)
 	}
 	operations, err := LoadOperations(write(""))
-	if want := (&Operations{Ledger: Ledger{Rows: 20000, Open: 65536, Flight: 4096, Audit: time.Second, Statement: 10 * time.Second,
+	if want := (&Operations{Ledger: Ledger{Rows: 20000, Open: 65536, RecentPostings: 4096, AuditInterval: time.Second, StatementInterval: 10 * time.Second,
 		SegmentBytes: 4 << 20, Segments: 8, Records: 1000000, Sync: true},
-		Warm: WarmStart{Mode: "auto", Every: 500 * time.Millisecond}}); err != nil || !reflect.DeepEqual(operations, want) {
+		Warm: WarmStart{Mode: "auto", Interval: 500 * time.Millisecond}}); err != nil || !reflect.DeepEqual(operations, want) {
 		t.Errorf("operations: %v\n got %+v\nwant %+v", err, operations, want)
 	}
 	fleet, err := LoadFleet(write("[fleet]\nname = \"x\"\nlisten = \"10.0.0.1:1\"\nvoters = [\"n0\"]\n"))
-	if want := (&Fleet{Name: "x", Listen: "10.0.0.1:1", Voters: []string{"n0"}, Lease: 2 * time.Second, Status: 200 * time.Millisecond,
+	if want := (&Fleet{Name: "x", Listen: "10.0.0.1:1", Voters: []string{"n0"}, Lease: 2 * time.Second, StatusInterval: 200 * time.Millisecond,
 		Registry: Registry{Path: "/dewhitch/members/x", Session: 4 * time.Second}}); err != nil || !reflect.DeepEqual(fleet, want) {
 		t.Errorf("fleet: %v\n got %+v\nwant %+v", err, fleet, want)
 	}
 	node, err := parseNode([]byte(`{"name":"n","listen":"10.0.0.1:1","discovery":"10.0.0.1:2","seed":"1","settings":{"NInstances":1,`+
 		`"RequestClasses":[{"Aim":1,"Deadline":1,"Effect":"safe"}],"Caps":{"TryLimit":1}}}`), noEnv, false)
-	if err != nil || node.Cores != 1 || node.MemoryMB != 192 || node.Sockets != 1024 || node.Known != nil {
+	if err != nil || node.Cores != 1 || node.MemoryMB != 192 || node.Sockets != 1024 || node.KnownList != nil {
 		t.Errorf("node: %v, %+v", err, node)
 	}
 }
--- a/internal/config/operations.go
+++ b/internal/config/operations.go
@@ -26,9 +26,9 @@
 
 // WarmStart is how what a process learnt outlives it.
 type WarmStart struct {
-	Mode  string // on, off, or auto: where a listening socket is handed down
-	Every time.Duration
-	Dir   string // empty: $TMPDIR
+	Mode     string // on, off, or auto: where a listening socket is handed down
+	Interval time.Duration
+	Dir      string // empty: $TMPDIR
 }
 
 // Enabled tells whether snapshots are kept by a process that was handed a listening socket, or not.
@@ -43,13 +43,13 @@
 
 // Ledger is how the books are kept.
 type Ledger struct {
-	Enabled            bool
-	Rows, Open, Flight int
-	Audit, Statement   time.Duration
-	AlarmFile, Dir     string
-	SegmentBytes       int
-	Segments, Records  int
-	Sync               bool
+	Enabled                          bool
+	Rows, Open, RecentPostings       int
+	AuditInterval, StatementInterval time.Duration
+	AlarmFile, Dir                   string
+	SegmentBytes                     int
+	Segments, Records                int
+	Sync                             bool
 }
 
 // operationsFile mirrors the file; what it leaves out keeps the value that it was made with.
@@ -103,10 +103,10 @@
 		}
 	}
 	return &Operations{Operator: Operator{f.Operator.Listen}, Ledger: Ledger{Enabled: l.Enabled, Rows: l.Rows, Open: l.Open,
-		Flight: l.Flight, Audit: time.Duration(l.AuditMS) * time.Millisecond,
-		Statement: time.Duration(l.StatementMS) * time.Millisecond, AlarmFile: l.AlarmFile, Dir: l.Dir,
+		RecentPostings: l.Flight, AuditInterval: time.Duration(l.AuditMS) * time.Millisecond,
+		StatementInterval: time.Duration(l.StatementMS) * time.Millisecond, AlarmFile: l.AlarmFile, Dir: l.Dir,
 		SegmentBytes: l.SegmentMB << 20, Segments: l.Segments, Records: l.Records, Sync: l.Sync},
-		Warm: WarmStart{Mode: f.Warm.Mode, Every: time.Duration(f.Warm.EveryMS) * time.Millisecond, Dir: f.Warm.Dir}}, nil
+		Warm: WarmStart{Mode: f.Warm.Mode, Interval: time.Duration(f.Warm.EveryMS) * time.Millisecond, Dir: f.Warm.Dir}}, nil
 }
 
 // checkFile checks a file's keys against a published schema; its error names the first key at fault, and the line.
--- a/internal/config/operations_test.go
+++ b/internal/config/operations_test.go
@@ -18,7 +18,7 @@
 	if *o != *bare {
 		t.Errorf("the file that ships says %+v, the defaults are %+v", o, bare)
 	}
-	if o.Ledger.Enabled || o.Operator.Listen != "" || o.Ledger.Audit != time.Second ||
+	if o.Ledger.Enabled || o.Operator.Listen != "" || o.Ledger.AuditInterval != time.Second ||
 		o.Warm.Enabled(false) || !o.Warm.Enabled(true) {
 		t.Errorf("%+v", o)
 	}
--- a/internal/forward/commands.go
+++ b/internal/forward/commands.go
@@ -100,7 +100,7 @@
 		text = resp.AppendBulk(text, word)
 	}
 	k := c.begin(r, s)
-	for _, addr := range c.planners.Of(customer, r.Spread, r.FirstGateway, c.gateways) {
+	for _, addr := range c.planners.Select(customer, r.Spread, r.FirstGateway, c.gateways) {
 		l, err := c.linkTo(addr)
 		if errors.Is(err, errEnded) {
 			break
--- a/internal/forward/golden_test.go
+++ b/internal/forward/golden_test.go
@@ -121,7 +121,7 @@
 	for customer := range 4 {
 		for _, set := range [][2]int{{1, 0}, {3, 1}, {3, 4}, {9, 2}} {
 			b = fmt.Appendf(b, "customer %d, spread %d, first %d: %q\n", customer, set[0], set[1],
-				p.Of(dewhitch.CustomerID(0x1b4d65520+customer), set[0], set[1], 5))
+				p.Select(dewhitch.CustomerID(0x1b4d65520+customer), set[0], set[1], 5))
 		}
 	}
 	golden.Compare(t, "planners.txt", fmt.Appendf(b, "%q\n", text))
--- a/internal/forward/planners.go
+++ b/internal/forward/planners.go
@@ -25,10 +25,10 @@
 // Set replaces the planners.
 func (p *Planners) Set(m map[int]string) { p.current.Store(&m) }
 
-// Of selects the planners of a customer's set, the one to try first in front. The set is spread gateways from first on; it
+// Select selects the planners of a customer's set, the one to try first in front. The set is spread gateways from first on; it
 // is rotated by the customer, which spreads the load. The order is the same for all commands of a customer while the
 // planners are, so that a query goes where the bookings before it went.
-func (p *Planners) Of(customer dewhitch.CustomerID, spread, first, gateways int) (addrs []string) {
+func (p *Planners) Select(customer dewhitch.CustomerID, spread, first, gateways int) (addrs []string) {
 	current := p.current.Load()
 	if current == nil {
 		return nil
@@ -44,8 +44,8 @@
 	return addrs
 }
 
-// End has every command answered by a time: what planners have not answered then is failed, as it may have been applied.
-func (p *Planners) End(by time.Time) {
+// FailUnansweredAt has every command answered by a time: what planners have not answered then is failed, as it may have been applied.
+func (p *Planners) FailUnansweredAt(by time.Time) {
 	time.AfterFunc(time.Until(by), func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
--- a/internal/forward/reset_test.go
+++ b/internal/forward/reset_test.go
@@ -75,7 +75,7 @@
 	}{
 		"the client has left": {"60000", func(_ *Planners, client net.Conn) { client.Close() }},
 		"its time is up":      {"300", func(*Planners, net.Conn) {}},
-		"the forwarder's end": {"60000", func(p *Planners, _ net.Conn) { p.End(time.Now()) }},
+		"the forwarder's end": {"60000", func(p *Planners, _ net.Conn) { p.FailUnansweredAt(time.Now()) }},
 	} {
 		t.Run(name, func(t *testing.T) {
 			planners, client, planner := newForwarder(t)
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -44,7 +44,7 @@
 	if t := c.classes.Load(); t != nil {
 		return *t
 	}
-	t := classtable.Start(c.Names.Classes, c.Settings.Classes)
+	t := classtable.New(c.Names.Classes, c.Settings.Classes)
 	c.classes.CompareAndSwap(nil, &t)
 	return *c.classes.Load()
 }
--- a/internal/front/platform/submit.go
+++ b/internal/front/platform/submit.go
@@ -17,7 +17,7 @@
 
 // Results of requests, as the figures (opsVerdicts) and the ledger (endEvents) count them.
 var (
-	opsVerdicts = [...]ops.Verdict{core.ResultServed: ops.Success, core.ResultRejected: ops.Overload, core.ResultFailed: ops.Error}
+	opsVerdicts = [...]ops.Result{core.ResultServed: ops.Success, core.ResultRejected: ops.Overload, core.ResultFailed: ops.Error}
 	endEvents   = [...]ledger.Event{core.ResultServed: ledger.FrontServed, core.ResultRejected: ledger.FrontRejected,
 		core.ResultFailed: ledger.FrontFailed}
 )
--- a/internal/operator/ledger.go
+++ b/internal/operator/ledger.go
@@ -15,7 +15,7 @@
 type Source interface{ Report() recorder.Report }
 
 // Ledger is the part that shows the ledger. durable reports whether what is posted now survives a crash.
-func Ledger(s Source, durable func() bool) Part { return &ledgerPart{source: s, durable: durable} }
+func Ledger(s Source, durable func() bool) Component { return &ledgerPart{source: s, durable: durable} }
 
 // ledgerPart makes metrics of a report at each scrape, so that nothing is counted twice.
 type ledgerPart struct {
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -23,15 +23,15 @@
 	maxScrapes   = 2        // of the metrics, at the same time
 )
 
-// Part is what one part of the program shows: its pages, and its metrics. Its methods are called from any goroutine.
-type Part interface {
+// Component is what one part of the program shows: its pages, and its metrics. Its methods are called from any goroutine.
+type Component interface {
 	// Pages adds the part's pages.
 	Pages(*http.ServeMux)
 	prometheus.Collector
 }
 
 // Serve answers at a listener until the context ends, and closes it. The error is that of a listener that failed before.
-func Serve(ctx context.Context, l net.Listener, parts ...Part) error {
+func Serve(ctx context.Context, l net.Listener, parts ...Component) error {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector())
 	mux := http.NewServeMux()
--- a/internal/ops/figures.go
+++ b/internal/ops/figures.go
@@ -10,12 +10,12 @@
 // MaxClasses bounds the class names that the figures hold, over all reloads of the settings.
 const MaxClasses = 256
 
-// Verdict is how a request ended, as the figures count it.
-type Verdict int
+// Result is how a request ended, as the figures count it.
+type Result int
 
 // The verdicts.
 const (
-	Success Verdict = iota
+	Success Result = iota
 	Overload
 	Error
 	verdictCount
@@ -46,8 +46,8 @@
 	snapshotAgeMS     atomic.Int64 // of the one that was loaded
 }
 
-// Classes adds the names of classes that requests may have; earlier names go on counting.
-func (f *Figures) Classes(names []string) {
+// AddClasses adds the names of classes that requests may have; earlier names go on counting.
+func (f *Figures) AddClasses(names []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	byName := map[string]*class{}
@@ -72,7 +72,7 @@
 }
 
 // RequestEnded counts the end of a request of a class; a class that was never named is ignored.
-func (f *Figures) RequestEnded(class string, v Verdict) {
+func (f *Figures) RequestEnded(class string, v Result) {
 	if c := f.class(class); c != nil {
 		c.verdicts[v].Add(1)
 	}
@@ -98,8 +98,8 @@
 	f.disabled.Store(int64(disabled))
 }
 
-// Reloaded counts a configuration that was read at SIGHUP, accepted or rejected.
-func (f *Figures) Reloaded(accepted bool) {
+// CountReload counts a configuration that was read at SIGHUP, accepted or rejected.
+func (f *Figures) CountReload(accepted bool) {
 	if accepted {
 		f.reloadsAccepted.Add(1)
 	} else {
@@ -107,8 +107,8 @@
 	}
 }
 
-// SnapshotsFound sets how many snapshots were loaded and rejected at the start, and the age of the one that was loaded.
-func (f *Figures) SnapshotsFound(loaded, rejected int, age time.Duration) {
+// SetSnapshots sets how many snapshots were loaded and rejected at the start, and the age of the one that was loaded.
+func (f *Figures) SetSnapshots(loaded, rejected int, age time.Duration) {
 	f.snapshotsLoaded.Store(int64(loaded))
 	f.snapshotsRejected.Store(int64(rejected))
 	f.snapshotAgeMS.Store(age.Milliseconds())
--- a/internal/ops/golden_test.go
+++ b/internal/ops/golden_test.go
@@ -13,7 +13,7 @@
 // the drills read it from the answer to the call telemetry.
 func TestGoldenFigures(t *testing.T) {
 	var f Figures
-	f.Classes([]string{"lookup", "order"})
+	f.AddClasses([]string{"lookup", "order"})
 	want := map[string]any{}
 	replies := map[string]any{}
 	n := 0
@@ -22,7 +22,7 @@
 		for v, name := range []string{"success", "overload", "error"} {
 			n++
 			for range n {
-				f.RequestEnded(class, Verdict(v))
+				f.RequestEnded(class, Result(v))
 			}
 			counts[name] = float64(n)
 		}
@@ -37,12 +37,12 @@
 	f.AddOpen(13)
 	f.Targets(14, 15)
 	for range 16 {
-		f.Reloaded(true)
+		f.CountReload(true)
 	}
 	for range 17 {
-		f.Reloaded(false)
+		f.CountReload(false)
 	}
-	f.SnapshotsFound(18, 19, 20*time.Millisecond)
+	f.SetSnapshots(18, 19, 20*time.Millisecond)
 	for name, n := range map[string]float64{"dispatches": 12, "concurrent": 13, "targets": 14, "targets_disabled": 15,
 		"reload_success": 16, "reload_failure": 17, "snapshot_loaded": 18, "snapshot_rejected": 19, "snapshot_age_ms": 20,
 		"more": 21} {
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -9,7 +9,7 @@
 
 func TestFigures(t *testing.T) {
 	var f Figures
-	f.Classes([]string{"lookup", "order"})
+	f.AddClasses([]string{"lookup", "order"})
 	f.RequestEnded("lookup", Success)
 	f.RequestEnded("order", Overload)
 	f.RequestEnded("order", Error)
@@ -17,11 +17,11 @@
 	f.Dispatched("order")
 	f.AddOpen(1)
 	f.Targets(5, 2)
-	f.Reloaded(true)
-	f.Reloaded(false)
-	f.Reloaded(false)
+	f.CountReload(true)
+	f.CountReload(false)
+	f.CountReload(false)
 	// Settings read anew drop a class, add one and reorder: counts go on under their names.
-	f.Classes([]string{"bulk", "lookup"})
+	f.AddClasses([]string{"bulk", "lookup"})
 	f.RequestEnded("lookup", Success)
 	f.RequestEnded("bulk", Error)
 	var got struct {
@@ -48,7 +48,7 @@
 // TestFiguresAtOnce: counts from many goroutines, while the classes change and the figures are read, all add up.
 func TestFiguresAtOnce(t *testing.T) {
 	var f Figures
-	f.Classes([]string{"a"})
+	f.AddClasses([]string{"a"})
 	var all sync.WaitGroup
 	for range 8 {
 		all.Go(func() {
@@ -61,7 +61,7 @@
 	}
 	all.Go(func() {
 		for range 100 {
-			f.Classes([]string{"a", "b"})
+			f.AddClasses([]string{"a", "b"})
 			f.AppendJSON(nil)
 		}
 	})
@@ -78,7 +78,7 @@
 func TestState(t *testing.T) {
 	var s State
 	var notified []bool
-	s.Watch(func(on bool) { notified = append(notified, on) })
+	s.OnDrainChange(func(on bool) { notified = append(notified, on) })
 	if s.Ready() {
 		t.Fatal("ready before the start")
 	}
@@ -103,7 +103,7 @@
 func TestDrainsOfTwo(t *testing.T) {
 	steps := map[string]func(*State){
 		"operators drain": func(s *State) { s.Drain(true) }, "operators end": func(s *State) { s.Drain(false) },
-		"it drains itself": func(s *State) { s.DrainItself(true) }, "it ends": func(s *State) { s.DrainItself(false) },
+		"it drains itself": func(s *State) { s.DrainByFleet(true) }, "it ends": func(s *State) { s.DrainByFleet(false) },
 	}
 	for _, c := range []struct {
 		order []string
@@ -117,7 +117,7 @@
 	} {
 		var s State
 		var notified []bool
-		s.Watch(func(on bool) { notified = append(notified, on) })
+		s.OnDrainChange(func(on bool) { notified = append(notified, on) })
 		for _, step := range c.order {
 			steps[step](&s)
 		}
--- a/internal/ops/state.go
+++ b/internal/ops/state.go
@@ -41,8 +41,8 @@
 // change, in order, before it returns.
 func (s *State) Drain(on bool) { s.drain(byOperators, on) }
 
-// DrainItself is Drain by the fleet's decision. Neither ends the other.
-func (s *State) DrainItself(on bool) { s.drain(byFleet, on) }
+// DrainByFleet is Drain by the fleet's decision. Neither ends the other.
+func (s *State) DrainByFleet(on bool) { s.drain(byFleet, on) }
 
 func (s *State) drain(by int, on bool) {
 	s.mu.Lock()
@@ -57,9 +57,9 @@
 	}
 }
 
-// Watch has f called at each change of the drain. The calls come one at a time; f may not block, and may not call Drain,
+// OnDrainChange has f called at each change of the drain. The calls come one at a time; f may not block, and may not call Drain,
 // DrainItself or Watch.
-func (s *State) Watch(f func(drained bool)) {
+func (s *State) OnDrainChange(f func(drained bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.watchers = append(s.watchers, f)
--- a/internal/snapshot/files.go
+++ b/internal/snapshot/files.go
@@ -145,8 +145,8 @@
 	return nil, fmt.Errorf("snapshot: %d lives are taken in a row", maxClaims)
 }
 
-// Last is the generation of the last write; its number is 0 before the first.
-func (w *Writer) Last() Generation { return w.last }
+// LastGeneration is the generation of the last write; its number is 0 before the first.
+func (w *Writer) LastGeneration() Generation { return w.last }
 
 // Write replaces the file of this incarnation atomically: after a crash at any time the file is the new or the previous one. The
 // first write also prunes. It returns the snapshot's size in bytes.
--- a/internal/snapshot/fit.go
+++ b/internal/snapshot/fit.go
@@ -12,8 +12,8 @@
 // ErrForeign says that a snapshot is another deployment's.
 var ErrForeign = errors.New("of another deployment")
 
-// Of describes the settings of a process, with an empty state.
-func Of(node string, s *dw.Settings, classes, plans []string) Image {
+// NewImage describes the settings of a process, with an empty state.
+func NewImage(node string, s *dw.Settings, classes, plans []string) Image {
 	m := Image{Node: node, Instances: s.Instances, Self: s.Self, Zones: s.Zones, Classes: classes}
 	for i, p := range s.Plans {
 		m.Plans = append(m.Plans, Plan{Name: name(plans, i), Rate: p.Rate, Burst: p.Burst, Ceiling: p.CeilingRate})
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -207,10 +207,10 @@
 	}
 	w := claimed(t, dir)
 	for i := 1; ; i++ {
-		if _, err := w.Write(image(200+i%700, float64(w.Last().Incarnation*1e6+uint64(i)))); err != nil {
+		if _, err := w.Write(image(200+i%700, float64(w.LastGeneration().Incarnation*1e6+uint64(i)))); err != nil {
 			t.Fatal(err)
 		}
-		fmt.Printf("wrote %d %d\n", w.Last().Incarnation, w.Last().Number)
+		fmt.Printf("wrote %d %d\n", w.LastGeneration().Incarnation, w.LastGeneration().Number)
 	}
 }
 
--- a/internal/warmstart/warmstart.go
+++ b/internal/warmstart/warmstart.go
@@ -18,15 +18,15 @@
 	return 0
 }
 
-// Latency is what a server's latency is taken to be, where mean is that of all servers. None is taken to be faster than
+// InitialLatency is what a server's latency is taken to be, where mean is that of all servers. None is taken to be faster than
 // the mean: a server that was fast may be slow by now, and a gateway without answers of its own would send everything
 // there.
-func Latency(exported, mean, trust float64) float64 {
+func InitialLatency(exported, mean, trust float64) float64 {
 	if exported > mean {
 		return mean + trust*(exported-mean)
 	}
 	return mean
 }
 
-// Quota tells whether a customer's account is still valid: its counter window, in seconds, may not have ended yet.
-func Quota(age, window float64) bool { return Trust(age) > 0 && age <= window }
+// IsQuotaValid tells whether a customer's account is still valid: its counter window, in seconds, may not have ended yet.
+func IsQuotaValid(age, window float64) bool { return Trust(age) > 0 && age <= window }
--- a/state.go
+++ b/state.go
@@ -184,7 +184,7 @@
 	g.importLatency(s)
 	g.importServers(s, trust)
 	for i := range s.Customers {
-		if e := &s.Customers[i]; warmstart.Quota(age, seconds(e.Window)) && g.importAccount(e) {
+		if e := &s.Customers[i]; warmstart.IsQuotaValid(age, seconds(e.Window)) && g.importAccount(e) {
 			customers++
 		}
 	}
@@ -232,7 +232,7 @@
 	g.updateEndpoints(EndpointList{Kind: ListDelta, Servers: entries})
 	for _, e := range s.Servers {
 		srv := g.endpoints.byID[e.ID]
-		srv.latency = warmstart.Latency(e.Latency, g.latency.mean, trust)
+		srv.latency = warmstart.InitialLatency(e.Latency, g.latency.mean, trust)
 		srv.measuredAt = e.MeasuredAt
 		srv.succeededAt = e.SucceededAt
 		srv.slowStartBudget.level = min(slowStartBurst, e.SlowStartBudget)
