--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -64,35 +64,35 @@
 		if c.Verb < Readyz || c.Verb > Activate {
 			t.Fatalf("verb %d", c.Verb)
 		}
-		needs := c.Verb == Exclude || c.Verb == Include
-		if needs != (c.ID != "") || len(c.ID) > MaxID || !strings.Contains(string(line), c.ID) {
+		needsID := c.Verb == Exclude || c.Verb == Include
+		if needsID != (c.ID != "") || len(c.ID) > MaxID || !strings.Contains(string(line), c.ID) {
 			t.Fatalf("%q: %+v", line, c)
 		}
 	})
 }
 
-type fake struct {
+type fakeGateway struct {
 	mu       sync.Mutex
 	drained  bool
 	excluded map[string]bool
 }
 
-func (f *fake) Ready() bool                     { f.mu.Lock(); defer f.mu.Unlock(); return !f.drained }
-func (f *fake) AppendTelemetry(b []byte) []byte { return append(b, `{"concurrent":0}`...) }
-func (f *fake) Drain(on bool)                   { f.mu.Lock(); defer f.mu.Unlock(); f.drained = on }
-func (f *fake) Exclude(id string) error         { return f.set(id, true) }
-func (f *fake) Include(id string) error         { return f.set(id, false) }
-func (f *fake) set(id string, out bool) error {
+func (f *fakeGateway) Ready() bool                     { f.mu.Lock(); defer f.mu.Unlock(); return !f.drained }
+func (f *fakeGateway) AppendTelemetry(b []byte) []byte { return append(b, `{"concurrent":0}`...) }
+func (f *fakeGateway) Drain(on bool)                   { f.mu.Lock(); defer f.mu.Unlock(); f.drained = on }
+func (f *fakeGateway) Exclude(id string) error         { return f.setExcluded(id, true) }
+func (f *fakeGateway) Include(id string) error         { return f.setExcluded(id, false) }
+func (f *fakeGateway) setExcluded(id string, excluded bool) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if id != "s-1" {
 		return errors.New("no server of this id was ever listed")
 	}
-	f.excluded[id] = out
+	f.excluded[id] = excluded
 	return nil
 }
 
-func serve(t *testing.T) string {
+func startServer(t *testing.T) string {
 	before := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, before) }) // after the server has ended
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -100,7 +100,7 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &Server{Listener: l, Gateway: &fake{excluded: map[string]bool{}}, Log: zap.NewNop()}
+	s := &Server{Listener: l, Gateway: &fakeGateway{excluded: map[string]bool{}}, Log: zap.NewNop()}
 	done := make(chan error)
 	go func() { done <- s.Serve(ctx) }()
 	t.Cleanup(func() {
@@ -130,7 +130,7 @@
 }
 
 func TestCalls(t *testing.T) {
-	addr := serve(t)
+	addr := startServer(t)
 	for _, c := range []struct{ line, want string }{
 		{"readyz\n", "YES\n"},
 		{"telemetry\n", "{\"concurrent\":0}\nEND\n"},
@@ -155,9 +155,9 @@
 
 // TestSilentCallersKeepNobodyOut: callers that hold connections with half a line, more of them than there are places, keep
 // nobody out; each call is still answered at once.
-func TestSilentCallersKeepNobodyOut(t *testing.T) {
-	addr := serve(t)
-	var silent []net.Conn
+func TestIdleCallersBlockNoCalls(t *testing.T) {
+	addr := startServer(t)
+	var idle []net.Conn
 	for range 3 * MaxCallers {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -165,20 +165,20 @@
 		}
 		defer c.Close()
 		io.WriteString(c, "read")
-		silent = append(silent, c)
+		idle = append(idle, c)
 	}
 	for range 5 {
-		began := time.Now()
+		start := time.Now()
 		if got := call(t, addr, "readyz\n"); got != "YES\n" {
 			t.Fatalf("%q", got)
 		}
-		if waited := time.Since(began); waited > callTimeout/2 { // the bound is loose: this is no test of speed
+		if waited := time.Since(start); waited > callTimeout/2 { // the bound is loose: this is no test of speed
 			t.Fatalf("answered after %v", waited)
 		}
 	}
 	// The oldest were let go to make room.
-	silent[0].SetReadDeadline(time.Now().Add(10 * time.Second))
-	if _, err := bufio.NewReader(silent[0]).ReadByte(); err == nil {
+	idle[0].SetReadDeadline(time.Now().Add(10 * time.Second))
+	if _, err := bufio.NewReader(idle[0]).ReadByte(); err == nil {
 		t.Fatal("the oldest caller was kept")
 	}
 }
--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -45,14 +45,14 @@
 	MaxID   = 64  // of a server's id
 )
 
-// ErrLong says that a line did not end within MaxLine bytes.
-var ErrLong = errors.New("line too long")
+// ErrLineTooLong says that a line did not end within MaxLine bytes.
+var ErrLineTooLong = errors.New("line too long")
 
 // Parse reads one line, without its end; a \r before the end is ignored. Fields are separated by spaces or tabs; the verb may be in
 // any case, an id is read as it stands. The texts of its errors are answered to the operator.
 func Parse(line []byte) (Call, error) {
 	if len(line) >= MaxLine {
-		return Call{}, ErrLong
+		return Call{}, ErrLineTooLong
 	}
 	line = bytes.TrimSuffix(line, []byte("\r"))
 	fields := bytes.Fields(line)
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -31,7 +31,7 @@
 // and the platform's readiness check read.
 func TestGoldenCalls(t *testing.T) {
 	s := &Server{Gateway: &goldenGateway{}}
-	var seen bytes.Buffer
+	var exchanges bytes.Buffer
 	for _, line := range []string{"readyz", "telemetry", "exclude s-1", "exclude s-2", "include s-1", "include s-2", "evacuate",
 		"readyz", "activate", "readyz", " READYZ \r", "", "exclude", "include s-1 s-2", "telemetry now", "reboot", "readyz\x01",
 		"exclude " + strings.Repeat("x", 65), strings.Repeat("y", 255), strings.Repeat("z", 300)} {
@@ -39,9 +39,9 @@
 		if err != nil {
 			t.Fatalf("%q: %v", line, err)
 		}
-		fmt.Fprintf(&seen, "> %q\n< %q\n", line+"\n", answer)
+		fmt.Fprintf(&exchanges, "> %q\n< %q\n", line+"\n", answer)
 	}
-	golden.Compare(t, "calls", seen.Bytes())
+	golden.Compare(t, "calls", exchanges.Bytes())
 }
 
 // callOverPipe sends one line over a connection of its own, and reads to the end.
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -37,9 +37,9 @@
 	Gateway  Gateway
 	Log      *zap.Logger
 
-	mu      sync.Mutex
-	callers []net.Conn     // the oldest first
-	running sync.WaitGroup // of callers
+	mu       sync.Mutex
+	callers  []net.Conn     // the oldest first
+	handlers sync.WaitGroup // of callers
 }
 
 // Serve answers calls until the context ends, which closes the connections of callers that have not sent their line, and returns
@@ -54,7 +54,7 @@
 		}
 	})
 	defer stop()
-	defer s.running.Wait()
+	defer s.handlers.Wait()
 	for {
 		conn, err := sockets.Accept(s.Listener, s.Log, "an operator's call")
 		if errors.Is(err, sockets.ErrEnded) {
@@ -63,7 +63,7 @@
 			return err
 		}
 		s.admit(conn)
-		s.running.Go(func() {
+		s.handlers.Go(func() {
 			defer s.release(conn)
 			s.answer(conn)
 		})
@@ -99,11 +99,11 @@
 	var out []byte
 	switch {
 	case errors.Is(err, bufio.ErrBufferFull):
-		out = appendRefusal(nil, ErrLong)
+		out = appendError(nil, ErrLineTooLong)
 	case err != nil:
 		return
 	default:
-		out = s.carryOut(line[:len(line)-1])
+		out = s.execute(line[:len(line)-1])
 	}
 	conn.SetWriteDeadline(time.Now().Add(sendTimeout))
 	conn.Write(out)
@@ -112,11 +112,11 @@
 	}
 }
 
-// carryOut carries out the call of one line and returns its answer.
-func (s *Server) carryOut(line []byte) []byte {
+// execute carries out the call of one line and returns its answer.
+func (s *Server) execute(line []byte) []byte {
 	c, err := Parse(line)
 	if err != nil {
-		return appendRefusal(nil, err)
+		return appendError(nil, err)
 	}
 	switch c.Verb {
 	case Readyz:
@@ -135,13 +135,13 @@
 		s.Gateway.Drain(false)
 	}
 	if err != nil {
-		return appendRefusal(nil, err)
+		return appendError(nil, err)
 	}
 	return []byte("YES\n")
 }
 
-// appendRefusal appends the answer to a call that failed: one line, without control characters.
-func appendRefusal(b []byte, err error) []byte {
+// appendError appends the answer to a call that failed: one line, without control characters.
+func appendError(b []byte, err error) []byte {
 	b = append(b, "NO "...)
 	for _, c := range []byte(err.Error()) {
 		if c < ' ' || c == 0x7f {
--- a/internal/classtable/classtable.go
+++ b/internal/classtable/classtable.go
@@ -15,9 +15,9 @@
 
 // Entry is what one class name means.
 type Entry struct {
-	Name   string
-	Class  int            // index of the module's class; below 0: none is strict enough, and requests of the name are rejected
-	Effect dw.Idempotency // by the settings that named it last, for the command that its requests come by
+	Name        string
+	Class       int            // index of the module's class; below 0: none is strict enough, and requests of the name are rejected
+	Idempotency dw.Idempotency // by the settings that named it last, for the command that its requests come by
 }
 
 // Table is the names that clients may use, those of the settings in force first. It is never changed in place.
@@ -31,7 +31,7 @@
 	t := make(Table, 0, len(names))
 	for i, n := range names {
 		if _, repeated := t.Find(n); !repeated {
-			t = append(t, Entry{Name: n, Class: i, Effect: classes[i].Idempotency})
+			t = append(t, Entry{Name: n, Class: i, Idempotency: classes[i].Idempotency})
 		}
 	}
 	return t
@@ -66,7 +66,7 @@
 			continue
 		}
 		named[n] = true
-		out = append(out, Entry{Name: n, Class: Choose(module, classes[i]), Effect: classes[i].Idempotency})
+		out = append(out, Entry{Name: n, Class: NearestClass(module, classes[i]), Idempotency: classes[i].Idempotency})
 	}
 	for _, e := range t {
 		if !named[e.Name] && len(out) < MaxNames {
@@ -96,25 +96,25 @@
 	return names
 }
 
-// effectDistance is the distance of two classes of different idempotency, far above the other distances: the class would lose retries.
-const effectDistance = 100
+// idempotencyDistance is the distance of two classes of different idempotency, far above the other distances: the class would lose retries.
+const idempotencyDistance = 100
 
-// Choose is the index of the module's class that a class is mapped to: an equal one, or the nearest of those that are at least as
+// NearestClass is the index of the module's class that a class is mapped to: an equal one, or the nearest of those that are at least as
 // strict, by deadline, objective and weight; -1 if none is.
-func Choose(module []dw.Class, c dw.Class) int {
+func NearestClass(module []dw.Class, c dw.Class) int {
 	nearest := -1
 	shortest := math.Inf(1)
 	for i, m := range module {
 		if m == c {
 			return i
 		}
-		if !Stricter(m, c) {
+		if !AtLeastAsStrict(m, c) {
 			continue
 		}
 		distance := logRatio(float64(m.Deadline), float64(c.Deadline)) + logRatio(float64(m.Objective), float64(c.Objective)) +
 			logRatio(m.Weight+1, c.Weight+1)
 		if m.Idempotency != c.Idempotency {
-			distance += effectDistance
+			distance += idempotencyDistance
 		}
 		if distance < shortest {
 			nearest = i
@@ -127,9 +127,9 @@
 // logRatio is the distance of two amounts, on a scale on which twice and half are equally far.
 func logRatio(a, b float64) float64 { return math.Abs(math.Log(max(a, 1e-9) / max(b, 1e-9))) }
 
-// Stricter tells whether following the rules of m breaks none of those of c: m may not allow a retry that c forbids, nor one at more
+// AtLeastAsStrict tells whether following the rules of m breaks none of those of c: m may not allow a retry that c forbids, nor one at more
 // servers or for a longer time.
-func Stricter(m, c dw.Class) bool {
+func AtLeastAsStrict(m, c dw.Class) bool {
 	if m.Streaming != c.Streaming {
 		return false
 	}
--- a/internal/classtable/classtable_test.go
+++ b/internal/classtable/classtable_test.go
@@ -51,15 +51,15 @@
 				}
 				seen[n] = true
 				e, ok := table.Find(n)
-				if !ok || e.Effect != cs[i].Idempotency {
+				if !ok || e.Idempotency != cs[i].Idempotency {
 					t.Fatalf("%s: %+v, %v", n, e, ok)
 				}
-				if e.Class >= 0 && !Stricter(module[e.Class], cs[i]) {
+				if e.Class >= 0 && !AtLeastAsStrict(module[e.Class], cs[i]) {
 					t.Fatalf("%s: %+v goes under %+v", n, cs[i], module[e.Class])
 				}
 				if e.Class < 0 {
 					for _, m := range module {
-						if Stricter(m, cs[i]) {
+						if AtLeastAsStrict(m, cs[i]) {
 							t.Fatalf("%s: refused, though %+v would do", n, m)
 						}
 					}
@@ -84,30 +84,30 @@
 
 // With spares, a class of any effect has one to go under, whatever the settings of the start named, but for streaming; and
 // the names of the start mean what they meant.
-func TestSparesLeaveNoClassOut(t *testing.T) {
+func TestSpareClassesCoverEveryIdempotency(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names, module := classes(t, "module")
-		spareNames, spared := WithSpareClasses(names, module)
-		if len(spareNames) != len(spared) {
-			t.Fatalf("%d names of %d classes", len(spareNames), len(spared))
+		extendedNames, extended := WithSpareClasses(names, module)
+		if len(extendedNames) != len(extended) {
+			t.Fatalf("%d names of %d classes", len(extendedNames), len(extended))
 		}
 		for i, m := range module {
-			if spared[i] != m || spareNames[i] != names[i] {
-				t.Fatalf("class %d is %+v, was %+v", i, spared[i], m)
+			if extended[i] != m || extendedNames[i] != names[i] {
+				t.Fatalf("class %d is %+v, was %+v", i, extended[i], m)
 			}
 		}
-		if got, want := New(names, spared), New(names, module); !reflect.DeepEqual(got, want) {
+		if got, want := New(names, extended), New(names, module); !reflect.DeepEqual(got, want) {
 			t.Fatalf("%+v, not %+v", got, want)
 		}
 		c := class(t, "new")
 		c.Streaming = module[0].Streaming
-		if k := Choose(spared, c); k < 0 || !Stricter(spared[k], c) {
+		if k := NearestClass(extended, c); k < 0 || !AtLeastAsStrict(extended[k], c) {
 			t.Fatalf("%+v goes under %d", c, k)
 		}
 	})
 }
 
-func TestStricter(t *testing.T) {
+func TestAtLeastAsStrict(t *testing.T) {
 	safe := dw.Class{Idempotency: dw.Idempotent}
 	byKeyAll := dw.Class{Idempotency: dw.IdempotentByKey, DedupScope: dw.DedupAll, DedupWindow: 3e9}
 	byKeyZone := dw.Class{Idempotency: dw.IdempotentByKey, DedupScope: dw.DedupZone, DedupWindow: 3e9}
@@ -121,7 +121,7 @@
 		{byKeyAll, unsafe, false}, {dw.Class{Idempotency: dw.IdempotentByKey, DedupWindow: 4e9}, byKeyAll, false},
 		{dw.Class{Idempotency: dw.Idempotent, Streaming: true}, safe, false},
 	} {
-		if got := Stricter(c.m, c.c); got != c.want {
+		if got := AtLeastAsStrict(c.m, c.c); got != c.want {
 			t.Errorf("%+v for %+v: %v", c.m, c.c, got)
 		}
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -38,11 +38,11 @@
 	minMemoryMB     = 32
 	minSockets      = 64
 
-	firstDescriptor = 3 // behind the standard streams
+	minInheritedFD = 3 // behind the standard streams
 )
 
-// file mirrors the node's JSON.
-type file struct {
+// nodeFile mirrors the node's JSON.
+type nodeFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -66,8 +66,10 @@
 // Error implements error.
 func (e *Error) Error() string { return "configuration: " + e.Key + ": " + e.Problem }
 
-// fault makes the error of a key.
-func fault(key, format string, a ...any) error { return &Error{key, fmt.Sprintf(format, a...)} }
+// newError makes the error of a key.
+func newError(key, format string, args ...any) error {
+	return &Error{key, fmt.Sprintf(format, args...)}
+}
 
 // LoadNode reads the environment through getenv, and the file that it names.
 func LoadNode(getenv func(string) string) (*Node, error) {
@@ -83,23 +85,23 @@
 func loadNode(getenv func(string) string, reload bool) (*Node, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
-		return nil, fault("NODE_CONFIG", "not set")
+		return nil, newError("NODE_CONFIG", "not set")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fault("NODE_CONFIG", "%v", err)
+		return nil, newError("NODE_CONFIG", "%v", err)
 	}
 	return parseNode(text, getenv, reload)
 }
 
 func parseNode(text []byte, getenv func(string) string, reload bool) (*Node, error) {
-	var f file
+	var f nodeFile
 	if err := json.Unmarshal(text, &f); err != nil {
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) && wrong.Field != "" {
-			return nil, fault(wrong.Field, "a %s does not belong here", wrong.Value)
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) && typeErr.Field != "" {
+			return nil, newError(typeErr.Field, "a %s does not belong here", typeErr.Value)
 		}
-		return nil, fault("NODE_CONFIG", "not JSON: %v", err)
+		return nil, newError("NODE_CONFIG", "not JSON: %v", err)
 	}
 	n := &Node{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Counter: f.Counter, Admin: f.Admin, Cores: f.Limits.Cores,
 		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, KnownList: f.Known}
@@ -108,16 +110,16 @@
 	}
 	var err error
 	if n.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, fault("seed", "%q is not a number of up to 16 hex digits", f.Seed)
+		return nil, newError("seed", "%q is not a number of up to 16 hex digits", f.Seed)
 	}
 	if len(f.Settings) == 0 {
-		return nil, fault("settings", "missing")
+		return nil, newError("settings", "missing")
 	}
 	if n.Settings, n.Names, err = settings.Decode(f.Settings); err != nil {
-		return nil, fault("settings", "%v", err)
+		return nil, newError("settings", "%v", err)
 	}
 	if err = n.Settings.Check(); err != nil {
-		return nil, fault("settings", "%v", err)
+		return nil, newError("settings", "%v", err)
 	}
 	if err := n.check(); err != nil {
 		return nil, err // nothing of a file with a fault is taken
@@ -139,8 +141,8 @@
 	}
 	if fd := getenv("NODE_FD"); fd != "" {
 		// Descriptors 0 to 2 are the standard streams; taking one for a listener would end the log.
-		if n.InheritedFD, err = strconv.Atoi(fd); err != nil || n.InheritedFD < firstDescriptor {
-			return fault("NODE_FD", "%q is not a descriptor above 2", fd)
+		if n.InheritedFD, err = strconv.Atoi(fd); err != nil || n.InheritedFD < minInheritedFD {
+			return newError("NODE_FD", "%q is not a descriptor above 2", fd)
 		}
 	}
 	if n.TempDir = getenv("TMPDIR"); n.TempDir == "" {
@@ -151,69 +153,69 @@
 
 func (n *Node) check() error {
 	if n.Name == "" {
-		return fault("name (NODE_NAME)", "missing")
+		return newError("name (NODE_NAME)", "missing")
 	}
 	for _, v := range []struct{ key, addr string }{{"listen (NODE_LISTEN)", n.Listen},
 		{"discovery (NODE_DISCOVERY)", n.Discovery}} {
-		if err := address(v.key, v.addr); err != nil {
+		if err := checkAddress(v.key, v.addr); err != nil {
 			return err
 		}
 	}
 	if n.Admin != "" {
-		if err := address("admin (NODE_ADMIN)", n.Admin); err != nil {
+		if err := checkAddress("admin (NODE_ADMIN)", n.Admin); err != nil {
 			return err
 		}
 	}
 	if n.Counter != "" || n.Settings.Counter {
-		if err := address("counter", n.Counter); err != nil {
+		if err := checkAddress("counter", n.Counter); err != nil {
 			return err
 		}
 	}
-	n.Cores, n.MemoryMB, n.Sockets = or(n.Cores, defaultCores), or(n.MemoryMB, defaultMemoryMB), or(n.Sockets, defaultSockets)
+	n.Cores, n.MemoryMB, n.Sockets = orDefault(n.Cores, defaultCores), orDefault(n.MemoryMB, defaultMemoryMB), orDefault(n.Sockets, defaultSockets)
 	switch {
 	case n.Cores < 0:
-		return fault("limits.cores", "%v is below 0", n.Cores)
+		return newError("limits.cores", "%v is below 0", n.Cores)
 	case n.MemoryMB < minMemoryMB:
-		return fault("limits.memory_mb", "%d; it needs %d at least", n.MemoryMB, minMemoryMB)
+		return newError("limits.memory_mb", "%d; it needs %d at least", n.MemoryMB, minMemoryMB)
 	case n.Sockets < minSockets:
-		return fault("limits.sockets", "%d; it needs %d at least", n.Sockets, minSockets)
+		return newError("limits.sockets", "%d; it needs %d at least", n.Sockets, minSockets)
 	}
 	return nil
 }
 
-// or returns v, or the default where it is left out.
-func or[T int | float64](v, standard T) T {
+// orDefault returns v, or the default where it is left out.
+func orDefault[T int | float64](v, defaultValue T) T {
 	if v == 0 {
-		return standard
+		return defaultValue
 	}
 	return v
 }
 
-func address(key, s string) error {
-	if s == "" {
-		return fault(key, "missing")
+func checkAddress(key, addr string) error {
+	if addr == "" {
+		return newError(key, "missing")
 	}
-	_, port, err := net.SplitHostPort(s)
+	_, port, err := net.SplitHostPort(addr)
 	if err != nil {
-		return fault(key, "%q is not host:port", s)
+		return newError(key, "%q is not host:port", addr)
 	}
 	if p, err := strconv.ParseUint(port, 10, 16); err != nil || p == 0 {
-		return fault(key, "%q has no port from 1 to 65535", s)
+		return newError(key, "%q has no port from 1 to 65535", addr)
 	}
 	return nil
 }
 
 // KeysNeedingRestart names the keys in which m differs from n and which are read at the start only. Of the settings, classes and
 // attempts are retuned while the program runs.
-func (n *Node) KeysNeedingRestart(m *Node) (keys []string) {
-	a, b, aw, bw := n.Settings, m.Settings, n.Names, m.Names
-	a.Classes, a.MaxAttempts, aw.Classes = b.Classes, b.MaxAttempts, bw.Classes
+func (n *Node) KeysNeedingRestart(other *Node) (keys []string) {
+	oldSettings, newSettings, oldNames, newNames := n.Settings, other.Settings, n.Names, other.Names
+	oldSettings.Classes, oldSettings.MaxAttempts, oldNames.Classes = newSettings.Classes, newSettings.MaxAttempts, newNames.Classes
 	for _, v := range []struct {
 		key  string
 		same bool
-	}{{"name", n.Name == m.Name}, {"listen", n.Listen == m.Listen}, {"limits.cores", n.Cores == m.Cores},
-		{"limits.memory_mb", n.MemoryMB == m.MemoryMB}, {"limits.sockets", n.Sockets == m.Sockets},
-		{"settings", reflect.DeepEqual(a, b) && reflect.DeepEqual(aw, bw)}} {
+	}{{"name", n.Name == other.Name}, {"listen", n.Listen == other.Listen}, {"limits.cores", n.Cores == other.Cores},
+		{"limits.memory_mb", n.MemoryMB == other.MemoryMB}, {"limits.sockets", n.Sockets == other.Sockets},
+		{"settings", reflect.DeepEqual(oldSettings, newSettings) && reflect.DeepEqual(oldNames, newNames)}} {
 		if !v.same {
 			keys = append(keys, v.key)
 		}
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -30,7 +30,7 @@
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fault(path, "%v", err)
+		return nil, newError(path, "%v", err)
 	}
 	return parseFleet(path, text)
 }
@@ -65,22 +65,22 @@
 func (f *fleetFile) check() error {
 	l := &f.Fleet
 	if l.Name == "" {
-		return fault("fleet", "missing")
+		return newError("fleet", "missing")
 	}
-	if err := address("fleet.listen", l.Listen); err != nil {
+	if err := checkAddress("fleet.listen", l.Listen); err != nil {
 		return err
 	}
 	if len(l.Voters)%2 == 0 {
-		return fault("fleet.voters", "%d; an odd number, as an even one bears no more losses than one less", len(l.Voters))
+		return newError("fleet.voters", "%d; an odd number, as an even one bears no more losses than one less", len(l.Voters))
 	}
 	for _, s := range l.Seeds {
-		name, addr, full := strings.Cut(s, "/")
-		if !full {
+		name, addr, hasAddr := strings.Cut(s, "/")
+		if !hasAddr {
 			if addr = f.Peers[name]; addr == "" {
-				return fault("fleet.seeds", "%q is neither NAME/HOST:PORT nor a name of [peers]", s)
+				return newError("fleet.seeds", "%q is neither NAME/HOST:PORT nor a name of [peers]", s)
 			}
 		}
-		if err := address("fleet.seeds", addr); err != nil {
+		if err := checkAddress("fleet.seeds", addr); err != nil {
 			return err
 		}
 	}
@@ -90,35 +90,35 @@
 	}
 	slices.Sort(names) // of two faults, the same one is said each time
 	for _, name := range names {
-		if err := address("peers."+name, f.Peers[name]); err != nil {
+		if err := checkAddress("peers."+name, f.Peers[name]); err != nil {
 			return err
 		}
 	}
 	if l.LeaseMS < minStatusesPerLease*l.StatusMS {
-		return fault("fleet.lease_ms", "%d; at least four times status_ms, as a status or its answer may be lost", l.LeaseMS)
+		return newError("fleet.lease_ms", "%d; at least four times status_ms, as a status or its answer may be lost", l.LeaseMS)
 	}
 	return nil
 }
 
 func parseFleet(path string, text []byte) (*Fleet, error) {
-	if err := checkFile(path, text, "fleet.schema.json", deploy.FleetSchema); err != nil {
+	if err := validateFile(path, text, "fleet.schema.json", deploy.FleetSchema); err != nil {
 		return nil, err
 	}
 	var f fleetFile
 	f.Fleet.LeaseMS, f.Fleet.StatusMS = defaultLeaseMS, defaultStatusMS
-	f.Fleet.Registry.Path = defaultMembers
+	f.Fleet.Registry.Path = defaultMembersPath
 	if err := toml.Unmarshal(text, &f); err != nil { // the schema has seen to that
-		return nil, fault(path, "%v", err)
+		return nil, newError(path, "%v", err)
 	}
 	l := &f.Fleet
 	if err := f.check(); err != nil {
 		return nil, err
 	}
-	reg, err := l.Registry.read("fleet.registry")
+	registry, err := l.Registry.parse("fleet.registry")
 	if err != nil {
 		return nil, err
 	}
-	reg.Path += "/" + url.PathEscape(l.Name)
-	return &Fleet{MaxEvacuatedZones: l.MaxZones, Registry: reg, Name: l.Name, Listen: l.Listen, Region: l.Region, Voters: l.Voters, Seeds: l.Seeds, Keyring: l.Keyring, Dir: l.Dir,
+	registry.Path += "/" + url.PathEscape(l.Name)
+	return &Fleet{MaxEvacuatedZones: l.MaxZones, Registry: registry, Name: l.Name, Listen: l.Listen, Region: l.Region, Voters: l.Voters, Seeds: l.Seeds, Keyring: l.Keyring, Dir: l.Dir,
 		Lease: time.Duration(l.LeaseMS) * time.Millisecond, StatusInterval: time.Duration(l.StatusMS) * time.Millisecond, Peers: f.Peers}, nil
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -24,39 +24,39 @@
 	if err := json.Unmarshal(golden.Read(t, "node.json"), &f); err != nil {
 		t.Fatal(err)
 	}
-	s, w, err := settings.Decode(f.Settings) // frozen field by field in that package
+	s, names, err := settings.Decode(f.Settings) // frozen field by field in that package
 	if err != nil || len(s.Classes) != 3 {
 		t.Fatal(err)
 	}
 	return Node{Name: "node-1", Listen: "10.0.0.1:1001", Discovery: "10.0.0.2:1002", Counter: "10.0.0.3:1003", Admin: "10.0.0.4:1004",
 		TempDir: "/scratch", Seed: 0x1f, Cores: 1.5, MemoryMB: 101, Sockets: 102, KnownList: json.RawMessage(`{"revision":7,"members":[]}`),
-		Settings: s, Names: w}
+		Settings: s, Names: names}
 }
 
 // The node's configuration file with each of its keys, and the environment variables that stand above it. Platforms write them; the
 // gateway reads them at its start and at SIGHUP.
 func TestGoldenNode(t *testing.T) {
 	file := goldenNode(t)
-	above := file
-	above.Name, above.Listen, above.Discovery, above.Admin, above.InheritedFD = "node-2", "10.0.1.1:1101", "10.0.1.2:1102", "10.0.1.4:1104", 5
-	again := above
-	again.Discovery = file.Discovery
-	variables := map[string]string{"NODE_CONFIG": goldenFile("node.json"), "TMPDIR": "/scratch"}
-	all := map[string]string{"NODE_NAME": "node-2", "NODE_LISTEN": "10.0.1.1:1101", "NODE_DISCOVERY": "10.0.1.2:1102",
-		"NODE_ADMIN": "10.0.1.4:1104", "NODE_FD": "5", "NODE_CONFIG": variables["NODE_CONFIG"], "TMPDIR": "/scratch"}
+	withEnvironment := file
+	withEnvironment.Name, withEnvironment.Listen, withEnvironment.Discovery, withEnvironment.Admin, withEnvironment.InheritedFD = "node-2", "10.0.1.1:1101", "10.0.1.2:1102", "10.0.1.4:1104", 5
+	reloaded := withEnvironment
+	reloaded.Discovery = file.Discovery
+	fileOnly := map[string]string{"NODE_CONFIG": goldenFile("node.json"), "TMPDIR": "/scratch"}
+	allVariables := map[string]string{"NODE_NAME": "node-2", "NODE_LISTEN": "10.0.1.1:1101", "NODE_DISCOVERY": "10.0.1.2:1102",
+		"NODE_ADMIN": "10.0.1.4:1104", "NODE_FD": "5", "NODE_CONFIG": fileOnly["NODE_CONFIG"], "TMPDIR": "/scratch"}
 	for _, c := range []struct {
-		what string
+		name string
 		env  map[string]string
 		load func(func(string) string) (*Node, error)
 		want Node
-	}{{"the file", variables, LoadNode, file}, {"the environment above it", all, LoadNode, above},
-		{"the same, read anew", all, ReloadNode, again}} {
+	}{{"the file", fileOnly, LoadNode, file}, {"the environment above it", allVariables, LoadNode, withEnvironment},
+		{"the same, read anew", allVariables, ReloadNode, reloaded}} {
 		got, err := c.load(func(key string) string { return c.env[key] })
 		if err != nil {
-			t.Fatal(c.what, err)
+			t.Fatal(c.name, err)
 		}
 		if !reflect.DeepEqual(*got, c.want) {
-			t.Errorf("%s\n got %+v\nwant %+v", c.what, *got, c.want)
+			t.Errorf("%s\n got %+v\nwant %+v", c.name, *got, c.want)
 		}
 	}
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -32,10 +32,10 @@
 
 // The defaults, where the limits file leaves a key out.
 const (
-	defaultPath      = "/dewhitch/planners"
-	defaultMembers   = "/dewhitch/members"
-	defaultSessionMS = 4000
-	leastSessionMS   = 100
+	defaultPlannersPath = "/dewhitch/planners"
+	defaultMembersPath  = "/dewhitch/members"
+	defaultSessionMS    = 4000
+	minSessionMS        = 100
 )
 
 // registryFile is a registry as files have it.
@@ -45,19 +45,19 @@
 	SessionMS int `toml:"session_ms"`
 }
 
-// read checks it; key is where it stands.
-func (f registryFile) read(key string) (Registry, error) {
-	r := Registry{f.Servers, f.Path, time.Duration(or(f.SessionMS, defaultSessionMS)) * time.Millisecond}
+// parse checks it; key is where it stands.
+func (f registryFile) parse(key string) (Registry, error) {
+	r := Registry{f.Servers, f.Path, time.Duration(orDefault(f.SessionMS, defaultSessionMS)) * time.Millisecond}
 	for _, s := range r.Servers {
-		if err := address(key+".servers", s); err != nil {
+		if err := checkAddress(key+".servers", s); err != nil {
 			return r, err
 		}
 	}
 	switch {
 	case !strings.HasPrefix(r.Path, "/") || strings.HasSuffix(r.Path, "/"):
-		return r, fault(key+".path", "%q is not a path such as %s", r.Path, defaultPath)
-	case r.Session < leastSessionMS*time.Millisecond:
-		return r, fault(key+".session_ms", "%d; it needs %d at least", f.SessionMS, leastSessionMS)
+		return r, newError(key+".path", "%q is not a path such as %s", r.Path, defaultPlannersPath)
+	case r.Session < minSessionMS*time.Millisecond:
+		return r, newError(key+".session_ms", "%d; it needs %d at least", f.SessionMS, minSessionMS)
 	}
 	return r, nil
 }
@@ -74,24 +74,24 @@
 		}
 	}
 	if _, err := toml.DecodeFile(path, &f); err != nil {
-		var wrong toml.ParseError
-		if errors.As(err, &wrong) && wrong.LastKey != "" {
-			return nil, fault(path, "%s: %s", wrong.LastKey, wrong.Message)
+		var parseErr toml.ParseError
+		if errors.As(err, &parseErr) && parseErr.LastKey != "" {
+			return nil, newError(path, "%s: %s", parseErr.LastKey, parseErr.Message)
 		}
-		return nil, fault(path, "%v", err)
+		return nil, newError(path, "%v", err)
 	}
 	if f.Registry.Path == "" {
-		f.Registry.Path = defaultPath
+		f.Registry.Path = defaultPlannersPath
 	}
-	l := &Limits{Listen: f.Listen, Forward: Forward{f.Forward.Listen, f.Forward.Gateways, or(f.Forward.Sockets, defaultSockets),
-		or(f.Forward.MemoryMB, defaultMemoryMB)}}
+	l := &Limits{Listen: f.Listen, Forward: Forward{f.Forward.Listen, f.Forward.Gateways, orDefault(f.Forward.Sockets, defaultSockets),
+		orDefault(f.Forward.MemoryMB, defaultMemoryMB)}}
 	if l.Listen != "" {
-		if err := address("listen", l.Listen); err != nil {
+		if err := checkAddress("listen", l.Listen); err != nil {
 			return nil, err
 		}
 	}
 	var err error
-	l.Registry, err = f.Registry.read("registry")
+	l.Registry, err = f.Registry.parse("registry")
 	if err != nil {
 		return nil, err
 	}
@@ -100,18 +100,18 @@
 
 // CheckForward checks what only a forwarder needs.
 func (l *Limits) CheckForward() error {
-	if err := address("forward.listen", l.Forward.Listen); err != nil {
+	if err := checkAddress("forward.listen", l.Forward.Listen); err != nil {
 		return err
 	}
 	switch {
 	case len(l.Registry.Servers) == 0:
-		return fault("registry.servers", "missing; a forwarder finds the planners there")
+		return newError("registry.servers", "missing; a forwarder finds the planners there")
 	case l.Forward.Gateways < 1:
-		return fault("forward.gateways", "%d; it needs 1 at least", l.Forward.Gateways)
+		return newError("forward.gateways", "%d; it needs 1 at least", l.Forward.Gateways)
 	case l.Forward.MemoryMB < minMemoryMB:
-		return fault("forward.memory_mb", "%d; it needs %d at least", l.Forward.MemoryMB, minMemoryMB)
+		return newError("forward.memory_mb", "%d; it needs %d at least", l.Forward.MemoryMB, minMemoryMB)
 	case l.Forward.Sockets < minSockets:
-		return fault("forward.sockets", "%d; it needs %d at least", l.Forward.Sockets, minSockets)
+		return newError("forward.sockets", "%d; it needs %d at least", l.Forward.Sockets, minSockets)
 	}
 	return nil
 }
--- a/internal/config/operations.go
+++ b/internal/config/operations.go
@@ -80,13 +80,13 @@
 func LoadOperations(path string) (*Operations, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fault(path, "%v", err)
+		return nil, newError(path, "%v", err)
 	}
 	return parseOperations(path, text)
 }
 
 func parseOperations(path string, text []byte) (*Operations, error) {
-	if err := checkFile(path, text, "operations.schema.json", deploy.OperationsSchema); err != nil {
+	if err := validateFile(path, text, "operations.schema.json", deploy.OperationsSchema); err != nil {
 		return nil, err
 	}
 	var f operationsFile
@@ -95,10 +95,10 @@
 	l.SegmentMB, l.Segments, l.Records, l.Sync = 4, 8, 1000000, true
 	f.Warm.Mode, f.Warm.EveryMS = "auto", 500
 	if err := toml.Unmarshal(text, &f); err != nil { // the schema has seen to that
-		return nil, fault(path, "%v", err)
+		return nil, newError(path, "%v", err)
 	}
 	if f.Operator.Listen != "" {
-		if err := address("operator.listen", f.Operator.Listen); err != nil {
+		if err := checkAddress("operator.listen", f.Operator.Listen); err != nil {
 			return nil, err
 		}
 	}
@@ -109,46 +109,46 @@
 		Warm: WarmStart{Mode: f.Warm.Mode, Interval: time.Duration(f.Warm.EveryMS) * time.Millisecond, Dir: f.Warm.Dir}}, nil
 }
 
-// checkFile checks a file's keys against a published schema; its error names the first key at fault, and the line.
-func checkFile(path string, text []byte, name string, published []byte) error {
-	var tree map[string]any
-	if err := toml.Unmarshal(text, &tree); err != nil {
-		var wrong toml.ParseError
-		if errors.As(err, &wrong) {
-			return fault(fmt.Sprintf("%s:%d", path, wrong.Position.Line), "%s: %s", wrong.LastKey, wrong.Message)
+// validateFile checks a file's keys against a published schema; its error names the first key at fault, and the line.
+func validateFile(path string, text []byte, schemaName string, schemaText []byte) error {
+	var keys map[string]any
+	if err := toml.Unmarshal(text, &keys); err != nil {
+		var parseErr toml.ParseError
+		if errors.As(err, &parseErr) {
+			return newError(fmt.Sprintf("%s:%d", path, parseErr.Position.Line), "%s: %s", parseErr.LastKey, parseErr.Message)
 		}
-		return fault(path, "%v", err)
+		return newError(path, "%v", err)
 	}
 	// Through JSON and back: the schema knows its kinds of number alone.
-	b, err := json.Marshal(tree)
+	b, err := json.Marshal(keys)
 	if err != nil {
-		return fault(path, "%v", err)
+		return newError(path, "%v", err)
 	}
 	value, err := jsonschema.UnmarshalJSON(bytes.NewReader(b))
 	if err != nil {
-		return fault(path, "%v", err)
+		return newError(path, "%v", err)
 	}
-	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(published))
+	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaText))
 	if err != nil {
-		return fault(name, "%v", err)
+		return newError(schemaName, "%v", err)
 	}
 	c := jsonschema.NewCompiler()
-	if err := c.AddResource(name, doc); err != nil {
-		return fault(name, "%v", err)
+	if err := c.AddResource(schemaName, doc); err != nil {
+		return newError(schemaName, "%v", err)
 	}
-	schema, err := c.Compile(name)
+	schema, err := c.Compile(schemaName)
 	if err != nil {
-		return fault(name, "%v", err)
+		return newError(schemaName, "%v", err)
 	}
 	var invalid *jsonschema.ValidationError
 	if err := schema.Validate(value); errors.As(err, &invalid) {
-		return schemaFault(path, text, invalid)
+		return newSchemaError(path, text, invalid)
 	}
 	return nil
 }
 
-// schemaFault is the error of the first key that does not fit the schema, with its line.
-func schemaFault(path string, text []byte, invalid *jsonschema.ValidationError) error {
+// newSchemaError is the error of the first key that does not fit the schema, with its line.
+func newSchemaError(path string, text []byte, invalid *jsonschema.ValidationError) error {
 	for len(invalid.Causes) > 0 {
 		invalid = invalid.Causes[0]
 	}
@@ -159,7 +159,7 @@
 		key = strings.TrimPrefix(key+"."+unknown, ".")
 		problem = "there is no such key"
 	}
-	return fault(fmt.Sprintf("%s:%d", path, lineOf(text, key)), "%s: %s", key, problem)
+	return newError(fmt.Sprintf("%s:%d", path, lineOf(text, key)), "%s: %s", key, problem)
 }
 
 // lineOf finds the line of a key such as ledger.rows, or of its table; 1 if it is written in a form of its own.
--- a/internal/config/operations_test.go
+++ b/internal/config/operations_test.go
@@ -11,12 +11,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	bare, err := parseOperations("bare.toml", nil)
+	defaults, err := parseOperations("bare.toml", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if *o != *bare {
-		t.Errorf("the file that ships says %+v, the defaults are %+v", o, bare)
+	if *o != *defaults {
+		t.Errorf("the file that ships says %+v, the defaults are %+v", o, defaults)
 	}
 	if o.Ledger.Enabled || o.Operator.Listen != "" || o.Ledger.AuditInterval != time.Second ||
 		o.Warm.Enabled(false) || !o.Warm.Enabled(true) {
--- a/internal/config/settings/golden_test.go
+++ b/internal/config/settings/golden_test.go
@@ -25,21 +25,21 @@
 	AnswerSlack:  71, PollWithin: 72, SlowStartSpan: 73, OverloadSpan: 74, DrainGrace: 75, OverloadMultiple: 76.5, StartCapacity: 0.775,
 	CrossZonePrice: 81.5, LatePrice: 82.5, ProbePrice: 83.5, WastePrice: 84.5}
 
-var goldenWords = Names{Zones: []string{"lake-a", "lake-b", "lake-c"}, Kinds: []string{"small", "large"},
+var goldenNames = Names{Zones: []string{"lake-a", "lake-b", "lake-c"}, Kinds: []string{"small", "large"},
 	Classes: []string{"quote", "order", "charge"}, Plans: []string{"wide", "slim"}, ConnIdle: 1001}
 
 // The settings object with each of its keys, as the simulator's hello message and the node's configuration file hold it.
 // The gateway reads it at its start.
 func TestGoldenSettings(t *testing.T) {
-	s, w, err := Decode(golden.Read(t, "settings.json"))
+	s, names, err := Decode(golden.Read(t, "settings.json"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if !reflect.DeepEqual(s, goldenSettings) {
 		t.Errorf("settings\n got %+v\nwant %+v", s, goldenSettings)
 	}
-	if !reflect.DeepEqual(w, goldenWords) {
-		t.Errorf("words\n got %+v\nwant %+v", w, goldenWords)
+	if !reflect.DeepEqual(names, goldenNames) {
+		t.Errorf("words\n got %+v\nwant %+v", names, goldenNames)
 	}
 	if err := s.Check(); err != nil {
 		t.Error(err)
@@ -70,14 +70,14 @@
 			t.Errorf("%s: %v\n got %+v\nwant %+v", c.new, err, got, want)
 		}
 	}
-	var faults []byte
+	var messages []byte
 	for _, old := range []string{`"MembershipMode":"on_request"`, `"Source":"answers"`, `"Effect":"safe"`, `"Group":"zone"`} {
 		key, _, _ := strings.Cut(old, ":")
 		_, _, err := Decode([]byte(strings.Replace(text, old, key+`:"odd"`, 1)))
 		if err == nil {
 			t.Fatalf("%s: an unknown word is taken", key)
 		}
-		faults = append(append(faults, err.Error()...), '\n')
+		messages = append(append(messages, err.Error()...), '\n')
 	}
-	golden.Compare(t, "faults.txt", faults)
+	golden.Compare(t, "faults.txt", messages)
 }
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -13,31 +13,31 @@
 type step string
 
 const (
-	stepOpen   step = "open"
-	stepWrite  step = "write"
-	stepSync   step = "sync"
-	stepClose  step = "close"
-	stepRename step = "rename"
-	stepFolder step = "sync of the folder"
+	stepOpen    step = "open"
+	stepWrite   step = "write"
+	stepSync    step = "sync"
+	stepClose   step = "close"
+	stepRename  step = "rename"
+	stepSyncDir step = "sync of the folder"
 )
 
 // faultySystem is the disk, with one step that fails; a write takes so many bytes first.
 type faultySystem struct {
 	System
-	at    step
-	err   error
-	bytes int
+	failAt      step
+	err         error
+	bytesBefore int
 }
 
-func (f *faultySystem) fails(at step) error {
-	if f.at == at {
+func (f *faultySystem) fail(at step) error {
+	if f.failAt == at {
 		return f.err
 	}
 	return nil
 }
 
 func (f *faultySystem) OpenFile(name string, flag int, perm fs.FileMode) (File, error) {
-	if err := f.fails(stepOpen); err != nil {
+	if err := f.fail(stepOpen); err != nil {
 		return nil, err
 	}
 	file, err := f.System.OpenFile(name, flag, perm)
@@ -45,14 +45,14 @@
 }
 
 func (f *faultySystem) Rename(from, to string) error {
-	if err := f.fails(stepRename); err != nil {
+	if err := f.fail(stepRename); err != nil {
 		return err
 	}
 	return f.System.Rename(from, to)
 }
 
 func (f *faultySystem) SyncDir(name string) error {
-	if err := f.fails(stepFolder); err != nil {
+	if err := f.fail(stepSyncDir); err != nil {
 		return err
 	}
 	return f.System.SyncDir(name)
@@ -60,20 +60,20 @@
 
 type faultyFile struct {
 	File
-	f *faultySystem
+	system *faultySystem
 }
 
 func (w *faultyFile) Write(b []byte) (int, error) {
-	if err := w.f.fails(stepWrite); err != nil {
-		n, _ := w.File.Write(b[:min(len(b), w.f.bytes)])
+	if err := w.system.fail(stepWrite); err != nil {
+		n, _ := w.File.Write(b[:min(len(b), w.system.bytesBefore)])
 		return n, err
 	}
 	return w.File.Write(b)
 }
 
-func (w *faultyFile) Sync() error { return errors.Join(w.f.fails(stepSync), w.File.Sync()) }
+func (w *faultyFile) Sync() error { return errors.Join(w.system.fail(stepSync), w.File.Sync()) }
 
-func (w *faultyFile) Close() error { return errors.Join(w.f.fails(stepClose), w.File.Close()) }
+func (w *faultyFile) Close() error { return errors.Join(w.system.fail(stepClose), w.File.Close()) }
 
 // Each step fails once, in each way, and a write after each number of bytes: the error is returned, the file holds the old text
 // (the new one, if only the folder's sync fails), nothing else is left in the folder, and the next attempt succeeds.
@@ -91,7 +91,7 @@
 	}
 	replace := func(s System, text string) error { return Replace(s, file+".part", file, []byte(text)) }
 	for _, err := range []error{syscall.ENOSPC, syscall.EIO, syscall.EDQUOT, syscall.EROFS, syscall.EINTR} {
-		for _, at := range []step{stepOpen, stepWrite, stepSync, stepClose, stepRename, stepFolder} {
+		for _, at := range []step{stepOpen, stepWrite, stepSync, stepClose, stepRename, stepSyncDir} {
 			maxBytes := 0
 			if at == stepWrite {
 				maxBytes = len(after)
@@ -104,7 +104,7 @@
 					t.Errorf("%s: %v, not %v", at, got, err)
 				}
 				want := before
-				if at == stepFolder {
+				if at == stepSyncDir {
 					want = after
 				}
 				check(string(at), want)
@@ -118,7 +118,7 @@
 }
 
 // A kill leaves a temporary file of any length behind: the next write is not disturbed by it.
-func TestReplaceOverWhatAKillLeft(t *testing.T) {
+func TestReplaceWithLeftoverTemporaryFile(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	const text = "text"
 	for n := range 3 * len(text) {
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -22,87 +22,87 @@
 	RowByName(customer uint64, plan, class string) ledger.Key
 }
 
-// call is a command that was accepted: it owes its slot one answer, and the ledger one end. One goroutine at a time has it:
+// pendingCommand is a command that was accepted: it owes its slot one answer, and the ledger one end. One goroutine at a time has it:
 // the session's until it is sent, then the link's; postEnd comes after the slot was filled, or needs nothing that changes.
-type call struct {
-	slot     *front.Slot
-	recorder Recorder
-	posting  ledger.Posting // what all postings of the call have in common
-	end      ledger.Event   // what the front posts once the answer is written
+type pendingCommand struct {
+	slot       *front.Slot
+	recorder   Recorder
+	posting    ledger.Posting // what all postings of the call have in common
+	frontEvent ledger.Event   // what the front posts once the answer is written
 }
 
-// begin posts that a command was accepted, and has its end posted.
-func (c *Commands) begin(r *core.Request, s *front.Slot) *call {
-	k := &call{slot: s, recorder: c.recorder, posting: ledger.Posting{Key: r.LedgerKey, Ref: c.recorder.Ref()}}
-	accepted := k.posting
+// accept posts that a command was accepted, and has its end posted.
+func (c *Commands) accept(r *core.Request, s *front.Slot) *pendingCommand {
+	p := &pendingCommand{slot: s, recorder: c.recorder, posting: ledger.Posting{Key: r.LedgerKey, Ref: c.recorder.Ref()}}
+	accepted := p.posting
 	accepted.Event = ledger.FrontTaken
 	accepted.Units = ledger.MicroUnits(r.Units)
 	accepted.Wait = ledger.CeilSeconds(r.Timeout)
 	c.recorder.Post(accepted)
 	if r.Message.Key != "" && r.LedgerKey.Class >= 0 {
-		withKey := k.posting
+		withKey := p.posting
 		withKey.Event = ledger.FrontIdempotencyKey
 		withKey.Units = int64(xxhash.Sum64String(r.Message.Key))
 		c.recorder.Post(withKey)
 	}
-	s.OnSettled(k.postEnd)
+	s.OnSettled(p.postFrontEvent)
 	accepted.Event = ledger.PlanTaken
 	c.recorder.Post(accepted)
-	return k
+	return p
 }
 
-// postEnd posts the front's end of a call.
-func (k *call) postEnd(f front.Outcome) {
-	switch f {
+// postFrontEvent posts the front's end of a call.
+func (p *pendingCommand) postFrontEvent(outcome front.Outcome) {
+	switch outcome {
 	case front.ClientDeparted:
-		k.post(ledger.FrontClientDeparted)
+		p.post(ledger.FrontClientDeparted)
 	case front.WriteFailed:
-		k.post(ledger.FrontWriteFailed)
+		p.post(ledger.FrontWriteFailed)
 	default:
-		k.post(k.end)
+		p.post(p.frontEvent)
 	}
 }
 
-func (k *call) post(e ledger.Event) {
-	p := k.posting
-	p.Event = e
-	k.recorder.Post(p)
+func (p *pendingCommand) post(event ledger.Event) {
+	posting := p.posting
+	posting.Event = event
+	p.recorder.Post(posting)
 }
 
 // answer posts what was decided, and gives the slot its answer.
-func (k *call) answer(decided ledger.Event, text []byte) {
-	k.post(decided)
-	switch decided {
+func (p *pendingCommand) answer(decision ledger.Event, text []byte) {
+	p.post(decision)
+	switch decision {
 	case ledger.PlanServed:
-		k.end = ledger.FrontServed
+		p.frontEvent = ledger.FrontServed
 	case ledger.PlanRejectedQuota:
-		k.end = ledger.FrontRejected
+		p.frontEvent = ledger.FrontRejected
 	default:
-		k.end = ledger.FrontFailed
+		p.frontEvent = ledger.FrontFailed
 	}
-	k.slot.Fill(text)
+	p.slot.Fill(text)
 }
 
 // acceptedFailures are the errors of planners that have accepted a command. With any other they have rejected it: they could not
 // use it.
 var acceptedFailures = []string{"ERR failed", "ERR no exact answer in time"}
 
-// settle posts the answer of a planner and passes it on as it came.
-func (k *call) settle(v resp.Value) {
-	attempt, decided := classify(v)
-	k.post(attempt)
-	k.post(ledger.PlanNotified)
-	k.answer(decided, resp.AppendValue(nil, v))
+// complete posts the answer of a planner and passes it on as it came.
+func (p *pendingCommand) complete(v resp.Value) {
+	attempt, decision := classify(v)
+	p.post(attempt)
+	p.post(ledger.PlanNotified)
+	p.answer(decision, resp.AppendValue(nil, v))
 }
 
 // classify gives the ledger's events for a planner's answer: the end of the attempt, and the decision.
-func classify(v resp.Value) (attempt, decided ledger.Event) {
+func classify(v resp.Value) (attempt, decision ledger.Event) {
 	if v.Kind != resp.Error {
 		return ledger.AttemptOK, ledger.PlanServed
 	}
-	word, _, _ := strings.Cut(string(v.Text), " ")
+	code, _, _ := strings.Cut(string(v.Text), " ")
 	switch {
-	case word == "BUSY":
+	case code == "BUSY":
 		return ledger.AttemptOK, ledger.PlanRejectedQuota
 	case slices.Contains(acceptedFailures, string(v.Text)):
 		return ledger.AttemptOK, ledger.PlanFailedExhausted
@@ -111,9 +111,9 @@
 }
 
 // fail answers a call that was written completely and whose planner was lost.
-func (k *call) fail() {
-	k.post(ledger.AttemptReset)
-	k.post(ledger.PlanNotified)
-	k.answer(ledger.PlanFailedExhausted,
+func (p *pendingCommand) fail() {
+	p.post(ledger.AttemptReset)
+	p.post(ledger.PlanNotified)
+	p.answer(ledger.PlanFailedExhausted,
 		resp.AppendError(nil, "ERR the planner was lost; the command may have been applied"))
 }
--- a/internal/forward/commands.go
+++ b/internal/forward/commands.go
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// listIndex is where the list of names and values stands in each command that is forwarded.
-var listIndex = map[string]int{"SVC.QUERY": 3, "SVC.SUBMIT": 3, "LIMIT.GET": 2, "LIMIT.ADJUST": 3}
+// parametersIndex is where the list of names and values stands in each command that is forwarded.
+var parametersIndex = map[string]int{"SVC.QUERY": 3, "SVC.SUBMIT": 3, "LIMIT.GET": 2, "LIMIT.ADJUST": 3}
 
 // Do implements front.Commands.
 func (c *Commands) Do(receivedAt time.Time, cmd resp.Command, s *front.Slot) {
@@ -64,7 +64,7 @@
 // parse reads of a command what the forwarder needs: the customer, its set of planners, the deadline and the ledger's key.
 func (c *Commands) parse(cmd resp.Command) (dewhitch.CustomerID, *core.Request, error) {
 	name := string(bytes.ToUpper(cmd[0]))
-	index, known := listIndex[name]
+	index, known := parametersIndex[name]
 	if !known {
 		return 0, nil, fmt.Errorf("unknown command %.32q", cmd[0])
 	}
@@ -95,25 +95,25 @@
 // forward writes a command to the first planner of the set that it can be written to completely. A planner that was not sent
 // the last byte has applied nothing, so the next may be tried; after that the command is never sent again.
 func (c *Commands) forward(receivedAt time.Time, cmd resp.Command, customer dewhitch.CustomerID, r *core.Request, s *front.Slot) {
-	text := resp.AppendArray(nil, len(cmd))
-	for _, word := range cmd {
-		text = resp.AppendBulk(text, word)
+	encoded := resp.AppendArray(nil, len(cmd))
+	for _, arg := range cmd {
+		encoded = resp.AppendBulk(encoded, arg)
 	}
-	k := c.begin(r, s)
+	pending := c.accept(r, s)
 	for _, addr := range c.planners.Select(customer, r.Spread, r.FirstGateway, c.gateways) {
 		l, err := c.linkTo(addr)
-		if errors.Is(err, errEnded) {
+		if errors.Is(err, errShutDown) {
 			break
 		}
 		if err != nil {
 			c.log.Warn("a planner is unreachable", zap.String("planner", addr), zap.Error(err))
 			continue
 		}
-		if l.send(text, k, time.Until(receivedAt.Add(r.Timeout+deadlineGrace))) {
+		if l.send(encoded, pending, time.Until(receivedAt.Add(r.Timeout+deadlineGrace))) {
 			return
 		}
 	}
-	k.answer(ledger.PlanFailedExhausted, resp.AppendError(nil, "ERR no planner of this customer's set can be reached"))
+	pending.answer(ledger.PlanFailedExhausted, resp.AppendError(nil, "ERR no planner of this customer's set can be reached"))
 }
 
 // linkTo returns the session's link to a planner, a new one if there is none or it was lost. The error is errEnded, or that of
@@ -129,7 +129,7 @@
 	l := &link{conn: conn, log: c.log, addr: addr}
 	if !c.planners.register(l) {
 		conn.Close()
-		return nil, errEnded
+		return nil, errShutDown
 	}
 	c.links[addr] = l
 	go func() {
--- a/internal/forward/golden_test.go
+++ b/internal/forward/golden_test.go
@@ -24,9 +24,9 @@
 	const customer, list = "00000001b4d65521", "c=order,t=slim,d=20000,k=key-1,r=1,units=2.5,spread=1,first=0"
 	var b []byte
 	for _, c := range []struct {
-		words  []string
-		answer string // of the planner; empty: it closes the connection
-		asks   bool   // the planner is asked
+		args      []string
+		answer    string // of the planner; empty: it closes the connection
+		forwarded bool   // the planner is asked
 	}{
 		{[]string{"SVC.SUBMIT", customer, "name-1", list, "body\r\n1"}, "$5\r\nvalue\r\n", true},
 		{[]string{"svc.query", customer, "name-2", list}, "-BUSY 250\r\n", true},
@@ -41,22 +41,22 @@
 		{[]string{"LIMIT.GET", "x", list}, "", false},
 		{[]string{"LIMIT.GET", customer, "t=slim"}, "", false},
 	} {
-		sent, got := forwardOne(t, c.words, c.answer, c.asks)
-		b = fmt.Appendf(b, "%q\n\t%q\n\t%q\n", c.words, sent, got)
+		sent, got := forwardCommand(t, c.args, c.answer, c.forwarded)
+		b = fmt.Appendf(b, "%q\n\t%q\n\t%q\n", c.args, sent, got)
 	}
 	golden.Compare(t, "forwarding.txt", b)
 }
 
-// forwardOne has a forwarder before one planner pass a command on.
-func forwardOne(t *testing.T, words []string, answer string, asks bool) (sent, got []byte) {
+// forwardCommand has a forwarder before one planner pass a command on.
+func forwardCommand(t *testing.T, args []string, answer string, forwarded bool) (sent, got []byte) {
 	t.Helper()
-	came := make(chan []byte, 1)
+	received := make(chan []byte, 1)
 	planner, err := standin.Listen("", func(c net.Conn) {
 		var text bytes.Buffer
 		if _, err := standin.ReadCommand(bufio.NewReaderSize(io.TeeReader(c, &text), 16)); err != nil {
 			return
 		}
-		came <- text.Bytes()
+		received <- text.Bytes()
 		if answer == "" {
 			c.Close()
 			return
@@ -70,15 +70,15 @@
 	defer planner.Close()
 	planners := &Planners{}
 	planners.Set(map[int]string{0: planner.Addr()})
-	got = exchangeOne(t, planners, words)
-	if asks {
-		sent = <-came
+	got = exchange(t, planners, args)
+	if forwarded {
+		sent = <-received
 	}
 	return sent, got
 }
 
-// exchangeOne is what a client reads for a command, over a session of its own.
-func exchangeOne(t *testing.T, planners *Planners, words []string) []byte {
+// exchange is what a client reads for a command, over a session of its own.
+func exchange(t *testing.T, planners *Planners, args []string) []byte {
 	t.Helper()
 	l, err := net.Listen("tcp", standin.OwnAddr())
 	if err != nil {
@@ -87,9 +87,9 @@
 	server := &front.Server{Listener: l, Log: zap.NewNop(), Bounds: front.NewBounds(64 << 20), MaxSessions: 1,
 		NewCommands: func() front.Commands { return New(planners, 1, recorder.Discard{}, zap.NewNop()) }}
 	ctx, stop := context.WithCancel(t.Context())
-	over := make(chan struct{})
+	serveDone := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(serveDone)
 		server.Serve(ctx)
 	}()
 	client, err := standin.Dial(l.Addr().String(), testTimeout)
@@ -99,14 +99,14 @@
 	defer func() {
 		client.Close()
 		stop()
-		<-over
+		<-serveDone
 	}()
-	if err := client.Send(words); err != nil {
+	if err := client.Send(args); err != nil {
 		t.Fatal(err)
 	}
 	var text bytes.Buffer
 	if _, err := standin.ReadReply(bufio.NewReader(io.TeeReader(client, &text))); err != nil {
-		t.Fatalf("%q: %v", words, err)
+		t.Fatalf("%q: %v", args, err)
 	}
 	return text.Bytes()
 }
@@ -115,7 +115,7 @@
 // where none is registered.
 func TestGoldenPlanners(t *testing.T) {
 	p := &Planners{}
-	text := exchangeOne(t, p, []string{"LIMIT.GET", "00000001b4d65521", "t=slim,d=20000,spread=3,first=1"})
+	text := exchange(t, p, []string{"LIMIT.GET", "00000001b4d65521", "t=slim,d=20000,spread=3,first=1"})
 	p.Set(map[int]string{0: "10.0.0.1:1000", 1: "10.0.0.1:1001", 2: "10.0.0.1:1002", 4: "10.0.0.1:1004"})
 	var b []byte
 	for customer := range 4 {
--- a/internal/forward/link.go
+++ b/internal/forward/link.go
@@ -27,13 +27,13 @@
 	lost atomic.Bool // nothing can be sent any more; set under mu
 
 	mu       sync.Mutex
-	inFlight []inFlightCall // in order
+	inFlight []inFlightCommand // in order
 }
 
-// inFlightCall is a call whose answer is waited for.
-type inFlightCall struct {
-	call  *call
-	timer *time.Timer // closes the link at the end of the wait
+// inFlightCommand is a call whose answer is waited for.
+type inFlightCommand struct {
+	command *pendingCommand
+	timer   *time.Timer // closes the link at the end of the wait
 }
 
 // dialPlanner connects to a planner. A close of the connection, or the end of this process, discards what the kernel has not
@@ -53,25 +53,25 @@
 
 // send writes a command, whose answer is waited for until timeout has passed. It reports whether the command was written
 // completely; if not, the planner has applied nothing, and the link is lost.
-func (l *link) send(command []byte, k *call, timeout time.Duration) bool {
+func (l *link) send(encoded []byte, p *pendingCommand, timeout time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.lost.Load() {
 		return false
 	}
-	k.post(ledger.PlanSent)
-	k.post(ledger.AttemptStarted)
+	p.post(ledger.PlanSent)
+	p.post(ledger.AttemptStarted)
 	l.conn.SetWriteDeadline(time.Now().Add(writeTimeout))
-	if n, _ := l.conn.Write(command); n < len(command) {
+	if n, _ := l.conn.Write(encoded); n < len(encoded) {
 		l.lost.Store(true)
 		l.conn.Close()
-		k.post(ledger.AttemptNotSent)
-		k.post(ledger.PlanNotified)
+		p.post(ledger.AttemptNotSent)
+		p.post(ledger.PlanNotified)
 		return false
 	}
 	// A planner that does not answer in time, though it would by itself, hangs or is cut off: the link is closed.
 	timer := time.AfterFunc(max(0, timeout), func() { l.conn.Close() })
-	l.inFlight = append(l.inFlight, inFlightCall{call: k, timer: timer})
+	l.inFlight = append(l.inFlight, inFlightCommand{command: p, timer: timer})
 	return true
 }
 
@@ -88,16 +88,16 @@
 		l.inFlight = l.inFlight[1:]
 		l.mu.Unlock()
 		oldest.timer.Stop()
-		oldest.call.settle(v)
+		oldest.command.complete(v)
 	}
 	l.lost.Store(true)
 	unanswered := l.inFlight
 	l.inFlight = nil
 	l.mu.Unlock()
 	l.conn.Close()
-	for _, w := range unanswered {
-		w.timer.Stop()
-		w.call.fail()
+	for _, c := range unanswered {
+		c.timer.Stop()
+		c.command.fail()
 	}
 	if len(unanswered) > 0 {
 		l.log.Warn("the connection to a planner was lost with commands in flight", zap.String("planner", l.addr), zap.Int("commands", len(unanswered)))
--- a/internal/forward/planners.go
+++ b/internal/forward/planners.go
@@ -9,21 +9,21 @@
 	"dewhitch"
 )
 
-// errEnded says that End's time has come: no command is sent any more.
-var errEnded = errors.New("forward: the time for answers is up")
+// errShutDown says that End's time has come: no command is sent any more.
+var errShutDown = errors.New("forward: the time for answers is up")
 
 // Planners are the planners that are registered, by gateway number, and the links to them of all sessions. It is safe for
 // concurrent use.
 type Planners struct {
 	current atomic.Pointer[map[int]string] // addresses as host:port
 
-	mu    sync.Mutex
-	links map[*link]struct{} // that are open
-	ended bool               // End's time has come
+	mu       sync.Mutex
+	links    map[*link]struct{} // that are open
+	shutDown bool               // End's time has come
 }
 
 // Set replaces the planners.
-func (p *Planners) Set(m map[int]string) { p.current.Store(&m) }
+func (p *Planners) Set(addrs map[int]string) { p.current.Store(&addrs) }
 
 // Select selects the planners of a customer's set, the one to try first in front. The set is spread gateways from first on; it
 // is rotated by the customer, which spreads the load. The order is the same for all commands of a customer while the
@@ -45,11 +45,11 @@
 }
 
 // FailUnansweredAt has every command answered by a time: what planners have not answered then is failed, as it may have been applied.
-func (p *Planners) FailUnansweredAt(by time.Time) {
-	time.AfterFunc(time.Until(by), func() {
+func (p *Planners) FailUnansweredAt(deadline time.Time) {
+	time.AfterFunc(time.Until(deadline), func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		p.ended = true
+		p.shutDown = true
 		for l := range p.links {
 			l.conn.Close() // its reader fails the calls in flight
 		}
@@ -60,7 +60,7 @@
 func (p *Planners) register(l *link) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if p.ended {
+	if p.shutDown {
 		return false
 	}
 	if p.links == nil {
--- a/internal/forward/reset_test.go
+++ b/internal/forward/reset_test.go
@@ -35,9 +35,9 @@
 	server := &front.Server{Listener: l, Log: zap.NewNop(), Bounds: front.NewBounds(64 << 20), MaxSessions: 1,
 		NewCommands: func() front.Commands { return New(planners, 1, recorder.Discard{}, zap.NewNop()) }}
 	ctx, stop := context.WithCancel(t.Context())
-	over := make(chan struct{})
+	serveDone := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(serveDone)
 		server.Serve(ctx)
 	}()
 	client, err := net.Dial("tcp", l.Addr().String())
@@ -47,7 +47,7 @@
 	t.Cleanup(func() {
 		client.Close()
 		stop()
-		<-over
+		<-serveDone
 	})
 	return planners, client, planner
 }
--- a/internal/front/platform/parse.go
+++ b/internal/front/platform/parse.go
@@ -62,11 +62,11 @@
 	}
 	r.Class = entry.Class
 	r.ClassName = entry.Name
-	r.IdempotentQuery = entry.Effect == dw.Idempotent
+	r.IdempotentQuery = entry.Idempotency == dw.Idempotent
 	if query != r.IdempotentQuery {
 		return fmt.Errorf("c: class %q is for the other command", name)
 	}
-	if entry.Effect == dw.IdempotentByKey && r.Message.Key == "" {
+	if entry.Idempotency == dw.IdempotentByKey && r.Message.Key == "" {
 		return errors.New("k: missing")
 	}
 	return nil
--- a/internal/golden/filled.go
+++ b/internal/golden/filled.go
@@ -10,25 +10,25 @@
 // each field, also in one that is added later. Unexported fields and embedded pointers are looked into like all others.
 func Filled(t testing.TB, v any) {
 	t.Helper()
-	filled(t, fmt.Sprintf("%T", v), reflect.ValueOf(v))
+	checkFilled(t, fmt.Sprintf("%T", v), reflect.ValueOf(v))
 }
 
-func filled(t testing.TB, at string, v reflect.Value) {
+func checkFilled(t testing.TB, path string, v reflect.Value) {
 	t.Helper()
 	if !v.IsValid() || v.IsZero() {
-		t.Errorf("%s has no value", at)
+		t.Errorf("%s has no value", path)
 		return
 	}
 	switch v.Kind() {
 	case reflect.Pointer, reflect.Interface:
-		filled(t, at, v.Elem())
+		checkFilled(t, path, v.Elem())
 	case reflect.Struct:
 		for i := range v.NumField() {
-			filled(t, at+"."+v.Type().Field(i).Name, v.Field(i))
+			checkFilled(t, path+"."+v.Type().Field(i).Name, v.Field(i))
 		}
 	case reflect.Slice, reflect.Map:
 		if v.Len() == 0 {
-			t.Errorf("%s is empty", at)
+			t.Errorf("%s is empty", path)
 			return
 		}
 		if v.Kind() == reflect.Slice && v.Type().Elem().Kind() != reflect.Struct {
@@ -36,12 +36,12 @@
 		}
 		if v.Kind() == reflect.Map {
 			for _, k := range v.MapKeys() {
-				filled(t, fmt.Sprintf("%s[%v]", at, k), v.MapIndex(k))
+				checkFilled(t, fmt.Sprintf("%s[%v]", path, k), v.MapIndex(k))
 			}
 			return
 		}
 		for i := range v.Len() {
-			filled(t, fmt.Sprintf("%s[%d]", at, i), v.Index(i))
+			checkFilled(t, fmt.Sprintf("%s[%d]", path, i), v.Index(i))
 		}
 	}
 }
--- a/internal/golden/filled_test.go
+++ b/internal/golden/filled_test.go
@@ -6,14 +6,14 @@
 	"dewhitch/internal/golden"
 )
 
-// counting counts the faults of a test instead of failing it.
-type counting struct {
+// countingTB counts the faults of a test instead of failing it.
+type countingTB struct {
 	testing.TB
 	faults int
 }
 
-func (c *counting) Helper()               {}
-func (c *counting) Errorf(string, ...any) { c.faults++ }
+func (c *countingTB) Helper()               {}
+func (c *countingTB) Errorf(string, ...any) { c.faults++ }
 
 // TestFilled has a value with every field set pass, and one with a zero field at any depth fail.
 func TestFilled(t *testing.T) {
@@ -36,7 +36,7 @@
 		{outer{full, []inner{full}, map[string]inner{"k": full}, &inner{1, 0}}, 1},
 		{outer{full, []inner{}, map[string]inner{}, nil}, 3},
 	} {
-		got := counting{TB: t}
+		got := countingTB{TB: t}
 		if golden.Filled(&got, c.v); got.faults != c.faults {
 			t.Errorf("%+v: %d faults, want %d", c.v, got.faults, c.faults)
 		}
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -12,13 +12,13 @@
 // updateVariable names the environment variable that has Compare write the golden files instead of comparing with them.
 const updateVariable = "GOLDEN_UPDATE"
 
-// folder holds the golden files of a package, below the package's own folder.
-const folder = "testdata/golden"
+// goldenDir holds the golden files of a package, below the package's own folder.
+const goldenDir = "testdata/golden"
 
 // Compare fails the test unless got is byte for byte the content of the golden file of that name.
 func Compare(t testing.TB, name string, got []byte) {
 	t.Helper()
-	path := filepath.Join(folder, name)
+	path := filepath.Join(goldenDir, name)
 	if os.Getenv(updateVariable) != "" {
 		write(t, path, got)
 	}
@@ -30,7 +30,7 @@
 // Read returns the content of a golden file; a missing one fails the test.
 func Read(t testing.TB, name string) []byte {
 	t.Helper()
-	content, err := os.ReadFile(filepath.Join(folder, name))
+	content, err := os.ReadFile(filepath.Join(goldenDir, name))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -28,11 +28,11 @@
 	}
 	golden.Compare(t, "handover.json", text)
 	// What another process left is found under its name, and read.
-	left := t.TempDir()
-	if err := os.WriteFile(filepath.Join(left, "dewhitch-n7.handover.json"), golden.Read(t, "handover.json"), 0o600); err != nil {
+	existing := t.TempDir()
+	if err := os.WriteFile(filepath.Join(existing, "dewhitch-n7.handover.json"), golden.Read(t, "handover.json"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if got, err := Load(Path(left, "n7")); err != nil || !reflect.DeepEqual(got, want) {
+	if got, err := Load(Path(existing, "n7")); err != nil || !reflect.DeepEqual(got, want) {
 		t.Errorf("%+v, %v; want %+v", got, err, want)
 	}
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -20,9 +20,9 @@
 
 // Bounds of the file, which another process wrote, and which may be broken.
 const (
-	maxSize = 1 << 20 // bytes
-	maxIDs  = 1 << 14
-	maxID   = 64 // bytes
+	maxSize   = 1 << 20 // bytes
+	maxIDs    = 1 << 14
+	maxIDSize = 64 // bytes
 )
 
 // ErrNone says that no process left a state.
@@ -68,7 +68,7 @@
 		return State{}, fmt.Errorf("handover: %s: over %d exclusions", path, maxIDs)
 	}
 	for _, id := range s.Excluded {
-		if id == "" || len(id) > maxID {
+		if id == "" || len(id) > maxIDSize {
 			return State{}, fmt.Errorf("handover: %s: an exclusion of %d bytes", path, len(id))
 		}
 	}
--- a/internal/operator/golden_ledger_test.go
+++ b/internal/operator/golden_ledger_test.go
@@ -17,26 +17,26 @@
 type fixedReport struct{}
 
 func (fixedReport) Report() recorder.Report {
-	figures := func(from uint64) (c ledger.Counts) {
+	counts := func(first uint64) (c ledger.Counts) {
 		for e := ledger.None + 1; e < ledger.EventCount; e++ {
-			c.Set(e, from+uint64(e), -int64(from)*1e5-int64(e))
+			c.Set(e, first+uint64(e), -int64(first)*1e5-int64(e))
 		}
 		return c
 	}
 	return recorder.Report{Names: ledger.Names{Plans: []string{"basic", "fleet"}, Classes: []string{"space-query", "booking"}},
-		Lines: []ledger.Line{{Key: ledger.Key{Customer: ledger.Others, Plan: 1, Class: 1}, Counts: figures(100)},
-			{Key: ledger.Key{Customer: ledger.Others, Plan: 0, Class: ledger.ClassQuery}, Counts: figures(200)},
+		Lines: []ledger.Line{{Key: ledger.Key{Customer: ledger.Others, Plan: 1, Class: 1}, Counts: counts(100)},
+			{Key: ledger.Key{Customer: ledger.Others, Plan: 0, Class: ledger.ClassQuery}, Counts: counts(200)},
 			{Key: ledger.Key{Customer: ledger.Others, Plan: 0, Class: ledger.ClassAdjust}},
-			{Key: ledger.Account(ledger.Others), Counts: figures(300)}},
-		Total: figures(400), Open: 501, Rows: 502, Evictions: 503, Abandoned: 504, Alarms: 505, Raised: 506, Cleared: 507}
+			{Key: ledger.Account(ledger.Others), Counts: counts(300)}},
+		Total: counts(400), Open: 501, Rows: 502, Evictions: 503, Abandoned: 504, Alarms: 505, Raised: 506, Cleared: 507}
 }
 
-// TestLedgerForm freezes the page /ledger and the ledger's metrics, which operators' tools read.
-func TestLedgerForm(t *testing.T) {
-	part := Ledger(fixedReport{}, func() bool { return true })
+// TestGoldenLedgerComponent freezes the page /ledger and the ledger's metrics, which operators' tools read.
+func TestGoldenLedgerComponent(t *testing.T) {
+	component := Ledger(fixedReport{}, func() bool { return true })
 	mux, registry := http.NewServeMux(), prometheus.NewRegistry()
-	registry.MustRegister(part)
-	part.Pages(mux)
+	registry.MustRegister(component)
+	component.Pages(mux)
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{}))
 	for path, c := range map[string]struct{ name, kind string }{
 		"/ledger":  {"ledger_page.jsonl", "application/jsonl"},
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -58,14 +58,14 @@
 			t.Fatalf("%s: %d, %v", path, answer.StatusCode, err)
 		}
 		kind, _, _ := strings.Cut(answer.Header.Get("Content-Type"), ";") // what is behind it is the library's
-		own := strings.Builder{}
-		own.WriteString("Content-Type: " + kind + "\n")
+		page := strings.Builder{}
+		page.WriteString("Content-Type: " + kind + "\n")
 		for line := range strings.Lines(string(body)) {
 			if !strings.HasPrefix(line, "go_") && !strings.Contains(line, " go_") { // the runtime's are not the program's
-				own.WriteString(line)
+				page.WriteString(line)
 			}
 		}
-		golden.Compare(t, name, []byte(own.String()))
+		golden.Compare(t, name, []byte(page.String()))
 	}
 	select {
 	case err := <-served:
--- a/internal/operator/ledger.go
+++ b/internal/operator/ledger.go
@@ -15,16 +15,18 @@
 type Source interface{ Report() recorder.Report }
 
 // Ledger is the part that shows the ledger. durable reports whether what is posted now survives a crash.
-func Ledger(s Source, durable func() bool) Component { return &ledgerPart{source: s, durable: durable} }
+func Ledger(s Source, durable func() bool) Component {
+	return &ledgerComponent{source: s, durable: durable}
+}
 
-// ledgerPart makes metrics of a report at each scrape, so that nothing is counted twice.
-type ledgerPart struct {
+// ledgerComponent makes metrics of a report at each scrape, so that nothing is counted twice.
+type ledgerComponent struct {
 	source  Source
 	durable func() bool
 }
 
 // Pages implements Part: /ledger has a JSON line for each row.
-func (p *ledgerPart) Pages(mux *http.ServeMux) {
+func (p *ledgerComponent) Pages(mux *http.ServeMux) {
 	mux.HandleFunc("GET /ledger", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/jsonl")
 		r := p.source.Report()
@@ -50,18 +52,18 @@
 
 // The ledger's metrics.
 var (
-	requestsDesc  = desc("reqs_total", "Reqs by what the front booked: taken, and how they ended.", "plan", "class", "event")
-	decisionsDesc = desc("decisions_total", "Reqs by what the planner booked, with its reasons.", "plan", "class", "event")
-	attemptsDesc  = desc("fetches_total", "Fetches by what the pools booked.", "plan", "class", "event")
-	unitsDesc     = desc("units_total", "Units on hauliers' accounts; those given back count down.", "event")
-	callsDesc     = desc("counter_calls_total", "Calls to the quota counter.", "event")
-	openDesc      = desc("ledger_open", "Reqs and calls that are open.")
-	rowsDesc      = desc("ledger_rows", "Rows in memory.")
-	evictionsDesc = desc("ledger_rolled_up_total", "Rows that were rolled up into those of their plan and class.")
-	abandonedDesc = desc("ledger_abandoned_total", "Entries that were given up for want of room; their rows no longer add up.")
-	alarmsDesc    = desc("ledger_alarms", "Alarms that stand: figures that must be equal and are not.")
-	raisedDesc    = desc("ledger_alarms_raised_total", "Alarms that were raised.")
-	durableDesc   = desc("ledger_lasting", "1 if what is booked now survives a crash of the process.")
+	requestsDesc     = desc("reqs_total", "Reqs by what the front booked: taken, and how they ended.", "plan", "class", "event")
+	decisionsDesc    = desc("decisions_total", "Reqs by what the planner booked, with its reasons.", "plan", "class", "event")
+	attemptsDesc     = desc("fetches_total", "Fetches by what the pools booked.", "plan", "class", "event")
+	unitsDesc        = desc("units_total", "Units on hauliers' accounts; those given back count down.", "event")
+	counterCallsDesc = desc("counter_calls_total", "Calls to the quota counter.", "event")
+	openDesc         = desc("ledger_open", "Reqs and calls that are open.")
+	rowsDesc         = desc("ledger_rows", "Rows in memory.")
+	evictionsDesc    = desc("ledger_rolled_up_total", "Rows that were rolled up into those of their plan and class.")
+	abandonedDesc    = desc("ledger_abandoned_total", "Entries that were given up for want of room; their rows no longer add up.")
+	alarmsDesc       = desc("ledger_alarms", "Alarms that stand: figures that must be equal and are not.")
+	raisedDesc       = desc("ledger_alarms_raised_total", "Alarms that were raised.")
+	durableDesc      = desc("ledger_lasting", "1 if what is booked now survives a crash of the process.")
 )
 
 // rowDescs are the metrics of a row's events, by the book that has the event.
@@ -69,15 +71,15 @@
 	ledger.JournalAttempts: attemptsDesc}
 
 // Describe implements prometheus.Collector.
-func (p *ledgerPart) Describe(ch chan<- *prometheus.Desc) {
-	for _, d := range []*prometheus.Desc{requestsDesc, decisionsDesc, attemptsDesc, unitsDesc, callsDesc, openDesc, rowsDesc,
+func (p *ledgerComponent) Describe(ch chan<- *prometheus.Desc) {
+	for _, d := range []*prometheus.Desc{requestsDesc, decisionsDesc, attemptsDesc, unitsDesc, counterCallsDesc, openDesc, rowsDesc,
 		evictionsDesc, abandonedDesc, alarmsDesc, raisedDesc, durableDesc} {
 		ch <- d
 	}
 }
 
 // Collect implements prometheus.Collector.
-func (p *ledgerPart) Collect(ch chan<- prometheus.Metric) {
+func (p *ledgerComponent) Collect(ch chan<- prometheus.Metric) {
 	r := p.source.Report()
 	collectRows(ch, &r)
 	collectTotals(ch, &r)
@@ -104,8 +106,8 @@
 		plan := r.Names.Plan(line.Key.Plan)
 		class := r.Names.Class(line.Key.Class)
 		for e := ledger.None + 1; e < ledger.EventCount; e++ {
-			if b := e.Journal(); b <= ledger.JournalAttempts && (line.Counts.N[e] > 0 || e == ledger.FrontTaken) {
-				counter(ch, rowDescs[b], float64(line.Counts.N[e]), plan, class, e.String())
+			if journal := e.Journal(); journal <= ledger.JournalAttempts && (line.Counts.N[e] > 0 || e == ledger.FrontTaken) {
+				counter(ch, rowDescs[journal], float64(line.Counts.N[e]), plan, class, e.String())
 			}
 		}
 	}
@@ -118,7 +120,7 @@
 		case ledger.JournalUnits:
 			gauge(ch, unitsDesc, float64(r.Total.Units(e))/1e6, e.String())
 		case ledger.JournalCounter:
-			counter(ch, callsDesc, float64(r.Total.N[e]), e.String())
+			counter(ch, counterCallsDesc, float64(r.Total.N[e]), e.String())
 		}
 	}
 }
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -17,10 +17,10 @@
 
 // The bounds hold for each request: a listener that is open to operators is open to their mistakes.
 const (
-	readTimeout  = 5 * time.Second
-	writeTimeout = 30 * time.Second
-	maxHeader    = 16 << 10 // bytes
-	maxScrapes   = 2        // of the metrics, at the same time
+	readTimeout    = 5 * time.Second
+	writeTimeout   = 30 * time.Second
+	maxHeaderBytes = 16 << 10 // bytes
+	maxScrapes     = 2        // of the metrics, at the same time
 )
 
 // Component is what one part of the program shows: its pages, and its metrics. Its methods are called from any goroutine.
@@ -40,7 +40,7 @@
 		registry.MustRegister(p)
 		p.Pages(mux)
 	}
-	server := &http.Server{Handler: mux, ReadTimeout: readTimeout, WriteTimeout: writeTimeout, MaxHeaderBytes: maxHeader}
+	server := &http.Server{Handler: mux, ReadTimeout: readTimeout, WriteTimeout: writeTimeout, MaxHeaderBytes: maxHeaderBytes}
 	stop := context.AfterFunc(ctx, func() { server.Close() })
 	defer stop()
 	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
--- a/internal/ops/figures.go
+++ b/internal/ops/figures.go
@@ -18,13 +18,13 @@
 	Success Result = iota
 	Overload
 	Error
-	verdictCount
+	resultCount
 )
 
-// class holds the counts of one class.
-type class struct {
+// classCounts holds the counts of one class.
+type classCounts struct {
 	name       string
-	verdicts   [verdictCount]atomic.Int64
+	results    [resultCount]atomic.Int64
 	dispatches atomic.Int64
 }
 
@@ -32,8 +32,8 @@
 // them, and a count goes on under its name. The zero Figures are ready for use.
 type Figures struct {
 	mu      sync.Mutex
-	classes []*class                          // in the order in which they were first named; up to MaxClasses
-	byName  atomic.Pointer[map[string]*class] // never changed in place, so that it is read without the lock
+	classes []*classCounts                          // in the order in which they were first named; up to MaxClasses
+	byName  atomic.Pointer[map[string]*classCounts] // never changed in place, so that it is read without the lock
 
 	dispatches        atomic.Int64 // of all classes, also those not named
 	concurrent        atomic.Int64 // open requests
@@ -50,13 +50,13 @@
 func (f *Figures) AddClasses(names []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	byName := map[string]*class{}
+	byName := map[string]*classCounts{}
 	for _, c := range f.classes {
 		byName[c.name] = c
 	}
 	for _, n := range names {
 		if byName[n] == nil && len(f.classes) < MaxClasses {
-			byName[n] = &class{name: n}
+			byName[n] = &classCounts{name: n}
 			f.classes = append(f.classes, byName[n])
 		}
 	}
@@ -64,7 +64,7 @@
 }
 
 // class is the counts of a class; nil if it was never named.
-func (f *Figures) class(name string) *class {
+func (f *Figures) class(name string) *classCounts {
 	if byName := f.byName.Load(); byName != nil {
 		return (*byName)[name]
 	}
@@ -72,9 +72,9 @@
 }
 
 // RequestEnded counts the end of a request of a class; a class that was never named is ignored.
-func (f *Figures) RequestEnded(class string, v Result) {
+func (f *Figures) RequestEnded(class string, r Result) {
 	if c := f.class(class); c != nil {
-		c.verdicts[v].Add(1)
+		c.results[r].Add(1)
 	}
 }
 
@@ -153,11 +153,11 @@
 		}
 		b = strconv.AppendQuote(b, c.name)
 		b = append(b, `:{"success":`...)
-		b = strconv.AppendInt(b, c.verdicts[Success].Load(), 10)
+		b = strconv.AppendInt(b, c.results[Success].Load(), 10)
 		b = append(b, `,"overload":`...)
-		b = strconv.AppendInt(b, c.verdicts[Overload].Load(), 10)
+		b = strconv.AppendInt(b, c.results[Overload].Load(), 10)
 		b = append(b, `,"error":`...)
-		b = strconv.AppendInt(b, c.verdicts[Error].Load(), 10)
+		b = strconv.AppendInt(b, c.results[Error].Load(), 10)
 		b = append(b, `,"dispatches":`...)
 		b = strconv.AppendInt(b, c.dispatches.Load(), 10)
 		b = append(b, '}')
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -46,12 +46,12 @@
 }
 
 // TestFiguresAtOnce: counts from many goroutines, while the classes change and the figures are read, all add up.
-func TestFiguresAtOnce(t *testing.T) {
+func TestFiguresConcurrently(t *testing.T) {
 	var f Figures
 	f.AddClasses([]string{"a"})
-	var all sync.WaitGroup
+	var workers sync.WaitGroup
 	for range 8 {
-		all.Go(func() {
+		workers.Go(func() {
 			for range 1000 {
 				f.RequestEnded("a", Success)
 				f.AddOpen(1)
@@ -59,13 +59,13 @@
 			}
 		})
 	}
-	all.Go(func() {
+	workers.Go(func() {
 		for range 100 {
 			f.AddClasses([]string{"a", "b"})
 			f.AppendJSON(nil)
 		}
 	})
-	all.Wait()
+	workers.Wait()
 	var got struct {
 		Replies map[string]struct{ Success int }
 	}
@@ -100,7 +100,7 @@
 
 // Operators and the gateway itself may drain it, in any order: it is drained as long as either does, and those that watch
 // are notified of each change once.
-func TestDrainsOfTwo(t *testing.T) {
+func TestIndependentDrains(t *testing.T) {
 	steps := map[string]func(*State){
 		"operators drain": func(s *State) { s.Drain(true) }, "operators end": func(s *State) { s.Drain(false) },
 		"it drains itself": func(s *State) { s.DrainByFleet(true) }, "it ends": func(s *State) { s.DrainByFleet(false) },
--- a/internal/ops/state.go
+++ b/internal/ops/state.go
@@ -44,10 +44,10 @@
 // DrainByFleet is Drain by the fleet's decision. Neither ends the other.
 func (s *State) DrainByFleet(on bool) { s.drain(byFleet, on) }
 
-func (s *State) drain(by int, on bool) {
+func (s *State) drain(drainer int, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.drainedBy[by] = on
+	s.drainedBy[drainer] = on
 	drained := s.drainedBy[byOperators] || s.drainedBy[byFleet]
 	if s.drained.Swap(drained) == drained {
 		return
--- a/internal/shutdown/shutdown.go
+++ b/internal/shutdown/shutdown.go
@@ -11,22 +11,22 @@
 
 // The platform's terms.
 const (
-	longestCounted = 3 * time.Second        // a longer deadline counts as this
-	killMargin     = 700 * time.Millisecond // from the end of the longest deadline to SIGKILL
+	maxCountedDeadline = 3 * time.Second        // a longer deadline counts as this
+	killMargin         = 700 * time.Millisecond // from the end of the longest deadline to SIGKILL
 )
 
 // The times by which the process keeps those terms.
 const (
 	// acceptTime is how long connections are accepted: the platform's front opens new ones for 0.2 to 0.4 s.
 	acceptTime = 500 * time.Millisecond
-	// Stall is how long the process may be delayed between reading its clock and acting.
-	Stall = 150 * time.Millisecond
+	// MaxStall is how long the process may be delayed between reading its clock and acting.
+	MaxStall = 150 * time.Millisecond
 	// discardTime is for reading what clients still write after the last answer.
 	discardTime = 200 * time.Millisecond
 	// answerReserve is the time between the last answer and SIGKILL: for a stall, for discarding, and for a loaded machine.
-	answerReserve = Stall + discardTime + 150*time.Millisecond
+	answerReserve = MaxStall + discardTime + 150*time.Millisecond
 	// closeReserve is the time between the last close and SIGKILL.
-	closeReserve = Stall + 50*time.Millisecond
+	closeReserve = MaxStall + 50*time.Millisecond
 )
 
 // Plan is the graceful shutdown of one process.
@@ -40,7 +40,7 @@
 // New plans the shutdown of a process that got SIGTERM at signalled, in a deployment whose requests have longestDeadline at
 // most.
 func New(signalled time.Time, longestDeadline time.Duration) Plan {
-	kill := signalled.Add(min(longestDeadline, longestCounted) + killMargin)
+	kill := signalled.Add(min(longestDeadline, maxCountedDeadline) + killMargin)
 	return Plan{
 		AcceptUntil: signalled.Add(acceptTime),
 		AnswerBy:    kill.Add(-answerReserve),
--- a/internal/shutdown/shutdown_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -20,11 +20,11 @@
 			t.Fatalf("seed %d, %v: SIGKILL at %v", seed, longest, p.KillAt.Sub(signalled))
 		case p.AcceptUntil.Before(signalled.Add(400 * time.Millisecond)):
 			t.Fatalf("seed %d, %v: the front still sends connections after %v", seed, longest, p.AcceptUntil.Sub(signalled))
-		case p.AcceptUntil.Add(Stall).After(signalled.Add(700 * time.Millisecond)):
+		case p.AcceptUntil.Add(MaxStall).After(signalled.Add(700 * time.Millisecond)):
 			t.Fatalf("seed %d, %v: requests that count are read until %v", seed, longest, p.AcceptUntil.Sub(signalled))
-		case p.AnswerBy.Add(Stall + discardTime).After(p.KillAt), !p.AnswerBy.Before(p.CloseBy):
+		case p.AnswerBy.Add(MaxStall + discardTime).After(p.KillAt), !p.AnswerBy.Before(p.CloseBy):
 			t.Fatalf("seed %d, %v: answers by %v, SIGKILL at %v", seed, longest, p.AnswerBy.Sub(signalled), p.KillAt.Sub(signalled))
-		case p.CloseBy.Add(Stall).After(p.KillAt):
+		case p.CloseBy.Add(MaxStall).After(p.KillAt):
 			t.Fatalf("seed %d, %v: closed by %v, SIGKILL at %v", seed, longest, p.CloseBy.Sub(signalled), p.KillAt.Sub(signalled))
 		}
 	}
--- a/internal/snapshot/files.go
+++ b/internal/snapshot/files.go
@@ -16,11 +16,11 @@
 
 // Names and numbers of files. The folder may hold files of others.
 const (
-	fileSuffix      = ".snapshot"
-	temporarySuffix = ".part"
-	maxTried        = 8    // files that are read at the start, the newest first
-	maxNames        = 4096 // names in the folder that are read
-	maxClaims       = 64   // incarnations that a process tries to claim, where others claim at the same time
+	fileSuffix       = ".snapshot"
+	temporarySuffix  = ".part"
+	maxFilesRead     = 8    // files that are read at the start, the newest first
+	maxFileNames     = 4096 // names in the folder that are read
+	maxClaimAttempts = 64   // incarnations that a process tries to claim, where others claim at the same time
 )
 
 // filePrefix starts the names of a node's files.
@@ -33,7 +33,7 @@
 		return nil, err
 	}
 	defer d.Close()
-	names, err := d.Readdirnames(maxNames)
+	names, err := d.Readdirnames(maxFileNames)
 	if err != nil && !errors.Is(err, io.EOF) {
 		return nil, err
 	}
@@ -94,7 +94,7 @@
 		return Found{}, err
 	}
 	var found Found
-	for _, incarnation := range all[:min(len(all), maxTried)] {
+	for _, incarnation := range all[:min(len(all), maxFilesRead)] {
 		path := filePath(dir, node, incarnation)
 		g, m, err := Read(path)
 		if err == nil && g.Incarnation != incarnation {
@@ -114,35 +114,35 @@
 
 // Writer writes the snapshots of one process. It is not safe for concurrent use.
 type Writer struct {
-	dir    string
-	node   string
-	last   Generation // of the last write of this process
-	before Generation // of the snapshot that this process started from
-	buf    []byte     // reused
+	dir         string
+	node        string
+	last        Generation // of the last write of this process
+	startedFrom Generation // of the snapshot that this process started from
+	buf         []byte     // reused
 }
 
 // Claim starts a new incarnation, after all that the folder has files of. No two processes get the same, as claiming creates the
 // file exclusively.
-func Claim(dir, node string, before Generation) (*Writer, error) {
+func Claim(dir, node string, startedFrom Generation) (*Writer, error) {
 	all, err := incarnations(dir, node)
 	if err != nil {
 		return nil, err
 	}
-	incarnation := before.Incarnation
+	incarnation := startedFrom.Incarnation
 	if len(all) > 0 {
 		incarnation = max(incarnation, all[0])
 	}
-	for range maxClaims {
+	for range maxClaimAttempts {
 		incarnation++
 		f, err := os.OpenFile(filePath(dir, node, incarnation), os.O_CREATE|os.O_EXCL|os.O_WRONLY, 0o600)
 		if err == nil {
-			return &Writer{dir: dir, node: node, last: Generation{Incarnation: incarnation}, before: before}, f.Close()
+			return &Writer{dir: dir, node: node, last: Generation{Incarnation: incarnation}, startedFrom: startedFrom}, f.Close()
 		}
 		if !errors.Is(err, fs.ErrExist) {
 			return nil, err
 		}
 	}
-	return nil, fmt.Errorf("snapshot: %d lives are taken in a row", maxClaims)
+	return nil, fmt.Errorf("snapshot: %d lives are taken in a row", maxClaimAttempts)
 }
 
 // LastGeneration is the generation of the last write; its number is 0 before the first.
@@ -155,8 +155,8 @@
 	if w.buf, err = Encode(w.buf[:0], next, m); err != nil {
 		return 0, err
 	}
-	to := filePath(w.dir, w.node, next.Incarnation)
-	if err := durable.Replace(durable.Disk, to+temporarySuffix, to, w.buf); err != nil {
+	path := filePath(w.dir, w.node, next.Incarnation)
+	if err := durable.Replace(durable.Disk, path+temporarySuffix, path, w.buf); err != nil {
 		return 0, err
 	}
 	w.last = next
@@ -174,7 +174,7 @@
 		return
 	}
 	for _, incarnation := range all {
-		if incarnation < w.before.Incarnation {
+		if incarnation < w.startedFrom.Incarnation {
 			path := filePath(w.dir, w.node, incarnation)
 			os.Remove(path)
 			os.Remove(path + temporarySuffix)
--- a/internal/snapshot/fit.go
+++ b/internal/snapshot/fit.go
@@ -16,12 +16,12 @@
 func NewImage(node string, s *dw.Settings, classes, plans []string) Image {
 	m := Image{Node: node, Instances: s.Instances, Self: s.Self, Zones: s.Zones, Classes: classes}
 	for i, p := range s.Plans {
-		m.Plans = append(m.Plans, Plan{Name: name(plans, i), Rate: p.Rate, Burst: p.Burst, Ceiling: p.CeilingRate})
+		m.Plans = append(m.Plans, Plan{Name: planName(plans, i), Rate: p.Rate, Burst: p.Burst, Ceiling: p.CeilingRate})
 	}
 	return m
 }
 
-func name(names []string, i int) string {
+func planName(names []string, i int) string {
 	if i < len(names) {
 		return names[i]
 	}
@@ -39,32 +39,32 @@
 		return nil, 0, err
 	}
 	state = &m.State
-	classes := make([]int, len(now.Classes)) // by index in now, the index in m
+	oldIndices := make([]int, len(now.Classes)) // by index in now, the index in m
 	for i, c := range now.Classes {
-		classes[i] = slices.Index(m.Classes, c)
-		if classes[i] < 0 {
+		oldIndices[i] = slices.Index(m.Classes, c)
+		if oldIndices[i] < 0 {
 			dropped++
 		}
 	}
-	fitClasses(state, classes)
+	fitClasses(state, oldIndices)
 	dropped += fitPlans(state, m.Plans, now.Plans)
 	return state, dropped, nil
 }
 
 // fitClasses reorders what the state has by class; before is the old index of each class, below 0 if there is none.
-func fitClasses(state *dw.State, before []int) {
-	sizes := make([]float64, len(before))
-	for i, old := range before {
-		sizes[i] = 1
+func fitClasses(state *dw.State, oldIndices []int) {
+	latencyRatios := make([]float64, len(oldIndices))
+	for i, old := range oldIndices {
+		latencyRatios[i] = 1
 		if old >= 0 {
-			sizes[i] = state.ClassLatencyRatios[old]
+			latencyRatios[i] = state.ClassLatencyRatios[old]
 		}
 	}
-	state.ClassLatencyRatios = sizes
+	state.ClassLatencyRatios = latencyRatios
 	for i := range state.Servers {
 		server := &state.Servers[i]
-		failures := make([]dw.FailureStatistics, len(before))
-		for k, old := range before {
+		failures := make([]dw.FailureStatistics, len(oldIndices))
+		for k, old := range oldIndices {
 			if old >= 0 && old < len(server.Failures) {
 				failures[k] = server.Failures[old]
 			}
@@ -74,10 +74,10 @@
 }
 
 // fitPlans converts the customers' plans, and drops the customers of plans that are gone or changed.
-func fitPlans(state *dw.State, before, now []Plan) (dropped int) {
+func fitPlans(state *dw.State, oldPlans, newPlans []Plan) (dropped int) {
 	fitted := state.Customers[:0]
 	for _, c := range state.Customers {
-		c.Plan = slices.Index(now, before[c.Plan])
+		c.Plan = slices.Index(newPlans, oldPlans[c.Plan])
 		if c.Plan < 0 {
 			dropped++
 			continue
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -85,22 +85,22 @@
 // and removes those that are too old, with their temporary files.
 func TestGoldenSnapshotFiles(t *testing.T) {
 	dir := t.TempDir()
-	var seen strings.Builder
+	var listing strings.Builder
 	list := func(after string) {
 		t.Helper()
 		files, err := os.ReadDir(dir)
 		if err != nil {
 			t.Fatal(err)
 		}
-		seen.WriteString(after + ":")
+		listing.WriteString(after + ":")
 		for _, f := range files {
-			seen.WriteString(" " + f.Name())
+			listing.WriteString(" " + f.Name())
 		}
-		seen.WriteString("\n")
+		listing.WriteString("\n")
 	}
 	// The names are given here as other versions write them, and not as this one does.
-	const old, left = "dewhitch-n7.0000000000000002.snapshot", "dewhitch-n7.0102030405060708.snapshot"
-	for name, content := range map[string][]byte{old: nil, old + ".part": nil, left: golden.Read(t, "image.snapshot")} {
+	const outdated, latest = "dewhitch-n7.0000000000000002.snapshot", "dewhitch-n7.0102030405060708.snapshot"
+	for name, content := range map[string][]byte{outdated: nil, outdated + ".part": nil, latest: golden.Read(t, "image.snapshot")} {
 		if err := os.WriteFile(filepath.Join(dir, name), content, 0o600); err != nil {
 			t.Fatal(err)
 		}
@@ -119,5 +119,5 @@
 		t.Fatal(err)
 	}
 	list("written")
-	golden.Compare(t, "files", []byte(seen.String()))
+	golden.Compare(t, "files", []byte(listing.String()))
 }
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -21,8 +21,8 @@
 	"dewhitch/internal/snapshot"
 )
 
-// image holds n customers and a few servers, each number of which is v or says its place.
-func image(n int, v float64) *snapshot.Image {
+// newImage holds n customers and a few servers, each number of which is v or says its place.
+func newImage(n int, v float64) *snapshot.Image {
 	m := &snapshot.Image{Node: "n1", Instances: 4, Self: 1, Zones: 2, Classes: []string{"query", "booking"},
 		Plans: []snapshot.Plan{{Name: "fleet", Rate: 8, Burst: 16}, {Name: "basic", Rate: 4, Burst: 8}}}
 	m.State = dw.State{At: 1e18, Latency: 0.05, IdleLatency: 0.04, MeanPriority: 2, ClassLatencyRatios: []float64{1, v + 1}, ZoneFailureShare: []float64{0, 0.5}}
@@ -40,7 +40,7 @@
 
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := image(rapid.IntRange(0, 40).Draw(t, "customers"), rapid.Float64Range(0, 1e9).Draw(t, "v"))
+		m := newImage(rapid.IntRange(0, 40).Draw(t, "customers"), rapid.Float64Range(0, 1e9).Draw(t, "v"))
 		g := snapshot.Generation{Incarnation: rapid.Uint64().Draw(t, "life"), Number: rapid.Uint64().Draw(t, "number")}
 		b, err := snapshot.Encode([]byte("front"), g, m)
 		if err != nil {
@@ -72,11 +72,11 @@
 }
 
 func TestFaultsAreReported(t *testing.T) {
-	b, err := snapshot.Encode(nil, snapshot.Generation{Incarnation: 1}, image(3, 1))
+	b, err := snapshot.Encode(nil, snapshot.Generation{Incarnation: 1}, newImage(3, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	change := func(f func([]byte)) []byte {
+	modified := func(f func([]byte)) []byte {
 		c := append([]byte(nil), b...)
 		f(c)
 		return c
@@ -85,9 +85,9 @@
 		text []byte
 		want error
 	}{{nil, snapshot.ErrEmpty}, {b[:20], snapshot.ErrTorn}, {b[:len(b)-1], snapshot.ErrTorn},
-		{change(func(c []byte) { c[7] = 9 }), snapshot.ErrVersion}, {change(func(c []byte) { c[0] = 'D' }), snapshot.ErrBroken},
-		{change(func(c []byte) { binary.BigEndian.PutUint32(c[8:], math.MaxUint32) }), snapshot.ErrTorn},
-		{change(func(c []byte) { c[len(c)-1]++ }), snapshot.ErrTorn}} {
+		{modified(func(c []byte) { c[7] = 9 }), snapshot.ErrVersion}, {modified(func(c []byte) { c[0] = 'D' }), snapshot.ErrBroken},
+		{modified(func(c []byte) { binary.BigEndian.PutUint32(c[8:], math.MaxUint32) }), snapshot.ErrTorn},
+		{modified(func(c []byte) { c[len(c)-1]++ }), snapshot.ErrTorn}} {
 		if err := decode(v.text); !errors.Is(err, v.want) {
 			t.Errorf("%v, not %v", err, v.want)
 		}
@@ -96,46 +96,46 @@
 
 // A length that its bytes do not bear out allocates nothing.
 func TestLengthIsNotBelieved(t *testing.T) {
-	m := image(0, 1)
+	m := newImage(0, 1)
 	b, _ := snapshot.Encode(nil, snapshot.Generation{Incarnation: 1}, m)
-	grown := testing.AllocsPerRun(10, func() {
+	allocations := testing.AllocsPerRun(10, func() {
 		c := append([]byte(nil), b...)
 		binary.BigEndian.PutUint32(c[8:], math.MaxUint32)
 		decode(c)
 	})
-	if grown > 20 {
-		t.Errorf("%v allocations", grown)
+	if allocations > 20 {
+		t.Errorf("%v allocations", allocations)
 	}
 }
 
 func TestFit(t *testing.T) {
-	now := func() *snapshot.Image { m := image(0, 0); m.State = dw.State{}; return m }
-	then := image(10, 1)
-	other := now()
-	other.Classes = []string{"booking", "inquiry"}                                                         // one dropped, one new, another order
-	other.Plans = []snapshot.Plan{{Name: "basic", Rate: 4, Burst: 8}, {Name: "fleet", Rate: 9, Burst: 16}} // one changed
-	l, dropped, err := snapshot.Fit(then, other)
-	if err != nil || dropped != 6 || len(l.Customers) != 5 || l.Customers[0].Plan != 0 {
-		t.Fatalf("%v: %d dropped, %+v", err, dropped, l)
+	now := func() *snapshot.Image { m := newImage(0, 0); m.State = dw.State{}; return m }
+	exported := newImage(10, 1)
+	reloaded := now()
+	reloaded.Classes = []string{"booking", "inquiry"}                                                         // one dropped, one new, another order
+	reloaded.Plans = []snapshot.Plan{{Name: "basic", Rate: 4, Burst: 8}, {Name: "fleet", Rate: 9, Burst: 16}} // one changed
+	state, dropped, err := snapshot.Fit(exported, reloaded)
+	if err != nil || dropped != 6 || len(state.Customers) != 5 || state.Customers[0].Plan != 0 {
+		t.Fatalf("%v: %d dropped, %+v", err, dropped, state)
 	}
-	if want := []float64{2, 1}; !reflect.DeepEqual(l.ClassLatencyRatios, want) || l.Servers[0].Failures[0].Count != 2 || l.Servers[0].Failures[1].Count != 0 {
-		t.Fatalf("%v, %+v", l.ClassLatencyRatios, l.Servers[0])
+	if want := []float64{2, 1}; !reflect.DeepEqual(state.ClassLatencyRatios, want) || state.Servers[0].Failures[0].Count != 2 || state.Servers[0].Failures[1].Count != 0 {
+		t.Fatalf("%v, %+v", state.ClassLatencyRatios, state.Servers[0])
 	}
-	for i, spoil := range []func(m *snapshot.Image){func(m *snapshot.Image) { m.Node = "n2" }, func(m *snapshot.Image) { m.Instances++ },
+	for i, corrupt := range []func(m *snapshot.Image){func(m *snapshot.Image) { m.Node = "n2" }, func(m *snapshot.Image) { m.Instances++ },
 		func(m *snapshot.Image) { m.State.Latency = 0 }, func(m *snapshot.Image) { m.State.ClassLatencyRatios = nil },
 		func(m *snapshot.Image) { m.State.MeanPriority = math.NaN() }, func(m *snapshot.Image) { m.State.Customers[3].Plan = 2 },
 		func(m *snapshot.Image) { m.State.Customers[3].Level = math.Inf(1) }, func(m *snapshot.Image) { m.State.ZoneFailureShare[1] = 1 },
 		func(m *snapshot.Image) { m.State.Servers[3].Latency = -1 }} {
-		m := image(10, 1)
-		spoil(m)
-		if l, _, err := snapshot.Fit(m, now()); err == nil || l != nil {
+		m := newImage(10, 1)
+		corrupt(m)
+		if state, _, err := snapshot.Fit(m, now()); err == nil || state != nil {
 			t.Errorf("spoilt by %d, and taken", i)
 		}
 	}
 }
 
-// claimed is a process's writer, behind all that the folder has.
-func claimed(t *testing.T, dir string) *snapshot.Writer {
+// newWriter is a process's writer, behind all that the folder has.
+func newWriter(t *testing.T, dir string) *snapshot.Writer {
 	t.Helper()
 	f, err := snapshot.Latest(dir, "n1")
 	if err != nil {
@@ -155,38 +155,38 @@
 	if f, err := snapshot.Latest(dir, "n1"); err != nil || f.Image != nil || len(f.Rejected) > 0 {
 		t.Fatal(f, err)
 	}
-	claim := func() *snapshot.Writer { return claimed(t, dir) }
+	claim := func() *snapshot.Writer { return newWriter(t, dir) }
 	write := func(w *snapshot.Writer, v float64) {
-		if _, err := w.Write(image(5, v)); err != nil {
+		if _, err := w.Write(newImage(5, v)); err != nil {
 			t.Fatal(err)
 		}
 	}
-	latest := func(v float64, life, number uint64) {
+	checkLatest := func(v float64, incarnation, number uint64) {
 		t.Helper()
 		f, err := snapshot.Latest(dir, "n1")
-		if err != nil || f.Image == nil || f.Image.State.Customers[4].Level != v || f.Generation != (snapshot.Generation{Incarnation: life, Number: number}) {
+		if err != nil || f.Image == nil || f.Image.State.Customers[4].Level != v || f.Generation != (snapshot.Generation{Incarnation: incarnation, Number: number}) {
 			t.Fatalf("%+v, %v", f.Generation, err)
 		}
 	}
-	old := claim()
-	write(old, 1)
-	write(old, 2)
-	next, third := claim(), claim()
-	latest(2, 1, 2) // the claims say nothing yet
-	write(next, 3)
-	write(old, 4)
-	latest(3, 2, 1)
+	first := claim()
+	write(first, 1)
+	write(first, 2)
+	second, third := claim(), claim()
+	checkLatest(2, 1, 2) // the claims say nothing yet
+	write(second, 3)
+	write(first, 4)
+	checkLatest(3, 2, 1)
 	write(third, 5)
-	latest(5, 3, 1)
+	checkLatest(5, 3, 1)
 	files, _ := filepath.Glob(filepath.Join(dir, "*"))
 	os.WriteFile(files[len(files)-1], []byte("dwsnap half"), 0o600)
-	latest(3, 2, 1)
+	checkLatest(3, 2, 1)
 	if f, _ := snapshot.Latest(dir, "n1"); len(f.Rejected) != 1 || !errors.Is(f.Rejected[0], snapshot.ErrTorn) {
 		t.Fatal(f.Rejected)
 	}
 	fourth := claim()
 	write(fourth, 6)
-	latest(6, 4, 1)
+	checkLatest(6, 4, 1)
 	if files, _ = filepath.Glob(filepath.Join(dir, "*")); len(files) != 3 {
 		t.Errorf("left: %v", files) // of life 2, from which the fourth started, and after
 	}
@@ -205,9 +205,9 @@
 	if dir == "" {
 		t.Skip("not the child")
 	}
-	w := claimed(t, dir)
+	w := newWriter(t, dir)
 	for i := 1; ; i++ {
-		if _, err := w.Write(image(200+i%700, float64(w.LastGeneration().Incarnation*1e6+uint64(i)))); err != nil {
+		if _, err := w.Write(newImage(200+i%700, float64(w.LastGeneration().Incarnation*1e6+uint64(i)))); err != nil {
 			t.Fatal(err)
 		}
 		fmt.Printf("wrote %d %d\n", w.LastGeneration().Incarnation, w.LastGeneration().Number)
@@ -261,34 +261,34 @@
 }
 
 func FuzzDecode(f *testing.F) {
-	b, _ := snapshot.Encode(nil, snapshot.Generation{Incarnation: 1}, image(3, 1))
+	b, _ := snapshot.Encode(nil, snapshot.Generation{Incarnation: 1}, newImage(3, 1))
 	f.Add(b[36:])
 	f.Add([]byte("\x9b\xff\xff\xff\xff\xff\xff\xff\xff"))
-	now := image(0, 0)
+	now := newImage(0, 0)
 	f.Fuzz(func(t *testing.T, body []byte) {
 		// With a header that is right: what is behind it must be bounded and checked, too.
-		_, m, err := snapshot.Decode(snapshot.Sealed(body))
+		_, m, err := snapshot.Decode(snapshot.Seal(body))
 		if err != nil {
 			return
 		}
-		if l, _, err := snapshot.Fit(m, now); err == nil {
-			g, err := dw.New(dw.Settings{Instances: 4, Self: 1, Zones: 2, MaxAttempts: 1, Classes: make2(), Plans: []dw.Plan{{}, {}}}, 1)
+		if state, _, err := snapshot.Fit(m, now); err == nil {
+			g, err := dw.New(dw.Settings{Instances: 4, Self: 1, Zones: 2, MaxAttempts: 1, Classes: twoClasses(), Plans: []dw.Plan{{}, {}}}, 1)
 			if err != nil {
 				t.Fatal(err)
 			}
-			g.Import(l.At+1e6, l)
-			g.Handle(l.At+2e6, dw.EndpointList{Kind: dw.ListFull, Servers: []dw.Endpoint{{ID: 1}}}, nil)
-			g.Handle(l.At+3e6, dw.Arrival{ID: "a", Remaining: 1e9, Units: 1, Spread: 1}, nil)
+			g.Import(state.At+1e6, state)
+			g.Handle(state.At+2e6, dw.EndpointList{Kind: dw.ListFull, Servers: []dw.Endpoint{{ID: 1}}}, nil)
+			g.Handle(state.At+3e6, dw.Arrival{ID: "a", Remaining: 1e9, Units: 1, Spread: 1}, nil)
 		}
 	})
 }
 
-func make2() []dw.Class {
+func twoClasses() []dw.Class {
 	return []dw.Class{{Objective: 1e9, Deadline: 1e9}, {Objective: 1e9, Deadline: 1e9}}
 }
 
 func BenchmarkEncode(b *testing.B) {
-	m := image(10000, 123.456)
+	m := newImage(10000, 123.456)
 	var buf []byte
 	for b.Loop() {
 		buf, _ = snapshot.Encode(buf[:0], snapshot.Generation{Incarnation: 1}, m)
@@ -297,7 +297,7 @@
 }
 
 func BenchmarkWrite(b *testing.B) {
-	m := image(10000, 123.456)
+	m := newImage(10000, 123.456)
 	w, err := snapshot.Claim(b.TempDir(), "n1", snapshot.Generation{})
 	if err != nil {
 		b.Fatal(err)
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -41,17 +41,17 @@
 	waits    [core.QueueCount]prometheus.Observer // by queue, in seconds
 	maxWaits [core.QueueCount]atomic.Int64        // ns; since the start of the process
 
-	versionDesc *prometheus.Desc
-	versions    [stageCount]atomic.Int64 // of the endpoint list
-	ages        [stageCount]prometheus.Observer
-	lastAges    [stageCount]atomic.Int64 // ns; from a message's first byte
-	maxAges     [stageCount]atomic.Int64 // ns; since the start of the process
-	listBytes   prometheus.Counter
-	listBreaks  *prometheus.CounterVec // by reason
-
-	answers [ledger.EventCount]prometheus.Counter // nil: not an event of the planner's
+	versionDesc       *prometheus.Desc
+	versions          [stageCount]atomic.Int64 // of the endpoint list
+	ages              [stageCount]prometheus.Observer
+	lastAges          [stageCount]atomic.Int64 // ns; from a message's first byte
+	maxAges           [stageCount]atomic.Int64 // ns; since the start of the process
+	listBytes         prometheus.Counter
+	listInterruptions *prometheus.CounterVec // by reason
+
+	ended   [ledger.EventCount]prometheus.Counter // nil: not an event of the planner's
 	retries [dw.OutcomeCount]prometheus.Counter   // by the outcome of the attempt before
-	closes  *prometheus.CounterVec                // of client connections, by reason
+	closed  *prometheus.CounterVec                // of client connections, by reason
 	overdue prometheus.Counter                    // client connections
 }
 
@@ -68,18 +68,18 @@
 		m.ages[s] = ages.WithLabelValues(stageNames[s])
 	}
 	m.listBytes = m.counter("list_bytes_total", "Bytes of messages of discovery's that were read.").WithLabelValues()
-	m.listBreaks = m.counter("list_breaks_total", "Ends of the list's connection, by reason.", "reason")
+	m.listInterruptions = m.counter("list_breaks_total", "Ends of the list's connection, by reason.", "reason")
 	answers := m.counter("answers_total", "Requests that the planner ended, by reason.", "reason")
-	for e := range m.answers {
+	for e := range m.ended {
 		if ledger.Event(e).Journal() == ledger.JournalPlanner {
-			m.answers[e] = answers.WithLabelValues(ledger.Event(e).String())
+			m.ended[e] = answers.WithLabelValues(ledger.Event(e).String())
 		}
 	}
 	retries := m.counter("retries_total", "Attempts after a first one, by the end of the one before.", "after")
 	for o := range m.retries {
 		m.retries[o] = retries.WithLabelValues(dw.Outcome(o).String())
 	}
-	m.closes = m.counter("connections_closed_total", "Client connections that ended, by reason.", "reason")
+	m.closed = m.counter("connections_closed_total", "Client connections that ended, by reason.", "reason")
 	m.overdue = m.counter("connections_overdue_total", "Client connections held past the time of a drain or an ending.").WithLabelValues()
 	return m
 }
@@ -123,11 +123,11 @@
 }
 
 // ListInterrupted implements discovery.Monitor.
-func (m *Metrics) ListInterrupted(reason string) { m.listBreaks.WithLabelValues(reason).Inc() }
+func (m *Metrics) ListInterrupted(reason string) { m.listInterruptions.WithLabelValues(reason).Inc() }
 
 // Answered implements core.Monitor.
-func (m *Metrics) Answered(why ledger.Event) {
-	if c := m.answers[why]; c != nil {
+func (m *Metrics) Answered(reason ledger.Event) {
+	if c := m.ended[reason]; c != nil {
 		c.Inc()
 	}
 }
@@ -136,7 +136,7 @@
 func (m *Metrics) Retried(after dw.Outcome) { m.retries[after].Inc() }
 
 // ConnectionClosed counts a client's connection that ended. The reason is one of a fixed set.
-func (m *Metrics) ConnectionClosed(reason string) { m.closes.WithLabelValues(reason).Inc() }
+func (m *Metrics) ConnectionClosed(reason string) { m.closed.WithLabelValues(reason).Inc() }
 
 // ConnectionsOverdue counts client connections that are open after the time for them, at a drain or a shutdown.
 func (m *Metrics) ConnectionsOverdue(n int) { m.overdue.Add(float64(n)) }
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -15,7 +15,7 @@
 )
 
 // What is measured shows in the operators' JSON line and in the metrics, under names that alerts can go by.
-func TestMetricsShow(t *testing.T) {
+func TestMeasurementsAreExported(t *testing.T) {
 	m := New()
 	prometheus.NewPedanticRegistry().MustRegister(m)
 	m.ListRead(7, 450_000, 20*time.Millisecond)
--- a/internal/warmstart/warmstart_test.go
+++ b/internal/warmstart/warmstart_test.go
@@ -19,11 +19,11 @@
 		t.Error("the edges")
 	}
 	rapid.Check(t, func(t *rapid.T) {
-		mean, was := rapid.Float64Range(1e-3, 10).Draw(t, "mean"), rapid.Float64Range(1e-3, 100).Draw(t, "was")
+		mean, exported := rapid.Float64Range(1e-3, 10).Draw(t, "mean"), rapid.Float64Range(1e-3, 100).Draw(t, "was")
 		a := rapid.Float64Range(0, 60).Draw(t, "a")
 		b := rapid.Float64Range(a, 60).Draw(t, "b")
-		newer, older := warmstart.InitialLatency(was, mean, warmstart.Trust(a)), warmstart.InitialLatency(was, mean, warmstart.Trust(b))
-		if older > newer || older < mean || newer > max(was, mean)*(1+1e-12) {
+		newer, older := warmstart.InitialLatency(exported, mean, warmstart.Trust(a)), warmstart.InitialLatency(exported, mean, warmstart.Trust(b))
+		if older > newer || older < mean || newer > max(exported, mean)*(1+1e-12) {
 			t.Fatalf("%v, later %v", newer, older)
 		}
 	})
