--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -12,26 +12,29 @@
 	"dewhitch/internal/resp"
 )
 
-// Recorder is the ledger that a forwarder posts to: as the front, as the one who decides on a planner, and as the links to
-// them. Its methods are called from any goroutine and may not block.
+// Recorder is the ledger that a forwarder posts to. The forwarder posts the events of three journals: the front's, the
+// planner's, for the choice of a planner, and that of attempts, for the links to planners. Its methods are called from any
+// goroutine and must not block.
 type Recorder interface {
-	// Ref is a number for a call.
+	// Ref returns a new reference number, which all postings of one command have.
 	Ref() uint64
+	// Post adds a posting to the ledger.
 	Post(ledger.Posting)
-	// RowByName is the key of a customer's row.
+	// RowByName returns the key of the row of a customer, plan and class.
 	RowByName(customer uint64, plan, class string) ledger.Key
 }
 
-// pendingCommand is a command that was accepted: it owes its slot one answer, and the ledger one end. One goroutine at a time has it:
-// the session's until it is sent, then the link's; postEnd comes after the slot was filled, or needs nothing that changes.
+// pendingCommand is an accepted command that needs one answer in its slot and one final event in the ledger. Only one
+// goroutine uses it at a time: the session's until the command is sent, then the link's. postFrontEvent runs after the slot
+// has been filled, or else reads only fields that do not change.
 type pendingCommand struct {
 	slot       *front.Slot
 	recorder   Recorder
-	posting    ledger.Posting // what all postings of the call have in common
-	frontEvent ledger.Event   // what the front posts once the answer is written
+	posting    ledger.Posting // key and reference of all postings of the command
+	frontEvent ledger.Event   // event that the front posts once the answer is written
 }
 
-// accept posts that a command was accepted, and has its end posted.
+// accept posts that a command was accepted, and registers postFrontEvent to run when its slot is settled.
 func (c *Commands) accept(r *core.Request, s *front.Slot) *pendingCommand {
 	p := &pendingCommand{slot: s, recorder: c.recorder, posting: ledger.Posting{Key: r.LedgerKey, Ref: c.recorder.Ref()}}
 	accepted := p.posting
@@ -51,7 +54,7 @@
 	return p
 }
 
-// postFrontEvent posts the front's end of a call.
+// postFrontEvent posts the front's final event of a command.
 func (p *pendingCommand) postFrontEvent(outcome front.Outcome) {
 	switch outcome {
 	case front.ClientDeparted:
@@ -69,7 +72,7 @@
 	p.recorder.Post(posting)
 }
 
-// answer posts what was decided, and gives the slot its answer.
+// answer posts the decision and fills the slot with the answer.
 func (p *pendingCommand) answer(decision ledger.Event, text []byte) {
 	p.post(decision)
 	switch decision {
@@ -83,11 +86,11 @@
 	p.slot.Fill(text)
 }
 
-// acceptedFailures are the errors of planners that have accepted a command. With any other they have rejected it: they could not
-// use it.
+// acceptedFailures are the error answers of a planner that accepted the command. Any other error means that the planner
+// rejected the command as invalid.
 var acceptedFailures = []string{"ERR failed", "ERR no exact answer in time"}
 
-// complete posts the answer of a planner and passes it on as it came.
+// complete posts a planner's answer and forwards it to the client unchanged.
 func (p *pendingCommand) complete(v resp.Value) {
 	attempt, decision := classify(v)
 	p.post(attempt)
@@ -95,7 +98,7 @@
 	p.answer(decision, resp.AppendValue(nil, v))
 }
 
-// classify gives the ledger's events for a planner's answer: the end of the attempt, and the decision.
+// classify returns the ledger's events for a planner's answer: the outcome of the attempt, and the decision.
 func classify(v resp.Value) (attempt, decision ledger.Event) {
 	if v.Kind != resp.Error {
 		return ledger.AttemptOK, ledger.PlanServed
@@ -110,7 +113,7 @@
 	return ledger.AttemptRejected, ledger.PlanFailedExhausted
 }
 
-// fail answers a call that was written completely and whose planner was lost.
+// fail answers a command that was written completely to a planner whose connection was then lost.
 func (p *pendingCommand) fail() {
 	p.post(ledger.AttemptReset)
 	p.post(ledger.PlanNotified)
--- a/internal/forward/commands.go
+++ b/internal/forward/commands.go
@@ -1,8 +1,8 @@
 // Package forward is the thin forwarder: it accepts client sessions and forwards each command to a planner of its
-// customer's set. It decides nothing on quotas.
+// customer's set. It makes no quota decisions.
 //
 // commands.go has the commands of a session and the rule on attempts, planners.go the planners and their selection, link.go
-// the connections to them, call.go what is owed to a client and to the ledger.
+// the connections to planners, call.go the answers to clients and the postings to the ledger.
 package forward
 
 import (
@@ -22,20 +22,21 @@
 	"dewhitch/internal/resp"
 )
 
-// deadlineGrace is for how long beyond a command's deadline its answer is waited for: the planner's own answer comes first.
+// deadlineGrace is the extra time to wait for an answer after a command's deadline, so that the planner's own answer at the
+// deadline arrives first.
 const deadlineGrace = 100 * time.Millisecond
 
-// Commands forwards the commands of one client session. It owns a connection to each planner that the session has needed;
-// Close gives them back. It is not safe for concurrent use.
+// Commands forwards the commands of one client session. It owns a connection to each planner that the session has used;
+// Close closes them. It is not safe for concurrent use.
 type Commands struct {
 	planners *Planners
 	recorder Recorder
-	gateways int // numbers of gateways are below it
+	gateways int // number of gateways of the deployment
 	log      *zap.Logger
-	links    map[string]*link // by the planner's address
+	links    map[string]*link // open or lost links, by the planner's address
 }
 
-// New makes the forwarding of one session.
+// New returns the forwarder of one client session. gateways is the number of gateways of the deployment.
 func New(p *Planners, gateways int, r Recorder, log *zap.Logger) *Commands {
 	return &Commands{planners: p, recorder: r, gateways: gateways, log: log, links: map[string]*link{}}
 }
@@ -48,7 +49,7 @@
 	return nil
 }
 
-// parametersIndex is where the list of names and values stands in each command that is forwarded.
+// parametersIndex maps each forwarded command to the index of its argument with the list of names and values.
 var parametersIndex = map[string]int{"SVC.QUERY": 3, "SVC.SUBMIT": 3, "LIMIT.GET": 2, "LIMIT.ADJUST": 3}
 
 // Do implements front.Commands.
@@ -61,7 +62,8 @@
 	c.forward(receivedAt, cmd, customer, r, s)
 }
 
-// parse reads of a command what the forwarder needs: the customer, its set of planners, the deadline and the ledger's key.
+// parse reads the parts of a command that the forwarder needs: the customer, its set of planners, the deadline and the key of
+// the ledger's row.
 func (c *Commands) parse(cmd resp.Command) (dewhitch.CustomerID, *core.Request, error) {
 	name := string(bytes.ToUpper(cmd[0]))
 	index, known := parametersIndex[name]
@@ -87,13 +89,13 @@
 		r.Units = 0
 	case "LIMIT.ADJUST":
 		r.LedgerKey.Class = ledger.ClassAdjust
-		r.Units, _ = strconv.ParseFloat(string(cmd[2]), 64) // the planner rejects what is no number
+		r.Units, _ = strconv.ParseFloat(string(cmd[2]), 64) // the planner rejects an invalid number
 	}
 	return customer, r, nil
 }
 
-// forward writes a command to the first planner of the set that it can be written to completely. A planner that was not sent
-// the last byte has applied nothing, so the next may be tried; after that the command is never sent again.
+// forward writes a command to the first planner of the customer's set that accepts all of its bytes. A planner that was not
+// sent the last byte has applied nothing, so the next one may be tried. Once written completely, a command is never sent again.
 func (c *Commands) forward(receivedAt time.Time, cmd resp.Command, customer dewhitch.CustomerID, r *core.Request, s *front.Slot) {
 	encoded := resp.AppendArray(nil, len(cmd))
 	for _, arg := range cmd {
@@ -116,8 +118,8 @@
 	pending.answer(ledger.PlanFailedExhausted, resp.AppendError(nil, "ERR no planner of this customer's set can be reached"))
 }
 
-// linkTo returns the session's link to a planner, a new one if there is none or it was lost. The error is errEnded, or that of
-// the dial.
+// linkTo returns the session's link to a planner, and connects if there is none or it was lost. It fails with errShutDown or
+// with the error of the dial.
 func (c *Commands) linkTo(addr string) (*link, error) {
 	if l := c.links[addr]; l != nil && !l.lost.Load() {
 		return l, nil
--- a/internal/forward/golden_test.go
+++ b/internal/forward/golden_test.go
@@ -18,15 +18,15 @@
 	"dewhitch/internal/standin"
 )
 
-// What a forwarder writes to a planner for a client's command, and to the client for the planner's answer. Planners and clients read
-// it. Each entry holds the command, the bytes to the planner, and the bytes to the client.
+// TestGoldenForwarding compares what a forwarder writes to a planner for a client's command, and to the client for the planner's
+// answer, with the golden file. Each entry holds the command, the bytes to the planner, and the bytes to the client.
 func TestGoldenForwarding(t *testing.T) {
 	const customer, list = "00000001b4d65521", "c=order,t=slim,d=20000,k=key-1,r=1,units=2.5,spread=1,first=0"
 	var b []byte
 	for _, c := range []struct {
 		args      []string
-		answer    string // of the planner; empty: it closes the connection
-		forwarded bool   // the planner is asked
+		answer    string // the planner's answer; empty if it closes the connection
+		forwarded bool   // whether the command reaches the planner
 	}{
 		{[]string{"SVC.SUBMIT", customer, "name-1", list, "body\r\n1"}, "$5\r\nvalue\r\n", true},
 		{[]string{"svc.query", customer, "name-2", list}, "-BUSY 250\r\n", true},
@@ -47,7 +47,8 @@
 	golden.Compare(t, "forwarding.txt", b)
 }
 
-// forwardCommand has a forwarder before one planner pass a command on.
+// forwardCommand sends a command through a forwarder with one planner, which sends answer. It returns the bytes that the planner
+// and the client received.
 func forwardCommand(t *testing.T, args []string, answer string, forwarded bool) (sent, got []byte) {
 	t.Helper()
 	received := make(chan []byte, 1)
@@ -77,7 +78,7 @@
 	return sent, got
 }
 
-// exchange is what a client reads for a command, over a session of its own.
+// exchange sends a command over a new session and returns the bytes of the answer.
 func exchange(t *testing.T, planners *Planners, args []string) []byte {
 	t.Helper()
 	l, err := net.Listen("tcp", standin.OwnAddr())
@@ -106,13 +107,13 @@
 	}
 	var text bytes.Buffer
 	if _, err := standin.ReadReply(bufio.NewReader(io.TeeReader(client, &text))); err != nil {
-		t.Fatalf("%q: %v", args, err)
+		t.Fatalf("no answer to %q: %v", args, err)
 	}
 	return text.Bytes()
 }
 
-// The planners of a customer's set, in the order in which they are asked: forwarders of two versions must agree on it. And the answer
-// where none is registered.
+// TestGoldenPlanners compares the planners of a customer's set, in the order in which they are tried, with the golden file, as
+// forwarders of two versions must agree on it. It also compares the answer when no planner is registered.
 func TestGoldenPlanners(t *testing.T) {
 	p := &Planners{}
 	text := exchange(t, p, []string{"LIMIT.GET", "00000001b4d65521", "t=slim,d=20000,spread=3,first=1"})
--- a/internal/forward/link.go
+++ b/internal/forward/link.go
@@ -14,31 +14,31 @@
 
 const (
 	dialTimeout    = 250 * time.Millisecond
-	writeTimeout   = time.Second // of one command
-	readBufferSize = 4 << 10     // bytes
+	writeTimeout   = time.Second // limit for writing one command
+	readBufferSize = 4 << 10     // in bytes
 )
 
-// link is a connection to a planner. Calls are pipelined: the session's goroutine sends, and a goroutine of the link reads the
-// answers, which come in the order of the calls.
+// link is a connection to a planner. Commands are pipelined: the session's goroutine sends them, and a goroutine of the link
+// reads the answers, which arrive in the order of the commands.
 type link struct {
 	conn net.Conn
-	addr string // of the planner, as host:port
+	addr string // address of the planner, as host:port
 	log  *zap.Logger
-	lost atomic.Bool // nothing can be sent any more; set under mu
+	lost atomic.Bool // whether the connection has failed, so that nothing can be sent; set under mu
 
 	mu       sync.Mutex
-	inFlight []inFlightCommand // in order
+	inFlight []inFlightCommand // commands without an answer, in the order in which they were sent
 }
 
-// inFlightCommand is a call whose answer is waited for.
+// inFlightCommand is a command that was sent and has no answer yet.
 type inFlightCommand struct {
 	command *pendingCommand
-	timer   *time.Timer // closes the link at the end of the wait
+	timer   *time.Timer // closes the link if no answer arrives in time
 }
 
-// dialPlanner connects to a planner. A close of the connection, or the end of this process, discards what the kernel has not
-// delivered yet, and resets it. Otherwise a planner that hangs, or is behind a partition, would find a command after it was
-// given up, and take it for a new one with all of its time before it.
+// dialPlanner connects to a planner. It sets the linger time to 0, so that closing the connection or ending this process
+// resets the connection and discards what the kernel has not delivered yet. Otherwise a planner that hangs, or is behind a
+// partition, would later read a command that was given up, and would handle it as a new one with its full deadline.
 func dialPlanner(addr string) (net.Conn, error) {
 	conn, err := net.DialTimeout("tcp", addr, dialTimeout)
 	if err != nil {
@@ -51,8 +51,8 @@
 	return conn, nil
 }
 
-// send writes a command, whose answer is waited for until timeout has passed. It reports whether the command was written
-// completely; if not, the planner has applied nothing, and the link is lost.
+// send writes a command and waits up to timeout for its answer, without blocking. It returns true if the command was written
+// completely. Otherwise the planner has applied nothing, and the link is lost.
 func (l *link) send(encoded []byte, p *pendingCommand, timeout time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -69,19 +69,19 @@
 		p.post(ledger.PlanNotified)
 		return false
 	}
-	// A planner that does not answer in time, though it would by itself, hangs or is cut off: the link is closed.
+	// A planner answers every command by its deadline. One that does not hangs or is unreachable, so the link is closed.
 	timer := time.AfterFunc(max(0, timeout), func() { l.conn.Close() })
 	l.inFlight = append(l.inFlight, inFlightCommand{command: p, timer: timer})
 	return true
 }
 
-// read settles the calls with the answers, in order, and fails those in flight when the link is lost.
+// read completes the commands with the planner's answers, in order. When the link is lost it fails the commands in flight.
 func (l *link) read() {
 	r := resp.NewReader(l.conn, readBufferSize)
 	for {
 		v, err := r.ReadValue()
 		l.mu.Lock()
-		if err != nil || len(l.inFlight) == 0 { // an unsolicited answer: the planner can't be trusted
+		if err != nil || len(l.inFlight) == 0 { // an unsolicited answer breaks the order of answers
 			break
 		}
 		oldest := l.inFlight[0]
--- a/internal/forward/planners.go
+++ b/internal/forward/planners.go
@@ -9,25 +9,25 @@
 	"dewhitch"
 )
 
-// errShutDown says that End's time has come: no command is sent any more.
-var errShutDown = errors.New("forward: the time for answers is up")
+// errShutDown is returned after the deadline of FailUnansweredAt, when no more commands are sent.
+var errShutDown = errors.New("forward: the deadline for answers has passed")
 
-// Planners are the planners that are registered, by gateway number, and the links to them of all sessions. It is safe for
-// concurrent use.
+// Planners holds the addresses of the registered planners, by gateway number, and the links of all sessions to them. It is
+// safe for concurrent use.
 type Planners struct {
-	current atomic.Pointer[map[int]string] // addresses as host:port
+	current atomic.Pointer[map[int]string] // addresses as host:port, by gateway number; never changed in place
 
 	mu       sync.Mutex
-	links    map[*link]struct{} // that are open
-	shutDown bool               // End's time has come
+	links    map[*link]struct{} // the open links of all sessions
+	shutDown bool               // whether the deadline of FailUnansweredAt has passed
 }
 
-// Set replaces the planners.
+// Set replaces the addresses of the planners. The caller must not change the map afterwards.
 func (p *Planners) Set(addrs map[int]string) { p.current.Store(&addrs) }
 
-// Select selects the planners of a customer's set, the one to try first in front. The set is spread gateways from first on; it
-// is rotated by the customer, which spreads the load. The order is the same for all commands of a customer while the
-// planners are, so that a query goes where the bookings before it went.
+// Select returns the addresses of the planners of a customer's set, in the order in which they are tried. The set consists of
+// spread gateways from number first on, and is rotated by the customer's id to spread the load. The order is the same for all
+// commands of a customer while the planners do not change, so that a query goes where the bookings before it went.
 func (p *Planners) Select(customer dewhitch.CustomerID, spread, first, gateways int) (addrs []string) {
 	current := p.current.Load()
 	if current == nil {
@@ -44,19 +44,20 @@
 	return addrs
 }
 
-// FailUnansweredAt has every command answered by a time: what planners have not answered then is failed, as it may have been applied.
+// FailUnansweredAt ends forwarding at the deadline: it closes all links, which fails the commands without an answer as possibly
+// applied, and no new links are made. It returns at once.
 func (p *Planners) FailUnansweredAt(deadline time.Time) {
 	time.AfterFunc(time.Until(deadline), func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
 		p.shutDown = true
 		for l := range p.links {
-			l.conn.Close() // its reader fails the calls in flight
+			l.conn.Close() // its reader fails the commands in flight
 		}
 	})
 }
 
-// register takes a new link in, unless End's time has come.
+// register adds a new link. It returns false if the deadline of FailUnansweredAt has passed.
 func (p *Planners) register(l *link) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -70,7 +71,7 @@
 	return true
 }
 
-// unregister takes a link out that was lost.
+// unregister removes a lost link.
 func (p *Planners) unregister(l *link) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/forward/reset_test.go
+++ b/internal/forward/reset_test.go
@@ -18,7 +18,7 @@
 
 const testTimeout = 20 * time.Second
 
-// newForwarder runs one before a planner that is stuck, and gives back a session of a client.
+// newForwarder runs a forwarder with one planner, which reads nothing, and returns a client's connection to the forwarder.
 func newForwarder(t *testing.T) (*Planners, net.Conn, *standin.NonReadingPeer) {
 	t.Helper()
 	planner, err := standin.NewNonReadingPeer()
@@ -52,7 +52,7 @@
 	return planners, client, planner
 }
 
-// countInFlight counts the commands that were written whole and are not answered.
+// countInFlight counts the commands that were written completely and have no answer.
 func (p *Planners) countInFlight() (n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,10 +64,10 @@
 	return n
 }
 
-// What happens: a command that was written whole to a planner is given up, as its client has gone, its time is up, or the forwarder
-// ends; the planner reads on later, finds the whole command, and takes it for a new one with all of its time before it. Why: the
-// link was closed in order, and a kernel goes on sending what was written before that. What showed it: the planner was sent all
-// 32,883 bytes after the end, in each of the three cases, 2 runs of 2. Mended in dialPlanner.
+// TestGivenUpCommandIsNotDelivered guards against a planner that reads a command after the forwarder gave it up, because its
+// client departed, its deadline passed, or the forwarder shut down, and handles it as a new command with its full deadline.
+// With an orderly close of the link the kernel still delivers what was written before: the planner received all 32,883 bytes,
+// in each of the three cases, in 2 runs of 2. dialPlanner resets the connection instead.
 func TestGivenUpCommandIsNotDelivered(t *testing.T) {
 	for name, c := range map[string]struct {
 		deadline string
@@ -86,19 +86,19 @@
 			defer conn.Close()
 			for end := time.Now().Add(testTimeout); planners.countInFlight() == 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatal("the command is not written")
+					t.Fatal("timed out waiting for the command to be written to the planner")
 				}
 			}
 			c.giveUp(planners, client)
 			for end := time.Now().Add(testTimeout); planners.countInFlight() > 0; time.Sleep(time.Millisecond) {
 				if time.Now().After(end) {
-					t.Fatal("the command is not given up")
+					t.Fatal("timed out waiting for the forwarder to give up the command")
 				}
 			}
 			conn.SetReadDeadline(time.Now().Add(testTimeout))
 			got, err := io.ReadAll(conn)
 			if bytes.HasSuffix(got, []byte("x\r\n")) {
-				t.Errorf("the planner was sent all %d bytes of a command that was given up before, and then %v", len(got), err)
+				t.Errorf("planner received all %d bytes of a command that had been given up, then error %v", len(got), err)
 			}
 		})
 	}
--- a/internal/snapshot/export_test.go
+++ b/internal/snapshot/export_test.go
@@ -1,6 +1,6 @@
 package snapshot
 
-// Seal is a body behind a header that is right for it.
+// Seal returns body with a valid snapshot header in front of it.
 func Seal(body []byte) []byte {
 	h := append(make([]byte, headerSize), body...)
 	seal(h, Generation{Incarnation: 1})
--- a/internal/snapshot/files.go
+++ b/internal/snapshot/files.go
@@ -14,19 +14,19 @@
 	"dewhitch/internal/durable"
 )
 
-// Names and numbers of files. The folder may hold files of others.
+// Names of snapshot files, and bounds on what is read of their folder, which may hold other files too.
 const (
 	fileSuffix       = ".snapshot"
 	temporarySuffix  = ".part"
-	maxFilesRead     = 8    // files that are read at the start, the newest first
-	maxFileNames     = 4096 // names in the folder that are read
-	maxClaimAttempts = 64   // incarnations that a process tries to claim, where others claim at the same time
+	maxFilesRead     = 8    // snapshots that are read at the start, the newest first
+	maxFileNames     = 4096 // file names that are read from the folder
+	maxClaimAttempts = 64   // incarnations that a process tries to claim when others claim at the same time
 )
 
-// filePrefix starts the names of a node's files.
+// filePrefix returns the prefix of the names of a node's snapshot files.
 func filePrefix(node string) string { return "dewhitch-" + filepath.Base(node) + "." }
 
-// incarnations are those of which the folder has files, the newest first.
+// incarnations returns the incarnations of a node for which the folder has files, the newest first.
 func incarnations(dir, node string) ([]uint64, error) {
 	d, err := os.Open(dir)
 	if err != nil {
@@ -48,7 +48,7 @@
 	return all, nil
 }
 
-// incarnationOf reads the incarnation from a file's name; false: it is no snapshot of the node.
+// incarnationOf parses the incarnation in a file's name. It returns false if the name is not that of a snapshot of the node.
 func incarnationOf(node, name string) (uint64, bool) {
 	digits, ok := strings.CutPrefix(name, filePrefix(node))
 	if !ok {
@@ -65,7 +65,8 @@
 	return filepath.Join(dir, fmt.Sprintf("%s%016x%s", filePrefix(node), incarnation, fileSuffix))
 }
 
-// Read reads one file, MaxSize at most. It fails as Decode does, or if the file can't be read.
+// Read reads and decodes one file, of which it reads at most MaxSize+1 bytes. It returns the errors of Decode, or that of
+// reading the file.
 func Read(file string) (Generation, *Image, error) {
 	f, err := os.Open(file)
 	if err != nil {
@@ -79,15 +80,15 @@
 	return Decode(text)
 }
 
-// Found is the newest complete snapshot of a node.
+// Found is the result of Latest.
 type Found struct {
 	Generation
-	Image    *Image  // nil: there is none
-	Rejected []error // of newer files, why each can't be used
+	Image    *Image  // newest complete snapshot; nil if there is none
+	Rejected []error // for each newer file that can't be used, the reason
 }
 
-// Latest finds the newest complete snapshot of a node. It fails if the folder can't be read. Files that were claimed and not
-// written are not reported.
+// Latest finds the newest complete snapshot of a node. It fails if the folder can't be read. Files that were claimed but never
+// written are skipped without an entry in Rejected.
 func Latest(dir, node string) (Found, error) {
 	all, err := incarnations(dir, node)
 	if err != nil {
@@ -98,7 +99,7 @@
 		path := filePath(dir, node, incarnation)
 		g, m, err := Read(path)
 		if err == nil && g.Incarnation != incarnation {
-			err = fmt.Errorf("%w: life %d under the name of another", ErrBroken, g.Incarnation)
+			err = fmt.Errorf("%w: incarnation %d in a file named for another incarnation", ErrBroken, g.Incarnation)
 		}
 		if err == nil {
 			found.Generation = g
@@ -112,17 +113,17 @@
 	return found, nil
 }
 
-// Writer writes the snapshots of one process. It is not safe for concurrent use.
+// Writer writes the snapshots of one process, all to the file of its incarnation. It is not safe for concurrent use.
 type Writer struct {
 	dir         string
 	node        string
-	last        Generation // of the last write of this process
-	startedFrom Generation // of the snapshot that this process started from
-	buf         []byte     // reused
+	last        Generation // generation of the last write; its number is 0 before the first
+	startedFrom Generation // generation of the snapshot that this process started from
+	buf         []byte     // buffer of the encoder, reused by each write
 }
 
-// Claim starts a new incarnation, after all that the folder has files of. No two processes get the same, as claiming creates the
-// file exclusively.
+// Claim starts a new incarnation, greater than startedFrom's and than all that the folder has files of. It creates the file of
+// the incarnation exclusively, so that no two processes get the same one.
 func Claim(dir, node string, startedFrom Generation) (*Writer, error) {
 	all, err := incarnations(dir, node)
 	if err != nil {
@@ -142,14 +143,15 @@
 			return nil, err
 		}
 	}
-	return nil, fmt.Errorf("snapshot: %d lives are taken in a row", maxClaimAttempts)
+	return nil, fmt.Errorf("snapshot: the next %d incarnations are all claimed by other processes", maxClaimAttempts)
 }
 
-// LastGeneration is the generation of the last write; its number is 0 before the first.
+// LastGeneration returns the generation of the last write; its number is 0 before the first.
 func (w *Writer) LastGeneration() Generation { return w.last }
 
-// Write replaces the file of this incarnation atomically: after a crash at any time the file is the new or the previous one. The
-// first write also prunes. It returns the snapshot's size in bytes.
+// Write replaces the file of this incarnation atomically: after a crash at any time it holds the new or the previous snapshot.
+// The first write also removes the files of old incarnations. Write returns the snapshot's size in bytes; the snapshot is
+// durable when it returns without an error.
 func (w *Writer) Write(m *Image) (size int, err error) {
 	next := Generation{w.last.Incarnation, w.last.Number + 1}
 	if w.buf, err = Encode(w.buf[:0], next, m); err != nil {
@@ -166,8 +168,8 @@
 	return len(w.buf), nil
 }
 
-// prune removes the files of incarnations before the one that this process started from. That one's process may still run, and its
-// last snapshot is the one to fall back to.
+// prune removes the files of incarnations older than the one that this process started from. It keeps that one, as its process
+// may still run and its last snapshot is the fallback.
 func (w *Writer) prune() {
 	all, err := incarnations(w.dir, w.node)
 	if err != nil {
--- a/internal/snapshot/fit.go
+++ b/internal/snapshot/fit.go
@@ -9,10 +9,10 @@
 	dw "dewhitch"
 )
 
-// ErrForeign says that a snapshot is another deployment's.
+// ErrForeign is returned for a snapshot of another deployment.
 var ErrForeign = errors.New("of another deployment")
 
-// NewImage describes the settings of a process, with an empty state.
+// NewImage returns an image with the settings of a process and an empty state.
 func NewImage(node string, s *dw.Settings, classes, plans []string) Image {
 	m := Image{Node: node, Instances: s.Instances, Self: s.Self, Zones: s.Zones, Classes: classes}
 	for i, p := range s.Plans {
@@ -28,9 +28,9 @@
 	return fmt.Sprint("#", i)
 }
 
-// Fit converts the state of m, in place, to the settings that now describes. Classes are matched by name, and plans by all of their
-// fields; what belongs to one that is not in both is left out. dropped is the number of customers left out and of classes without
-// statistics. It fails with ErrForeign, or as Check does.
+// Fit converts the state of m, in place, to the settings of now. Classes are matched by name, and plans by all of their fields;
+// state of a class or plan that is not in both is dropped. dropped is the number of customers dropped plus the number of
+// classes in now that get no statistics. Fit returns ErrForeign or the error of Check.
 func Fit(m, now *Image) (state *dw.State, dropped int, err error) {
 	if m.Node != now.Node || m.Instances != now.Instances || m.Self != now.Self || m.Zones != now.Zones {
 		return nil, 0, fmt.Errorf("%w: %s, gateway %d of %d", ErrForeign, m.Node, m.Self, m.Instances)
@@ -39,7 +39,7 @@
 		return nil, 0, err
 	}
 	state = &m.State
-	oldIndices := make([]int, len(now.Classes)) // by index in now, the index in m
+	oldIndices := make([]int, len(now.Classes)) // index in m of each class in now, or -1
 	for i, c := range now.Classes {
 		oldIndices[i] = slices.Index(m.Classes, c)
 		if oldIndices[i] < 0 {
@@ -51,7 +51,7 @@
 	return state, dropped, nil
 }
 
-// fitClasses reorders what the state has by class; before is the old index of each class, below 0 if there is none.
+// fitClasses reorders the state that is stored by class. oldIndices is the old index of each class, below 0 for a new class.
 func fitClasses(state *dw.State, oldIndices []int) {
 	latencyRatios := make([]float64, len(oldIndices))
 	for i, old := range oldIndices {
@@ -73,7 +73,7 @@
 	}
 }
 
-// fitPlans converts the customers' plans, and drops the customers of plans that are gone or changed.
+// fitPlans converts the plan indices of customers, and drops the customers whose plan was removed or changed.
 func fitPlans(state *dw.State, oldPlans, newPlans []Plan) (dropped int) {
 	fitted := state.Customers[:0]
 	for _, c := range state.Customers {
@@ -88,15 +88,16 @@
 	return dropped
 }
 
-// Bounds of the numbers of a state.
+// Bounds of the numbers of a valid state.
 const (
-	maxAmount   = 1e12 // of any rate, amount or latency
-	minPositive = 1e-9 // of what the module divides by
-	maxWindow   = 1e9  // elapsed in a counter's window
-	maxFailures = 1000 // in a row
+	maxAmount   = 1e12 // greatest rate, amount or latency
+	minPositive = 1e-9 // least value of a number that the module divides by
+	maxWindow   = 1e9  // greatest elapsed time in a counter's window
+	maxFailures = 1000 // greatest number of failures in a row
 )
 
-// Check fails with ErrBroken unless all numbers are such as a gateway can have, as the module uses them unchecked.
+// Check returns ErrBroken if a number of the state is out of the bounds that a gateway's state can have. The module uses the
+// numbers without checks of its own.
 func Check(m *Image) error {
 	state := &m.State
 	ok := len(state.ClassLatencyRatios) == len(m.Classes) && len(state.ZoneFailureShare) <= m.Zones &&
@@ -133,7 +134,7 @@
 		within(-maxWindow, maxWindow, c.WindowElapsed)
 }
 
-// within tells whether all values lie between two bounds; a NaN does not.
+// within returns true if all values are between lowest and highest, inclusive. It returns false for a NaN.
 func within(lowest, highest float64, values ...float64) bool {
 	for _, v := range values {
 		if math.IsNaN(v) || v < lowest || v > highest {
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -1,8 +1,8 @@
-// Package snapshot owns the decision module's state as it outlasts a process: the format of a snapshot, how it is fitted to the
-// settings of another process, and its files, with their incarnations and generations.
+// Package snapshot stores the decision module's state so that it outlives the process. It defines the format of a snapshot, its
+// conversion to the settings of another process, and the snapshot files with their incarnations and generations.
 //
-// A snapshot was written by another process, perhaps of another version, and perhaps incompletely: all of it is bounded and checked
-// before any of it is used.
+// A snapshot may have been written by another version of the program, or incompletely. All of it is bounded and checked before
+// any of it is used.
 package snapshot
 
 import (
@@ -17,30 +17,31 @@
 	dw "dewhitch"
 )
 
-// Version is that of the format; a snapshot of another version is not used.
+// Version is the version of the format. A snapshot of another version is not used.
 const Version = 1
 
 // Bounds of a snapshot.
 const (
-	MaxSize      = 16 << 20 // bytes
-	MaxCustomers = 1 << 16
-	maxElements  = 1 << 17 // of an array
+	MaxSize      = 16 << 20 // greatest size in bytes
+	MaxCustomers = 1 << 16  // greatest number of customers
+	maxElements  = 1 << 17  // greatest number of elements of a CBOR array
 )
 
-// The header, big-endian: magic, version, length of the body, incarnation, number, and the checksum of all other bytes.
+// Layout of the header, which is big-endian: magic, version, length of the body, incarnation, number, and the checksum of all
+// other bytes.
 const (
 	magic          = "dwsnap"
 	checksumOffset = 28
 	headerSize     = checksumOffset + 8
 )
 
-// Generation orders snapshots.
+// Generation identifies and orders the snapshots of a node: first by incarnation, then by number.
 type Generation struct {
-	Incarnation uint64 `json:"Life"`   // of the process; greater than that of any before
-	Number      uint64 `json:"Number"` // of the write in that process, from 1
+	Incarnation uint64 `json:"Life"`   // incarnation of the process; greater than all before it
+	Number      uint64 `json:"Number"` // number of the write within that process, from 1
 }
 
-// Image is a snapshot's content: the state, and the settings that its indices refer to.
+// Image is the content of a snapshot: the state, and the settings that the indices in the state refer to.
 type Image struct {
 	Node      string   `json:"Node"`
 	Instances int      `json:"Instances"`
@@ -51,7 +52,8 @@
 	State     dw.State `json:"Learnt"`
 }
 
-// Plan is what the accounts of a plan depend on; a plan that differs in any of it is another one.
+// Plan holds the settings of a plan that the accounts of its customers depend on. Plans that differ in any field are different
+// plans.
 type Plan struct {
 	Name    string  `json:"Name"`
 	Rate    float64 `json:"Rate"`
@@ -59,17 +61,17 @@
 	Ceiling float64 `json:"Ceiling"`
 }
 
-// The faults of a snapshot.
+// The errors of a snapshot that can't be used.
 var (
 	ErrEmpty   = errors.New("claimed, but nothing written yet")
-	ErrTorn    = errors.New("torn") // incomplete, or changed
+	ErrTorn    = errors.New("torn") // incomplete or modified
 	ErrVersion = errors.New("of another version")
 	ErrBroken  = errors.New("broken")
 )
 
 var (
 	encMode = must(cbor.EncOptions{ShortestFloat: cbor.ShortestFloat16}.EncMode())
-	// The options bound what is allocated: a few bytes can announce an array of any length, or nest maps without end.
+	// The options bound memory use: a few bytes can announce an array of any length, or nest maps to any depth.
 	decMode = must(cbor.DecOptions{MaxArrayElements: maxElements, MaxMapPairs: 1 << 10, MaxNestedLevels: 8,
 		IndefLength: cbor.IndefLengthForbidden, TagsMd: cbor.TagsForbidden, DupMapKey: cbor.DupMapKeyEnforcedAPF}.DecMode())
 )
@@ -81,7 +83,7 @@
 	return v
 }
 
-// Encode appends a snapshot to b. It fails for one of over MaxSize bytes, and returns b then.
+// Encode appends a snapshot to b. It fails, and returns b unchanged, if the snapshot is over MaxSize bytes.
 func Encode(b []byte, g Generation, m *Image) ([]byte, error) {
 	start := len(b)
 	out := bytes.NewBuffer(append(b, make([]byte, headerSize)...))
@@ -90,13 +92,13 @@
 	}
 	b = out.Bytes()
 	if len(b)-start > MaxSize {
-		return b[:start], fmt.Errorf("snapshot: %d bytes, over the %d that are read", len(b)-start, MaxSize)
+		return b[:start], fmt.Errorf("snapshot: size of %d bytes exceeds the limit of %d bytes", len(b)-start, MaxSize)
 	}
 	seal(b[start:], g)
 	return b, nil
 }
 
-// seal fills in the header of a snapshot.
+// seal fills in the header of the snapshot h, whose body is complete.
 func seal(h []byte, g Generation) {
 	copy(h, magic)
 	binary.BigEndian.PutUint16(h[6:], Version)
@@ -106,7 +108,7 @@
 	binary.BigEndian.PutUint64(h[checksumOffset:], checksum(h))
 }
 
-// checksum is that of all bytes but its own.
+// checksum returns the checksum of all bytes of a snapshot except the checksum field.
 func checksum(h []byte) uint64 {
 	d := xxhash.New()
 	d.Write(h[:checksumOffset])
@@ -114,8 +116,8 @@
 	return d.Sum64()
 }
 
-// Decode reads a snapshot. It fails with ErrEmpty, ErrTorn, ErrVersion or ErrBroken. Memory for a length is allocated only after its
-// bytes have been found.
+// Decode decodes a snapshot. It returns ErrEmpty, ErrTorn, ErrVersion or ErrBroken for one that can't be used. It allocates
+// memory for an announced length only after the bytes have been found to be present.
 func Decode(b []byte) (g Generation, m *Image, err error) {
 	switch {
 	case len(b) == 0:
@@ -125,11 +127,11 @@
 	case string(b[:6]) != magic:
 		return g, nil, fmt.Errorf("%w: not a snapshot", ErrBroken)
 	case binary.BigEndian.Uint16(b[6:]) != Version:
-		return g, nil, fmt.Errorf("%w: %d, not %d", ErrVersion, binary.BigEndian.Uint16(b[6:]), Version)
+		return g, nil, fmt.Errorf("%w: %d, want %d", ErrVersion, binary.BigEndian.Uint16(b[6:]), Version)
 	case int64(binary.BigEndian.Uint32(b[8:])) != int64(len(b)-headerSize):
 		return g, nil, fmt.Errorf("%w: %d bytes of %d", ErrTorn, len(b)-headerSize, binary.BigEndian.Uint32(b[8:]))
 	case binary.BigEndian.Uint64(b[checksumOffset:]) != checksum(b):
-		return g, nil, fmt.Errorf("%w: the sum does not match", ErrTorn)
+		return g, nil, fmt.Errorf("%w: checksum mismatch", ErrTorn)
 	}
 	g = Generation{binary.BigEndian.Uint64(b[12:]), binary.BigEndian.Uint64(b[20:])}
 	m = &Image{}
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -12,7 +12,7 @@
 	"dewhitch/internal/snapshot"
 )
 
-// goldenGeneration and goldenImage are what the golden snapshot holds: each field has a value of its own.
+// goldenGeneration and goldenImage are the content of the golden snapshot. Each field has a distinct value.
 var goldenGeneration = snapshot.Generation{Incarnation: 0x0102030405060708, Number: 0x1112131415161718}
 
 func goldenImage() *snapshot.Image {
@@ -64,8 +64,8 @@
 	}
 }
 
-// TestGoldenSnapshot keeps the bytes of a snapshot: the header, and the CBOR of an image, whose names and order of fields
-// are read by the next process of the gateway, perhaps of another version.
+// TestGoldenSnapshot compares the bytes of a snapshot, the header and the CBOR of an image, with the golden file. The next
+// process of the gateway, perhaps of another version, depends on the names and the order of fields.
 func TestGoldenSnapshot(t *testing.T) {
 	b, err := snapshot.Encode(nil, goldenGeneration, goldenImage())
 	if err != nil {
@@ -74,15 +74,15 @@
 	golden.Compare(t, "image.snapshot", b)
 	g, m, err := snapshot.Decode(golden.Read(t, "image.snapshot"))
 	if err != nil || g != goldenGeneration || !reflect.DeepEqual(m, goldenImage()) {
-		t.Errorf("read back: %v\n got %+v %+v\nwant %+v %+v", err, g, m, goldenGeneration, goldenImage())
+		t.Errorf("decoding the golden snapshot: error %v\n got %+v %+v\nwant %+v %+v", err, g, m, goldenGeneration, goldenImage())
 	}
 	if err := snapshot.Check(m); err != nil {
 		t.Error(err)
 	}
 }
 
-// TestGoldenSnapshotFiles keeps the names of a gateway's snapshot files, by which the next process finds the newest one
-// and removes those that are too old, with their temporary files.
+// TestGoldenSnapshotFiles compares the names of a gateway's snapshot files with the golden file. By these names the next process
+// finds the newest snapshot and removes the outdated ones with their temporary files.
 func TestGoldenSnapshotFiles(t *testing.T) {
 	dir := t.TempDir()
 	var listing strings.Builder
@@ -98,7 +98,7 @@
 		}
 		listing.WriteString("\n")
 	}
-	// The names are given here as other versions write them, and not as this one does.
+	// The names are literals, so that the test covers names that other versions write.
 	const outdated, latest = "dewhitch-n7.0000000000000002.snapshot", "dewhitch-n7.0102030405060708.snapshot"
 	for name, content := range map[string][]byte{outdated: nil, outdated + ".part": nil, latest: golden.Read(t, "image.snapshot")} {
 		if err := os.WriteFile(filepath.Join(dir, name), content, 0o600); err != nil {
@@ -108,7 +108,7 @@
 	list("left")
 	f, err := snapshot.Latest(dir, "n7")
 	if err != nil || f.Generation != goldenGeneration || !reflect.DeepEqual(f.Image, goldenImage()) || len(f.Rejected) > 0 {
-		t.Fatalf("%+v, %v", f, err)
+		t.Fatalf("Latest: got %+v, error %v", f, err)
 	}
 	w, err := snapshot.Claim(dir, "n7", f.Generation)
 	if err != nil {
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -21,7 +21,7 @@
 	"dewhitch/internal/snapshot"
 )
 
-// newImage holds n customers and a few servers, each number of which is v or says its place.
+// newImage returns an image with n customers and 10 servers. The variable numbers of customers are v or a multiple of it.
 func newImage(n int, v float64) *snapshot.Image {
 	m := &snapshot.Image{Node: "n1", Instances: 4, Self: 1, Zones: 2, Classes: []string{"query", "booking"},
 		Plans: []snapshot.Plan{{Name: "fleet", Rate: 8, Burst: 16}, {Name: "basic", Rate: 4, Burst: 8}}}
@@ -38,6 +38,8 @@
 	return m
 }
 
+// TestRoundTrip guards against a snapshot that decodes to another state than was encoded, and against one that is accepted though
+// it is cut short or a byte of it has changed.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newImage(rapid.IntRange(0, 40).Draw(t, "customers"), rapid.Float64Range(0, 1e9).Draw(t, "v"))
@@ -50,27 +52,29 @@
 		g2, m2, err := snapshot.Decode(b)
 		if err != nil || g2 != g || !reflect.DeepEqual(m2.State.Servers, m.State.Servers) ||
 			fmt.Sprint(m2) != fmt.Sprint(m) {
-			t.Fatalf("%v: %v\n%v\n%v", err, g2, m2, m)
+			t.Fatalf("error %v\n got %v %v\nwant %v %v", err, g2, m2, g, m)
 		}
-		// Cut anywhere, or with any byte changed, nothing of it is taken.
+		// A snapshot that is cut anywhere, or has any byte changed, is rejected.
 		if cut := rapid.IntRange(1, len(b)-1).Draw(t, "cut"); errors.Is(decode(b[:cut]), nil) {
-			t.Fatal("taken when cut short")
+			t.Fatal("a truncated snapshot was accepted")
 		}
 		b[rapid.IntRange(0, len(b)-1).Draw(t, "byte")] ^= byte(rapid.IntRange(1, 255).Draw(t, "flip"))
 		if decode(b) == nil {
-			t.Fatal("taken with a byte changed")
+			t.Fatal("a snapshot with a changed byte was accepted")
 		}
 	})
 }
 
+// decode returns the error of decoding b. It panics if Decode returns neither an image nor an error.
 func decode(b []byte) error {
 	_, m, err := snapshot.Decode(b)
 	if err == nil && m == nil {
-		panic("nothing, and no fault")
+		panic("Decode returned neither an image nor an error")
 	}
 	return err
 }
 
+// TestFaultsAreReported checks the error for each kind of snapshot that can't be used.
 func TestFaultsAreReported(t *testing.T) {
 	b, err := snapshot.Encode(nil, snapshot.Generation{Incarnation: 1}, newImage(3, 1))
 	if err != nil {
@@ -89,12 +93,13 @@
 		{modified(func(c []byte) { binary.BigEndian.PutUint32(c[8:], math.MaxUint32) }), snapshot.ErrTorn},
 		{modified(func(c []byte) { c[len(c)-1]++ }), snapshot.ErrTorn}} {
 		if err := decode(v.text); !errors.Is(err, v.want) {
-			t.Errorf("%v, not %v", err, v.want)
+			t.Errorf("got error %v, want %v", err, v.want)
 		}
 	}
 }
 
-// A length that its bytes do not bear out allocates nothing.
+// TestLengthIsNotBelieved guards against a header whose length is far greater than the snapshot, which must not lead to an
+// allocation of that length.
 func TestLengthIsNotBelieved(t *testing.T) {
 	m := newImage(0, 1)
 	b, _ := snapshot.Encode(nil, snapshot.Generation{Incarnation: 1}, m)
@@ -104,22 +109,24 @@
 		decode(c)
 	})
 	if allocations > 20 {
-		t.Errorf("%v allocations", allocations)
+		t.Errorf("got %v allocations, want at most 20", allocations)
 	}
 }
 
+// TestFit guards against state that is assigned to the wrong class or plan after a change of the settings, and against state of
+// another deployment or with invalid numbers that is accepted.
 func TestFit(t *testing.T) {
 	now := func() *snapshot.Image { m := newImage(0, 0); m.State = dw.State{}; return m }
 	exported := newImage(10, 1)
 	reloaded := now()
-	reloaded.Classes = []string{"booking", "inquiry"}                                                         // one dropped, one new, another order
-	reloaded.Plans = []snapshot.Plan{{Name: "basic", Rate: 4, Burst: 8}, {Name: "fleet", Rate: 9, Burst: 16}} // one changed
+	reloaded.Classes = []string{"booking", "inquiry"}                                                         // one class dropped, one new, in another order
+	reloaded.Plans = []snapshot.Plan{{Name: "basic", Rate: 4, Burst: 8}, {Name: "fleet", Rate: 9, Burst: 16}} // one plan changed
 	state, dropped, err := snapshot.Fit(exported, reloaded)
 	if err != nil || dropped != 6 || len(state.Customers) != 5 || state.Customers[0].Plan != 0 {
-		t.Fatalf("%v: %d dropped, %+v", err, dropped, state)
+		t.Fatalf("error %v, %d dropped, want 6, with 5 customers left of %+v", err, dropped, state)
 	}
 	if want := []float64{2, 1}; !reflect.DeepEqual(state.ClassLatencyRatios, want) || state.Servers[0].Failures[0].Count != 2 || state.Servers[0].Failures[1].Count != 0 {
-		t.Fatalf("%v, %+v", state.ClassLatencyRatios, state.Servers[0])
+		t.Fatalf("got latency ratios %v, want %v; first server %+v", state.ClassLatencyRatios, want, state.Servers[0])
 	}
 	for i, corrupt := range []func(m *snapshot.Image){func(m *snapshot.Image) { m.Node = "n2" }, func(m *snapshot.Image) { m.Instances++ },
 		func(m *snapshot.Image) { m.State.Latency = 0 }, func(m *snapshot.Image) { m.State.ClassLatencyRatios = nil },
@@ -129,12 +136,12 @@
 		m := newImage(10, 1)
 		corrupt(m)
 		if state, _, err := snapshot.Fit(m, now()); err == nil || state != nil {
-			t.Errorf("spoilt by %d, and taken", i)
+			t.Errorf("corruption %d: the state was accepted", i)
 		}
 	}
 }
 
-// newWriter is a process's writer, behind all that the folder has.
+// newWriter claims a new incarnation of n1 in the folder, as a process does at its start.
 func newWriter(t *testing.T, dir string) *snapshot.Writer {
 	t.Helper()
 	f, err := snapshot.Latest(dir, "n1")
@@ -148,8 +155,9 @@
 	return w
 }
 
-// Two processes that write in the same second write two files; the newer life wins, whatever comes last, and a file that
-// is not whole gives way to the one before it.
+// TestIncarnationsAndGenerations guards against processes that overwrite each other's snapshots. Processes that write at the same
+// time write separate files, the newer incarnation wins whichever writes last, and an incomplete file is skipped in favor of
+// the one before it.
 func TestIncarnationsAndGenerations(t *testing.T) {
 	dir := t.TempDir()
 	if f, err := snapshot.Latest(dir, "n1"); err != nil || f.Image != nil || len(f.Rejected) > 0 {
@@ -165,14 +173,14 @@
 		t.Helper()
 		f, err := snapshot.Latest(dir, "n1")
 		if err != nil || f.Image == nil || f.Image.State.Customers[4].Level != v || f.Generation != (snapshot.Generation{Incarnation: incarnation, Number: number}) {
-			t.Fatalf("%+v, %v", f.Generation, err)
+			t.Fatalf("got %+v, error %v, want incarnation %d, number %d, level %v", f.Generation, err, incarnation, number, v)
 		}
 	}
 	first := claim()
 	write(first, 1)
 	write(first, 2)
 	second, third := claim(), claim()
-	checkLatest(2, 1, 2) // the claims say nothing yet
+	checkLatest(2, 1, 2) // claimed files without content are skipped
 	write(second, 3)
 	write(first, 4)
 	checkLatest(3, 2, 1)
@@ -188,22 +196,23 @@
 	write(fourth, 6)
 	checkLatest(6, 4, 1)
 	if files, _ = filepath.Glob(filepath.Join(dir, "*")); len(files) != 3 {
-		t.Errorf("left: %v", files) // of life 2, from which the fourth started, and after
+		t.Errorf("got files %v, want those of incarnations 2, from which the fourth started, to 4", files)
 	}
 	if f, err := snapshot.Latest(dir, "n2"); f.Image != nil || err != nil {
-		t.Error("another node's was taken")
+		t.Error("Latest found a snapshot of another node")
 	}
-	// A folder that can't be written to is an error, and leaves what is there.
+	// Claim fails in a folder that can't be written to.
 	if _, err := snapshot.Claim(filepath.Join(dir, "none"), "n1", snapshot.Generation{}); err == nil {
-		t.Error("claimed in no folder")
+		t.Error("Claim succeeded in a folder that does not exist")
 	}
 }
 
-// TestWriterChild is the program that TestKilledWriter kills: it writes, and says each number once that is on the disk.
+// TestWriterChild is the process that TestKilledWriter kills: it writes snapshots and prints the generation of each once it is
+// on the disk.
 func TestWriterChild(t *testing.T) {
 	dir := os.Getenv("SNAPSHOT_CHILD")
 	if dir == "" {
-		t.Skip("not the child")
+		t.Skip("runs only as a child of TestKilledWriter")
 	}
 	w := newWriter(t, dir)
 	for i := 1; ; i++ {
@@ -214,8 +223,8 @@
 	}
 }
 
-// A writer is killed 50 times, at any instant. What is found then is whole and of one write, and at least as new as the
-// last that was said to be on the disk.
+// TestKilledWriter guards against a snapshot that is incomplete or mixed after a crash. It kills a writer 50 times at a random
+// instant. The snapshot found then must be complete, of one write, and at least as new as the last one that the writer reported.
 func TestKilledWriter(t *testing.T) {
 	const seed = 20261201
 	rng := rand.New(rand.NewPCG(seed, 0))
@@ -243,30 +252,31 @@
 		cmd.Wait()
 		f, err := snapshot.Latest(dir, "n1")
 		if err != nil || f.Image == nil || len(f.Rejected) > 0 {
-			t.Fatalf("kill %d: %+v, %v", kill, f, err)
+			t.Fatalf("kill %d: Latest returned %+v, error %v", kill, f, err)
 		}
 		if reported.Number < uint64(after) || f.Incarnation != reported.Incarnation || f.Number < reported.Number {
-			t.Fatalf("kill %d: found %+v, where %+v was on the disk", kill, f.Generation, reported)
+			t.Fatalf("kill %d: found %+v, but the writer reported %+v as written", kill, f.Generation, reported)
 		}
 		want := float64(f.Incarnation*1e6 + f.Number)
 		for _, c := range f.Image.State.Customers {
 			if c.Level != want || c.WindowTotal != want {
-				t.Fatalf("kill %d: mixed: %v in %v", kill, c.Level, want)
+				t.Fatalf("kill %d: state of several writes: got level %v, want %v", kill, c.Level, want)
 			}
 		}
 	}
 	if files, _ := filepath.Glob(filepath.Join(dir, "*.snapshot")); len(files) > 3 {
-		t.Errorf("left: %s", strings.Join(files, " "))
+		t.Errorf("got more than 3 files: %s", strings.Join(files, " "))
 	}
 }
 
+// FuzzDecode guards against a snapshot with a valid header that makes Decode, Fit or the module panic or allocate without bound.
 func FuzzDecode(f *testing.F) {
 	b, _ := snapshot.Encode(nil, snapshot.Generation{Incarnation: 1}, newImage(3, 1))
 	f.Add(b[36:])
 	f.Add([]byte("\x9b\xff\xff\xff\xff\xff\xff\xff\xff"))
 	now := newImage(0, 0)
 	f.Fuzz(func(t *testing.T, body []byte) {
-		// With a header that is right: what is behind it must be bounded and checked, too.
+		// The header is valid, so that the body is what has to be bounded and checked.
 		_, m, err := snapshot.Decode(snapshot.Seal(body))
 		if err != nil {
 			return
@@ -283,6 +293,7 @@
 	})
 }
 
+// twoClasses returns the settings of two classes that differ in nothing.
 func twoClasses() []dw.Class {
 	return []dw.Class{{Objective: 1e9, Deadline: 1e9}, {Objective: 1e9, Deadline: 1e9}}
 }
