--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,6 @@
-// Package config is the one place where configuration is read, checked and given defaults: the environment,
-// the node's JSON and the limits file. Every message names the key at fault; unknown keys are skipped.
+// Package config reads and checks all configuration and sets its defaults: the environment, the node's JSON, and the limits,
+// operations and fleet files. Every error names the faulty key. Unknown keys are ignored, except in the operations and fleet
+// files.
 package config
 
 import (
@@ -16,21 +17,25 @@
 	"dewhitch/internal/config/settings"
 )
 
-// Node is what one gateway is told at its start.
+// Node is the configuration of one gateway. Addresses have the form host:port.
 type Node struct {
-	Name, Listen, Discovery, Counter string
-	Admin                            string // the operators' address; empty: none
-	InheritedFD                      int    // the descriptor of the clients' listening socket, handed down; 0: none
-	TempDir                          string // $TMPDIR: shared with the process that replaces this one
-	Seed                             uint64
-	Cores                            float64
-	MemoryMB, Sockets                int
-	KnownList                        json.RawMessage // the list as last held, in discovery's form; may be nil
-	Settings                         dw.Settings
-	Names                            settings.Names
+	Name        string          // name of the gateway's node
+	Listen      string          // address of the clients' listener
+	Discovery   string          // address of the discovery service
+	Counter     string          // address of the shared counter; empty if Settings.Counter is false
+	Admin       string          // address of the operators' calls; empty if there is none
+	InheritedFD int             // descriptor of the clients' listening socket, inherited from the parent; 0 if there is none
+	TempDir     string          // $TMPDIR, shared with the process that replaces this one
+	Seed        uint64          // seed of the decision module's random numbers
+	Cores       float64         // number of CPU cores that the process may use; default 1
+	MemoryMB    int             // memory that the process may use, in MiB; default 192, at least 32
+	Sockets     int             // number of sockets that the process may open; default 1024, at least 64
+	KnownList   json.RawMessage // last known endpoint list, in discovery's format; may be nil
+	Settings    dw.Settings     // settings of the decision module
+	Names       settings.Names  // names that the settings refer to by index
 }
 
-// The defaults, where the configuration leaves a limit out.
+// Defaults and least values of the limits.
 const (
 	defaultCores    = 1.0
 	defaultMemoryMB = 192
@@ -38,10 +43,10 @@
 	minMemoryMB     = 32
 	minSockets      = 64
 
-	minInheritedFD = 3 // behind the standard streams
+	minInheritedFD = 3 // first descriptor after the standard streams
 )
 
-// nodeFile mirrors the node's JSON.
+// nodeFile mirrors the node's JSON file.
 type nodeFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
@@ -58,7 +63,7 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Error is a fault of the configuration. Key is where it stands: a key, an environment variable, or a file and its line.
+// Error is a fault of the configuration. Key is its place: a key, an environment variable, or a file with the line.
 type Error struct {
 	Key, Problem string
 }
@@ -66,18 +71,19 @@
 // Error implements error.
 func (e *Error) Error() string { return "configuration: " + e.Key + ": " + e.Problem }
 
-// newError makes the error of a key.
+// newError returns an Error for a key.
 func newError(key, format string, args ...any) error {
 	return &Error{key, fmt.Sprintf(format, args...)}
 }
 
-// LoadNode reads the environment through getenv, and the file that it names.
+// LoadNode reads the environment through getenv, and the file that NODE_CONFIG names. Environment variables take precedence over
+// the file. All errors are of type *Error.
 func LoadNode(getenv func(string) string) (*Node, error) {
 	return loadNode(getenv, false)
 }
 
-// ReloadNode reads the same anew, all of it. It guards against a change that goes unheard: the environment keeps the
-// discovery's address of the start, and the file's, which is newer, must not lose to it.
+// ReloadNode reads the environment and the file again, as LoadNode does, but the file's address of discovery takes precedence.
+// The environment still has the address of the process's start, which would hide a change in the file.
 func ReloadNode(getenv func(string) string) (*Node, error) {
 	return loadNode(getenv, true)
 }
@@ -122,13 +128,13 @@
 		return nil, newError("settings", "%v", err)
 	}
 	if err := n.check(); err != nil {
-		return nil, err // nothing of a file with a fault is taken
+		return nil, err // a file with any error is rejected as a whole
 	}
 	return n, nil
 }
 
-// readEnvironment takes what the environment says, which goes before the file. At a reload the file's discovery address goes
-// before the environment's, which is still that of the start.
+// readEnvironment applies the environment, which takes precedence over the file. At a reload the file's address of discovery
+// takes precedence, because the environment still has the address of the process's start.
 func (n *Node) readEnvironment(getenv func(string) string, reload bool) (err error) {
 	for _, v := range []struct {
 		to       *string
@@ -140,7 +146,7 @@
 		}
 	}
 	if fd := getenv("NODE_FD"); fd != "" {
-		// Descriptors 0 to 2 are the standard streams; taking one for a listener would end the log.
+		// Descriptors 0 to 2 are the standard streams. Using one of them as a listener would break the log.
 		if n.InheritedFD, err = strconv.Atoi(fd); err != nil || n.InheritedFD < minInheritedFD {
 			return newError("NODE_FD", "%q is not a descriptor above 2", fd)
 		}
@@ -151,6 +157,7 @@
 	return nil
 }
 
+// check returns an error for the first invalid value, and sets the defaults of the limits.
 func (n *Node) check() error {
 	if n.Name == "" {
 		return newError("name (NODE_NAME)", "missing")
@@ -183,7 +190,7 @@
 	return nil
 }
 
-// orDefault returns v, or the default where it is left out.
+// orDefault returns v, or defaultValue if v is 0.
 func orDefault[T int | float64](v, defaultValue T) T {
 	if v == 0 {
 		return defaultValue
@@ -191,6 +198,7 @@
 	return v
 }
 
+// checkAddress returns an error unless addr has the form host:port with a port from 1 to 65535.
 func checkAddress(key, addr string) error {
 	if addr == "" {
 		return newError(key, "missing")
@@ -205,8 +213,8 @@
 	return nil
 }
 
-// KeysNeedingRestart names the keys in which m differs from n and which are read at the start only. Of the settings, classes and
-// attempts are retuned while the program runs.
+// KeysNeedingRestart returns the keys that differ between n and other and that are only read at the start of the process. Of the
+// settings, Classes and MaxAttempts take effect at a reload.
 func (n *Node) KeysNeedingRestart(other *Node) (keys []string) {
 	oldSettings, newSettings, oldNames, newNames := n.Settings, other.Settings, n.Names, other.Names
 	oldSettings.Classes, oldSettings.MaxAttempts, oldNames.Classes = newSettings.Classes, newSettings.MaxAttempts, newNames.Classes
@@ -223,7 +231,7 @@
 	return keys
 }
 
-// LongestDeadline is the longest deadline of a class.
+// LongestDeadline returns the longest deadline of all classes.
 func (n *Node) LongestDeadline() (longest time.Duration) {
 	for _, c := range n.Settings.Classes {
 		longest = max(longest, time.Duration(c.Deadline))
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -12,18 +12,23 @@
 	"dewhitch/deploy"
 )
 
-// Fleet is how a process takes part in a fleet; nil: it does not.
+// Fleet is the configuration of a process as a member of a fleet.
 type Fleet struct {
-	Name, Listen, Region  string
-	Voters, Seeds         []string
-	Keyring, Dir          string
-	Lease, StatusInterval time.Duration
-	Peers                 map[string]string
-	MaxEvacuatedZones     int      // that the fleet may have out at once of its own accord; 0: a third
-	Registry              Registry // where members are found; without servers they are found by seeds alone
+	Name              string            // name of the fleet; members of other fleets are ignored
+	Listen            string            // host:port for TCP and UDP; only on loopback without a keyring
+	Region            string            // region of this gateway's zone
+	Voters            []string          // names of the voters, the same odd number at all members
+	Seeds             []string          // initial members, each as NAME/HOST:PORT or as a name in Peers
+	Keyring           string            // path of a file with one base64 key a line; the first key encrypts
+	Dir               string            // folder of a voter's log; if empty, the log is lost with the process
+	Lease             time.Duration     // age at which an unconfirmed view counts as outdated; default 2 s
+	StatusInterval    time.Duration     // least time between two statuses of a member; default 200 ms
+	Peers             map[string]string // addresses by member name, in place of those that members announce
+	MaxEvacuatedZones int               // most zones that the fleet evacuates at once by itself; 0 for a third of them
+	Registry          Registry          // registry in which members are found; without servers, seeds alone are used
 }
 
-// LoadFleet reads the fleet file and checks it against the published schema; an empty path is no fleet.
+// LoadFleet reads the fleet file and checks it against the published schema. It returns nil if the path is empty.
 func LoadFleet(path string) (*Fleet, error) {
 	if path == "" {
 		return nil, nil
@@ -53,15 +58,15 @@
 	Peers map[string]string
 }
 
-// The defaults of a fleet's file, in milliseconds.
+// Defaults of the fleet file, in milliseconds, and the least ratio of the lease to the interval of statuses.
 const (
 	defaultLeaseMS  = 2000
 	defaultStatusMS = 200
 
-	minStatusesPerLease = 4 // as a status or its answer may be lost
+	minStatusesPerLease = 4 // least ratio of lease to status interval, as a status or its answer may be lost
 )
 
-// check names the first key that no fleet could work with.
+// check returns an error for the first key with a value that the schema allows but a fleet can't work with.
 func (f *fleetFile) check() error {
 	l := &f.Fleet
 	if l.Name == "" {
@@ -88,7 +93,7 @@
 	for name := range f.Peers {
 		names = append(names, name)
 	}
-	slices.Sort(names) // of two faults, the same one is said each time
+	slices.Sort(names) // makes the reported fault the same on each run if there are several
 	for _, name := range names {
 		if err := checkAddress("peers."+name, f.Peers[name]); err != nil {
 			return err
@@ -107,7 +112,7 @@
 	var f fleetFile
 	f.Fleet.LeaseMS, f.Fleet.StatusMS = defaultLeaseMS, defaultStatusMS
 	f.Fleet.Registry.Path = defaultMembersPath
-	if err := toml.Unmarshal(text, &f); err != nil { // the schema has seen to that
+	if err := toml.Unmarshal(text, &f); err != nil { // not expected after the check against the schema
 		return nil, newError(path, "%v", err)
 	}
 	l := &f.Fleet
@@ -119,6 +124,7 @@
 		return nil, err
 	}
 	registry.Path += "/" + url.PathEscape(l.Name)
-	return &Fleet{MaxEvacuatedZones: l.MaxZones, Registry: registry, Name: l.Name, Listen: l.Listen, Region: l.Region, Voters: l.Voters, Seeds: l.Seeds, Keyring: l.Keyring, Dir: l.Dir,
+	return &Fleet{MaxEvacuatedZones: l.MaxZones, Registry: registry, Name: l.Name, Listen: l.Listen, Region: l.Region,
+		Voters: l.Voters, Seeds: l.Seeds, Keyring: l.Keyring, Dir: l.Dir,
 		Lease: time.Duration(l.LeaseMS) * time.Millisecond, StatusInterval: time.Duration(l.StatusMS) * time.Millisecond, Peers: f.Peers}, nil
 }
--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -6,16 +6,18 @@
 	"testing"
 )
 
+// TestFleetFileThatShips guards against a shipped fleet file that the program rejects.
 func TestFleetFileThatShips(t *testing.T) {
 	f, err := LoadFleet("../../deploy/fleet.toml")
 	if err != nil || f.Name != "turku" || len(f.Voters) != 3 {
-		t.Fatalf("%+v, %v", f, err)
+		t.Fatalf("shipped file: got %+v, error %v", f, err)
 	}
 	if f, err := LoadFleet(""); f != nil || err != nil {
-		t.Errorf("no file is no fleet: %+v, %v", f, err)
+		t.Errorf("empty path: got %+v, error %v, want neither", f, err)
 	}
 }
 
+// TestFleetFaultsNameTheKey checks that the error for each kind of faulty fleet file names the key or the line.
 func TestFleetFaultsNameTheKey(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/fleet.toml")
 	if err != nil {
@@ -33,11 +35,11 @@
 		{"status_ms = 200", "status_ms = ", "fleet.toml:14"},
 	} {
 		if !strings.Contains(string(text), c.old) {
-			t.Fatalf("the file has no %q", c.old)
+			t.Fatalf("the shipped file does not contain %q", c.old)
 		}
 		_, err := parseFleet("fleet.toml", []byte(strings.Replace(string(text), c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: %v; expected %s", c.new, err, c.want)
+			t.Errorf("%s: got error %v, want %s", c.new, err, c.want)
 		}
 	}
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -12,10 +12,10 @@
 	"dewhitch/internal/golden"
 )
 
-// goldenFile is the path of a golden input file, for what is read by its path.
+// goldenFile returns the path of a golden file, for functions that read a file by its path.
 func goldenFile(name string) string { return filepath.Join("testdata", "golden", name) }
 
-// goldenNode is what node.json says, beside the settings.
+// goldenNode returns the expected content of node.json. The settings are those that package settings decodes.
 func goldenNode(t *testing.T) Node {
 	t.Helper()
 	var f struct {
@@ -24,7 +24,7 @@
 	if err := json.Unmarshal(golden.Read(t, "node.json"), &f); err != nil {
 		t.Fatal(err)
 	}
-	s, names, err := settings.Decode(f.Settings) // frozen field by field in that package
+	s, names, err := settings.Decode(f.Settings) // the golden test of that package checks each field
 	if err != nil || len(s.Classes) != 3 {
 		t.Fatal(err)
 	}
@@ -33,13 +33,13 @@
 		Settings: s, Names: names}
 }
 
-// The node's configuration file with each of its keys, and the environment variables that stand above it. Platforms write them; the
-// gateway reads them at its start and at SIGHUP.
+// TestGoldenNode guards against a change in how the node's configuration file and the environment variables that override it are
+// read. Platforms write them, with every key; the gateway reads them at its start and at SIGHUP.
 func TestGoldenNode(t *testing.T) {
 	file := goldenNode(t)
-	withEnvironment := file
-	withEnvironment.Name, withEnvironment.Listen, withEnvironment.Discovery, withEnvironment.Admin, withEnvironment.InheritedFD = "node-2", "10.0.1.1:1101", "10.0.1.2:1102", "10.0.1.4:1104", 5
-	reloaded := withEnvironment
+	withEnv := file
+	withEnv.Name, withEnv.Listen, withEnv.Discovery, withEnv.Admin, withEnv.InheritedFD = "node-2", "10.0.1.1:1101", "10.0.1.2:1102", "10.0.1.4:1104", 5
+	reloaded := withEnv
 	reloaded.Discovery = file.Discovery
 	fileOnly := map[string]string{"NODE_CONFIG": goldenFile("node.json"), "TMPDIR": "/scratch"}
 	allVariables := map[string]string{"NODE_NAME": "node-2", "NODE_LISTEN": "10.0.1.1:1101", "NODE_DISCOVERY": "10.0.1.2:1102",
@@ -49,7 +49,7 @@
 		env  map[string]string
 		load func(func(string) string) (*Node, error)
 		want Node
-	}{{"the file", fileOnly, LoadNode, file}, {"the environment above it", allVariables, LoadNode, withEnvironment},
+	}{{"the file", fileOnly, LoadNode, file}, {"the environment above it", allVariables, LoadNode, withEnv},
 		{"the same, read anew", allVariables, ReloadNode, reloaded}} {
 		got, err := c.load(func(key string) string { return c.env[key] })
 		if err != nil {
@@ -61,7 +61,8 @@
 	}
 }
 
-// The limits file with each of its keys. Operators write it; gateways and forwarders read it.
+// TestGoldenLimits guards against a change in how the limits file is read, with every key. Operators write it; gateways and
+// forwarders read it.
 func TestGoldenLimits(t *testing.T) {
 	got, err := LoadLimits(goldenFile("limits.toml"))
 	if err != nil {
@@ -77,21 +78,24 @@
 	}
 }
 
-// The operators' file with each of its keys. Operators write it; gateways and forwarders read it. sync is on unless the file says otherwise.
+// TestGoldenOperations guards against a change in how the operators' file is read, with every key. Operators write it; gateways
+// and forwarders read it. The golden file turns sync off, which is on by default.
 func TestGoldenOperations(t *testing.T) {
 	got, err := LoadOperations(goldenFile("operations.toml"))
 	if err != nil {
 		t.Fatal(err)
 	}
 	if want := (Operations{Operator: Operator{Listen: "10.0.0.1:3001"},
-		Ledger: Ledger{Enabled: true, Rows: 3002, Open: 3003, RecentPostings: 3004, AuditInterval: 3005 * time.Millisecond, StatementInterval: 3006 * time.Millisecond,
-			AlarmFile: "alarms.jsonl", Dir: "books", SegmentBytes: 7 << 20, Segments: 11, Records: 3009},
+		Ledger: Ledger{Enabled: true, Rows: 3002, Open: 3003, RecentPostings: 3004, AuditInterval: 3005 * time.Millisecond,
+			StatementInterval: 3006 * time.Millisecond,
+			AlarmFile:         "alarms.jsonl", Dir: "books", SegmentBytes: 7 << 20, Segments: 11, Records: 3009},
 		Warm: WarmStart{Mode: "on", Interval: 3010 * time.Millisecond, Dir: "warm"}}); !reflect.DeepEqual(*got, want) {
 		t.Errorf("\n got %+v\nwant %+v", *got, want)
 	}
 }
 
-// The fleet file with each of its keys. Operators write it; a member of a fleet reads it.
+// TestGoldenFleet guards against a change in how the fleet file is read, with every key. Operators write it; a member of a fleet
+// reads it.
 func TestGoldenFleet(t *testing.T) {
 	got, err := LoadFleet(goldenFile("fleet.toml"))
 	if err != nil {
@@ -106,7 +110,7 @@
 	}
 }
 
-// The defaults, where a file leaves its keys out.
+// TestGoldenDefaults guards against a changed default of the keys that a file omits.
 func TestGoldenDefaults(t *testing.T) {
 	dir := t.TempDir()
 	write := func(text string) string {
@@ -122,8 +126,9 @@
 		t.Errorf("limits: %v\n got %+v\nwant %+v", err, limits, want)
 	}
 	operations, err := LoadOperations(write(""))
-	if want := (&Operations{Ledger: Ledger{Rows: 20000, Open: 65536, RecentPostings: 4096, AuditInterval: time.Second, StatementInterval: 10 * time.Second,
-		SegmentBytes: 4 << 20, Segments: 8, Records: 1000000, Sync: true},
+	if want := (&Operations{Ledger: Ledger{Rows: 20000, Open: 65536, RecentPostings: 4096, AuditInterval: time.Second,
+		StatementInterval: 10 * time.Second,
+		SegmentBytes:      4 << 20, Segments: 8, Records: 1000000, Sync: true},
 		Warm: WarmStart{Mode: "auto", Interval: 500 * time.Millisecond}}); err != nil || !reflect.DeepEqual(operations, want) {
 		t.Errorf("operations: %v\n got %+v\nwant %+v", err, operations, want)
 	}
@@ -135,6 +140,6 @@
 	node, err := parseNode([]byte(`{"name":"n","listen":"10.0.0.1:1","discovery":"10.0.0.1:2","seed":"1","settings":{"NInstances":1,`+
 		`"RequestClasses":[{"Aim":1,"Deadline":1,"Effect":"safe"}],"Caps":{"TryLimit":1}}}`), noEnv, false)
 	if err != nil || node.Cores != 1 || node.MemoryMB != 192 || node.Sockets != 1024 || node.KnownList != nil {
-		t.Errorf("node: %v, %+v", err, node)
+		t.Errorf("node: error %v, unexpected limits in %+v", err, node)
 	}
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -8,29 +8,29 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Limits is the limits file: the front for limit commands, the registry, and the forwarder.
+// Limits is the limits file: the front for limit commands, the registry of planners, and the forwarder.
 type Limits struct {
-	Listen   string // of a planner's limits front; empty: the front is off
-	Registry Registry
-	Forward  Forward
+	Listen   string   // host:port of a planner's front for limit commands; off if empty
+	Registry Registry // registry of the planners
+	Forward  Forward  // settings of a forwarder
 }
 
-// Registry says where planners, or members of a fleet, are registered.
+// Registry configures the ZooKeeper registry of planners, or of the members of a fleet.
 type Registry struct {
-	Servers []string // none: nobody is registered
-	Path    string
-	Session time.Duration
+	Servers []string      // ZooKeeper servers, as host:port; nothing is registered if empty
+	Path    string        // path of the parent of the ephemeral nodes; default /dewhitch/planners, or /dewhitch/members and the fleet's name
+	Session time.Duration // timeout of the ZooKeeper session; default 4 s, at least 100 ms
 }
 
-// Forward is what a forwarder is told.
+// Forward configures a forwarder.
 type Forward struct {
-	Listen   string
-	Gateways int // how many there are, as a customer's set is counted round
-	Sockets  int
-	MemoryMB int
+	Listen   string // host:port of the clients' listener
+	Gateways int    // number of gateways of the deployment, modulo which a customer's set is computed
+	Sockets  int    // number of sockets that the process may open; default 1024, at least 64
+	MemoryMB int    // memory that the process may use, in MiB; default 192, at least 32
 }
 
-// The defaults, where the limits file leaves a key out.
+// Defaults and least values of the keys of a registry; the session is in milliseconds.
 const (
 	defaultPlannersPath = "/dewhitch/planners"
 	defaultMembersPath  = "/dewhitch/members"
@@ -38,14 +38,14 @@
 	minSessionMS        = 100
 )
 
-// registryFile is a registry as files have it.
+// registryFile mirrors the table of a registry in the limits and fleet files.
 type registryFile struct {
 	Servers   []string
 	Path      string
 	SessionMS int `toml:"session_ms"`
 }
 
-// parse checks it; key is where it stands.
+// parse checks the table and applies the session's default. key is the table's key, which errors name.
 func (f registryFile) parse(key string) (Registry, error) {
 	r := Registry{f.Servers, f.Path, time.Duration(orDefault(f.SessionMS, defaultSessionMS)) * time.Millisecond}
 	for _, s := range r.Servers {
@@ -98,7 +98,7 @@
 	return l, nil
 }
 
-// CheckForward checks what only a forwarder needs.
+// CheckForward checks the keys that only a forwarder needs.
 func (l *Limits) CheckForward() error {
 	if err := checkAddress("forward.listen", l.Forward.Listen); err != nil {
 		return err
--- a/internal/config/operations.go
+++ b/internal/config/operations.go
@@ -17,42 +17,47 @@
 	"dewhitch/deploy"
 )
 
-// Operations is the operators' file: what is not the platform's to set.
+// Operations is the operators' file, with the settings that the platform does not set.
 type Operations struct {
 	Operator Operator
 	Ledger   Ledger
 	Warm     WarmStart
 }
 
-// WarmStart is how what a process learnt outlives it.
+// WarmStart configures the snapshots by which the decision module's state outlives a process.
 type WarmStart struct {
-	Mode     string // on, off, or auto: where a listening socket is handed down
-	Interval time.Duration
-	Dir      string // empty: $TMPDIR
+	Mode     string        // on, off, or auto, which means on if a listening socket was inherited; default auto
+	Interval time.Duration // time between two snapshots; default 500 ms
+	Dir      string        // folder of snapshots, shared with the next process; $TMPDIR if empty
 }
 
-// Enabled tells whether snapshots are kept by a process that was handed a listening socket, or not.
+// Enabled returns true if the process keeps snapshots. inherited tells whether it inherited a listening socket.
 func (w WarmStart) Enabled(inherited bool) bool {
 	return w.Mode == "on" || w.Mode == "auto" && inherited
 }
 
 // Operator is the operators' listener.
 type Operator struct {
-	Listen string // empty: off
+	Listen string // host:port for /metrics and /ledger; off if empty
 }
 
-// Ledger is how the books are kept.
+// Ledger configures the ledger of requests and its audits.
 type Ledger struct {
-	Enabled                          bool
-	Rows, Open, RecentPostings       int
-	AuditInterval, StatementInterval time.Duration
-	AlarmFile, Dir                   string
-	SegmentBytes                     int
-	Segments, Records                int
-	Sync                             bool
+	Enabled           bool          // whether the ledger is kept; default false
+	Rows              int           // maximum of customers' rows in memory, about 1 KiB each; default 20000
+	Open              int           // maximum of open entries; default 65536
+	RecentPostings    int           // number of recent postings that are kept for alarms; default 4096
+	AuditInterval     time.Duration // time between two audits; default 1 s
+	StatementInterval time.Duration // time between two statements to the disk; default 10 s
+	AlarmFile         string        // path of a file with alarms as JSON lines; none if empty
+	Dir               string        // folder of the durable ledger; if empty, the figures are lost with the process
+	SegmentBytes      int           // size of a segment of the log between statements; default 4 MiB
+	Segments          int           // maximum of segments that no committed statement covers; default 8
+	Records           int           // number of records kept for export; default 1000000
+	Sync              bool          // whether each statement is flushed to the disk; default true
 }
 
-// operationsFile mirrors the file; what it leaves out keeps the value that it was made with.
+// operationsFile mirrors the file. Keys that the file omits keep the values set before decoding.
 type operationsFile struct {
 	Operator struct {
 		Listen string
@@ -75,8 +80,8 @@
 	} `toml:"warm_start"`
 }
 
-// LoadOperations reads the operators' file and checks it against the published schema. Unlike other files it may hold no
-// key that is not known: a misspelt one would leave a guard off that somebody counts on.
+// LoadOperations reads the operators' file and checks it against the published schema. Unlike in other files an unknown key is
+// an error: a misspelt key would silently leave a safeguard off that operators rely on.
 func LoadOperations(path string) (*Operations, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -94,7 +99,7 @@
 	l.Rows, l.Open, l.Flight, l.AuditMS, l.StatementMS = 20000, 65536, 4096, 1000, 10000
 	l.SegmentMB, l.Segments, l.Records, l.Sync = 4, 8, 1000000, true
 	f.Warm.Mode, f.Warm.EveryMS = "auto", 500
-	if err := toml.Unmarshal(text, &f); err != nil { // the schema has seen to that
+	if err := toml.Unmarshal(text, &f); err != nil { // not expected after the check against the schema
 		return nil, newError(path, "%v", err)
 	}
 	if f.Operator.Listen != "" {
@@ -109,7 +114,7 @@
 		Warm: WarmStart{Mode: f.Warm.Mode, Interval: time.Duration(f.Warm.EveryMS) * time.Millisecond, Dir: f.Warm.Dir}}, nil
 }
 
-// validateFile checks a file's keys against a published schema; its error names the first key at fault, and the line.
+// validateFile checks a TOML file against a published schema. Its error names the first faulty key and the line.
 func validateFile(path string, text []byte, schemaName string, schemaText []byte) error {
 	var keys map[string]any
 	if err := toml.Unmarshal(text, &keys); err != nil {
@@ -119,7 +124,7 @@
 		}
 		return newError(path, "%v", err)
 	}
-	// Through JSON and back: the schema knows its kinds of number alone.
+	// The keys are converted to JSON and back, as the schema library only knows its own types of numbers.
 	b, err := json.Marshal(keys)
 	if err != nil {
 		return newError(path, "%v", err)
@@ -147,14 +152,14 @@
 	return nil
 }
 
-// newSchemaError is the error of the first key that does not fit the schema, with its line.
+// newSchemaError returns an error for the first key that violates the schema, with its line.
 func newSchemaError(path string, text []byte, invalid *jsonschema.ValidationError) error {
 	for len(invalid.Causes) > 0 {
 		invalid = invalid.Causes[0]
 	}
 	key := strings.Join(invalid.InstanceLocation, ".")
 	problem := invalid.ErrorKind.LocalizedString(message.NewPrinter(language.English))
-	if _, unknown, ok := strings.Cut(problem, "additional properties '"); ok { // the key is the one that is too many
+	if _, unknown, ok := strings.Cut(problem, "additional properties '"); ok { // the faulty key is the unknown one
 		unknown, _, _ = strings.Cut(unknown, "'")
 		key = strings.TrimPrefix(key+"."+unknown, ".")
 		problem = "there is no such key"
@@ -162,7 +167,7 @@
 	return newError(fmt.Sprintf("%s:%d", path, lineOf(text, key)), "%s: %s", key, problem)
 }
 
-// lineOf finds the line of a key such as ledger.rows, or of its table; 1 if it is written in a form of its own.
+// lineOf returns the line of a key such as ledger.rows, or else that of its table, or 1 if neither is found.
 func lineOf(text []byte, key string) int {
 	table, found := "", 1
 	for i, line := range strings.Split(string(text), "\n") {
--- a/internal/config/operations_test.go
+++ b/internal/config/operations_test.go
@@ -6,6 +6,8 @@
 	"time"
 )
 
+// TestOperations guards against a shipped file that differs from the defaults, and checks that the error for each kind of faulty
+// file names the key and the line.
 func TestOperations(t *testing.T) {
 	o, err := LoadOperations("../../deploy/operations.toml")
 	if err != nil {
@@ -16,11 +18,11 @@
 		t.Fatal(err)
 	}
 	if *o != *defaults {
-		t.Errorf("the file that ships says %+v, the defaults are %+v", o, defaults)
+		t.Errorf("shipped file: got %+v, want the defaults %+v", o, defaults)
 	}
 	if o.Ledger.Enabled || o.Operator.Listen != "" || o.Ledger.AuditInterval != time.Second ||
 		o.Warm.Enabled(false) || !o.Warm.Enabled(true) {
-		t.Errorf("%+v", o)
+		t.Errorf("unexpected defaults: %+v", o)
 	}
 	for text, want := range map[string]string{
 		"[ledger]\n\nrows = 3":                    "f.toml:3: ledger.rows: ",
@@ -34,7 +36,7 @@
 		"[operator]\nlisten = \"here\"":           "operator.listen: \"here\" is not host:port",
 	} {
 		if _, err := parseOperations("f.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v; want %s", text, err, want)
+			t.Errorf("%q: got error %v, want %s", text, err, want)
 		}
 	}
 }
--- a/internal/config/reload_test.go
+++ b/internal/config/reload_test.go
@@ -6,10 +6,11 @@
 	"testing"
 )
 
+// noEnv is an environment without variables.
 func noEnv(string) string { return "" }
 
-// FuzzReload: whatever a file read at SIGHUP holds, it is taken whole with settings that a module can work with, or
-// rejected with an error; it never panics, and a rejected one gives nothing back.
+// FuzzReload checks that a file of any content, read at SIGHUP, is either accepted as a whole with valid settings, or rejected
+// with an error and without a result. Parsing never panics.
 func FuzzReload(f *testing.F) {
 	good, err := os.ReadFile("../../cmd/dewhitch/testdata/node.json")
 	if err != nil {
@@ -23,27 +24,27 @@
 		n, err := parseNode(text, noEnv, true)
 		if err != nil {
 			if n != nil {
-				t.Fatalf("rejected, and yet %+v", n)
+				t.Fatalf("rejected with an error, but the result is %+v", n)
 			}
 			return
 		}
 		if err := n.Settings.Check(); err != nil {
-			t.Fatalf("taken with settings that no module can work with: %v", err)
+			t.Fatalf("accepted with invalid settings: %v", err)
 		}
 		if len(n.Names.Classes) != len(n.Settings.Classes) {
-			t.Fatalf("%d names of %d classes", len(n.Names.Classes), len(n.Settings.Classes))
+			t.Fatalf("got %d class names for %d classes", len(n.Names.Classes), len(n.Settings.Classes))
 		}
 	})
 }
 
-// TestBrokenReloads: the files of the retuning days that must be rejected, each with the key at fault named.
+// TestBrokenReloads checks that faulty files read at SIGHUP are rejected, each with an error that names the faulty key.
 func TestBrokenReloads(t *testing.T) {
 	good, err := os.ReadFile("../../cmd/dewhitch/testdata/node.json")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if _, err := parseNode([]byte(`{"listen":"1.2.3.4:5","discovery":"1.2.3.4:6","counter":"1.2.3.4:7",`+string(good[1:])), noEnv, true); err != nil {
-		t.Fatalf("the good file: %v", err)
+		t.Fatalf("the valid file was rejected: %v", err)
 	}
 	for _, c := range []struct{ text, key string }{
 		{"", "not JSON"},
@@ -55,7 +56,7 @@
 	} {
 		_, err := parseNode([]byte(c.text), noEnv, true)
 		if err == nil || !strings.Contains(err.Error(), c.key) {
-			t.Errorf("%.60q: %v, want %q", c.text, err, c.key)
+			t.Errorf("%.60q: got error %v, want %q", c.text, err, c.key)
 		}
 	}
 }
--- a/internal/config/settings/golden_test.go
+++ b/internal/config/settings/golden_test.go
@@ -9,7 +9,7 @@
 	"dewhitch/internal/golden"
 )
 
-// goldenSettings is what settings.json says, key by key.
+// goldenSettings is the expected content of settings.json.
 var goldenSettings = dw.Settings{Instances: 6, Self: 5, Zones: 3, Zone: 1, Tick: 91,
 	Classes: []dw.Class{
 		{Objective: 41, ObjectiveStretch: 44.5, Deadline: 42, LateWeight: 0.375, Weight: 45.5, Idempotency: dw.Idempotent, DedupScope: dw.DedupAll, DedupWindow: 43, Streaming: true},
@@ -28,8 +28,8 @@
 var goldenNames = Names{Zones: []string{"lake-a", "lake-b", "lake-c"}, Kinds: []string{"small", "large"},
 	Classes: []string{"quote", "order", "charge"}, Plans: []string{"wide", "slim"}, ConnIdle: 1001}
 
-// The settings object with each of its keys, as the simulator's hello message and the node's configuration file hold it.
-// The gateway reads it at its start.
+// TestGoldenSettings guards against a change in how the settings object is read, with every key. The simulator's hello message
+// and the node's configuration file contain it; the gateway reads it at its start.
 func TestGoldenSettings(t *testing.T) {
 	s, names, err := Decode(golden.Read(t, "settings.json"))
 	if err != nil {
@@ -39,14 +39,15 @@
 		t.Errorf("settings\n got %+v\nwant %+v", s, goldenSettings)
 	}
 	if !reflect.DeepEqual(names, goldenNames) {
-		t.Errorf("words\n got %+v\nwant %+v", names, goldenNames)
+		t.Errorf("names\n got %+v\nwant %+v", names, goldenNames)
 	}
 	if err := s.Check(); err != nil {
 		t.Error(err)
 	}
 }
 
-// The words that stand for a value in the settings object, each of them, and the error that names a key whose word is unknown.
+// TestGoldenSettingsWords guards against a change in the meaning of the settings' named values, and compares the errors for
+// unknown names, which contain the key, with the golden file.
 func TestGoldenSettingsWords(t *testing.T) {
 	text := string(golden.Read(t, "settings.json"))
 	for _, c := range []struct {
@@ -67,7 +68,7 @@
 		c.want(&want)
 		got, _, err := Decode([]byte(strings.Replace(text, c.old, c.new, 1)))
 		if err != nil || !reflect.DeepEqual(got, want) {
-			t.Errorf("%s: %v\n got %+v\nwant %+v", c.new, err, got, want)
+			t.Errorf("%s: error %v\n got %+v\nwant %+v", c.new, err, got, want)
 		}
 	}
 	var messages []byte
@@ -75,7 +76,7 @@
 		key, _, _ := strings.Cut(old, ":")
 		_, _, err := Decode([]byte(strings.Replace(text, old, key+`:"odd"`, 1)))
 		if err == nil {
-			t.Fatalf("%s: an unknown word is taken", key)
+			t.Fatalf("%s: an unknown value was accepted", key)
 		}
 		messages = append(append(messages, err.Error()...), '\n')
 	}
--- a/internal/config/settings/object.go
+++ b/internal/config/settings/object.go
@@ -1,7 +1,7 @@
 package settings
 
-// object mirrors the settings object as the platform and the simulator write it: the names of its fields are the keys. Keys
-// that are not listed are skipped. Times are in nanoseconds.
+// object mirrors the settings object that the platform and the simulator write. The names of its fields are the keys; other
+// keys are ignored. Times are in nanoseconds.
 type object struct {
 	Az    int
 	Areas []string
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings reads the settings object, which the simulator and a real gateway's configuration share. It is the one place
-// where the object's keys are mapped to the module's terms.
+// Package settings decodes the settings object, which the simulator and the configuration of a gateway have in common. It alone
+// maps the object's keys to the decision module's settings.
 package settings
 
 import (
@@ -10,13 +10,14 @@
 	dw "dewhitch"
 )
 
-// Names are the names in the settings, which the module does without, and what connections need to know.
+// Names holds the parts of the settings object that the decision module does not use: names, by index in the module's settings,
+// and a timeout of connections.
 type Names struct {
 	Zones, Kinds, Classes, Plans []string
-	ConnIdle                     time.Duration // a backend closes a connection that was idle for so long
+	ConnIdle                     time.Duration // time after which a backend closes an idle connection
 }
 
-// The values of the keys that take a word. An empty one is a key that is left out.
+// Values of the keys that take a name. An empty name is that of an omitted key.
 var (
 	listModes     = map[string]bool{"": false, "pushed": false, "on_request": true}
 	reportSources = map[string]dw.ReportSource{"": dw.ReportsNone, "none": dw.ReportsNone, "answers": dw.ReportsInAnswers,
@@ -25,7 +26,7 @@
 	dedupScopes   = map[string]dw.DedupScope{"": dw.DedupAll, "all": dw.DedupAll, "zone": dw.DedupZone, "cell": dw.DedupCell}
 )
 
-// UnknownValueError is a key whose value is none of those that it takes.
+// UnknownValueError is the error of a key whose value is not one of its named values.
 type UnknownValueError struct {
 	Key, Value string
 }
@@ -33,7 +34,7 @@
 // Error implements error.
 func (e *UnknownValueError) Error() string { return fmt.Sprintf("%s: unknown word %q", e.Key, e.Value) }
 
-// lookup finds the value of a key that takes a word.
+// lookup returns the value of a key that takes a name, or an UnknownValueError.
 func lookup[T any](key, value string, values map[string]T) (T, error) {
 	v, known := values[value]
 	if !known {
@@ -42,7 +43,8 @@
 	return v, nil
 }
 
-// Decode reads the settings object. It does not check what the module can work with: see dewhitch.Settings.Check.
+// Decode decodes the settings object. It does not check whether the module can work with the settings, which
+// dewhitch.Settings.Check does.
 func Decode(text []byte) (dw.Settings, Names, error) {
 	var o object
 	if err := json.Unmarshal(text, &o); err != nil {
@@ -65,7 +67,7 @@
 	return s, names, err
 }
 
-// scalars are the settings of one value each.
+// scalars returns the settings that have a single value.
 func (o *object) scalars() dw.Settings {
 	s := dw.Settings{
 		Instances:        o.NInstances,
@@ -104,6 +106,7 @@
 	return s
 }
 
+// plans appends the plans to the settings and their names to names.
 func (o *object) plans(s *dw.Settings, names *Names) {
 	for _, c := range o.Contracts {
 		names.Plans = append(names.Plans, c.Name)
@@ -121,6 +124,7 @@
 	}
 }
 
+// classes appends the request classes to the settings and their names to names. It fails for an unknown value.
 func (o *object) classes(s *dw.Settings, names *Names) (err error) {
 	for _, c := range o.RequestClasses {
 		names.Classes = append(names.Classes, c.Name)
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -52,7 +52,7 @@
 		g2, m2, err := snapshot.Decode(b)
 		if err != nil || g2 != g || !reflect.DeepEqual(m2.State.Servers, m.State.Servers) ||
 			fmt.Sprint(m2) != fmt.Sprint(m) {
-			t.Fatalf("error %v\n got %v %v\nwant %v %v", err, g2, m2, g, m)
+			t.Fatalf("error %v, got generation %v\n got %v\nwant %v", err, g2, m2, m)
 		}
 		// A snapshot that is cut anywhere, or has any byte changed, is rejected.
 		if cut := rapid.IntRange(1, len(b)-1).Draw(t, "cut"); errors.Is(decode(b[:cut]), nil) {
@@ -126,7 +126,7 @@
 		t.Fatalf("error %v, %d dropped, want 6, with 5 customers left of %+v", err, dropped, state)
 	}
 	if want := []float64{2, 1}; !reflect.DeepEqual(state.ClassLatencyRatios, want) || state.Servers[0].Failures[0].Count != 2 || state.Servers[0].Failures[1].Count != 0 {
-		t.Fatalf("got latency ratios %v, want %v; first server %+v", state.ClassLatencyRatios, want, state.Servers[0])
+		t.Fatalf("got latency ratios %v and first server %+v", state.ClassLatencyRatios, state.Servers[0])
 	}
 	for i, corrupt := range []func(m *snapshot.Image){func(m *snapshot.Image) { m.Node = "n2" }, func(m *snapshot.Image) { m.Instances++ },
 		func(m *snapshot.Image) { m.State.Latency = 0 }, func(m *snapshot.Image) { m.State.ClassLatencyRatios = nil },
@@ -156,7 +156,7 @@
 }
 
 // TestIncarnationsAndGenerations guards against processes that overwrite each other's snapshots. Processes that write at the same
-// time write separate files, the newer incarnation wins whichever writes last, and an incomplete file is skipped in favor of
+// time write separate files, the newer incarnation wins whichever writes last, and an incomplete file is skipped in favour of
 // the one before it.
 func TestIncarnationsAndGenerations(t *testing.T) {
 	dir := t.TempDir()
@@ -173,7 +173,7 @@
 		t.Helper()
 		f, err := snapshot.Latest(dir, "n1")
 		if err != nil || f.Image == nil || f.Image.State.Customers[4].Level != v || f.Generation != (snapshot.Generation{Incarnation: incarnation, Number: number}) {
-			t.Fatalf("got %+v, error %v, want incarnation %d, number %d, level %v", f.Generation, err, incarnation, number, v)
+			t.Fatalf("unexpected newest snapshot: got %+v, error %v", f.Generation, err)
 		}
 	}
 	first := claim()
