--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -15,6 +15,7 @@
 	"go.uber.org/zap"
 )
 
+// TestParse checks the calls that lines are parsed to, and the texts of errors, which operators read.
 func TestParse(t *testing.T) {
 	for _, c := range []struct {
 		line string
@@ -50,8 +51,8 @@
 	}
 }
 
-// FuzzParse: whatever comes, a call that is taken is one of the verbs, with an id where it needs one, and words that
-// were in the line.
+// FuzzParse checks that a line of any content is either rejected, or parsed to a known verb with an id exactly if the verb takes
+// one, and that the id is part of the line.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{"readyz", "exclude s-1", "include  s-2\r", "telemetry", "\xff\xfe", "evacuate x"} {
 		f.Add([]byte(s))
@@ -62,15 +63,16 @@
 			return
 		}
 		if c.Verb < Readyz || c.Verb > Activate {
-			t.Fatalf("verb %d", c.Verb)
+			t.Fatalf("unknown verb %d", c.Verb)
 		}
 		needsID := c.Verb == Exclude || c.Verb == Include
 		if needsID != (c.ID != "") || len(c.ID) > MaxID || !strings.Contains(string(line), c.ID) {
-			t.Fatalf("%q: %+v", line, c)
+			t.Fatalf("%q: unexpected call %+v", line, c)
 		}
 	})
 }
 
+// fakeGateway lists the server s-1 only, and records drains and exclusions.
 type fakeGateway struct {
 	mu       sync.Mutex
 	drained  bool
@@ -92,6 +94,8 @@
 	return nil
 }
 
+// startServer starts a server with a fakeGateway and returns its address. At the test's end it stops the server and checks that
+// no goroutine is left.
 func startServer(t *testing.T) string {
 	before := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, before) }) // after the server has ended
@@ -112,6 +116,7 @@
 	return l.Addr().String()
 }
 
+// call sends a line over a new connection, closes its sending side, and returns all that is answered.
 func call(t *testing.T, addr, line string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -129,6 +134,7 @@
 	return string(out)
 }
 
+// TestCalls checks the answers to calls over TCP.
 func TestCalls(t *testing.T) {
 	addr := startServer(t)
 	for _, c := range []struct{ line, want string }{
@@ -144,8 +150,8 @@
 		{"readyz\r\n", "YES\n"},
 		{"jump\n", "NO unknown call \"jump\"\n"},
 		{strings.Repeat("x", 1000) + "\n", "NO line too long\n"},
-		{"readyz\nreadyz\n", "YES\n"}, // one call a connection
-		{"readyz", ""},                // no whole line: nobody is answered when the caller ends its side
+		{"readyz\nreadyz\n", "YES\n"}, // only the first call of a connection is answered
+		{"readyz", ""},                // an incomplete line gets no answer
 	} {
 		if got := call(t, addr, c.line); got != c.want {
 			t.Errorf("%.20q: %q, want %q", c.line, got, c.want)
@@ -153,8 +159,8 @@
 	}
 }
 
-// TestSilentCallersKeepNobodyOut: callers that hold connections with half a line, more of them than there are places, keep
-// nobody out; each call is still answered at once.
+// TestIdleCallersBlockNoCalls guards against idle connections that keep operators from calling. With more connections than
+// MaxCallers open, each of which sent half a line, a call is still answered promptly.
 func TestIdleCallersBlockNoCalls(t *testing.T) {
 	addr := startServer(t)
 	var idle []net.Conn
@@ -170,15 +176,15 @@
 	for range 5 {
 		start := time.Now()
 		if got := call(t, addr, "readyz\n"); got != "YES\n" {
-			t.Fatalf("%q", got)
+			t.Fatalf("got answer %q, want YES", got)
 		}
-		if waited := time.Since(start); waited > callTimeout/2 { // the bound is loose: this is no test of speed
+		if waited := time.Since(start); waited > callTimeout/2 { // a loose bound, as speed is not tested here
 			t.Fatalf("answered after %v", waited)
 		}
 	}
-	// The oldest were let go to make room.
+	// The oldest connections were closed.
 	idle[0].SetReadDeadline(time.Now().Add(10 * time.Second))
 	if _, err := bufio.NewReader(idle[0]).ReadByte(); err == nil {
-		t.Fatal("the oldest caller was kept")
+		t.Fatal("the connection of the oldest caller is still open")
 	}
 }
--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -1,5 +1,6 @@
-// Package admin is the operators' address. A connection carries one call, a line of text, which is answered by a line that starts
-// with YES or NO. The package owns the parser of that line and the callers' connections; a Gateway carries the calls out.
+// Package admin serves the calls of operators. A connection carries one call, a line of text, which is answered by a line that
+// starts with YES or NO; the call telemetry is answered by its figures and a line END. The package parses the line and owns the
+// callers' connections; a Gateway executes the calls.
 package admin
 
 import (
@@ -8,22 +9,22 @@
 	"fmt"
 )
 
-// Verb is what a call asks for.
+// Verb is the operation of a call.
 type Verb int
 
-// The verbs.
+// The verbs of calls.
 const (
-	Readyz    Verb = iota // whether the gateway is ready to serve
-	Telemetry             // the figures, then a line END
-	Exclude               // no new work to a server
-	Include               // the end of an exclusion
-	Evacuate              // drain the gateway
-	Activate              // the end of the drain
+	Readyz    Verb = iota // reports whether the gateway is ready to serve
+	Telemetry             // returns the figures, then a line END
+	Exclude               // sends no new work to a server
+	Include               // ends the exclusion of a server
+	Evacuate              // drains the gateway
+	Activate              // ends the drain of the gateway
 )
 
 var verbs = map[string]struct {
 	verb  Verb
-	hasID bool // it takes a server's id
+	hasID bool // whether the call takes a server's id
 }{
 	"readyz":    {Readyz, false},
 	"telemetry": {Telemetry, false},
@@ -36,20 +37,20 @@
 // Call is one operator's call.
 type Call struct {
 	Verb Verb
-	ID   string // of a server, for Exclude and Include
+	ID   string // id of the server for Exclude and Include, otherwise empty
 }
 
 // Bounds of a call, in bytes.
 const (
-	MaxLine = 256 // of a line, with its end
-	MaxID   = 64  // of a server's id
+	MaxLine = 256 // greatest length of a line with its end
+	MaxID   = 64  // greatest length of a server's id
 )
 
-// ErrLineTooLong says that a line did not end within MaxLine bytes.
+// ErrLineTooLong is the error of a line that does not end within MaxLine bytes.
 var ErrLineTooLong = errors.New("line too long")
 
-// Parse reads one line, without its end; a \r before the end is ignored. Fields are separated by spaces or tabs; the verb may be in
-// any case, an id is read as it stands. The texts of its errors are answered to the operator.
+// Parse parses one line, without its end. A trailing \r is ignored. Fields are separated by spaces or tabs; the verb is case
+// insensitive, an id is not. The texts of its errors are sent to the operator.
 func Parse(line []byte) (Call, error) {
 	if len(line) >= MaxLine {
 		return Call{}, ErrLineTooLong
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -12,7 +12,7 @@
 	"dewhitch/internal/golden"
 )
 
-// goldenGateway takes every call but those about the server s-2; it is ready until it is drained.
+// goldenGateway accepts every call except those with the server s-2. It is ready until it is drained.
 type goldenGateway struct{ drained bool }
 
 func (g *goldenGateway) Ready() bool                     { return !g.drained }
@@ -27,8 +27,8 @@
 	return nil
 }
 
-// TestGoldenCalls keeps the operators' calls and the bytes of their answers, faults among them, which operators' scripts
-// and the platform's readiness check read.
+// TestGoldenCalls compares the answers to operators' calls, valid and invalid, with the golden file. Operators' scripts and the
+// platform's readiness check read them.
 func TestGoldenCalls(t *testing.T) {
 	s := &Server{Gateway: &goldenGateway{}}
 	var exchanges bytes.Buffer
@@ -44,13 +44,13 @@
 	golden.Compare(t, "calls", exchanges.Bytes())
 }
 
-// callOverPipe sends one line over a connection of its own, and reads to the end.
+// callOverPipe sends one line over a new connection and returns all that is answered.
 func callOverPipe(s *Server, line string) ([]byte, error) {
 	client, server := net.Pipe()
 	go func() {
 		defer server.Close()
 		s.answer(server)
 	}()
-	go io.WriteString(client, line+"\n") // of a line that is too long, not all is read
+	go io.WriteString(client, line+"\n") // blocks if the line is too long, as the server does not read all of it
 	return io.ReadAll(client)
 }
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -14,36 +14,36 @@
 	"dewhitch/internal/sockets"
 )
 
-// Gateway carries out the operators' calls. Its methods are called on any goroutine, also at the same time, and may not block for
+// Gateway executes the operators' calls. Its methods are called from several goroutines concurrently and must not block for
 // long, as a call is answered within a second.
 type Gateway interface {
-	Ready() bool
-	AppendTelemetry([]byte) []byte // one line of JSON
-	Exclude(id string) error       // fails for a server that was never listed
-	Include(id string) error       // fails as Exclude does
-	Drain(on bool)
+	Ready() bool                   // returns true if clients may be sent to the gateway
+	AppendTelemetry([]byte) []byte // appends the figures as one line of JSON
+	Exclude(id string) error       // sends no new work to a server; fails if it was never listed
+	Include(id string) error       // ends an exclusion; fails if the server was never listed
+	Drain(on bool)                 // starts or ends a drain of the gateway
 }
 
-// Bounds of the callers.
+// Bounds of the callers' connections.
 const (
-	MaxCallers  = 32              // connections at once; when all are in use, the oldest is closed
-	callTimeout = 3 * time.Second // from the connection to the end of the line
-	sendTimeout = time.Second     // for the answer
+	MaxCallers  = 32              // maximum of open connections; one more closes the oldest
+	callTimeout = 3 * time.Second // time from the connection to the end of the call's line
+	sendTimeout = time.Second     // time to send the answer
 )
 
-// Server serves operators' calls at one address. Its exported fields are set before Serve.
+// Server serves operators' calls at one address. Its exported fields are set before Serve and not changed afterwards.
 type Server struct {
 	Listener net.Listener
 	Gateway  Gateway
 	Log      *zap.Logger
 
 	mu       sync.Mutex
-	callers  []net.Conn     // the oldest first
-	handlers sync.WaitGroup // of callers
+	callers  []net.Conn     // open connections, the oldest first
+	handlers sync.WaitGroup // goroutines that handle a caller
 }
 
-// Serve answers calls until the context ends, which closes the connections of callers that have not sent their line, and returns
-// after the last caller. A fault of the listener ends it with that error.
+// Serve answers calls until the context ends. The end closes the listener and all connections, and Serve returns nil after the
+// last caller's goroutine has ended. It returns the error of a listener that fails before.
 func (s *Server) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
 		s.Listener.Close()
@@ -70,18 +70,19 @@
 	}
 }
 
-// admit adds a caller, in place of the oldest if there are MaxCallers: connections that send nothing must not keep an operator out.
+// admit adds a caller. If there are MaxCallers already, it closes the connection of the oldest, so that connections that send
+// nothing can't keep an operator from calling.
 func (s *Server) admit(conn net.Conn) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(s.callers) >= MaxCallers {
-		s.callers[0].Close() // its goroutine sees that, and releases it
+		s.callers[0].Close() // its goroutine then fails to read and releases the connection
 		s.callers = s.callers[1:]
 	}
 	s.callers = append(s.callers, conn)
 }
 
-// release closes a caller's connection and removes the caller, if it is still there.
+// release closes a caller's connection and removes it from callers, unless admit did so already.
 func (s *Server) release(conn net.Conn) {
 	conn.Close()
 	s.mu.Lock()
@@ -91,7 +92,7 @@
 	}
 }
 
-// answer reads one line and answers it. A caller that leaves or does not send its line in time gets no answer.
+// answer reads one line and answers it. A caller that disconnects or does not send its line in time gets no answer.
 func (s *Server) answer(conn net.Conn) {
 	conn.SetReadDeadline(time.Now().Add(callTimeout))
 	r := bufio.NewReaderSize(conn, MaxLine)
@@ -112,7 +113,7 @@
 	}
 }
 
-// execute carries out the call of one line and returns its answer.
+// execute executes the call of one line and returns the answer.
 func (s *Server) execute(line []byte) []byte {
 	c, err := Parse(line)
 	if err != nil {
@@ -140,7 +141,7 @@
 	return []byte("YES\n")
 }
 
-// appendError appends the answer to a call that failed: one line, without control characters.
+// appendError appends the answer to a failed call: one line, with spaces for control characters.
 func appendError(b []byte, err error) []byte {
 	b = append(b, "NO "...)
 	for _, c := range []byte(err.Error()) {
--- a/internal/ops/figures.go
+++ b/internal/ops/figures.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// MaxClasses bounds the class names that the figures hold, over all reloads of the settings.
+// MaxClasses is the maximum number of class names that are counted separately, over all reloads of the settings.
 const MaxClasses = 256
 
-// Result is how a request ended, as the figures count it.
+// Result is the result of a request, as the figures count it.
 type Result int
 
-// The verdicts.
+// The results of requests.
 const (
 	Success Result = iota
 	Overload
@@ -28,25 +28,25 @@
 	dispatches atomic.Int64
 }
 
-// Figures are the counts since the start of the process. Classes are known by name: reloaded settings may add, drop and reorder
-// them, and a count goes on under its name. The zero Figures are ready for use.
+// Figures counts events since the start of the process. Classes are identified by name: reloaded settings may add, drop and
+// reorder classes, and a class keeps its counts under its name. The zero value is ready for use.
 type Figures struct {
 	mu      sync.Mutex
-	classes []*classCounts                          // in the order in which they were first named; up to MaxClasses
-	byName  atomic.Pointer[map[string]*classCounts] // never changed in place, so that it is read without the lock
+	classes []*classCounts                          // in the order of their first mention; at most MaxClasses
+	byName  atomic.Pointer[map[string]*classCounts] // replaced and never changed, so that it is read without the lock
 
-	dispatches        atomic.Int64 // of all classes, also those not named
-	concurrent        atomic.Int64 // open requests
-	targets           atomic.Int64 // listed servers
-	disabled          atomic.Int64 // of targets, those that get no new work
+	dispatches        atomic.Int64 // attempts written to backends, of all classes, including unknown ones
+	concurrent        atomic.Int64 // number of open requests
+	targets           atomic.Int64 // number of listed servers
+	disabled          atomic.Int64 // number of listed servers that get no new work
 	reloadsAccepted   atomic.Int64
 	reloadsRejected   atomic.Int64
-	snapshotsLoaded   atomic.Int64 // at the start
-	snapshotsRejected atomic.Int64 // at the start
-	snapshotAgeMS     atomic.Int64 // of the one that was loaded
+	snapshotsLoaded   atomic.Int64 // snapshots loaded at the start
+	snapshotsRejected atomic.Int64 // snapshots rejected at the start
+	snapshotAgeMS     atomic.Int64 // age of the loaded snapshot at the start, in milliseconds
 }
 
-// AddClasses adds the names of classes that requests may have; earlier names go on counting.
+// AddClasses adds the names of classes that requests may have. Earlier names are kept. Names beyond MaxClasses are ignored.
 func (f *Figures) AddClasses(names []string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -63,7 +63,7 @@
 	f.byName.Store(&byName)
 }
 
-// class is the counts of a class; nil if it was never named.
+// class returns the counts of a class, or nil if its name was not added.
 func (f *Figures) class(name string) *classCounts {
 	if byName := f.byName.Load(); byName != nil {
 		return (*byName)[name]
@@ -71,7 +71,7 @@
 	return nil
 }
 
-// RequestEnded counts the end of a request of a class; a class that was never named is ignored.
+// RequestEnded counts a request that ended. It ignores a class whose name was not added.
 func (f *Figures) RequestEnded(class string, r Result) {
 	if c := f.class(class); c != nil {
 		c.results[r].Add(1)
@@ -86,19 +86,19 @@
 	}
 }
 
-// AddOpen changes the number of open requests: 1 for each that comes, -1 for each that ends.
+// AddOpen changes the number of open requests, by 1 for each that arrives and by -1 for each that ends.
 func (f *Figures) AddOpen(change int64) { f.concurrent.Add(change) }
 
-// Concurrent is the number of open requests.
+// Concurrent returns the number of open requests.
 func (f *Figures) Concurrent() int64 { return max(0, f.concurrent.Load()) }
 
-// Targets sets the number of listed servers, and of those of them that get no new work.
+// Targets implements core.TargetsReporter: it sets the number of listed servers, and how many of them get no new work.
 func (f *Figures) Targets(listed, disabled int) {
 	f.targets.Store(int64(listed))
 	f.disabled.Store(int64(disabled))
 }
 
-// CountReload counts a configuration that was read at SIGHUP, accepted or rejected.
+// CountReload counts a configuration that was read at SIGHUP and was accepted or rejected.
 func (f *Figures) CountReload(accepted bool) {
 	if accepted {
 		f.reloadsAccepted.Add(1)
@@ -107,14 +107,14 @@
 	}
 }
 
-// SetSnapshots sets how many snapshots were loaded and rejected at the start, and the age of the one that was loaded.
+// SetSnapshots sets the number of snapshots that were loaded and rejected at the start, and the age of the loaded one.
 func (f *Figures) SetSnapshots(loaded, rejected int, age time.Duration) {
 	f.snapshotsLoaded.Store(int64(loaded))
 	f.snapshotsRejected.Store(int64(rejected))
 	f.snapshotAgeMS.Store(age.Milliseconds())
 }
 
-// AppendJSON appends the figures as one JSON object, with the fields that each of more appends, each after a comma.
+// AppendJSON appends the figures as one JSON object. Each function of more appends further fields, each with a comma before it.
 func (f *Figures) AppendJSON(b []byte, more ...func([]byte) []byte) []byte {
 	b = append(b, `{"replies":{`...)
 	b = f.appendClasses(b)
@@ -142,7 +142,7 @@
 	return append(b, '}')
 }
 
-// appendClasses appends a JSON member for each class.
+// appendClasses appends a JSON field for each class, with its counts.
 func (f *Figures) appendClasses(b []byte) []byte {
 	f.mu.Lock()
 	classes := f.classes
--- a/internal/ops/golden_test.go
+++ b/internal/ops/golden_test.go
@@ -9,8 +9,8 @@
 	"dewhitch/internal/golden"
 )
 
-// TestGoldenFigures keeps the JSON object of the figures, with a value of its own in every field, as operators' tools and
-// the drills read it from the answer to the call telemetry.
+// TestGoldenFigures compares the JSON object of the figures, with a distinct value in every field, with the golden file.
+// Operators' tools and the drills read it from the answer to the call telemetry.
 func TestGoldenFigures(t *testing.T) {
 	var f Figures
 	f.AddClasses([]string{"lookup", "order"})
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -7,20 +7,21 @@
 	"testing"
 )
 
+// TestFigures checks the counts, and guards against a reload of the settings that loses or mixes up the counts of classes.
 func TestFigures(t *testing.T) {
 	var f Figures
 	f.AddClasses([]string{"lookup", "order"})
 	f.RequestEnded("lookup", Success)
 	f.RequestEnded("order", Overload)
 	f.RequestEnded("order", Error)
-	f.RequestEnded("nothing", Success) // no such class: passed over
+	f.RequestEnded("nothing", Success) // an unknown class is ignored
 	f.Dispatched("order")
 	f.AddOpen(1)
 	f.Targets(5, 2)
 	f.CountReload(true)
 	f.CountReload(false)
 	f.CountReload(false)
-	// Settings read anew drop a class, add one and reorder: counts go on under their names.
+	// Reloaded settings drop a class, add one and reorder them. The counts continue under the classes' names.
 	f.AddClasses([]string{"bulk", "lookup"})
 	f.RequestEnded("lookup", Success)
 	f.RequestEnded("bulk", Error)
@@ -45,7 +46,7 @@
 	}
 }
 
-// TestFiguresAtOnce: counts from many goroutines, while the classes change and the figures are read, all add up.
+// TestFiguresConcurrently guards against lost counts when goroutines count while classes are added and the figures are read.
 func TestFiguresConcurrently(t *testing.T) {
 	var f Figures
 	f.AddClasses([]string{"a"})
@@ -71,10 +72,11 @@
 	}
 	json.Unmarshal(f.AppendJSON(nil), &got)
 	if got.Replies["a"].Success != 8000 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("got %+v, want 8000 successes", got)
 	}
 }
 
+// TestState checks readiness and the notifications through a start, a repeated drain, its end, and a shutdown.
 func TestState(t *testing.T) {
 	var s State
 	var notified []bool
@@ -94,12 +96,12 @@
 	}
 	s.End()
 	if s.Ready() || len(notified) != 2 || !notified[0] || notified[1] {
-		t.Fatalf("%v %v", s.Ready(), notified)
+		t.Fatalf("after the end: ready %v, notifications %v", s.Ready(), notified)
 	}
 }
 
-// Operators and the gateway itself may drain it, in any order: it is drained as long as either does, and those that watch
-// are notified of each change once.
+// TestIndependentDrains guards against a drain by operators that ends a drain by the fleet, or the reverse. The gateway is
+// drained as long as either drains it, and watchers are notified of each change once.
 func TestIndependentDrains(t *testing.T) {
 	steps := map[string]func(*State){
 		"operators drain": func(s *State) { s.Drain(true) }, "operators end": func(s *State) { s.Drain(false) },
@@ -122,7 +124,7 @@
 			steps[step](&s)
 		}
 		if !slices.Equal(notified, c.want) || s.Drained() != (len(c.want)%2 == 1) {
-			t.Errorf("%q: notified %v, drained %v, not %v", c.order, notified, s.Drained(), c.want)
+			t.Errorf("%q: got notifications %v, drained %v, want notifications %v", c.order, notified, s.Drained(), c.want)
 		}
 	}
 }
--- a/internal/ops/state.go
+++ b/internal/ops/state.go
@@ -1,5 +1,5 @@
 // Package ops owns the operating state of a gateway: whether it is ready, whether it is drained, and the figures that operators
-// read. It does no I/O and reads no clock. All of it is safe for any goroutine; what is called for each request takes no lock.
+// read. It does no I/O and reads no clock. All of it is safe for concurrent use; functions called for each request take no lock.
 package ops
 
 import (
@@ -7,41 +7,42 @@
 	"sync/atomic"
 )
 
-// Who may drain a gateway, independently of each other.
+// The parties that may drain a gateway, independently of each other.
 const (
 	byOperators = iota
 	byFleet
 	drainerCount
 )
 
-// State is whether the gateway serves. The zero State is that of a gateway that has not started.
+// State is the operating state of a gateway. The zero value is the state of a gateway that has not started. drained is true
+// exactly if an element of drainedBy is.
 type State struct {
-	started atomic.Bool // it listens and has an endpoint list
-	ending  atomic.Bool // SIGTERM came
-	drained atomic.Bool // by anyone of drainedBy
+	started atomic.Bool // whether the gateway listens and has an endpoint list
+	ending  atomic.Bool // whether SIGTERM was received
+	drained atomic.Bool // whether operators or the fleet have drained the gateway
 
-	mu        sync.Mutex // guards the fields below
-	drainedBy [drainerCount]bool
-	watchers  []func(drained bool)
+	mu        sync.Mutex           // guards the fields below
+	drainedBy [drainerCount]bool   // drains, by the party that started them
+	watchers  []func(drained bool) // functions to call at each change of drained
 }
 
 // Start marks the gateway as able to serve.
 func (s *State) Start() { s.started.Store(true) }
 
-// End marks the gateway as ending, for good.
+// End marks the gateway as shutting down, permanently.
 func (s *State) End() { s.ending.Store(true) }
 
-// Ready reports whether clients should be sent here.
+// Ready returns true if clients should be sent to the gateway: it has started, is not shutting down and is not drained.
 func (s *State) Ready() bool { return s.started.Load() && !s.ending.Load() && !s.drained.Load() }
 
-// Drained reports whether operators or the fleet have drained the gateway.
+// Drained returns true if operators or the fleet have drained the gateway.
 func (s *State) Drained() bool { return s.drained.Load() }
 
-// Drain drains the gateway by an operator's call, or ends that; a repeated call changes nothing. Watchers are notified of each
-// change, in order, before it returns.
+// Drain starts or ends the operators' drain of the gateway. A repeated call has no effect. Watchers are notified of each change,
+// in order, before it returns.
 func (s *State) Drain(on bool) { s.drain(byOperators, on) }
 
-// DrainByFleet is Drain by the fleet's decision. Neither ends the other.
+// DrainByFleet starts or ends the drain by the fleet's decision, as Drain does for operators. Neither ends the other.
 func (s *State) DrainByFleet(on bool) { s.drain(byFleet, on) }
 
 func (s *State) drain(drainer int, on bool) {
@@ -57,8 +58,8 @@
 	}
 }
 
-// OnDrainChange has f called at each change of the drain. The calls come one at a time; f may not block, and may not call Drain,
-// DrainItself or Watch.
+// OnDrainChange registers f to be called at each change of Drained. Calls do not overlap. f must not block, and must not call
+// Drain, DrainByFleet or OnDrainChange.
 func (s *State) OnDrainChange(f func(drained bool)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
