--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -159,9 +159,9 @@
 	}
 }
 
-// TestIdleCallersBlockNoCalls guards against idle connections that keep operators from calling. With more connections than
+// TestSilentCallersKeepNobodyOut guards against idle connections that keep operators from calling. With more connections than
 // MaxCallers open, each of which sent half a line, a call is still answered promptly.
-func TestIdleCallersBlockNoCalls(t *testing.T) {
+func TestSilentCallersKeepNobodyOut(t *testing.T) {
 	addr := startServer(t)
 	var idle []net.Conn
 	for range 3 * MaxCallers {
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -118,7 +118,7 @@
 }
 
 // A kill leaves a temporary file of any length behind: the next write is not disturbed by it.
-func TestReplaceWithLeftoverTemporaryFile(t *testing.T) {
+func TestReplaceOverWhatAKillLeft(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	const text = "text"
 	for n := range 3 * len(text) {
--- a/internal/operator/golden_ledger_test.go
+++ b/internal/operator/golden_ledger_test.go
@@ -13,7 +13,7 @@
 	"dewhitch/internal/ledger/recorder"
 )
 
-// fixedReport is a report with all fields.
+// fixedReport is a Source whose report has a value in every field.
 type fixedReport struct{}
 
 func (fixedReport) Report() recorder.Report {
@@ -31,7 +31,7 @@
 		Total: counts(400), Open: 501, Rows: 502, Evictions: 503, Abandoned: 504, Alarms: 505, Raised: 506, Cleared: 507}
 }
 
-// TestGoldenLedgerComponent freezes the page /ledger and the ledger's metrics, which operators' tools read.
+// TestGoldenLedgerComponent compares the page /ledger and the ledger's metrics with golden files. Operators' tools read them.
 func TestGoldenLedgerComponent(t *testing.T) {
 	component := Ledger(fixedReport{}, func() bool { return true })
 	mux, registry := http.NewServeMux(), prometheus.NewRegistry()
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -12,12 +12,12 @@
 	"dewhitch/internal/ledger/recorder"
 )
 
-// fixedSource gives a report that does not change.
+// fixedSource is a Source with a constant report.
 type fixedSource recorder.Report
 
 func (b fixedSource) Report() recorder.Report { return recorder.Report(b) }
 
-// counts has a value of its own at each event, from a first one on.
+// counts returns counts with a distinct value for each event, which follow first.
 func counts(first uint64) (c ledger.Counts) {
 	for e := ledger.None + 1; e < ledger.EventCount; e++ {
 		n := first + uint64(e)
@@ -26,8 +26,8 @@
 	return c
 }
 
-// TestGoldenPages keeps the operators' pages of the ledger: the metrics, names, labels and values, and the JSON lines of
-// /ledger, which operators' alerts and scripts read.
+// TestGoldenPages compares the operators' pages of the ledger, the metrics with names, labels and values and the JSON lines of
+// /ledger, with golden files. Operators' alerts and scripts read them.
 func TestGoldenPages(t *testing.T) {
 	report := fixedSource{
 		Names: ledger.Names{Plans: []string{"fleet", "basic"}, Classes: []string{"query", "booking"}},
@@ -37,7 +37,7 @@
 			{Key: ledger.Key{Customer: 0xdef, Plan: 1, Class: ledger.ClassQuery}, Counts: counts(3000)},
 			{Key: ledger.Key{Customer: 0xdef, Plan: 1, Class: ledger.ClassAdjust}, Counts: counts(4000)},
 			{Key: ledger.Account(0xdef), Counts: counts(5000)},
-			{Key: ledger.Key{Customer: 0xdef, Plan: 7, Class: 8}}, // numbers without names, and nothing posted
+			{Key: ledger.Key{Customer: 0xdef, Plan: 7, Class: 8}}, // indices without names, and no postings
 		},
 		Total: counts(6000), Open: 11, Rows: 12, Evictions: 13, Abandoned: 14, Alarms: 15, Raised: 16, Cleared: 17,
 	}
@@ -57,11 +57,11 @@
 		if err != nil || answer.StatusCode != http.StatusOK {
 			t.Fatalf("%s: %d, %v", path, answer.StatusCode, err)
 		}
-		kind, _, _ := strings.Cut(answer.Header.Get("Content-Type"), ";") // what is behind it is the library's
+		kind, _, _ := strings.Cut(answer.Header.Get("Content-Type"), ";") // the library determines the parameters after it
 		page := strings.Builder{}
 		page.WriteString("Content-Type: " + kind + "\n")
 		for line := range strings.Lines(string(body)) {
-			if !strings.HasPrefix(line, "go_") && !strings.Contains(line, " go_") { // the runtime's are not the program's
+			if !strings.HasPrefix(line, "go_") && !strings.Contains(line, " go_") { // metrics of the Go runtime are not the program's
 				page.WriteString(line)
 			}
 		}
@@ -69,7 +69,7 @@
 	}
 	select {
 	case err := <-served:
-		t.Errorf("it ended: %v", err)
+		t.Errorf("Serve returned early: %v", err)
 	default:
 	}
 }
--- a/internal/operator/ledger.go
+++ b/internal/operator/ledger.go
@@ -11,21 +11,22 @@
 	"dewhitch/internal/ledger/statement"
 )
 
-// Source reports on the ledger. It is called from any goroutine.
+// Source returns a report of the ledger's figures. It is called from any goroutine.
 type Source interface{ Report() recorder.Report }
 
-// Ledger is the part that shows the ledger. durable reports whether what is posted now survives a crash.
+// Ledger returns the component that publishes the ledger. durable returns true if what is posted now survives a crash of the
+// process.
 func Ledger(s Source, durable func() bool) Component {
 	return &ledgerComponent{source: s, durable: durable}
 }
 
-// ledgerComponent makes metrics of a report at each scrape, so that nothing is counted twice.
+// ledgerComponent derives the metrics from a report at each scrape, and keeps no counts that could differ from the ledger's.
 type ledgerComponent struct {
 	source  Source
 	durable func() bool
 }
 
-// Pages implements Part: /ledger has a JSON line for each row.
+// Pages implements Component: /ledger has a JSON line for each row.
 func (p *ledgerComponent) Pages(mux *http.ServeMux) {
 	mux.HandleFunc("GET /ledger", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/jsonl")
@@ -46,6 +47,7 @@
 	})
 }
 
+// desc returns the description of a metric, whose name gets the prefix dewhitch_.
 func desc(name, help string, labels ...string) *prometheus.Desc {
 	return prometheus.NewDesc("dewhitch_"+name, help, labels, nil)
 }
@@ -66,7 +68,7 @@
 	durableDesc      = desc("ledger_lasting", "1 if what is booked now survives a crash of the process.")
 )
 
-// rowDescs are the metrics of a row's events, by the book that has the event.
+// rowDescs are the metrics of a row's events, by the journal that has the event.
 var rowDescs = [ledger.JournalCount]*prometheus.Desc{ledger.JournalFront: requestsDesc, ledger.JournalPlanner: decisionsDesc,
 	ledger.JournalAttempts: attemptsDesc}
 
@@ -96,8 +98,8 @@
 	gauge(ch, durableDesc, durable)
 }
 
-// collectRows collects the events of each row of a plan and class. Events that never came are left out, but for that of
-// accepted requests, so that each row shows.
+// collectRows collects the events of each row of a plan and class. It omits events with a count of 0, except that of accepted
+// requests, so that each row appears.
 func collectRows(ch chan<- prometheus.Metric, r *recorder.Report) {
 	for _, line := range r.Lines {
 		if line.Key.Class == ledger.ClassAccount {
@@ -113,7 +115,7 @@
 	}
 }
 
-// collectTotals collects units and calls to the counter, over all customers.
+// collectTotals collects the units and the calls to the shared counter, over all customers.
 func collectTotals(ch chan<- prometheus.Metric, r *recorder.Report) {
 	for e := ledger.None + 1; e < ledger.EventCount; e++ {
 		switch e.Journal() {
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -1,6 +1,6 @@
-// Package operator is the operators' listener: what the parts of a running program show there, as Prometheus metrics and
-// pages of their own, the ledger's among them. Labels are plans, classes and events, whose number is bounded; customers are
-// in the ledger's own exports.
+// Package operator serves the operators' HTTP listener, on which the components of a running program publish Prometheus metrics
+// and pages, among them the ledger's. Labels are plans, classes and events, whose number is bounded; figures by customer are
+// only in the ledger's own exports.
 package operator
 
 import (
@@ -15,22 +15,24 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// The bounds hold for each request: a listener that is open to operators is open to their mistakes.
+// Bounds of each HTTP request, which limit the effect of operators' mistakes.
 const (
-	readTimeout    = 5 * time.Second
-	writeTimeout   = 30 * time.Second
-	maxHeaderBytes = 16 << 10 // bytes
-	maxScrapes     = 2        // of the metrics, at the same time
+	readTimeout    = 5 * time.Second  // time to read one request
+	writeTimeout   = 30 * time.Second // time to write one answer
+	maxHeaderBytes = 16 << 10         // greatest size of a request's header, in bytes
+	maxScrapes     = 2                // maximum of concurrent requests for the metrics
 )
 
-// Component is what one part of the program shows: its pages, and its metrics. Its methods are called from any goroutine.
+// Component is a component of the program that publishes metrics and pages. Its methods are called from any goroutine,
+// concurrently.
 type Component interface {
-	// Pages adds the part's pages.
+	// Pages adds the handlers of the component's pages.
 	Pages(*http.ServeMux)
 	prometheus.Collector
 }
 
-// Serve answers at a listener until the context ends, and closes it. The error is that of a listener that failed before.
+// Serve serves the components' metrics and pages on a listener until the context ends, and closes it. It returns nil then, and
+// the error of a listener that fails before.
 func Serve(ctx context.Context, l net.Listener, parts ...Component) error {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector())
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -100,9 +100,9 @@
 	}
 }
 
-// TestIndependentDrains guards against a drain by operators that ends a drain by the fleet, or the reverse. The gateway is
+// TestDrainsOfTwo guards against a drain by operators that ends a drain by the fleet, or the reverse. The gateway is
 // drained as long as either drains it, and watchers are notified of each change once.
-func TestIndependentDrains(t *testing.T) {
+func TestDrainsOfTwo(t *testing.T) {
 	steps := map[string]func(*State){
 		"operators drain": func(s *State) { s.Drain(true) }, "operators end": func(s *State) { s.Drain(false) },
 		"it drains itself": func(s *State) { s.DrainByFleet(true) }, "it ends": func(s *State) { s.DrainByFleet(false) },
--- a/internal/telemetry/golden_test.go
+++ b/internal/telemetry/golden_test.go
@@ -12,7 +12,7 @@
 	"dewhitch/internal/ledger"
 )
 
-// goldenMetrics has a value of its own in each figure.
+// goldenMetrics returns metrics with a distinct value in each figure.
 func goldenMetrics() *Metrics {
 	m := New()
 	m.ListRead(101, 450_000, 102*time.Millisecond)
@@ -35,12 +35,13 @@
 	return m
 }
 
-// TestGoldenMetrics keeps the names, types and labels of the metrics, which operators' alerts go by.
+// TestGoldenMetrics compares the names, types and labels of the metrics with the golden file. Operators' alerts depend on them.
 func TestGoldenMetrics(t *testing.T) {
 	golden.Compare(t, "metrics", golden.Metrics(t, goldenMetrics()))
 }
 
-// TestGoldenFields keeps the fields that go after the figures in the answer to the operators' call telemetry.
+// TestGoldenFields compares the fields that follow the figures in the answer to the operators' call telemetry with the golden
+// file.
 func TestGoldenFields(t *testing.T) {
 	golden.Compare(t, "fields.json", append(goldenMetrics().AppendFields([]byte(`{"first":1`)), '}'))
 	want := map[string]int64{"first": 1, "list_version_read": 105, "list_age_read_ms": 23, "list_age_read_max_ms": 104,
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -1,6 +1,6 @@
-// Package telemetry measures how endpoint updates and requests get through a gateway: which version of the list was read and
-// which is applied, how old it was by then, how long messages waited for the planner, and why requests were rejected or
-// retried and connections closed. All labels are from fixed sets.
+// Package telemetry measures the processing of endpoint updates and requests in a gateway: the versions of the endpoint list
+// that were read and applied with their ages, the time that messages waited for the planner, and the reasons for which requests
+// ended or were retried and connections were closed. All labels are from fixed sets.
 package telemetry
 
 import (
@@ -18,44 +18,44 @@
 
 const namespace = "dewhitch"
 
-// buckets are the bounds of histograms of times, in seconds, up to the grace period of a drain.
+// buckets are the bounds of the histograms of durations, in seconds. The greatest one is the grace period of a drain.
 var buckets = []float64{0.0001, 0.0005, 0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 6}
 
-// Stage is how far an update of the endpoint list has come.
+// Stage is a stage in the processing of an update of the endpoint list.
 type Stage int
 
-// The stages.
+// The stages of an update.
 const (
-	StageRead    Stage = iota // read completely and decoded
-	StageApplied              // applied by the planner: every decision goes by it
+	StageRead    Stage = iota // the update is read completely and decoded
+	StageApplied              // the planner has applied the update, and all later decisions use it
 	stageCount
 )
 
 var stageNames = [stageCount]string{"read", "applied"}
 
-// Metrics are the measurements of one process. They implement core.Monitor, discovery.Monitor, operator.Part and
-// prometheus.Collector, and are safe for concurrent use.
+// Metrics holds the measurements of one process. It implements core.Monitor, discovery.Monitor, operator.Component and
+// prometheus.Collector, and is safe for concurrent use.
 type Metrics struct {
-	collectors []prometheus.Collector // all that are registered, but for the list's versions
+	collectors []prometheus.Collector // all metrics except the versions of the list
 
-	waits    [core.QueueCount]prometheus.Observer // by queue, in seconds
-	maxWaits [core.QueueCount]atomic.Int64        // ns; since the start of the process
+	waits    [core.QueueCount]prometheus.Observer // waiting times by queue, in seconds
+	maxWaits [core.QueueCount]atomic.Int64        // greatest waiting times by queue since the start of the process, in nanoseconds
 
 	versionDesc       *prometheus.Desc
-	versions          [stageCount]atomic.Int64 // of the endpoint list
-	ages              [stageCount]prometheus.Observer
-	lastAges          [stageCount]atomic.Int64 // ns; from a message's first byte
-	maxAges           [stageCount]atomic.Int64 // ns; since the start of the process
-	listBytes         prometheus.Counter
-	listInterruptions *prometheus.CounterVec // by reason
-
-	ended   [ledger.EventCount]prometheus.Counter // nil: not an event of the planner's
-	retries [dw.OutcomeCount]prometheus.Counter   // by the outcome of the attempt before
-	closed  *prometheus.CounterVec                // of client connections, by reason
-	overdue prometheus.Counter                    // client connections
+	versions          [stageCount]atomic.Int64        // last version of the endpoint list at each stage
+	ages              [stageCount]prometheus.Observer // ages of updates at each stage, from the first byte of the message, in seconds
+	lastAges          [stageCount]atomic.Int64        // age of the last update at each stage, in nanoseconds
+	maxAges           [stageCount]atomic.Int64        // greatest age at each stage since the start of the process, in nanoseconds
+	listBytes         prometheus.Counter              // bytes of messages from discovery that were read
+	listInterruptions *prometheus.CounterVec          // interrupted connections for the endpoint list, by reason
+
+	requestsEnded      [ledger.EventCount]prometheus.Counter // ended requests by event; nil for events of other journals than the planner's
+	retries            [dw.OutcomeCount]prometheus.Counter   // retries by the outcome of the previous attempt
+	connectionsClosed  *prometheus.CounterVec                // closed client connections, by reason
+	connectionsOverdue prometheus.Counter                    // client connections open after the deadline for closing them
 }
 
-// New makes metrics that are all zero.
+// New returns metrics that are all zero.
 func New() *Metrics {
 	m := &Metrics{versionDesc: prometheus.NewDesc(namespace+"_list_version", "Version of the list of servers, by how far it has come.",
 		[]string{"stage"}, nil)}
@@ -70,20 +70,21 @@
 	m.listBytes = m.counter("list_bytes_total", "Bytes of messages of discovery's that were read.").WithLabelValues()
 	m.listInterruptions = m.counter("list_breaks_total", "Ends of the list's connection, by reason.", "reason")
 	answers := m.counter("answers_total", "Requests that the planner ended, by reason.", "reason")
-	for e := range m.ended {
+	for e := range m.requestsEnded {
 		if ledger.Event(e).Journal() == ledger.JournalPlanner {
-			m.ended[e] = answers.WithLabelValues(ledger.Event(e).String())
+			m.requestsEnded[e] = answers.WithLabelValues(ledger.Event(e).String())
 		}
 	}
 	retries := m.counter("retries_total", "Attempts after a first one, by the end of the one before.", "after")
 	for o := range m.retries {
 		m.retries[o] = retries.WithLabelValues(dw.Outcome(o).String())
 	}
-	m.closed = m.counter("connections_closed_total", "Client connections that ended, by reason.", "reason")
-	m.overdue = m.counter("connections_overdue_total", "Client connections held past the time of a drain or an ending.").WithLabelValues()
+	m.connectionsClosed = m.counter("connections_closed_total", "Client connections that ended, by reason.", "reason")
+	m.connectionsOverdue = m.counter("connections_overdue_total", "Client connections held past the time of a drain or an ending.").WithLabelValues()
 	return m
 }
 
+// histogram adds a histogram of durations in seconds with one label.
 func (m *Metrics) histogram(name, help, label string) *prometheus.HistogramVec {
 	v := prometheus.NewHistogramVec(prometheus.HistogramOpts{Namespace: namespace, Name: name, Help: help, Buckets: buckets},
 		[]string{label})
@@ -91,6 +92,7 @@
 	return v
 }
 
+// counter adds a counter with the given labels.
 func (m *Metrics) counter(name, help string, labels ...string) *prometheus.CounterVec {
 	v := prometheus.NewCounterVec(prometheus.CounterOpts{Namespace: namespace, Name: name, Help: help}, labels)
 	m.collectors = append(m.collectors, v)
@@ -127,7 +129,7 @@
 
 // Answered implements core.Monitor.
 func (m *Metrics) Answered(reason ledger.Event) {
-	if c := m.ended[reason]; c != nil {
+	if c := m.requestsEnded[reason]; c != nil {
 		c.Inc()
 	}
 }
@@ -135,13 +137,13 @@
 // Retried implements core.Monitor.
 func (m *Metrics) Retried(after dw.Outcome) { m.retries[after].Inc() }
 
-// ConnectionClosed counts a client's connection that ended. The reason is one of a fixed set.
-func (m *Metrics) ConnectionClosed(reason string) { m.closed.WithLabelValues(reason).Inc() }
+// ConnectionClosed counts a client connection that was closed. The reason is one of a fixed set.
+func (m *Metrics) ConnectionClosed(reason string) { m.connectionsClosed.WithLabelValues(reason).Inc() }
 
-// ConnectionsOverdue counts client connections that are open after the time for them, at a drain or a shutdown.
-func (m *Metrics) ConnectionsOverdue(n int) { m.overdue.Add(float64(n)) }
+// ConnectionsOverdue counts n client connections that are open after the deadline for closing them, in a drain or a shutdown.
+func (m *Metrics) ConnectionsOverdue(n int) { m.connectionsOverdue.Add(float64(n)) }
 
-// storeMax sets v to n if that is more.
+// storeMax sets v to n if n is greater.
 func storeMax(v *atomic.Int64, n int64) {
 	for {
 		old := v.Load()
@@ -151,7 +153,7 @@
 	}
 }
 
-// AppendFields appends the newest figures as fields of a JSON object, each after a comma. Times are in milliseconds.
+// AppendFields appends the current figures as fields of a JSON object, each with a comma before it. Times are in milliseconds.
 func (m *Metrics) AppendFields(b []byte) []byte {
 	field := func(name string, n int64) {
 		b = append(strconv.AppendQuote(append(b, ','), name), ':')
@@ -168,7 +170,7 @@
 	return b
 }
 
-// Pages implements operator.Part: there are no pages besides the metrics.
+// Pages implements operator.Component. It adds no pages.
 func (m *Metrics) Pages(*http.ServeMux) {}
 
 // Describe implements prometheus.Collector.
--- a/internal/telemetry/telemetry_test.go
+++ b/internal/telemetry/telemetry_test.go
@@ -14,7 +14,8 @@
 	"dewhitch/internal/ledger"
 )
 
-// What is measured shows in the operators' JSON line and in the metrics, under names that alerts can go by.
+// TestMeasurementsAreExported checks that measurements appear in the operators' JSON line and in the metrics, under the names
+// that alerts use.
 func TestMeasurementsAreExported(t *testing.T) {
 	m := New()
 	prometheus.NewPedanticRegistry().MustRegister(m)
@@ -25,7 +26,7 @@
 	m.Waited(core.QueueEndpoints, 3*time.Millisecond)
 	m.Waited(core.QueueEndpoints, time.Millisecond)
 	m.Answered(ledger.PlanRejectedQuota)
-	m.Answered(ledger.FrontTaken) // none of the planner's
+	m.Answered(ledger.FrontTaken) // not an event of the planner
 	m.Retried(dw.OutcomeNotSent)
 	m.ConnectionClosed("drained")
 	m.ConnectionsOverdue(2)
@@ -36,7 +37,7 @@
 	for name, want := range map[string]int64{"list_version_read": 7, "list_version_applied": 7, "list_age_applied_ms": 25,
 		"list_age_applied_max_ms": 30, "wait_news_max_ms": 3, "wait_arrival_max_ms": 0} {
 		if got[name] != want {
-			t.Errorf("%s is %d, want %d", name, got[name], want)
+			t.Errorf("%s: got %d, want %d", name, got[name], want)
 		}
 	}
 	want := `
