--- a/deploy/schema.go
+++ b/deploy/schema.go
@@ -1,5 +1,5 @@
-// Package deploy holds the published schemas of the operators' files, so that the program and its readers check by the
-// same ones. It does nothing itself.
+// Package deploy embeds the published schemas of the operators' files, so that the program checks files against the same schemas
+// that operators' tools use.
 package deploy
 
 import _ "embed"
--- a/internal/classtable/classtable.go
+++ b/internal/classtable/classtable.go
@@ -1,9 +1,9 @@
-// Package classtable maps the class names that clients use to classes of the decision module, over reloads of the settings. It does
-// no I/O and reads no clock.
+// Package classtable maps the class names that clients use to classes of the decision module, across reloads of the settings. It
+// does no I/O and reads no clock.
 //
-// The module has the classes of its start for its lifetime, as its quota accounts, server statistics and open requests refer to
-// them. A class of reloaded settings is mapped to one of those whose rules are at least as strict as its own, so that following
-// the module's rules breaks none of the new class's.
+// The module keeps the classes that it was created with, as its quota accounts, server statistics and open requests refer to
+// them. A class of reloaded settings is mapped to one of these whose rules are at least as strict as its own, so that the module
+// violates none of the new class's rules.
 package classtable
 
 import (
@@ -13,20 +13,20 @@
 	dw "dewhitch"
 )
 
-// Entry is what one class name means.
+// Entry maps a class name to a class of the module.
 type Entry struct {
 	Name        string
-	Class       int            // index of the module's class; below 0: none is strict enough, and requests of the name are rejected
-	Idempotency dw.Idempotency // by the settings that named it last, for the command that its requests come by
+	Class       int            // index of the module's class, or below 0 if none is strict enough and requests of the name are rejected
+	Idempotency dw.Idempotency // idempotency in the latest settings with the name, which decides by which command its requests may come
 }
 
-// Table is the names that clients may use, those of the settings in force first. It is never changed in place.
+// Table lists the names that clients may use, those of the current settings first. A table is not modified after its creation.
 type Table []Entry
 
-// MaxNames bounds the names of a table: those of dropped classes are forgotten first, the oldest first.
+// MaxNames is the number of names above which a reload drops names of earlier settings, the oldest first.
 const MaxNames = 256
 
-// New is the table of the settings that the module was made with. Of a repeated name the first counts.
+// New returns the table of the settings that the module is created with. Only the first class of a repeated name is used.
 func New(names []string, classes []dw.Class) Table {
 	t := make(Table, 0, len(names))
 	for i, n := range names {
@@ -37,9 +37,10 @@
 	return t
 }
 
-// WithSpareClasses are the classes that a module is made with, and their names for ledger and snapshots: those of the settings, and
-// after them, for each idempotent one, the same as a class that is not idempotent. Reloaded settings may change a class to that;
-// without the spare class, all requests of it would be rejected until a restart. Clients can't name the spare classes.
+// WithSpareClasses returns the classes that a module is created with, and their names for the ledger and snapshots: those of the
+// settings, and after them, for each idempotent class, a spare copy that is not idempotent. Reloaded settings may make a class
+// non-idempotent; without the spare class, all its requests would be rejected until a restart. Clients can't use the names of
+// spare classes.
 func WithSpareClasses(names []string, classes []dw.Class) ([]string, []dw.Class) {
 	names = slices.Clone(names)
 	classes = slices.Clone(classes)
@@ -56,8 +57,8 @@
 	return names, classes
 }
 
-// Reload is the table when settings with these classes come into force; module is the module's classes. Names that the settings
-// drop stay at the end, for clients that still use them. Of a repeated name the first counts.
+// Reload returns the table for reloaded settings with the given classes. module is the module's classes. Names that the settings
+// drop stay at the end, for clients that still use them. Only the first class of a repeated name is used.
 func (t Table) Reload(module []dw.Class, names []string, classes []dw.Class) Table {
 	out := make(Table, 0, len(names)+len(t))
 	named := make(map[string]bool, len(names))
@@ -77,7 +78,7 @@
 	return out
 }
 
-// Find is the entry of a name.
+// Find returns the entry of a name, and true if there is one.
 func (t Table) Find(name string) (Entry, bool) {
 	for _, e := range t {
 		if e.Name == name {
@@ -87,7 +88,7 @@
 	return Entry{}, false
 }
 
-// Names are the names of the table, in its order.
+// Names returns the names of the table, in its order.
 func (t Table) Names() []string {
 	names := make([]string, len(t))
 	for i, e := range t {
@@ -96,11 +97,12 @@
 	return names
 }
 
-// idempotencyDistance is the distance of two classes of different idempotency, far above the other distances: the class would lose retries.
+// idempotencyDistance is added to the distance of two classes of different idempotency. It is far above the other distances,
+// because such a mapping makes the class lose retries.
 const idempotencyDistance = 100
 
-// NearestClass is the index of the module's class that a class is mapped to: an equal one, or the nearest of those that are at least as
-// strict, by deadline, objective and weight; -1 if none is.
+// NearestClass returns the index of the module's class that c is mapped to: an equal class, or the nearest, by deadline, objective,
+// weight and idempotency, of those that are at least as strict. It returns -1 if there is none.
 func NearestClass(module []dw.Class, c dw.Class) int {
 	nearest := -1
 	shortest := math.Inf(1)
@@ -124,11 +126,11 @@
 	return nearest
 }
 
-// logRatio is the distance of two amounts, on a scale on which twice and half are equally far.
+// logRatio returns the distance of two amounts on a logarithmic scale, on which twice and half an amount are equally far from it.
 func logRatio(a, b float64) float64 { return math.Abs(math.Log(max(a, 1e-9) / max(b, 1e-9))) }
 
-// AtLeastAsStrict tells whether following the rules of m breaks none of those of c: m may not allow a retry that c forbids, nor one at more
-// servers or for a longer time.
+// AtLeastAsStrict returns true if a request of class c may be handled by the rules of m: m allows no retry that c forbids, and
+// retries at no more servers and for no longer than c.
 func AtLeastAsStrict(m, c dw.Class) bool {
 	if m.Streaming != c.Streaming {
 		return false
--- a/internal/classtable/classtable_test.go
+++ b/internal/classtable/classtable_test.go
@@ -10,6 +10,7 @@
 	dw "dewhitch"
 )
 
+// class draws a class.
 func class(t *rapid.T, label string) dw.Class {
 	return dw.Class{
 		Objective:   dw.Span(rapid.IntRange(1, 5).Draw(t, label+".aim")) * 1e8,
@@ -22,6 +23,7 @@
 	}
 }
 
+// classes draws 1 to 6 classes and their names, which may be repeated.
 func classes(t *rapid.T, label string) ([]string, []dw.Class) {
 	n := rapid.IntRange(1, 6).Draw(t, label)
 	names := make([]string, n)
@@ -33,9 +35,9 @@
 	return names, cs
 }
 
-// TestReloadedTable: after any number of retunings, every name of the settings in force goes under a class of the
-// module whose rules are at least as strict, or none; an equal class goes under itself; the names of earlier settings
-// stay, with what they meant; the table is bounded.
+// TestReloadedTable guards against reloaded settings whose requests are handled by less strict rules than their own. After any
+// number of reloads every name is mapped to a module class that is at least as strict, or to none if there is none. An equal
+// class is preferred, names of earlier settings keep their entries, and the table is bounded.
 func TestReloadedTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names, module := classes(t, "module")
@@ -52,61 +54,63 @@
 				seen[n] = true
 				e, ok := table.Find(n)
 				if !ok || e.Idempotency != cs[i].Idempotency {
-					t.Fatalf("%s: %+v, %v", n, e, ok)
+					t.Fatalf("%s: got entry %+v, found %v", n, e, ok)
 				}
 				if e.Class >= 0 && !AtLeastAsStrict(module[e.Class], cs[i]) {
-					t.Fatalf("%s: %+v goes under %+v", n, cs[i], module[e.Class])
+					t.Fatalf("%s: class %+v is mapped to the less strict %+v", n, cs[i], module[e.Class])
 				}
 				if e.Class < 0 {
 					for _, m := range module {
 						if AtLeastAsStrict(m, cs[i]) {
-							t.Fatalf("%s: refused, though %+v would do", n, m)
+							t.Fatalf("%s: mapped to no class, though %+v is strict enough", n, m)
 						}
 					}
 				}
 				for j, m := range module {
 					if m == cs[i] && module[e.Class] != m {
-						t.Fatalf("%s: equal to class %d, goes under %d", n, j, e.Class)
+						t.Fatalf("%s: equal to class %d, but mapped to %d", n, j, e.Class)
 					}
 				}
 			}
 			for _, e := range before {
 				if got, ok := table.Find(e.Name); !ok || !seen[e.Name] && got != e {
-					t.Fatalf("%s: was %+v, is %+v", e.Name, e, got)
+					t.Fatalf("%s: the entry changed from %+v to %+v", e.Name, e, got)
 				}
 			}
 			if len(table) > MaxNames {
-				t.Fatalf("%d names", len(table))
+				t.Fatalf("got %d names, over MaxNames", len(table))
 			}
 		}
 	})
 }
 
-// With spares, a class of any effect has one to go under, whatever the settings of the start named, but for streaming; and
-// the names of the start mean what they meant.
+// TestSpareClassesCoverEveryIdempotency guards against a reload that rejects all requests of a class because its idempotency
+// changed. With spare classes, a class of any idempotency is mapped to one that is strict enough if streaming is the same, and
+// the names of the initial settings keep their classes.
 func TestSpareClassesCoverEveryIdempotency(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names, module := classes(t, "module")
 		extendedNames, extended := WithSpareClasses(names, module)
 		if len(extendedNames) != len(extended) {
-			t.Fatalf("%d names of %d classes", len(extendedNames), len(extended))
+			t.Fatalf("got %d names for %d classes", len(extendedNames), len(extended))
 		}
 		for i, m := range module {
 			if extended[i] != m || extendedNames[i] != names[i] {
-				t.Fatalf("class %d is %+v, was %+v", i, extended[i], m)
+				t.Fatalf("class %d: got %+v, want %+v", i, extended[i], m)
 			}
 		}
 		if got, want := New(names, extended), New(names, module); !reflect.DeepEqual(got, want) {
-			t.Fatalf("%+v, not %+v", got, want)
+			t.Fatalf("got table %+v, want %+v", got, want)
 		}
 		c := class(t, "new")
 		c.Streaming = module[0].Streaming
 		if k := NearestClass(extended, c); k < 0 || !AtLeastAsStrict(extended[k], c) {
-			t.Fatalf("%+v goes under %d", c, k)
+			t.Fatalf("%+v is mapped to class %d, which is missing or not strict enough", c, k)
 		}
 	})
 }
 
+// TestAtLeastAsStrict checks combinations of idempotency, scope, window and streaming.
 func TestAtLeastAsStrict(t *testing.T) {
 	safe := dw.Class{Idempotency: dw.Idempotent}
 	byKeyAll := dw.Class{Idempotency: dw.IdempotentByKey, DedupScope: dw.DedupAll, DedupWindow: 3e9}
@@ -122,7 +126,7 @@
 		{dw.Class{Idempotency: dw.Idempotent, Streaming: true}, safe, false},
 	} {
 		if got := AtLeastAsStrict(c.m, c.c); got != c.want {
-			t.Errorf("%+v for %+v: %v", c.m, c.c, got)
+			t.Errorf("rules %+v for class %+v: got %v", c.m, c.c, got)
 		}
 	}
 }
--- a/internal/durable/durable.go
+++ b/internal/durable/durable.go
@@ -1,5 +1,5 @@
-// Package durable replaces files atomically: whatever fails, and whenever the process is killed, the file holds what it held
-// before, or all of the new text. It owns the files that it opens, and closes them.
+// Package durable replaces files atomically and durably: after any error, and after a kill of the process at any time, the file
+// has either its old content or all of the new one. The package closes all files that it opens.
 package durable
 
 import (
@@ -10,18 +10,18 @@
 	"path/filepath"
 )
 
-// System is the part of a file system that is needed; tests inject faults by it.
+// System is the part of a file system that Replace needs. Tests inject faults through it.
 type System interface {
 	OpenFile(name string, flag int, perm fs.FileMode) (File, error)
 	Rename(from, to string) error
 	Remove(name string) error
-	SyncDir(name string) error // makes the names in a folder durable
+	SyncDir(name string) error // flushes the names in a folder to the disk
 }
 
-// File is a file that is being written.
+// File is a file that is open for writing.
 type File interface {
 	io.WriteCloser
-	Sync() error // makes what was written durable
+	Sync() error // flushes what was written to the disk
 }
 
 // Disk is the file system of this machine.
@@ -32,7 +32,7 @@
 func (disk) OpenFile(name string, flag int, perm fs.FileMode) (File, error) {
 	f, err := os.OpenFile(name, flag, perm)
 	if err != nil {
-		return nil, err // no typed nil
+		return nil, err // not f, which is a nil *os.File and would make a non-nil File
 	}
 	return f, nil
 }
@@ -49,16 +49,16 @@
 	return errors.Join(d.Sync(), d.Close())
 }
 
-// Replace replaces the content of a file by text, durably: it writes a temporary file in the same folder, syncs and renames
-// it, and syncs the folder. Two writers may not use one temporary file at the same time. An error is that of the file system; if
-// the last step fails, the file has the new text, which a loss of power may undo.
+// Replace replaces the content of a file with text, durably: it writes a temporary file in the same folder, syncs and renames
+// it, and syncs the folder. Two writers must not use the same temporary file concurrently. It returns the error of the file
+// system. If syncing the folder fails, the file has the new text, but a loss of power may bring back the old one.
 func Replace(s System, temporary, file string, text []byte) error {
 	err := write(s, temporary, text)
 	if err == nil {
 		err = s.Rename(temporary, file)
 	}
 	if err != nil {
-		_ = s.Remove(temporary) // the first error is the one to return
+		_ = s.Remove(temporary) // the earlier error is returned
 		return err
 	}
 	return s.SyncDir(filepath.Dir(file))
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// step is a call to the file system.
+// step is a kind of call to the file system.
 type step string
 
 const (
@@ -21,7 +21,7 @@
 	stepSyncDir step = "sync of the folder"
 )
 
-// faultySystem is the disk, with one step that fails; a write takes so many bytes first.
+// faultySystem is the disk with one step that fails with err. A failing write first writes bytesBefore bytes.
 type faultySystem struct {
 	System
 	failAt      step
@@ -29,6 +29,7 @@
 	bytesBefore int
 }
 
+// fail returns err for the failing step, and nil for all others.
 func (f *faultySystem) fail(at step) error {
 	if f.failAt == at {
 		return f.err
@@ -58,6 +59,7 @@
 	return f.System.SyncDir(name)
 }
 
+// faultyFile is a file of a faultySystem.
 type faultyFile struct {
 	File
 	system *faultySystem
@@ -75,18 +77,19 @@
 
 func (w *faultyFile) Close() error { return errors.Join(w.system.fail(stepClose), w.File.Close()) }
 
-// Each step fails once, in each way, and a write after each number of bytes: the error is returned, the file holds the old text
-// (the new one, if only the folder's sync fails), nothing else is left in the folder, and the next attempt succeeds.
+// TestReplaceFails guards against a damaged or lost file when a step of Replace fails. Each step fails with each error, a write
+// also after each number of bytes. The error must be returned, the file must have the old text (the new one if only the sync of
+// the folder fails), no other file may be left in the folder, and the next attempt must succeed.
 func TestReplaceFails(t *testing.T) {
 	const before, after = "before", "after, and longer"
 	file := filepath.Join(t.TempDir(), "file")
 	check := func(what, want string) {
 		t.Helper()
 		if got, err := os.ReadFile(file); err != nil || string(got) != want {
-			t.Errorf("%s: the file holds %q, %v, not %q", what, got, err, want)
+			t.Errorf("%s: got content %q, error %v, want %q", what, got, err, want)
 		}
 		if entries, _ := os.ReadDir(filepath.Dir(file)); len(entries) != 1 {
-			t.Errorf("%s: %d files are left", what, len(entries))
+			t.Errorf("%s: got %d files in the folder, want 1", what, len(entries))
 		}
 	}
 	replace := func(s System, text string) error { return Replace(s, file+".part", file, []byte(text)) }
@@ -101,7 +104,7 @@
 					t.Fatal(err)
 				}
 				if got := replace(&faultySystem{Disk, at, err, n}, after); !errors.Is(got, err) {
-					t.Errorf("%s: %v, not %v", at, got, err)
+					t.Errorf("%s: got error %v, want %v", at, got, err)
 				}
 				want := before
 				if at == stepSyncDir {
@@ -117,7 +120,8 @@
 	}
 }
 
-// A kill leaves a temporary file of any length behind: the next write is not disturbed by it.
+// TestReplaceOverWhatAKillLeft guards against a temporary file, which a killed process left with any length, that breaks the next
+// Replace.
 func TestReplaceOverWhatAKillLeft(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	const text = "text"
@@ -129,7 +133,7 @@
 			t.Fatal(err)
 		}
 		if got, err := os.ReadFile(file); err != nil || string(got) != text {
-			t.Errorf("after %d bytes: %q, %v", n, got, err)
+			t.Errorf("with %d leftover bytes: got content %q, error %v", n, got, err)
 		}
 	}
 }
--- a/internal/golden/filled.go
+++ b/internal/golden/filled.go
@@ -6,13 +6,15 @@
 	"testing"
 )
 
-// Filled fails the test if a field of v, or of what v holds, has the zero value: a form that is compared has to have a value in
-// each field, also in one that is added later. Unexported fields and embedded pointers are looked into like all others.
+// Filled fails the test if a field of v, at any depth, has the zero value. It ensures that a golden value has a value in each
+// field, including fields that are added later. Unexported fields and embedded pointers are checked too; the elements of a slice
+// are checked only if they are structs.
 func Filled(t testing.TB, v any) {
 	t.Helper()
 	checkFilled(t, fmt.Sprintf("%T", v), reflect.ValueOf(v))
 }
 
+// checkFilled checks v, whose path from the outermost value is path.
 func checkFilled(t testing.TB, path string, v reflect.Value) {
 	t.Helper()
 	if !v.IsValid() || v.IsZero() {
@@ -32,7 +34,7 @@
 			return
 		}
 		if v.Kind() == reflect.Slice && v.Type().Elem().Kind() != reflect.Struct {
-			return // a number in a list may be zero
+			return // elements that are numbers may be zero
 		}
 		if v.Kind() == reflect.Map {
 			for _, k := range v.MapKeys() {
--- a/internal/golden/filled_test.go
+++ b/internal/golden/filled_test.go
@@ -6,7 +6,7 @@
 	"dewhitch/internal/golden"
 )
 
-// countingTB counts the faults of a test instead of failing it.
+// countingTB counts the calls of Errorf instead of failing the test.
 type countingTB struct {
 	testing.TB
 	faults int
@@ -15,7 +15,7 @@
 func (c *countingTB) Helper()               {}
 func (c *countingTB) Errorf(string, ...any) { c.faults++ }
 
-// TestFilled has a value with every field set pass, and one with a zero field at any depth fail.
+// TestFilled checks that a value with every field set passes, and that one with a zero field at any depth fails.
 func TestFilled(t *testing.T) {
 	type inner struct{ A, B int }
 	type outer struct {
@@ -38,7 +38,7 @@
 	} {
 		got := countingTB{TB: t}
 		if golden.Filled(&got, c.v); got.faults != c.faults {
-			t.Errorf("%+v: %d faults, want %d", c.v, got.faults, c.faults)
+			t.Errorf("%+v: got %d faults, want %d", c.v, got.faults, c.faults)
 		}
 	}
 }
--- a/internal/golden/golden.go
+++ b/internal/golden/golden.go
@@ -1,5 +1,5 @@
-// Package golden compares what a test writes with a golden file: the form in which another version of the program, or another
-// process, reads it. Golden files of stored and sent forms are changed only together with a new version of the form.
+// Package golden compares the output of tests with golden files, which hold the formats that other processes, or other versions
+// of the program, read. A golden file of a stored or transmitted format changes only together with the version of the format.
 package golden
 
 import (
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// updateVariable names the environment variable that has Compare write the golden files instead of comparing with them.
+// updateVariable is the name of the environment variable that makes Compare write the golden files before comparing.
 const updateVariable = "GOLDEN_UPDATE"
 
-// goldenDir holds the golden files of a package, below the package's own folder.
+// goldenDir is the folder of a package's golden files, relative to the package's folder.
 const goldenDir = "testdata/golden"
 
-// Compare fails the test unless got is byte for byte the content of the golden file of that name.
+// Compare fails the test unless got equals the content of the golden file of that name.
 func Compare(t testing.TB, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join(goldenDir, name)
@@ -23,7 +23,7 @@
 		write(t, path, got)
 	}
 	if want := Read(t, name); !bytes.Equal(got, want) {
-		t.Errorf("%s: the form has changed\n got %q\nwant %q", path, got, want)
+		t.Errorf("%s: the output differs from the golden file\n got %q\nwant %q", path, got, want)
 	}
 }
 
@@ -37,6 +37,7 @@
 	return content
 }
 
+// write writes a golden file and creates its folder if needed.
 func write(t testing.TB, path string, content []byte) {
 	t.Helper()
 	if err := os.MkdirAll(filepath.Dir(path), 0o755); err != nil {
--- a/internal/golden/metrics.go
+++ b/internal/golden/metrics.go
@@ -10,8 +10,8 @@
 	"github.com/prometheus/client_golang/prometheus/promhttp"
 )
 
-// Metrics is the page of what c collects, without the values: the names, types, help texts and labels that alerts and
-// drawings of figures go by.
+// Metrics returns the Prometheus page of c without the values: the names, types, help texts and labels, which alerts and
+// dashboards depend on.
 func Metrics(t testing.TB, c prometheus.Collector) []byte {
 	t.Helper()
 	registry := prometheus.NewPedanticRegistry()
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -9,8 +9,8 @@
 	"dewhitch/internal/golden"
 )
 
-// TestGoldenHandover keeps the file of excluded servers, its name and its content: the process that replaces a gateway's
-// reads it, and may be of another version.
+// TestGoldenHandover compares the name and the content of the file of excluded servers with golden files. The process that reads
+// it may be of another version.
 func TestGoldenHandover(t *testing.T) {
 	dir := t.TempDir()
 	want := State{Excluded: []string{"s-00000009", "s-5be2a07c"}}
@@ -19,7 +19,7 @@
 	}
 	files, err := os.ReadDir(dir)
 	if err != nil || len(files) != 1 {
-		t.Fatalf("%v, %v", files, err)
+		t.Fatalf("got files %v, error %v, want one file", files, err)
 	}
 	golden.Compare(t, "name", []byte(files[0].Name()+"\n"))
 	text, err := os.ReadFile(filepath.Join(dir, files[0].Name()))
@@ -27,12 +27,12 @@
 		t.Fatal(err)
 	}
 	golden.Compare(t, "handover.json", text)
-	// What another process left is found under its name, and read.
+	// A file that another process wrote is found under its name and read.
 	existing := t.TempDir()
 	if err := os.WriteFile(filepath.Join(existing, "dewhitch-n7.handover.json"), golden.Read(t, "handover.json"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	if got, err := Load(Path(existing, "n7")); err != nil || !reflect.DeepEqual(got, want) {
-		t.Errorf("%+v, %v; want %+v", got, err, want)
+		t.Errorf("got %+v, error %v, want %+v", got, err, want)
 	}
 }
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -1,5 +1,5 @@
-// Package handover owns the state that a gateway's process leaves for the process that replaces it: the servers that operators
-// have excluded. It is one file in a folder that both processes share, which is replaced atomically.
+// Package handover stores the state that a gateway's process passes to the process that replaces it: the servers that operators
+// have excluded. The state is one file, which is replaced atomically, in a folder that both processes share.
 package handover
 
 import (
@@ -13,28 +13,29 @@
 	"dewhitch/internal/durable"
 )
 
-// State is what is handed over.
+// State is the content of the handover file.
 type State struct {
-	Excluded []string `json:"excluded"` // ids of servers, in discovery's form
+	Excluded []string `json:"excluded"` // ids of the excluded servers, in discovery's format
 }
 
-// Bounds of the file, which another process wrote, and which may be broken.
+// Bounds of the file, which another process wrote and which may be corrupt.
 const (
 	maxSize   = 1 << 20 // bytes
 	maxIDs    = 1 << 14
 	maxIDSize = 64 // bytes
 )
 
-// ErrNone says that no process left a state.
+// ErrNone is returned by Load if there is no handover file.
 var ErrNone = errors.New("handover: no state was left")
 
-// Path is the file of the gateway of that name in the folder.
+// Path returns the path of a gateway's handover file in the folder. It uses only the last element of name, so that the file is
+// never outside the folder.
 func Path(dir, name string) string {
 	return filepath.Join(dir, "dewhitch-"+filepath.Base(name)+".handover.json")
 }
 
-// Save replaces the file atomically; the state is durable when it returns. The temporary file has the process's number in its name,
-// as two processes of one gateway may save at the same time.
+// Save replaces the file atomically. The state is durable when Save returns without an error. The name of the temporary file
+// contains the process id, as two processes of a gateway may save at the same time.
 func Save(path string, s State) error {
 	text, err := json.Marshal(s)
 	if err != nil {
@@ -43,8 +44,8 @@
 	return durable.Replace(durable.Disk, fmt.Sprintf("%s.%d.part", path, os.Getpid()), path, text)
 }
 
-// Load reads the state. It fails with ErrNone if there is no file, and with another error, and an empty state, if the file is
-// broken.
+// Load reads the state. It returns ErrNone if there is no file, and another error with an empty state if the file can't be read
+// or is corrupt.
 func Load(path string) (State, error) {
 	var s State
 	f, err := os.Open(path)
--- a/internal/shutdown/shutdown_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -6,7 +6,8 @@
 	"time"
 )
 
-// The times are in order for every longest deadline, and leave room for a stall before each term of the platform's.
+// TestPlanHoldsTheTerms guards against a plan that accepts, answers or closes too late. For every longest deadline the times are in
+// order, and each leaves time for a stall before the platform's own limit.
 func TestPlanHoldsTheTerms(t *testing.T) {
 	const seed = 42
 	rng := rand.New(rand.NewPCG(seed, 1))
@@ -17,15 +18,15 @@
 		kill := signalled.Add(min(longest, 3*time.Second) + 700*time.Millisecond)
 		switch {
 		case !p.KillAt.Equal(kill):
-			t.Fatalf("seed %d, %v: SIGKILL at %v", seed, longest, p.KillAt.Sub(signalled))
+			t.Fatalf("seed %d, longest deadline %v: wrong time of SIGKILL %v after SIGTERM", seed, longest, p.KillAt.Sub(signalled))
 		case p.AcceptUntil.Before(signalled.Add(400 * time.Millisecond)):
-			t.Fatalf("seed %d, %v: the front still sends connections after %v", seed, longest, p.AcceptUntil.Sub(signalled))
+			t.Fatalf("seed %d, longest deadline %v: connections are accepted for %v only, while the front still opens some", seed, longest, p.AcceptUntil.Sub(signalled))
 		case p.AcceptUntil.Add(MaxStall).After(signalled.Add(700 * time.Millisecond)):
-			t.Fatalf("seed %d, %v: requests that count are read until %v", seed, longest, p.AcceptUntil.Sub(signalled))
+			t.Fatalf("seed %d, longest deadline %v: requests are read for %v, and after a stall for over 700 ms", seed, longest, p.AcceptUntil.Sub(signalled))
 		case p.AnswerBy.Add(MaxStall + discardTime).After(p.KillAt), !p.AnswerBy.Before(p.CloseBy):
-			t.Fatalf("seed %d, %v: answers by %v, SIGKILL at %v", seed, longest, p.AnswerBy.Sub(signalled), p.KillAt.Sub(signalled))
+			t.Fatalf("seed %d, longest deadline %v: answers by %v, SIGKILL at %v after SIGTERM", seed, longest, p.AnswerBy.Sub(signalled), p.KillAt.Sub(signalled))
 		case p.CloseBy.Add(MaxStall).After(p.KillAt):
-			t.Fatalf("seed %d, %v: closed by %v, SIGKILL at %v", seed, longest, p.CloseBy.Sub(signalled), p.KillAt.Sub(signalled))
+			t.Fatalf("seed %d, longest deadline %v: closed by %v, SIGKILL at %v after SIGTERM", seed, longest, p.CloseBy.Sub(signalled), p.KillAt.Sub(signalled))
 		}
 	}
 }
--- a/internal/warmstart/warmstart.go
+++ b/internal/warmstart/warmstart.go
@@ -1,16 +1,16 @@
-// Package warmstart holds the rules of how far a process trusts the state that the process before it exported. Its
-// functions are pure. Ages and latencies are in seconds.
+// Package warmstart defines how far a process trusts the state that the previous process exported. Its functions are pure. Ages
+// and latencies are in seconds.
 package warmstart
 
 import "math"
 
 const (
-	trustDecay = 5.0  // seconds: time constant of the trust in what was known of servers and rates
-	maxAge     = 60.0 // seconds: an older state is not used
+	trustDecay = 5.0  // time constant of the decay of trust in servers' statistics and rates, in seconds
+	maxAge     = 60.0 // greatest age of a state that is used, in seconds
 )
 
-// Trust is the weight, from 0 to 1, of values that are age seconds old. It is 0 for a state that is too old, and for
-// one from the future: after a clock was set back every span in it is wrong.
+// Trust returns the weight, from 0 to 1, of values that are age seconds old. It returns 0 for a state that is too old, and for
+// one from the future, because after the clock was set back every duration in the state is wrong.
 func Trust(age float64) float64 {
 	if age >= 0 && age <= maxAge { // false for NaN
 		return math.Exp(-age / trustDecay)
@@ -18,9 +18,9 @@
 	return 0
 }
 
-// InitialLatency is what a server's latency is taken to be, where mean is that of all servers. None is taken to be faster than
-// the mean: a server that was fast may be slow by now, and a gateway without answers of its own would send everything
-// there.
+// InitialLatency returns the latency that a process assumes for a server at its start. mean is the mean latency of all servers.
+// No server is assumed to be faster than the mean: a server that was fast may be slow by now, and a gateway that has no answers
+// of its own yet would send all requests to it.
 func InitialLatency(exported, mean, trust float64) float64 {
 	if exported > mean {
 		return mean + trust*(exported-mean)
@@ -28,5 +28,6 @@
 	return mean
 }
 
-// IsQuotaValid tells whether a customer's account is still valid: its counter window, in seconds, may not have ended yet.
+// IsQuotaValid returns true if an exported customer account is still valid: the state is trusted, and its age does not exceed the
+// account's counter window, in seconds.
 func IsQuotaValid(age, window float64) bool { return Trust(age) > 0 && age <= window }
--- a/internal/warmstart/warmstart_test.go
+++ b/internal/warmstart/warmstart_test.go
@@ -9,14 +9,16 @@
 	"dewhitch/internal/warmstart"
 )
 
+// TestTrustDecays guards against a state that is trusted though it is too old or from the future, and against an initial latency
+// that grows with the state's age or lies outside the range from the mean to the exported latency.
 func TestTrustDecays(t *testing.T) {
 	for _, age := range []float64{-1e-9, 60.1, math.NaN(), math.Inf(1), math.Inf(-1)} {
 		if warmstart.Trust(age) != 0 || warmstart.IsQuotaValid(age, math.Inf(1)) {
-			t.Errorf("believed at an age of %v", age)
+			t.Errorf("a state with an age of %v is trusted", age)
 		}
 	}
 	if warmstart.Trust(0) != 1 || !warmstart.IsQuotaValid(2, 2) || warmstart.IsQuotaValid(2.01, 2) {
-		t.Error("the edges")
+		t.Error("wrong trust at age 0, or wrong validity of a quota around an age of 2 s")
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		mean, exported := rapid.Float64Range(1e-3, 10).Draw(t, "mean"), rapid.Float64Range(1e-3, 100).Draw(t, "was")
@@ -24,7 +26,7 @@
 		b := rapid.Float64Range(a, 60).Draw(t, "b")
 		newer, older := warmstart.InitialLatency(exported, mean, warmstart.Trust(a)), warmstart.InitialLatency(exported, mean, warmstart.Trust(b))
 		if older > newer || older < mean || newer > max(exported, mean)*(1+1e-12) {
-			t.Fatalf("%v, later %v", newer, older)
+			t.Fatalf("initial latency %v for the newer state, %v for the older one", newer, older)
 		}
 	})
 }
