--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -18,7 +18,7 @@
 // Registry configures the ZooKeeper registry of planners, or of the members of a fleet.
 type Registry struct {
 	Servers []string      // ZooKeeper servers, as host:port; nothing is registered if empty
-	Path    string        // path of the parent of the ephemeral nodes; default /dewhitch/planners, or /dewhitch/members and the fleet's name
+	Path    string        // parent of the ephemeral nodes; default /dewhitch/planners, or /dewhitch/members/FLEET
 	Session time.Duration // timeout of the ZooKeeper session; default 4 s, at least 100 ms
 }
 
