--- a/internal/drill/arrival.go
+++ b/internal/drill/arrival.go
@@ -20,7 +20,7 @@
 	endedAt    time.Time // of the answer; zero: none yet
 	sentAt     time.Time // when its first byte left the gateway; zero: not known
 	remote     string    // the connection, by the address that the server sees
-	link       interface{ Left(far string) time.Time }
+	link       interface{ ClosedAt(far string) time.Time }
 	gateway    string
 	server     string
 	mayHaveRun bool   // it was not rejected
@@ -32,7 +32,7 @@
 
 // overAt is when the attempt ended for its gateway, by an answer or because it closed the connection; zero: it is in flight.
 func (a *arrival) overAt() time.Time {
-	closedAt := a.link.Left(a.remote)
+	closedAt := a.link.ClosedAt(a.remote)
 	if !a.endedAt.IsZero() && (closedAt.IsZero() || a.endedAt.Before(closedAt)) {
 		return a.endedAt
 	}
--- a/internal/drill/rules_test.go
+++ b/internal/drill/rules_test.go
@@ -12,7 +12,7 @@
 // closedLink is a link whose gateway closed the connection at a time; zero: it has not.
 type closedLink time.Time
 
-func (l closedLink) Left(string) time.Time { return time.Time(l) }
+func (l closedLink) ClosedAt(string) time.Time { return time.Time(l) }
 
 var began = time.Unix(1_700_000_000, 0)
 
--- a/internal/drill/server.go
+++ b/internal/drill/server.go
@@ -77,7 +77,7 @@
 		if l := g.serverLinks[s.index]; l.HasConn(c.RemoteAddr) {
 			a.gateway = g.name
 			a.link = l
-			a.sentAt = l.Sent(c.RemoteAddr)
+			a.sentAt = l.CommandSentAt(c.RemoteAddr)
 			break
 		}
 	}
@@ -93,8 +93,8 @@
 // noLink is the link of a command that came by none.
 type noLink struct{}
 
-// Left is never.
-func (noLink) Left(string) time.Time { return time.Time{} }
+// ClosedAt is never.
+func (noLink) ClosedAt(string) time.Time { return time.Time{} }
 
 // endpointList is discovery's list of the servers, with the addresses of one gateway's links to them.
 func (cl *cluster) endpointList(g *gateway) string {
--- a/internal/standin/link/link.go
+++ b/internal/standin/link/link.go
@@ -12,7 +12,7 @@
 	maxQueuedSegments = 64 // of one direction of a connection while it is silent or slow; beyond, the sender's TCP window fills
 	maxDatagramBytes  = 64 << 10
 	dialTimeout       = 2 * time.Second
-	// knownAfterClose is how long Left and Sent still know a connection that has ended.
+	// knownAfterClose is how long ClosedAt and CommandSentAt still know a connection that has ended.
 	knownAfterClose = 10 * time.Second
 )
 
@@ -67,18 +67,18 @@
 // Addr returns where it listens.
 func (l *Link) Addr() string { return l.addr }
 
-// Left returns when the process that opened a connection closed it, or its sending side; the connection is named by the address that
+// ClosedAt returns when the process that opened a connection closed it, or its sending side; the connection is named by the address that
 // the target sees. Zero: it has not, or the connection is not known.
-func (l *Link) Left(far string) time.Time {
+func (l *Link) ClosedAt(far string) time.Time {
 	if c := l.connByFarAddr(far); c != nil && c.nearClosedAt.Load() != 0 {
 		return time.Unix(0, c.nearClosedAt.Load())
 	}
 	return time.Time{}
 }
 
-// Sent returns when the first byte of the current command came from the process that opened a connection, before the link delayed it;
+// CommandSentAt returns when the first byte of the current command came from the process that opened a connection, before the link delayed it;
 // the connection is named by the address that the target sees. Zero: none came, or the connection is not known.
-func (l *Link) Sent(far string) time.Time {
+func (l *Link) CommandSentAt(far string) time.Time {
 	if c := l.connByFarAddr(far); c != nil {
 		return c.commands.latest()
 	}
--- a/internal/standin/link/link_test.go
+++ b/internal/standin/link/link_test.go
@@ -224,7 +224,7 @@
 	}
 }
 
-// Left is known for a connection that the gateway has closed while the server still has its end open.
+// ClosedAt is known for a connection that the gateway has closed while the server still has its end open.
 func TestLeft(t *testing.T) {
 	seen := make(chan string, 1)
 	hold := make(chan struct{})
@@ -235,11 +235,11 @@
 		t.Fatal(err)
 	}
 	far := <-seen
-	if at := l.Left(far); !at.IsZero() {
+	if at := l.ClosedAt(far); !at.IsZero() {
 		t.Error("it is closed before it was:", at)
 	}
 	c.Close()
-	for end := time.Now().Add(5 * time.Second); l.Left(far).IsZero(); time.Sleep(time.Millisecond) {
+	for end := time.Now().Add(5 * time.Second); l.ClosedAt(far).IsZero(); time.Sleep(time.Millisecond) {
 		if time.Now().After(end) {
 			t.Fatal("its close is not seen")
 		}
--- a/internal/standin/link/network.go
+++ b/internal/standin/link/network.go
@@ -1,6 +1,6 @@
 // Package link injects network faults between processes: each Link is a relay on loopback that drops, refuses, delays, throttles or
 // resets what passes through it, each direction on its own. It owns the relays' sockets and does not interpret the relayed bytes,
-// except that it takes the start of each command's bytes for Link.Sent.
+// except that it takes the start of each command's bytes for Link.CommandSentAt.
 package link
 
 import "sync"
