--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -29,7 +29,7 @@
 }
 
 func (c runCmd) Run(ctx context.Context, dir folder) error {
-	return soak.Run(ctx, soak.Plan{Program: cli.Program, Dir: string(dir), Length: c.Length, Kill: c.Kill, Seed: c.Seed,
+	return soak.Run(ctx, soak.Config{Program: cli.Program, Dir: string(dir), Length: c.Length, KillInterval: c.Kill, Seed: c.Seed,
 		Customers: c.Hauliers, Out: os.Stdout})
 }
 
@@ -41,7 +41,7 @@
 }
 
 func (c costCmd) Run(ctx context.Context, dir folder) error {
-	return soak.Cost(ctx, soak.CostPlan{Program: cli.Program, Dir: string(dir), Rounds: c.Rounds, Length: c.Length,
+	return soak.Cost(ctx, soak.CostConfig{Program: cli.Program, Dir: string(dir), Rounds: c.Rounds, Length: c.Length,
 		Clients: c.Clients, Interval: c.Pace, Out: os.Stdout})
 }
 
@@ -51,23 +51,23 @@
 }
 
 func (c counterCmd) Run(ctx context.Context, dir folder) error {
-	return soak.Quota(ctx, soak.QuotaPlan{Program: cli.Program, Dir: string(dir), Phase: c.Phase, Seed: c.Seed, Out: os.Stdout})
+	return soak.Quota(ctx, soak.QuotaConfig{Program: cli.Program, Dir: string(dir), Phase: c.Phase, Seed: c.Seed, Out: os.Stdout})
 }
 
 // folder holds the nodes' files.
 type folder string
 
 func main() {
-	k := kong.Parse(&cli, kong.Name("soak"), kong.Description("A long run of dewhitch among failures, with a reckoning."))
+	app := kong.Parse(&cli, kong.Name("soak"), kong.Description("A long run of dewhitch among failures, with a reckoning."))
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt)
 	defer stop()
 	dir, err := os.MkdirTemp("", "soak")
-	k.FatalIfErrorf(err)
-	k.BindTo(ctx, (*context.Context)(nil))
-	if err = k.Run(folder(dir)); err == nil {
+	app.FatalIfErrorf(err)
+	app.BindTo(ctx, (*context.Context)(nil))
+	if err = app.Run(folder(dir)); err == nil {
 		os.RemoveAll(dir)
 	} else {
-		k.Errorf("the nodes' files are in %s", dir)
+		app.Errorf("the nodes' files are in %s", dir)
 	}
-	k.FatalIfErrorf(err)
+	app.FatalIfErrorf(err)
 }
--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -22,21 +22,21 @@
 	ledger.Counts
 }
 
-func (b *ledgerRow) answered() uint64 {
-	return b.N[ledger.FrontServed] + b.N[ledger.FrontRejected] + b.N[ledger.FrontFailed]
+func (r *ledgerRow) answered() uint64 {
+	return r.N[ledger.FrontServed] + r.N[ledger.FrontRejected] + r.N[ledger.FrontFailed]
 }
 
-// cut is what the books have as taken and not as answered.
-func (b *ledgerRow) cut() uint64 { return b.N[ledger.FrontTaken] - b.answered() }
+// unanswered is what the books have as taken and not as answered.
+func (r *ledgerRow) unanswered() uint64 { return r.N[ledger.FrontTaken] - r.answered() }
 
 // auditResult collects what the audit of a run found.
 type auditResult struct {
-	rows     map[Row]*ledgerRow
-	accounts map[uint64]*ledger.Counts // by customer
-	merged   *statement.Merged
-	lives    uint64
-	kills    int
-	faults   []string
+	rows         map[Row]*ledgerRow
+	accounts     map[uint64]*ledger.Counts // by customer
+	merged       *statement.Merged
+	incarnations uint64
+	kills        int
+	faults       []string
 }
 
 func (r *auditResult) fail(format string, a ...any) {
@@ -69,7 +69,7 @@
 	for _, err := range r.merged.Verify() {
 		r.fail("merged: %v", err)
 	}
-	exact := env.compareClients(r.rows, r.fail)
+	exactRows := env.compareClients(r.rows, r.fail)
 	env.compareForwarder(r.rows, r.fail)
 	env.compareAttempts(r.rows, r.fail)
 	env.compareUnits(r.accounts, r.fail)
@@ -78,10 +78,10 @@
 	}
 	env.printTable(r.rows)
 	fmt.Fprintf(env.Out, "%d kills, %d lives; %d of %d rows agree with the clients to the request, the others within what was lost with "+
-		"their sessions\n", r.kills, r.lives, exact, len(env.tallies.rows))
-	all, across, overlapping, twice := r.merged.Bookings()
+		"their sessions\n", r.kills, r.incarnations, exactRows, len(env.tallies.rows))
+	total, across, overlapping, twice := r.merged.Bookings()
 	fmt.Fprintf(env.Out, "bookings by key: %d; through several gateways: %d, of these with two tries open at once: %d; served to two "+
-		"tries: %d\n", all, across, overlapping, twice)
+		"tries: %d\n", total, across, overlapping, twice)
 	if across == 0 || r.kills == 0 {
 		r.fail("%d kills and %d bookings through several gateways: the run was too short to show anything", r.kills, across)
 	}
@@ -99,13 +99,13 @@
 	if err != nil {
 		return err
 	}
-	r.lives += view.Incarnation
+	r.incarnations += view.Incarnation
 	r.kills += n.Kills()
 	for _, note := range view.Notes {
 		r.fail("%s: %s", n.Name, note)
 	}
-	for _, f := range view.Ledger.Audit(true) {
-		r.fail("%s: %+v: %v", n.Name, f.Key, f)
+	for _, fault := range view.Ledger.Audit(true) {
+		r.fail("%s: %+v: %v", n.Name, fault.Key, fault)
 	}
 	if err := store.Records(dir, 0, func(_ []byte, record statement.Record) error {
 		r.merged.Add(record)
@@ -154,37 +154,37 @@
 func (env *environment) compareClients(rows map[Row]*ledgerRow, fail func(string, ...any)) (exact int) {
 	env.tallies.mu.Lock()
 	defer env.tallies.mu.Unlock()
-	for r, t := range env.tallies.rows {
-		b := rows[r]
-		if b == nil {
-			if b = (&ledgerRow{}); t.Sent > t.Lost {
-				fail("%v: the clients have %d answers, and the books no row", r, t.Sent-t.Lost)
+	for row, tally := range env.tallies.rows {
+		booked := rows[row]
+		if booked == nil {
+			if booked = (&ledgerRow{}); tally.Sent > tally.Lost {
+				fail("%v: the clients have %d answers, and the books no row", row, tally.Sent-tally.Lost)
 			}
 		}
-		taken, cut := b.N[ledger.FrontTaken], b.cut()
-		if taken > t.Sent || taken+t.Lost < t.Sent {
-			fail("%v: %d taken, %d sent, of which %d have no answer", r, taken, t.Sent, t.Lost)
+		taken, unanswered := booked.N[ledger.FrontTaken], booked.unanswered()
+		if taken > tally.Sent || taken+tally.Lost < tally.Sent {
+			fail("%v: %d taken, %d sent, of which %d have no answer", row, taken, tally.Sent, tally.Lost)
 		}
-		all := true
-		for what, c := range map[string][2]uint64{"served": {b.N[ledger.FrontServed], t.Served},
-			"refused": {b.N[ledger.FrontRejected], t.Rejected}, "failed": {b.N[ledger.FrontFailed], t.Failed}} {
+		equal := true
+		for outcome, counts := range map[string][2]uint64{"served": {booked.N[ledger.FrontServed], tally.Served},
+			"refused": {booked.N[ledger.FrontRejected], tally.Rejected}, "failed": {booked.N[ledger.FrontFailed], tally.Failed}} {
 			// An answer may have been written and lost with its session; or have arrived, and the gateway was killed
 			// before it was booked.
-			if c[0] > c[1]+t.Lost || c[1] > c[0]+b.N[ledger.FrontCutoff]+b.N[ledger.FrontWriteFailed] {
-				fail("%v: %d %s in the books, %d at the clients; %d lost there, %d cut off here", r, c[0], what, c[1], t.Lost, cut)
+			if counts[0] > counts[1]+tally.Lost || counts[1] > counts[0]+booked.N[ledger.FrontCutoff]+booked.N[ledger.FrontWriteFailed] {
+				fail("%v: %d %s in the books, %d at the clients; %d lost there, %d cut off here", row, counts[0], outcome, counts[1], tally.Lost, unanswered)
 			}
-			all = all && c[0] == c[1]
+			equal = equal && counts[0] == counts[1]
 		}
-		if t.Lost == 0 && (!all || taken != t.Sent) && b.N[ledger.FrontCutoff] == 0 {
-			fail("%v: nothing was lost, and %d taken, %d sent", r, taken, t.Sent)
+		if tally.Lost == 0 && (!equal || taken != tally.Sent) && booked.N[ledger.FrontCutoff] == 0 {
+			fail("%v: nothing was lost, and %d taken, %d sent", row, taken, tally.Sent)
 		}
-		if all && taken == t.Sent {
+		if equal && taken == tally.Sent {
 			exact++
 		}
 	}
-	for r, b := range rows {
-		if env.tallies.rows[r] == nil && b.N[ledger.FrontTaken] > 0 && int(r.Customer) <= env.Customers {
-			fail("%v: %d taken that nobody sent", r, b.N[ledger.FrontTaken])
+	for row, booked := range rows {
+		if env.tallies.rows[row] == nil && booked.N[ledger.FrontTaken] > 0 && int(row.Customer) <= env.Customers {
+			fail("%v: %d taken that nobody sent", row, booked.N[ledger.FrontTaken])
 		}
 	}
 	return exact
@@ -193,25 +193,25 @@
 // compareForwarder compares what the forwarder passed on with what the gateways took of its customers.
 func (env *environment) compareForwarder(rows map[Row]*ledgerRow, fail func(string, ...any)) {
 	taken := map[Row]uint64{}
-	for r, b := range rows {
-		if r.Node != "forwarder" && int(r.Customer) > env.Customers {
-			r.Node = "forwarder"
-			taken[r] += b.N[ledger.FrontTaken]
+	for row, booked := range rows {
+		if row.Node != "forwarder" && int(row.Customer) > env.Customers {
+			row.Node = "forwarder"
+			taken[row] += booked.N[ledger.FrontTaken]
 		}
 	}
-	for r, b := range rows {
-		if r.Node != "forwarder" {
+	for row, booked := range rows {
+		if row.Node != "forwarder" {
 			continue
 		}
-		answered := b.N[ledger.AttemptOK]
-		highest := b.N[ledger.AttemptStarted] - b.N[ledger.AttemptNotSent] - b.N[ledger.AttemptRejected]
-		if n := taken[r]; n < answered || n > highest {
-			fail("%v: the gateways took %d of what the forwarder passed on: %d answered, %d in all", r, n, answered, highest)
+		answered := booked.N[ledger.AttemptOK]
+		highest := booked.N[ledger.AttemptStarted] - booked.N[ledger.AttemptNotSent] - booked.N[ledger.AttemptRejected]
+		if forwarded := taken[row]; forwarded < answered || forwarded > highest {
+			fail("%v: the gateways took %d of what the forwarder passed on: %d answered, %d in all", row, forwarded, answered, highest)
 		}
 	}
-	for r := range taken {
-		if rows[r] == nil {
-			fail("%v: the gateways took %d, the forwarder has no row", r, taken[r])
+	for row := range taken {
+		if rows[row] == nil {
+			fail("%v: the gateways took %d, the forwarder has no row", row, taken[row])
 		}
 	}
 }
@@ -219,39 +219,39 @@
 // compareAttempts compares the pools' books with what the backends saw.
 func (env *environment) compareAttempts(rows map[Row]*ledgerRow, fail func(string, ...any)) {
 	type key struct {
-		haulier uint64
-		class   string
+		customer uint64
+		class    string
 	}
-	type figures struct{ seen, served, begun, ok, replied uint64 }
-	sums := map[key]*figures{}
-	at := func(haulier uint64, class string) *figures {
-		k := key{haulier, class}
+	type attemptCounts struct{ received, served, started, ok, replied uint64 }
+	sums := map[key]*attemptCounts{}
+	sumFor := func(customer uint64, class string) *attemptCounts {
+		k := key{customer, class}
 		if sums[k] == nil {
-			sums[k] = &figures{}
+			sums[k] = &attemptCounts{}
 		}
 		return sums[k]
 	}
 	for _, c := range env.backends.Commands() {
-		h, _ := strconv.ParseUint(c.Customer, 16, 64)
-		f := at(h, c.Class)
-		f.seen++
+		customer, _ := strconv.ParseUint(c.Customer, 16, 64)
+		sum := sumFor(customer, c.Class)
+		sum.received++
 		if c.Behaviour == standin.Serve || c.Behaviour == standin.TrailingBytes {
-			f.served++
+			sum.served++
 		}
 	}
-	for r, b := range rows {
-		if r.Node == "forwarder" {
+	for row, booked := range rows {
+		if row.Node == "forwarder" {
 			continue
 		}
-		f := at(r.Customer, r.Class)
-		f.begun += b.N[ledger.AttemptStarted] - b.N[ledger.AttemptNotSent] - b.N[ledger.AttemptConnectFailed]
-		f.ok += b.N[ledger.AttemptOK]
-		f.replied += b.N[ledger.AttemptOK] + b.N[ledger.AttemptError] + b.N[ledger.AttemptRejected]
+		sum := sumFor(row.Customer, row.Class)
+		sum.started += booked.N[ledger.AttemptStarted] - booked.N[ledger.AttemptNotSent] - booked.N[ledger.AttemptConnectFailed]
+		sum.ok += booked.N[ledger.AttemptOK]
+		sum.replied += booked.N[ledger.AttemptOK] + booked.N[ledger.AttemptError] + booked.N[ledger.AttemptRejected]
 	}
-	for k, f := range sums {
-		if f.seen > f.begun || f.replied > f.seen || f.ok > f.served {
+	for k, sum := range sums {
+		if sum.received > sum.started || sum.replied > sum.received || sum.ok > sum.served {
 			fail("haulier %d, %s: %d fetches that may have arrived, %d replied to, %d well; the backends saw %d and served %d",
-				k.haulier, k.class, f.begun, f.replied, f.ok, f.seen, f.served)
+				k.customer, k.class, sum.started, sum.replied, sum.ok, sum.received, sum.served)
 		}
 	}
 }
@@ -260,15 +260,15 @@
 // is unknown may be of either sign.
 func (env *environment) compareUnits(accounts map[uint64]*ledger.Counts, fail func(string, ...any)) {
 	_, added := env.counter.Added()
-	for h, c := range accounts {
-		if h%4 == 0 {
+	for customer, account := range accounts {
+		if customer%4 == 0 {
 			continue
 		}
-		got := ledger.MicroUnits(added[strconv.FormatUint(h, 36)])
-		lowest := c.Units(ledger.CallAdded)
-		highest := lowest + c.Units(ledger.CallUnknown) + c.Units(ledger.CallCutoff)
-		if got < lowest-1 || got > highest+1 {
-			fail("haulier %d: the counter was told %g units, the books say %g to %g", h, float64(got)/1e6, float64(lowest)/1e6,
+		counted := ledger.MicroUnits(added[strconv.FormatUint(customer, 36)])
+		lowest := account.Units(ledger.CallAdded)
+		highest := lowest + account.Units(ledger.CallUnknown) + account.Units(ledger.CallCutoff)
+		if counted < lowest-1 || counted > highest+1 {
+			fail("haulier %d: the counter was told %g units, the books say %g to %g", customer, float64(counted)/1e6, float64(lowest)/1e6,
 				float64(highest)/1e6)
 		}
 	}
@@ -276,38 +276,38 @@
 
 // printTable prints both sides by node, plan and class.
 func (env *environment) printTable(rows map[Row]*ledgerRow) {
-	type both struct {
-		b ledger.Counts
-		t Tally
+	type rowSum struct {
+		booked ledger.Counts
+		tally  Tally
 	}
-	sums := map[Row]*both{}
-	at := func(r Row) *both {
-		r.Customer = 0
-		if sums[r] == nil {
-			sums[r] = &both{}
+	sums := map[Row]*rowSum{}
+	sumFor := func(row Row) *rowSum {
+		row.Customer = 0
+		if sums[row] == nil {
+			sums[row] = &rowSum{}
 		}
-		return sums[r]
+		return sums[row]
 	}
-	for r, b := range rows {
-		if r.Node != "forwarder" && int(r.Customer) > env.Customers {
+	for row, booked := range rows {
+		if row.Node != "forwarder" && int(row.Customer) > env.Customers {
 			continue // its client is the forwarder
 		}
-		at(r).b.Add(&b.Counts)
+		sumFor(row).booked.Add(&booked.Counts)
 	}
-	for r, t := range env.tallies.rows {
-		at(r).t.add(t)
+	for row, tally := range env.tallies.rows {
+		sumFor(row).tally.add(tally)
 	}
 	keys := slices.SortedFunc(maps.Keys(sums), func(a, b Row) int {
 		return cmp.Or(cmp.Compare(a.Node, b.Node), cmp.Compare(a.Plan, b.Plan), cmp.Compare(a.Class, b.Class))
 	})
 	tw := tabwriter.NewWriter(env.Out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "node\tplan\tclass\tsent\ttaken\tserved\tat clients\trefused\tat clients\tfailed\tat clients\tgone, cut\tby crash\tlost at clients\t")
-	for _, r := range keys {
-		s := sums[r]
-		n := &s.b.N
-		fmt.Fprintf(tw, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", r.Node, r.Plan, r.Class, s.t.Sent,
-			n[ledger.FrontTaken], n[ledger.FrontServed], s.t.Served, n[ledger.FrontRejected], s.t.Rejected, n[ledger.FrontFailed],
-			s.t.Failed, n[ledger.FrontClientLeft]+n[ledger.FrontWriteFailed], n[ledger.FrontCutoff], s.t.Lost)
+	for _, row := range keys {
+		sum := sums[row]
+		n := &sum.booked.N
+		fmt.Fprintf(tw, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", row.Node, row.Plan, row.Class, sum.tally.Sent,
+			n[ledger.FrontTaken], n[ledger.FrontServed], sum.tally.Served, n[ledger.FrontRejected], sum.tally.Rejected, n[ledger.FrontFailed],
+			sum.tally.Failed, n[ledger.FrontClientLeft]+n[ledger.FrontWriteFailed], n[ledger.FrontCutoff], sum.tally.Lost)
 	}
 	tw.Flush()
 }
--- a/internal/soak/cost.go
+++ b/internal/soak/cost.go
@@ -16,9 +16,9 @@
 	"dewhitch/internal/standin"
 )
 
-// CostPlan says how to measure what the books cost: one gateway under the same load, with books off, in memory and on
+// CostConfig says how to measure what the books cost: one gateway under the same load, with books off, in memory and on
 // the disk in turn, in one run, so that a machine whose speed drifts does so for all.
-type CostPlan struct {
+type CostConfig struct {
 	Program  string
 	Dir      string
 	Rounds   int
@@ -28,7 +28,7 @@
 	Out      io.Writer
 }
 
-var modes = []string{"off", "memory", "disk"}
+var ledgerModes = []string{"off", "memory", "disk"}
 
 // sample is one round of one mode.
 type sample struct {
@@ -37,31 +37,31 @@
 }
 
 // Cost measures and prints a table, and the median of the ratios round by round.
-func Cost(ctx context.Context, p CostPlan) error {
-	got := map[string][]sample{}
-	for round := range p.Rounds {
-		for i := range modes {
-			mode := modes[(i+round)%len(modes)] // none is always first
-			s, err := p.round(ctx, mode, fmt.Sprintf("%d-%s", round, mode))
+func Cost(ctx context.Context, config CostConfig) error {
+	samples := map[string][]sample{}
+	for round := range config.Rounds {
+		for i := range ledgerModes {
+			mode := ledgerModes[(i+round)%len(ledgerModes)] // none is always first
+			s, err := config.round(ctx, mode, fmt.Sprintf("%d-%s", round, mode))
 			if err != nil {
 				return err
 			}
-			got[mode] = append(got[mode], s)
+			samples[mode] = append(samples[mode], s)
 		}
 	}
-	fmt.Fprintf(p.Out, "%d rounds of %v, %d clients\n", p.Rounds, p.Length, p.Clients)
-	for _, mode := range modes {
-		var cpu, p99, cpuOver, p99Over []float64
-		for i, s := range got[mode] {
+	fmt.Fprintf(config.Out, "%d rounds of %v, %d clients\n", config.Rounds, config.Length, config.Clients)
+	for _, mode := range ledgerModes {
+		var cpu, p99, cpuRatios, p99Ratios []float64
+		for i, s := range samples[mode] {
 			cpu, p99 = append(cpu, s.cpu), append(p99, s.p99.Seconds()*1e3)
-			cpuOver = append(cpuOver, s.cpu/got["off"][i].cpu)
-			p99Over = append(p99Over, s.p99.Seconds()/got["off"][i].p99.Seconds())
+			cpuRatios = append(cpuRatios, s.cpu/samples["off"][i].cpu)
+			p99Ratios = append(p99Ratios, s.p99.Seconds()/samples["off"][i].p99.Seconds())
 		}
-		fmt.Fprintf(p.Out, "%-6s  CPU a req %6.1f µs, %5.3f of off   p99 %6.2f ms, %5.3f of off\n", mode, median(cpu), median(cpuOver),
-			median(p99), median(p99Over))
+		fmt.Fprintf(config.Out, "%-6s  CPU a req %6.1f µs, %5.3f of off   p99 %6.2f ms, %5.3f of off\n", mode, median(cpu), median(cpuRatios),
+			median(p99), median(p99Ratios))
 	}
-	fmt.Fprintf(p.Out, "memory a row %d bytes\n", RowBytes(false))
-	fmt.Fprintf(p.Out, "memory a row with a store %d bytes\n", RowBytes(true))
+	fmt.Fprintf(config.Out, "memory a row %d bytes\n", RowBytes(false))
+	fmt.Fprintf(config.Out, "memory a row with a store %d bytes\n", RowBytes(true))
 	return nil
 }
 
@@ -74,10 +74,10 @@
 }
 
 // round runs one gateway under load and tells its CPU time a request, by the system's account of the whole process.
-func (p CostPlan) round(ctx context.Context, mode, name string) (s sample, err error) {
-	env := &environment{Plan: Plan{Program: p.Program, Dir: filepath.Join(p.Dir, name), Seed: 1, Out: io.Discard}}
+func (c CostConfig) round(ctx context.Context, mode, name string) (s sample, err error) {
+	env := &environment{Config: Config{Program: c.Program, Dir: filepath.Join(c.Dir, name), Seed: 1, Out: io.Discard}}
 	defer env.close()
-	if env.backends, err = standin.NewBackends(nodes, false, standin.Always(standin.Step{})); err != nil {
+	if env.backends, err = standin.NewBackends(backendCount, false, standin.Always(standin.Step{})); err != nil {
 		return s, err
 	}
 	if env.counter, err = standin.NewCounter(); err != nil {
@@ -99,73 +99,73 @@
 	if err := n.Write(map[string]string{"operations.toml": text}); err != nil {
 		return s, err
 	}
-	if err := n.Start(patience); err != nil {
+	if err := n.Start(waitTimeout); err != nil {
 		return s, err
 	}
-	all, err := p.load(ctx, n.Listen)
+	latencies, err := c.load(ctx, n.Listen)
 	if err != nil {
 		return s, err
 	}
-	if err := n.Terminate(patience); err != nil {
+	if err := n.Terminate(waitTimeout); err != nil {
 		return s, err
 	}
-	used := n.Program().CPU()
-	slices.Sort(all)
-	return sample{used.Seconds() * 1e6 / float64(len(all)), all[len(all)*99/100]}, ctx.Err()
+	cpu := n.Program().CPU()
+	slices.Sort(latencies)
+	return sample{cpu.Seconds() * 1e6 / float64(len(latencies)), latencies[len(latencies)*99/100]}, ctx.Err()
 }
 
 // load runs the clients for the round's length, and returns the latencies of all.
-func (p CostPlan) load(ctx context.Context, addr string) ([]time.Duration, error) {
+func (c CostConfig) load(ctx context.Context, addr string) ([]time.Duration, error) {
 	var mu sync.Mutex
-	var all []time.Duration
+	var latencies []time.Duration
 	var clients sync.WaitGroup
-	failed := make(chan error, p.Clients)
-	ctx, stop := context.WithTimeout(ctx, p.Length)
+	errs := make(chan error, c.Clients)
+	ctx, stop := context.WithTimeout(ctx, c.Length)
 	defer stop()
-	for h := range p.Clients {
+	for number := range c.Clients {
 		clients.Go(func() {
-			latencies, err := p.client(ctx, addr, h)
+			own, err := c.client(ctx, addr, number)
 			if err != nil {
-				failed <- err
+				errs <- err
 			}
 			mu.Lock()
 			defer mu.Unlock()
-			all = append(all, latencies...)
+			latencies = append(latencies, own...)
 		})
 	}
 	clients.Wait()
 	select {
-	case err := <-failed:
+	case err := <-errs:
 		return nil, err
 	default:
-		return all, nil
+		return latencies, nil
 	}
 }
 
 // client sends one request after another and times the answers.
-func (p CostPlan) client(ctx context.Context, addr string, h int) (latencies []time.Duration, err error) {
-	c, err := standin.Dial(addr, patience)
+func (c CostConfig) client(ctx context.Context, addr string, number int) (latencies []time.Duration, err error) {
+	conn, err := standin.Dial(addr, waitTimeout)
 	if err != nil {
 		return nil, err
 	}
-	defer c.Close()
+	defer conn.Close()
 	for i := 0; ctx.Err() == nil; i++ {
-		c.SetDeadline(time.Now().Add(patience))
-		arguments := []string{"SVC.QUERY", fmt.Sprintf("%016x", h*1000+i%100), fmt.Sprintf("i%d-%d", h, i),
+		conn.SetDeadline(time.Now().Add(waitTimeout))
+		args := []string{"SVC.QUERY", fmt.Sprintf("%016x", number*1000+i%100), fmt.Sprintf("i%d-%d", number, i),
 			"c=space-query,t=regular,d=4000,spread=3,first=0"}
-		began := time.Now()
-		if err := c.Send(arguments); err != nil {
+		start := time.Now()
+		if err := conn.Send(args); err != nil {
 			return latencies, err
 		}
-		v, err := c.Reply()
+		reply, err := conn.Reply()
 		if err != nil {
 			return latencies, err
 		}
-		if v.Kind == '-' && !strings.HasPrefix(v.Text, "BUSY") {
-			return latencies, errors.New(v.Text)
+		if reply.Kind == '-' && !strings.HasPrefix(reply.Text, "BUSY") {
+			return latencies, errors.New(reply.Text)
 		}
-		latencies = append(latencies, time.Since(began))
-		wait(ctx, p.Interval)
+		latencies = append(latencies, time.Since(start))
+		wait(ctx, c.Interval)
 	}
 	return latencies, nil
 }
--- a/internal/soak/customers.go
+++ b/internal/soak/customers.go
@@ -25,12 +25,12 @@
 	Lost                           uint64 // the session ended, by either side, before its answer was read
 }
 
-func (t *Tally) add(o *Tally) {
-	t.Sent += o.Sent
-	t.Served += o.Served
-	t.Rejected += o.Rejected
-	t.Failed += o.Failed
-	t.Lost += o.Lost
+func (t *Tally) add(other *Tally) {
+	t.Sent += other.Sent
+	t.Served += other.Served
+	t.Rejected += other.Rejected
+	t.Failed += other.Failed
+	t.Lost += other.Lost
 }
 
 type tallies struct {
@@ -48,7 +48,7 @@
 	f(t.rows[r])
 }
 
-func (t *tallies) fault(format string, a ...any) {
+func (t *tallies) recordWrongAnswer(format string, a ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if len(t.wrongAnswers) < 20 {
@@ -58,93 +58,93 @@
 
 // command is one that a client sends, with what it takes for an answer.
 type command struct {
-	row       Row
-	arguments []string
-	value     string // that a backend serves it with; empty: a command on limits
+	row   Row
+	args  []string
+	value string // that a backend serves it with; empty: a command on limits
 }
 
 // runCustomer plays one customer until the context ends: those beyond the plan's number come through the forwarder, and send
 // commands on their limits too.
-func (env *environment) runCustomer(ctx context.Context, h uint64) {
-	rng := rand.New(rand.NewPCG(env.Seed, 100+h))
+func (env *environment) runCustomer(ctx context.Context, customer uint64) {
+	rng := rand.New(rand.NewPCG(env.Seed, 100+customer))
 	sessions := map[int]*standin.Client{}
 	defer func() {
 		for _, c := range sessions {
 			c.Close()
 		}
 	}()
-	forwarded := int(h) > env.Customers
+	forwarded := int(customer) > env.Customers
 	var retries sync.WaitGroup
 	defer retries.Wait()
 	for n := 0; ctx.Err() == nil; {
-		at := rng.IntN(gateways)
+		nodeIndex := rng.IntN(gatewayCount)
 		if forwarded {
-			at = gateways
+			nodeIndex = gatewayCount
 		}
-		batch := env.batch(rng, at, h, &n, forwarded)
+		batch := env.batch(rng, nodeIndex, customer, &n, forwarded)
 		if !forwarded && batch[0].row.Class == classes[1] && rng.IntN(6) == 0 {
 			n++
-			env.retryElsewhere(&retries, batch[0], at, fmt.Sprintf("i%x-%d", h, n))
+			env.retryElsewhere(&retries, batch[0], nodeIndex, fmt.Sprintf("i%x-%d", customer, n))
 		}
-		c := sessions[at]
-		if c == nil {
+		session := sessions[nodeIndex]
+		if session == nil {
 			var err error
-			if c, err = standin.Dial(env.nodes[at].Listen, time.Second); err != nil {
+			if session, err = standin.Dial(env.nodes[nodeIndex].Listen, time.Second); err != nil {
 				wait(ctx, 20*time.Millisecond)
 				continue
 			}
-			sessions[at] = c
+			sessions[nodeIndex] = session
 		}
-		if !env.play(ctx, rng, c, batch) {
-			c.Close()
-			delete(sessions, at)
+		if !env.sendBatch(ctx, rng, session, batch) {
+			session.Close()
+			delete(sessions, nodeIndex)
 		}
 		wait(ctx, time.Duration(10+rng.IntN(50))*time.Millisecond)
 	}
 }
 
 // batch makes the commands that a customer sends at once: one, or now and then many. n numbers the customer's commands.
-func (env *environment) batch(rng *rand.Rand, at int, h uint64, n *int, forwarded bool) (batch []command) {
-	many := 1
+func (env *environment) batch(rng *rand.Rand, nodeIndex int, customer uint64, n *int, forwarded bool) (batch []command) {
+	count := 1
 	if rng.IntN(5) == 0 {
-		many = 2 + rng.IntN(24)
+		count = 2 + rng.IntN(24)
 	}
-	for range many {
+	for range count {
 		*n++
-		batch = append(batch, env.command(rng, at, h, *n, forwarded))
+		batch = append(batch, env.command(rng, nodeIndex, customer, *n, forwarded))
 	}
 	return batch
 }
 
 // retryElsewhere sends a command through another gateway while its first attempt is open, as a client's retry: under another id
 // and the same idempotency key.
-func (env *environment) retryElsewhere(retries *sync.WaitGroup, first command, at int, id string) {
-	again := first
-	other := (at + 1) % gateways
-	again.row.Node = env.nodes[other].Name
-	again.arguments = append([]string(nil), again.arguments...)
-	again.arguments[2] = id
-	again.value = id
-	c, err := standin.Dial(env.nodes[other].Listen, time.Second)
+func (env *environment) retryElsewhere(retries *sync.WaitGroup, first command, nodeIndex int, id string) {
+	retry := first
+	otherNode := (nodeIndex + 1) % gatewayCount
+	retry.row.Node = env.nodes[otherNode].Name
+	retry.args = append([]string(nil), retry.args...)
+	retry.args[2] = id
+	retry.value = id
+	c, err := standin.Dial(env.nodes[otherNode].Listen, time.Second)
 	if err != nil {
 		return
 	}
 	retries.Go(func() {
 		defer c.Close()
-		env.exchange(c, []command{again}, 0)
+		env.exchange(c, []command{retry}, 0)
 	})
 }
 
-// play sends a batch. Now and then the client leaves with all of it open, or reads late. It reports whether the session goes on.
-func (env *environment) play(ctx context.Context, rng *rand.Rand, c *standin.Client, batch []command) bool {
+// sendBatch sends a batch. Now and then the client leaves with all of it open, or reads late. It reports whether the session goes on.
+func (env *environment) sendBatch(ctx context.Context, rng *rand.Rand, c *standin.Client, batch []command) bool {
 	switch rng.IntN(60) {
 	case 0:
 		for i := range batch {
 			env.tallies.record(batch[i].row, func(t *Tally) { t.Sent++; t.Lost++ })
 		}
-		c.SetDeadline(time.Now().Add(patience))
+		c.SetDeadline(time.Now().Add(waitTimeout))
 		for _, b := range batch {
-			c.Send(b.arguments)
+			c.Send(b.args)
 		}
 		wait(ctx, time.Duration(rng.IntN(20))*time.Millisecond)
 		return false
@@ -156,53 +156,53 @@
 }
 
 // command makes a customer's n-th command, for a gateway or, behind the last, the forwarder.
-func (env *environment) command(rng *rand.Rand, at int, h uint64, n int, forwarded bool) command {
-	plan := plans[h%uint64(len(plans))]
-	c := command{row: Row{env.nodes[at].Name, h, plan, classes[rng.IntN(2)]}}
+func (env *environment) command(rng *rand.Rand, nodeIndex int, customer uint64, n int, forwarded bool) command {
+	plan := plans[customer%uint64(len(plans))]
+	c := command{row: Row{env.nodes[nodeIndex].Name, customer, plan, classes[rng.IntN(2)]}}
 	args := "t=" + plan + ",d=1500,spread=3,first=0"
-	customer := fmt.Sprintf("%016x", h)
+	customerText := fmt.Sprintf("%016x", customer)
 	if forwarded && rng.IntN(3) == 0 {
 		if c.row.Class = "limit.get"; rng.IntN(2) == 0 {
-			c.arguments = []string{"LIMIT.GET", customer, args}
+			c.args = []string{"LIMIT.GET", customerText, args}
 			return c
 		}
 		c.row.Class = "limit.adjust"
 		units := 1 + rng.IntN(3)
-		if h%4 == 0 && rng.IntN(2) == 0 {
+		if customer%4 == 0 && rng.IntN(2) == 0 {
 			units = -units
 		}
-		c.arguments = []string{"LIMIT.ADJUST", customer, strconv.Itoa(units), args}
+		c.args = []string{"LIMIT.ADJUST", customerText, strconv.Itoa(units), args}
 		return c
 	}
-	c.value = fmt.Sprintf("i%x-%d", h, n)
+	c.value = fmt.Sprintf("i%x-%d", customer, n)
 	args = "c=" + c.row.Class + "," + args + ",units=" + strconv.Itoa(1+rng.IntN(3))
 	if c.row.Class == classes[0] {
-		c.arguments = []string{"SVC.QUERY", customer, c.value, args}
+		c.args = []string{"SVC.QUERY", customerText, c.value, args}
 	} else {
-		c.arguments = []string{"SVC.SUBMIT", customer, c.value, args + fmt.Sprintf(",k=k%x-%d", h, n)}
+		c.args = []string{"SVC.SUBMIT", customerText, c.value, args + fmt.Sprintf(",k=k%x-%d", customer, n)}
 	}
 	return c
 }
 
 // exchange sends a batch, reads its answers after a pause, and books them; false: the session is over.
 func (env *environment) exchange(c *standin.Client, batch []command, pause time.Duration) bool {
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(waitTimeout))
 	read := make(chan int)
 	go func() { // a batch may be more than the gateway takes before it is read from
 		time.Sleep(pause)
 		n := 0
 		for n < len(batch) {
-			v, err := c.Reply()
+			reply, err := c.Reply()
 			if err != nil {
 				break
 			}
-			env.recordAnswer(batch[n], v)
+			env.recordAnswer(batch[n], reply)
 			n++
 		}
 		read <- n
 	}()
 	for _, b := range batch {
-		if c.Send(b.arguments) != nil {
+		if c.Send(b.args) != nil {
 			break
 		}
 	}
@@ -214,22 +214,22 @@
 }
 
 // recordAnswer books an answer, and checks that it is one to this command.
-func (env *environment) recordAnswer(c command, v standin.Reply) {
-	refused := v.Kind == '-' && (v.Text == "BUSY" || strings.HasPrefix(v.Text, "BUSY "))
-	failed := v.Kind == '-' && strings.HasPrefix(v.Text, "ERR ")
+func (env *environment) recordAnswer(c command, reply standin.Reply) {
+	refused := reply.Kind == '-' && (reply.Text == "BUSY" || strings.HasPrefix(reply.Text, "BUSY "))
+	failed := reply.Kind == '-' && strings.HasPrefix(reply.Text, "ERR ")
 	switch {
 	case refused, failed:
 	case c.value != "":
-		if v.Kind != '$' || v.Null || v.Text != c.value {
-			env.tallies.fault("%v is answered %c%.40q", c.arguments, v.Kind, v.Text)
+		if reply.Kind != '$' || reply.Null || reply.Text != c.value {
+			env.tallies.recordWrongAnswer("%v is answered %c%.40q", c.args, reply.Kind, reply.Text)
 		}
-	case c.arguments[0] == "LIMIT.GET":
-		if v.Kind != '*' || len(v.Items) != 3 {
-			env.tallies.fault("%v is answered %c%.40q", c.arguments, v.Kind, v.Text)
+	case c.args[0] == "LIMIT.GET":
+		if reply.Kind != '*' || len(reply.Items) != 3 {
+			env.tallies.recordWrongAnswer("%v is answered %c%.40q", c.args, reply.Kind, reply.Text)
 		}
 	default:
-		if _, err := strconv.ParseFloat(v.Text, 64); v.Kind != '$' || err != nil {
-			env.tallies.fault("%v is answered %c%.40q", c.arguments, v.Kind, v.Text)
+		if _, err := strconv.ParseFloat(reply.Text, 64); reply.Kind != '$' || err != nil {
+			env.tallies.recordWrongAnswer("%v is answered %c%.40q", c.args, reply.Kind, reply.Text)
 		}
 	}
 	env.tallies.record(c.row, func(t *Tally) {
--- a/internal/soak/quota.go
+++ b/internal/soak/quota.go
@@ -13,9 +13,9 @@
 	"dewhitch/internal/standin"
 )
 
-// QuotaPlan says how to measure what gateways send on beyond the quota while their counter is at fault: customers of
+// QuotaConfig says how to measure what gateways send on beyond the quota while their counter is at fault: customers of
 // the plan fleet ask four times their quota, through gateways of which one gets most and another every few seconds.
-type QuotaPlan struct {
+type QuotaConfig struct {
 	Program string
 	Dir     string
 	Phase   time.Duration // of each state of the counter
@@ -26,7 +26,7 @@
 const (
 	quotaCustomers = 6
 	demandMultiple = 4.0             // the quota
-	shiftEvery     = 7 * time.Second // another gateway gets most
+	shiftInterval  = 7 * time.Second // another gateway gets most
 	fleetRate      = 60.0            // as configure has it
 	fleetBurst     = 90.0
 	ceilingRate    = 120.0
@@ -41,8 +41,8 @@
 }
 
 // Quota measures and prints a table. Shares are of the quota's rate, over all customers.
-func Quota(ctx context.Context, p QuotaPlan) error {
-	env := &environment{Plan: Plan{Program: p.Program, Dir: p.Dir, Seed: p.Seed, Out: p.Out}}
+func Quota(ctx context.Context, config QuotaConfig) error {
+	env := &environment{Config: Config{Program: config.Program, Dir: config.Dir, Seed: config.Seed, Out: config.Out}}
 	defer env.close()
 	if err := env.openQuota(); err != nil {
 		return err
@@ -57,28 +57,28 @@
 		{"swapped for an empty one", (*standin.Counter).Forget},
 		{"swapped again", (*standin.Counter).Forget},
 	}
-	load, stop := context.WithTimeout(ctx, time.Duration(len(phases))*p.Phase)
+	loadCtx, stop := context.WithTimeout(ctx, time.Duration(len(phases))*config.Phase)
 	defer stop()
-	var all sync.WaitGroup
-	for h := range quotaCustomers {
-		all.Go(func() { env.runOpenLoop(load, uint64(2+3*h)) }) // those of the plan fleet
+	var clients sync.WaitGroup
+	for i := range quotaCustomers {
+		clients.Go(func() { env.runOpenLoop(loadCtx, uint64(2+3*i)) }) // those of the plan fleet
 	}
-	began := time.Now()
+	start := time.Now()
 	var script []standin.ScheduledFault
-	for i, ph := range phases {
-		script = append(script, standin.ScheduledFault{At: time.Duration(i) * p.Phase, Apply: ph.apply})
+	for i, state := range phases {
+		script = append(script, standin.ScheduledFault{At: time.Duration(i) * config.Phase, Apply: state.apply})
 	}
-	env.counter.Play(load, script...)
-	all.Wait()
+	env.counter.Play(loadCtx, script...)
+	clients.Wait()
 	if err := ctx.Err(); err != nil {
 		return err
 	}
 	for _, n := range env.nodes {
-		if err := n.Terminate(patience); err != nil {
+		if err := n.Terminate(waitTimeout); err != nil {
 			return err
 		}
 	}
-	return env.report(began, p.Phase, phases)
+	return env.report(start, config.Phase, phases)
 }
 
 func (env *environment) openQuota() (err error) {
@@ -89,26 +89,26 @@
 		return err
 	}
 	env.counterListeners = []*standin.Listener{env.counter.Listener}
-	for range gateways - 1 {
-		door, err := env.counter.AddListener()
+	for range gatewayCount - 1 {
+		listener, err := env.counter.AddListener()
 		if err != nil {
 			return err
 		}
-		env.counterListeners = append(env.counterListeners, door)
+		env.counterListeners = append(env.counterListeners, listener)
 	}
 	if env.discovery, err = standin.NewDiscovery(env.members(-1), 1); err != nil {
 		return err
 	}
-	for i := range gateways {
+	for i := range gatewayCount {
 		env.nodes = append(env.nodes, env.node("n"+strconv.Itoa(i), "", "serve"))
 	}
 	return env.startAll()
 }
 
 // runOpenLoop asks for one customer in an open loop: what is due is sent, whatever is answered.
-func (env *environment) runOpenLoop(ctx context.Context, h uint64) {
-	rng := rand.New(rand.NewPCG(env.Seed, 500+h))
-	var sessions [gateways]*standin.Client
+func (env *environment) runOpenLoop(ctx context.Context, customer uint64) {
+	rng := rand.New(rand.NewPCG(env.Seed, 500+customer))
+	var sessions [gatewayCount]*standin.Client
 	var readers sync.WaitGroup
 	defer func() {
 		for _, c := range sessions {
@@ -118,38 +118,38 @@
 		}
 		readers.Wait()
 	}()
-	began := time.Now()
+	start := time.Now()
 	for n := 0; ctx.Err() == nil; n++ {
-		sendAt := began.Add(time.Duration(float64(n) / (demandMultiple * fleetRate) * 1e9))
+		sendAt := start.Add(time.Duration(float64(n) / (demandMultiple * fleetRate) * 1e9))
 		wait(ctx, time.Until(sendAt))
-		preferred := int(time.Since(began)/shiftEvery) + int(h)
-		at := preferred % gateways
+		preferred := int(time.Since(start)/shiftInterval) + int(customer)
+		nodeIndex := preferred % gatewayCount
 		switch v := rng.Float64(); {
 		case v > 0.9:
-			at = (preferred + 2) % gateways
+			nodeIndex = (preferred + 2) % gatewayCount
 		case v > 0.7:
-			at = (preferred + 1) % gateways
+			nodeIndex = (preferred + 1) % gatewayCount
 		}
-		c := sessions[at]
-		if c == nil {
+		session := sessions[nodeIndex]
+		if session == nil {
 			var err error
-			if c, err = standin.Dial(env.nodes[at].Listen, time.Second); err != nil {
+			if session, err = standin.Dial(env.nodes[nodeIndex].Listen, time.Second); err != nil {
 				continue
 			}
-			sessions[at] = c
+			sessions[nodeIndex] = session
 			readers.Go(func() {
 				for {
-					if _, err := c.Reply(); err != nil {
+					if _, err := session.Reply(); err != nil {
 						return
 					}
 				}
 			})
 		}
-		c.SetWriteDeadline(time.Now().Add(time.Second))
-		if c.Send([]string{"SVC.QUERY", fmt.Sprintf("%016x", h), fmt.Sprintf("i%x-%d", h, n),
+		session.SetWriteDeadline(time.Now().Add(time.Second))
+		if session.Send([]string{"SVC.QUERY", fmt.Sprintf("%016x", customer), fmt.Sprintf("i%x-%d", customer, n),
 			"c=space-query,t=fleet,d=1500,spread=3,first=0"}) != nil {
-			c.Close()
-			sessions[at] = nil
+			session.Close()
+			sessions[nodeIndex] = nil
 		}
 	}
 }
@@ -157,46 +157,46 @@
 // bucket is a store of units, kept by what the backends saw.
 type bucket struct {
 	level, rate, burst float64
-	at                 time.Time
+	updatedAt          time.Time
 }
 
 // draw takes a unit and tells how far below nothing that leaves the store.
 func (b *bucket) draw(at time.Time) float64 {
-	b.level = min(b.burst, b.level+b.rate*at.Sub(b.at).Seconds())
-	b.at = at
+	b.level = min(b.burst, b.level+b.rate*at.Sub(b.updatedAt).Seconds())
+	b.updatedAt = at
 	b.level--
 	return max(0, -b.level)
 }
 
 // report prints what was sent on in each phase, and what of it lay beyond the quota, by what the backends saw. A unit that
 // is beyond is not drawn, so that one that is within is not held against what came before it.
-func (env *environment) report(began time.Time, length time.Duration, phases []phase) error {
-	type figures struct{ sent, beyond, ceiling float64 }
-	got := make([]figures, len(phases))
-	quota, ceiling := map[string]*bucket{}, map[string]*bucket{}
+func (env *environment) report(start time.Time, phaseLength time.Duration, phases []phase) error {
+	type phaseCounts struct{ forwarded, beyond, deepest float64 }
+	counts := make([]phaseCounts, len(phases))
+	quotas, ceilings := map[string]*bucket{}, map[string]*bucket{}
 	for _, c := range env.backends.Commands() {
-		i := int(c.At.Sub(began) / length)
-		if i < 0 || i >= len(got) {
+		index := int(c.At.Sub(start) / phaseLength)
+		if index < 0 || index >= len(counts) {
 			continue
 		}
-		if quota[c.Customer] == nil {
-			quota[c.Customer] = &bucket{fleetBurst, fleetRate, fleetBurst, began}
-			ceiling[c.Customer] = &bucket{ceilingBurst, ceilingRate, ceilingBurst, began}
+		if quotas[c.Customer] == nil {
+			quotas[c.Customer] = &bucket{fleetBurst, fleetRate, fleetBurst, start}
+			ceilings[c.Customer] = &bucket{ceilingBurst, ceilingRate, ceilingBurst, start}
 		}
-		got[i].sent++
-		if q := quota[c.Customer]; q.draw(c.At) > 0 {
-			got[i].beyond++
+		counts[index].forwarded++
+		if q := quotas[c.Customer]; q.draw(c.At) > 0 {
+			counts[index].beyond++
 			q.level++
 		}
-		got[i].ceiling = max(got[i].ceiling, ceiling[c.Customer].draw(c.At))
+		counts[index].deepest = max(counts[index].deepest, ceilings[c.Customer].draw(c.At))
 	}
 	tw := tabwriter.NewWriter(env.Out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(tw, "counter\tsent on\tbeyond the quota\tdeepest below the ceiling, units")
-	all := fleetRate * quotaCustomers * length.Seconds()
+	quota := fleetRate * quotaCustomers * phaseLength.Seconds()
 	exceeded := false
-	for i, g := range got {
-		fmt.Fprintf(tw, "%s\t%.2f\t%.2f\t%.1f of %g\n", phases[i].name, g.sent/all, g.beyond/all, g.ceiling, ceilingSlack)
-		exceeded = exceeded || g.ceiling > ceilingSlack
+	for i, count := range counts {
+		fmt.Fprintf(tw, "%s\t%.2f\t%.2f\t%.1f of %g\n", phases[i].name, count.forwarded/quota, count.beyond/quota, count.deepest, ceilingSlack)
+		exceeded = exceeded || count.deepest > ceilingSlack
 	}
 	tw.Flush()
 	if exceeded {
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -20,21 +20,21 @@
 	"dewhitch/internal/standin/zookeeper"
 )
 
-// Plan says what to run.
-type Plan struct {
-	Program   string        // dewhitch, built
-	Dir       string        // for the nodes' files; it must be empty
-	Length    time.Duration // of the load
-	Kill      time.Duration // between two kills
-	Seed      uint64
-	Customers int // that come to the gateways themselves; half as many more come through the forwarder
-	Out       io.Writer
+// Config says what to run.
+type Config struct {
+	Program      string        // dewhitch, built
+	Dir          string        // for the nodes' files; it must be empty
+	Length       time.Duration // of the load
+	KillInterval time.Duration // between two kills
+	Seed         uint64
+	Customers    int // that come to the gateways themselves; half as many more come through the forwarder
+	Out          io.Writer
 }
 
 const (
-	gateways = 3
-	nodes    = 6
-	patience = 30 * time.Second // for what must come
+	gatewayCount = 3
+	backendCount = 6
+	waitTimeout  = 30 * time.Second // for what must come
 )
 
 // word is a plan or class of the settings.
@@ -51,7 +51,7 @@
 
 // environment is all of a run.
 type environment struct {
-	Plan
+	Config
 	backends         *standin.Backends
 	counter          *standin.Counter
 	discovery        *standin.Discovery
@@ -62,34 +62,34 @@
 }
 
 // Run carries a plan out and prints the reckoning. An error says what does not hold.
-func Run(ctx context.Context, p Plan) error {
-	env := &environment{Plan: p, tallies: tallies{rows: map[Row]*Tally{}}}
+func Run(ctx context.Context, config Config) error {
+	env := &environment{Config: config, tallies: tallies{rows: map[Row]*Tally{}}}
 	defer env.close()
 	if err := env.open(); err != nil {
 		return err
 	}
-	fmt.Fprintf(env.Out, "seed %d: %d gateways, a forwarder, %d backends, for %v, a kill every %v\n", p.Seed, gateways, nodes,
-		p.Length, p.Kill)
-	load, stop := context.WithTimeout(ctx, p.Length)
+	fmt.Fprintf(env.Out, "seed %d: %d gateways, a forwarder, %d backends, for %v, a kill every %v\n", config.Seed, gatewayCount, backendCount,
+		config.Length, config.KillInterval)
+	loadCtx, stop := context.WithTimeout(ctx, config.Length)
 	defer stop()
-	var all sync.WaitGroup
-	for h := range p.Customers + p.Customers/2 {
-		all.Go(func() { env.runCustomer(load, uint64(h+1)) })
+	var workers sync.WaitGroup
+	for i := range config.Customers + config.Customers/2 {
+		workers.Go(func() { env.runCustomer(loadCtx, uint64(i+1)) })
 	}
-	faults := make(chan error, 3)
-	all.Go(func() { faults <- env.killNodes(load) })
-	all.Go(func() { env.injectFaults(load) })
-	all.Go(func() { faults <- env.readWhileRunning(load) })
-	all.Wait()
+	errs := make(chan error, 3)
+	workers.Go(func() { errs <- env.killNodes(loadCtx) })
+	workers.Go(func() { env.injectFaults(loadCtx) })
+	workers.Go(func() { errs <- env.auditRunningLedgers(loadCtx) })
+	workers.Wait()
 	for range 2 {
-		if err := <-faults; err != nil {
+		if err := <-errs; err != nil {
 			return err
 		}
 	}
 	if err := ctx.Err(); err != nil {
 		return err
 	}
-	if err := env.endNodes(); err != nil {
+	if err := env.terminateNodes(); err != nil {
 		return err
 	}
 	return env.audit()
@@ -102,7 +102,7 @@
 		Delay  time.Duration
 	}{standin.Serve: {90, 20 * time.Millisecond}, standin.Fail: {2, 0}, standin.Busy: {2, 0}, standin.Reset: {1.5, 5 * time.Millisecond},
 		standin.Stall: {0.5, 0}, standin.Corrupt: {1, 0}, standin.TrailingBytes: {1, 0}, standin.Truncate: {1, 0}}
-	if env.backends, err = standin.NewBackends(nodes, true, standin.Weighted(env.Seed, weights)); err != nil {
+	if env.backends, err = standin.NewBackends(backendCount, true, standin.Weighted(env.Seed, weights)); err != nil {
 		return err
 	}
 	if env.counter, err = standin.NewCounter(); err != nil {
@@ -114,7 +114,7 @@
 	if env.registry, err = zookeeper.New(); err != nil {
 		return err
 	}
-	for i := range gateways {
+	for i := range gatewayCount {
 		env.nodes = append(env.nodes, env.node("n"+strconv.Itoa(i), statement.Gateway, "serve"))
 	}
 	env.nodes = append(env.nodes, env.node("forwarder", statement.Forwarder, "forward"))
@@ -135,7 +135,7 @@
 		if err := env.configure(i, n); err != nil {
 			return err
 		}
-		if err := n.Start(patience); err != nil {
+		if err := n.Start(waitTimeout); err != nil {
 			return err
 		}
 	}
@@ -162,7 +162,7 @@
 		counter = env.counterListeners[i].Addr()
 	}
 	config, err := standin.Config{Name: n.Name, Listen: n.Listen, Discovery: env.discovery.Addr(), Counter: counter, Seed: env.Seed + uint64(i),
-		Instances: gateways, Number: i % gateways, Zones: []string{"hall-a"}, Plans: []standin.Plan{
+		Instances: gatewayCount, Number: i % gatewayCount, Zones: []string{"hall-a"}, Plans: []standin.Plan{
 			{Name: plans[0], QuotaRate: 20, Depth: 30, OverrunCost: 0.8, Pays: 0.8},
 			{Name: plans[1], QuotaRate: 40, Depth: 80, BeyondEarns: 0.2, Pays: 1.1},
 			{Name: plans[2], QuotaRate: 60, Depth: 90, CapRate: 120, HardBurst: 180, Tolerance: 18, Open: 40, OverrunCost: 1, Pays: 1.4}},
@@ -178,7 +178,7 @@
 		servers = strconv.Quote(env.registry.Addr())
 	}
 	limits := fmt.Sprintf("listen = %q\n[registry]\nservers = [%s]\nsession_ms = 1500\n[forward]\nlisten = %q\ngateways = %d\n",
-		n.limits, servers, n.Listen, gateways)
+		n.limits, servers, n.Listen, gatewayCount)
 	operations := fmt.Sprintf("[ledger]\nenabled = true\naudit_ms = 250\nstatement_ms = 1000\nsegment_mb = 1\nrows = 2000\ndir = %q\n",
 		n.File("ledger"))
 	return n.Write(map[string]string{"config.json": config, "limits.toml": limits, "operations.toml": operations})
@@ -188,7 +188,7 @@
 // killed once more while it repairs its books.
 func (env *environment) killNodes(ctx context.Context) error {
 	rng := rand.New(rand.NewPCG(env.Seed, 11))
-	tick := time.NewTicker(env.Kill)
+	tick := time.NewTicker(env.KillInterval)
 	defer tick.Stop()
 	for i := 0; ; i++ {
 		select {
@@ -196,9 +196,9 @@
 			return nil
 		case <-tick.C:
 		}
-		n := env.nodes[rng.IntN(gateways)]
+		n := env.nodes[rng.IntN(gatewayCount)]
 		if i%4 == 3 {
-			n = env.nodes[gateways]
+			n = env.nodes[gatewayCount]
 		}
 		for again := true; again; again = rng.IntN(4) == 0 {
 			n.Kill()
@@ -208,7 +208,7 @@
 					n.Kill()
 				}
 			}
-			if err := n.Start(patience); err != nil {
+			if err := n.Start(waitTimeout); err != nil {
 				return err
 			}
 		}
@@ -222,7 +222,7 @@
 	for ctx.Err() == nil {
 		wait(ctx, time.Duration(500+rng.IntN(2000))*time.Millisecond)
 		env.counter.SetMode(modes[rng.IntN(len(modes))])
-		env.discovery.Set(env.members(rng.IntN(nodes)))
+		env.discovery.Set(env.members(rng.IntN(backendCount)))
 		wait(ctx, time.Duration(100+rng.IntN(700))*time.Millisecond)
 		env.counter.SetMode("add")
 		env.discovery.Set(env.members(-1))
@@ -237,16 +237,16 @@
 	}
 }
 
-// readWhileRunning reads the books of all nodes while they work, as an export does, and checks them each time.
-func (env *environment) readWhileRunning(ctx context.Context) error {
+// auditRunningLedgers reads the books of all nodes while they work, as an export does, and checks them each time.
+func (env *environment) auditRunningLedgers(ctx context.Context) error {
 	// What is behind the last record that was read, as a reader should ask: one that holds a store for long holds up its
 	// statements.
-	read := map[*node]*struct {
+	positions := map[*node]*struct {
 		seq   uint64
 		chain statement.Chain
 	}{}
 	for _, n := range env.nodes {
-		read[n] = &struct {
+		positions[n] = &struct {
 			seq   uint64
 			chain statement.Chain
 		}{}
@@ -258,17 +258,17 @@
 		}
 		for _, n := range env.nodes {
 			dir := filepath.Join(n.Dir, "ledger")
-			v, err := store.Read(dir)
+			view, err := store.Read(dir)
 			if err != nil { // it is being started, or a statement is going in
 				continue
 			}
-			if found := v.Ledger.Audit(true); len(found) > 0 {
-				return fmt.Errorf("%s, read while it works: %+v: %v", n.Name, found[0].Key, found[0])
+			if faults := view.Ledger.Audit(true); len(faults) > 0 {
+				return fmt.Errorf("%s, read while it works: %+v: %v", n.Name, faults[0].Key, faults[0])
 			}
-			at := read[n]
-			if err := store.Records(dir, at.seq, func(_ []byte, r statement.Record) error {
-				at.seq = r.Seq
-				return at.chain.Next(r)
+			position := positions[n]
+			if err := store.Records(dir, position.seq, func(_ []byte, record statement.Record) error {
+				position.seq = record.Seq
+				return position.chain.Next(record)
 			}); errors.As(err, &statement.Fault{}) {
 				return err
 			}
@@ -276,16 +276,16 @@
 	}
 }
 
-// endNodes has all nodes end as at a planned restart, the forwarder first.
-func (env *environment) endNodes() error {
+// terminateNodes has all nodes end as at a planned restart, the forwarder first.
+func (env *environment) terminateNodes() error {
 	for i := len(env.nodes) - 1; i >= 0; i-- {
-		if err := env.nodes[i].Terminate(patience); err != nil {
+		if err := env.nodes[i].Terminate(waitTimeout); err != nil {
 			return err
 		}
 	}
 	for _, n := range env.nodes {
-		if line, bad := n.FindInLogs("the books do not add up", "could not keep everything", "could not be kept", "can't be used",
-			"panic:", "DATA RACE"); bad {
+		if line, found := n.FindInLogs("the books do not add up", "could not keep everything", "could not be kept", "can't be used",
+			"panic:", "DATA RACE"); found {
 			return fmt.Errorf("%s says: %s", n.Name, line)
 		}
 	}
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -9,13 +9,13 @@
 )
 
 // The short form of the ten-minute run: the same code, the same reckoning.
-func TestShort(t *testing.T) {
+func TestShortRun(t *testing.T) {
 	program, err := standin.Build(t.TempDir(), "dewhitch")
 	if err != nil {
 		t.Fatal(err)
 	}
 	var out bytes.Buffer
-	err = Run(t.Context(), Plan{Program: program, Dir: t.TempDir(), Length: 12 * time.Second, Kill: 1500 * time.Millisecond,
+	err = Run(t.Context(), Config{Program: program, Dir: t.TempDir(), Length: 12 * time.Second, KillInterval: 1500 * time.Millisecond,
 		Seed: 7, Customers: 16, Out: &out})
 	t.Log(out.String())
 	if err != nil {
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -48,43 +48,43 @@
 }
 
 // ReadReply reads one reply. The error is of the connection, or of a reply that breaks the protocol.
-func ReadReply(r *bufio.Reader) (v Reply, err error) {
+func ReadReply(r *bufio.Reader) (reply Reply, err error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
-		return v, err
+		return reply, err
 	}
 	if !strings.HasSuffix(line, "\r\n") || len(line) < 3 {
-		return v, fmt.Errorf("standin: %q is not a line of a reply", line)
+		return reply, fmt.Errorf("standin: %q is not a line of a reply", line)
 	}
-	v.Kind = line[0]
-	v.Text = line[1 : len(line)-2]
-	switch v.Kind {
+	reply.Kind = line[0]
+	reply.Text = line[1 : len(line)-2]
+	switch reply.Kind {
 	case '+', '-', ':':
-		return v, nil
+		return reply, nil
 	case '$', '*':
 	default:
-		return v, fmt.Errorf("standin: %q is not a reply", line)
+		return reply, fmt.Errorf("standin: %q is not a reply", line)
 	}
-	n, err := strconv.Atoi(v.Text)
+	n, err := strconv.Atoi(reply.Text)
 	if err != nil || n < -1 || n > maxArgBytes {
-		return v, fmt.Errorf("standin: %q has no valid length", line)
+		return reply, fmt.Errorf("standin: %q has no valid length", line)
 	}
 	if n < 0 {
-		v.Null = true
-		return v, nil
+		reply.Null = true
+		return reply, nil
 	}
-	if v.Kind == '$' {
-		v.Text, err = readBulk(r, n)
-		return v, err
+	if reply.Kind == '$' {
+		reply.Text, err = readBulk(r, n)
+		return reply, err
 	}
 	for range n {
 		item, err := ReadReply(r)
 		if err != nil {
-			return v, err
+			return reply, err
 		}
-		v.Items = append(v.Items, item)
+		reply.Items = append(reply.Items, item)
 	}
-	return v, nil
+	return reply, nil
 }
 
 // ownHosts counts the addresses that OwnAddr has returned.
--- a/internal/standin/command.go
+++ b/internal/standin/command.go
@@ -18,13 +18,13 @@
 	Corrupt                 // it has run; the answer breaks the protocol
 	TrailingBytes           // served, with bytes behind the answer that belong to none
 	Truncate                // it has run; the connection ends within the value
-	deedCount
+	behaviourCount
 )
 
-var deedNames = [deedCount]string{"serve", "fail", "busy", "reset", "stall", "spoil", "extra", "broken"}
+var behaviourNames = [behaviourCount]string{"serve", "fail", "busy", "reset", "stall", "spoil", "extra", "broken"}
 
 // String returns the name.
-func (d Behaviour) String() string { return deedNames[d] }
+func (b Behaviour) String() string { return behaviourNames[b] }
 
 // Step is how a backend treats one command.
 type Step struct {
@@ -88,14 +88,14 @@
 		total += s.Weight
 	}
 	return func(*Command) Step {
-		rest := rng.Float64() * total
-		for d := range deedCount { // not in the map's order, which differs by run
-			s, ok := steps[d]
+		remaining := rng.Float64() * total
+		for behaviour := range behaviourCount { // not in the map's order, which differs by run
+			s, ok := steps[behaviour]
 			if !ok {
 				continue
 			}
-			if rest -= s.Weight; rest < 0 {
-				return Step{Behaviour: d, Delay: time.Duration(rng.Float64() * float64(s.Delay))}
+			if remaining -= s.Weight; remaining < 0 {
+				return Step{Behaviour: behaviour, Delay: time.Duration(rng.Float64() * float64(s.Delay))}
 			}
 		}
 		return Step{}
--- a/internal/standin/counter.go
+++ b/internal/standin/counter.go
@@ -13,14 +13,14 @@
 
 // Modes of a counter's listener.
 const (
-	modeAdd     = "add"     // the call is added and answered
-	modeSilent  = "silent"  // added, never answered
-	modeFull    = "full"    // not added; 503
-	modeLate    = "late"    // added, answered after lateAnswerDelay
-	modeReset   = "reset"   // not added; the connection is closed
-	modeSpoilt  = "spoilt"  // added, the answer is not a number
-	modeInterim = "interim" // added, a 100 Continue comes before the answer
-	modeDoubled = "doubled" // added once, answered twice
+	modeAdd       = "add"     // the call is added and answered
+	modeSilent    = "silent"  // added, never answered
+	modeFull      = "full"    // not added; 503
+	modeLate      = "late"    // added, answered after lateAnswerDelay
+	modeReset     = "reset"   // not added; the connection is closed
+	modeCorrupt   = "spoilt"  // added, the answer is not a number
+	modeInterim   = "interim" // added, a 100 Continue comes before the answer
+	modeDuplicate = "doubled" // added once, answered twice
 )
 
 const (
@@ -177,13 +177,13 @@
 		return
 	case modeLate:
 		time.Sleep(lateAnswerDelay)
-	case modeSpoilt:
+	case modeCorrupt:
 		body = "NaN"
 	case modeInterim:
 		fmt.Fprint(conn, "HTTP/1.1 100 Continue\r\n\r\n")
 	}
 	response := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-	if a.mode == modeDoubled {
+	if a.mode == modeDuplicate {
 		response += response
 	}
 	fmt.Fprint(conn, response)
--- a/internal/standin/counter_test.go
+++ b/internal/standin/counter_test.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// addThrough adds to a total through a listener and returns the status and body of the answer, or nothing if there is none.
-func addThrough(t *testing.T, listener *Listener, name string, by float64) string {
+// addThroughListener adds to a total through a listener and returns the status and body of the answer, or nothing if there is none.
+func addThroughListener(t *testing.T, listener *Listener, name string, by float64) string {
 	t.Helper()
 	c, err := net.Dial("tcp", listener.Addr())
 	if err != nil {
@@ -49,52 +49,52 @@
 		t.Fatal(err)
 	}
 	defer c.Close()
-	near := c.Listener
-	far, err := c.AddListener()
+	first := c.Listener
+	second, err := c.AddListener()
 	if err != nil {
 		t.Fatal(err)
 	}
 	expect := func(listener *Listener, by float64, want string) {
 		t.Helper()
-		if got := addThrough(t, listener, "7.a", by); got != want {
+		if got := addThroughListener(t, listener, "7.a", by); got != want {
 			t.Errorf("answered %q, not %q", got, want)
 		}
 	}
-	expect(near, 5, "200 5")
-	expect(far, 1, "200 6") // one store behind both
+	expect(first, 5, "200 5")
+	expect(second, 1, "200 6") // one store behind both
 	c.Snapshot()
 	c.Split(1)
-	expect(near, 10, "200 16")
-	expect(far, 100, "200 106") // each knows what was before
+	expect(first, 10, "200 16")
+	expect(second, 100, "200 106") // each knows what was before
 	c.Join(JoinSum)
-	expect(far, 0, "200 116")
+	expect(second, 0, "200 116")
 	c.Restore()
-	expect(near, 0, "200 6")
+	expect(first, 0, "200 6")
 	c.Split(1)
-	expect(far, 3, "200 9")
+	expect(second, 3, "200 9")
 	c.Join(JoinFirst)
-	expect(far, 0, "200 6")
+	expect(second, 0, "200 6")
 	c.Split(1)
-	expect(far, 3, "200 9")
+	expect(second, 3, "200 9")
 	c.Join(JoinSecond)
-	expect(near, 0, "200 9")
+	expect(first, 0, "200 9")
 	c.SetMode("full", 1)
-	expect(far, 1, "503 ")
-	expect(near, 1, "200 10")
+	expect(second, 1, "503 ")
+	expect(first, 1, "200 10")
 	c.SetMode("reset", 1)
-	expect(far, 1, "nothing")
+	expect(second, 1, "nothing")
 	c.SetMode("add")
 	start := time.Now()
 	c.SetLatency(60*time.Millisecond, 0)
-	expect(near, 0, "200 10")
+	expect(first, 0, "200 10")
 	if elapsed := time.Since(start); elapsed < 60*time.Millisecond {
 		t.Errorf("a slow answer came after %v", elapsed)
 	}
 	c.SetLatency(0)
 	c.Play(context.Background(), ScheduledFault{time.Millisecond, (*Counter).Forget}, ScheduledFault{2 * time.Millisecond,
 		func(c *Counter) { c.SetMode("spoilt") }})
-	expect(near, 2, "200 NaN")
-	if calls, by := c.Added(); calls != 13 || by["7"] != 5+1+10+100+3+3+1+2 {
-		t.Errorf("%d calls added %v", calls, by)
+	expect(first, 2, "200 NaN")
+	if calls, units := c.Added(); calls != 13 || units["7"] != 5+1+10+100+3+3+1+2 {
+		t.Errorf("%d calls added %v", calls, units)
 	}
 }
--- a/internal/standin/link/conn.go
+++ b/internal/standin/link/conn.go
@@ -38,10 +38,10 @@
 	if l.closed.Load() {
 		c.close(true)
 	}
-	var both sync.WaitGroup
-	both.Go(func() { c.forward(c.near, c.far, &c.nearClosedAt) })
-	both.Go(func() { c.forward(c.far, c.near, nil) })
-	both.Wait()
+	var forwarders sync.WaitGroup
+	forwarders.Go(func() { c.forward(c.near, c.far, &c.nearClosedAt) })
+	forwarders.Go(func() { c.forward(c.far, c.near, nil) })
+	forwarders.Wait()
 	c.close(false)
 	l.mu.Lock()
 	delete(l.conns, c)
@@ -128,8 +128,8 @@
 // readSegments reads one side until it ends or the connection is closed.
 func (c *conn) readSegments(from *endpoint, segments chan<- segment, closedAt *atomic.Int64) {
 	for {
-		b := make([]byte, chunkBytes)
-		n, outagesBefore, err := from.receive(b)
+		buffer := make([]byte, chunkBytes)
+		n, outagesBefore, err := from.receive(buffer)
 		if n > 0 {
 			c.commands.observeBytes(from == c.near, time.Now())
 		}
@@ -137,7 +137,7 @@
 			closedAt.CompareAndSwap(0, time.Now().UnixNano())
 		}
 		s := segment{
-			data:          b[:n],
+			data:          buffer[:n],
 			reset:         errors.Is(err, syscall.ECONNRESET),
 			deliverAt:     from.outgoing.deliveryTime(n),
 			outagesBefore: outagesBefore,
--- a/internal/standin/link/direction.go
+++ b/internal/standin/link/direction.go
@@ -67,7 +67,7 @@
 	d.links = append(d.links, l)
 }
 
-func (d *direction) linksNow() []*Link {
+func (d *direction) currentLinks() []*Link {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.links
--- a/internal/standin/link/link_test.go
+++ b/internal/standin/link/link_test.go
@@ -11,8 +11,8 @@
 	"dewhitch/internal/standin"
 )
 
-// openBefore opens a link to a listener that serves each connection with serve.
-func openBefore(t *testing.T, serve func(net.Conn)) (*Net, *Link) {
+// openLink opens a link to a listener that serves each connection with serve.
+func openLink(t *testing.T, serve func(net.Conn)) (*Net, *Link) {
 	s, err := standin.Listen("", serve)
 	if err != nil {
 		t.Fatal(err)
@@ -27,9 +27,9 @@
 	return n, l
 }
 
-// openBeforeEcho opens a link to a listener that answers each line with itself.
-func openBeforeEcho(t *testing.T) (*Net, *Link) {
-	return openBefore(t, func(c net.Conn) {
+// openEchoLink opens a link to a listener that answers each line with itself.
+func openEchoLink(t *testing.T) (*Net, *Link) {
+	return openLink(t, func(c net.Conn) {
 		for r := bufio.NewReader(c); ; {
 			line, err := r.ReadString('\n')
 			if err != nil {
@@ -41,22 +41,22 @@
 }
 
 // echoes sends a line and reports whether it comes back in time.
-func echoes(c net.Conn, patience time.Duration) bool {
-	c.SetDeadline(time.Now().Add(patience))
+func echoes(c net.Conn, timeout time.Duration) bool {
+	c.SetDeadline(time.Now().Add(timeout))
 	fmt.Fprintln(c, "hello")
 	_, err := bufio.NewReader(c).ReadString('\n')
 	return err == nil
 }
 
 func TestSilentDirection(t *testing.T) {
-	for _, way := range [][2]string{{"a", "b"}, {"b", "a"}} {
-		t.Run(way[0]+"-"+way[1], func(t *testing.T) {
-			n, l := openBeforeEcho(t)
+	for _, direction := range [][2]string{{"a", "b"}, {"b", "a"}} {
+		t.Run(direction[0]+"-"+direction[1], func(t *testing.T) {
+			n, l := openEchoLink(t)
 			c, err := net.Dial("tcp", l.Addr())
 			if err != nil || !echoes(c, 5*time.Second) {
 				t.Fatal("a healthy direction delivers nothing", err)
 			}
-			n.Set(way[0], way[1], func(s *State) { s.Silent = true })
+			n.Set(direction[0], direction[1], func(s *State) { s.Silent = true })
 			if echoes(c, 200*time.Millisecond) {
 				t.Error("an open connection delivers through a silent direction")
 			}
@@ -79,7 +79,7 @@
 
 // Nothing accepts from the listener of a silent direction, not even an accept that was in progress: the backlog stays full.
 func TestNothingAcceptsWhileSilent(t *testing.T) {
-	n, l := openBeforeEcho(t)
+	n, l := openEchoLink(t)
 	n.Set("a", "b", func(s *State) { s.Silent = true })
 	l.mu.Lock()
 	l.listener.SetDeadline(time.Time{}) // as for an accept that began before the outage
@@ -92,7 +92,7 @@
 }
 
 func TestRefusedDirection(t *testing.T) {
-	n, l := openBeforeEcho(t)
+	n, l := openEchoLink(t)
 	c, err := net.Dial("tcp", l.Addr())
 	if err != nil || !echoes(c, 5*time.Second) {
 		t.Fatal(err)
@@ -111,30 +111,30 @@
 }
 
 func TestDelay(t *testing.T) {
-	n, l := openBeforeEcho(t)
+	n, l := openEchoLink(t)
 	n.Set("a", "b", func(s *State) { s.Delay = 150 * time.Millisecond })
 	c, err := net.Dial("tcp", l.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	began := time.Now()
-	if !echoes(c, 5*time.Second) || time.Since(began) < 150*time.Millisecond {
-		t.Error("the answer took", time.Since(began))
+	start := time.Now()
+	if !echoes(c, 5*time.Second) || time.Since(start) < 150*time.Millisecond {
+		t.Error("the answer took", time.Since(start))
 	}
 }
 
 // What a gateway abandoned during an outage must not be delivered after it.
-func TestGivenUpDoesNotArrive(t *testing.T) {
-	got := make(chan string, 1)
-	n, l := openBefore(t, func(c net.Conn) {
+func TestAbandonedDataIsNotDelivered(t *testing.T) {
+	received := make(chan string, 1)
+	n, l := openLink(t, func(c net.Conn) {
 		line, err := bufio.NewReader(c).ReadString('\n')
-		got <- fmt.Sprint(line, err != nil)
+		received <- fmt.Sprint(line, err != nil)
 	})
 	c, err := net.Dial("tcp", l.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	for end := time.Now().Add(5 * time.Second); l.connCount() == 0 && time.Now().Before(end); {
+	for deadline := time.Now().Add(5 * time.Second); l.connCount() == 0 && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
 	n.Set("a", "b", func(s *State) { s.Silent = true })
@@ -142,7 +142,7 @@
 	c.Close()
 	time.Sleep(50 * time.Millisecond)
 	n.Heal()
-	if line := <-got; line != "true" {
+	if line := <-received; line != "true" {
 		t.Errorf("it arrived: %q", line)
 	}
 }
@@ -152,37 +152,37 @@
 // It failed in 14 of 20 runs under the race detector beside six busy processes: the relay took the sender's end from its own reads,
 // and could read the line during the outage but the end only after the line was delivered. conn.deliverable asks the kernel since.
 func TestQueuedDoesNotArrive(t *testing.T) {
-	got := make(chan string, 100)
-	n, l := openBefore(t, func(c net.Conn) {
+	received := make(chan string, 100)
+	n, l := openLink(t, func(c net.Conn) {
 		line, _ := bufio.NewReader(c).ReadString('\n')
-		got <- line
+		received <- line
 	})
 	for range 30 {
-		var all []net.Conn
-		up := make(chan net.Conn)
+		var conns []net.Conn
+		dialled := make(chan net.Conn)
 		go func() { // one that comes up just as the outage begins
 			c, err := net.DialTimeout("tcp", l.Addr(), 100*time.Millisecond)
 			if err != nil {
 				c = nil
 			}
-			up <- c
+			dialled <- c
 		}()
 		n.Set("a", "b", func(s *State) { s.Silent = true })
-		if c := <-up; c != nil {
+		if c := <-dialled; c != nil {
 			fmt.Fprintln(c, "hello")
-			all = append(all, c)
+			conns = append(conns, c)
 		}
 		if c, err := net.DialTimeout("tcp", l.Addr(), 20*time.Millisecond); err == nil {
 			fmt.Fprintln(c, "hello")
-			all = append(all, c)
+			conns = append(conns, c)
 		}
-		for _, c := range all {
+		for _, c := range conns {
 			c.Close()
 		}
 		n.Heal()
 		time.Sleep(10 * time.Millisecond)
-		for len(got) > 0 {
-			if line := <-got; line != "" {
+		for len(received) > 0 {
+			if line := <-received; line != "" {
 				t.Fatalf("it arrived: %q", line)
 			}
 		}
@@ -191,14 +191,14 @@
 
 // What was sent after an outage is delivered, even if its sender has closed the connection since, as over a slow wire.
 func TestLeftBehindASlowWayArrives(t *testing.T) {
-	got := make(chan string, 2)
-	n, l := openBefore(t, func(c net.Conn) {
+	received := make(chan string, 2)
+	n, l := openLink(t, func(c net.Conn) {
 		for r := bufio.NewReader(c); ; {
 			line, err := r.ReadString('\n')
 			if err != nil {
 				return
 			}
-			got <- line
+			received <- line
 		}
 	})
 	c, err := net.Dial("tcp", l.Addr())
@@ -206,7 +206,7 @@
 		t.Fatal(err)
 	}
 	fmt.Fprintln(c, "before")
-	if line := <-got; line != "before\n" {
+	if line := <-received; line != "before\n" {
 		t.Fatalf("%q came", line)
 	}
 	n.Set("a", "b", func(s *State) { s.Silent = true })
@@ -215,7 +215,7 @@
 	fmt.Fprintln(c, "after")
 	c.Close()
 	select {
-	case line := <-got:
+	case line := <-received:
 		if line != "after\n" {
 			t.Errorf("%q came", line)
 		}
@@ -225,36 +225,36 @@
 }
 
 // ClosedAt is known for a connection that the gateway has closed while the server still has its end open.
-func TestLeft(t *testing.T) {
-	seen := make(chan string, 1)
-	hold := make(chan struct{})
-	_, l := openBefore(t, func(c net.Conn) { seen <- c.RemoteAddr().String(); <-hold })
-	defer close(hold)
+func TestClosedAt(t *testing.T) {
+	remoteAddrs := make(chan string, 1)
+	release := make(chan struct{})
+	_, l := openLink(t, func(c net.Conn) { remoteAddrs <- c.RemoteAddr().String(); <-release })
+	defer close(release)
 	c, err := net.Dial("tcp", l.Addr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	far := <-seen
+	far := <-remoteAddrs
 	if at := l.ClosedAt(far); !at.IsZero() {
 		t.Error("it is closed before it was:", at)
 	}
 	c.Close()
-	for end := time.Now().Add(5 * time.Second); l.ClosedAt(far).IsZero(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(5 * time.Second); l.ClosedAt(far).IsZero(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("its close is not seen")
 		}
 	}
 }
 
 func TestDatagrams(t *testing.T) {
-	at, err := net.ListenPacket("udp", "127.0.0.1:0")
+	receiver, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer at.Close()
+	defer receiver.Close()
 	n := NewNet(1)
 	defer n.Close()
-	l, err := n.Open("a", "b", standin.OwnAddr(), at.LocalAddr().String(), true)
+	l, err := n.Open("a", "b", standin.OwnAddr(), receiver.LocalAddr().String(), true)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -262,10 +262,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	arrives := func(patience time.Duration) bool {
+	arrives := func(timeout time.Duration) bool {
 		c.Write([]byte("x"))
-		at.SetReadDeadline(time.Now().Add(patience))
-		_, _, err := at.ReadFrom(make([]byte, 8))
+		receiver.SetReadDeadline(time.Now().Add(timeout))
+		_, _, err := receiver.ReadFrom(make([]byte, 8))
 		return err == nil
 	}
 	if !arrives(5 * time.Second) {
--- a/internal/standin/link/network.go
+++ b/internal/standin/link/network.go
@@ -31,16 +31,16 @@
 
 // Set changes the state of the direction between two processes, and applies it to the links that use the direction.
 func (n *Net) Set(from, to string, change func(*State)) {
-	t, changed := n.direction(from, to).change(change)
+	transition, changed := n.direction(from, to).change(change)
 	if !changed {
 		return
 	}
-	for _, l := range t.links {
+	for _, l := range transition.links {
 		l.applyState()
-		if t.resetConns {
+		if transition.resetConns {
 			l.Reset()
 		}
-		if t.healed {
+		if transition.healed {
 			l.onHealed()
 		}
 	}
@@ -48,7 +48,7 @@
 
 // Reset resets the open connections from process a to process b, once.
 func (n *Net) Reset(a, b string) {
-	for _, l := range n.direction(a, b).linksNow() {
+	for _, l := range n.direction(a, b).currentLinks() {
 		l.Reset()
 	}
 }
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -73,7 +73,7 @@
 	if err != nil {
 		return err
 	}
-	for end := time.Now().Add(timeout); time.Now().Before(end); time.Sleep(listenPollInterval) {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(listenPollInterval) {
 		if c, err := Dial(p.Listen, time.Second); err == nil {
 			c.Close()
 			return nil
--- a/internal/standin/zookeeper/operations.go
+++ b/internal/standin/zookeeper/operations.go
@@ -6,7 +6,7 @@
 )
 
 // handle executes one request and returns the error code and the body of the response. z.mu is held.
-func (z *Server) handle(s *session, op int32, f requestFrame) (code int32, answer []any) {
+func (z *Server) handle(s *session, op int32, f requestFrame) (code int32, body []any) {
 	switch op {
 	case opPing, opSetWatches, opClose: // serve closes the session once this is answered
 		return 0, nil
@@ -35,17 +35,17 @@
 		return 0, append([]any{n.data}, stat(n, len(children))...)
 	case opChildren2:
 		s.watches[watch{watchChildren, name}] = watched
-		answer = []any{int32(len(children))}
+		body = []any{int32(len(children))}
 		for _, child := range children {
-			answer = append(answer, child)
+			body = append(body, child)
 		}
-		return 0, append(answer, stat(n, len(children))...)
+		return 0, append(body, stat(n, len(children))...)
 	}
 	return errUnimplemented, nil
 }
 
 // create adds a node and notifies its watchers. z.mu is held.
-func (z *Server) create(s *session, f requestFrame) (code int32, answer []any) {
+func (z *Server) create(s *session, f requestFrame) (code int32, body []any) {
 	name := f.readString()
 	data := f.readString()
 	for range f.readInt() { // access control list: permissions, scheme, identity
--- a/internal/standin/zookeeper/zookeeper.go
+++ b/internal/standin/zookeeper/zookeeper.go
@@ -113,8 +113,8 @@
 		xid := f.readInt()
 		op := f.readInt()
 		z.mu.Lock()
-		code, answer := z.handle(s, op, f)
-		writeFrame(conn, append([]any{xid, z.zxid, code}, answer...)...)
+		code, body := z.handle(s, op, f)
+		writeFrame(conn, append([]any{xid, z.zxid, code}, body...)...)
 		z.mu.Unlock()
 		if op == opClose {
 			z.Expire(s.id)
--- a/internal/standin/zookeeper/zookeeper_test.go
+++ b/internal/standin/zookeeper/zookeeper_test.go
@@ -103,8 +103,8 @@
 	if z.Owner("/lease") != 0 {
 		t.Error("the ephemeral node outlives its session")
 	}
-	for end := time.Now().Add(testTimeout); owner.State() != zk.StateHasSession || owner.SessionID() == session; time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
+	for deadline := time.Now().Add(testTimeout); owner.State() != zk.StateHasSession || owner.SessionID() == session; time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatal("the client gets no new session")
 		}
 	}
