--- a/internal/standin/backends.go
+++ b/internal/standin/backends.go
@@ -9,22 +9,24 @@
 	"time"
 )
 
-// idleLoadReport is the load report of a step that names none.
+// idleLoadReport is the load report in answers whose Step sets no Report.
 const idleLoadReport = "queue=0,inflight=1,qps=1"
 
-// Backends is a set of fake backends, each with an address of its own, with one script and one record of commands. Its methods may be
-// called from any goroutine, except that Close may not run beside Up or Down.
+// Backends is a set of stand-in backends, each with its own address, that share one script and one record of commands. Its methods may
+// be called from any goroutine, except that Close must not run concurrently with Stop or Restart.
 type Backends struct {
-	Nodes     []*Listener
-	OnCommand func(*Command) (answered func()) // called for each command once its Deed is known, and answered after it; set before any comes
+	Nodes []*Listener // one listener per backend
+	// OnCommand is called for each command once its Behaviour is chosen; the function that it returns is called after the answer. It
+	// must be set before the first command arrives, and may be nil.
+	OnCommand func(*Command) (answered func())
 
-	mu             sync.Mutex // held while script and Watch run
+	mu             sync.Mutex // held while the script and OnCommand run
 	script         Script
-	commands       []Command
+	commands       []Command // received commands in the order of arrival; empty without recordCommands
 	recordCommands bool
 }
 
-// NewBackends starts n backends that follow the script; with record, each command is recorded for Seen.
+// NewBackends starts n backends that follow the script. If record is set, Commands returns the commands that they receive.
 func NewBackends(n int, record bool, script Script) (*Backends, error) {
 	b := &Backends{script: script, recordCommands: record}
 	for i := range n {
@@ -45,7 +47,7 @@
 	b.script = s
 }
 
-// WithLock calls f while neither the script nor Watch runs.
+// WithLock calls f while neither the script nor OnCommand runs.
 func (b *Backends) WithLock(f func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -59,15 +61,15 @@
 	return append([]Command(nil), b.commands...)
 }
 
-// Stop stops one backend as the death of its process does: open connections are reset, new ones are refused.
+// Stop stops one backend as a crash of its process does: open connections are reset and new ones are refused.
 func (b *Backends) Stop(node int) {
 	b.mu.Lock()
 	l := b.Nodes[node]
 	b.mu.Unlock()
-	l.Die()
+	l.CloseWithReset()
 }
 
-// Restart starts a stopped backend at the same address. The error is of listening there.
+// Restart starts a stopped backend at the same address. It returns an error if listening there fails.
 func (b *Backends) Restart(node int) error {
 	l, err := Listen(b.Nodes[node].Addr(), func(c net.Conn) { b.serve(node, c) })
 	if err != nil {
@@ -79,14 +81,14 @@
 	return nil
 }
 
-// Close stops all of them.
+// Close stops all backends.
 func (b *Backends) Close() {
 	for _, l := range b.Nodes {
 		l.Close()
 	}
 }
 
-// serve answers the commands of one connection in their order.
+// serve answers the commands of one connection in the order of their arrival.
 func (b *Backends) serve(node int, conn net.Conn) {
 	for r := bufio.NewReader(conn); ; {
 		args, err := ReadCommand(r)
@@ -111,7 +113,7 @@
 	}
 }
 
-// arrive asks the script what to do with a command, and records it. The caller calls answered once the command is answered.
+// arrive chooses the behaviour for a command by the script and records the command. The caller calls answered after the answer.
 func (b *Backends) arrive(c *Command) (delay time.Duration, answered func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -127,7 +129,7 @@
 	return step.Delay, b.OnCommand(c)
 }
 
-// answer does what c.Did says; false: the connection is over.
+// answer acts on a command as c.Behaviour says. It returns false if the connection has ended or must be closed.
 func (b *Backends) answer(conn net.Conn, r *bufio.Reader, c *Command) bool {
 	value := c.value()
 	report := c.loadReport
@@ -158,7 +160,7 @@
 	return err == nil && c.Behaviour != Truncate
 }
 
-// readUntilClosed discards what comes until the gateway ends the connection.
+// readUntilClosed discards the input until the gateway closes the connection.
 func readUntilClosed(r *bufio.Reader) {
 	for {
 		if _, err := r.ReadByte(); err != nil {
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -11,13 +11,13 @@
 	"time"
 )
 
-// Client is one client connection to a gateway. One goroutine may send while another reads replies.
+// Client is one client connection to a gateway. One goroutine may send while another one reads replies.
 type Client struct {
 	net.Conn
 	R *bufio.Reader
 }
 
-// Dial connects a client; the timeout bounds the connect alone.
+// Dial connects a client. The timeout applies only to the connect.
 func Dial(addr string, timeout time.Duration) (*Client, error) {
 	c, err := net.DialTimeout("tcp", addr, timeout)
 	if err != nil {
@@ -26,7 +26,7 @@
 	return &Client{c, bufio.NewReader(c)}, nil
 }
 
-// Send pipelines commands in one write.
+// Send sends commands, pipelined, in one write.
 func (c *Client) Send(commands ...[]string) error {
 	var b []byte
 	for _, args := range commands {
@@ -39,22 +39,22 @@
 // Reply reads the next reply.
 func (c *Client) Reply() (Reply, error) { return ReadReply(c.R) }
 
-// Reply is a reply of a gateway or a backend, decoded.
+// Reply is a decoded reply of a gateway or a backend.
 type Reply struct {
-	Kind  byte   // + - : $ *
-	Text  string // of all but arrays
-	Null  bool
-	Items []Reply // of an array
+	Kind  byte    // type byte: one of + - : $ *
+	Text  string  // content of any reply but an array
+	Null  bool    // set for a null bulk string or a null array
+	Items []Reply // elements of an array
 }
 
-// ReadReply reads one reply. The error is of the connection, or of a reply that breaks the protocol.
+// ReadReply reads one reply. It returns an error if the connection fails or the reply violates the protocol.
 func ReadReply(r *bufio.Reader) (reply Reply, err error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
 		return reply, err
 	}
 	if !strings.HasSuffix(line, "\r\n") || len(line) < 3 {
-		return reply, fmt.Errorf("standin: %q is not a line of a reply", line)
+		return reply, fmt.Errorf("standin: %q is not a reply line that ends in CRLF", line)
 	}
 	reply.Kind = line[0]
 	reply.Text = line[1 : len(line)-2]
@@ -63,11 +63,11 @@
 		return reply, nil
 	case '$', '*':
 	default:
-		return reply, fmt.Errorf("standin: %q is not a reply", line)
+		return reply, fmt.Errorf("standin: %q does not begin with a type byte of a reply", line)
 	}
 	n, err := strconv.Atoi(reply.Text)
 	if err != nil || n < -1 || n > maxArgBytes {
-		return reply, fmt.Errorf("standin: %q has no valid length", line)
+		return reply, fmt.Errorf("standin: %q has no valid length of a bulk string or array", line)
 	}
 	if n < 0 {
 		reply.Null = true
@@ -87,11 +87,11 @@
 	return reply, nil
 }
 
-// ownHosts counts the addresses that OwnAddr has returned.
+// ownHosts is the number of addresses that OwnAddr has returned.
 var ownHosts atomic.Int32
 
-// OwnAddr returns a loopback address for a process that is told where to listen. Its host differs by process and by call, as a port
-// that was free a moment ago may be taken by the time that the process listens.
+// OwnAddr returns a loopback address for a process whose listen address is configured in advance. The host differs by calling process
+// and by call, because a port that is free when it is chosen may be in use by the time that the process listens.
 func OwnAddr() string {
 	const hostsPerPort = 250
 	pid := os.Getpid()
--- a/internal/standin/command.go
+++ b/internal/standin/command.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// Behaviour is how a backend answers a command.
+// Behaviour is how a backend treats a command, faults included.
 type Behaviour int
 
-// The ways to answer.
+// The behaviours of a backend.
 const (
-	Serve         Behaviour = iota
-	Fail                    // -ERR failed: it may have run
-	Busy                    // -BUSY: it was rejected, and has not run
-	Reset                   // it has run; the connection is reset
-	Stall                   // it has run; no answer comes, the connection stays open
-	Corrupt                 // it has run; the answer breaks the protocol
-	TrailingBytes           // served, with bytes behind the answer that belong to none
-	Truncate                // it has run; the connection ends within the value
+	Serve         Behaviour = iota // the command is served
+	Fail                           // the answer is -ERR failed; the command may have run
+	Busy                           // the answer is -BUSY; the command has not run
+	Reset                          // the command has run, and the connection is reset
+	Stall                          // the command has run; it is not answered, and the connection stays open
+	Corrupt                        // the command has run, and the answer violates the protocol
+	TrailingBytes                  // the command is served, and the answer is followed by bytes that belong to no answer
+	Truncate                       // the command has run, and the connection ends within the value
 	behaviourCount
 )
 
 var behaviourNames = [behaviourCount]string{"serve", "fail", "busy", "reset", "stall", "spoil", "extra", "broken"}
 
-// String returns the name.
+// String returns the behaviour's name.
 func (b Behaviour) String() string { return behaviourNames[b] }
 
 // Step is how a backend treats one command.
 type Step struct {
 	Behaviour Behaviour
-	Delay     time.Duration // before the answer
-	Report    string        // load report in the answer; empty: that of an idle backend
+	Delay     time.Duration // time from the command's arrival to the answer
+	Report    string        // load report in the answer; empty for that of an idle backend
 }
 
 // Command is a command that a backend received.
@@ -43,14 +43,14 @@
 	Key        string // idempotency key
 	Body       string
 	Backend    int       // index in Backends.Nodes
-	At         time.Time // when it was read
-	RemoteAddr string    // remote address of its connection
-	Behaviour  Behaviour // how it is answered
+	At         time.Time // when the backend read the command
+	RemoteAddr string    // remote address of the connection
+	Behaviour  Behaviour // how the backend treats the command
 
 	loadReport string
 }
 
-// newCommand returns a command by its arguments; false: there are too few.
+// newCommand makes a command from its arguments. It returns false if there are too few.
 func newCommand(args []string) (Command, bool) {
 	if len(args) < 4 {
 		return Command{}, false
@@ -63,7 +63,7 @@
 	return c, true
 }
 
-// value is what a backend serves a command with: its body, or its id if it has none.
+// value returns the value with which a backend serves a command: its body, or its id if it has no body.
 func (c *Command) value() string {
 	if c.Body != "" {
 		return c.Body
@@ -71,13 +71,14 @@
 	return c.ID
 }
 
-// Script decides how a backend treats a command. Backends call it for one command at a time, in the order in which they arrive.
+// Script decides how a backend treats a command. Backends calls it for one command at a time, in the order of their arrival.
 type Script func(c *Command) Step
 
-// Always treats all commands alike.
+// Always returns a script with the same step for all commands.
 func Always(s Step) Script { return func(*Command) Step { return s } }
 
-// Weighted draws a deed by weight, and a delay uniformly up to that of the deed. The same seed draws the same steps.
+// Weighted returns a script that draws a behaviour by weight, and a delay uniformly between 0 and the behaviour's Delay. The same seed
+// yields the same steps.
 func Weighted(seed uint64, steps map[Behaviour]struct {
 	Weight float64
 	Delay  time.Duration
@@ -89,7 +90,7 @@
 	}
 	return func(*Command) Step {
 		remaining := rng.Float64() * total
-		for behaviour := range behaviourCount { // not in the map's order, which differs by run
+		for behaviour := range behaviourCount { // in a fixed order: the map's order differs from run to run
 			s, ok := steps[behaviour]
 			if !ok {
 				continue
--- a/internal/standin/config.go
+++ b/internal/standin/config.go
@@ -6,19 +6,19 @@
 	"time"
 )
 
-// Config is the part of a gateway's configuration in which runs differ.
+// Config is the part of a gateway's configuration that differs between runs.
 type Config struct {
 	Name      string
-	Listen    string // address for clients
-	Discovery string // address
-	Counter   string // address
-	Admin     string // address
+	Listen    string // listen address for clients
+	Discovery string // address of the discovery agent
+	Counter   string // address of the quota counter
+	Admin     string // listen address for admin calls
 	Seed      uint64
-	Instances int // gateways of the fleet
-	Number    int // of this gateway, from 0
+	Instances int // number of gateways in the fleet
+	Number    int // number of this gateway, from 0
 	Zones     []string
-	Zone      int     // index of the gateway's own zone
-	Cores     float64 // 0: one
+	Zone      int     // index in Zones of the gateway's own zone
+	Cores     float64 // CPU limit in cores; 0 means one core
 	Plans     []Plan
 	Classes   []Class
 }
@@ -27,37 +27,37 @@
 type Plan struct {
 	Name        string
 	QuotaRate   float64 // units per second that fill the quota's token bucket
-	Depth       float64 // units that the bucket holds
+	Depth       float64 // units that the quota's token bucket holds
 	CapRate     float64 // units per second that fill the hard ceiling's bucket
-	HardBurst   float64 // units that it holds
-	Tolerance   float64 // units by which it may drop below 0
+	HardBurst   float64 // units that the hard ceiling's bucket holds
+	Tolerance   float64 // units by which the hard ceiling's bucket may drop below 0
 	OverrunCost float64 // fraction of its weight that a request costs when forwarded beyond the quota
 	BeyondEarns float64 // fraction of its weight that a request earns when served beyond the quota
-	Pays        float64 // multiplies the class's weight
-	Open        int     // attempts in flight; 0: no such quota
+	Pays        float64 // factor by which the class's weight is multiplied
+	Open        int     // limit of attempts in flight; 0 for no limit
 }
 
 // Class is a request class of the settings. The names of its fields are the keys of the settings' JSON; durations are in ns.
 type Class struct {
 	Name        string
 	Effect      string        // safe, keyed or unsafe
-	Group       string        // the scope of the deduplication
+	Group       string        // scope of deduplication
 	Aim         time.Duration // latency objective
-	Deadline    time.Duration // total time that a client waits
-	DedupWindow time.Duration // of keyed requests
-	Points      float64       // priority weight
+	Deadline    time.Duration // total time that a client waits for an answer
+	DedupWindow time.Duration // time for which keyed requests are deduplicated
+	Points      float64       // priority weight of a request
 }
 
-// Settings that all runs share.
+// Settings that are the same in all runs.
 const (
-	SlowStartSpan    = 13 * time.Second       // slow start of a server, from its start
-	StartCapacity    = 0.22                   // fraction of its capacity at its start
-	OverloadSpan     = 3 * time.Second        // for which a warming server bears overload
-	OverloadMultiple = 3.0                    // of its present capacity: what is overload of a warming server
-	DrainGrace       = 500 * time.Millisecond // after which attempts to a draining server have to have stopped
+	SlowStartSpan    = 13 * time.Second       // duration of a server's slow start
+	StartCapacity    = 0.22                   // fraction of its capacity that a server starts with
+	OverloadSpan     = 3 * time.Second        // time for which a server in slow start tolerates overload
+	OverloadMultiple = 3.0                    // multiple of its present capacity at which a server in slow start is overloaded
+	DrainGrace       = 500 * time.Millisecond // time after which a draining server must receive no more attempts
 )
 
-// JSON returns the configuration as the program reads it.
+// JSON returns the configuration in the form that the gateway reads.
 func (c Config) JSON() (string, error) {
 	type object = map[string]any
 	cores := c.Cores
--- a/internal/standin/counter.go
+++ b/internal/standin/counter.go
@@ -11,42 +11,42 @@
 	"time"
 )
 
-// Modes of a counter's listener.
+// The modes of a counter's listener, which say how it treats calls.
 const (
-	modeAdd       = "add"     // the call is added and answered
-	modeSilent    = "silent"  // added, never answered
-	modeFull      = "full"    // not added; 503
-	modeLate      = "late"    // added, answered after lateAnswerDelay
-	modeReset     = "reset"   // not added; the connection is closed
-	modeCorrupt   = "spoilt"  // added, the answer is not a number
-	modeInterim   = "interim" // added, a 100 Continue comes before the answer
-	modeDuplicate = "doubled" // added once, answered twice
+	modeAdd       = "add"     // the call is added and answered at once
+	modeSilent    = "silent"  // the call is added but not answered
+	modeFull      = "full"    // the call is not added; the answer is status 503
+	modeLate      = "late"    // the call is added and answered after lateAnswerDelay
+	modeReset     = "reset"   // the call is not added, and the connection is closed
+	modeCorrupt   = "spoilt"  // the call is added, and the answer is not a number
+	modeInterim   = "interim" // the call is added, and a 100 Continue precedes the answer
+	modeDuplicate = "doubled" // the call is added once and answered twice
 )
 
 const (
 	lateAnswerDelay = 150 * time.Millisecond
-	maxTotalTTL     = time.Minute // beyond, the expire_ms of a call is ignored
+	maxTotalTTL     = time.Minute // upper bound of a total's time to live, which replaces a longer expire_ms
 )
 
-// Counter is a fake of the quota counter. Each gateway can be given a listener of its own, so that a script can inject faults for
-// one gateway alone. The listeners share one store, or two while it is partitioned. Its methods may be called from any goroutine.
+// Counter is a stand-in for the quota counter. Each gateway can have its own listener, so that a script can inject faults for a single
+// gateway. The listeners share one store, or two while the store is partitioned. The methods may be called from any goroutine.
 type Counter struct {
-	*Listener // the first
+	*Listener // the first listener
 
 	mu        sync.Mutex
 	listeners []*counterListener
 	counterStore
 }
 
-// counterListener is a listener and how calls that come through it are treated.
+// counterListener is a listener with the faults that are applied to calls through it.
 type counterListener struct {
 	*Listener
 	mode      string
-	latency   time.Duration // added to each answer
-	partition int           // 0 or 1: of the store
+	latency   time.Duration // delay of each answer
+	partition int           // partition of the store that calls use, 0 or 1
 }
 
-// NewCounter starts a counter with one listener, in mode add.
+// NewCounter starts a counter with one listener in mode add.
 func NewCounter() (*Counter, error) {
 	c := &Counter{counterStore: newCounterStore()}
 	l, err := c.AddListener()
@@ -54,7 +54,7 @@
 	return c, err
 }
 
-// AddListener adds a listener and returns it; listeners are numbered from 0.
+// AddListener adds a listener and returns it. Listeners are numbered from 0 in the order of their addition.
 func (c *Counter) AddListener() (*Listener, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -78,18 +78,18 @@
 	}
 }
 
-// SetMode sets how calls are answered from now on through the listeners named, or through all: add, silent, full, late, reset, spoilt,
-// interim, doubled.
+// SetMode sets the mode of the listeners with the given numbers, or of all if none is given: add, silent, full, late, reset, spoilt,
+// interim or doubled.
 func (c *Counter) SetMode(mode string, listeners ...int) {
 	c.forListeners(listeners, func(l *counterListener) { l.mode = mode })
 }
 
-// SetLatency delays each answer through the listeners named, or through all.
+// SetLatency sets the delay of answers through the listeners with the given numbers, or through all if none is given.
 func (c *Counter) SetLatency(latency time.Duration, listeners ...int) {
 	c.forListeners(listeners, func(l *counterListener) { l.latency = latency })
 }
 
-// forListeners calls f for the listeners named, or for all if none is, with c.mu held.
+// forListeners calls f for the listeners with the given numbers, or for all if none is given, while it holds c.mu.
 func (c *Counter) forListeners(numbers []int, f func(*counterListener)) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -103,13 +103,13 @@
 	}
 }
 
-// ScheduledFault is one step of a script: a change to the counter, so long after the script starts.
+// ScheduledFault is one step of a script: a change to the counter at a given time after the script's start.
 type ScheduledFault struct {
-	At    time.Duration
+	At    time.Duration // time since the start of the script
 	Apply func(*Counter)
 }
 
-// Play runs a script, whose steps are in the order of their times; it returns early when the context ends.
+// Play runs a script whose steps are sorted by time. It returns after the last step, or early when the context ends.
 func (c *Counter) Play(ctx context.Context, script ...ScheduledFault) {
 	start := time.Now()
 	for _, step := range script {
@@ -126,7 +126,7 @@
 type counterCall struct {
 	name  string
 	units float64
-	ttl   time.Duration // of a total that the call creates
+	ttl   time.Duration // time to live of the total if the call creates it
 }
 
 // counterAnswer is how a call is answered.
@@ -136,7 +136,7 @@
 	total   float64
 }
 
-// call executes one call as the listener's mode demands.
+// call executes one call as the listener's mode requires.
 func (c *Counter) call(l *counterListener, call counterCall) counterAnswer {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -166,7 +166,7 @@
 	}
 }
 
-// write sends the answer as its mode demands; a write error is seen by the next read.
+// write sends the answer as its mode requires. It ignores a write error, as the next read from the connection then fails too.
 func (a counterAnswer) write(conn net.Conn) {
 	body := strconv.FormatFloat(a.total, 'g', 7, 64)
 	switch a.mode {
--- a/internal/standin/counter_store.go
+++ b/internal/standin/counter_store.go
@@ -6,17 +6,17 @@
 	"time"
 )
 
-// counterStore is what a counter holds. The Counter's mutex guards it.
+// counterStore holds a counter's totals and statistics. The Counter's mutex guards it.
 type counterStore struct {
-	partitions     [2]totals // the second is used only while the store is split
-	atSplit        totals    // what both partitions started from
-	snapshot       totals
-	lowest         float64
-	calls          int                // that added
-	addedByAccount map[string]float64 // units, ever; the account is what precedes the dot in a total's name
+	partitions     [2]totals          // the second one is used only while the store is partitioned
+	atSplit        totals             // totals at the time of the partition
+	snapshot       totals             // totals that Restore returns to; nil if there is no snapshot
+	lowest         float64            // lowest total so far, in units, or 0
+	calls          int                // number of calls that were added
+	addedByAccount map[string]float64 // units added so far; the account is the part of a total's name before the dot
 }
 
-// totals is the content of a store, by name.
+// totals is the content of a store, keyed by the total's name.
 type totals map[string]total
 
 type total struct {
@@ -28,7 +28,8 @@
 	return counterStore{partitions: [2]totals{{}, {}}, addedByAccount: map[string]float64{}}
 }
 
-// add returns the total after a call; a call that is not executed only reads it.
+// add adds a call to its total if executed is set, and returns the total; a call that is not executed only reads it. An expired
+// total starts again from 0.
 func (s *counterStore) add(partition int, call counterCall, executed bool) float64 {
 	now := time.Now()
 	t := s.partitions[partition][call.name]
@@ -47,7 +48,7 @@
 	return t.value
 }
 
-// Split partitions the store: the listeners named use a copy of it from now on, or all do if none is named.
+// Split partitions the store: the listeners with the given numbers, or all if none is given, use a copy of it from now on.
 func (c *Counter) Split(listeners ...int) {
 	c.forListeners(listeners, func(l *counterListener) { l.partition = 1 })
 	c.mu.Lock()
@@ -56,17 +57,17 @@
 	c.atSplit = maps.Clone(c.partitions[0])
 }
 
-// JoinPolicy says what becomes of the totals when a partition ends.
+// JoinPolicy says how the totals of two partitions are joined.
 type JoinPolicy int
 
-// The ways to join two partitions.
+// The policies for joining two partitions.
 const (
-	JoinSum    JoinPolicy = iota // what either added since the split is added up
-	JoinFirst                    // what the second added is lost
-	JoinSecond                   // what the first added is lost
+	JoinSum    JoinPolicy = iota // the units that both partitions added since the split are summed
+	JoinFirst                    // the units that the second partition added are lost
+	JoinSecond                   // the units that the first partition added are lost
 )
 
-// Join ends a partition of the store; all listeners use one store again.
+// Join ends the partition of the store; all listeners use one store again.
 func (c *Counter) Join(policy JoinPolicy) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -90,7 +91,7 @@
 	}
 }
 
-// Forget clears the store, as a replacement that starts empty.
+// Forget clears the store, as the counter's replacement by an empty one does.
 func (c *Counter) Forget() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -98,14 +99,14 @@
 	clear(c.partitions[1])
 }
 
-// Snapshot copies the store for Restore.
+// Snapshot saves a copy of the store for Restore.
 func (c *Counter) Snapshot() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.snapshot = maps.Clone(c.partitions[0])
 }
 
-// Restore returns the store to the snapshot, or clears it if there is none: what was added since, and answered, is lost.
+// Restore returns the store to the snapshot, or clears it if there is none. Units that were added and acknowledged since are lost.
 func (c *Counter) Restore() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -115,7 +116,8 @@
 	}
 }
 
-// Sum adds up the totals, in units, whose names begin with a prefix; while the store is split, those of the first partition.
+// Sum returns the sum, in units, of the totals whose names begin with a prefix. While the store is partitioned, it sums those of the
+// first partition.
 func (c *Counter) Sum(prefix string) (sum float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -127,14 +129,15 @@
 	return sum
 }
 
-// Lowest returns the lowest total that there ever was, in units, or 0.
+// Lowest returns the lowest total so far, in units, or 0 if no total was negative.
 func (c *Counter) Lowest() float64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return c.lowest
 }
 
-// Added returns how many calls added, and how many units by account (what precedes the dot in a total's name), ever.
+// Added returns the number of calls that were added so far, and the units that they added by account. The account is the part of a
+// total's name before the dot.
 func (c *Counter) Added() (calls int, byAccount map[string]float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/counter_test.go
+++ b/internal/standin/counter_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// addThroughListener adds to a total through a listener and returns the status and body of the answer, or nothing if there is none.
+// addThroughListener adds to a total through a listener and returns the status and body of the answer, or "nothing" if no answer comes.
 func addThroughListener(t *testing.T, listener *Listener, name string, by float64) string {
 	t.Helper()
 	c, err := net.Dial("tcp", listener.Addr())
@@ -42,7 +42,7 @@
 	return strings.Fields(head)[1] + " " + string(body)
 }
 
-// Each fault of a script acts on the counter's listeners and store as documented.
+// Each fault that a script can inject acts on the counter's listeners and store as documented.
 func TestCounterFaults(t *testing.T) {
 	c, err := NewCounter()
 	if err != nil {
@@ -57,15 +57,15 @@
 	expect := func(listener *Listener, by float64, want string) {
 		t.Helper()
 		if got := addThroughListener(t, listener, "7.a", by); got != want {
-			t.Errorf("answered %q, not %q", got, want)
+			t.Errorf("got answer %q, expected %q", got, want)
 		}
 	}
 	expect(first, 5, "200 5")
-	expect(second, 1, "200 6") // one store behind both
+	expect(second, 1, "200 6") // both listeners use one store
 	c.Snapshot()
 	c.Split(1)
 	expect(first, 10, "200 16")
-	expect(second, 100, "200 106") // each knows what was before
+	expect(second, 100, "200 106") // both partitions hold what was added before the split
 	c.Join(JoinSum)
 	expect(second, 0, "200 116")
 	c.Restore()
@@ -88,7 +88,7 @@
 	c.SetLatency(60*time.Millisecond, 0)
 	expect(first, 0, "200 10")
 	if elapsed := time.Since(start); elapsed < 60*time.Millisecond {
-		t.Errorf("a slow answer came after %v", elapsed)
+		t.Errorf("an answer with a latency of 60ms came after %v", elapsed)
 	}
 	c.SetLatency(0)
 	c.Play(context.Background(), ScheduledFault{time.Millisecond, (*Counter).Forget}, ScheduledFault{2 * time.Millisecond,
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -11,21 +11,22 @@
 	"time"
 )
 
-// heartbeatInterval is the longest time after which a watch writes an empty line, so that its client knows that it lives.
+// heartbeatInterval is the longest time between two lines of a watch. Without a change, the watch sends an empty line, by which its
+// client knows that the connection still works.
 const heartbeatInterval = time.Second
 
-// Discovery is a fake of the discovery agent: it answers polls with the endpoint list, and streams changes to watches. Its methods may
-// be called from any goroutine.
+// Discovery is a stand-in for the discovery agent. It answers polls with the endpoint list and streams changes of the list to watches.
+// Its methods may be called from any goroutine.
 type Discovery struct {
 	*Listener
 	mu              sync.Mutex
-	changed         *sync.Cond
+	changed         *sync.Cond // signals a change of revision, or that a heartbeat is due
 	revision        int
-	members         string // JSON array
-	completeUpdates bool   // a watch is sent the list as complete at each change
+	members         string // endpoint list as a JSON array
+	completeUpdates bool   // updates to watches are marked as the complete list
 }
 
-// NewDiscovery starts one whose list, a JSON array, has the given revision.
+// NewDiscovery starts a discovery agent whose endpoint list, a JSON array, has the given revision.
 func NewDiscovery(members string, revision int) (*Discovery, error) {
 	d := &Discovery{revision: revision, members: members}
 	d.changed = sync.NewCond(&d.mu)
@@ -34,28 +35,28 @@
 	return d, err
 }
 
-// Member returns a backend of zone a, of an unknown start, for a list.
+// Member returns the list entry of a backend in zone a whose start time is 0, which stands for long ago.
 func Member(id, addr, phase string) string {
 	return MemberIn("a", id, addr, phase, 0)
 }
 
-// MemberIn returns a backend for a list, with its zone and its start, Unix time in ms; 0: long ago.
+// MemberIn returns the list entry of a backend in the given zone. upSince is its start in ms of Unix time; 0 stands for long ago.
 func MemberIn(zone, id, addr, phase string, upSince int64) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":%q,"flavor":"std-3c","cell":0,"phase":%q,"size":1,"up_since_ms":%d}`,
 		id, addr, zone, phase, upSince)
 }
 
-// Members returns a list.
+// Members returns an endpoint list with the given entries.
 func Members(members ...string) string { return "[" + strings.Join(members, ",") + "]" }
 
-// SetCompleteUpdates has the updates that watches are sent marked as the complete list (true), or as the changed members alone (false).
+// SetCompleteUpdates sets whether updates to watches are marked as the complete list (true) or as only the changed members (false).
 func (d *Discovery) SetCompleteUpdates(on bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.completeUpdates = on
 }
 
-// Set replaces the list.
+// Set replaces the list and increments its revision.
 func (d *Discovery) Set(members string) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -64,7 +65,7 @@
 	d.changed.Broadcast()
 }
 
-// encode returns the list as sent. d.mu is held.
+// encode returns the list as it is sent. d.mu is held.
 func (d *Discovery) encode(complete bool) string {
 	return fmt.Sprintf(`{"revision":%d,"complete":%v,"members":%s}`, d.revision, complete, d.members)
 }
@@ -86,7 +87,7 @@
 	}
 }
 
-// watch streams a line per change after the revision that the client names, and heartbeats, until the connection fails.
+// watch streams one line for each change after the revision in the client's request, and heartbeats, until the connection fails.
 func (d *Discovery) watch(conn net.Conn, target *url.URL) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/listener.go
+++ b/internal/standin/listener.go
@@ -5,16 +5,16 @@
 	"sync"
 )
 
-// Listener serves each connection in a goroutine of its own, and closes it when the owner's function returns. Its methods may be called
-// from any goroutine.
+// Listener serves each connection in its own goroutine with the owner's function, and closes the connection when the function returns.
+// Its methods may be called from any goroutine.
 type Listener struct {
 	listener net.Listener
 	mu       sync.Mutex
-	conns    map[net.Conn]struct{} // open ones
-	closed   bool                  // connections that were accepted too late are closed at once
+	conns    map[net.Conn]struct{} // open connections
+	closed   bool                  // set by Close; connections that are accepted later are closed at once
 }
 
-// Listen listens at addr, which is of loopback; an empty one stands for a free port. It calls serve for each connection.
+// Listen listens at a loopback address and calls serve for each connection. An empty addr stands for a free port of 127.0.0.1.
 func Listen(addr string, serve func(net.Conn)) (*Listener, error) {
 	if addr == "" {
 		addr = "127.0.0.1:0"
@@ -28,7 +28,7 @@
 	return s, nil
 }
 
-// acceptAll runs until the listener is closed.
+// acceptAll serves connections until the listener is closed.
 func (l *Listener) acceptAll(serve func(net.Conn)) {
 	for {
 		c, err := l.listener.Accept()
@@ -49,7 +49,7 @@
 	}
 }
 
-// register adds a connection to the open ones; false: the listener is closed.
+// register adds a connection to the open ones. It returns false if the listener is closed.
 func (l *Listener) register(c net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -60,13 +60,13 @@
 	return true
 }
 
-// Addr returns where it listens.
+// Addr returns the listen address.
 func (l *Listener) Addr() string { return l.listener.Addr().String() }
 
-// StopAccepting has new connections refused from now on; open ones stay.
+// StopAccepting stops listening, so that new connections are refused. Open connections stay open.
 func (l *Listener) StopAccepting() { l.listener.Close() }
 
-// Reset resets all open connections, as the death of a process does, and continues to listen.
+// Reset resets all open connections, as a crash of the process does, and continues to listen.
 func (l *Listener) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,8 +78,8 @@
 // Close stops listening and closes all connections.
 func (l *Listener) Close() { l.closeAll((*net.TCPConn).Close) }
 
-// Die stops listening and resets all connections.
-func (l *Listener) Die() { l.closeAll(resetConn) }
+// CloseWithReset stops listening and resets all connections, as a crash of the process does.
+func (l *Listener) CloseWithReset() { l.closeAll(resetConn) }
 
 func (l *Listener) closeAll(closeConn func(*net.TCPConn) error) {
 	l.listener.Close()
--- a/internal/standin/non_reading_peer.go
+++ b/internal/standin/non_reading_peer.go
@@ -7,14 +7,14 @@
 	"syscall"
 )
 
-// NonReadingPeer is a fake of a process that accepts one connection and reads nothing from it. Its receive buffer is the smallest that the
-// system allows, so that most of a long command stays in the sender's kernel, as all of it does while a network is cut.
+// NonReadingPeer is a stand-in for a process that accepts one connection and reads nothing from it. Its receive buffer is the smallest
+// that the kernel allows, so that most of a long command stays in the sender's kernel, as the whole command does while the network is cut.
 type NonReadingPeer struct {
-	Conns    chan net.Conn // receives the connection; the receiver closes it
+	Conns    chan net.Conn // receives the accepted connection, which the receiver closes
 	listener net.Listener
 }
 
-// NewNonReadingPeer starts one.
+// NewNonReadingPeer starts a peer that listens on an address of OwnAddr.
 func NewNonReadingPeer() (*NonReadingPeer, error) {
 	config := net.ListenConfig{Control: smallestReceiveBuffer}
 	l, err := config.Listen(context.Background(), "tcp", OwnAddr())
@@ -30,7 +30,7 @@
 	return p, nil
 }
 
-// smallestReceiveBuffer asks for a receive buffer of 1 byte, which the kernel raises to its minimum.
+// smallestReceiveBuffer sets a receive buffer of 1 byte, which the kernel raises to its minimum.
 func smallestReceiveBuffer(_, _ string, socket syscall.RawConn) error {
 	var optionErr error
 	controlErr := socket.Control(func(fd uintptr) {
@@ -39,8 +39,8 @@
 	return cmp.Or(controlErr, optionErr)
 }
 
-// Addr returns where it listens.
+// Addr returns the listen address.
 func (p *NonReadingPeer) Addr() string { return p.listener.Addr().String() }
 
-// Close closes the listener, not the connection.
+// Close closes the listener but not the connection.
 func (p *NonReadingPeer) Close() { p.listener.Close() }
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -11,29 +11,29 @@
 	"time"
 )
 
-// listenPollInterval is how often Start tries whether the process listens.
+// listenPollInterval is the time between two attempts of Start to connect to the process.
 const listenPollInterval = 5 * time.Millisecond
 
-// Process is a gateway process that a run starts, ends and starts again: its folder and files, and its incarnations, one at a time.
-// Write and Forget are for one goroutine; the other methods may be called from any.
+// Process is a gateway process that a run starts, ends and restarts: its folder, its files and its incarnations, of which at most one runs
+// at a time. Write and RemoveState must not run concurrently; the other methods may be called from any goroutine.
 type Process struct {
 	Name      string
 	Dir       string
-	Listen    string // address for clients
-	Path      string // of the program
+	Listen    string // listen address for clients
+	Path      string // path of the program
 	Args      []string
-	Env       []string     // added to the environment of this process
+	Env       []string     // variables added to the calling process's environment
 	OnLogLine func(string) // called for each line of the log; may be nil
 
-	written map[string]bool // files that Write wrote
+	written map[string]bool // names of the files that Write wrote
 
 	mu        sync.Mutex
-	program   *Program
-	endedLogs []string // of earlier incarnations
+	program   *Program // latest incarnation; nil before the first
+	endedLogs []string // logs of incarnations that have ended
 	killCount int
 }
 
-// Write writes files, by name, into the process's folder.
+// Write writes files, keyed by name, into the process's folder.
 func (p *Process) Write(files map[string]string) error {
 	if err := os.MkdirAll(p.Dir, 0o750); err != nil {
 		return err
@@ -53,7 +53,7 @@
 // File returns the path of a file in the process's folder.
 func (p *Process) File(name string) string { return filepath.Join(p.Dir, name) }
 
-// Spawn starts an incarnation and does not wait until it listens.
+// Spawn starts an incarnation without waiting until it listens.
 func (p *Process) Spawn() (*Program, error) {
 	cmd := exec.Command(p.Path, p.Args...)
 	cmd.Env = append(append(os.Environ(), "NODE_CONFIG="+p.File("config.json")), p.Env...)
@@ -67,7 +67,8 @@
 	return program, nil
 }
 
-// Start starts an incarnation and waits until it listens; the error has its log.
+// Start starts an incarnation and waits until it listens. The error after the timeout, or after the incarnation's early exit, contains its
+// log.
 func (p *Process) Start(timeout time.Duration) error {
 	program, err := p.Spawn()
 	if err != nil {
@@ -82,17 +83,17 @@
 			break
 		}
 	}
-	return fmt.Errorf("%s does not listen: %s", p.Name, program.Log())
+	return fmt.Errorf("%s does not listen at %s: %s", p.Name, p.Listen, program.Log())
 }
 
-// Program returns the latest incarnation; nil before the first.
+// Program returns the latest incarnation, or nil before the first one.
 func (p *Process) Program() *Program {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.program
 }
 
-// Kill kills the incarnation (SIGKILL), if there is one.
+// Kill kills the latest incarnation, if there is one, by SIGKILL.
 func (p *Process) Kill() {
 	program := p.Program()
 	if program == nil {
@@ -105,17 +106,18 @@
 	p.killCount++
 }
 
-// Terminate ends the incarnation by SIGTERM, as a planned restart does, and waits for its end as Gone does.
+// Terminate sends SIGTERM to the incarnation, as a planned restart does, and waits for its exit as AwaitExit does.
 func (p *Process) Terminate(timeout time.Duration) error {
 	p.Program().Cmd.Process.Signal(syscall.SIGTERM)
 	return p.AwaitExit(timeout)
 }
 
-// AwaitExit waits until the incarnation has ended by itself. The error is of its exit, or wraps ErrStillRunning; it has the log.
+// AwaitExit waits until the incarnation exits by itself. It returns the error of the exit, or wraps ErrStillRunning after the timeout; the
+// error contains the log.
 func (p *Process) AwaitExit(timeout time.Duration) error {
 	program := p.Program()
 	if err := program.Wait(timeout); err != nil {
-		return fmt.Errorf("%s, at SIGTERM: %w\n%s", p.Name, err, program.Log())
+		return fmt.Errorf("%s does not exit cleanly at SIGTERM: %w\n%s", p.Name, err, program.Log())
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -123,7 +125,7 @@
 	return nil
 }
 
-// RemoveState removes from the folder what the incarnations have stored, all but the files that Write wrote.
+// RemoveState removes the files that the incarnations stored in the folder, that is, all except those that Write wrote.
 func (p *Process) RemoveState() error {
 	entries, err := os.ReadDir(p.Dir)
 	if err != nil {
@@ -140,14 +142,14 @@
 	return nil
 }
 
-// Kills returns how often it was killed.
+// Kills returns how often Kill has killed an incarnation.
 func (p *Process) Kills() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.killCount
 }
 
-// FindInLogs returns the first line in the logs of ended incarnations that has one of the texts; false: there is none.
+// FindInLogs returns the first line in the logs of ended incarnations that contains one of the texts. It returns false if there is none.
 func (p *Process) FindInLogs(texts ...string) (string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/program.go
+++ b/internal/standin/program.go
@@ -8,26 +8,26 @@
 	"time"
 )
 
-// maxLogBytes bounds how much of a program's output is kept in memory; the rest is dropped.
+// maxLogBytes is the size of a program's output from which no more of it is kept in memory.
 const maxLogBytes = 8 << 20
 
 // Program is a running or ended program and its output. Its methods may be called from any goroutine.
 type Program struct {
 	Cmd  *exec.Cmd
-	done chan struct{} // closed once it has ended
-	err  error         // of Cmd.Wait; set before done is closed
+	done chan struct{} // closed once the program has ended
+	err  error         // error of Cmd.Wait; set before done is closed
 
 	mu          sync.Mutex
 	log         bytes.Buffer
-	onLine      func(string) // may be nil
-	partialLine []byte       // output after the last newline; unused without onLine
+	onLine      func(string) // called for each complete line of the output; may be nil
+	partialLine []byte       // output after the last newline; unused if onLine is nil
 }
 
-// ErrStillRunning is the error of waiting for a program that has not ended in time.
+// ErrStillRunning means that a program has not ended within the timeout of Wait.
 var ErrStillRunning = errors.New("standin: the program is still running")
 
-// Start starts a program, which the caller ends by Kill, or awaits by Wait. onLine, if not nil, is called for each line of its output
-// and must not call the Program.
+// Start starts a program, which the caller ends by Kill or awaits by Wait. onLine, if not nil, is called for each line of the output; it
+// must not call the Program's methods, as it runs under the Program's lock.
 func Start(cmd *exec.Cmd, onLine func(string)) (*Program, error) {
 	p := &Program{Cmd: cmd, done: make(chan struct{}), onLine: onLine}
 	cmd.Stdout = p
@@ -42,7 +42,7 @@
 	return p, nil
 }
 
-// Write takes the program's output.
+// Write receives the program's output. It never fails.
 func (p *Program) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -56,7 +56,7 @@
 	return len(b), nil
 }
 
-// passLines passes the complete lines of the output on. p.mu is held.
+// passLines passes the complete lines of partialLine to onLine. p.mu is held.
 func (p *Program) passLines() {
 	for {
 		i := bytes.IndexByte(p.partialLine, '\n')
@@ -68,14 +68,14 @@
 	}
 }
 
-// Log returns the output so far.
+// Log returns the output so far, up to about maxLogBytes.
 func (p *Program) Log() string {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.log.String()
 }
 
-// Ended reports whether the program has ended.
+// Ended returns true if the program has ended.
 func (p *Program) Ended() bool {
 	select {
 	case <-p.done:
@@ -85,7 +85,7 @@
 	}
 }
 
-// Wait waits for the end and returns the error of the exit, or ErrStillRunning after the timeout.
+// Wait waits until the program ends, and returns the error of its exit, or ErrStillRunning after the timeout.
 func (p *Program) Wait(timeout time.Duration) error {
 	select {
 	case <-p.done:
@@ -95,13 +95,13 @@
 	}
 }
 
-// Kill kills the program (SIGKILL) and waits for its end.
+// Kill kills the program by SIGKILL and waits until it has ended.
 func (p *Program) Kill() {
 	p.Cmd.Process.Kill()
 	<-p.done
 }
 
-// CPU returns the processor time that an ended program used; 0 while it runs.
+// CPU returns the processor time that the program used, or 0 while it runs.
 func (p *Program) CPU() time.Duration {
 	if !p.Ended() {
 		return 0
--- a/internal/standin/protocol.go
+++ b/internal/standin/protocol.go
@@ -8,13 +8,13 @@
 	"strings"
 )
 
-// Bounds of what a fake reads of one command or reply; a gateway sends less.
+// Limits on one command or reply that a stand-in reads. A gateway stays below them.
 const (
 	maxArgs     = 1024
 	maxArgBytes = 1 << 20
 )
 
-// ReadCommand reads a command, an array of bulk strings.
+// ReadCommand reads a command, which is an array of bulk strings, and returns its arguments.
 func ReadCommand(r *bufio.Reader) (args []string, err error) {
 	n, err := readHeader(r, '*', maxArgs)
 	if err != nil {
@@ -34,7 +34,7 @@
 	return args, nil
 }
 
-// readBulk reads n bytes and the CRLF behind them.
+// readBulk reads n bytes and the CRLF that follows them.
 func readBulk(r *bufio.Reader, n int) (string, error) {
 	b := make([]byte, n+2)
 	if _, err := io.ReadFull(r, b); err != nil {
@@ -43,14 +43,14 @@
 	return string(b[:n]), nil
 }
 
-// readHeader reads a line of a type byte and a number, which is at most limit.
+// readHeader reads a line that consists of the type byte kind and a number from 0 to limit.
 func readHeader(r *bufio.Reader, kind byte, limit int) (n int, err error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
 		return 0, err
 	}
 	if _, err := fmt.Sscanf(line[1:], "%d\r\n", &n); err != nil || line[0] != kind || n < 0 || n > limit {
-		return 0, fmt.Errorf("standin: %q is not a header of type %c", line, kind)
+		return 0, fmt.Errorf("standin: %q is not a header of type %c with a number from 0 to %d", line, kind, limit)
 	}
 	return n, nil
 }
@@ -64,7 +64,7 @@
 	return b
 }
 
-// parsePairs parses a list of names and values, such as c=lookup,t=team.
+// parsePairs parses a list of name=value pairs, such as c=lookup,t=team.
 func parsePairs(list string) map[string]string {
 	m := map[string]string{}
 	for pair := range strings.SplitSeq(list, ",") {
@@ -74,7 +74,7 @@
 	return m
 }
 
-// readRequest reads an HTTP request without a body, and returns its target; headers are ignored.
+// readRequest reads an HTTP request without a body and returns its target. It ignores the headers.
 func readRequest(r *bufio.Reader) (*url.URL, error) {
 	line, err := r.ReadString('\n')
 	if err != nil {
