--- a/internal/standin/link/command_times.go
+++ b/internal/standin/link/command_times.go
@@ -5,15 +5,15 @@
 	"time"
 )
 
-// commandTimes tells when the bytes of commands began to arrive over a connection that carries one command at a time: the first bytes
-// after an answer belong to the next command. Any goroutine may use it.
+// commandTimes records when a command began to arrive over a connection that carries one command at a time: the first bytes after an
+// answer belong to the next command. Its methods may be called from any goroutine.
 type commandTimes struct {
 	mu        sync.Mutex
-	startedAt time.Time // of the current command, or the last one; zero: there was none
-	answered  bool      // bytes of its answer have arrived
+	startedAt time.Time // arrival of the first byte of the latest command; zero before any command
+	answered  bool      // set once bytes of the latest command's answer have arrived
 }
 
-// observeBytes records that bytes of a command, or of an answer, arrived.
+// observeBytes records the arrival of bytes, which belong to a command or, if command is false, to an answer.
 func (t *commandTimes) observeBytes(command bool, at time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -27,7 +27,7 @@
 	}
 }
 
-// latest returns when the current command began to arrive.
+// latest returns when the latest command began to arrive, or the zero time before any command.
 func (t *commandTimes) latest() time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/internal/standin/link/conn.go
+++ b/internal/standin/link/conn.go
@@ -1,7 +1,7 @@
 package link
 
-// One connection through a link. What comes from each side is delivered in its order, delayed by the state of its direction, and not
-// at all if an outage may have held it up and its sender has closed the connection since.
+// This file relays one connection through a link. Data from each side is delivered in order, delayed by the state of its direction. Data
+// that an outage may have held up is not delivered if the process that opened the connection has closed it since.
 
 import (
 	"errors"
@@ -12,20 +12,21 @@
 	"time"
 )
 
-// conn is one relayed connection.
+// conn is one relayed connection. Its near side faces the process that opened it, its far side the target.
 type conn struct {
-	near         *endpoint // of the process that opened it
-	far          *endpoint // of the target
+	near         *endpoint // accepted connection of the process that opened it
+	far          *endpoint // connection to the target
 	commands     commandTimes
-	nearClosedAt atomic.Int64 // when the near side closed it, or its sending side, Unix ns; 0: it has not
-	done         chan struct{}
+	nearClosedAt atomic.Int64  // Unix time in ns when the near side closed the connection or its sending side; 0 before
+	done         chan struct{} // closed by close
 	closeOnce    sync.Once
 }
 
-// relay carries an accepted connection until both sides have ended it; endedOutages is of the outbound direction when it came up.
+// relay relays an accepted connection until both sides have ended it. endedOutages is the count of ended outages of the outbound direction
+// when the connection was accepted.
 func (l *Link) relay(near *net.TCPConn, endedOutages int) {
 	c, err := l.dialTarget(near, endedOutages)
-	if err != nil { // the connection is accepted already: a reset is the closest to a refusal
+	if err != nil { // the connection is accepted already, and a reset is the closest to a refusal
 		near.SetLinger(0)
 		near.Close()
 		return
@@ -53,7 +54,7 @@
 	})
 }
 
-// dialTarget opens the far side of an accepted connection.
+// dialTarget connects to the target on behalf of an accepted connection.
 func (l *Link) dialTarget(accepted *net.TCPConn, endedOutages int) (*conn, error) {
 	near, err := newEndpoint(accepted, l.outbound, endedOutages)
 	if err != nil {
@@ -71,7 +72,7 @@
 	return &conn{near: near, far: far, done: make(chan struct{})}, nil
 }
 
-// close closes both sides, with a TCP reset or without. Calls after the first do nothing.
+// close closes both sides, by a TCP reset if reset is set. Calls after the first one do nothing.
 func (c *conn) close(reset bool) {
 	c.closeOnce.Do(func() {
 		close(c.done)
@@ -84,22 +85,23 @@
 	})
 }
 
-// segment is what one read returned.
+// segment is the result of one read.
 type segment struct {
-	data          []byte // empty: the sender has closed its sending side
-	reset         bool   // by a TCP reset
-	deliverAt     time.Time
-	outagesBefore int // outages of the direction that were over before it was sent
+	data          []byte    // empty if the sender has closed the connection or its sending side
+	reset         bool      // the sender closed the connection by a TCP reset
+	deliverAt     time.Time // earliest time of delivery
+	outagesBefore int       // number of the direction's outages that ended before the segment was sent
 }
 
-// forward delivers what comes from one side to the other, in its order. It sets closedAt, if not nil, when the side ends.
+// forward delivers the data from one side to the other in order. When the sending side ends, it sets closedAt, if not nil, to the Unix
+// time in ns.
 func (c *conn) forward(from, to *endpoint, closedAt *atomic.Int64) {
 	segments := make(chan segment, maxQueuedSegments)
 	go func() {
 		defer close(segments)
 		c.readSegments(from, segments, closedAt)
 	}()
-	defer func() { // the reader has ended, or ends when the connection is closed
+	defer func() { // unblocks the reader, which has ended or ends once the connection is closed
 		for range segments {
 		}
 	}()
@@ -111,8 +113,8 @@
 			if s.reset {
 				c.close(true)
 			} else {
-				// A full close looks like a half close from here, so only the sending side is closed: answers may still come.
-				// If it was a full close, the other side's next write fails with a reset.
+				// The relay can't distinguish a full close from a half close, so it closes only the sending side: answers may still
+				// come. After a full close, the other side's next write fails with a reset.
 				to.CloseWrite()
 			}
 			return
@@ -125,7 +127,7 @@
 	}
 }
 
-// readSegments reads one side until it ends or the connection is closed.
+// readSegments reads from one side until that side ends or the connection is closed.
 func (c *conn) readSegments(from *endpoint, segments chan<- segment, closedAt *atomic.Int64) {
 	for {
 		buffer := make([]byte, chunkBytes)
@@ -153,8 +155,8 @@
 	}
 }
 
-// awaitDelivery waits until a segment's time has come and its direction is not silent; false: it is not to be delivered, as the
-// connection is closed.
+// awaitDelivery waits until a segment's delivery time has come and its direction is not silent. It returns false if the segment must not
+// be delivered because the connection is closed.
 func (c *conn) awaitDelivery(d *direction, s segment) bool {
 	if wait := time.Until(s.deliverAt); wait > 0 {
 		select {
@@ -176,9 +178,10 @@
 	}
 }
 
-// deliverable decides whether a segment that may have met an outage is still delivered: not if the process that opened the connection
-// has closed it, as its kernel would have stopped retransmitting; then the connection is reset. The kernel is asked, as this relay may
-// read a segment, and the sender's end, long after they were sent: the time of the read proves nothing.
+// deliverable returns true if a segment may be delivered. A segment that an outage may have held up is not delivered if the process that
+// opened the connection has closed it, as that process's kernel would have stopped retransmitting; then deliverable resets the connection.
+// It queries the kernel because the relay may read a segment, and the sender's close, long after they were sent: the time of the read
+// proves nothing.
 func (c *conn) deliverable(d *direction, s segment) bool {
 	if s.outagesBefore == d.startedOutages() || !c.near.peerClosed() {
 		return true
--- a/internal/standin/link/datagrams.go
+++ b/internal/standin/link/datagrams.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// listenUDP relays datagrams to the target, all from one socket: receivers know the sender by what a datagram holds, not by its
-// address, and no answer goes back.
+// listenUDP starts to relay datagrams to the target, all from one socket: receivers identify the sender by the datagram's content, not by
+// its address, and no answers are relayed back.
 func (l *Link) listenUDP() error {
 	local, err := net.ResolveUDPAddr("udp", l.addr)
 	if err != nil {
@@ -24,7 +24,7 @@
 	return nil
 }
 
-// relayDatagrams runs until the link is closed.
+// relayDatagrams relays datagrams to the target until the link is closed.
 func (l *Link) relayDatagrams(target *net.UDPAddr) {
 	buffer := make([]byte, maxDatagramBytes)
 	for {
@@ -33,7 +33,7 @@
 			if l.closed.Load() || errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // an ICMP refusal of an earlier datagram
+			continue // an earlier datagram was refused by ICMP
 		}
 		if l.outbound.dropsDatagram() {
 			continue
--- a/internal/standin/link/direction.go
+++ b/internal/standin/link/direction.go
@@ -6,41 +6,42 @@
 	"time"
 )
 
-// State is the faults of one direction; the zero value delivers everything at once.
+// State is the set of faults of one direction. In the zero State, everything is delivered at once.
 type State struct {
-	Silent  bool          // nothing is delivered; what TCP would retransmit is delivered once the direction heals
-	Refused bool          // new connections are refused, open ones are reset
-	Delay   time.Duration // added to each segment and datagram
-	Jitter  time.Duration // upper bound of a further delay, drawn uniformly
-	Loss    float64       // share of the datagrams that are dropped, 0 to 1
-	Rate    int           // bytes per second of one connection; 0: unlimited
+	Silent  bool          // nothing is delivered; data that TCP would retransmit is delivered once the direction heals
+	Refused bool          // new connections are refused, and open ones are reset
+	Delay   time.Duration // delay of each segment and datagram
+	Jitter  time.Duration // upper bound of a further delay, which is drawn uniformly
+	Loss    float64       // fraction of the datagrams that are dropped, from 0 to 1
+	Rate    int           // bytes per second of one connection; 0 for no limit
 }
 
-// direction is the traffic from one process to another. All links that carry such traffic share it; any goroutine may use it.
+// direction is the traffic from one process to another. All links that carry this traffic share it. Its methods may be called from any
+// goroutine.
 type direction struct {
-	from, to string
+	from, to string // names of the processes
 
 	mu             sync.Mutex
 	state          State
 	changed        chan struct{} // closed and replaced at each change of state
 	rng            *rand.Rand
-	links          []*Link
-	bytes          int64 // delivered
-	outagesStarted int   // how often it became silent
+	links          []*Link // links that carry traffic of this direction
+	bytes          int64   // number of bytes delivered
+	outagesStarted int     // how often the direction became silent
 }
 
 func newDirection(from, to string, seed, stream uint64) *direction {
 	return &direction{from: from, to: to, changed: make(chan struct{}), rng: rand.New(rand.NewPCG(seed, stream))}
 }
 
-// transition is what a change of state means for the links of a direction.
+// transition is the effect of a change of state on the links of a direction.
 type transition struct {
 	links      []*Link
-	resetConns bool // it refuses connections from now on, so open ones are reset
-	healed     bool // it was silent until now
+	resetConns bool // the direction refuses connections from now on, so that open ones are reset
+	healed     bool // the direction was silent until now
 }
 
-// change applies a change to the state; false: the state is as before.
+// change applies f to the state. It returns false if the state did not change.
 func (d *direction) change(f func(*State)) (transition, bool) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -73,14 +74,14 @@
 	return d.links
 }
 
-// current returns the state, and a channel that is closed at its next change.
+// current returns the state and a channel that is closed at its next change.
 func (d *direction) current() (State, <-chan struct{}) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.state, d.changed
 }
 
-// endedOutages counts the outages that are over.
+// endedOutages returns the number of outages that have ended.
 func (d *direction) endedOutages() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -90,15 +91,15 @@
 	return d.outagesStarted
 }
 
-// startedOutages counts the outages, including one that lasts.
+// startedOutages returns the number of outages, including one that has not ended.
 func (d *direction) startedOutages() int {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.outagesStarted
 }
 
-// deliveryTime returns when so many bytes that were received now may be delivered: now, the delay, a draw of jitter, and the time
-// that they take at the rate. It ignores Silent, which the receiver of the segment waits out.
+// deliveryTime returns when size bytes that are received now may be delivered: the present time plus the delay, a draw of jitter, and the
+// transmission time at the rate. It ignores Silent, whose end conn.awaitDelivery waits for.
 func (d *direction) deliveryTime(size int) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -113,14 +114,14 @@
 	return time.Now().Add(wait)
 }
 
-// dropsDatagram draws whether a datagram is lost.
+// dropsDatagram returns true if a datagram is lost, which it draws by the state's Loss unless the direction delivers nothing.
 func (d *direction) dropsDatagram() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	return d.state.Silent || d.state.Refused || d.rng.Float64() < d.state.Loss
 }
 
-// countBytes adds to the delivered bytes.
+// countBytes adds n to the number of delivered bytes.
 func (d *direction) countBytes(n int) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/link/endpoint.go
+++ b/internal/standin/link/endpoint.go
@@ -10,25 +10,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// endpoint is one end of a relayed connection. It knows which outages of its outgoing direction may have met the bytes that its peer
-// sends: those that began after the outages in outagesBefore.
+// endpoint is one end of a relayed connection. It tracks which outages of its outgoing direction may have delayed the bytes that its peer
+// sends: those after the first outagesBefore outages.
 type endpoint struct {
 	*net.TCPConn
 	raw      syscall.RawConn
-	outgoing *direction // of what its peer sends
+	outgoing *direction // direction of the data that the peer sends
 
 	mu            sync.Mutex
-	outagesBefore int // outages that were over before the oldest byte that may still wait in the kernel was sent
+	outagesBefore int // number of outages that ended before the peer sent the oldest byte that may still be in the kernel's buffer
 }
 
-// newEndpoint wraps a connection that has just come up; endedOutages is of its outgoing direction at that time.
+// newEndpoint wraps a connection that was just established; endedOutages is the count of its outgoing direction at that time.
 func newEndpoint(c *net.TCPConn, outgoing *direction, endedOutages int) (*endpoint, error) {
 	raw, err := c.SyscallConn()
 	return &endpoint{TCPConn: c, raw: raw, outgoing: outgoing, outagesBefore: endedOutages}, err
 }
 
-// receive reads what has arrived; io.EOF: the peer has closed its sending side. outagesBefore counts the outages that were over before
-// any of the bytes were sent: they may have met every later one.
+// receive reads the bytes that have arrived. It returns io.EOF if the peer has closed its sending side. outagesBefore is the number of
+// outages that ended before any of the bytes were sent; every later outage may have delayed them.
 func (e *endpoint) receive(b []byte) (n, outagesBefore int, err error) {
 	rawErr := e.raw.Read(func(fd uintptr) bool {
 		e.mu.Lock()
@@ -38,7 +38,7 @@
 			return false
 		}
 		outagesBefore = e.outagesBefore
-		if n < len(b) { // the kernel's buffer is empty: what comes next is sent after now
+		if n < len(b) { // the kernel's buffer is empty, so later bytes are sent after now
 			e.outagesBefore = e.outgoing.endedOutages()
 		}
 		return true
@@ -54,7 +54,8 @@
 	return n, outagesBefore, nil
 }
 
-// onHealed runs when the direction delivers again: if the kernel's buffer is empty, later bytes have met none of the outages so far.
+// onHealed is called when the direction delivers again. If the kernel's buffer is empty, none of the outages so far delayed the bytes that
+// come later.
 func (e *endpoint) onHealed() {
 	_ = e.raw.Control(func(fd uintptr) {
 		e.mu.Lock()
@@ -66,8 +67,8 @@
 	})
 }
 
-// peerClosed reports whether the kernel has received the peer's FIN or a reset, or the socket has failed. Bytes that were sent before
-// it may still be unread.
+// peerClosed returns true if the kernel has received the peer's FIN or a reset, or if the socket has failed. Bytes that the peer sent
+// before may still be unread.
 func (e *endpoint) peerClosed() bool {
 	closed := true
 	err := e.raw.Control(func(fd uintptr) {
@@ -83,7 +84,7 @@
 	return err != nil || closed
 }
 
-// receiveNonblocking reads from a socket; EAGAIN: nothing has arrived.
+// receiveNonblocking reads from a socket. It returns EAGAIN if nothing has arrived.
 func receiveNonblocking(fd uintptr, b []byte, flags int) (int, error) {
 	for {
 		n, _, err := syscall.Recvfrom(int(fd), b, flags|syscall.MSG_DONTWAIT)
--- a/internal/standin/link/link.go
+++ b/internal/standin/link/link.go
@@ -8,35 +8,37 @@
 )
 
 const (
-	chunkBytes        = 4 << 10
-	maxQueuedSegments = 64 // of one direction of a connection while it is silent or slow; beyond, the sender's TCP window fills
+	chunkBytes = 4 << 10 // maximum size of a segment
+	// maxQueuedSegments is the number of segments that wait in one direction of a connection while it is silent or slow. Beyond it, the
+	// relay stops reading and the sender's TCP window fills.
+	maxQueuedSegments = 64
 	maxDatagramBytes  = 64 << 10
 	dialTimeout       = 2 * time.Second
 	// knownAfterClose is how long ClosedAt and CommandSentAt still know a connection that has ended.
 	knownAfterClose = 10 * time.Second
 )
 
-// Link relays what one process sends to one address of another, and the answers. It listens in place of that address. Its exported
-// methods may be called from any goroutine.
+// Link relays the connections and datagrams from one process to one address of another process, and the answers on connections. It
+// listens in place of that address. Its exported methods may be called from any goroutine.
 type Link struct {
-	outbound *direction // from the process that opens connections
-	inbound  *direction // back to it
-	addr     string
-	target   string
-	udpConn  *net.UDPConn // nil: no datagrams
+	outbound *direction   // direction from the process that opens connections to the target
+	inbound  *direction   // direction from the target back to that process
+	addr     string       // listen address
+	target   string       // address that the link relays to
+	udpConn  *net.UDPConn // nil if the link relays no datagrams
 	closed   atomic.Bool
 
 	mu             sync.Mutex
-	listener       *net.TCPListener // nil: connections are refused
-	acceptDone     chan struct{}    // closed once no goroutine accepts from the listener
-	blackholed     bool             // new connections time out
-	backlogFillers []net.Conn       // keep the listener's backlog full while blackholed
+	listener       *net.TCPListener // nil while connections are refused
+	acceptDone     chan struct{}    // closed once no goroutine accepts from listener
+	blackholed     bool             // set while new connections time out
+	backlogFillers []net.Conn       // connections that keep the listener's backlog full while blackholed
 	conns          map[*conn]struct{}
-	connsByFarAddr map[string]*conn // by the address that the target sees
+	connsByFarAddr map[string]*conn // keyed by the remote address that the target sees; kept for knownAfterClose
 }
 
-// Open makes a link that listens at addr, a loopback address of its own, and relays from one process to the address target of
-// another; with datagrams set, UDP too. The error is of listening or of a bad address.
+// Open opens a link that listens at addr, a loopback address of its own, and relays from process from to the address target of process to;
+// it relays UDP too if datagrams is set. It returns an error if listening fails or an address is invalid.
 func (n *Net) Open(from, to, addr, target string, datagrams bool) (*Link, error) {
 	l := &Link{
 		outbound:       n.direction(from, to),
@@ -64,11 +66,11 @@
 	return l, nil
 }
 
-// Addr returns where it listens.
+// Addr returns the listen address.
 func (l *Link) Addr() string { return l.addr }
 
-// ClosedAt returns when the process that opened a connection closed it, or its sending side; the connection is named by the address that
-// the target sees. Zero: it has not, or the connection is not known.
+// ClosedAt returns when the process that opened a connection closed it or its sending side; far is the remote address of the connection
+// that the target sees. It returns the zero time if that process has not closed it or the connection is unknown.
 func (l *Link) ClosedAt(far string) time.Time {
 	if c := l.connByFarAddr(far); c != nil && c.nearClosedAt.Load() != 0 {
 		return time.Unix(0, c.nearClosedAt.Load())
@@ -76,8 +78,9 @@
 	return time.Time{}
 }
 
-// CommandSentAt returns when the first byte of the current command came from the process that opened a connection, before the link delayed it;
-// the connection is named by the address that the target sees. Zero: none came, or the connection is not known.
+// CommandSentAt returns when the link received the first byte of the latest command from the process that opened a connection, before the
+// link delayed it; far is the remote address of the connection that the target sees. It returns the zero time if no command came or the
+// connection is unknown.
 func (l *Link) CommandSentAt(far string) time.Time {
 	if c := l.connByFarAddr(far); c != nil {
 		return c.commands.latest()
@@ -85,10 +88,11 @@
 	return time.Time{}
 }
 
-// HasConn reports whether a connection, named by the address that the target sees, goes through this link.
+// HasConn returns true if the connection with the remote address far, as the target sees it, is relayed by this link or
+// was until at most knownAfterClose ago.
 func (l *Link) HasConn(far string) bool { return l.connByFarAddr(far) != nil }
 
-// connByFarAddr returns a connection by the address that the target sees; nil: it is not known.
+// connByFarAddr returns the connection with the remote address far, as the target sees it, or nil if it is unknown.
 func (l *Link) connByFarAddr(far string) *conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -104,7 +108,7 @@
 	}
 }
 
-// Close closes the link, and resets its connections.
+// Close closes the link and resets its connections.
 func (l *Link) Close() {
 	l.closed.Store(true)
 	l.mu.Lock()
@@ -118,7 +122,7 @@
 	l.Reset()
 }
 
-// onHealed runs when one of its directions delivers again.
+// onHealed is called when one of the link's directions delivers again.
 func (l *Link) onHealed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/link/link_test.go
+++ b/internal/standin/link/link_test.go
@@ -11,7 +11,7 @@
 	"dewhitch/internal/standin"
 )
 
-// openLink opens a link to a listener that serves each connection with serve.
+// openLink opens a link from process a to process b, whose listener serves each connection with serve.
 func openLink(t *testing.T, serve func(net.Conn)) (*Net, *Link) {
 	s, err := standin.Listen("", serve)
 	if err != nil {
@@ -27,7 +27,7 @@
 	return n, l
 }
 
-// openEchoLink opens a link to a listener that answers each line with itself.
+// openEchoLink opens a link to a listener that echoes each line.
 func openEchoLink(t *testing.T) (*Net, *Link) {
 	return openLink(t, func(c net.Conn) {
 		for r := bufio.NewReader(c); ; {
@@ -40,7 +40,7 @@
 	})
 }
 
-// echoes sends a line and reports whether it comes back in time.
+// echoes sends a line and returns true if it comes back within the timeout.
 func echoes(c net.Conn, timeout time.Duration) bool {
 	c.SetDeadline(time.Now().Add(timeout))
 	fmt.Fprintln(c, "hello")
@@ -48,6 +48,8 @@
 	return err == nil
 }
 
+// A silent direction delivers nothing, new connections through it time out, and data that was written during the outage is delivered after
+// it.
 func TestSilentDirection(t *testing.T) {
 	for _, direction := range [][2]string{{"a", "b"}, {"b", "a"}} {
 		t.Run(direction[0]+"-"+direction[1], func(t *testing.T) {
@@ -63,12 +65,12 @@
 			if c, err := net.DialTimeout("tcp", l.Addr(), 300*time.Millisecond); err == nil {
 				t.Error("a new connection comes up through a silent direction", c.LocalAddr())
 			} else if e, ok := err.(net.Error); !ok || !e.Timeout() {
-				t.Error("it must time out, not be refused:", err)
+				t.Error("a new connection through a silent direction must time out; got:", err)
 			}
 			n.Heal()
 			c.SetDeadline(time.Now().Add(5 * time.Second))
 			if line, err := bufio.NewReader(c).ReadString('\n'); err != nil || line != "hello\n" {
-				t.Errorf("what was written during the outage is not delivered: %q, %v", line, err)
+				t.Errorf("data that was written during the outage is not delivered: %q, %v", line, err)
 			}
 			if c, err = net.DialTimeout("tcp", l.Addr(), 5*time.Second); err != nil || !echoes(c, 5*time.Second) {
 				t.Error("a healed direction delivers nothing:", err)
@@ -77,7 +79,8 @@
 	}
 }
 
-// Nothing accepts from the listener of a silent direction, not even an accept that was in progress: the backlog stays full.
+// No goroutine accepts from the listener of a silent direction, not even by an accept that was in progress when the outage began: then the
+// backlog would no longer be full, and a new connection would be established.
 func TestNothingAcceptsWhileSilent(t *testing.T) {
 	n, l := openEchoLink(t)
 	n.Set("a", "b", func(s *State) { s.Silent = true })
@@ -91,18 +94,19 @@
 	}
 }
 
+// A refused direction resets open connections and refuses new ones, also those that are opened in the opposite direction.
 func TestRefusedDirection(t *testing.T) {
 	n, l := openEchoLink(t)
 	c, err := net.Dial("tcp", l.Addr())
 	if err != nil || !echoes(c, 5*time.Second) {
-		t.Fatal(err)
+		t.Fatal("a healthy direction delivers nothing", err)
 	}
 	n.Set("b", "a", func(s *State) { s.Refused = true })
 	if echoes(c, 5*time.Second) {
 		t.Error("an open connection was not reset")
 	}
 	if _, err := net.DialTimeout("tcp", l.Addr(), 5*time.Second); err == nil || os.IsTimeout(err) {
-		t.Error("it must be refused:", err)
+		t.Error("a new connection through a refused direction must be refused; got:", err)
 	}
 	n.Heal()
 	if c, err = net.Dial("tcp", l.Addr()); err != nil || !echoes(c, 5*time.Second) {
@@ -110,6 +114,7 @@
 	}
 }
 
+// Each answer takes at least the delay of the direction in which the request is sent.
 func TestDelay(t *testing.T) {
 	n, l := openEchoLink(t)
 	n.Set("a", "b", func(s *State) { s.Delay = 150 * time.Millisecond })
@@ -119,11 +124,12 @@
 	}
 	start := time.Now()
 	if !echoes(c, 5*time.Second) || time.Since(start) < 150*time.Millisecond {
-		t.Error("the answer took", time.Since(start))
+		t.Error("expected an answer after at least 150ms; waited", time.Since(start))
 	}
 }
 
-// What a gateway abandoned during an outage must not be delivered after it.
+// Data that a gateway sends during an outage is not delivered after it if the gateway has closed the connection since: the kernel of a real
+// sender would have stopped retransmitting.
 func TestAbandonedDataIsNotDelivered(t *testing.T) {
 	received := make(chan string, 1)
 	n, l := openLink(t, func(c net.Conn) {
@@ -143,14 +149,15 @@
 	time.Sleep(50 * time.Millisecond)
 	n.Heal()
 	if line := <-received; line != "true" {
-		t.Errorf("it arrived: %q", line)
+		t.Errorf("expected no data and a closed connection; got %q", line)
 	}
 }
 
-// Nor may a connection that was in the listener's backlog when the outage began, and was abandoned there.
+// Data is not delivered over a connection that was in the listener's backlog when an outage began and that its sender closed there.
 //
-// It failed in 14 of 20 runs under the race detector beside six busy processes: the relay took the sender's end from its own reads,
-// and could read the line during the outage but the end only after the line was delivered. conn.deliverable asks the kernel since.
+// This test guards against a relay that detects the sender's close by its own reads: it could read the line during the outage, but the
+// close only after it had delivered the line. With that fault, the test failed in 14 of 20 runs under the race detector beside six busy
+// processes. conn.deliverable queries the kernel instead.
 func TestQueuedDoesNotArrive(t *testing.T) {
 	received := make(chan string, 100)
 	n, l := openLink(t, func(c net.Conn) {
@@ -160,7 +167,7 @@
 	for range 30 {
 		var conns []net.Conn
 		dialled := make(chan net.Conn)
-		go func() { // one that comes up just as the outage begins
+		go func() { // a connection that is established just as the outage begins
 			c, err := net.DialTimeout("tcp", l.Addr(), 100*time.Millisecond)
 			if err != nil {
 				c = nil
@@ -183,13 +190,13 @@
 		time.Sleep(10 * time.Millisecond)
 		for len(received) > 0 {
 			if line := <-received; line != "" {
-				t.Fatalf("it arrived: %q", line)
+				t.Fatalf("data of a closed connection was delivered after the outage: %q", line)
 			}
 		}
 	}
 }
 
-// What was sent after an outage is delivered, even if its sender has closed the connection since, as over a slow wire.
+// Data that is sent after an outage is delivered even if its sender closes the connection before the delivery, as over a slow network.
 func TestLeftBehindASlowWayArrives(t *testing.T) {
 	received := make(chan string, 2)
 	n, l := openLink(t, func(c net.Conn) {
@@ -207,7 +214,7 @@
 	}
 	fmt.Fprintln(c, "before")
 	if line := <-received; line != "before\n" {
-		t.Fatalf("%q came", line)
+		t.Fatalf("got %q before the outage", line)
 	}
 	n.Set("a", "b", func(s *State) { s.Silent = true })
 	n.Heal()
@@ -217,14 +224,14 @@
 	select {
 	case line := <-received:
 		if line != "after\n" {
-			t.Errorf("%q came", line)
+			t.Errorf("got %q after the outage", line)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("what was sent after an outage is not delivered")
+		t.Error("data that was sent after an outage is not delivered")
 	}
 }
 
-// ClosedAt is known for a connection that the gateway has closed while the server still has its end open.
+// ClosedAt returns the time of the gateway's close while the server's end of the connection is still open.
 func TestClosedAt(t *testing.T) {
 	remoteAddrs := make(chan string, 1)
 	release := make(chan struct{})
@@ -236,16 +243,17 @@
 	}
 	far := <-remoteAddrs
 	if at := l.ClosedAt(far); !at.IsZero() {
-		t.Error("it is closed before it was:", at)
+		t.Error("ClosedAt returns a time before the close:", at)
 	}
 	c.Close()
 	for deadline := time.Now().Add(5 * time.Second); l.ClosedAt(far).IsZero(); time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("its close is not seen")
+			t.Fatal("ClosedAt returns no time after the close")
 		}
 	}
 }
 
+// Datagrams are relayed and counted, and dropped by the direction's loss.
 func TestDatagrams(t *testing.T) {
 	receiver, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -273,10 +281,10 @@
 	}
 	n.Set("a", "b", func(s *State) { s.Loss = 1 })
 	if arrives(100 * time.Millisecond) {
-		t.Error("a datagram arrives where all are lost")
+		t.Error("a datagram arrives through a direction with a loss of 1")
 	}
 	if n.Bytes("a", "b") != 1 {
-		t.Errorf("%d bytes counted", n.Bytes("a", "b"))
+		t.Errorf("%d bytes counted, expected 1", n.Bytes("a", "b"))
 	}
 }
 
--- a/internal/standin/link/listener.go
+++ b/internal/standin/link/listener.go
@@ -1,6 +1,6 @@
 package link
 
-// How new connections meet the state of the two directions: they are accepted, refused, or time out.
+// This file applies the state of the two directions to new connections, which are accepted or refused, or time out.
 
 import (
 	"net"
@@ -8,10 +8,11 @@
 	"time"
 )
 
-// backlogFillTimeout bounds the wait for the connection that fills the backlog, which may come up late on a busy machine.
+// backlogFillTimeout is the timeout of the connection that fills the backlog, which a busy machine may establish late.
 const backlogFillTimeout = 200 * time.Millisecond
 
-// applyState has the listener follow the state of the two directions: it accepts, refuses (is closed), or is blackholed.
+// applyState adapts the listener to the state of the two directions: the listener accepts, is closed so that connections are refused, or is
+// blackholed.
 func (l *Link) applyState() {
 	if l.closed.Load() {
 		return
@@ -33,13 +34,13 @@
 	case silent:
 		l.blackhole()
 	default:
-		// A new listener, as connections in the old one's backlog may have been abandoned and must not be accepted.
+		// The listener is replaced, as connections in its backlog may have been abandoned and must not be accepted.
 		l.closeListener()
 		_ = l.listen()
 	}
 }
 
-// listen opens the listener. l.mu is held, or the link is not shared yet.
+// listen opens the listener. l.mu is held, or no other goroutine uses the link yet.
 func (l *Link) listen() error {
 	opened, err := net.Listen("tcp", l.addr)
 	if err != nil {
@@ -59,27 +60,27 @@
 		if err != nil {
 			return
 		}
-		// The outages are counted here: counted in the goroutine, an outage that begins meanwhile could end before the count,
-		// and the connection would pass for one that came up after it.
+		// The outages are counted before the goroutine starts. In the goroutine, an outage that begins meanwhile could end before the
+		// count, and the connection would pass for one that was established after that outage.
 		go l.relay(c, l.outbound.endedOutages())
 	}
 }
 
-// blackhole has new connections time out, as over a cut wire: nothing accepts, and the backlog of one is full, so that the kernel
-// drops further SYNs. An accept in progress would take the connection that fills the backlog, so it ends first. The listener can't be
-// used again. l.mu is held.
+// blackhole makes new connections time out, as over a cut wire: no goroutine accepts, and the backlog of one connection is full, so that
+// the kernel drops further SYNs. It first ends an accept in progress, which would take the connection that fills the backlog. The listener
+// can't be used again. l.mu is held.
 func (l *Link) blackhole() {
 	l.blackholed = true
 	l.listener.SetDeadline(time.Unix(1, 0))
 	<-l.acceptDone
 	setBacklog(l.listener, 0)
-	// A backlog of 0 takes one connection. If this one times out, another process's connection has filled it.
+	// A backlog of 0 holds one connection. If this one times out, another process's connection has filled the backlog.
 	if c, err := net.DialTimeout("tcp", l.addr, backlogFillTimeout); err == nil {
 		l.backlogFillers = append(l.backlogFillers, c)
 	}
 }
 
-// closeListener closes the listener, which resets what waits in its backlog. l.mu is held.
+// closeListener closes the listener, which resets the connections in its backlog. l.mu is held.
 func (l *Link) closeListener() {
 	l.blackholed = false
 	for _, c := range l.backlogFillers {
@@ -91,7 +92,7 @@
 	l.listener = nil
 }
 
-// setBacklog sets how many connections may wait to be accepted.
+// setBacklog sets the length of the listener's queue of connections that wait to be accepted.
 func setBacklog(listener *net.TCPListener, n int) {
 	raw, err := listener.SyscallConn()
 	if err == nil {
--- a/internal/standin/link/network.go
+++ b/internal/standin/link/network.go
@@ -1,22 +1,23 @@
-// Package link injects network faults between processes: each Link is a relay on loopback that drops, refuses, delays, throttles or
-// resets what passes through it, each direction on its own. It owns the relays' sockets and does not interpret the relayed bytes,
-// except that it takes the start of each command's bytes for Link.CommandSentAt.
+// Package link injects network faults between processes. Each Link is a relay on loopback that drops, refuses, delays, throttles or resets
+// the traffic through it, for each direction separately. It owns the relays' sockets and does not interpret the relayed bytes, except that
+// it records when each command's first byte comes, for Link.CommandSentAt.
 package link
 
 import "sync"
 
-// Net is all directions and links of one run. Its methods may be called from any goroutine.
+// Net holds all directions and links of one run. Its methods may be called from any goroutine.
 type Net struct {
 	mu         sync.Mutex
 	seed       uint64
-	directions map[[2]string]*direction // by the names of the sending and the receiving process
+	directions map[[2]string]*direction // keyed by the names of the sending and the receiving process
 	links      []*Link
 }
 
-// NewNet returns a net without links; the seed is that of jitter and loss.
+// NewNet returns a Net without links. The seed determines the draws of jitter and loss.
 func NewNet(seed uint64) *Net { return &Net{seed: seed, directions: map[[2]string]*direction{}} }
 
-// direction returns the direction between two processes, by name. The order of the first calls fixes the random source of each.
+// direction returns the direction between two processes, which it creates at the first call. The order of creation determines the random
+// source of each direction.
 func (n *Net) direction(from, to string) *direction {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -29,7 +30,7 @@
 	return d
 }
 
-// Set changes the state of the direction between two processes, and applies it to the links that use the direction.
+// Set changes the state of the direction between two processes and applies it to the links that use the direction.
 func (n *Net) Set(from, to string, change func(*State)) {
 	transition, changed := n.direction(from, to).change(change)
 	if !changed {
@@ -46,14 +47,14 @@
 	}
 }
 
-// Reset resets the open connections from process a to process b, once.
+// Reset resets the connections that are open on links between processes a and b. Later connections are not affected.
 func (n *Net) Reset(a, b string) {
 	for _, l := range n.direction(a, b).currentLinks() {
 		l.Reset()
 	}
 }
 
-// Heal returns every direction to the zero State.
+// Heal sets the state of every direction to the zero State.
 func (n *Net) Heal() {
 	n.mu.Lock()
 	var all []*direction
@@ -66,7 +67,7 @@
 	}
 }
 
-// Bytes returns how many bytes were delivered from one process to another.
+// Bytes returns the number of bytes that were delivered from one process to another.
 func (n *Net) Bytes(from, to string) int64 {
 	d := n.direction(from, to)
 	d.mu.Lock()
--- a/internal/standin/zookeeper/frame.go
+++ b/internal/standin/zookeeper/frame.go
@@ -6,7 +6,7 @@
 	"io"
 )
 
-// The protocol's constants, of ZooKeeper's ZooDefs, KeeperException and Watcher.
+// Constants of the protocol, from ZooKeeper's ZooDefs, KeeperException and Watcher.
 const (
 	opCreate     = 1
 	opDelete     = 2
@@ -25,12 +25,13 @@
 	eventDeleted         = 2
 	eventChildrenChanged = 4
 
-	flagEphemeral      = 1  // of create
-	watchEventXid      = -1 // in place of a request's number
-	stateSyncConnected = 3
+	flagEphemeral      = 1  // flag of a create request
+	watchEventXid      = -1 // xid of a watch event, in place of a request's xid
+	stateSyncConnected = 3  // session state in a watch event
 )
 
-// writeFrame writes values as one frame: its length, then the values. A write error is dropped: the connection's reader sees it too.
+// writeFrame writes a frame: the length of the encoded values, then the values. It ignores a write error, as the connection's reader fails
+// then too.
 func writeFrame(w io.Writer, values ...any) {
 	var b bytes.Buffer
 	for _, v := range values {
@@ -48,7 +49,7 @@
 	w.Write(append(binary.BigEndian.AppendUint32(nil, uint32(b.Len())), b.Bytes()...))
 }
 
-// requestFrame is the unread rest of a request. Reads beyond its end return zero values.
+// requestFrame is the unread part of a request. Reads beyond its end return zero values.
 type requestFrame struct{ *bytes.Reader }
 
 func readFrame(r io.Reader) (requestFrame, error) {
--- a/internal/standin/zookeeper/operations.go
+++ b/internal/standin/zookeeper/operations.go
@@ -8,7 +8,7 @@
 // handle executes one request and returns the error code and the body of the response. z.mu is held.
 func (z *Server) handle(s *session, op int32, f requestFrame) (code int32, body []any) {
 	switch op {
-	case opPing, opSetWatches, opClose: // serve closes the session once this is answered
+	case opPing, opSetWatches, opClose: // serve closes the session after it has answered opClose
 		return 0, nil
 	case opCreate:
 		return z.create(s, f)
@@ -44,11 +44,11 @@
 	return errUnimplemented, nil
 }
 
-// create adds a node and notifies its watchers. z.mu is held.
+// create executes a create request and notifies the watchers of the node and of its parent's children. z.mu is held.
 func (z *Server) create(s *session, f requestFrame) (code int32, body []any) {
 	name := f.readString()
 	data := f.readString()
-	for range f.readInt() { // access control list: permissions, scheme, identity
+	for range f.readInt() { // skip the access control list: permissions, scheme and identity of each entry
 		f.readInt()
 		f.readString()
 		f.readString()
@@ -72,7 +72,7 @@
 	return 0, []any{name}
 }
 
-// children returns the names of a node's children without their path, sorted. z.mu is held.
+// children returns the sorted names of a node's children, without the path. z.mu is held.
 func (z *Server) children(name string) []string {
 	children := []string{}
 	for child := range z.nodes {
@@ -84,8 +84,8 @@
 	return children
 }
 
-// stat returns the fields of a node's Stat record in the order of the wire. Data never changes, and no client reads pzxid, so that all
-// zxids are of the creation.
+// stat returns the fields of a node's Stat record in wire order. All zxids are that of the node's creation, because data never changes and
+// no client reads pzxid.
 func stat(n *znode, children int) []any {
 	return []any{
 		n.createdZxid, n.createdZxid, // czxid, mzxid
--- a/internal/standin/zookeeper/zookeeper.go
+++ b/internal/standin/zookeeper/zookeeper.go
@@ -1,6 +1,6 @@
-// Package zookeeper is a fake ZooKeeper server: sessions, ephemeral nodes and watches over its published wire format (jute: big-endian
-// integers, and strings and buffers preceded by their length). It implements the operations that the client library uses. Sessions do
-// not expire by time, only by Server.Expire.
+// Package zookeeper implements a stand-in for a ZooKeeper server, with sessions, ephemeral nodes and watches, over ZooKeeper's published
+// wire format (jute: big-endian integers, and strings and buffers preceded by their length). It implements the operations that the client
+// library uses. Sessions do not expire by time, only by Server.Expire.
 package zookeeper
 
 import (
@@ -12,41 +12,45 @@
 	"dewhitch/internal/standin"
 )
 
-// Server is a single server with the whole store in memory. Its methods may be called from any goroutine.
+// Server is a single ZooKeeper server that holds its store in memory. Its methods may be called from any goroutine.
 type Server struct {
 	*standin.Listener
 	mu       sync.Mutex
-	zxid     int64 // of the latest change
-	nodes    map[string]*znode
-	sessions map[int64]*session
+	zxid     int64              // transaction id of the latest change
+	nodes    map[string]*znode  // keyed by path
+	sessions map[int64]*session // keyed by session id
 }
 
+// znode is a node of the store.
 type znode struct {
 	data        []byte
-	owner       int64 // session of an ephemeral node; 0: persistent
+	owner       int64 // session id of an ephemeral node's owner; 0 for a persistent node
 	createdZxid int64
 }
 
+// session is an open session of a client.
 type session struct {
 	id      int64
-	conn    net.Conn // the latest
-	watches map[watch]bool
+	conn    net.Conn       // latest connection of the session
+	watches map[watch]bool // a value of true means that the watch is set
 }
 
-// watch is what a session asked to be notified of, once.
+// watch identifies changes of which a session is notified once.
 type watch struct {
 	kind watchKind
 	path string
 }
 
+// watchKind is the kind of change that a watch reports.
 type watchKind int
 
+// The kinds of watches.
 const (
-	watchData watchKind = iota
-	watchChildren
+	watchData     watchKind = iota // the node's creation or deletion
+	watchChildren                  // the creation or deletion of a child
 )
 
-// New starts a server on a free port of loopback, with nothing but the root node.
+// New starts a server on a free loopback port. Its store contains only the root node.
 func New() (*Server, error) {
 	z := &Server{nodes: map[string]*znode{"/": {}}, sessions: map[int64]*session{}}
 	l, err := standin.Listen("", z.serve)
@@ -54,7 +58,7 @@
 	return z, err
 }
 
-// Expire expires a session: its ephemeral nodes are deleted, its connection is closed, and it can't be resumed.
+// Expire expires a session: it deletes the session's ephemeral nodes and closes its connection. The client can't resume the session.
 func (z *Server) Expire(id int64) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -71,7 +75,7 @@
 	s.conn.Close()
 }
 
-// Owner returns the session that owns an ephemeral node; 0: there is no such node, or it is persistent.
+// Owner returns the id of the session that owns an ephemeral node, or 0 if the node does not exist or is persistent.
 func (z *Server) Owner(name string) int64 {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -81,7 +85,7 @@
 	return 0
 }
 
-// remove deletes a node and notifies its watchers. z.mu is held.
+// remove deletes a node and notifies the watchers of the node and of its parent's children. z.mu is held.
 func (z *Server) remove(name string) {
 	delete(z.nodes, name)
 	z.zxid++
@@ -89,7 +93,7 @@
 	z.notify(watch{watchChildren, path.Dir(name)}, eventChildrenChanged)
 }
 
-// notify sends a watch event to each session with that watch, which ends the watch. z.mu is held.
+// notify sends a watch event to each session that has set the watch, and removes the watch. z.mu is held.
 func (z *Server) notify(w watch, event int32) {
 	for _, s := range z.sessions {
 		if s.watches[w] {
@@ -99,7 +103,7 @@
 	}
 }
 
-// serve answers the requests of one connection in their order.
+// serve answers the requests of one connection in the order of their arrival.
 func (z *Server) serve(conn net.Conn) {
 	s := z.handshake(conn)
 	if s == nil {
@@ -123,7 +127,7 @@
 	}
 }
 
-// handshake reads the connect request and opens or resumes a session; nil: the session has expired, or the connection failed.
+// handshake reads the connect request, and opens or resumes a session. It returns nil if the session has expired or the connection failed.
 func (z *Server) handshake(conn net.Conn) *session {
 	f, err := readFrame(conn)
 	if err != nil {
@@ -132,14 +136,14 @@
 	var lastZxid, id int64
 	f.readInt() // protocol version
 	binary.Read(f, binary.BigEndian, &lastZxid)
-	timeout := f.readInt() // ms, granted as requested
+	timeout := f.readInt() // session timeout in ms, granted as requested
 	binary.Read(f, binary.BigEndian, &id)
 	password := make([]byte, 16)
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	s := z.sessions[id]
 	if s == nil && id != 0 {
-		writeFrame(conn, int32(0), int32(0), int64(0), password) // session 0: expired
+		writeFrame(conn, int32(0), int32(0), int64(0), password) // session id 0 tells the client that its session has expired
 		return nil
 	}
 	if s == nil {
