--- a/cmd/soak/golden_test.go
+++ b/cmd/soak/golden_test.go
@@ -9,8 +9,8 @@
 	"dewhitch/internal/golden"
 )
 
-// The names of all commands, arguments and flags, with defaults and the words that a flag takes. Operators and their scripts write
-// them. What the help says of each is not a part of the form.
+// TestGoldenCommandLine compares the names of all commands, arguments and flags, with their defaults and the values that a flag accepts,
+// with the golden file: operators and their scripts use them. The help texts are not part of the comparison.
 func TestGoldenCommandLine(t *testing.T) {
 	k, err := kong.New(&cli, kong.Name("soak"))
 	if err != nil {
@@ -19,6 +19,7 @@
 	golden.Compare(t, "commands.txt", appendNode(nil, k.Model.Node, k.Model.Name))
 }
 
+// appendNode appends the lines of a command and its subcommands to b.
 func appendNode(b []byte, n *kong.Node, path string) []byte {
 	b = append(append(b, path...), '\n')
 	for _, a := range n.Positional {
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,6 +1,6 @@
-// Command soak runs gateways and a forwarder under load among stand-ins that fail, kills one every so often, and prints
-// what the books say beside what everybody else saw; it ends with 1 if they do not agree. It also measures what books
-// cost.
+// Command soak runs gateways and a forwarder under load with stand-ins that inject faults, and kills one of the processes at intervals. It
+// prints the ledgers' counts beside those of the clients, and exits with status 1 if the ledgers do not agree with the clients, the backends
+// and the counter. It also measures the cost of the ledger and, during faults of the counter, the requests beyond the quota.
 package main
 
 import (
@@ -54,7 +54,7 @@
 	return soak.Quota(ctx, soak.QuotaConfig{Program: cli.Program, Dir: string(dir), Phase: c.Phase, Seed: c.Seed, Out: os.Stdout})
 }
 
-// folder holds the nodes' files.
+// folder is the path of the folder for the nodes' files.
 type folder string
 
 func main() {
--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -17,33 +17,35 @@
 	"dewhitch/internal/standin"
 )
 
-// ledgerRow is what the ledgers hold of a row. Cut is what a crash, or the client's leaving, kept from being answered.
+// ledgerRow holds the counts of a row in the ledger of its node.
 type ledgerRow struct {
 	ledger.Counts
 }
 
+// answered returns the number of requests that were answered: served, rejected or failed.
 func (r *ledgerRow) answered() uint64 {
 	return r.N[ledger.FrontServed] + r.N[ledger.FrontRejected] + r.N[ledger.FrontFailed]
 }
 
-// unanswered is what the books have as taken and not as answered.
+// unanswered returns the number of requests that were taken but not answered, because of a crash or because the client disconnected.
 func (r *ledgerRow) unanswered() uint64 { return r.N[ledger.FrontTaken] - r.answered() }
 
-// auditResult collects what the audit of a run found.
+// auditResult collects the ledgers of all nodes and the faults that the audit finds.
 type auditResult struct {
 	rows         map[Row]*ledgerRow
-	accounts     map[uint64]*ledger.Counts // by customer
-	merged       *statement.Merged
-	incarnations uint64
-	kills        int
+	accounts     map[uint64]*ledger.Counts // counts of units, keyed by customer and summed over the nodes
+	merged       *statement.Merged         // records of all exports
+	incarnations uint64                    // number of incarnations of all nodes
+	kills        int                       // number of kills of all nodes
 	faults       []string
 }
 
+// fail records a fault.
 func (r *auditResult) fail(format string, a ...any) {
 	r.faults = append(r.faults, fmt.Sprintf(format, a...))
 }
 
-// err is all that does not agree, up to maxFaults lines of it; nil: everything agrees.
+// err returns an error that lists up to maxFaults faults, or nil if there are none.
 func (r *auditResult) err() error {
 	const maxFaults = 30
 	if len(r.faults) == 0 {
@@ -56,9 +58,9 @@
 	return errors.New("the figures do not agree:\n" + b.String())
 }
 
-// audit compares the ledgers, as the folders and their exports hold them, with what clients, backends and the counter
-// saw. Where nothing was lost on the way, figures must be equal; where a session ended with answers owed, each side is
-// held to the most that the other can have missed.
+// audit compares the ledgers, as read from the nodes' folders and from their exports, with the records of the clients, the backends and
+// the counter. The counts must be equal unless a session ended with requests unanswered; then they may differ by at most as many as the
+// other side can have missed. audit returns an error if they don't agree, or if the run had no kill or no booking through several gateways.
 func (env *environment) audit() error {
 	r := &auditResult{rows: map[Row]*ledgerRow{}, accounts: map[uint64]*ledger.Counts{}, merged: statement.NewMerged()}
 	for _, n := range env.nodes {
@@ -67,7 +69,7 @@
 		}
 	}
 	for _, err := range r.merged.Verify() {
-		r.fail("merged: %v", err)
+		r.fail("merged exports: %v", err)
 	}
 	exactRows := env.compareClients(r.rows, r.fail)
 	env.compareForwarder(r.rows, r.fail)
@@ -92,7 +94,7 @@
 	return nil
 }
 
-// readLedger reads the folder and the export of a node, and compares the two.
+// readLedger reads a node's ledger folder and its export into r and compares the two.
 func (env *environment) readLedger(n *node, r *auditResult) error {
 	dir := filepath.Join(n.Dir, "ledger")
 	view, err := store.Read(dir)
@@ -120,7 +122,7 @@
 	for _, line := range view.Ledger.Lines() {
 		row := Row{n.Name, line.Key.Customer, view.Names.Plan(line.Key.Plan), view.Names.Class(line.Key.Class)}
 		if line.Key.Customer == ledger.Others {
-			r.fail("%s rolled rows up: the run has too many hauliers for its books", n.Name)
+			r.fail("%s rolled rows up: the run has too many customers for the ledger's row limit", n.Name)
 		}
 		if line.Key.Class == ledger.ClassAccount {
 			if r.accounts[row.Customer] == nil {
@@ -131,13 +133,14 @@
 			r.rows[row] = &ledgerRow{line.Counts}
 		}
 		if stated := statedCounts(r.merged, name, row); stated != line.Counts {
-			r.fail("%v: the export has %d taken, the books %d", row, stated.N[ledger.FrontTaken], line.Counts.N[ledger.FrontTaken])
+			r.fail("%v: the export and the ledger differ: %d taken in the export, %d in the ledger", row, stated.N[ledger.FrontTaken],
+				line.Counts.N[ledger.FrontTaken])
 		}
 	}
 	return nil
 }
 
-// statedCounts is what the records of a node's export add up to for a row.
+// statedCounts returns the sum of the records for a row in a node's export.
 func statedCounts(merged *statement.Merged, node string, row Row) ledger.Counts {
 	m := merged.Nodes[node]
 	if m == nil {
@@ -150,7 +153,7 @@
 	return *c
 }
 
-// compareClients compares each row with what the clients saw of it, and returns how many agree in every figure.
+// compareClients compares each row with the clients' tally of it, and returns the number of rows in which all counts are equal.
 func (env *environment) compareClients(rows map[Row]*ledgerRow, fail func(string, ...any)) (exact int) {
 	env.tallies.mu.Lock()
 	defer env.tallies.mu.Unlock()
@@ -158,25 +161,26 @@
 		booked := rows[row]
 		if booked == nil {
 			if booked = (&ledgerRow{}); tally.Sent > tally.Lost {
-				fail("%v: the clients have %d answers, and the books no row", row, tally.Sent-tally.Lost)
+				fail("%v: the clients have %d answers, but the ledger has no row", row, tally.Sent-tally.Lost)
 			}
 		}
 		taken, unanswered := booked.N[ledger.FrontTaken], booked.unanswered()
 		if taken > tally.Sent || taken+tally.Lost < tally.Sent {
-			fail("%v: %d taken, %d sent, of which %d have no answer", row, taken, tally.Sent, tally.Lost)
+			fail("%v: the gateway took %d requests, the clients sent %d, of which %d have no answer", row, taken, tally.Sent, tally.Lost)
 		}
 		equal := true
 		for outcome, counts := range map[string][2]uint64{"served": {booked.N[ledger.FrontServed], tally.Served},
 			"refused": {booked.N[ledger.FrontRejected], tally.Rejected}, "failed": {booked.N[ledger.FrontFailed], tally.Failed}} {
-			// An answer may have been written and lost with its session; or have arrived, and the gateway was killed
-			// before it was booked.
+			// An answer may have been written and then lost with its session, or it arrived but the gateway was killed before it
+			// recorded the answer.
 			if counts[0] > counts[1]+tally.Lost || counts[1] > counts[0]+booked.N[ledger.FrontCutoff]+booked.N[ledger.FrontWriteFailed] {
-				fail("%v: %d %s in the books, %d at the clients; %d lost there, %d cut off here", row, counts[0], outcome, counts[1], tally.Lost, unanswered)
+				fail("%v: %d %s in the ledger, %d at the clients; %d answers lost at the clients, %d requests unanswered in the ledger",
+					row, counts[0], outcome, counts[1], tally.Lost, unanswered)
 			}
 			equal = equal && counts[0] == counts[1]
 		}
 		if tally.Lost == 0 && (!equal || taken != tally.Sent) && booked.N[ledger.FrontCutoff] == 0 {
-			fail("%v: nothing was lost, and %d taken, %d sent", row, taken, tally.Sent)
+			fail("%v: no answer was lost, but the ledger differs from the clients' tally: %d taken, %d sent", row, taken, tally.Sent)
 		}
 		if equal && taken == tally.Sent {
 			exact++
@@ -184,13 +188,13 @@
 	}
 	for row, booked := range rows {
 		if env.tallies.rows[row] == nil && booked.N[ledger.FrontTaken] > 0 && int(row.Customer) <= env.Customers {
-			fail("%v: %d taken that nobody sent", row, booked.N[ledger.FrontTaken])
+			fail("%v: the ledger has %d requests taken, but no client sent any", row, booked.N[ledger.FrontTaken])
 		}
 	}
 	return exact
 }
 
-// compareForwarder compares what the forwarder passed on with what the gateways took of its customers.
+// compareForwarder compares the forwarder's attempts with the requests that the gateways took for its customers.
 func (env *environment) compareForwarder(rows map[Row]*ledgerRow, fail func(string, ...any)) {
 	taken := map[Row]uint64{}
 	for row, booked := range rows {
@@ -206,17 +210,18 @@
 		answered := booked.N[ledger.AttemptOK]
 		highest := booked.N[ledger.AttemptStarted] - booked.N[ledger.AttemptNotSent] - booked.N[ledger.AttemptRejected]
 		if forwarded := taken[row]; forwarded < answered || forwarded > highest {
-			fail("%v: the gateways took %d of what the forwarder passed on: %d answered, %d in all", row, forwarded, answered, highest)
+			fail("%v: the gateways took %d requests from the forwarder, expected %d (answered) to %d (possibly sent)", row, forwarded, answered,
+				highest)
 		}
 	}
 	for row := range taken {
 		if rows[row] == nil {
-			fail("%v: the gateways took %d, the forwarder has no row", row, taken[row])
+			fail("%v: the gateways took %d requests, but the forwarder's ledger has no row", row, taken[row])
 		}
 	}
 }
 
-// compareAttempts compares the pools' books with what the backends saw.
+// compareAttempts compares the gateways' counts of attempts with the commands that the backends received.
 func (env *environment) compareAttempts(rows map[Row]*ledgerRow, fail func(string, ...any)) {
 	type key struct {
 		customer uint64
@@ -250,14 +255,14 @@
 	}
 	for k, sum := range sums {
 		if sum.received > sum.started || sum.replied > sum.received || sum.ok > sum.served {
-			fail("haulier %d, %s: %d fetches that may have arrived, %d replied to, %d well; the backends saw %d and served %d",
+			fail("customer %d, %s: %d attempts that may have arrived, %d answered, %d of these ok; the backends received %d and served %d",
 				k.customer, k.class, sum.started, sum.replied, sum.ok, sum.received, sum.served)
 		}
 	}
 }
 
-// compareUnits compares the counter's books with the counter. Hauliers that give units back are left out: what of their calls
-// is unknown may be of either sign.
+// compareUnits compares the ledgers' counts of units with those that the counter added. It leaves out customers that return units, as
+// their calls with an unknown outcome may have either sign.
 func (env *environment) compareUnits(accounts map[uint64]*ledger.Counts, fail func(string, ...any)) {
 	_, added := env.counter.Added()
 	for customer, account := range accounts {
@@ -268,13 +273,13 @@
 		lowest := account.Units(ledger.CallAdded)
 		highest := lowest + account.Units(ledger.CallUnknown) + account.Units(ledger.CallCutoff)
 		if counted < lowest-1 || counted > highest+1 {
-			fail("haulier %d: the counter was told %g units, the books say %g to %g", customer, float64(counted)/1e6, float64(lowest)/1e6,
+			fail("customer %d: the counter added %g units, expected %g to %g by the ledgers", customer, float64(counted)/1e6, float64(lowest)/1e6,
 				float64(highest)/1e6)
 		}
 	}
 }
 
-// printTable prints both sides by node, plan and class.
+// printTable prints the counts of the ledgers beside those of the clients, summed by node, plan and class.
 func (env *environment) printTable(rows map[Row]*ledgerRow) {
 	type rowSum struct {
 		booked ledger.Counts
@@ -290,7 +295,7 @@
 	}
 	for row, booked := range rows {
 		if row.Node != "forwarder" && int(row.Customer) > env.Customers {
-			continue // its client is the forwarder
+			continue // the forwarder is the client of this row and keeps no tally
 		}
 		sumFor(row).booked.Add(&booked.Counts)
 	}
--- a/internal/soak/cost.go
+++ b/internal/soak/cost.go
@@ -16,32 +16,34 @@
 	"dewhitch/internal/standin"
 )
 
-// CostConfig says how to measure what the books cost: one gateway under the same load, with books off, in memory and on
-// the disk in turn, in one run, so that a machine whose speed drifts does so for all.
+// CostConfig configures the measurement of the ledger's cost: one gateway under the same load with the ledger off, in memory and on disk.
+// The modes take turns within one run, so that a drift in the machine's speed affects all of them.
 type CostConfig struct {
-	Program  string
-	Dir      string
-	Rounds   int
-	Length   time.Duration // of each round, of each mode
-	Clients  int           // that send one request after another, each at its pace
-	Interval time.Duration // between two requests of a client
+	Program  string        // path of the dewhitch program
+	Dir      string        // folder for the gateways' files
+	Rounds   int           // number of rounds, each of which runs all modes
+	Length   time.Duration // duration of the load in one mode of one round
+	Clients  int           // number of clients, each of which waits for an answer before it sends the next request
+	Interval time.Duration // pause of a client between an answer and its next request
 	Out      io.Writer
 }
 
+// ledgerModes are the modes of the ledger that Cost compares.
 var ledgerModes = []string{"off", "memory", "disk"}
 
-// sample is one round of one mode.
+// sample is the result of one mode in one round.
 type sample struct {
-	cpu float64 // microseconds a request
-	p99 time.Duration
+	cpu float64       // CPU time in microseconds per request
+	p99 time.Duration // 99th percentile of the latency
 }
 
-// Cost measures and prints a table, and the median of the ratios round by round.
+// Cost runs the measurement and prints, for each mode, the medians over the rounds and the medians of each round's ratio to the mode off.
+// It also prints the memory of a ledger row.
 func Cost(ctx context.Context, config CostConfig) error {
 	samples := map[string][]sample{}
 	for round := range config.Rounds {
 		for i := range ledgerModes {
-			mode := ledgerModes[(i+round)%len(ledgerModes)] // none is always first
+			mode := ledgerModes[(i+round)%len(ledgerModes)] // the order rotates, so that no mode is always first
 			s, err := config.round(ctx, mode, fmt.Sprintf("%d-%s", round, mode))
 			if err != nil {
 				return err
@@ -73,7 +75,8 @@
 	return v[len(v)/2]
 }
 
-// round runs one gateway under load and tells its CPU time a request, by the system's account of the whole process.
+// round runs one gateway under load and returns its latency and its CPU time per request. The CPU time is that of the whole process as the
+// operating system accounts it.
 func (c CostConfig) round(ctx context.Context, mode, name string) (s sample, err error) {
 	env := &environment{Config: Config{Program: c.Program, Dir: filepath.Join(c.Dir, name), Seed: 1, Out: io.Discard}}
 	defer env.close()
@@ -114,7 +117,7 @@
 	return sample{cpu.Seconds() * 1e6 / float64(len(latencies)), latencies[len(latencies)*99/100]}, ctx.Err()
 }
 
-// load runs the clients for the round's length, and returns the latencies of all.
+// load runs the clients for c.Length and returns the latencies of all requests.
 func (c CostConfig) load(ctx context.Context, addr string) ([]time.Duration, error) {
 	var mu sync.Mutex
 	var latencies []time.Duration
@@ -142,7 +145,7 @@
 	}
 }
 
-// client sends one request after another and times the answers.
+// client sends requests one after another until the context ends, and returns their latencies. A BUSY answer counts as an answer.
 func (c CostConfig) client(ctx context.Context, addr string, number int) (latencies []time.Duration, err error) {
 	conn, err := standin.Dial(addr, waitTimeout)
 	if err != nil {
@@ -170,7 +173,8 @@
 	return latencies, nil
 }
 
-// RowBytes is how much memory a row of the ledger takes, all that hangs on it included, as the heap grows by it.
+// RowBytes returns the memory of one ledger row in bytes, including everything that it references, measured by the growth of the heap.
+// If statements is set, the ledger keeps statements.
 func RowBytes(statements bool) int {
 	const rows = 20000
 	heap := func() int {
--- a/internal/soak/customers.go
+++ b/internal/soak/customers.go
@@ -12,17 +12,17 @@
 	"dewhitch/internal/standin"
 )
 
-// Row is what a client's tally is kept by.
+// Row is the key of the clients' tallies and of the ledgers' rows.
 type Row struct {
 	Node        string
 	Customer    uint64
 	Plan, Class string
 }
 
-// Tally is what clients saw of a row. Sent is all of the others together.
+// Tally holds the clients' counts for a row. Sent is the sum of the other counts.
 type Tally struct {
 	Sent, Served, Rejected, Failed uint64
-	Lost                           uint64 // the session ended, by either side, before its answer was read
+	Lost                           uint64 // number of requests whose session ended, on either side, before their answer was read
 }
 
 func (t *Tally) add(other *Tally) {
@@ -33,12 +33,14 @@
 	t.Lost += other.Lost
 }
 
+// tallies holds the tallies of all clients. Its methods may be called from any goroutine.
 type tallies struct {
 	mu           sync.Mutex
 	rows         map[Row]*Tally
-	wrongAnswers []string // answers that no server made for their request
+	wrongAnswers []string // descriptions of answers that do not belong to their request
 }
 
+// record applies f to the tally of a row.
 func (t *tallies) record(r Row, f func(*Tally)) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -48,6 +50,7 @@
 	f(t.rows[r])
 }
 
+// recordWrongAnswer records the description of a wrong answer, up to 20 of them.
 func (t *tallies) recordWrongAnswer(format string, a ...any) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -56,15 +59,15 @@
 	}
 }
 
-// command is one that a client sends, with what it takes for an answer.
+// command is a command that a client sends, with the row and the value that its answer is checked against.
 type command struct {
 	row   Row
 	args  []string
-	value string // that a backend serves it with; empty: a command on limits
+	value string // value with which a backend serves the command; empty for LIMIT commands
 }
 
-// runCustomer plays one customer until the context ends: those beyond the plan's number come through the forwarder, and send
-// commands on their limits too.
+// runCustomer sends one customer's commands until the context ends. Customers with numbers above Config.Customers send through the
+// forwarder, and send LIMIT commands too.
 func (env *environment) runCustomer(ctx context.Context, customer uint64) {
 	rng := rand.New(rand.NewPCG(env.Seed, 100+customer))
 	sessions := map[int]*standin.Client{}
@@ -103,7 +106,8 @@
 	}
 }
 
-// batch makes the commands that a customer sends at once: one, or now and then many. n numbers the customer's commands.
+// batch makes the commands that a customer sends at once: one or, in one of five batches, 2 to 25. n is the number of the customer's latest
+// command.
 func (env *environment) batch(rng *rand.Rand, nodeIndex int, customer uint64, n *int, forwarded bool) (batch []command) {
 	count := 1
 	if rng.IntN(5) == 0 {
@@ -116,8 +120,8 @@
 	return batch
 }
 
-// retryElsewhere sends a command through another gateway while its first attempt is open, as a client's retry: under another id
-// and the same idempotency key.
+// retryElsewhere sends a command through another gateway while its first attempt is open. As a client's retry does, it uses another id and
+// the same idempotency key.
 func (env *environment) retryElsewhere(retries *sync.WaitGroup, first command, nodeIndex int, id string) {
 	retry := first
 	otherNode := (nodeIndex + 1) % gatewayCount
@@ -135,7 +139,8 @@
 	})
 }
 
-// sendBatch sends a batch. Now and then the client leaves with all of it open, or reads late. It reports whether the session goes on.
+// sendBatch sends a batch. In one of 60 batches, the client disconnects while all of it is open; in another one of 60, it reads the answers
+// late. sendBatch returns true if the session can be used again.
 func (env *environment) sendBatch(ctx context.Context, rng *rand.Rand, c *standin.Client, batch []command) bool {
 	switch rng.IntN(60) {
 	case 0:
@@ -155,7 +160,7 @@
 	}
 }
 
-// command makes a customer's n-th command, for a gateway or, behind the last, the forwarder.
+// command makes a customer's n-th command. nodeIndex is the index of a gateway, or that of the forwarder, which follows the last gateway.
 func (env *environment) command(rng *rand.Rand, nodeIndex int, customer uint64, n int, forwarded bool) command {
 	plan := plans[customer%uint64(len(plans))]
 	c := command{row: Row{env.nodes[nodeIndex].Name, customer, plan, classes[rng.IntN(2)]}}
@@ -184,11 +189,11 @@
 	return c
 }
 
-// exchange sends a batch, reads its answers after a pause, and books them; false: the session is over.
+// exchange sends a batch, reads its answers after a pause and records them. It returns false if the session has ended.
 func (env *environment) exchange(c *standin.Client, batch []command, pause time.Duration) bool {
 	c.SetDeadline(time.Now().Add(waitTimeout))
 	read := make(chan int)
-	go func() { // a batch may be more than the gateway takes before it is read from
+	go func() { // reads while the batch is sent: a gateway may take only part of a batch before the client reads answers
 		time.Sleep(pause)
 		n := 0
 		for n < len(batch) {
@@ -213,7 +218,7 @@
 	return n == len(batch)
 }
 
-// recordAnswer books an answer, and checks that it is one to this command.
+// recordAnswer records an answer and checks that it belongs to the command.
 func (env *environment) recordAnswer(c command, reply standin.Reply) {
 	refused := reply.Kind == '-' && (reply.Text == "BUSY" || strings.HasPrefix(reply.Text, "BUSY "))
 	failed := reply.Kind == '-' && strings.HasPrefix(reply.Text, "ERR ")
--- a/internal/soak/quota.go
+++ b/internal/soak/quota.go
@@ -13,34 +13,37 @@
 	"dewhitch/internal/standin"
 )
 
-// QuotaConfig says how to measure what gateways send on beyond the quota while their counter is at fault: customers of
-// the plan fleet ask four times their quota, through gateways of which one gets most and another every few seconds.
+// QuotaConfig configures the measurement of the requests that gateways forward beyond the quota during faults of the counter. Customers of
+// the plan "fleet" demand four times their quota. Most of a customer's requests go to one gateway, which changes every few seconds.
 type QuotaConfig struct {
-	Program string
-	Dir     string
-	Phase   time.Duration // of each state of the counter
+	Program string        // path of the dewhitch program
+	Dir     string        // folder for the gateways' files
+	Phase   time.Duration // duration of each state of the counter
 	Seed    uint64
 	Out     io.Writer
 }
 
 const (
 	quotaCustomers = 6
-	demandMultiple = 4.0             // the quota
-	shiftInterval  = 7 * time.Second // another gateway gets most
-	fleetRate      = 60.0            // as configure has it
-	fleetBurst     = 90.0
-	ceilingRate    = 120.0
-	ceilingBurst   = 180.0
-	ceilingSlack   = 18.0
+	demandMultiple = 4.0             // demand as a multiple of the quota's rate
+	shiftInterval  = 7 * time.Second // time after which another gateway gets most of a customer's requests
+
+	// The plan "fleet" as configure writes it: rates in units per second, and bursts and slack in units.
+	fleetRate    = 60.0
+	fleetBurst   = 90.0
+	ceilingRate  = 120.0
+	ceilingBurst = 180.0
+	ceilingSlack = 18.0
 )
 
-// phase is one state of the counter.
+// phase is a part of the run in which the counter has one state.
 type phase struct {
 	name  string
 	apply func(*standin.Counter)
 }
 
-// Quota measures and prints a table. Shares are of the quota's rate, over all customers.
+// Quota runs the measurement and prints a table with a line for each phase. Its shares are fractions of the units that the quotas of all
+// customers grant in a phase. Quota returns an error if more units were forwarded than the hard ceiling allows.
 func Quota(ctx context.Context, config QuotaConfig) error {
 	env := &environment{Config: Config{Program: config.Program, Dir: config.Dir, Seed: config.Seed, Out: config.Out}}
 	defer env.close()
@@ -61,7 +64,7 @@
 	defer stop()
 	var clients sync.WaitGroup
 	for i := range quotaCustomers {
-		clients.Go(func() { env.runOpenLoop(loadCtx, uint64(2+3*i)) }) // those of the plan fleet
+		clients.Go(func() { env.runOpenLoop(loadCtx, uint64(2+3*i)) }) // numbers of customers whose plan is "fleet"
 	}
 	start := time.Now()
 	var script []standin.ScheduledFault
@@ -81,6 +84,7 @@
 	return env.report(start, config.Phase, phases)
 }
 
+// openQuota starts the stand-ins and the gateways, each with its own listener of the counter.
 func (env *environment) openQuota() (err error) {
 	if env.backends, err = standin.NewBackends(12, true, standin.Always(standin.Step{Delay: 5 * time.Millisecond})); err != nil {
 		return err
@@ -105,7 +109,7 @@
 	return env.startAll()
 }
 
-// runOpenLoop asks for one customer in an open loop: what is due is sent, whatever is answered.
+// runOpenLoop sends one customer's requests in an open loop: each is sent when it is due, regardless of the answers.
 func (env *environment) runOpenLoop(ctx context.Context, customer uint64) {
 	rng := rand.New(rand.NewPCG(env.Seed, 500+customer))
 	var sessions [gatewayCount]*standin.Client
@@ -154,13 +158,13 @@
 	}
 }
 
-// bucket is a store of units, kept by what the backends saw.
+// bucket is a token bucket that is drawn from for each command that the backends received.
 type bucket struct {
-	level, rate, burst float64
-	updatedAt          time.Time
+	level, rate, burst float64   // in units, units per second and units
+	updatedAt          time.Time // time of the latest draw
 }
 
-// draw takes a unit and tells how far below nothing that leaves the store.
+// draw draws a unit and returns by how many units the level is below 0 after it, or 0.
 func (b *bucket) draw(at time.Time) float64 {
 	b.level = min(b.burst, b.level+b.rate*at.Sub(b.updatedAt).Seconds())
 	b.updatedAt = at
@@ -168,8 +172,8 @@
 	return max(0, -b.level)
 }
 
-// report prints what was sent on in each phase, and what of it lay beyond the quota, by what the backends saw. A unit that
-// is beyond is not drawn, so that one that is within is not held against what came before it.
+// report prints, by the commands that the backends received, the requests that were forwarded in each phase and those of them beyond the
+// quota. A unit beyond the quota is not drawn from the quota's bucket, so that it does not count against later requests.
 func (env *environment) report(start time.Time, phaseLength time.Duration, phases []phase) error {
 	type phaseCounts struct{ forwarded, beyond, deepest float64 }
 	counts := make([]phaseCounts, len(phases))
@@ -200,7 +204,7 @@
 	}
 	tw.Flush()
 	if exceeded {
-		return fmt.Errorf("a ceiling was broken")
+		return fmt.Errorf("more units were forwarded than the hard ceiling allows")
 	}
 	return nil
 }
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,6 +1,6 @@
-// Package soak runs gateways and a forwarder among stand-ins that reset, stall and spoil, kills one every so often, and
-// then audits them: what the ledgers say against what customers' clients, backends and the counter saw, to the request. It
-// owns the processes and stand-ins of a run; it decides nothing in them and shares no code with what it checks.
+// Package soak runs gateways and a forwarder with stand-ins that inject resets, stalls and corrupt answers, and kills one of the processes at
+// intervals. Then it audits the ledgers against the records of the customers' clients, the backends and the counter, to the request. It
+// owns the processes and stand-ins of a run; it makes none of their decisions and shares no code with what it checks.
 package soak
 
 import (
@@ -20,48 +20,49 @@
 	"dewhitch/internal/standin/zookeeper"
 )
 
-// Config says what to run.
+// Config configures a run.
 type Config struct {
-	Program      string        // dewhitch, built
-	Dir          string        // for the nodes' files; it must be empty
-	Length       time.Duration // of the load
-	KillInterval time.Duration // between two kills
-	Seed         uint64
-	Customers    int // that come to the gateways themselves; half as many more come through the forwarder
-	Out          io.Writer
+	Program      string        // path of the dewhitch program
+	Dir          string        // folder for the nodes' files, which must be empty
+	Length       time.Duration // duration of the load
+	KillInterval time.Duration // time between two kills
+	Seed         uint64        // seed of all random draws
+	Customers    int           // number of customers that connect to the gateways; half as many more connect to the forwarder
+	Out          io.Writer     // destination of the report
 }
 
 const (
 	gatewayCount = 3
 	backendCount = 6
-	waitTimeout  = 30 * time.Second // for what must come
+	waitTimeout  = 30 * time.Second // timeout for a process's start and exit, and for answers
 )
 
-// word is a plan or class of the settings.
+// The names of the plans and classes in the settings.
 var (
 	plans   = []string{"basic", "regular", "fleet"}
 	classes = []string{"space-query", "booking"}
 )
 
-// node is one program of the run.
+// node is a gateway or forwarder process of the run.
 type node struct {
 	standin.Process
-	role, limits string
+	role, limits string // role in the ledger's statements; listen address for LIMIT commands, empty for none
 }
 
-// environment is all of a run.
+// environment holds the configuration, the stand-ins, the processes and the clients' tallies of a run.
 type environment struct {
 	Config
 	backends         *standin.Backends
 	counter          *standin.Counter
 	discovery        *standin.Discovery
 	registry         *zookeeper.Server
-	counterListeners []*standin.Listener // of the counter, by gateway; none: all go by the first
-	nodes            []*node             // the gateways, then the forwarder
+	counterListeners []*standin.Listener // the counter's listeners by gateway; nodes without one use its first listener
+	nodes            []*node             // the gateways, followed by the forwarder if there is one
 	tallies          tallies
 }
 
-// Run carries a plan out and prints the reckoning. An error says what does not hold.
+// Run runs the load and the faults, audits the ledgers and prints a report. It returns an error if a process fails or the audit finds a
+// fault.
 func Run(ctx context.Context, config Config) error {
 	env := &environment{Config: config, tallies: tallies{rows: map[Row]*Tally{}}}
 	defer env.close()
@@ -95,7 +96,7 @@
 	return env.audit()
 }
 
-// open starts the stand-ins and the programs.
+// open starts the stand-ins, the gateways and the forwarder.
 func (env *environment) open() (err error) {
 	weights := map[standin.Behaviour]struct {
 		Weight float64
@@ -121,7 +122,7 @@
 	return env.startAll()
 }
 
-// node makes one program of the run.
+// node makes a node that runs the program's given command; it does not start it.
 func (env *environment) node(name, role, command string) *node {
 	n := &node{role: role, limits: standin.OwnAddr()}
 	n.Name, n.Dir, n.Listen, n.Path = name, filepath.Join(env.Dir, name), standin.OwnAddr(), env.Program
@@ -129,7 +130,7 @@
 	return n
 }
 
-// startAll writes the files of all programs, and starts them.
+// startAll writes the files of all nodes and starts them.
 func (env *environment) startAll() error {
 	for i, n := range env.nodes {
 		if err := env.configure(i, n); err != nil {
@@ -142,7 +143,7 @@
 	return nil
 }
 
-// members is the list of backends, with one of them draining unless that is below 0.
+// members returns the endpoint list of the backends. The backend with index draining is draining; -1 means none.
 func (env *environment) members(draining int) string {
 	var list []string
 	for i, l := range env.backends.Nodes {
@@ -155,7 +156,7 @@
 	return standin.Members(list...)
 }
 
-// configure writes a node's files.
+// configure writes the files of node n, whose index is i.
 func (env *environment) configure(i int, n *node) error {
 	counter := env.counter.Addr()
 	if i < len(env.counterListeners) {
@@ -184,8 +185,8 @@
 	return n.Write(map[string]string{"config.json": config, "limits.toml": limits, "operations.toml": operations})
 }
 
-// killNodes ends a node outright every so often, the forwarder each fourth time, and starts it again; now and then it is
-// killed once more while it repairs its books.
+// killNodes kills a node by SIGKILL at each interval, every fourth time the forwarder, and restarts it. With a chance of one in three, it
+// also kills the new process while that repairs its ledger, and with one in four it repeats the kill and the restart.
 func (env *environment) killNodes(ctx context.Context) error {
 	rng := rand.New(rand.NewPCG(env.Seed, 11))
 	tick := time.NewTicker(env.KillInterval)
@@ -202,7 +203,7 @@
 		}
 		for again := true; again; again = rng.IntN(4) == 0 {
 			n.Kill()
-			if rng.IntN(3) == 0 { // a start that is killed at once, in the midst of its repair
+			if rng.IntN(3) == 0 { // kill a new process while it repairs its ledger
 				if _, err := n.Spawn(); err == nil {
 					time.Sleep(time.Duration(rng.IntN(60)) * time.Millisecond)
 					n.Kill()
@@ -215,7 +216,7 @@
 	}
 }
 
-// injectFaults has the counter misbehave for short spells, and backends drain and come back.
+// injectFaults injects faults into the counter for 100 to 800 ms at a time, and has a backend drain meanwhile.
 func (env *environment) injectFaults(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(env.Seed, 12))
 	modes := []string{"silent", "full", "reset", "spoilt", "late", "doubled", "interim"}
@@ -230,6 +231,7 @@
 	env.counter.SetMode("add")
 }
 
+// wait waits for d or until the context ends.
 func wait(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
@@ -237,9 +239,10 @@
 	}
 }
 
-// auditRunningLedgers reads the books of all nodes while they work, as an export does, and checks them each time.
+// auditRunningLedgers reads and audits the ledgers of all nodes while the nodes run, as an export does, until the context ends. It returns
+// an error if an audit finds a mismatch or the chain of records is broken.
 func (env *environment) auditRunningLedgers(ctx context.Context) error {
-	// What is behind the last record that was read, as a reader should ask: one that holds a store for long holds up its
+	// Each pass reads only the records after those that earlier passes read: a reader that keeps a store open for long delays the store's
 	// statements.
 	positions := map[*node]*struct {
 		seq   uint64
@@ -259,11 +262,11 @@
 		for _, n := range env.nodes {
 			dir := filepath.Join(n.Dir, "ledger")
 			view, err := store.Read(dir)
-			if err != nil { // it is being started, or a statement is going in
+			if err != nil { // the node is starting, or is writing a statement
 				continue
 			}
 			if faults := view.Ledger.Audit(true); len(faults) > 0 {
-				return fmt.Errorf("%s, read while it works: %+v: %v", n.Name, faults[0].Key, faults[0])
+				return fmt.Errorf("the ledger of %s does not add up while the node runs: %+v: %v", n.Name, faults[0].Key, faults[0])
 			}
 			position := positions[n]
 			if err := store.Records(dir, position.seq, func(_ []byte, record statement.Record) error {
@@ -276,7 +279,8 @@
 	}
 }
 
-// terminateNodes has all nodes end as at a planned restart, the forwarder first.
+// terminateNodes terminates all nodes, the forwarder first, as a planned restart does. It returns an error if one does not exit cleanly or if
+// a log contains a fault of the ledger, a panic or a data race.
 func (env *environment) terminateNodes() error {
 	for i := len(env.nodes) - 1; i >= 0; i-- {
 		if err := env.nodes[i].Terminate(waitTimeout); err != nil {
@@ -286,12 +290,13 @@
 	for _, n := range env.nodes {
 		if line, found := n.FindInLogs("the books do not add up", "could not keep everything", "could not be kept", "can't be used",
 			"panic:", "DATA RACE"); found {
-			return fmt.Errorf("%s says: %s", n.Name, line)
+			return fmt.Errorf("the log of %s reports a fault: %s", n.Name, line)
 		}
 	}
 	return nil
 }
 
+// close kills the processes and closes the stand-ins.
 func (env *environment) close() {
 	for _, n := range env.nodes {
 		n.Kill()
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -8,7 +8,7 @@
 	"dewhitch/internal/standin"
 )
 
-// The short form of the ten-minute run: the same code, the same reckoning.
+// A run of 12 seconds, which uses the same code and the same audit as the default run of ten minutes.
 func TestShortRun(t *testing.T) {
 	program, err := standin.Build(t.TempDir(), "dewhitch")
 	if err != nil {
--- a/internal/standin/link/link_test.go
+++ b/internal/standin/link/link_test.go
@@ -99,7 +99,7 @@
 	n, l := openEchoLink(t)
 	c, err := net.Dial("tcp", l.Addr())
 	if err != nil || !echoes(c, 5*time.Second) {
-		t.Fatal("a healthy direction delivers nothing", err)
+		t.Fatal(err)
 	}
 	n.Set("b", "a", func(s *State) { s.Refused = true })
 	if echoes(c, 5*time.Second) {
