--- a/internal/soak/quota.go
+++ b/internal/soak/quota.go
@@ -43,7 +43,7 @@
 }
 
 // Quota runs the measurement and prints a table with a line for each phase. Its shares are fractions of the units that the quotas of all
-// customers grant in a phase. Quota returns an error if more units were forwarded than the hard ceiling allows.
+// customers grant in a phase. Quota also returns an error if more units were forwarded than the hard ceiling allows.
 func Quota(ctx context.Context, config QuotaConfig) error {
 	env := &environment{Config: Config{Program: config.Program, Dir: config.Dir, Seed: config.Seed, Out: config.Out}}
 	defer env.close()
--- a/internal/standin/backends.go
+++ b/internal/standin/backends.go
@@ -113,7 +113,8 @@
 	}
 }
 
-// arrive chooses the behaviour for a command by the script and records the command. The caller calls answered after the answer.
+// arrive calls the script for a command, records the command and calls OnCommand. The caller waits for the delay, answers the command and
+// then calls answered.
 func (b *Backends) arrive(c *Command) (delay time.Duration, answered func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -14,7 +14,7 @@
 // Client is one client connection to a gateway. One goroutine may send while another one reads replies.
 type Client struct {
 	net.Conn
-	R *bufio.Reader
+	R *bufio.Reader // buffers input of the connection, from which all replies are read
 }
 
 // Dial connects a client. The timeout applies only to the connect.
--- a/internal/standin/counter.go
+++ b/internal/standin/counter.go
@@ -144,6 +144,7 @@
 	return counterAnswer{mode: l.mode, latency: l.latency, total: c.add(l.partition, call, executed)}
 }
 
+// serve answers the calls of one connection in the order of their arrival.
 func (c *Counter) serve(l *counterListener, conn net.Conn) {
 	for r := bufio.NewReader(conn); ; {
 		target, err := readRequest(r)
--- a/internal/standin/counter_store.go
+++ b/internal/standin/counter_store.go
@@ -19,6 +19,7 @@
 // totals is the content of a store, keyed by the total's name.
 type totals map[string]total
 
+// total is a sum of units that restarts from 0 once it has expired.
 type total struct {
 	value     float64
 	expiresAt time.Time
--- a/internal/standin/counter_test.go
+++ b/internal/standin/counter_test.go
@@ -95,6 +95,6 @@
 		func(c *Counter) { c.SetMode("spoilt") }})
 	expect(first, 2, "200 NaN")
 	if calls, units := c.Added(); calls != 13 || units["7"] != 5+1+10+100+3+3+1+2 {
-		t.Errorf("%d calls added %v", calls, units)
+		t.Errorf("got %d calls that added %v units by account", calls, units)
 	}
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -70,6 +70,7 @@
 	return fmt.Sprintf(`{"revision":%d,"complete":%v,"members":%s}`, d.revision, complete, d.members)
 }
 
+// serve answers the polls of one connection, or its watch, which is the connection's last request.
 func (d *Discovery) serve(conn net.Conn) {
 	for r := bufio.NewReader(conn); ; {
 		target, err := readRequest(r)
--- a/internal/standin/link/direction.go
+++ b/internal/standin/link/direction.go
@@ -68,6 +68,7 @@
 	d.links = append(d.links, l)
 }
 
+// currentLinks returns the links that carry traffic of this direction.
 func (d *direction) currentLinks() []*Link {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/link/link.go
+++ b/internal/standin/link/link.go
@@ -37,8 +37,8 @@
 	connsByFarAddr map[string]*conn // keyed by the remote address that the target sees; kept for knownAfterClose
 }
 
-// Open opens a link that listens at addr, a loopback address of its own, and relays from process from to the address target of process to;
-// it relays UDP too if datagrams is set. It returns an error if listening fails or an address is invalid.
+// Open opens a link that listens at addr, a loopback address of its own, and relays from the process named from to the address target of
+// the process named to; it relays UDP too if datagrams is set. It returns an error if listening fails or an address is invalid.
 func (n *Net) Open(from, to, addr, target string, datagrams bool) (*Link, error) {
 	l := &Link{
 		outbound:       n.direction(from, to),
--- a/internal/standin/link/link_test.go
+++ b/internal/standin/link/link_test.go
@@ -63,7 +63,7 @@
 				t.Error("an open connection delivers through a silent direction")
 			}
 			if c, err := net.DialTimeout("tcp", l.Addr(), 300*time.Millisecond); err == nil {
-				t.Error("a new connection comes up through a silent direction", c.LocalAddr())
+				t.Error("a new connection is established through a silent direction", c.LocalAddr())
 			} else if e, ok := err.(net.Error); !ok || !e.Timeout() {
 				t.Error("a new connection through a silent direction must time out; got:", err)
 			}
@@ -79,8 +79,8 @@
 	}
 }
 
-// No goroutine accepts from the listener of a silent direction, not even by an accept that was in progress when the outage began: then the
-// backlog would no longer be full, and a new connection would be established.
+// No goroutine accepts from the listener of a silent direction, not even by an accept that was in progress when the outage began: such
+// an accept would free a place in the backlog, and a new connection would be established.
 func TestNothingAcceptsWhileSilent(t *testing.T) {
 	n, l := openEchoLink(t)
 	n.Set("a", "b", func(s *State) { s.Silent = true })
@@ -89,7 +89,7 @@
 	l.mu.Unlock()
 	for range 10 {
 		if c, err := net.DialTimeout("tcp", l.Addr(), 100*time.Millisecond); err == nil {
-			t.Fatal("a new connection comes up through a silent direction", c.LocalAddr())
+			t.Fatal("a new connection is established through a silent direction", c.LocalAddr())
 		}
 	}
 }
--- a/internal/standin/zookeeper/frame.go
+++ b/internal/standin/zookeeper/frame.go
@@ -52,6 +52,7 @@
 // requestFrame is the unread part of a request. Reads beyond its end return zero values.
 type requestFrame struct{ *bytes.Reader }
 
+// readFrame reads one request: its length, then its content.
 func readFrame(r io.Reader) (requestFrame, error) {
 	var size int32
 	if err := binary.Read(r, binary.BigEndian, &size); err != nil {
@@ -62,11 +63,13 @@
 	return requestFrame{bytes.NewReader(b)}, err
 }
 
+// readInt reads an int32.
 func (f requestFrame) readInt() (v int32) {
 	binary.Read(f, binary.BigEndian, &v)
 	return v
 }
 
+// readString reads a string or buffer; a negative length stands for an empty one.
 func (f requestFrame) readString() string {
 	b := make([]byte, max(0, f.readInt()))
 	io.ReadFull(f, b)
