--- a/cmd/dewhitch/fleet.go
+++ b/cmd/dewhitch/fleet.go
@@ -121,7 +121,7 @@
 			if err := g.planner.ApplyFleetPlan(plan); err != nil {
 				return nil // the planner has ended
 			}
-			g.fleetAgent.Applied(d.Withdrawn)
+			g.fleetAgent.WithdrawalsApplied(d.Withdrawn)
 			firstPlan.Do(func() { close(g.planApplied) })
 		}
 	}
--- a/cmd/dewhitch/maintenance_command.go
+++ b/cmd/dewhitch/maintenance_command.go
@@ -101,7 +101,7 @@
 }
 
 func printForecast(f maintenance.Forecast) {
-	for _, turn := range f.Turns {
+	for _, turn := range f.Steps {
 		fmt.Printf("%s  free after %v, proven after %v\n", turn.Name, turn.Free, turn.Done)
 	}
 	for _, machine := range f.Stuck {
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -172,7 +172,7 @@
 		default:
 		}
 	}
-	g.Changed = func(name, state string) {
+	g.StateChanged = func(name, state string) {
 		a.options.Log.Info("fleet member", zap.String("member", name), zap.String("state", state))
 		select {
 		case a.memberChanges <- memberChange{name, state == gossip.StateAlive}:
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -261,7 +261,7 @@
 			}
 		}
 		g, err := gossip.Open(gossip.Options{Fleet: "test", Name: "g", Listen: listen, Keyring: path, Log: zap.NewNop(),
-			Receive: func([]byte) {}, Changed: func(string, string) {}})
+			Receive: func([]byte) {}, StateChanged: func(string, string) {}})
 		if err == nil {
 			ctx, cancel := context.WithCancel(t.Context())
 			cancel()
--- a/internal/fleet/agent/leader.go
+++ b/internal/fleet/agent/leader.go
@@ -86,7 +86,7 @@
 		Rate:              a.slowStart.Demand(),
 		ZonesNotInService: evacuatedZones(statuses),
 	})
-	if changed && n.Propose(maintenance.Set(next)) {
+	if changed && n.Propose(maintenance.EncodeSection(next)) {
 		a.logMaintenanceChanges(schedule, next, p.Epoch)
 	}
 }
@@ -121,7 +121,7 @@
 	members := map[string]maintenance.Member{}
 	for _, p := range n.Peers() {
 		members[p.Name] = maintenance.Member{
-			Left:             left[p.Name],
+			HasLeft:          left[p.Name],
 			Reachable:        p.HasStatus && now-p.LastStatusAt < a.options.Lease,
 			Fresh:            p.Status.Fresh,
 			Withdrawn:        p.Status.Withdrawn,
--- a/internal/fleet/agent/metrics.go
+++ b/internal/fleet/agent/metrics.go
@@ -51,7 +51,7 @@
 	gauge(indexDesc, float64(s.Epoch.Index))
 	gauge(unacknowledgedDesc, float64(len(s.Unacknowledged)))
 	ch <- prometheus.MustNewConstMetric(droppedDesc, prometheus.CounterValue, float64(s.PassedOver))
-	ch <- prometheus.MustNewConstMetric(sentBytesDesc, prometheus.CounterValue, float64(a.gossip.Sent()))
+	ch <- prometheus.MustNewConstMetric(sentBytesDesc, prometheus.CounterValue, float64(a.gossip.SentBytes()))
 }
 
 func boolValue(on bool) float64 {
--- a/internal/fleet/agent/withdrawal.go
+++ b/internal/fleet/agent/withdrawal.go
@@ -16,9 +16,9 @@
 	return uint32(id), ok && err == nil && Machine(uint32(id)) == name
 }
 
-// Applied tells that nothing new is sent to the withdrawn machines of the last Decisions any more. It takes
+// WithdrawalsApplied tells that nothing new is sent to the withdrawn machines of the last Decisions any more. It takes
 // over the map.
-func (a *Agent) Applied(withdrawn map[string]uint64) { a.withdrawn.Store(&withdrawn) }
+func (a *Agent) WithdrawalsApplied(withdrawn map[string]uint64) { a.withdrawn.Store(&withdrawn) }
 
 // acknowledged returns the withdrawn machines that may be taken down as far as this gateway is concerned,
 // each with its turn.
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -19,7 +19,7 @@
 		if name == "about" {
 			golden.Filled(t, metadata)
 		}
-		g := &Gossip{options: Options{Metadata: metadata, Changed: func(string, string) {}}, members: map[string]Member{}}
+		g := &Gossip{options: Options{Metadata: metadata, StateChanged: func(string, string) {}}, members: map[string]Member{}}
 		golden.Compare(t, name+".cbor", (&delegate{g}).NodeMeta(memberlist.MetaMaxSize))
 		n := &memberlist.Node{Name: "g3", Addr: net.IPv4(127, 0, 0, 3), Port: 7003, Meta: golden.Read(t, name+".cbor")}
 		(&delegate{g}).NotifyJoin(n)
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -26,16 +26,16 @@
 
 // Options configure a member's part.
 type Options struct {
-	Fleet    string
-	Name     string
-	Listen   string            // host:port, for TCP and UDP
-	Peers    map[string]string // by name, the address under which this process reaches a member; others as they advertise themselves
-	Seeds    []string          // NAME/HOST:PORT, or the name of a peer
-	Keyring  string            // path of a file with a base64 key a line, the first to encrypt with; empty: only loopback is allowed
-	Metadata Metadata
-	Receive  func([]byte)             // a message of a member; called by several goroutines, must neither block nor keep the bytes
-	Changed  func(name, state string) // a member changed to alive, dead or left; must not block
-	Log      *zap.Logger
+	Fleet        string
+	Name         string
+	Listen       string            // host:port, for TCP and UDP
+	Peers        map[string]string // by name, the address under which this process reaches a member; others as they advertise themselves
+	Seeds        []string          // NAME/HOST:PORT, or the name of a peer
+	Keyring      string            // path of a file with a base64 key a line, the first to encrypt with; empty: only loopback is allowed
+	Metadata     Metadata
+	Receive      func([]byte)             // a message of a member; called by several goroutines, must neither block nor keep the bytes
+	StateChanged func(name, state string) // a member changed to alive, dead or left; must not block
+	Log          *zap.Logger
 }
 
 // Gossip is one member's part. Its methods may be called from any goroutine.
--- a/internal/fleet/gossip/members.go
+++ b/internal/fleet/gossip/members.go
@@ -70,7 +70,7 @@
 	g.mu.Lock()
 	g.members[n.Name] = m
 	g.mu.Unlock()
-	g.options.Changed(n.Name, state)
+	g.options.StateChanged(n.Name, state)
 }
 
 // delegate implements memberlist.Delegate and EventDelegate. The library calls it from its own goroutines.
--- a/internal/fleet/gossip/send.go
+++ b/internal/fleet/gossip/send.go
@@ -35,8 +35,8 @@
 	}
 }
 
-// Sent is the number of bytes that this member has sent to others.
-func (g *Gossip) Sent() uint64 { return g.transport.sent.Load() }
+// SentBytes is the number of bytes that this member has sent to others.
+func (g *Gossip) SentBytes() uint64 { return g.transport.sent.Load() }
 
 // address is where to reach a member: as announced, else as configured for a peer that was not seen yet.
 func (g *Gossip) address(name string) (memberlist.Address, bool) {
--- a/internal/fleet/maintenance/command.go
+++ b/internal/fleet/maintenance/command.go
@@ -116,7 +116,7 @@
 		if slices.Equal(current.encode(), next.encode()) {
 			return nil, nil
 		}
-		return Set(next), nil
+		return EncodeSection(next), nil
 	}
 }
 
@@ -232,7 +232,7 @@
 	}
 	for i := range r.Machines {
 		m := &r.Machines[i]
-		if m.State == Waiting || m.State == Announced || m.State == OnHold && m.Turn == 0 {
+		if m.State == Waiting || m.State == Announced || m.State == OnHold && m.AnnouncementID == 0 {
 			m.enter(Cancelled, unix, "cancelled by "+c.By)
 		}
 	}
@@ -292,7 +292,7 @@
 			continue
 		}
 		m.enter(Waiting, unix, "resumed by "+c.By)
-		if m.Turn > 0 {
+		if m.AnnouncementID > 0 {
 			m.State = Returned
 		}
 	}
--- a/internal/fleet/maintenance/forecast.go
+++ b/internal/fleet/maintenance/forecast.go
@@ -9,7 +9,7 @@
 
 // Forecast is the expected course of a request, simulated with the Scheduler itself.
 type Forecast struct {
-	Turns   []ForecastStep `json:"turns"`
+	Steps   []ForecastStep `json:"turns"`
 	Elapsed time.Duration  `json:"took"`
 	Spare   float64        `json:"spare"`           // lowest capacity beyond the load, as a fraction of the capacity of all servers
 	MaxOut  int            `json:"most_out"`        // servers
@@ -109,7 +109,7 @@
 		switch m.State {
 		case Announced:
 			if age >= forecastAckTime {
-				f.acknowledged[m.Name] = m.Turn
+				f.acknowledged[m.Name] = m.AnnouncementID
 			}
 		case Released:
 			f.workOn(r, m, age)
@@ -119,7 +119,7 @@
 			}
 		case Done:
 			if free, ok := f.freeAt[m.Name]; ok {
-				f.result.Turns = append(f.result.Turns, ForecastStep{m.Name, free, f.now})
+				f.result.Steps = append(f.result.Steps, ForecastStep{m.Name, free, f.now})
 				delete(f.freeAt, m.Name)
 			}
 		}
@@ -171,7 +171,7 @@
 	if inTurn || f.now <= forecastMaxIdle {
 		return false
 	}
-	turns := f.result.Turns
+	turns := f.result.Steps
 	return len(turns) == 0 || f.now-turns[len(turns)-1].Done > forecastMaxIdle
 }
 
--- a/internal/fleet/maintenance/forecast_test.go
+++ b/internal/fleet/maintenance/forecast_test.go
@@ -23,12 +23,12 @@
 	servers := serversIn(3, 4)
 	c := Command{By: "ann", Reason: "release", Key: "k", Kind: Restart, ForMS: 60_000, Machines: names(servers)}
 	a, err := Simulate(cfg, servers, c, 0.7, 0.22)
-	if err != nil || len(a.Turns) != 12 || a.MaxOut > 2 || len(a.Stuck) > 0 || a.Spare > 0.3 || a.Spare < 0 {
+	if err != nil || len(a.Steps) != 12 || a.MaxOut > 2 || len(a.Stuck) > 0 || a.Spare > 0.3 || a.Spare < 0 {
 		t.Errorf("%+v %v", a, err)
 	}
 	t.Logf("12 servers, a minute each, load 0.7: %v, %d out at most, %.2f to spare", a.Elapsed, a.MaxOut, a.Spare)
 	if a, err = Simulate(cfg, serversIn(1, 1), Command{By: "ann", Reason: "x", Key: "k", Kind: Restart, ForMS: 60_000, Machines: []string{"s-a0"}}, 0.2, 0.22); err != nil ||
-		len(a.Turns) != 0 || len(a.Stuck) != 1 {
+		len(a.Steps) != 0 || len(a.Stuck) != 1 {
 		t.Errorf("the last server: %+v %v", a, err)
 	}
 	if _, err = Simulate(cfg, servers, Command{By: "ann", Reason: "x", Key: "k", Kind: Restart, Machines: []string{"s-a0"}}, 0.2, 0.22); err == nil {
@@ -43,8 +43,8 @@
 	c := Command{By: "ann", Reason: "release", Key: "k", Kind: Restart, ForMS: 120_000, Machines: all[:82]}
 	began := time.Now()
 	a, err := Simulate(Defaults, servers, c, 0.7, 0.22)
-	if err != nil || len(a.Turns) != 82 || a.Elapsed > time.Hour {
-		t.Fatalf("%d turns within %v, stuck %v, %v", len(a.Turns), a.Elapsed, a.Stuck, err)
+	if err != nil || len(a.Steps) != 82 || a.Elapsed > time.Hour {
+		t.Fatalf("%d turns within %v, stuck %v, %v", len(a.Steps), a.Elapsed, a.Stuck, err)
 	}
 	t.Logf("82 of 204 servers, two minutes each, load 0.7: %v, %d out at most, %.3f to spare; %v to reckon", a.Elapsed, a.MaxOut, a.Spare,
 		time.Since(began).Round(time.Millisecond))
@@ -70,7 +70,7 @@
 	first := map[string]time.Duration{}
 	recordTurns := func() {
 		for _, r := range sim.schedule.Requests {
-			if _, ok := first[r.Key]; !ok && slices.ContainsFunc(r.Machines, func(m Machine) bool { return m.Turn > 0 }) {
+			if _, ok := first[r.Key]; !ok && slices.ContainsFunc(r.Machines, func(m Machine) bool { return m.AnnouncementID > 0 }) {
 				first[r.Key] = time.Duration(sim.unix()-r.RequestedAt) * time.Millisecond
 			}
 		}
--- a/internal/fleet/maintenance/golden_test.go
+++ b/internal/fleet/maintenance/golden_test.go
@@ -16,15 +16,15 @@
 
 // goldenSchedule has every field set, and each state and kind once at least; its second request has the fields that may be left out
 // left out.
-var goldenSchedule = Schedule{LastID: 9, LastTurn: 8, Requests: []Request{
+var goldenSchedule = Schedule{LastID: 9, LastAnnouncementID: 8, Requests: []Request{
 	{ID: 1, Key: "k1", By: "alice", Reason: "kernel", Kind: Restart, ForMS: 300000, NotBefore: 1700000000011, After: 2, RequestedAt: 1700000000012,
 		State: OnHold, Note: "look", Overtaken: 3, Machines: []Machine{
-			{Name: "s-00000001", State: Announced, Since: 21, Until: 22, Turn: 23, Note: "n1", ProcessStartedAt: 24},
-			{Name: "s-00000002", State: Released, Since: 31, Until: 32, Turn: 33, Note: "n2", ProcessStartedAt: 34},
-			{Name: "s-00000003", State: Returned, Since: 41, Until: 42, Turn: 43, Note: "n3", ProcessStartedAt: 44},
-			{Name: "s-00000004", State: OnHold, Since: 51, Until: 52, Turn: 53, Note: "n4", ProcessStartedAt: 54},
-			{Name: "s-00000005", State: Done, Since: 61, Until: 62, Turn: 63, Note: "n5", ProcessStartedAt: 64},
-			{Name: "s-00000006", State: Cancelled, Since: 71, Until: 72, Turn: 73, Note: "n6", ProcessStartedAt: 74}}},
+			{Name: "s-00000001", State: Announced, Since: 21, Until: 22, AnnouncementID: 23, Note: "n1", ProcessStartedAt: 24},
+			{Name: "s-00000002", State: Released, Since: 31, Until: 32, AnnouncementID: 33, Note: "n2", ProcessStartedAt: 34},
+			{Name: "s-00000003", State: Returned, Since: 41, Until: 42, AnnouncementID: 43, Note: "n3", ProcessStartedAt: 44},
+			{Name: "s-00000004", State: OnHold, Since: 51, Until: 52, AnnouncementID: 53, Note: "n4", ProcessStartedAt: 54},
+			{Name: "s-00000005", State: Done, Since: 61, Until: 62, AnnouncementID: 63, Note: "n5", ProcessStartedAt: 64},
+			{Name: "s-00000006", State: Cancelled, Since: 71, Until: 72, AnnouncementID: 73, Note: "n6", ProcessStartedAt: 74}}},
 	{ID: 2, Key: "k2", By: "bob", Reason: "disk", Kind: Replace, ForMS: 1, RequestedAt: 2, Machines: []Machine{{Name: "s-00000007"}}},
 	{ID: 3, Key: "k3", By: "carol", Reason: "rack", Kind: Off, ForMS: 3, RequestedAt: 4, State: Done, Machines: []Machine{{Name: "g7", State: Done}}},
 	{ID: 4, Key: "k4", By: "dan", Reason: "none", Kind: Off, ForMS: 5, RequestedAt: 6, State: Cancelled, Machines: []Machine{{Name: "g8", State: Cancelled}}},
@@ -39,7 +39,7 @@
 	first.Requests = first.Requests[:1]
 	golden.Filled(t, first)
 	for name, b := range map[string]Schedule{"book": goldenSchedule, "book-least": {}} {
-		golden.Compare(t, name+".cbor", Set(b)["work"])
+		golden.Compare(t, name+".cbor", EncodeSection(b)["work"])
 		p := fleet.Plan{Sections: map[string]cbor.RawMessage{"work": golden.Read(t, name+".cbor")}}
 		if got, err := Read(&p); err != nil || !reflect.DeepEqual(got, b) {
 			t.Errorf("%s: read as %+v, %v", name, got, err)
@@ -111,7 +111,7 @@
 		Ahead   Forecast          `json:"ahead"`
 		Servers map[string]Server `json:"servers"`
 	}
-	v := page{Forecast{Turns: []ForecastStep{{Name: "s-00000001", Free: time.Second, Done: 2 * time.Second}}, Elapsed: 3 * time.Second, Spare: 0.375,
+	v := page{Forecast{Steps: []ForecastStep{{Name: "s-00000001", Free: time.Second, Done: 2 * time.Second}}, Elapsed: 3 * time.Second, Spare: 0.375,
 		MaxOut: 4, Stuck: []string{"s-00000002: waits"}}, map[string]Server{"s-00000001": {Zone: "hall-a", Ready: true, Since: 1700000000031}}}
 	golden.Filled(t, v)
 	for name, v := range map[string]page{"ahead": v, "ahead-least": {}} {
--- a/internal/fleet/maintenance/schedule.go
+++ b/internal/fleet/maintenance/schedule.go
@@ -60,7 +60,7 @@
 	State            State  `cbor:"2,keyasint,omitempty" json:"state,omitempty"`
 	Since            int64  `cbor:"3,keyasint,omitempty" json:"since,omitempty"` // start of this state, Unix ms
 	Until            int64  `cbor:"4,keyasint,omitempty" json:"until,omitempty"` // end of Free, Unix ms
-	Turn             uint64 `cbor:"5,keyasint,omitempty" json:"turn,omitempty"`  // number of the announcement; an acknowledgement of another one does not count
+	AnnouncementID   uint64 `cbor:"5,keyasint,omitempty" json:"turn,omitempty"`  // number of the announcement; an acknowledgement of another one does not count
 	Note             string `cbor:"6,keyasint,omitempty" json:"note,omitempty"`  // why it waits and for which gateways, for operators
 	ProcessStartedAt int64  `cbor:"7,keyasint,omitempty" json:"life,omitempty"`  // of a gateway: the process that was announced; a different one has returned
 }
@@ -81,7 +81,7 @@
 func (m *Machine) out() bool { return m.withdrawn() || m.State == Returned }
 
 // onHoldAfterTurn tells whether the machine was put on hold after its turn had been announced.
-func (m *Machine) onHoldAfterTurn() bool { return m.State == OnHold && m.Turn > 0 }
+func (m *Machine) onHoldAfterTurn() bool { return m.State == OnHold && m.AnnouncementID > 0 }
 
 // ended tells whether nothing more happens to the machine.
 func (m *Machine) ended() bool { return m.State == Done || m.State == Cancelled }
@@ -129,11 +129,11 @@
 
 // Schedule is the section of the plan. It is durable as part of it.
 type Schedule struct {
-	LastID   uint64           `cbor:"1,keyasint" json:"next"`  // last ID that was given to a request
-	LastTurn uint64           `cbor:"2,keyasint" json:"turns"` // last number that was given to an announcement
-	Requests []Request        `cbor:"3,keyasint" json:"requests"`
-	Roster   map[string]int64 `cbor:"4,keyasint" json:"roster"` // gateways that may send to servers, and since when they are known, Unix ms
-	Off      []string         `cbor:"5,keyasint" json:"off"`    // machines that were taken out for good
+	LastID             uint64           `cbor:"1,keyasint" json:"next"`  // last ID that was given to a request
+	LastAnnouncementID uint64           `cbor:"2,keyasint" json:"turns"` // last number that was given to an announcement
+	Requests           []Request        `cbor:"3,keyasint" json:"requests"`
+	Roster             map[string]int64 `cbor:"4,keyasint" json:"roster"` // gateways that may send to servers, and since when they are known, Unix ms
+	Off                []string         `cbor:"5,keyasint" json:"off"`    // machines that were taken out for good
 }
 
 // Bounds of a schedule.
@@ -162,8 +162,8 @@
 	return raw
 }
 
-// Set encodes a schedule as a section of the plan.
-func Set(b Schedule) map[string]cbor.RawMessage {
+// EncodeSection encodes a schedule as a section of the plan.
+func EncodeSection(b Schedule) map[string]cbor.RawMessage {
 	return map[string]cbor.RawMessage{Section: b.encode()}
 }
 
@@ -205,7 +205,7 @@
 	for _, r := range b.Requests {
 		for _, m := range r.Machines {
 			if m.withdrawn() {
-				withdrawn[m.Name] = m.Turn
+				withdrawn[m.Name] = m.AnnouncementID
 			}
 		}
 	}
--- a/internal/fleet/maintenance/scheduler.go
+++ b/internal/fleet/maintenance/scheduler.go
@@ -15,7 +15,7 @@
 
 // Member is a gateway, as the leader knows it.
 type Member struct {
-	Left             bool // it shut down gracefully, and sends nothing any more
+	HasLeft          bool // it shut down gracefully, and sends nothing any more
 	Reachable        bool // it reported within the lease
 	Fresh            bool // its view of the fleet is not older than the lease
 	Zone             string
@@ -125,7 +125,7 @@
 // rosterDiffers tells whether updateRoster would change the roster.
 func (b *Schedule) rosterDiffers(observed Observations) bool {
 	for name, m := range observed.Members {
-		if _, known := b.Roster[name]; known == m.Left && (known || m.Reachable) {
+		if _, known := b.Roster[name]; known == m.HasLeft && (known || m.Reachable) {
 			return true
 		}
 	}
@@ -139,9 +139,9 @@
 	for name, m := range e.observed.Members {
 		_, known := roster[name]
 		switch {
-		case m.Left && known:
+		case m.HasLeft && known:
 			delete(roster, name)
-		case !m.Left && !known && m.Reachable:
+		case !m.HasLeft && !known && m.Reachable:
 			if roster == nil {
 				roster = map[string]int64{}
 				e.schedule.Roster = roster
--- a/internal/fleet/maintenance/scheduler_test.go
+++ b/internal/fleet/maintenance/scheduler_test.go
@@ -44,7 +44,7 @@
 			g := f.Members[m.Name]
 			switch m.State {
 			case Announced:
-				g.Withdrawn = map[string]uint64{m.Name: m.Turn} // it has no clients
+				g.Withdrawn = map[string]uint64{m.Name: m.AnnouncementID} // it has no clients
 				out++
 			case Released:
 				if g.ProcessStartedAt == 1 {
--- a/internal/fleet/maintenance/transition.go
+++ b/internal/fleet/maintenance/transition.go
@@ -51,13 +51,13 @@
 // of a gateway the gateway itself. An acknowledgement of another turn does not count.
 func (e *evaluation) missingAcknowledgements(m *Machine) (names []string) {
 	if g, ok := e.gateway(m.Name); ok {
-		if turn, acknowledged := g.Withdrawn[m.Name]; (!acknowledged || turn != m.Turn) && !g.Left {
+		if turn, acknowledged := g.Withdrawn[m.Name]; (!acknowledged || turn != m.AnnouncementID) && !g.HasLeft {
 			return []string{m.Name + ", to have no clients"}
 		}
 		return nil
 	}
 	for _, name := range slices.Sorted(maps.Keys(e.schedule.Roster)) {
-		if turn, acknowledged := e.observed.Members[name].Withdrawn[m.Name]; !acknowledged || turn != m.Turn {
+		if turn, acknowledged := e.observed.Members[name].Withdrawn[m.Name]; !acknowledged || turn != m.AnnouncementID {
 			names = append(names, name)
 		}
 	}
@@ -126,8 +126,8 @@
 
 // announce begins the turn of a machine.
 func (e *evaluation) announce(m *Machine) {
-	e.schedule.LastTurn++
+	e.schedule.LastAnnouncementID++
 	m.enter(Announced, e.unix, "")
-	m.Turn = e.schedule.LastTurn
+	m.AnnouncementID = e.schedule.LastAnnouncementID
 	m.ProcessStartedAt = e.observed.Members[m.Name].ProcessStartedAt
 }
