--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -51,10 +51,10 @@
 	options   Options
 	startedAt time.Time // origin of the member's clock
 
-	node    *fleet.Node
-	gossip  *gossip.Gossip // safe for concurrent use
-	storage storageWriter
-	tally   *AttemptCounter // safe for concurrent use
+	node     *fleet.Node
+	gossip   *gossip.Gossip // safe for concurrent use
+	storage  storageWriter
+	attempts *AttemptCounter // safe for concurrent use
 
 	// Inputs of Run.
 	inbox         chan []byte
@@ -94,7 +94,7 @@
 		options:       o,
 		startedAt:     time.Now(),
 		storage:       storageWriter{results: make(chan writeResult, 1), log: o.Log},
-		tally:         newTally(time.Now),
+		attempts:      newAttemptCounter(time.Now),
 		inbox:         make(chan []byte, inboxSize),
 		memberChanges: make(chan memberChange, inboxSize),
 		calls:         make(chan func(), callQueueSize),
@@ -122,19 +122,19 @@
 	o := a.options
 	var saved *fleet.VoterState
 	if o.Dir != "" && slices.Contains(o.Voters, o.Gossip.Name) {
-		s, state, err := voterstore.Open(o.Dir)
+		store, state, err := voterstore.Open(o.Dir)
 		if err != nil {
 			return err
 		}
-		a.storage.store = s
+		a.storage.store = store
 		saved = state
 	}
 	var err error
 	if a.node, err = fleet.New(a.nodeConfig(), saved); err != nil {
 		return err
 	}
-	a.node.SetReporter(a.tally.report)
-	a.node.SetWithdrawnSource(a.acknowledged)
+	a.node.SetReporter(a.attempts.report)
+	a.node.SetWithdrawnSource(a.withdrawnMachines)
 	return nil
 }
 
@@ -164,15 +164,15 @@
 
 // openGossip listens for members. gossip's callbacks must not block, so what the channels can't take is lost.
 func (a *Agent) openGossip() error {
-	g := a.options.Gossip
-	g.Log = a.options.Log
-	g.Receive = func(b []byte) {
+	options := a.options.Gossip
+	options.Log = a.options.Log
+	options.Receive = func(b []byte) {
 		select {
 		case a.inbox <- slices.Clone(b):
 		default:
 		}
 	}
-	g.StateChanged = func(name, state string) {
+	options.StateChanged = func(name, state string) {
 		a.options.Log.Info("fleet member", zap.String("member", name), zap.String("state", state))
 		select {
 		case a.memberChanges <- memberChange{name, state == gossip.StateAlive}:
@@ -180,7 +180,7 @@
 		}
 	}
 	var err error
-	a.gossip, err = gossip.Open(g)
+	a.gossip, err = gossip.Open(options)
 	return err
 }
 
@@ -193,10 +193,10 @@
 
 // AddCandidates tells, by name, under which addresses members may be found. It is a hint: members that are
 // not named stay known.
-func (a *Agent) AddCandidates(at map[string]string) { a.gossip.AddCandidates(at) }
+func (a *Agent) AddCandidates(addressByName map[string]string) { a.gossip.AddCandidates(addressByName) }
 
 // AttemptCounter counts this process's attempts, for its reports.
-func (a *Agent) AttemptCounter() *AttemptCounter { return a.tally }
+func (a *Agent) AttemptCounter() *AttemptCounter { return a.attempts }
 
 // now is the time since the process started, and Unix ms derived from it. The system's clock is read once
 // only, as a step of it would end the lease of a machine in maintenance, or a slow start.
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -26,19 +26,19 @@
 	"dewhitch/internal/standin/zookeeper"
 )
 
-// start runs members that know one another's addresses; stop ends them and waits.
-func start(t *testing.T, n int, dirs bool) (all []*Agent, stop func()) {
-	return startWithRegistry(t, n, dirs, nil)
+// startMembers runs members that know one another's addresses; stop ends them and waits.
+func startMembers(t *testing.T, n int, withStorage bool) (members []*Agent, stop func()) {
+	return startMembersWithRegistry(t, n, withStorage, nil)
 }
 
-// startWithRegistry has them find one another by a registry only, if one is given.
-func startWithRegistry(t *testing.T, n int, dirs bool, reg *zookeeper.Server) (all []*Agent, stop func()) {
+// startMembersWithRegistry has them find one another by a registry only, if one is given.
+func startMembersWithRegistry(t *testing.T, n int, withStorage bool, reg *zookeeper.Server) (members []*Agent, stop func()) {
 	t.Helper()
-	return startConfigured(t, n, dirs, reg, func(*Agent) {})
+	return startConfiguredMembers(t, n, withStorage, reg, func(*Agent) {})
 }
 
-// startConfigured calls configure with each of them before it runs.
-func startConfigured(t *testing.T, n int, dirs bool, reg *zookeeper.Server, configure func(*Agent)) (all []*Agent, stop func()) {
+// startConfiguredMembers calls configure with each of them before it runs.
+func startConfiguredMembers(t *testing.T, n int, withStorage bool, reg *zookeeper.Server, configure func(*Agent)) (members []*Agent, stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
@@ -56,7 +56,7 @@
 		o := Options{Zones: evacuation.Defaults, Voters: voters, Lease: 2 * time.Second, StatusInterval: 200 * time.Millisecond, Log: zap.NewNop(),
 			Gossip: gossip.Options{Fleet: "test", Name: name, Listen: peers[name], Peers: peers, Seeds: []string{"g0"},
 				Metadata: gossip.Metadata{Zone: "a", Role: "gateway"}}}
-		if dirs {
+		if withStorage {
 			o.Dir = filepath.Join(t.TempDir(), name)
 		}
 		if reg != nil {
@@ -73,18 +73,18 @@
 			})
 		}
 		configure(a)
-		all = append(all, a)
+		members = append(members, a)
 		running.Go(func() { _ = a.Run(ctx) })
 	}
-	return all, func() { cancel(); running.Wait() }
+	return members, func() { cancel(); running.Wait() }
 }
 
 // eventually waits for something that must happen.
-func eventually(t *testing.T, what string, f func() bool) {
+func eventually(t *testing.T, event string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !f(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(what, "does not happen")
+			t.Fatal(event, "does not happen")
 		}
 	}
 }
@@ -97,49 +97,49 @@
 
 // waitUntilFresh waits until each has a fresh view of all others, and acts on the plan that names all voters:
 // while the leader adds them one by one, the plan changes without a command.
-func waitUntilFresh(t *testing.T, all []*Agent) {
-	for _, a := range all {
+func waitUntilFresh(t *testing.T, members []*Agent) {
+	for _, a := range members {
 		eventually(t, "the plan that names all voters", func() bool {
-			named := map[string]uint64{}
+			voters := map[string]uint64{}
 			err := a.call(func() {
 				p := a.node.Plan()
-				_, _ = p.Section("voters", &named)
+				_, _ = p.Section("voters", &voters)
 			})
-			return err == nil && len(named) == len(a.options.Voters)
+			return err == nil && len(voters) == len(a.options.Voters)
 		})
 		eventually(t, "a fresh view", func() bool {
 			s, err := a.Status()
-			return err == nil && s.Quorum && len(s.Members) == len(all)
+			return err == nil && s.Quorum && len(s.Members) == len(members)
 		})
 	}
 }
 
 func TestMembersFindOneAnotherByRegistry(t *testing.T) {
 	defer waitForGoroutines(t)
-	z, err := zookeeper.New()
+	zk, err := zookeeper.New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer z.Close()
-	all, stop := startWithRegistry(t, 4, false, z)
+	defer zk.Close()
+	members, stop := startMembersWithRegistry(t, 4, false, zk)
 	defer stop()
-	waitUntilFresh(t, all)
+	waitUntilFresh(t, members)
 	// All sessions expire at once, as after a long outage of the registry: no member counts as dead for that,
 	// and the nodes are created anew.
-	names, owners := []string{"g0", "g1", "g2", "g3"}, map[string]int64{}
+	names, ownersBefore := []string{"g0", "g1", "g2", "g3"}, map[string]int64{}
 	for _, n := range names {
-		owners[n] = z.Owner("/members/test/" + n)
-		z.Expire(owners[n])
+		ownersBefore[n] = zk.Owner("/members/test/" + n)
+		zk.Expire(ownersBefore[n])
 	}
 	for _, n := range names {
 		eventually(t, "a new node of "+n, func() bool {
-			now := z.Owner("/members/test/" + n)
-			return now != 0 && now != owners[n]
+			now := zk.Owner("/members/test/" + n)
+			return now != 0 && now != ownersBefore[n]
 		})
 	}
-	for _, a := range all {
+	for _, a := range members {
 		s, err := a.Status()
-		if err != nil || !s.Quorum || len(s.Members) != len(all) {
+		if err != nil || !s.Quorum || len(s.Members) != len(members) {
 			t.Errorf("%s after the registry's sessions expired: %+v %v", s.Name, s, err)
 		}
 		for _, m := range s.Members {
@@ -152,11 +152,11 @@
 
 func TestOperatorCommands(t *testing.T) {
 	defer waitForGoroutines(t)
-	all, stop := start(t, 4, true)
+	members, stop := startMembers(t, 4, true)
 	defer stop()
-	waitUntilFresh(t, all)
+	waitUntilFresh(t, members)
 	mux := http.NewServeMux()
-	all[3].Pages(mux)
+	members[3].Pages(mux)
 	server := httptest.NewServer(mux)
 	defer server.Close()
 	defer http.DefaultClient.CloseIdleConnections()
@@ -170,7 +170,7 @@
 		n, _ := r.Body.Read(b)
 		return r.StatusCode, string(b[:n])
 	}
-	before, err := all[3].Status()
+	before, err := members[3].Status()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -182,20 +182,20 @@
 	if code, _ := post("melt", url.Values{"by": {"me"}, "why": {"so"}}); code != http.StatusNotFound {
 		t.Errorf("an unknown verb: %d", code)
 	}
-	if s, _ := all[3].Status(); s.Epoch != before.Epoch {
+	if s, _ := members[3].Status(); s.Epoch != before.Epoch {
 		t.Errorf("rejected commands changed the plan: %v, %v", before.Epoch, s.Epoch)
 	}
 	if code, text := post("freeze", url.Values{"by": {"me"}, "why": {"so"}}); code != http.StatusOK || !strings.HasPrefix(text, "YES ") {
 		t.Fatalf("%d %s", code, text)
 	}
-	for _, a := range all {
+	for _, a := range members {
 		eventually(t, "the freeze", func() bool {
 			s, _ := a.Status()
 			return s.Frozen != nil && s.Frozen.Reason == "so"
 		})
 	}
 	eventually(t, "everybody's acknowledgement", func() bool {
-		s, _ := all[0].Status()
+		s, _ := members[0].Status()
 		return len(s.Unacknowledged) == 0
 	})
 	r, err := http.Get(server.URL + "/fleet")
@@ -213,29 +213,29 @@
 // rejected with an error that says so.
 func TestVoterStorageAcrossRestart(t *testing.T) {
 	defer waitForGoroutines(t)
-	all, stop := start(t, 1, true)
-	waitUntilFresh(t, all)
-	if _, err := all[0].Submit(t.Context(), "freeze", fleet.EncodeNote("me", "so")); err != nil {
+	members, stop := startMembers(t, 1, true)
+	waitUntilFresh(t, members)
+	if _, err := members[0].Submit(t.Context(), "freeze", fleet.EncodeNote("me", "so")); err != nil {
 		t.Fatal(err)
 	}
-	o := all[0].options
+	o := members[0].options
 	if _, err := Open(o); err == nil || !strings.Contains(err.Error(), "another process has the folder") {
 		t.Errorf("storage that is open elsewhere: %v", err)
 	}
 	stop() // from here on the test may read what its goroutine owned
-	was := all[0].node.SelfStatus().Identity
-	again, err := Open(o)
+	identity := members[0].node.SelfStatus().Identity
+	restarted, err := Open(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := again.node.SelfStatus(); s.Identity != was {
-		t.Errorf("it votes as %x, and voted as %x", s.Identity, was)
+	if s := restarted.node.SelfStatus(); s.Identity != identity {
+		t.Errorf("it votes as %x, and voted as %x", s.Identity, identity)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
-	running.Go(func() { _ = again.Run(ctx) })
+	running.Go(func() { _ = restarted.Run(ctx) })
 	eventually(t, "the plan of its last process", func() bool {
-		s, _ := again.Status()
+		s, _ := restarted.Status()
 		return s.Frozen != nil && s.Quorum
 	})
 	cancel()
@@ -246,7 +246,7 @@
 	if _, err := Open(o); err == nil {
 		t.Error("garbled storage is accepted")
 	}
-	if _, err := again.Submit(t.Context(), "thaw", nil); !errors.Is(err, ErrEnded) {
+	if _, err := restarted.Submit(t.Context(), "thaw", nil); !errors.Is(err, ErrEnded) {
 		t.Errorf("a member that has ended: %v", err)
 	}
 }
--- a/internal/fleet/agent/decisions.go
+++ b/internal/fleet/agent/decisions.go
@@ -23,30 +23,30 @@
 	p := a.node.Plan()
 	a.logEvent(e, p.Epoch)
 	if e.Kind == fleet.PlanChanged {
-		a.followPlan(&p)
+		a.updateDrainReasons(&p)
 	}
 	if e.Kind == fleet.PlanChanged || e.Kind == fleet.GrantChanged || e.Kind == fleet.Fenced {
 		a.publishDecisions(p)
 	}
 }
 
-func (a *Agent) logEvent(e fleet.Event, current fleet.Epoch) {
+func (a *Agent) logEvent(e fleet.Event, planEpoch fleet.Epoch) {
 	text := "fleet: " + e.Text
 	switch e.Kind {
 	case fleet.Fenced, fleet.InvalidReport:
-		a.options.Log.Warn(text, zap.Stringer("epoch", current))
+		a.options.Log.Warn(text, zap.Stringer("epoch", planEpoch))
 	case fleet.GrantChanged: // too frequent to log
 	case fleet.PlanChanged:
 		digest := fmt.Sprintf("%016x", e.Plan.Digest())
 		a.options.Log.Info(text, zap.Stringer("epoch", e.Plan.Epoch), zap.String("digest", digest))
 	default:
-		a.options.Log.Info(text, zap.Stringer("epoch", current))
+		a.options.Log.Info(text, zap.Stringer("epoch", planEpoch))
 	}
 }
 
-// followPlan updates what a plan says of this gateway. A section that can't be read changes nothing, except
+// updateDrainReasons updates what a plan says of this gateway. A section that can't be read changes nothing, except
 // that its zone counts as in use.
-func (a *Agent) followPlan(p *fleet.Plan) {
+func (a *Agent) updateDrainReasons(p *fleet.Plan) {
 	statuses, err := zoneStatuses(p)
 	status, ok := statuses[a.options.Gossip.Metadata.Zone]
 	a.drain.zoneEvacuated = err == nil && ok && !status.KeepInService && status.State != evacuation.Returning
@@ -64,7 +64,7 @@
 	if schedule, err := maintenance.Read(&p); err == nil {
 		d.Withdrawn = schedule.Withdrawn()
 	}
-	if grant, live := a.node.Grant(); live && len(grant) > 0 {
+	if grant, valid := a.node.Grant(); valid && len(grant) > 0 {
 		d.SlowStart, _ = slowstart.Read(grant) // a grant that can't be read is empty
 	}
 	a.options.OnDecisions(d)
--- a/internal/fleet/agent/golden_fleet_test.go
+++ b/internal/fleet/agent/golden_fleet_test.go
@@ -80,25 +80,25 @@
 // and what is shown then; and the names, kinds and labels of its metrics.
 func TestGoldenPages(t *testing.T) {
 	defer waitForGoroutines(t)
-	all, stop := start(t, 1, false)
+	members, stop := startMembers(t, 1, false)
 	defer stop()
-	waitUntilFresh(t, all)
+	waitUntilFresh(t, members)
 	eventually(t, "the roster", func() bool {
 		var roster map[string]int64
-		err := all[0].call(func() {
-			p := all[0].node.Plan()
-			b, _ := maintenance.Read(&p)
-			roster = b.Roster
+		err := members[0].call(func() {
+			p := members[0].node.Plan()
+			schedule, _ := maintenance.Read(&p)
+			roster = schedule.Roster
 		})
 		return err == nil && roster["g0"] != 0
 	})
-	all[0].EndpointsChanged([]slowstart.Server{{ID: 0x0a0b0c0d, Zone: "hall-a", Since: 1700000000021}})
+	members[0].EndpointsChanged([]slowstart.Server{{ID: 0x0a0b0c0d, Zone: "hall-a", Since: 1700000000021}})
 	mux := http.NewServeMux()
-	all[0].Pages(mux)
+	members[0].Pages(mux)
 	server := httptest.NewServer(mux)
 	defer server.Close()
 	defer http.DefaultClient.CloseIdleConnections()
-	body := func(r *http.Response, err error) (int, []byte) {
+	readAnswer := func(r *http.Response, err error) (int, []byte) {
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -109,7 +109,7 @@
 		}
 		return r.StatusCode, text
 	}
-	yes := regexp.MustCompile(`^YES [0-9]+\.[0-9]+\n$`)
+	acceptedAnswer := regexp.MustCompile(`^YES [0-9]+\.[0-9]+\n$`)
 	for _, c := range []struct {
 		verb string
 		form url.Values
@@ -132,13 +132,13 @@
 		{"work-done", url.Values{"by": {"dan"}, "why": {"no"}, "id": {"2"}}, 409},
 		{"work-gone", url.Values{"by": {"dan"}, "why": {"no"}, "machine": {"g9"}}, 409},
 	} {
-		code, text := body(http.PostForm(server.URL+"/fleet/"+c.verb, c.form))
-		if code != c.code || code == 200 && !yes.Match(text) || code != 200 && !strings.HasPrefix(string(text), "NO ") {
+		code, text := readAnswer(http.PostForm(server.URL+"/fleet/"+c.verb, c.form))
+		if code != c.code || code == 200 && !acceptedAnswer.Match(text) || code != 200 && !strings.HasPrefix(string(text), "NO ") {
 			t.Errorf("%s %v: %d %s", c.verb, c.form, code, text)
 		}
 	}
 	for page, file := range map[string]string{"zones": "page-zones.json", "work": "page-work.json", "servers": "page-servers.json"} {
-		code, text := body(http.Get(server.URL + "/fleet/" + page))
+		code, text := readAnswer(http.Get(server.URL + "/fleet/" + page))
 		if code != 200 {
 			t.Fatalf("%s: %d %s", page, code, text)
 		}
@@ -148,7 +148,7 @@
 	if err := json.Unmarshal(golden.Read(t, "status.json"), &want); err != nil {
 		t.Fatal(err)
 	}
-	_, text := body(http.Get(server.URL + "/fleet"))
+	_, text := readAnswer(http.Get(server.URL + "/fleet"))
 	if err := json.Unmarshal(text, &got); err != nil {
 		t.Fatal(err)
 	}
@@ -160,7 +160,7 @@
 	}
 
 	r := prometheus.NewRegistry()
-	r.MustRegister(all[0])
+	r.MustRegister(members[0])
 	families, err := r.Gather()
 	if err != nil {
 		t.Fatal(err)
@@ -195,7 +195,7 @@
 
 // TestGoldenMachine freezes how a server is named in requests, plans and statuses.
 func TestGoldenMachine(t *testing.T) {
-	if got := Machine(0x0a0b0c0d); got != "s-0a0b0c0d" {
+	if got := MachineName(0x0a0b0c0d); got != "s-0a0b0c0d" {
 		t.Error(got)
 	}
 	if id, ok := parseMachine("s-0a0b0c0d"); !ok || id != 0x0a0b0c0d {
--- a/internal/fleet/agent/golden_test.go
+++ b/internal/fleet/agent/golden_test.go
@@ -8,7 +8,7 @@
 
 // TestGoldenMetrics keeps the names, types and labels of the fleet's metrics, which operators' alerts go by.
 func TestGoldenMetrics(t *testing.T) {
-	all, stop := start(t, 1, false)
+	members, stop := startMembers(t, 1, false)
 	defer stop()
-	golden.Compare(t, "metrics", golden.Metrics(t, all[0]))
+	golden.Compare(t, "metrics", golden.Metrics(t, members[0]))
 }
--- a/internal/fleet/agent/leader.go
+++ b/internal/fleet/agent/leader.go
@@ -37,38 +37,38 @@
 }
 
 // evaluateZones proposes the detector's next states; false: they are as in the plan.
-func (a *Agent) evaluateZones(now time.Duration, unix int64, n *fleet.Node, on fleet.Epoch, statuses evacuation.Statuses) bool {
-	starts := map[string]int64{} // of the youngest server in each zone
+func (a *Agent) evaluateZones(now time.Duration, unix int64, n *fleet.Node, planEpoch fleet.Epoch, statuses evacuation.Statuses) bool {
+	lastStarts := map[string]int64{} // of the youngest server in each zone
 	for _, s := range a.listedServers() {
-		starts[s.Zone] = max(starts[s.Zone], s.Since)
+		lastStarts[s.Zone] = max(lastStarts[s.Zone], s.Since)
 	}
-	a.zones.SetServerStarts(starts)
+	a.zones.SetServerStarts(lastStarts)
 	next, changed := a.zones.Evaluate(now, unix, statuses, func(name string) bool {
 		p, ok := n.Peer(name)
 		return name == a.options.Gossip.Name || ok && now-p.LastStatusAt < a.options.Lease
 	})
 	if changed && n.Propose(evacuation.EncodeSection(next)) {
-		a.logZoneChanges(statuses, next, on)
+		a.logZoneChanges(statuses, next, planEpoch)
 	}
 	return changed
 }
 
-func (a *Agent) logZoneChanges(old, next evacuation.Statuses, on fleet.Epoch) {
+func (a *Agent) logZoneChanges(old, next evacuation.Statuses, planEpoch fleet.Epoch) {
 	for key, status := range next {
-		was, ok := old[key]
-		if ok && was.State == status.State {
+		previous, ok := old[key]
+		if ok && previous.State == status.State {
 			continue
 		}
 		state := string(status.State)
-		if status.State == evacuation.Evacuated && was.State == evacuation.Probing {
+		if status.State == evacuation.Evacuated && previous.State == evacuation.Probing {
 			state = "is not well yet"
 		}
 		a.options.Log.Info("fleet: zone "+key+" "+state, zap.String("why", status.Reason), zap.Int("fails", status.FailedReturns),
-			zap.Strings("probers", status.Probers), zap.Stringer("on_epoch", on))
+			zap.Strings("probers", status.Probers), zap.Stringer("on_epoch", planEpoch))
 	}
 	for key := range old {
 		if _, ok := next[key]; !ok {
-			a.options.Log.Info("fleet: zone "+key+" in", zap.Stringer("on_epoch", on))
+			a.options.Log.Info("fleet: zone "+key+" in", zap.Stringer("on_epoch", planEpoch))
 		}
 	}
 }
@@ -84,16 +84,16 @@
 		Members:           a.maintenanceMembers(now, n),
 		Saturated:         a.zones.Saturated(),
 		Rate:              a.slowStart.Demand(),
-		ZonesNotInService: evacuatedZones(statuses),
+		ZonesNotInService: zonesNotInService(statuses),
 	})
 	if changed && n.Propose(maintenance.EncodeSection(next)) {
 		a.logMaintenanceChanges(schedule, next, p.Epoch)
 	}
 }
 
-// evacuatedZones are the zones, without paths between two, that are not fully in use, sorted; those that
+// zonesNotInService are the zones, without paths between two, that are not fully in use, sorted; those that
 // operators hold are.
-func evacuatedZones(statuses evacuation.Statuses) (zones []string) {
+func zonesNotInService(statuses evacuation.Statuses) (zones []string) {
 	for key, status := range statuses {
 		if !strings.Contains(key, ">") && !status.KeepInService {
 			zones = append(zones, key)
@@ -107,21 +107,21 @@
 func (a *Agent) maintenanceServers() map[string]maintenance.Server {
 	all := map[string]maintenance.Server{}
 	for _, s := range a.listedServers() {
-		all[Machine(s.ID)] = maintenance.Server{Zone: s.Zone, Ready: true, Since: s.Since}
+		all[MachineName(s.ID)] = maintenance.Server{Zone: s.Zone, Ready: true, Since: s.Since}
 	}
 	return all
 }
 
 // maintenanceMembers are all members as the leader knows them, itself among them.
 func (a *Agent) maintenanceMembers(now time.Duration, n *fleet.Node) map[string]maintenance.Member {
-	left := map[string]bool{}
+	hasLeft := map[string]bool{}
 	for _, m := range a.gossip.Members() {
-		left[m.Name] = m.State == gossip.StateLeft
+		hasLeft[m.Name] = m.State == gossip.StateLeft
 	}
 	members := map[string]maintenance.Member{}
 	for _, p := range n.Peers() {
 		members[p.Name] = maintenance.Member{
-			HasLeft:          left[p.Name],
+			HasLeft:          hasLeft[p.Name],
 			Reachable:        p.HasStatus && now-p.LastStatusAt < a.options.Lease,
 			Fresh:            p.Status.Fresh,
 			Withdrawn:        p.Status.Withdrawn,
@@ -134,7 +134,7 @@
 	members[own.Name] = maintenance.Member{
 		Reachable:        true,
 		Fresh:            true,
-		Withdrawn:        a.acknowledged(),
+		Withdrawn:        a.withdrawnMachines(),
 		Zone:             own.Metadata.Zone,
 		Voter:            slices.Contains(a.options.Voters, own.Name),
 		Leader:           true,
@@ -159,13 +159,13 @@
 	return states
 }
 
-func (a *Agent) logMaintenanceChanges(old, next maintenance.Schedule, on fleet.Epoch) {
-	before := machineStates(old)
+func (a *Agent) logMaintenanceChanges(old, next maintenance.Schedule, planEpoch fleet.Epoch) {
+	oldStates := machineStates(old)
 	for _, r := range next.Requests {
 		for _, m := range r.Machines {
-			if was, ok := before[requestMachine{r.ID, m.Name}]; ok && was != m.State {
+			if previous, ok := oldStates[requestMachine{r.ID, m.Name}]; ok && previous != m.State {
 				a.options.Log.Info("fleet: work "+m.Name+" "+m.State.String(), zap.Uint64("request", r.ID), zap.String("why", m.Note),
-					zap.Stringer("on_epoch", on))
+					zap.Stringer("on_epoch", planEpoch))
 			}
 		}
 	}
--- a/internal/fleet/agent/observe.go
+++ b/internal/fleet/agent/observe.go
@@ -11,7 +11,7 @@
 	a.zones.Observe(now, from.Name, from.Status.Zone, from.Status.Region, delta)
 	a.slowStart.Observe(now, from.Name, from.Status.GrantSeq, delta)
 	for id, c := range delta.Servers {
-		a.maintenance.Observe(now, Machine(id), c.Served, c.ConnectFailed+c.Failed, c.TimedOut, c.AnsweredLate)
+		a.maintenance.Observe(now, MachineName(id), c.Served, c.ConnectFailed+c.Failed, c.TimedOut, c.AnsweredLate)
 	}
 	if from.Name == a.options.Gossip.Name {
 		a.observeOwn(now, delta)
@@ -21,10 +21,10 @@
 // observeOwn counts this gateway's own attempts, wherever they went. A rejection is neither: the server is
 // reachable, but has no capacity.
 func (a *Agent) observeOwn(now time.Duration, delta fleet.Report) {
-	good, bad := uint64(0), uint64(0)
+	served, failed := uint64(0), uint64(0)
 	for _, c := range delta.Zones {
-		good += c.Served + c.AnsweredLate
-		bad += c.ConnectFailed + c.TimedOut + c.Failed
+		served += c.Served + c.AnsweredLate
+		failed += c.ConnectFailed + c.TimedOut + c.Failed
 	}
-	a.drain.monitor.Observe(now, good, bad)
+	a.drain.monitor.Observe(now, served, failed)
 }
--- a/internal/fleet/agent/status.go
+++ b/internal/fleet/agent/status.go
@@ -50,12 +50,12 @@
 // status runs on the agent's goroutine.
 func (a *Agent) status() Status {
 	p := a.node.Plan()
-	leader, ago := a.node.Leader()
+	leader, leaderAge := a.node.Leader()
 	s := Status{
 		Name:           a.options.Gossip.Name,
 		Fleet:          a.options.Gossip.Fleet,
 		Leader:         leader,
-		LeaderAge:      ago.Milliseconds(),
+		LeaderAge:      leaderAge.Milliseconds(),
 		Quorum:         a.node.SelfStatus().Fresh,
 		Epoch:          p.Epoch,
 		Sections:       slices.Sorted(maps.Keys(p.Sections)),
--- a/internal/fleet/agent/tally.go
+++ b/internal/fleet/agent/tally.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	maxServers  = fleet.MaxObservedServers // counted; beyond it all are forgotten and counted anew
-	maxAttempts = 1 << 16                  // in flight and counted; more are not
+	maxCountedServers = fleet.MaxObservedServers // counted; beyond it all are forgotten and counted anew
+	maxOpenAttempts   = 1 << 16                  // in flight and counted; more are not
 
 	// An attempt is late after lateFactor times the mean latency, or minLateAfter if that is longer.
 	minLateAfter     = 120 * time.Millisecond
@@ -45,7 +45,7 @@
 	mu          sync.Mutex
 	now         func() time.Time
 	zones       map[string]fleet.AttemptCounts
-	servers     map[uint32]*tallyServer
+	servers     map[uint32]*serverCounter
 	changed     []uint32 // servers to report, in the order in which they changed since their last report
 	attempts    map[AttemptID]*openAttempt
 	requests    uint64  // received from clients
@@ -59,160 +59,160 @@
 	late      bool // counted as timed out
 }
 
-type tallyServer struct {
+type serverCounter struct {
 	fleet.ServerReport
 	queued bool // in changed
 }
 
-func newTally(now func() time.Time) *AttemptCounter {
+func newAttemptCounter(now func() time.Time) *AttemptCounter {
 	return &AttemptCounter{
 		now:      now,
 		zones:    map[string]fleet.AttemptCounts{},
-		servers:  map[uint32]*tallyServer{},
+		servers:  map[uint32]*serverCounter{},
 		attempts: map[AttemptID]*openAttempt{},
 	}
 }
 
 // RequestReceived counts a client's request.
-func (t *AttemptCounter) RequestReceived() {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.requests++
+func (c *AttemptCounter) RequestReceived() {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.requests++
 }
 
 // AttemptStarted records that an attempt is in flight.
-func (t *AttemptCounter) AttemptStarted(id AttemptID, zone string, server uint32) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if len(t.attempts) < maxAttempts {
-		t.attempts[id] = &openAttempt{zone: zone, server: server, startedAt: t.now()}
+func (c *AttemptCounter) AttemptStarted(id AttemptID, zone string, server uint32) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	if len(c.attempts) < maxOpenAttempts {
+		c.attempts[id] = &openAttempt{zone: zone, server: server, startedAt: c.now()}
 	}
 }
 
 // AttemptEnded counts an attempt's outcome. queue and inFlight are the load that the server last reported.
-func (t *AttemptCounter) AttemptEnded(id AttemptID, o Outcome, queue, inFlight uint32) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	attempt := t.attempts[id]
+func (c *AttemptCounter) AttemptEnded(id AttemptID, outcome Outcome, queue, inFlight uint32) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	attempt := c.attempts[id]
 	if attempt == nil {
 		return
 	}
-	delete(t.attempts, id)
-	latency := t.now().Sub(attempt.startedAt)
-	if o == Served || o == Rejected {
-		if s := t.servers[attempt.server]; s != nil {
+	delete(c.attempts, id)
+	latency := c.now().Sub(attempt.startedAt)
+	if outcome == Served || outcome == Rejected {
+		if s := c.servers[attempt.server]; s != nil {
 			s.Queue = queue
 			s.InFlight = inFlight
 		}
 	}
 	switch {
-	case attempt.late && o == Served: // its latency counts too: it tells most about a slow zone
-		t.add(attempt, fleet.AttemptCounts{AnsweredLate: 1, LatencyMicros: uint64(latency.Microseconds())})
-	case !attempt.late && o != NoOutcome:
-		if o == Served {
-			t.observeLatency(latency.Seconds())
+	case attempt.late && outcome == Served: // its latency counts too: it tells most about a slow zone
+		c.add(attempt, fleet.AttemptCounts{AnsweredLate: 1, LatencyMicros: uint64(latency.Microseconds())})
+	case !attempt.late && outcome != NoOutcome:
+		if outcome == Served {
+			c.updateMeanLatency(latency.Seconds())
 		}
-		t.add(attempt, countOf(o, latency))
+		c.add(attempt, countsOf(outcome, latency))
 	}
 }
 
-// countOf is one attempt as counters.
-func countOf(o Outcome, latency time.Duration) fleet.AttemptCounts {
-	c := fleet.AttemptCounts{Attempts: 1}
-	switch o {
+// countsOf is one attempt as counters.
+func countsOf(outcome Outcome, latency time.Duration) fleet.AttemptCounts {
+	counts := fleet.AttemptCounts{Attempts: 1}
+	switch outcome {
 	case Served:
-		c.Served = 1
-		c.LatencyMicros = uint64(latency.Microseconds())
+		counts.Served = 1
+		counts.LatencyMicros = uint64(latency.Microseconds())
 	case ConnectFailed:
-		c.ConnectFailed = 1
+		counts.ConnectFailed = 1
 	case TimedOut:
-		c.TimedOut = 1
+		counts.TimedOut = 1
 	case Failed:
-		c.Failed = 1
+		counts.Failed = 1
 	case Rejected:
-		c.Rejected = 1
+		counts.Rejected = 1
 	case NoOutcome:
 	}
-	return c
+	return counts
 }
 
-func (t *AttemptCounter) observeLatency(seconds float64) {
-	if t.meanLatency == 0 {
-		t.meanLatency = seconds
+func (c *AttemptCounter) updateMeanLatency(seconds float64) {
+	if c.meanLatency == 0 {
+		c.meanLatency = seconds
 	}
-	t.meanLatency += latencySmoothing * (seconds - t.meanLatency)
+	c.meanLatency += latencySmoothing * (seconds - c.meanLatency)
 }
 
 // add adds to the counters of an attempt's zone and server.
-func (t *AttemptCounter) add(attempt *openAttempt, c fleet.AttemptCounts) {
-	zone := t.zones[attempt.zone]
-	zone.Add(c)
-	t.zones[attempt.zone] = zone
-	s := t.servers[attempt.server]
+func (c *AttemptCounter) add(attempt *openAttempt, counts fleet.AttemptCounts) {
+	zone := c.zones[attempt.zone]
+	zone.Add(counts)
+	c.zones[attempt.zone] = zone
+	s := c.servers[attempt.server]
 	if s == nil {
-		if len(t.servers) >= maxServers {
-			clear(t.servers)
-			t.changed = nil
+		if len(c.servers) >= maxCountedServers {
+			clear(c.servers)
+			c.changed = nil
 		}
-		s = &tallyServer{}
-		t.servers[attempt.server] = s
+		s = &serverCounter{}
+		c.servers[attempt.server] = s
 	}
 	s.Zone = attempt.zone
-	s.AttemptCounts.Add(c)
+	s.AttemptCounts.Add(counts)
 	if !s.queued {
 		s.queued = true
-		t.changed = append(t.changed, attempt.server)
+		c.changed = append(c.changed, attempt.server)
 	}
 }
 
 // serversInFlight are the servers that attempts are in flight to.
-func (t *AttemptCounter) serversInFlight() map[uint32]bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (c *AttemptCounter) serversInFlight() map[uint32]bool {
+	c.mu.Lock()
+	defer c.mu.Unlock()
 	servers := map[uint32]bool{}
-	for _, attempt := range t.attempts {
+	for _, attempt := range c.attempts {
 		servers[attempt.server] = true
 	}
 	return servers
 }
 
 // lateAfter is how long an attempt may take before it counts as timed out.
-func (t *AttemptCounter) lateAfter() time.Duration {
-	return max(minLateAfter, time.Duration(lateFactor*t.meanLatency*float64(time.Second)))
+func (c *AttemptCounter) lateAfter() time.Duration {
+	return max(minLateAfter, time.Duration(lateFactor*c.meanLatency*float64(time.Second)))
 }
 
 // countLate counts attempts in flight as timed out once they are late.
-func (t *AttemptCounter) countLate() {
-	now := t.now()
-	limit := t.lateAfter()
-	for _, attempt := range t.attempts {
+func (c *AttemptCounter) countLate() {
+	now := c.now()
+	limit := c.lateAfter()
+	for _, attempt := range c.attempts {
 		if !attempt.late && now.Sub(attempt.startedAt) > limit {
 			attempt.late = true
-			t.add(attempt, fleet.AttemptCounts{Attempts: 1, TimedOut: 1})
+			c.add(attempt, fleet.AttemptCounts{Attempts: 1, TimedOut: 1})
 		}
 	}
 }
 
 // report returns the next report; a full one has the servers that changed, up to MaxReportedServers in turns.
 // Nil: there is nothing to report yet.
-func (t *AttemptCounter) report(full bool) *fleet.Report {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	t.countLate()
-	if len(t.zones) == 0 && t.requests == 0 {
+func (c *AttemptCounter) report(full bool) *fleet.Report {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.countLate()
+	if len(c.zones) == 0 && c.requests == 0 {
 		return nil
 	}
-	r := &fleet.Report{Zones: maps.Clone(t.zones), Requests: t.requests}
+	r := &fleet.Report{Zones: maps.Clone(c.zones), Requests: c.requests}
 	if !full {
 		return r
 	}
 	r.Servers = map[uint32]fleet.ServerReport{}
-	n := min(len(t.changed), fleet.MaxReportedServers)
-	for _, id := range t.changed[:n] {
-		s := t.servers[id]
+	n := min(len(c.changed), fleet.MaxReportedServers)
+	for _, id := range c.changed[:n] {
+		s := c.servers[id]
 		s.queued = false
 		r.Servers[id] = s.ServerReport
 	}
-	t.changed = slices.Delete(t.changed, 0, n)
+	c.changed = slices.Delete(c.changed, 0, n)
 	return r
 }
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -16,12 +16,12 @@
 )
 
 const (
-	joinInterval  = time.Second            // between two attempts to join missing members, randomized by half of it
-	probeInterval = time.Second            // between two of SWIM's health checks
-	gossipRounds  = 500 * time.Millisecond // between two rounds of SWIM's gossip; it carries membership only, which may take seconds
-	streamTimeout = 2 * time.Second        // to open a connection
-	reclaimAfter  = 10 * time.Second       // a dead member may return under another address
-	leaveTimeout  = time.Second            // to tell the others on shutdown
+	joinInterval    = time.Second            // between two attempts to join missing members, randomized by half of it
+	probeInterval   = time.Second            // between two of SWIM's health checks
+	gossipInterval  = 500 * time.Millisecond // between two rounds of SWIM's gossip; it carries membership only, which may take seconds
+	streamTimeout   = 2 * time.Second        // to open a connection
+	deadReclaimTime = 10 * time.Second       // a dead member may return under another address
+	leaveTimeout    = time.Second            // to tell the others on shutdown
 )
 
 // Options configure a member's part.
@@ -52,7 +52,7 @@
 
 // Open listens and takes part; Run finds the others. Without a keyring it listens on loopback only.
 func Open(o Options) (*Gossip, error) {
-	c, err := listConfig(o)
+	config, err := memberlistConfig(o)
 	if err != nil {
 		return nil, err
 	}
@@ -60,7 +60,7 @@
 	if err != nil {
 		return nil, err
 	}
-	if ip := net.ParseIP(c.BindAddr); ring == nil && (ip == nil || !ip.IsLoopback()) {
+	if ip := net.ParseIP(config.BindAddr); ring == nil && (ip == nil || !ip.IsLoopback()) {
 		return nil, fmt.Errorf("gossip: %s is not of loopback, and without a keyring anybody there could speak", o.Listen)
 	}
 	transport, err := newTransport(o.Listen, o.Peers)
@@ -73,19 +73,19 @@
 		outgoing:  make(chan outgoingMessage, outgoingQueueSize),
 		members:   map[string]Member{},
 	}
-	c.Keyring = ring
-	c.Transport = transport
-	c.Delegate = &delegate{g}
-	c.Events = &delegate{g}
-	if g.list, err = memberlist.Create(c); err != nil {
+	config.Keyring = ring
+	config.Transport = transport
+	config.Delegate = &delegate{g}
+	config.Events = &delegate{g}
+	if g.list, err = memberlist.Create(config); err != nil {
 		transport.Shutdown()
 		return nil, err
 	}
 	return g, nil
 }
 
-// listConfig is the library's configuration, without what Open makes.
-func listConfig(o Options) (*memberlist.Config, error) {
+// memberlistConfig is the library's configuration, without what Open makes.
+func memberlistConfig(o Options) (*memberlist.Config, error) {
 	host, portText, err := net.SplitHostPort(o.Listen)
 	if err != nil {
 		return nil, err
@@ -98,21 +98,21 @@
 	if err != nil {
 		return nil, err
 	}
-	c := memberlist.DefaultLANConfig()
-	c.Name = o.Name
-	c.Label = o.Fleet // members of other fleets are rejected
-	c.BindAddr = host
-	c.BindPort = port
-	c.AdvertiseAddr = host
-	c.AdvertisePort = port
-	c.Logger = logger
-	c.TCPTimeout = streamTimeout
-	c.ProbeInterval = probeInterval
-	c.GossipInterval = gossipRounds
-	c.DeadNodeReclaimTime = reclaimAfter
-	c.EnableCompression = false
-	c.RequireNodeNames = true
-	return c, nil
+	config := memberlist.DefaultLANConfig()
+	config.Name = o.Name
+	config.Label = o.Fleet // members of other fleets are rejected
+	config.BindAddr = host
+	config.BindPort = port
+	config.AdvertiseAddr = host
+	config.AdvertisePort = port
+	config.Logger = logger
+	config.TCPTimeout = streamTimeout
+	config.ProbeInterval = probeInterval
+	config.GossipInterval = gossipInterval
+	config.DeadNodeReclaimTime = deadReclaimTime
+	config.EnableCompression = false
+	config.RequireNodeNames = true
+	return config, nil
 }
 
 // Run joins members that are missing until the context ends, then leaves and closes what Open opened.
--- a/internal/fleet/gossip/join.go
+++ b/internal/fleet/gossip/join.go
@@ -12,11 +12,11 @@
 
 // AddCandidates replaces the addresses, by name, under which members may be found. It is a hint: a member
 // that is not named is not gone, as a registry that lost its sessions names nobody.
-func (g *Gossip) AddCandidates(at map[string]string) {
+func (g *Gossip) AddCandidates(addressByName map[string]string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.candidates = map[string]string{}
-	for name, address := range at {
+	for name, address := range addressByName {
 		if len(g.candidates) < maxCandidates && name != g.options.Name {
 			g.candidates[name] = address
 		}
@@ -27,7 +27,7 @@
 // None if nobody is missing.
 func (g *Gossip) joinTargets() []string {
 	alone := g.list.NumMembers() <= 1
-	addresses := g.missing()
+	addresses := g.missingMembers()
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	limit := 1
 	if alone {
@@ -36,9 +36,9 @@
 	return addresses[:min(limit, len(addresses))]
 }
 
-// missing returns NAME/HOST:PORT of candidates and seeds that are not alive, and of dead members.
+// missingMembers returns NAME/HOST:PORT of candidates and seeds that are not alive, and of dead members.
 // One that left is not missing.
-func (g *Gossip) missing() []string {
+func (g *Gossip) missingMembers() []string {
 	addresses := g.missingCandidates()
 	for _, seed := range g.options.Seeds {
 		name, address, complete := strings.Cut(seed, "/")
@@ -66,8 +66,8 @@
 		if g.members[name].State == StateAlive {
 			continue
 		}
-		if own, ok := g.options.Peers[name]; ok {
-			address = own
+		if configured, ok := g.options.Peers[name]; ok {
+			address = configured
 		}
 		addresses = append(addresses, name+"/"+address)
 	}
--- a/internal/fleet/gossip/send.go
+++ b/internal/fleet/gossip/send.go
@@ -36,13 +36,13 @@
 }
 
 // SentBytes is the number of bytes that this member has sent to others.
-func (g *Gossip) SentBytes() uint64 { return g.transport.sent.Load() }
+func (g *Gossip) SentBytes() uint64 { return g.transport.sentBytes.Load() }
 
 // address is where to reach a member: as announced, else as configured for a peer that was not seen yet.
 func (g *Gossip) address(name string) (memberlist.Address, bool) {
 	m, ok := g.member(name)
-	if own, configured := g.options.Peers[name]; configured && !ok {
-		m.Address = own
+	if configuredAddress, configured := g.options.Peers[name]; configured && !ok {
+		m.Address = configuredAddress
 		ok = true
 	}
 	return memberlist.Address{Addr: m.Address, Name: name}, ok
--- a/internal/fleet/gossip/transport.go
+++ b/internal/fleet/gossip/transport.go
@@ -12,37 +12,37 @@
 )
 
 const (
-	acceptQueueSize   = 256                   // packets and streams that the library has not taken; more are lost, as on the wire
-	maxPacket         = 64 << 10              // bytes
-	receiveBuffer     = 1 << 20               // bytes, of the socket; the system may give less
-	acceptRetryPeriod = 10 * time.Millisecond // while the process is out of descriptors
+	acceptQueueSize     = 256                   // packets and streams that the library has not taken; more are lost, as on the wire
+	maxPacket           = 64 << 10              // bytes
+	receiveBuffer       = 1 << 20               // bytes, of the socket; the system may give less
+	acceptRetryInterval = 10 * time.Millisecond // while the process is out of descriptors
 )
 
 // transport implements memberlist.NodeAwareTransport over sockets of its own. It reaches each peer under the
 // address that this process has for it. Unlike the library's own transport it reads all packets into one
 // buffer: a new buffer of 64 KiB for each packet dominates a member's cost.
 type transport struct {
-	udp     *net.UDPConn
-	tcp     *net.TCPListener
-	address *net.TCPAddr
-	peers   map[string]string // addresses by name
-	packets chan *memberlist.Packet
-	streams chan net.Conn
-	closed  chan struct{}
-	once    sync.Once
-	running sync.WaitGroup
-	sent    atomic.Uint64 // bytes
+	udp          *net.UDPConn
+	tcp          *net.TCPListener
+	address      *net.TCPAddr
+	peers        map[string]string // addresses by name
+	packets      chan *memberlist.Packet
+	streams      chan net.Conn
+	closed       chan struct{}
+	shutdownOnce sync.Once
+	listeners    sync.WaitGroup
+	sentBytes    atomic.Uint64 // bytes
 }
 
 // countedConn counts the bytes written to a connection.
 type countedConn struct {
 	net.Conn
-	sent *atomic.Uint64
+	sentBytes *atomic.Uint64
 }
 
 func (c countedConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
-	c.sent.Add(uint64(n))
+	c.sentBytes.Add(uint64(n))
 	return n, err
 }
 
@@ -64,8 +64,8 @@
 		return nil, err
 	}
 	_ = t.udp.SetReadBuffer(receiveBuffer)
-	t.running.Go(t.listenPackets)
-	t.running.Go(t.listenStreams)
+	t.listeners.Go(t.listenPackets)
+	t.listeners.Go(t.listenStreams)
 	return t, nil
 }
 
@@ -99,11 +99,11 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			time.Sleep(acceptRetryPeriod)
+			time.Sleep(acceptRetryInterval)
 			continue
 		}
 		select {
-		case t.streams <- countedConn{c, &t.sent}:
+		case t.streams <- countedConn{c, &t.sentBytes}:
 		default:
 			c.Close()
 		}
@@ -131,7 +131,7 @@
 		return time.Time{}, err
 	}
 	n, err := t.udp.WriteTo(b, to)
-	t.sent.Add(uint64(n))
+	t.sentBytes.Add(uint64(n))
 	return time.Now(), err
 }
 
@@ -141,7 +141,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return countedConn{c, &t.sent}, nil
+	return countedConn{c, &t.sentBytes}, nil
 }
 
 // peerAddress is where this process reaches a member: as configured for it, else as the member advertises
@@ -165,11 +165,11 @@
 
 // Shutdown implements memberlist.Transport.
 func (t *transport) Shutdown() error {
-	t.once.Do(func() {
+	t.shutdownOnce.Do(func() {
 		close(t.closed)
 		t.udp.Close()
 		t.tcp.Close()
-		t.running.Wait()
+		t.listeners.Wait()
 	})
 	return nil
 }
--- a/internal/fleet/maintenance/admission.go
+++ b/internal/fleet/maintenance/admission.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// requestBlocked says why no machine of a request may go out now: a fault of the fleet, or the request's own terms. Empty: one may.
-func (e *evaluation) requestBlocked(r *Request) string {
+// requestBlockReason says why no machine of a request may go out now: a fault of the fleet, or the request's own terms. Empty: one may.
+func (e *evaluation) requestBlockReason(r *Request) string {
 	if e.fault != "" {
 		return e.fault
 	}
@@ -28,7 +28,7 @@
 		if m.State != Waiting {
 			continue
 		}
-		m.Note = e.machineBlocked(m)
+		m.Note = e.machineBlockReason(m)
 		if m.Note == "" {
 			return m
 		}
@@ -36,10 +36,10 @@
 	return nil
 }
 
-// machineBlocked says which bound keeps a machine in service; empty: none.
-func (e *evaluation) machineBlocked(m *Machine) string {
+// machineBlockReason says which bound keeps a machine in service; empty: none.
+func (e *evaluation) machineBlockReason(m *Machine) string {
 	if g, ok := e.gateway(m.Name); ok {
-		return e.gatewayBlocked(m, g)
+		return e.gatewayBlockReason(m, g)
 	}
 	server, listed := e.observed.Servers[m.Name]
 	if !listed {
@@ -54,7 +54,7 @@
 			return fmt.Sprintf("may not be out with %s or %s", pair[0], pair[1])
 		}
 	}
-	return e.capacityBlocked(server.Zone, e.countServers(server.Zone, out))
+	return e.capacityBlockReason(server.Zone, e.countServers(server.Zone, out))
 }
 
 // machinesOut returns the machines that are out for maintenance, or have returned and not proved their health.
@@ -75,23 +75,23 @@
 
 // serverCounts counts servers. One is unavailable if it is out for maintenance, not ready or in slow start.
 type serverCounts struct {
-	all             int
+	total           int
 	unavailable     int
-	zoneAll         int // of the zone in question
+	zoneTotal       int // of the zone in question
 	zoneUnavailable int // of the zone in question
 }
 
 func (e *evaluation) countServers(zone string, out map[string]bool) (c serverCounts) {
-	for name, v := range e.observed.Servers {
-		unavailable := out[name] || !v.Ready || e.warming(v)
-		c.all++
+	for name, server := range e.observed.Servers {
+		unavailable := out[name] || !server.Ready || e.warming(server)
+		c.total++
 		if unavailable {
 			c.unavailable++
 		}
-		if v.Zone != zone {
+		if server.Zone != zone {
 			continue
 		}
-		c.zoneAll++
+		c.zoneTotal++
 		if unavailable {
 			c.zoneUnavailable++
 		}
@@ -99,17 +99,17 @@
 	return c
 }
 
-// capacityBlocked says which bound on capacity keeps one more server of a zone in service: the bounds of the zone and of all servers, and
+// capacityBlockReason says which bound on capacity keeps one more server of a zone in service: the bounds of the zone and of all servers, and
 // the load of those that stay, which may exceed the highest load that servers bore by MaxLoadGrowth.
-func (e *evaluation) capacityBlocked(zone string, c serverCounts) string {
-	available := c.all - c.unavailable
+func (e *evaluation) capacityBlockReason(zone string, c serverCounts) string {
+	available := c.total - c.unavailable
 	switch {
-	case c.zoneAll < 2:
+	case c.zoneTotal < 2:
 		return "is the last server of zone " + zone
-	case c.zoneUnavailable+1 > maxOut(e.cfg.MaxZoneFraction, c.zoneAll):
-		return fmt.Sprintf("%d of %d servers of zone %s are out, cold or not ready", c.zoneUnavailable, c.zoneAll, zone)
-	case c.unavailable+1 > maxOut(e.cfg.MaxServerFraction, c.all):
-		return fmt.Sprintf("%d of %d servers are out, cold or not ready", c.unavailable, c.all)
+	case c.zoneUnavailable+1 > maxOut(e.cfg.MaxZoneFraction, c.zoneTotal):
+		return fmt.Sprintf("%d of %d servers of zone %s are out, cold or not ready", c.zoneUnavailable, c.zoneTotal, zone)
+	case c.unavailable+1 > maxOut(e.cfg.MaxServerFraction, c.total):
+		return fmt.Sprintf("%d of %d servers are out, cold or not ready", c.unavailable, c.total)
 	case available < 2 || e.observed.Rate/float64(available-1) > e.cfg.MaxLoadGrowth*e.maxLoad():
 		return fmt.Sprintf("the others would get %.0f fetches a second each, and were seen to bear %.0f",
 			e.observed.Rate/float64(max(1, available-1)), e.maxLoad())
@@ -120,36 +120,36 @@
 // maxOut is how many machines of a group may be out at once: a fraction, and at least one.
 func maxOut(fraction float64, total int) int { return max(1, int(fraction*float64(total))) }
 
-// gatewayBlocked says which bound keeps a gateway in the fleet; empty: none. One gateway of a zone is out at a time. Voters go after the
+// gatewayBlockReason says which bound keeps a gateway in the fleet; empty: none. One gateway of a zone is out at a time. Voters go after the
 // others and the leader last, so that there is one change of leader and always a quorum.
-func (e *evaluation) gatewayBlocked(m *Machine, g Member) string {
+func (e *evaluation) gatewayBlockReason(m *Machine, g Member) string {
 	if !g.Reachable || !g.Fresh {
 		return "is not in the fleet, or its view is old"
 	}
 	for name := range e.schedule.Roster {
-		if o := e.observed.Members[name]; o.Voter && !(o.Reachable && o.Fresh) {
+		if voter := e.observed.Members[name]; voter.Voter && !(voter.Reachable && voter.Fresh) {
 			return "voter " + name + " is not there"
 		}
 	}
-	out, before, blocked := e.otherGateways(m, g)
-	if blocked != "" {
-		return blocked
+	out, goFirst, reason := e.otherGateways(m, g)
+	if reason != "" {
+		return reason
 	}
-	all := len(e.schedule.Roster)
+	total := len(e.schedule.Roster)
 	switch {
-	case all < 2:
+	case total < 2:
 		return "is the last gateway"
-	case out+1 > maxOut(e.cfg.MaxGatewayFraction, all):
-		return fmt.Sprintf("%d of %d gateways are out", out, all)
-	case (g.Voter || g.Leader) && before > 0:
-		return fmt.Sprintf("votes, or leads: after %d others", before)
+	case out+1 > maxOut(e.cfg.MaxGatewayFraction, total):
+		return fmt.Sprintf("%d of %d gateways are out", out, total)
+	case (g.Voter || g.Leader) && goFirst > 0:
+		return fmt.Sprintf("votes, or leads: after %d others", goFirst)
 	}
 	return ""
 }
 
 // otherGateways counts the other gateways with maintenance: those that are out, and those that have to go before g. blocked names one
 // that g may not be out with.
-func (e *evaluation) otherGateways(m *Machine, g Member) (out, before int, blocked string) {
+func (e *evaluation) otherGateways(m *Machine, g Member) (out, goFirst int, reason string) {
 	for _, r := range e.schedule.Requests {
 		for _, o := range r.Machines {
 			other, isGateway := e.gateway(o.Name)
@@ -160,15 +160,15 @@
 			case o.out():
 				out++
 				if other.Zone == g.Zone {
-					return out, before, o.Name + " of the same zone is out"
+					return out, goFirst, o.Name + " of the same zone is out"
 				}
 				if other.Voter && g.Voter {
-					return out, before, "voter " + o.Name + " is out"
+					return out, goFirst, "voter " + o.Name + " is out"
 				}
 			case o.State == Waiting && r.State == Waiting && !other.Leader && (!other.Voter || g.Leader):
-				before++
+				goFirst++
 			}
 		}
 	}
-	return out, before, ""
+	return out, goFirst, ""
 }
--- a/internal/fleet/maintenance/command.go
+++ b/internal/fleet/maintenance/command.go
@@ -26,9 +26,9 @@
 
 // Bounds of a command.
 const (
-	maxText  = 512              // bytes, of each text
-	maxName  = 64               // bytes, of a machine's name
-	maxForMS = 24 * 3600 * 1000 // ms
+	maxTextLength = 512              // bytes, of each text
+	maxNameLength = 64               // bytes, of a machine's name
+	maxDurationMS = 24 * 3600 * 1000 // ms
 )
 
 // Causes of a refused command, for errors.Is.
@@ -69,13 +69,13 @@
 // check checks what all commands have in common.
 func (c *Command) check() error {
 	switch {
-	case c.By == "" || c.Reason == "" || len(c.By) > maxText || len(c.Reason) > maxText:
+	case c.By == "" || c.Reason == "" || len(c.By) > maxTextLength || len(c.Reason) > maxTextLength:
 		return reject(ErrInvalid, "who asks, and why, in up to 512 bytes each")
 	case len(c.Machines) > maxMachines:
 		return reject(ErrInvalid, "%d machines, %d at most", len(c.Machines), maxMachines)
 	}
 	for i, name := range c.Machines {
-		if name == "" || len(name) > maxName || strings.ContainsAny(name, " \t\r\n") || slices.Contains(c.Machines[:i], name) {
+		if name == "" || len(name) > maxNameLength || strings.ContainsAny(name, " \t\r\n") || slices.Contains(c.Machines[:i], name) {
 			return reject(ErrInvalid, "%q is no machine, or is named twice", name)
 		}
 	}
@@ -96,7 +96,7 @@
 }
 
 // handler applies a command to the section of the plan. It returns no section if the plan has it already.
-func handler(apply func(b *Schedule, c Command, unix int64) error) fleet.CommandHandler {
+func handler(apply func(s *Schedule, c Command, unix int64) error) fleet.CommandHandler {
 	return func(p *fleet.Plan, args []byte, unix int64) (map[string]cbor.RawMessage, error) {
 		var c Command
 		if err := cbor.Unmarshal(args, &c); err != nil {
@@ -121,28 +121,28 @@
 }
 
 // submitRequest adds a request. It is idempotent by the key: the same request again changes nothing, whichever gateway forwards it.
-func submitRequest(b *Schedule, c Command, unix int64) error {
+func submitRequest(s *Schedule, c Command, unix int64) error {
 	if err := c.checkRequest(); err != nil {
 		return err
 	}
-	for i := range b.Requests {
-		if r := &b.Requests[i]; r.Key == c.Key {
+	for i := range s.Requests {
+		if r := &s.Requests[i]; r.Key == c.Key {
 			if !r.matches(c) {
 				return reject(ErrConflict, "key %q is that of request %d, which asks for something else", c.Key, r.ID)
 			}
 			return nil
 		}
-		if err := b.Requests[i].conflict(c); err != nil {
+		if err := s.Requests[i].conflict(c); err != nil {
 			return err
 		}
 	}
-	if open := b.countOpen(); open >= maxOpen {
+	if open := s.countOpen(); open >= maxOpen {
 		return reject(ErrLimit, "%d requests are open", open)
 	}
-	if c.After != 0 && b.find(c.After) == nil {
+	if c.After != 0 && s.find(c.After) == nil {
 		return reject(ErrUnknown, "no request %d to come after", c.After)
 	}
-	b.add(c, unix)
+	s.add(c, unix)
 	return nil
 }
 
@@ -153,9 +153,9 @@
 		return reject(ErrInvalid, "no machines")
 	case c.Kind != Restart && c.Kind != Replace && c.Kind != Off:
 		return reject(ErrInvalid, "kind %q; restart, replace or off", c.Kind)
-	case c.ForMS <= 0 || c.ForMS > maxForMS:
+	case c.ForMS <= 0 || c.ForMS > maxDurationMS:
 		return reject(ErrInvalid, "for %d ms; more than none, and a day at most", c.ForMS)
-	case c.Key == "" || len(c.Key) > maxText:
+	case c.Key == "" || len(c.Key) > maxTextLength:
 		return reject(ErrInvalid, "a key, in up to 512 bytes")
 	}
 	return nil
@@ -181,9 +181,9 @@
 }
 
 // countOpen counts the requests that have not ended.
-func (b *Schedule) countOpen() (open int) {
-	for i := range b.Requests {
-		if !b.Requests[i].ended() {
+func (s *Schedule) countOpen() (open int) {
+	for i := range s.Requests {
+		if !s.Requests[i].ended() {
 			open++
 		}
 	}
@@ -191,10 +191,10 @@
 }
 
 // add appends a request. Its machines are no longer off for good.
-func (b *Schedule) add(c Command, unix int64) {
-	b.LastID++
+func (s *Schedule) add(c Command, unix int64) {
+	s.LastID++
 	r := Request{
-		ID:          b.LastID,
+		ID:          s.LastID,
 		Key:         c.Key,
 		By:          c.By,
 		Reason:      c.Reason,
@@ -206,14 +206,14 @@
 	}
 	for _, name := range c.Machines {
 		r.Machines = append(r.Machines, Machine{Name: name, Since: unix})
-		b.Off = slices.DeleteFunc(b.Off, func(off string) bool { return off == name })
+		s.Off = slices.DeleteFunc(s.Off, func(off string) bool { return off == name })
 	}
-	b.Requests = append(b.Requests, r)
+	s.Requests = append(s.Requests, r)
 }
 
 // findOpen returns a request that has not ended, or a CommandError.
-func (b *Schedule) findOpen(id uint64) (*Request, error) {
-	r := b.find(id)
+func (s *Schedule) findOpen(id uint64) (*Request, error) {
+	r := s.find(id)
 	if r == nil {
 		return nil, reject(ErrUnknown, "no request %d", id)
 	}
@@ -225,8 +225,8 @@
 
 // cancelRequest cancels the machines of a request whose maintenance has not begun. A machine that is free stays so: it may be in
 // pieces, and only the operator who works on it can complete it.
-func cancelRequest(b *Schedule, c Command, unix int64) error {
-	r, err := b.findOpen(c.ID)
+func cancelRequest(s *Schedule, c Command, unix int64) error {
+	r, err := s.findOpen(c.ID)
 	if err != nil {
 		return err
 	}
@@ -242,8 +242,8 @@
 }
 
 // completeWork ends the maintenance of machines: the named ones, or all of the request that are free or on hold after their turn.
-func completeWork(b *Schedule, c Command, unix int64) error {
-	r, err := b.findOpen(c.ID)
+func completeWork(s *Schedule, c Command, unix int64) error {
+	r, err := s.findOpen(c.ID)
 	if err != nil {
 		return err
 	}
@@ -255,8 +255,8 @@
 			continue
 		}
 		switch {
-		case m.State == Released || m.onHoldAfterTurn():
-			b.endWork(r, m, unix, "done, says "+c.By)
+		case m.State == Released || m.onHoldAfterAnnouncement():
+			s.endWork(r, m, unix, "done, says "+c.By)
 			completed = true
 		case named && m.State != Returned && m.State != Done:
 			return reject(ErrState, "%s of request %d is %s, not free", m.Name, r.ID, m.State)
@@ -270,8 +270,8 @@
 }
 
 // holdRequest stops a request before its next turn, until resumeRequest.
-func holdRequest(b *Schedule, c Command, _ int64) error {
-	r, err := b.findOpen(c.ID)
+func holdRequest(s *Schedule, c Command, _ int64) error {
+	r, err := s.findOpen(c.ID)
 	if err != nil {
 		return err
 	}
@@ -281,8 +281,8 @@
 }
 
 // resumeRequest ends a hold. A machine on hold waits again, or returns if its turn was announced.
-func resumeRequest(b *Schedule, c Command, unix int64) error {
-	r, err := b.findOpen(c.ID)
+func resumeRequest(s *Schedule, c Command, unix int64) error {
+	r, err := s.findOpen(c.ID)
 	if err != nil {
 		return err
 	}
@@ -302,15 +302,15 @@
 }
 
 // removeGateways removes gateways from the roster whose processes ended without leaving the fleet: no turn waits for them any more.
-func removeGateways(b *Schedule, c Command, _ int64) error {
+func removeGateways(s *Schedule, c Command, _ int64) error {
 	if len(c.Machines) == 0 {
 		return reject(ErrInvalid, "no gateway named")
 	}
 	for _, name := range c.Machines {
-		if _, ok := b.Roster[name]; !ok {
+		if _, ok := s.Roster[name]; !ok {
 			return reject(ErrUnknown, "nobody waits for a gateway %q", name)
 		}
-		delete(b.Roster, name)
+		delete(s.Roster, name)
 	}
 	return nil
 }
--- a/internal/fleet/maintenance/forecast.go
+++ b/internal/fleet/maintenance/forecast.go
@@ -25,12 +25,12 @@
 
 // Parameters of the simulation.
 const (
-	forecastTick     = 200 * time.Millisecond
-	forecastAckTime  = 400 * time.Millisecond // until all gateways have acknowledged a turn
-	forecastInterval = time.Second            // between two observations of a returned machine
-	forecastServed   = 2                      // attempts in each of them
-	forecastMaxIdle  = time.Minute            // without a turn, until the rest is stuck
-	forecastMaxTime  = 24 * time.Hour
+	forecastTick                 = 200 * time.Millisecond
+	forecastAckDelay             = 400 * time.Millisecond // until all gateways have acknowledged a turn
+	forecastObservationInterval  = time.Second            // between two observations of a returned machine
+	forecastServedPerObservation = 2                      // attempts in each of them
+	forecastMaxIdle              = time.Minute            // without a turn, until the rest is stuck
+	forecastMaxDuration          = 24 * time.Hour
 )
 
 // forecastRun is the state of one simulation.
@@ -40,7 +40,7 @@
 	schedule     Schedule
 	servers      map[string]Server
 	acknowledged map[string]uint64        // turn by machine
-	freeAt       map[string]time.Duration // of machines with a turn that is not done
+	releasedAt   map[string]time.Duration // of machines with a turn that is not done
 	workTime     time.Duration            // of each machine
 	load         float64                  // fraction of the capacity of all servers
 	startedAt    int64                    // Unix ms
@@ -51,14 +51,14 @@
 // Simulate plays a request on a fleet without any other fault: each machine is free for as long as the request allows. load is a fraction
 // of the capacity of all servers, start the fraction of its capacity that a server has when it starts. It returns the error of a request
 // that would be refused.
-func Simulate(cfg Config, servers map[string]Server, c Command, load, start float64) (Forecast, error) {
+func Simulate(cfg Config, servers map[string]Server, c Command, load, startCapacity float64) (Forecast, error) {
 	run := newForecastRun(cfg, servers, c, load)
 	if err := submitRequest(&run.schedule, c, run.startedAt); err != nil {
 		return Forecast{}, err
 	}
-	for ; run.now < forecastMaxTime; run.now += forecastTick {
-		run.work()
-		run.measure(start)
+	for ; run.now < forecastMaxDuration; run.now += forecastTick {
+		run.simulateMachines()
+		run.updateExtremes(startCapacity)
 		r := &run.schedule.Requests[0]
 		if r.ended() {
 			run.result.Elapsed = run.now
@@ -90,7 +90,7 @@
 		schedule:     Schedule{Roster: map[string]int64{}},
 		servers:      maps.Clone(servers),
 		acknowledged: map[string]uint64{},
-		freeAt:       map[string]time.Duration{},
+		releasedAt:   map[string]time.Duration{},
 		workTime:     time.Duration(c.ForMS) * time.Millisecond,
 		load:         load,
 		startedAt:    startedAt + cfg.SlowStart.Milliseconds(),
@@ -100,27 +100,27 @@
 
 func (f *forecastRun) unix() int64 { return f.startedAt + f.now.Milliseconds() }
 
-// work plays the gateways and the operator on each machine.
-func (f *forecastRun) work() {
+// simulateMachines plays the gateways and the operator on each machine.
+func (f *forecastRun) simulateMachines() {
 	r := &f.schedule.Requests[0]
 	for i := range r.Machines {
 		m := &r.Machines[i]
 		age := time.Duration(f.unix()-m.Since) * time.Millisecond
 		switch m.State {
 		case Announced:
-			if age >= forecastAckTime {
+			if age >= forecastAckDelay {
 				f.acknowledged[m.Name] = m.AnnouncementID
 			}
 		case Released:
 			f.workOn(r, m, age)
 		case Returned:
-			if f.now%forecastInterval == 0 {
-				f.scheduler.Observe(f.now, m.Name, forecastServed, 0, 0, 0)
+			if f.now%forecastObservationInterval == 0 {
+				f.scheduler.Observe(f.now, m.Name, forecastServedPerObservation, 0, 0, 0)
 			}
 		case Done:
-			if free, ok := f.freeAt[m.Name]; ok {
-				f.result.Steps = append(f.result.Steps, ForecastStep{m.Name, free, f.now})
-				delete(f.freeAt, m.Name)
+			if releasedAt, ok := f.releasedAt[m.Name]; ok {
+				f.result.Steps = append(f.result.Steps, ForecastStep{m.Name, releasedAt, f.now})
+				delete(f.releasedAt, m.Name)
 			}
 		}
 	}
@@ -128,8 +128,8 @@
 
 // workOn restarts a machine at the end of its work.
 func (f *forecastRun) workOn(r *Request, m *Machine, age time.Duration) {
-	if _, ok := f.freeAt[m.Name]; !ok {
-		f.freeAt[m.Name] = f.now
+	if _, ok := f.releasedAt[m.Name]; !ok {
+		f.releasedAt[m.Name] = f.now
 	}
 	if age < f.workTime-forecastTick {
 		return
@@ -140,39 +140,39 @@
 	f.schedule.endWork(r, m, f.unix(), "")
 }
 
-// measure updates the extremes: the machines that are out, and the capacity beyond the load.
-func (f *forecastRun) measure(start float64) {
+// updateExtremes updates the extremes: the machines that are out, and the capacity beyond the load.
+func (f *forecastRun) updateExtremes(startCapacity float64) {
 	out := 0
 	capacity := 0.0 // in warm servers
 	withdrawn := f.schedule.Withdrawn()
 	for name, s := range f.servers {
-		if _, skip := withdrawn[name]; skip {
+		if _, isWithdrawn := withdrawn[name]; isWithdrawn {
 			out++
 			continue
 		}
-		capacity += f.warmth(s, start)
+		capacity += f.capacityFraction(s, startCapacity)
 	}
 	f.result.MaxOut = max(f.result.MaxOut, out)
 	f.result.Spare = min(f.result.Spare, capacity/float64(len(f.servers))-f.load)
 }
 
-// warmth is the fraction of its capacity that a server has; it grows linearly over the slow start.
-func (f *forecastRun) warmth(s Server, start float64) float64 {
+// capacityFraction is the fraction of its capacity that a server has; it grows linearly over the slow start.
+func (f *forecastRun) capacityFraction(s Server, startCapacity float64) float64 {
 	age := time.Duration(f.unix()-s.Since) * time.Millisecond
 	if s.Since <= 0 || age >= f.cfg.SlowStart {
 		return 1
 	}
-	return start + (1-start)*age.Seconds()/f.cfg.SlowStart.Seconds()
+	return startCapacity + (1-startCapacity)*age.Seconds()/f.cfg.SlowStart.Seconds()
 }
 
 // stuck tells whether no machine has a turn, and none had one for forecastMaxIdle.
 func (f *forecastRun) stuck(r *Request) bool {
-	inTurn := slices.ContainsFunc(r.Machines, func(m Machine) bool { return m.State != Waiting && !m.ended() })
-	if inTurn || f.now <= forecastMaxIdle {
+	active := slices.ContainsFunc(r.Machines, func(m Machine) bool { return m.State != Waiting && !m.ended() })
+	if active || f.now <= forecastMaxIdle {
 		return false
 	}
-	turns := f.result.Steps
-	return len(turns) == 0 || f.now-turns[len(turns)-1].Done > forecastMaxIdle
+	steps := f.result.Steps
+	return len(steps) == 0 || f.now-steps[len(steps)-1].Done > forecastMaxIdle
 }
 
 // step advances the schedule, with one gateway that acknowledges for all.
--- a/internal/fleet/maintenance/forecast_test.go
+++ b/internal/fleet/maintenance/forecast_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-func serversIn(zones, each int) map[string]Server {
+func serversIn(zones, perZone int) map[string]Server {
 	servers := map[string]Server{}
 	for z := range zones {
-		for i := range each {
+		for i := range perZone {
 			servers[fmt.Sprintf("s-%c%d", 'a'+z, i)] = Server{Zone: string(rune('a' + z)), Ready: true}
 		}
 	}
@@ -22,14 +22,14 @@
 	cfg := Defaults
 	servers := serversIn(3, 4)
 	c := Command{By: "ann", Reason: "release", Key: "k", Kind: Restart, ForMS: 60_000, Machines: names(servers)}
-	a, err := Simulate(cfg, servers, c, 0.7, 0.22)
-	if err != nil || len(a.Steps) != 12 || a.MaxOut > 2 || len(a.Stuck) > 0 || a.Spare > 0.3 || a.Spare < 0 {
-		t.Errorf("%+v %v", a, err)
+	forecast, err := Simulate(cfg, servers, c, 0.7, 0.22)
+	if err != nil || len(forecast.Steps) != 12 || forecast.MaxOut > 2 || len(forecast.Stuck) > 0 || forecast.Spare > 0.3 || forecast.Spare < 0 {
+		t.Errorf("%+v %v", forecast, err)
 	}
-	t.Logf("12 servers, a minute each, load 0.7: %v, %d out at most, %.2f to spare", a.Elapsed, a.MaxOut, a.Spare)
-	if a, err = Simulate(cfg, serversIn(1, 1), Command{By: "ann", Reason: "x", Key: "k", Kind: Restart, ForMS: 60_000, Machines: []string{"s-a0"}}, 0.2, 0.22); err != nil ||
-		len(a.Steps) != 0 || len(a.Stuck) != 1 {
-		t.Errorf("the last server: %+v %v", a, err)
+	t.Logf("12 servers, a minute each, load 0.7: %v, %d out at most, %.2f to spare", forecast.Elapsed, forecast.MaxOut, forecast.Spare)
+	if forecast, err = Simulate(cfg, serversIn(1, 1), Command{By: "ann", Reason: "x", Key: "k", Kind: Restart, ForMS: 60_000, Machines: []string{"s-a0"}}, 0.2, 0.22); err != nil ||
+		len(forecast.Steps) != 0 || len(forecast.Stuck) != 1 {
+		t.Errorf("the last server: %+v %v", forecast, err)
 	}
 	if _, err = Simulate(cfg, servers, Command{By: "ann", Reason: "x", Key: "k", Kind: Restart, Machines: []string{"s-a0"}}, 0.2, 0.22); err == nil {
 		t.Error("a request that is refused is simulated")
@@ -37,17 +37,17 @@
 }
 
 // At large size: 200 servers in 12 zones, 40 % of them through work.
-func TestLargeRestart(t *testing.T) {
+func TestSimulateLargeFleet(t *testing.T) {
 	servers := serversIn(12, 17)
 	all := names(servers)
 	c := Command{By: "ann", Reason: "release", Key: "k", Kind: Restart, ForMS: 120_000, Machines: all[:82]}
-	began := time.Now()
-	a, err := Simulate(Defaults, servers, c, 0.7, 0.22)
-	if err != nil || len(a.Steps) != 82 || a.Elapsed > time.Hour {
-		t.Fatalf("%d turns within %v, stuck %v, %v", len(a.Steps), a.Elapsed, a.Stuck, err)
+	startedAt := time.Now()
+	forecast, err := Simulate(Defaults, servers, c, 0.7, 0.22)
+	if err != nil || len(forecast.Steps) != 82 || forecast.Elapsed > time.Hour {
+		t.Fatalf("%d turns within %v, stuck %v, %v", len(forecast.Steps), forecast.Elapsed, forecast.Stuck, err)
 	}
-	t.Logf("82 of 204 servers, two minutes each, load 0.7: %v, %d out at most, %.3f to spare; %v to reckon", a.Elapsed, a.MaxOut, a.Spare,
-		time.Since(began).Round(time.Millisecond))
+	t.Logf("82 of 204 servers, two minutes each, load 0.7: %v, %d out at most, %.3f to spare; %v to reckon", forecast.Elapsed, forecast.MaxOut, forecast.Spare,
+		time.Since(startedAt).Round(time.Millisecond))
 }
 
 // A hundred requests of mixed size: none starves, and the longest wait is not far from the mean.
@@ -62,28 +62,28 @@
 				machines = append(machines, m)
 			}
 		}
-		if sim.call(submitRequest, Command{Key: fmt.Sprint("r", submitted), Kind: Restart, ForMS: 60_000, Machines: machines}) == nil {
+		if sim.apply(submitRequest, Command{Key: fmt.Sprint("r", submitted), Kind: Restart, ForMS: 60_000, Machines: machines}) == nil {
 			submitted++
 		}
 		sim.run(time.Duration(sim.rng.IntN(4000)) * time.Millisecond)
 	}
-	first := map[string]time.Duration{}
-	recordTurns := func() {
+	firstAnnouncedAfter := map[string]time.Duration{}
+	recordAnnouncements := func() {
 		for _, r := range sim.schedule.Requests {
-			if _, ok := first[r.Key]; !ok && slices.ContainsFunc(r.Machines, func(m Machine) bool { return m.AnnouncementID > 0 }) {
-				first[r.Key] = time.Duration(sim.unix()-r.RequestedAt) * time.Millisecond
+			if _, ok := firstAnnouncedAfter[r.Key]; !ok && slices.ContainsFunc(r.Machines, func(m Machine) bool { return m.AnnouncementID > 0 }) {
+				firstAnnouncedAfter[r.Key] = time.Duration(sim.unix()-r.RequestedAt) * time.Millisecond
 			}
 		}
 	}
 	for end := sim.now + 4*time.Hour; sim.now < end && slices.ContainsFunc(sim.schedule.Requests, func(r Request) bool { return !r.ended() }); {
 		sim.step()
-		recordTurns()
+		recordAnnouncements()
 	}
 	longest, sum := time.Duration(0), time.Duration(0)
-	for _, d := range first {
+	for _, d := range firstAnnouncedAfter {
 		longest, sum = max(longest, d), sum+d
 	}
-	mean := sum / time.Duration(max(1, len(first)))
+	mean := sum / time.Duration(max(1, len(firstAnnouncedAfter)))
 	for _, r := range sim.schedule.Requests {
 		if r.State != Done {
 			t.Errorf("%+v", r)
--- a/internal/fleet/maintenance/golden_test.go
+++ b/internal/fleet/maintenance/golden_test.go
@@ -30,27 +30,27 @@
 	{ID: 4, Key: "k4", By: "dan", Reason: "none", Kind: Off, ForMS: 5, RequestedAt: 6, State: Cancelled, Machines: []Machine{{Name: "g8", State: Cancelled}}},
 }, Roster: map[string]int64{"g1": 81, "g2": 82, "gateway-3": 83}, Off: []string{"s-00000009", "s-00000008"}}
 
-// TestGoldenBook freezes the section of the plan that voters store and members read, and the page of it that operators read.
-func TestGoldenBook(t *testing.T) {
+// TestGoldenSchedule freezes the section of the plan that voters store and members read, and the page of it that operators read.
+func TestGoldenSchedule(t *testing.T) {
 	if Section != "work" {
 		t.Error("section:", Section)
 	}
 	first := goldenSchedule
 	first.Requests = first.Requests[:1]
 	golden.Filled(t, first)
-	for name, b := range map[string]Schedule{"book": goldenSchedule, "book-least": {}} {
-		golden.Compare(t, name+".cbor", EncodeSection(b)["work"])
+	for name, schedule := range map[string]Schedule{"book": goldenSchedule, "book-least": {}} {
+		golden.Compare(t, name+".cbor", EncodeSection(schedule)["work"])
 		p := fleet.Plan{Sections: map[string]cbor.RawMessage{"work": golden.Read(t, name+".cbor")}}
-		if got, err := Read(&p); err != nil || !reflect.DeepEqual(got, b) {
+		if got, err := Read(&p); err != nil || !reflect.DeepEqual(got, schedule) {
 			t.Errorf("%s: read as %+v, %v", name, got, err)
 		}
-		text, err := json.MarshalIndent(b, "", "  ")
+		text, err := json.MarshalIndent(schedule, "", "  ")
 		if err != nil {
 			t.Fatal(err)
 		}
 		golden.Compare(t, name+".json", text)
 		var got Schedule
-		if err := json.Unmarshal(golden.Read(t, name+".json"), &got); err != nil || !reflect.DeepEqual(got, b) {
+		if err := json.Unmarshal(golden.Read(t, name+".json"), &got); err != nil || !reflect.DeepEqual(got, schedule) {
 			t.Errorf("%s: read as %+v, %v", name, got, err)
 		}
 	}
@@ -77,8 +77,8 @@
 	}
 }
 
-// TestGoldenCalls freezes the arguments of operators' calls, which the leader reads, their names, and what a request becomes.
-func TestGoldenCalls(t *testing.T) {
+// TestGoldenCommands freezes the arguments of operators' calls, which the leader reads, their names, and what a request becomes.
+func TestGoldenCommands(t *testing.T) {
 	for name, c := range map[string]Command{
 		"call": {By: "alice", Reason: "kernel", Key: "k1", Kind: Restart, ForMS: 300000, NotBefore: 1700000000011, After: 12,
 			Machines: []string{"s-00000001", "s-00000002"}, ID: 13},
@@ -98,11 +98,11 @@
 		"work-request", "work-resume"}) {
 		t.Error("calls:", got)
 	}
-	set, err := Commands()["work-request"](&fleet.Plan{}, golden.Read(t, "call-request.cbor"), 1700000000021)
-	if err != nil || len(set) != 1 {
-		t.Fatal(set, err)
+	sections, err := Commands()["work-request"](&fleet.Plan{}, golden.Read(t, "call-request.cbor"), 1700000000021)
+	if err != nil || len(sections) != 1 {
+		t.Fatal(sections, err)
 	}
-	golden.Compare(t, "settled-request.cbor", set["work"])
+	golden.Compare(t, "settled-request.cbor", sections["work"])
 }
 
 // TestGoldenForecast freezes what work plan --json prints, and the page of the servers that it is made from, which the command reads.
--- a/internal/fleet/maintenance/health.go
+++ b/internal/fleet/maintenance/health.go
@@ -59,6 +59,6 @@
 }
 
 // warming tells whether a server is in slow start.
-func (e *evaluation) warming(v Server) bool {
-	return v.Since > 0 && time.Duration(e.unix-v.Since)*time.Millisecond < e.cfg.SlowStart
+func (e *evaluation) warming(server Server) bool {
+	return server.Since > 0 && time.Duration(e.unix-server.Since)*time.Millisecond < e.cfg.SlowStart
 }
--- a/internal/fleet/maintenance/schedule.go
+++ b/internal/fleet/maintenance/schedule.go
@@ -74,14 +74,14 @@
 
 // withdrawn tells whether nothing new may be sent to the machine.
 func (m *Machine) withdrawn() bool {
-	return m.State == Announced || m.State == Released || m.onHoldAfterTurn()
+	return m.State == Announced || m.State == Released || m.onHoldAfterAnnouncement()
 }
 
 // out tells whether the machine is withdrawn, or has returned and not proved its health yet.
 func (m *Machine) out() bool { return m.withdrawn() || m.State == Returned }
 
-// onHoldAfterTurn tells whether the machine was put on hold after its turn had been announced.
-func (m *Machine) onHoldAfterTurn() bool { return m.State == OnHold && m.AnnouncementID > 0 }
+// onHoldAfterAnnouncement tells whether the machine was put on hold after its turn had been announced.
+func (m *Machine) onHoldAfterAnnouncement() bool { return m.State == OnHold && m.AnnouncementID > 0 }
 
 // ended tells whether nothing more happens to the machine.
 func (m *Machine) ended() bool { return m.State == Done || m.State == Cancelled }
@@ -106,8 +106,8 @@
 // ended tells whether the request is over.
 func (r *Request) ended() bool { return r.State == Done || r.State == Cancelled }
 
-// waits tells whether a machine of the request waits for its turn.
-func (r *Request) waits() bool {
+// hasWaiting tells whether a machine of the request waits for its turn.
+func (r *Request) hasWaiting() bool {
 	return slices.ContainsFunc(r.Machines, func(m Machine) bool { return m.State == Waiting })
 }
 
@@ -144,8 +144,8 @@
 	maxOff      = 1024
 )
 
-// deterministic encodes maps in one order: in a random order the same schedule would be other bytes each time, and each a new plan.
-var deterministic = func() cbor.EncMode {
+// deterministicMode encodes maps in one order: in a random order the same schedule would be other bytes each time, and each a new plan.
+var deterministicMode = func() cbor.EncMode {
 	m, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
 		panic("work: " + err.Error()) // the options are constant
@@ -154,8 +154,8 @@
 }()
 
 // encode returns the bytes of a schedule, which are the same for equal schedules.
-func (b Schedule) encode() []byte {
-	raw, err := deterministic.Marshal(b)
+func (s Schedule) encode() []byte {
+	raw, err := deterministicMode.Marshal(s)
 	if err != nil {
 		panic("work: " + err.Error()) // Schedule has only types that can be encoded
 	}
@@ -163,46 +163,46 @@
 }
 
 // EncodeSection encodes a schedule as a section of the plan.
-func EncodeSection(b Schedule) map[string]cbor.RawMessage {
-	return map[string]cbor.RawMessage{Section: b.encode()}
+func EncodeSection(s Schedule) map[string]cbor.RawMessage {
+	return map[string]cbor.RawMessage{Section: s.encode()}
 }
 
 // Read decodes the schedule of a plan; a plan without one has an empty schedule.
-func Read(p *fleet.Plan) (b Schedule, err error) {
-	_, err = p.Section(Section, &b)
-	return b, err
+func Read(p *fleet.Plan) (s Schedule, err error) {
+	_, err = p.Section(Section, &s)
+	return s, err
 }
 
 // clone copies all that a change may touch.
-func (b Schedule) clone() Schedule {
-	b.Requests = slices.Clone(b.Requests)
-	b.Roster = maps.Clone(b.Roster)
-	b.Off = slices.Clone(b.Off)
-	for i := range b.Requests {
-		b.Requests[i].Machines = slices.Clone(b.Requests[i].Machines)
+func (s Schedule) clone() Schedule {
+	s.Requests = slices.Clone(s.Requests)
+	s.Roster = maps.Clone(s.Roster)
+	s.Off = slices.Clone(s.Off)
+	for i := range s.Requests {
+		s.Requests[i].Machines = slices.Clone(s.Requests[i].Machines)
 	}
-	return b
+	return s
 }
 
 // withoutNotes returns a copy without the notes, which change with the figures in them.
-func (b Schedule) withoutNotes() Schedule {
-	b = b.clone()
-	for i := range b.Requests {
-		b.Requests[i].Note = ""
-		for j := range b.Requests[i].Machines {
-			b.Requests[i].Machines[j].Note = ""
+func (s Schedule) withoutNotes() Schedule {
+	s = s.clone()
+	for i := range s.Requests {
+		s.Requests[i].Note = ""
+		for j := range s.Requests[i].Machines {
+			s.Requests[i].Machines[j].Note = ""
 		}
 	}
-	return b
+	return s
 }
 
 // Withdrawn returns the machines that nothing new may be sent to, with the number of their turn; 0 for those that are off for good.
-func (b Schedule) Withdrawn() map[string]uint64 {
+func (s Schedule) Withdrawn() map[string]uint64 {
 	withdrawn := map[string]uint64{}
-	for _, name := range b.Off {
+	for _, name := range s.Off {
 		withdrawn[name] = 0
 	}
-	for _, r := range b.Requests {
+	for _, r := range s.Requests {
 		for _, m := range r.Machines {
 			if m.withdrawn() {
 				withdrawn[m.Name] = m.AnnouncementID
@@ -213,43 +213,43 @@
 }
 
 // hasOpen tells whether any request has not ended.
-func (b *Schedule) hasOpen() bool {
-	return slices.ContainsFunc(b.Requests, func(r Request) bool { return !r.ended() })
+func (s *Schedule) hasOpen() bool {
+	return slices.ContainsFunc(s.Requests, func(r Request) bool { return !r.ended() })
 }
 
 // find returns a request by its ID, or nil.
-func (b *Schedule) find(id uint64) *Request {
-	for i := range b.Requests {
-		if b.Requests[i].ID == id {
-			return &b.Requests[i]
+func (s *Schedule) find(id uint64) *Request {
+	for i := range s.Requests {
+		if s.Requests[i].ID == id {
+			return &s.Requests[i]
 		}
 	}
 	return nil
 }
 
 // endWork ends the maintenance of a machine: after a restart it returns, otherwise it is off for good.
-func (b *Schedule) endWork(r *Request, m *Machine, unix int64, note string) {
+func (s *Schedule) endWork(r *Request, m *Machine, unix int64, note string) {
 	m.enter(Returned, unix, note)
 	m.Until = 0
 	if r.Kind == Restart {
 		return
 	}
 	m.State = Done
-	b.Off = append(b.Off, m.Name)
-	if len(b.Off) > maxOff {
-		b.Off = b.Off[1:]
+	s.Off = append(s.Off, m.Name)
+	if len(s.Off) > maxOff {
+		s.Off = s.Off[1:]
 	}
 }
 
 // dropEnded forgets the oldest ended requests beyond maxEnded.
-func (b *Schedule) dropEnded() {
+func (s *Schedule) dropEnded() {
 	ended := 0
-	for _, r := range b.Requests {
+	for _, r := range s.Requests {
 		if r.ended() {
 			ended++
 		}
 	}
-	b.Requests = slices.DeleteFunc(b.Requests, func(r Request) bool {
+	s.Requests = slices.DeleteFunc(s.Requests, func(r Request) bool {
 		if !r.ended() || ended <= maxEnded {
 			return false
 		}
--- a/internal/fleet/maintenance/scheduler.go
+++ b/internal/fleet/maintenance/scheduler.go
@@ -59,15 +59,15 @@
 	MaxLoadGrowth:      1.5,
 }
 
-// noteInterval bounds how often a change of notes alone becomes a plan.
-const noteInterval = 3 * time.Second
+// minNoteInterval bounds how often a change of notes alone becomes a plan.
+const minNoteInterval = 3 * time.Second
 
 // Scheduler advances the schedule. Every voter observes, so that the next leader has the evidence; only the leader steps. All times of
 // type time.Duration are on the owner's monotonic clock.
 type Scheduler struct {
 	cfg       Config
 	health    map[string][]sample // by server, the oldest first
-	loads     []load              // by minute, the oldest first
+	loads     []peakLoad          // by minute, the oldest first
 	changedAt time.Duration       // of the last step that changed the schedule
 }
 
@@ -119,13 +119,13 @@
 	if !slices.Equal(current.withoutNotes().encode(), next.withoutNotes().encode()) {
 		return true
 	}
-	return now-s.changedAt >= noteInterval && !slices.Equal(current.encode(), next.encode())
+	return now-s.changedAt >= minNoteInterval && !slices.Equal(current.encode(), next.encode())
 }
 
 // rosterDiffers tells whether updateRoster would change the roster.
-func (b *Schedule) rosterDiffers(observed Observations) bool {
+func (s *Schedule) rosterDiffers(observed Observations) bool {
 	for name, m := range observed.Members {
-		if _, known := b.Roster[name]; known == m.HasLeft && (known || m.Reachable) {
+		if _, known := s.Roster[name]; known == m.HasLeft && (known || m.Reachable) {
 			return true
 		}
 	}
@@ -155,8 +155,8 @@
 func (e *evaluation) observeFleet() {
 	inUse := 0
 	withdrawn := e.schedule.Withdrawn()
-	for name, v := range e.observed.Servers {
-		if _, out := withdrawn[name]; v.Ready && !out && !slices.Contains(e.observed.ZonesNotInService, v.Zone) {
+	for name, server := range e.observed.Servers {
+		if _, out := withdrawn[name]; server.Ready && !out && !slices.Contains(e.observed.ZonesNotInService, server.Zone) {
 			inUse++
 		}
 	}
@@ -172,7 +172,7 @@
 
 // gateway returns the member that a machine is; ok is false for a server.
 func (e *evaluation) gateway(name string) (m Member, ok bool) {
-	m, member := e.observed.Members[name]
-	_, server := e.observed.Servers[name]
-	return m, member && !server
+	m, isMember := e.observed.Members[name]
+	_, isServer := e.observed.Servers[name]
+	return m, isMember && !isServer
 }
--- a/internal/fleet/maintenance/scheduler_test.go
+++ b/internal/fleet/maintenance/scheduler_test.go
@@ -11,37 +11,37 @@
 	"pgregory.net/rapid"
 )
 
-func TestAllServersThroughARestart(t *testing.T) {
+func TestRestartOfAllServers(t *testing.T) {
 	sim := newSimulation(t, 1, 6, 3, 4)
 	sim.submit("evening", Restart, names(sim.servers)...)
 	if !sim.runUntilEnded(20 * time.Minute) {
 		t.Fatalf("not over after %v: %+v", sim.now, sim.schedule.Requests)
 	}
-	if r := sim.schedule.Requests[0]; r.State != Done || sim.turns != 12 || sim.maxOut > 2 {
-		t.Errorf("%s %q, %d turns, %d out at once", r.State, r.Note, sim.turns, sim.maxOut)
+	if r := sim.schedule.Requests[0]; r.State != Done || sim.released != 12 || sim.maxOut > 2 {
+		t.Errorf("%s %q, %d turns, %d out at once", r.State, r.Note, sim.released, sim.maxOut)
 	}
 	t.Logf("12 servers in %v, %d out at most", sim.now, sim.maxOut)
 }
 
 // All gateways through a restart: one at a time, voters last, and the leader at the very end.
-func TestAllGatewaysThroughARestart(t *testing.T) {
-	o, b, f := New(Defaults), Schedule{}, Observations{Members: map[string]Member{}, Servers: map[string]Server{"s-a0": {Zone: "a", Ready: true}}}
+func TestRestartOfAllGateways(t *testing.T) {
+	scheduler, schedule, observed := New(Defaults), Schedule{}, Observations{Members: map[string]Member{}, Servers: map[string]Server{"s-a0": {Zone: "a", Ready: true}}}
 	var all []string
 	for i := range 6 {
 		name := fmt.Sprint("g", i)
 		all = append(all, name)
-		f.Members[name] = Member{Reachable: true, Fresh: true, Zone: string(rune('a' + i%3)), Voter: i < 3, Leader: i == 1, ProcessStartedAt: 1}
+		observed.Members[name] = Member{Reachable: true, Fresh: true, Zone: string(rune('a' + i%3)), Voter: i < 3, Leader: i == 1, ProcessStartedAt: 1}
 	}
 	c := Command{By: "ann", Reason: "release", Key: "k", Kind: Restart, ForMS: 60_000, Machines: all}
-	if err := submitRequest(&b, c, 0); err != nil {
+	if err := submitRequest(&schedule, c, 0); err != nil {
 		t.Fatal(err)
 	}
 	var order []string
-	for now := time.Duration(0); now < 5*time.Minute; now += tick {
-		b, _ = o.Step(now, 1_700_000_000_000+now.Milliseconds(), b, f)
+	for now := time.Duration(0); now < 5*time.Minute; now += simulationTick {
+		schedule, _ = scheduler.Step(now, 1_700_000_000_000+now.Milliseconds(), schedule, observed)
 		out := 0
-		for _, m := range b.Requests[0].Machines {
-			g := f.Members[m.Name]
+		for _, m := range schedule.Requests[0].Machines {
+			g := observed.Members[m.Name]
 			switch m.State {
 			case Announced:
 				g.Withdrawn = map[string]uint64{m.Name: m.AnnouncementID} // it has no clients
@@ -51,26 +51,26 @@
 					order = append(order, m.Name)
 				}
 				g = Member{Reachable: true, Fresh: true, Zone: g.Zone, Voter: g.Voter, Leader: g.Leader, ProcessStartedAt: 2, Withdrawn: g.Withdrawn}
-				f.Members[m.Name] = g
-				if err := completeWork(&b, Command{ID: 1, Machines: []string{m.Name}}, 1_700_000_000_000+now.Milliseconds()); err != nil {
+				observed.Members[m.Name] = g
+				if err := completeWork(&schedule, Command{ID: 1, Machines: []string{m.Name}}, 1_700_000_000_000+now.Milliseconds()); err != nil {
 					t.Fatal(err)
 				}
 				out++
 			case Returned:
 				out++
 			}
-			f.Members[m.Name] = g
+			observed.Members[m.Name] = g
 		}
 		if out > 1 {
-			t.Fatalf("%d are out: %+v", out, b.Requests[0])
+			t.Fatalf("%d are out: %+v", out, schedule.Requests[0])
 		}
 	}
-	if got := strings.Join(order, " "); got != "g3 g4 g5 g0 g2 g1" || b.Requests[0].State != Done {
-		t.Errorf("%s; %+v", got, b.Requests[0])
+	if got := strings.Join(order, " "); got != "g3 g4 g5 g0 g2 g1" || schedule.Requests[0].State != Done {
+		t.Errorf("%s; %+v", got, schedule.Requests[0])
 	}
 }
 
-func TestStalledGatewayIsWaitedFor(t *testing.T) {
+func TestReleaseWaitsForStalledGateway(t *testing.T) {
 	sim := newSimulation(t, 2, 6, 3, 4)
 	sim.gateways["g3"].stalled = sim.now + 10*time.Second
 	sim.submit("one", Restart, "s-a1")
@@ -79,7 +79,7 @@
 		t.Fatalf("%+v", m)
 	}
 	sim.run(5 * time.Second)
-	if sim.turns != 1 {
+	if sim.released != 1 {
 		t.Errorf("not free after it woke: %+v", sim.schedule.Requests[0])
 	}
 	// One that is over for good is waited for until a person says so.
@@ -90,7 +90,7 @@
 	if m := sim.schedule.Requests[1].Machines[0]; m.State != Announced {
 		t.Fatalf("%+v", m)
 	}
-	if err := sim.call(removeGateways, Command{Machines: []string{"g2"}}); err != nil {
+	if err := sim.apply(removeGateways, Command{Machines: []string{"g2"}}); err != nil {
 		t.Fatal(err)
 	}
 	delete(sim.gateways, "g2")
@@ -111,16 +111,16 @@
 		t.Fatalf("%+v", m)
 	}
 	sim.run(10 * time.Second)
-	if sim.turns != 0 {
+	if sim.released != 0 {
 		t.Errorf("a turn began while a zone is out")
 	}
 	sim.zonesOut = nil
-	if !sim.runUntilEnded(5*time.Minute) || sim.turns != 2 {
+	if !sim.runUntilEnded(5*time.Minute) || sim.released != 2 {
 		t.Errorf("after the fault: %+v", sim.schedule.Requests[0])
 	}
 }
 
-func TestFailedMachineIsHeld(t *testing.T) {
+func TestUnhealthyMachineIsPutOnHold(t *testing.T) {
 	sim := newSimulation(t, 4, 4, 3, 4)
 	sim.submit("one", Restart, "s-a1", "s-b1")
 	sim.unhealthy["s-a1"] = true
@@ -129,12 +129,12 @@
 	if r.State != OnHold || r.Machines[0].State != OnHold || !strings.Contains(r.Machines[0].Note, "ill on its return") {
 		t.Fatalf("%+v", r)
 	}
-	before := sim.schedule.Withdrawn()
-	if _, withdrawn := before["s-a1"]; !withdrawn {
+	withdrawnMachines := sim.schedule.Withdrawn()
+	if _, withdrawn := withdrawnMachines["s-a1"]; !withdrawn {
 		t.Error("the machine that failed is used")
 	}
 	sim.unhealthy["s-a1"] = false
-	if err := sim.call(resumeRequest, Command{ID: r.ID}); err != nil {
+	if err := sim.apply(resumeRequest, Command{ID: r.ID}); err != nil {
 		t.Fatal(err)
 	}
 	if !sim.runUntilEnded(5*time.Minute) || sim.schedule.Requests[0].State != Done {
@@ -154,26 +154,26 @@
 	sim.gateways["g3"].stalled = sim.now + time.Hour
 	sim.submit("one", Restart, names(sim.servers)...)
 	sim.run(5 * time.Second)
-	before := sim.changes
+	planChangesBefore := sim.planChanges
 	sim.run(30 * time.Second)
-	if n := sim.changes - before; n > 11 {
+	if n := sim.planChanges - planChangesBefore; n > 11 {
 		t.Errorf("%d plans in 30 s of waiting", n)
 	}
 }
 
 // A server in slow start whose answers come late is healthy; one that never answers is not.
-func TestLateAnswerIsNoFailure(t *testing.T) {
-	for _, never := range []bool{false, true} {
-		o := New(Defaults)
-		for now := time.Duration(0); now < 4*time.Second; now += tick {
+func TestLateAnswerIsNotFailure(t *testing.T) {
+	for _, neverAnswers := range []bool{false, true} {
+		scheduler := New(Defaults)
+		for now := time.Duration(0); now < 4*time.Second; now += simulationTick {
 			late := uint64(1)
-			if now < 2*tick || never {
+			if now < 2*simulationTick || neverAnswers {
 				late = 0
 			}
-			o.Observe(now, "s", 0, 0, 1, late)
+			scheduler.Observe(now, "s", 0, 0, 1, late)
 		}
-		if served, failed := o.healthSince("s", 4*time.Second, 0); never != (failed >= 3) || never != (served == 0) {
-			t.Errorf("never answers: %v: %d good, %d bad", never, served, failed)
+		if served, failed := scheduler.healthSince("s", 4*time.Second, 0); neverAnswers != (failed >= 3) || neverAnswers != (served == 0) {
+			t.Errorf("never answers: %v: %d good, %d bad", neverAnswers, served, failed)
 		}
 	}
 }
@@ -185,7 +185,7 @@
 	if len(sim.schedule.Requests) != 1 {
 		t.Fatalf("%+v", sim.schedule.Requests)
 	}
-	for what, c := range map[string]struct {
+	for name, c := range map[string]struct {
 		Command
 		want error
 	}{
@@ -196,18 +196,18 @@
 		"none":                    {Command{Key: "x", Kind: Off, ForMS: 1}, ErrInvalid},
 		"after none":              {Command{Key: "x", Kind: Off, ForMS: 1, After: 77, Machines: []string{"s-a2"}}, ErrUnknown},
 	} {
-		if err := sim.call(submitRequest, c.Command); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", what, err)
+		if err := sim.apply(submitRequest, c.Command); !errors.Is(err, c.want) {
+			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if err := sim.call(completeWork, Command{ID: 1, Machines: []string{"s-a1"}}); !errors.Is(err, ErrState) {
+	if err := sim.apply(completeWork, Command{ID: 1, Machines: []string{"s-a1"}}); !errors.Is(err, ErrState) {
 		t.Error("done before it is free")
 	}
 	sim.run(3 * time.Second)
 	if sim.schedule.Requests[0].Machines[0].State != Released {
 		t.Fatalf("%+v", sim.schedule.Requests[0])
 	}
-	if err := sim.call(cancelRequest, Command{ID: 1}); err != nil || sim.schedule.Requests[0].Machines[0].State != Released {
+	if err := sim.apply(cancelRequest, Command{ID: 1}); err != nil || sim.schedule.Requests[0].Machines[0].State != Released {
 		t.Errorf("a free machine is cancelled: %+v %v", sim.schedule.Requests[0], err)
 	}
 	sim.submit("gone", Off, "s-b1")
@@ -215,7 +215,7 @@
 	if _, withdrawn := sim.schedule.Withdrawn()["s-b1"]; !withdrawn || sim.schedule.Requests[1].State != Done {
 		t.Errorf("off, and used again: %+v", sim.schedule.Requests[1])
 	}
-	if err := sim.call(cancelRequest, Command{ID: 9}); !errors.Is(err, ErrUnknown) {
+	if err := sim.apply(cancelRequest, Command{ID: 9}); !errors.Is(err, ErrUnknown) {
 		t.Error("cancels what is not there")
 	}
 }
@@ -237,7 +237,7 @@
 					sim.zonesOut = []string{string(rune('a' + sim.rng.IntN(3)))}
 				}
 			case 2:
-				sim.rejecting = sim.rng.IntN(4) == 0
+				sim.saturated = sim.rng.IntN(4) == 0
 			case 3, 4, 5:
 				var machines []string
 				for range 1 + sim.rng.IntN(4) {
@@ -245,10 +245,10 @@
 						machines = append(machines, m)
 					}
 				}
-				_ = sim.call(submitRequest, Command{Key: fmt.Sprint(sim.now), Kind: Restart, ForMS: int64(1000 + sim.rng.IntN(20_000)), Machines: machines})
+				_ = sim.apply(submitRequest, Command{Key: fmt.Sprint(sim.now), Kind: Restart, ForMS: int64(1000 + sim.rng.IntN(20_000)), Machines: machines})
 			case 6:
 				if n := len(sim.schedule.Requests); n > 0 {
-					_ = sim.call(cancelRequest, Command{ID: sim.schedule.Requests[sim.rng.IntN(n)].ID})
+					_ = sim.apply(cancelRequest, Command{ID: sim.schedule.Requests[sim.rng.IntN(n)].ID})
 				}
 			case 7:
 				sim.unhealthy[all[sim.rng.IntN(len(all))]] = sim.rng.IntN(2) == 0
@@ -256,15 +256,15 @@
 				sim.neverDone = sim.rng.IntN(3) == 0
 			}
 			sim.run(time.Duration(200+sim.rng.IntN(3000)) * time.Millisecond)
-			if most := max(1, int(Defaults.MaxServerFraction*float64(len(all)))); sim.maxOut > most {
-				t.Fatalf("%d out at once, %d at most", sim.maxOut, most)
+			if limit := max(1, int(Defaults.MaxServerFraction*float64(len(all)))); sim.maxOut > limit {
+				t.Fatalf("%d out at once, %d at most", sim.maxOut, limit)
 			}
 		}
-		sim.zonesOut, sim.rejecting, sim.neverDone = nil, false, false
+		sim.zonesOut, sim.saturated, sim.neverDone = nil, false, false
 		clear(sim.unhealthy)
 		for i := range sim.schedule.Requests {
 			if r := &sim.schedule.Requests[i]; r.State == OnHold {
-				_ = sim.call(resumeRequest, Command{ID: r.ID})
+				_ = sim.apply(resumeRequest, Command{ID: r.ID})
 			}
 		}
 		if !sim.runUntilEnded(4 * time.Hour) {
--- a/internal/fleet/maintenance/simulation_test.go
+++ b/internal/fleet/maintenance/simulation_test.go
@@ -8,34 +8,34 @@
 	"time"
 )
 
-const tick = 200 * time.Millisecond
+const simulationTick = 200 * time.Millisecond
 
 // gateway applies plans late, or not at all while it is stalled; it keeps to the last plan that it applied.
 type gateway struct {
-	withdrawn    map[string]uint64 // applied
-	acknowledged map[string]uint64 // in its last report
-	stalled      time.Duration
-	open         map[string]time.Duration // last end of its attempts, by machine
+	withdrawn     map[string]uint64 // applied
+	acknowledged  map[string]uint64 // in its last report
+	stalled       time.Duration
+	attemptEndsAt map[string]time.Duration // last end of its attempts, by machine
 }
 
 // simulation is a fleet on a virtual clock: the leader steps the schedule, and gateways send to every machine that they do not know to be withdrawn.
 type simulation struct {
-	t         fataler
-	rng       *rand.Rand
-	scheduler *Scheduler
-	now       time.Duration
-	schedule  Schedule
-	servers   map[string]Server
-	gateways  map[string]*gateway
-	zonesOut  []string
-	rejecting bool
-	rate      float64
-	workTime  time.Duration // that the operator needs for a machine
-	neverDone bool          // the operator never completes the work
-	unhealthy map[string]bool
-	maxOut    int // machines that were out at once, at most
-	turns     int // machines that became free
-	changes   int
+	t           fataler
+	rng         *rand.Rand
+	scheduler   *Scheduler
+	now         time.Duration
+	schedule    Schedule
+	servers     map[string]Server
+	gateways    map[string]*gateway
+	zonesOut    []string
+	saturated   bool
+	rate        float64
+	workTime    time.Duration // that the operator needs for a machine
+	neverDone   bool          // the operator never completes the work
+	unhealthy   map[string]bool
+	maxOut      int // machines that were out at once, at most
+	released    int // machines that became free
+	planChanges int
 }
 
 type fataler interface{ Fatalf(string, ...any) }
@@ -44,7 +44,7 @@
 	sim := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 5)), scheduler: New(Defaults), servers: map[string]Server{}, gateways: map[string]*gateway{},
 		rate: 100, workTime: 5 * time.Second, unhealthy: map[string]bool{}}
 	for i := range gateways {
-		sim.gateways[fmt.Sprint("g", i)] = &gateway{withdrawn: map[string]uint64{}, acknowledged: map[string]uint64{}, open: map[string]time.Duration{}}
+		sim.gateways[fmt.Sprint("g", i)] = &gateway{withdrawn: map[string]uint64{}, acknowledged: map[string]uint64{}, attemptEndsAt: map[string]time.Duration{}}
 	}
 	for z := range zones {
 		for i := range servers {
@@ -57,10 +57,10 @@
 
 func (sim *simulation) unix() int64 { return 1_700_000_000_000 + sim.now.Milliseconds() }
 
-func (sim *simulation) call(f func(*Schedule, Command, int64) error, c Command) error {
+func (sim *simulation) apply(command func(*Schedule, Command, int64) error, c Command) error {
 	c.By, c.Reason = "ann", "release"
 	next := sim.schedule.clone()
-	if err := f(&next, c, sim.unix()); err != nil {
+	if err := command(&next, c, sim.unix()); err != nil {
 		return err
 	}
 	sim.schedule = next
@@ -68,14 +68,14 @@
 }
 
 func (sim *simulation) submit(key string, kind Kind, machines ...string) {
-	if err := sim.call(submitRequest, Command{Key: key, Kind: kind, ForMS: 60_000, Machines: machines}); err != nil {
+	if err := sim.apply(submitRequest, Command{Key: key, Kind: kind, ForMS: 60_000, Machines: machines}); err != nil {
 		sim.t.Fatalf("%s: %v", key, err)
 	}
 }
 
 // step is one tick: gateways send and report, the leader steps the schedule, and operators work on free machines.
 func (sim *simulation) step() {
-	sim.now += tick
+	sim.now += simulationTick
 	free := map[string]bool{}
 	for _, r := range sim.schedule.Requests {
 		for _, m := range r.Machines {
@@ -98,7 +98,7 @@
 			if free[to] {
 				sim.t.Fatalf("%v: %s sends to %s, which is free", sim.now, name, to)
 			}
-			g.open[to] = sim.now + time.Duration(sim.rng.IntN(800))*time.Millisecond
+			g.attemptEndsAt[to] = sim.now + time.Duration(sim.rng.IntN(800))*time.Millisecond
 			if sim.unhealthy[to] {
 				sim.scheduler.Observe(sim.now, to, 0, 1, 0, 0)
 			} else {
@@ -109,19 +109,19 @@
 			g.withdrawn = sim.schedule.Withdrawn()
 		}
 		g.acknowledged = map[string]uint64{}
-		for to, turn := range g.withdrawn {
-			if g.open[to] <= sim.now {
-				g.acknowledged[to] = turn
+		for to, id := range g.withdrawn {
+			if g.attemptEndsAt[to] <= sim.now {
+				g.acknowledged[to] = id
 			}
 		}
 	}
-	f := Observations{Servers: sim.servers, Members: map[string]Member{}, ZonesNotInService: sim.zonesOut, Saturated: sim.rejecting, Rate: sim.rate}
+	observed := Observations{Servers: sim.servers, Members: map[string]Member{}, ZonesNotInService: sim.zonesOut, Saturated: sim.saturated, Rate: sim.rate}
 	for name, g := range sim.gateways {
-		f.Members[name] = Member{Reachable: g.stalled <= sim.now, Withdrawn: g.acknowledged}
+		observed.Members[name] = Member{Reachable: g.stalled <= sim.now, Withdrawn: g.acknowledged}
 	}
-	var moved bool
-	if sim.schedule, moved = sim.scheduler.Step(sim.now, sim.unix(), sim.schedule, f); moved {
-		sim.changes++
+	var changed bool
+	if sim.schedule, changed = sim.scheduler.Step(sim.now, sim.unix(), sim.schedule, observed); changed {
+		sim.planChanges++
 	}
 	out := 0
 	for i := range sim.schedule.Requests {
@@ -135,18 +135,18 @@
 				continue
 			}
 			if !free[m.Name] {
-				sim.turns++
+				sim.released++
 				for name, g := range sim.gateways {
-					if g.open[m.Name] > sim.now {
+					if g.attemptEndsAt[m.Name] > sim.now {
 						sim.t.Fatalf("%v: %s is free, and %s has an attempt open there", sim.now, m.Name, name)
 					}
 				}
 			}
 			if age := time.Duration(sim.unix()-m.Since) * time.Millisecond; age >= sim.workTime && !sim.neverDone {
-				s := sim.servers[m.Name]
-				s.Since = sim.unix()
-				sim.servers[m.Name] = s
-				if err := sim.call(completeWork, Command{ID: r.ID, Machines: []string{m.Name}}); err != nil {
+				server := sim.servers[m.Name]
+				server.Since = sim.unix()
+				sim.servers[m.Name] = server
+				if err := sim.apply(completeWork, Command{ID: r.ID, Machines: []string{m.Name}}); err != nil {
 					sim.t.Fatalf("done: %v", err)
 				}
 			}
--- a/internal/fleet/maintenance/transition.go
+++ b/internal/fleet/maintenance/transition.go
@@ -51,13 +51,13 @@
 // of a gateway the gateway itself. An acknowledgement of another turn does not count.
 func (e *evaluation) missingAcknowledgements(m *Machine) (names []string) {
 	if g, ok := e.gateway(m.Name); ok {
-		if turn, acknowledged := g.Withdrawn[m.Name]; (!acknowledged || turn != m.AnnouncementID) && !g.HasLeft {
+		if id, acknowledged := g.Withdrawn[m.Name]; (!acknowledged || id != m.AnnouncementID) && !g.HasLeft {
 			return []string{m.Name + ", to have no clients"}
 		}
 		return nil
 	}
 	for _, name := range slices.Sorted(maps.Keys(e.schedule.Roster)) {
-		if turn, acknowledged := e.observed.Members[name].Withdrawn[m.Name]; !acknowledged || turn != m.AnnouncementID {
+		if id, acknowledged := e.observed.Members[name].Withdrawn[m.Name]; !acknowledged || id != m.AnnouncementID {
 			names = append(names, name)
 		}
 	}
@@ -86,7 +86,7 @@
 	}
 	var overtaken []*Request
 	for _, r := range waiting {
-		r.Note = e.requestBlocked(r)
+		r.Note = e.requestBlockReason(r)
 		if r.Note != "" {
 			continue
 		}
@@ -97,7 +97,7 @@
 			e.announce(m)
 			return
 		}
-		if r.waits() {
+		if r.hasWaiting() {
 			overtaken = append(overtaken, r)
 			if r.Overtaken >= e.cfg.MaxOvertakes {
 				return // its machines get in sooner if no other request takes their place
--- a/internal/fleet/memberregistry/golden_test.go
+++ b/internal/fleet/memberregistry/golden_test.go
@@ -18,36 +18,36 @@
 // TestGoldenNode freezes the name and the data of a member's node in the registry, as another process finds
 // it there, and has such a node, written by nothing of this package, read by Run.
 func TestGoldenNode(t *testing.T) {
-	z, err := zookeeper.New()
+	zk, err := zookeeper.New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer z.Close()
+	defer zk.Close()
 	ctx, stop := context.WithTimeout(t.Context(), 30*time.Second)
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer stop()
 	open := func(path string) *registry.Registry {
-		r, err := registry.Open([]string{z.Addr()}, path, 4*time.Second, zap.NewNop())
+		r, err := registry.Open([]string{zk.Addr()}, path, 4*time.Second, zap.NewNop())
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(r.Close)
 		return r
 	}
-	run := func(path, name, addr string, found func(map[string]string)) {
-		o := Options{Servers: []string{z.Addr()}, Path: path, Session: 4 * time.Second, Name: name, Address: addr, Log: zap.NewNop()}
-		if err := Run(ctx, o, found); err != nil {
+	run := func(path, name, addr string, onChange func(map[string]string)) {
+		o := Options{Servers: []string{zk.Addr()}, Path: path, Session: 4 * time.Second, Name: name, Address: addr, Log: zap.NewNop()}
+		if err := Run(ctx, o, onChange); err != nil {
 			t.Error(err)
 		}
 	}
 
 	nodes := make(chan string, 1)
-	seen, seenEnough := context.WithCancel(ctx)
+	watchCtx, stopWatching := context.WithCancel(ctx)
 	running.Go(func() { run("/written", "hall a/g1", "127.0.0.1:7001", func(map[string]string) {}) })
-	_ = open("/written").WatchNodes(seen, func(all map[string][]byte) {
+	_ = open("/written").WatchNodes(watchCtx, func(all map[string][]byte) {
 		for name, data := range all {
-			seenEnough()
+			stopWatching()
 			select {
 			case nodes <- name + " " + string(data):
 			default:
@@ -62,14 +62,14 @@
 	}
 
 	name, data, _ := strings.Cut(string(golden.Read(t, "node.txt")), " ")
-	read := open("/read")
-	running.Go(func() { _ = read.MaintainNode(ctx, name, []byte(data)) })
+	writer := open("/read")
+	running.Go(func() { _ = writer.MaintainNode(ctx, name, []byte(data)) })
 	members := make(chan map[string]string, 1)
 	running.Go(func() {
-		run("/read", "g2", "127.0.0.1:7002", func(at map[string]string) {
-			if len(at) == 2 {
+		run("/read", "g2", "127.0.0.1:7002", func(addressByName map[string]string) {
+			if len(addressByName) == 2 {
 				select {
-				case members <- at:
+				case members <- addressByName:
 				default:
 				}
 			}
--- a/internal/fleet/memberregistry/memberregistry.go
+++ b/internal/fleet/memberregistry/memberregistry.go
@@ -34,7 +34,7 @@
 // Run keeps this member's node and calls found with all members' addresses by name at each change, until the
 // context ends. The addresses are hints: a missing member need not be dead, as all sessions expire at
 // once while the registry is away.
-func Run(ctx context.Context, o Options, found func(map[string]string)) error {
+func Run(ctx context.Context, o Options, onChange func(map[string]string)) error {
 	if len(o.Servers) == 0 {
 		return nil
 	}
@@ -50,23 +50,23 @@
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return r.MaintainNode(ctx, url.PathEscape(o.Name), data) })
 	group.Go(func() error {
-		return r.WatchNodes(ctx, func(nodes map[string][]byte) { found(addresses(nodes, o.Log)) })
+		return r.WatchNodes(ctx, func(nodes map[string][]byte) { onChange(decodeNodes(nodes, o.Log)) })
 	})
 	return group.Wait()
 }
 
-// addresses decodes nodes, and logs and skips those that are no member's.
-func addresses(nodes map[string][]byte, log *zap.Logger) map[string]string {
-	at := map[string]string{}
+// decodeNodes decodes nodes, and logs and skips those that are no member's.
+func decodeNodes(nodes map[string][]byte, log *zap.Logger) map[string]string {
+	addressByName := map[string]string{}
 	for escaped, data := range nodes {
 		name, address, err := decodeNode(escaped, data)
 		if err != nil {
 			log.Warn("registry node ignored: not a member's", zap.String("node", escaped), zap.Error(err))
 			continue
 		}
-		at[name] = address
+		addressByName[name] = address
 	}
-	return at
+	return addressByName
 }
 
 func decodeNode(escaped string, data []byte) (name, address string, err error) {
@@ -77,11 +77,11 @@
 	if err := json.Unmarshal(data, &n); err != nil {
 		return "", "", err
 	}
-	return name, n.Address, checkNumeric(n.Address)
+	return name, n.Address, checkNumericAddress(n.Address)
 }
 
-// checkNumeric rejects an address that would need a name lookup.
-func checkNumeric(address string) error {
+// checkNumericAddress rejects an address that would need a name lookup.
+func checkNumericAddress(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err == nil && net.ParseIP(host) == nil {
 		err = fmt.Errorf("%q is no IP address", host)
