--- a/internal/fleet/maintenance/admission.go
+++ b/internal/fleet/maintenance/admission.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// requestBlockReason says why no machine of a request may go out now: a fault of the fleet, or the request's own terms. Empty: one may.
+// requestBlockReason returns the reason why no machine of a request may be announced now: a fault of the fleet, or a condition of the
+// request. It returns an empty string if neither exists.
 func (e *evaluation) requestBlockReason(r *Request) string {
 	if e.fault != "" {
 		return e.fault
@@ -21,7 +22,8 @@
 	return ""
 }
 
-// nextMachine returns the first waiting machine of a request that may go out, or nil. It notes on the others what blocks them.
+// nextMachine returns the first waiting machine of a request that may be announced, or nil. It stores in the Note of each waiting machine
+// that it passes over the reason why that machine may not be announced.
 func (e *evaluation) nextMachine(r *Request) *Machine {
 	for i := range r.Machines {
 		m := &r.Machines[i]
@@ -36,7 +38,7 @@
 	return nil
 }
 
-// machineBlockReason says which bound keeps a machine in service; empty: none.
+// machineBlockReason returns the limit that keeps a machine in service, or an empty string if the machine may be announced.
 func (e *evaluation) machineBlockReason(m *Machine) string {
 	if g, ok := e.gateway(m.Name); ok {
 		return e.gatewayBlockReason(m, g)
@@ -57,7 +59,7 @@
 	return e.capacityBlockReason(server.Zone, e.countServers(server.Zone, out))
 }
 
-// machinesOut returns the machines that are out for maintenance, or have returned and not proved their health.
+// machinesOut returns the machines that are out of service for maintenance, or have returned and not proved their health yet.
 func (e *evaluation) machinesOut() map[string]bool {
 	out := map[string]bool{}
 	for _, name := range e.schedule.Off {
@@ -73,14 +75,16 @@
 	return out
 }
 
-// serverCounts counts servers. One is unavailable if it is out for maintenance, not ready or in slow start.
+// serverCounts counts the servers of the fleet and of one zone. A server is unavailable if it is out for maintenance, not ready or in slow
+// start.
 type serverCounts struct {
 	total           int
 	unavailable     int
-	zoneTotal       int // of the zone in question
-	zoneUnavailable int // of the zone in question
+	zoneTotal       int // number of servers in the zone
+	zoneUnavailable int // number of unavailable servers in the zone
 }
 
+// countServers counts all servers, and those of a zone. out holds the machines that are out for maintenance.
 func (e *evaluation) countServers(zone string, out map[string]bool) (c serverCounts) {
 	for name, server := range e.observed.Servers {
 		unavailable := out[name] || !server.Ready || e.warming(server)
@@ -99,8 +103,9 @@
 	return c
 }
 
-// capacityBlockReason says which bound on capacity keeps one more server of a zone in service: the bounds of the zone and of all servers, and
-// the load of those that stay, which may exceed the highest load that servers bore by MaxLoadGrowth.
+// capacityBlockReason returns the capacity limit that forbids to take another server of a zone out of service, or an empty string. The
+// limits are the fractions of the zone's and of all servers, and the load of the remaining servers: at most MaxLoadGrowth times the
+// highest load that servers have handled.
 func (e *evaluation) capacityBlockReason(zone string, c serverCounts) string {
 	available := c.total - c.unavailable
 	switch {
@@ -111,24 +116,25 @@
 	case c.unavailable+1 > maxOut(e.cfg.MaxServerFraction, c.total):
 		return fmt.Sprintf("%d of %d servers are out, cold or not ready", c.unavailable, c.total)
 	case available < 2 || e.observed.Rate/float64(available-1) > e.cfg.MaxLoadGrowth*e.maxLoad():
-		return fmt.Sprintf("the others would get %.0f fetches a second each, and were seen to bear %.0f",
+		return fmt.Sprintf("each remaining server would get %.0f attempts a second; the highest load handled so far is %.0f",
 			e.observed.Rate/float64(max(1, available-1)), e.maxLoad())
 	}
 	return ""
 }
 
-// maxOut is how many machines of a group may be out at once: a fraction, and at least one.
+// maxOut returns the number of machines of a group that may be out at once: a fraction of the group, and at least one.
 func maxOut(fraction float64, total int) int { return max(1, int(fraction*float64(total))) }
 
-// gatewayBlockReason says which bound keeps a gateway in the fleet; empty: none. One gateway of a zone is out at a time. Voters go after the
-// others and the leader last, so that there is one change of leader and always a quorum.
+// gatewayBlockReason returns the limit that keeps a gateway in the fleet, or an empty string if the gateway may be announced. At most one
+// gateway of a zone is out at a time. Voters go after the other gateways and the leader goes last, so that the leader changes only once
+// and the quorum is never lost.
 func (e *evaluation) gatewayBlockReason(m *Machine, g Member) string {
 	if !g.Reachable || !g.Fresh {
-		return "is not in the fleet, or its view is old"
+		return "does not report to the leader, or its view of the fleet is out of date"
 	}
 	for name := range e.schedule.Roster {
 		if voter := e.observed.Members[name]; voter.Voter && !(voter.Reachable && voter.Fresh) {
-			return "voter " + name + " is not there"
+			return "voter " + name + " does not report to the leader, or its view of the fleet is out of date"
 		}
 	}
 	out, goFirst, reason := e.otherGateways(m, g)
@@ -142,13 +148,13 @@
 	case out+1 > maxOut(e.cfg.MaxGatewayFraction, total):
 		return fmt.Sprintf("%d of %d gateways are out", out, total)
 	case (g.Voter || g.Leader) && goFirst > 0:
-		return fmt.Sprintf("votes, or leads: after %d others", goFirst)
+		return fmt.Sprintf("is a voter or the leader: %d other gateways go first", goFirst)
 	}
 	return ""
 }
 
-// otherGateways counts the other gateways with maintenance: those that are out, and those that have to go before g. blocked names one
-// that g may not be out with.
+// otherGateways counts the other gateways in maintenance requests: those that are out, and those that have to go before g. reason names a
+// gateway that is out and that g may not be out together with; it is empty if there is none.
 func (e *evaluation) otherGateways(m *Machine, g Member) (out, goFirst int, reason string) {
 	for _, r := range e.schedule.Requests {
 		for _, o := range r.Machines {
--- a/internal/fleet/maintenance/command.go
+++ b/internal/fleet/maintenance/command.go
@@ -11,27 +11,27 @@
 	"dewhitch/internal/fleet"
 )
 
-// Command is what an operator orders. The arguments of a call are its encoding.
+// Command is an operator's command on requests for maintenance. Its encoding is the argument of the fleet's "work-" commands.
 type Command struct {
-	By        string   `cbor:"1,keyasint"` // the operator
-	Reason    string   `cbor:"2,keyasint"`
-	Key       string   `cbor:"3,keyasint,omitempty"` // idempotency key of a request
+	By        string   `cbor:"1,keyasint"`           // name of the operator
+	Reason    string   `cbor:"2,keyasint"`           // shown to operators
+	Key       string   `cbor:"3,keyasint,omitempty"` // idempotency key of a new request
 	Kind      Kind     `cbor:"4,keyasint,omitempty"`
-	ForMS     int64    `cbor:"5,keyasint,omitempty"` // longest time that a machine is Free, ms
-	NotBefore int64    `cbor:"6,keyasint,omitempty"` // Unix ms
-	After     uint64   `cbor:"7,keyasint,omitempty"` // ID of a request that has to end first
-	Machines  []string `cbor:"8,keyasint,omitempty"` // by name
-	ID        uint64   `cbor:"9,keyasint,omitempty"` // of the request that the command is about
+	ForMS     int64    `cbor:"5,keyasint,omitempty"` // longest time that each machine of a new request stays Released, in ms
+	NotBefore int64    `cbor:"6,keyasint,omitempty"` // earliest announcement of a machine of a new request, in Unix ms; 0: no limit
+	After     uint64   `cbor:"7,keyasint,omitempty"` // ID of a request that has to end before a new one begins; 0: none
+	Machines  []string `cbor:"8,keyasint,omitempty"` // names of machines
+	ID        uint64   `cbor:"9,keyasint,omitempty"` // ID of an existing request
 }
 
-// Bounds of a command.
+// Limits on the fields of a Command.
 const (
-	maxTextLength = 512              // bytes, of each text
-	maxNameLength = 64               // bytes, of a machine's name
-	maxDurationMS = 24 * 3600 * 1000 // ms
+	maxTextLength = 512              // bytes in the operator's name, the reason and the key, each
+	maxNameLength = 64               // bytes in a machine's name
+	maxDurationMS = 24 * 3600 * 1000 // a day
 )
 
-// Causes of a refused command, for errors.Is.
+// Causes of a rejected command, for errors.Is.
 var (
 	ErrInvalid  = errors.New("work: invalid command")
 	ErrUnknown  = errors.New("work: no such request or gateway")
@@ -40,10 +40,10 @@
 	ErrState    = errors.New("work: not possible in this state")
 )
 
-// CommandError is a refused command. Its text is for operators; errors.Is matches the cause.
+// CommandError is the error of a rejected command. errors.Is matches its cause.
 type CommandError struct {
-	Cause error
-	Text  string
+	Cause error  // one of the errors above
+	Text  string // shown to operators
 }
 
 // Error implements error.
@@ -52,21 +52,21 @@
 // Unwrap returns the cause.
 func (e *CommandError) Unwrap() error { return e.Cause }
 
-// reject returns a CommandError.
+// reject returns a CommandError whose text begins with "work: ".
 func reject(cause error, format string, args ...any) error {
 	return &CommandError{Cause: cause, Text: fmt.Sprintf("work: "+format, args...)}
 }
 
-// Encode returns the command as the arguments of a call.
+// Encode returns the command in CBOR, as the argument of a fleet command.
 func (c Command) Encode() []byte {
 	b, err := cbor.Marshal(c)
 	if err != nil {
-		panic("work: " + err.Error()) // Command has only types that can be encoded
+		panic("maintenance: encode command: " + err.Error()) // unreachable: CBOR encodes every type in Command
 	}
 	return b
 }
 
-// check checks what all commands have in common.
+// check returns a CommandError if a field that all commands share is invalid.
 func (c *Command) check() error {
 	switch {
 	case c.By == "" || c.Reason == "" || len(c.By) > maxTextLength || len(c.Reason) > maxTextLength:
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// Commands returns the handlers of the operators' commands by name. The fleet calls them on the leader. Each refuses a command with a
+// Commands returns the handlers of the operators' commands by name. The leader runs them. They reject an invalid command with a
 // *CommandError.
 func Commands() map[string]fleet.CommandHandler {
 	return map[string]fleet.CommandHandler{
@@ -95,7 +95,8 @@
 	}
 }
 
-// handler applies a command to the section of the plan. It returns no section if the plan has it already.
+// handler returns a command handler that applies a command to the schedule of the plan. The handler returns nil if the command does not
+// change the schedule.
 func handler(apply func(s *Schedule, c Command, unix int64) error) fleet.CommandHandler {
 	return func(p *fleet.Plan, args []byte, unix int64) (map[string]cbor.RawMessage, error) {
 		var c Command
@@ -120,7 +121,7 @@
 	}
 }
 
-// submitRequest adds a request. It is idempotent by the key: the same request again changes nothing, whichever gateway forwards it.
+// submitRequest adds a request. It is idempotent by the request's key: a repeated request changes nothing, whichever gateway forwards it.
 func submitRequest(s *Schedule, c Command, unix int64) error {
 	if err := c.checkRequest(); err != nil {
 		return err
@@ -146,7 +147,7 @@
 	return nil
 }
 
-// checkRequest checks the fields of a new request.
+// checkRequest returns a CommandError if a field of a new request is invalid.
 func (c *Command) checkRequest() error {
 	switch {
 	case len(c.Machines) == 0:
@@ -156,18 +157,18 @@
 	case c.ForMS <= 0 || c.ForMS > maxDurationMS:
 		return reject(ErrInvalid, "for %d ms; more than none, and a day at most", c.ForMS)
 	case c.Key == "" || len(c.Key) > maxTextLength:
-		return reject(ErrInvalid, "a key, in up to 512 bytes")
+		return reject(ErrInvalid, "a key of up to 512 bytes is required")
 	}
 	return nil
 }
 
-// matches tells whether a command with the request's key asks for the same.
+// matches returns true if a command has the request's kind, duration and machines.
 func (r *Request) matches(c Command) bool {
 	sameName := func(m Machine, name string) bool { return m.Name == name }
 	return r.Kind == c.Kind && r.ForMS == c.ForMS && slices.EqualFunc(r.Machines, c.Machines, sameName)
 }
 
-// conflict returns an error if a machine of a command is part of this request and has not ended there.
+// conflict returns a CommandError if this request has a machine of the command whose maintenance has not ended.
 func (r *Request) conflict(c Command) error {
 	if r.ended() {
 		return nil
@@ -180,7 +181,7 @@
 	return nil
 }
 
-// countOpen counts the requests that have not ended.
+// countOpen returns the number of requests that have not ended.
 func (s *Schedule) countOpen() (open int) {
 	for i := range s.Requests {
 		if !s.Requests[i].ended() {
@@ -190,7 +191,7 @@
 	return open
 }
 
-// add appends a request. Its machines are no longer off for good.
+// add appends a request and removes its machines from Off, because they are in use again.
 func (s *Schedule) add(c Command, unix int64) {
 	s.LastID++
 	r := Request{
@@ -211,7 +212,7 @@
 	s.Requests = append(s.Requests, r)
 }
 
-// findOpen returns a request that has not ended, or a CommandError.
+// findOpen returns the request with an ID, or a CommandError if there is none or it has ended.
 func (s *Schedule) findOpen(id uint64) (*Request, error) {
 	r := s.find(id)
 	if r == nil {
@@ -223,8 +224,8 @@
 	return r, nil
 }
 
-// cancelRequest cancels the machines of a request whose maintenance has not begun. A machine that is free stays so: it may be in
-// pieces, and only the operator who works on it can complete it.
+// cancelRequest cancels the machines of a request whose maintenance has not begun. A released machine stays Released: it may be
+// disassembled, and only the operator who works on it can complete its maintenance.
 func cancelRequest(s *Schedule, c Command, unix int64) error {
 	r, err := s.findOpen(c.ID)
 	if err != nil {
@@ -241,7 +242,8 @@
 	return nil
 }
 
-// completeWork ends the maintenance of machines: the named ones, or all of the request that are free or on hold after their turn.
+// completeWork ends the maintenance of the named machines of a request, or without names of all that are released, or on hold after
+// their announcement.
 func completeWork(s *Schedule, c Command, unix int64) error {
 	r, err := s.findOpen(c.ID)
 	if err != nil {
@@ -256,7 +258,7 @@
 		}
 		switch {
 		case m.State == Released || m.onHoldAfterAnnouncement():
-			s.endWork(r, m, unix, "done, says "+c.By)
+			s.endWork(r, m, unix, "completed by "+c.By)
 			completed = true
 		case named && m.State != Returned && m.State != Done:
 			return reject(ErrState, "%s of request %d is %s, not free", m.Name, r.ID, m.State)
@@ -269,7 +271,7 @@
 	return nil
 }
 
-// holdRequest stops a request before its next turn, until resumeRequest.
+// holdRequest stops further announcements of a request until resumeRequest.
 func holdRequest(s *Schedule, c Command, _ int64) error {
 	r, err := s.findOpen(c.ID)
 	if err != nil {
@@ -280,7 +282,7 @@
 	return nil
 }
 
-// resumeRequest ends a hold. A machine on hold waits again, or returns if its turn was announced.
+// resumeRequest ends the hold of a request and of its machines. A machine on hold becomes Waiting, or Returned if it was announced.
 func resumeRequest(s *Schedule, c Command, unix int64) error {
 	r, err := s.findOpen(c.ID)
 	if err != nil {
@@ -301,7 +303,8 @@
 	return nil
 }
 
-// removeGateways removes gateways from the roster whose processes ended without leaving the fleet: no turn waits for them any more.
+// removeGateways removes gateways from the roster whose processes ended without leaving the fleet, so that no machine waits for their
+// acknowledgement any more.
 func removeGateways(s *Schedule, c Command, _ int64) error {
 	if len(c.Machines) == 0 {
 		return reject(ErrInvalid, "no gateway named")
--- a/internal/fleet/maintenance/evidence.go
+++ b/internal/fleet/maintenance/evidence.go
@@ -2,32 +2,32 @@
 
 import "time"
 
-// Bounds of the evidence.
+// Limits on the evidence of health and load.
 const (
-	healthSpan        = 4 * time.Second         // of samples that are kept of a server
-	lateAnswerDelay   = 1200 * time.Millisecond // that a server in slow start may take to answer
-	maxTrackedServers = 1024                    // servers with samples
-	loadSpan          = time.Hour               // for which the highest load is remembered
-	loadBucket        = time.Minute
+	healthSpan        = 4 * time.Second         // age up to which a server's samples are kept
+	lateAnswerDelay   = 1200 * time.Millisecond // time that a server in slow start may take to answer
+	maxTrackedServers = 1024                    // limit on the servers with samples
+	loadSpan          = time.Hour               // age up to which peak loads are kept
+	loadBucket        = time.Minute             // period for which one peak load is kept
 )
 
-// sample is what one load report says of a server, in attempts.
+// sample holds one gateway's attempts to a server, from one load report.
 type sample struct {
-	at           time.Duration
+	at           time.Duration // arrival time of the report
 	served       uint64
 	failed       uint64
-	timedOut     uint64 // without an answer for longer than other attempts take
-	answeredLate uint64 // silent in this report or an earlier one, and served after all
+	timedOut     uint64 // number of attempts without an answer for much longer than usual
+	answeredLate uint64 // number of attempts served after they were counted in timedOut, by this report or an earlier one
 }
 
-// peakLoad is the highest rate of a server in use in one loadBucket in which no server rejected any request.
+// peakLoad is the highest load of a server in use within one loadBucket, while no server rejected requests and all zones were in service.
 type peakLoad struct {
 	at   time.Duration // start of the bucket
 	rate float64       // attempts a second
 }
 
-// Observe adds the attempts of one gateway to a server since its last report: served, failed, silent (without an answer for longer than
-// others take) and late (served after they had been silent). now must not decrease.
+// Observe adds the attempts of one gateway to a server since the gateway's last report. timedOut counts attempts without an answer for
+// much longer than usual, answeredLate those served after they were counted in timedOut. now must not decrease.
 func (s *Scheduler) Observe(now time.Duration, server string, served, failed, timedOut, answeredLate uint64) {
 	if served+failed+timedOut+answeredLate == 0 {
 		return
@@ -38,12 +38,12 @@
 	}
 	s.health[server] = samples
 	if len(s.health) > maxTrackedServers {
-		clear(s.health) // servers get new names all day; those in use are observed again at once
+		clear(s.health) // servers are continually replaced under new names; those in use are observed again at once
 	}
 }
 
-// healthSince adds up the attempts to a server since a time within healthSpan. A server in slow start answers later than others:
-// a silent attempt counts as failed only after lateAnswer, and not if it was served late.
+// healthSince returns the sums of the attempts to a server since a time within healthSpan. A server in slow start answers later than
+// others, so a timed-out attempt counts as failed only after lateAnswerDelay, and not if it was answered late.
 func (s *Scheduler) healthSince(server string, now, since time.Duration) (served, failed uint64) {
 	timedOut, answeredLate := uint64(0), uint64(0)
 	for _, report := range s.health[server] {
@@ -60,7 +60,8 @@
 	return served, failed + timedOut - min(timedOut, answeredLate)
 }
 
-// recordLoad remembers the load of a server in use, in attempts a second, while the fleet is faultless.
+// recordLoad updates the peak load with the current load of a server in use, in attempts a second, if the fleet is faultless. It drops
+// peak loads older than loadSpan.
 func (s *Scheduler) recordLoad(now time.Duration, rate float64, faultless bool) {
 	if faultless {
 		if n := len(s.loads); n == 0 || now-s.loads[n-1].at >= loadBucket {
@@ -74,7 +75,7 @@
 	}
 }
 
-// maxLoad is the highest load that servers bore within loadSpan, in attempts a second of each.
+// maxLoad returns the highest load that servers have handled within loadSpan, in attempts a second per server.
 func (s *Scheduler) maxLoad() (rate float64) {
 	for _, l := range s.loads {
 		rate = max(rate, l.rate)
--- a/internal/fleet/maintenance/forecast.go
+++ b/internal/fleet/maintenance/forecast.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// Forecast is the expected course of a request, simulated with the Scheduler itself.
+// Forecast is the expected course of a request, simulated with a Scheduler.
 type Forecast struct {
-	Steps   []ForecastStep `json:"turns"`
-	Elapsed time.Duration  `json:"took"`
-	Spare   float64        `json:"spare"`           // lowest capacity beyond the load, as a fraction of the capacity of all servers
-	MaxOut  int            `json:"most_out"`        // servers
-	Stuck   []string       `json:"stuck,omitempty"` // machines that never have their turn, with what blocks them
+	Steps   []ForecastStep `json:"turns"`           // machines whose maintenance ended, in that order
+	Elapsed time.Duration  `json:"took"`            // simulated time until the request ended or got stuck
+	Spare   float64        `json:"spare"`           // lowest spare capacity, as a fraction of the capacity of all servers
+	MaxOut  int            `json:"most_out"`        // highest number of servers out of service at once
+	Stuck   []string       `json:"stuck,omitempty"` // machines whose maintenance does not end, with the reason
 }
 
-// ForecastStep is the turn of one machine. The times are from the start of the forecast.
+// ForecastStep is the maintenance of one machine. Times are since the start of the forecast.
 type ForecastStep struct {
 	Name string        `json:"name"`
-	Free time.Duration `json:"free"`
-	Done time.Duration `json:"done"`
+	Free time.Duration `json:"free"` // time of the release
+	Done time.Duration `json:"done"` // time of the proof of health
 }
 
 // Parameters of the simulation.
 const (
-	forecastTick                 = 200 * time.Millisecond
-	forecastAckDelay             = 400 * time.Millisecond // until all gateways have acknowledged a turn
-	forecastObservationInterval  = time.Second            // between two observations of a returned machine
-	forecastServedPerObservation = 2                      // attempts in each of them
-	forecastMaxIdle              = time.Minute            // without a turn, until the rest is stuck
-	forecastMaxDuration          = 24 * time.Hour
+	forecastTick                 = 200 * time.Millisecond // simulated time between two steps
+	forecastAckDelay             = 400 * time.Millisecond // time until all gateways have acknowledged an announcement
+	forecastObservationInterval  = time.Second            // time between two load reports on a returned machine
+	forecastServedPerObservation = 2                      // served attempts in each load report
+	forecastMaxIdle              = time.Minute            // time without an active machine after which the request counts as stuck
+	forecastMaxDuration          = 24 * time.Hour         // limit on the simulated time
 )
 
 // forecastRun is the state of one simulation.
@@ -39,18 +39,18 @@
 	scheduler    *Scheduler
 	schedule     Schedule
 	servers      map[string]Server
-	acknowledged map[string]uint64        // turn by machine
-	releasedAt   map[string]time.Duration // of machines with a turn that is not done
-	workTime     time.Duration            // of each machine
-	load         float64                  // fraction of the capacity of all servers
-	startedAt    int64                    // Unix ms
-	now          time.Duration            // since then
+	acknowledged map[string]uint64        // acknowledged announcement IDs by machine
+	releasedAt   map[string]time.Duration // release times of machines that are not Done, by name
+	workTime     time.Duration            // time that each machine stays released
+	load         float64                  // load as a fraction of the capacity of all servers
+	startedAt    int64                    // start of the simulation in Unix ms
+	now          time.Duration            // simulated time since startedAt
 	result       Forecast
 }
 
-// Simulate plays a request on a fleet without any other fault: each machine is free for as long as the request allows. load is a fraction
-// of the capacity of all servers, start the fraction of its capacity that a server has when it starts. It returns the error of a request
-// that would be refused.
+// Simulate returns the forecast of a request on a fleet without faults, in which each machine stays released for as long as the request
+// allows. load is a fraction of the capacity of all servers, startCapacity the fraction of its capacity that a server has when it starts.
+// It returns an error if the fleet would reject the request.
 func Simulate(cfg Config, servers map[string]Server, c Command, load, startCapacity float64) (Forecast, error) {
 	run := newForecastRun(cfg, servers, c, load)
 	if err := submitRequest(&run.schedule, c, run.startedAt); err != nil {
@@ -78,7 +78,7 @@
 	return run.result, nil
 }
 
-// newForecastRun starts at a time at which all servers are warm.
+// newForecastRun returns a simulation that starts when all servers are warm.
 func newForecastRun(cfg Config, servers map[string]Server, c Command, load float64) *forecastRun {
 	startedAt := int64(1)
 	for _, s := range servers {
@@ -100,7 +100,7 @@
 
 func (f *forecastRun) unix() int64 { return f.startedAt + f.now.Milliseconds() }
 
-// simulateMachines plays the gateways and the operator on each machine.
+// simulateMachines simulates the acknowledgements and load reports of the gateways and the operator's work, for each machine.
 func (f *forecastRun) simulateMachines() {
 	r := &f.schedule.Requests[0]
 	for i := range r.Machines {
@@ -126,7 +126,7 @@
 	}
 }
 
-// workOn restarts a machine at the end of its work.
+// workOn records the release of a machine, and restarts the machine at the end of its maintenance.
 func (f *forecastRun) workOn(r *Request, m *Machine, age time.Duration) {
 	if _, ok := f.releasedAt[m.Name]; !ok {
 		f.releasedAt[m.Name] = f.now
@@ -140,10 +140,10 @@
 	f.schedule.endWork(r, m, f.unix(), "")
 }
 
-// updateExtremes updates the extremes: the machines that are out, and the capacity beyond the load.
+// updateExtremes updates the highest number of servers that are out, and the lowest spare capacity.
 func (f *forecastRun) updateExtremes(startCapacity float64) {
 	out := 0
-	capacity := 0.0 // in warm servers
+	capacity := 0.0 // sum of the servers' capacities; a warm server has 1
 	withdrawn := f.schedule.Withdrawn()
 	for name, s := range f.servers {
 		if _, isWithdrawn := withdrawn[name]; isWithdrawn {
@@ -156,7 +156,7 @@
 	f.result.Spare = min(f.result.Spare, capacity/float64(len(f.servers))-f.load)
 }
 
-// capacityFraction is the fraction of its capacity that a server has; it grows linearly over the slow start.
+// capacityFraction returns the fraction of its full capacity that a server has now. It grows linearly during slow start.
 func (f *forecastRun) capacityFraction(s Server, startCapacity float64) float64 {
 	age := time.Duration(f.unix()-s.Since) * time.Millisecond
 	if s.Since <= 0 || age >= f.cfg.SlowStart {
@@ -165,7 +165,7 @@
 	return startCapacity + (1-startCapacity)*age.Seconds()/f.cfg.SlowStart.Seconds()
 }
 
-// stuck tells whether no machine has a turn, and none had one for forecastMaxIdle.
+// stuck returns true if no machine is out of service, and none has been for forecastMaxIdle.
 func (f *forecastRun) stuck(r *Request) bool {
 	active := slices.ContainsFunc(r.Machines, func(m Machine) bool { return m.State != Waiting && !m.ended() })
 	if active || f.now <= forecastMaxIdle {
@@ -175,7 +175,7 @@
 	return len(steps) == 0 || f.now-steps[len(steps)-1].Done > forecastMaxIdle
 }
 
-// step advances the schedule, with one gateway that acknowledges for all.
+// step advances the schedule. One gateway stands for all.
 func (f *forecastRun) step() {
 	observed := Observations{
 		Servers: f.servers,
--- a/internal/fleet/maintenance/forecast_test.go
+++ b/internal/fleet/maintenance/forecast_test.go
@@ -7,6 +7,7 @@
 	"time"
 )
 
+// serversIn returns perZone ready servers in each of a number of zones.
 func serversIn(zones, perZone int) map[string]Server {
 	servers := map[string]Server{}
 	for z := range zones {
@@ -17,7 +18,7 @@
 	return servers
 }
 
-// A forecast is what the scheduler does: each machine has one turn, the bounds hold, and machines without a turn are named.
+// A forecast has each machine once, respects the limits on machines out at once, and names the machines that are stuck.
 func TestSimulate(t *testing.T) {
 	cfg := Defaults
 	servers := serversIn(3, 4)
@@ -26,17 +27,17 @@
 	if err != nil || len(forecast.Steps) != 12 || forecast.MaxOut > 2 || len(forecast.Stuck) > 0 || forecast.Spare > 0.3 || forecast.Spare < 0 {
 		t.Errorf("%+v %v", forecast, err)
 	}
-	t.Logf("12 servers, a minute each, load 0.7: %v, %d out at most, %.2f to spare", forecast.Elapsed, forecast.MaxOut, forecast.Spare)
+	t.Logf("12 servers, a minute each, load 0.7: %v, at most %d out at once, spare capacity %.2f", forecast.Elapsed, forecast.MaxOut, forecast.Spare)
 	if forecast, err = Simulate(cfg, serversIn(1, 1), Command{By: "ann", Reason: "x", Key: "k", Kind: Restart, ForMS: 60_000, Machines: []string{"s-a0"}}, 0.2, 0.22); err != nil ||
 		len(forecast.Steps) != 0 || len(forecast.Stuck) != 1 {
 		t.Errorf("the last server: %+v %v", forecast, err)
 	}
 	if _, err = Simulate(cfg, servers, Command{By: "ann", Reason: "x", Key: "k", Kind: Restart, Machines: []string{"s-a0"}}, 0.2, 0.22); err == nil {
-		t.Error("a request that is refused is simulated")
+		t.Error("Simulate accepts an invalid request")
 	}
 }
 
-// At large size: 200 servers in 12 zones, 40 % of them through work.
+// The restart of 40 % of 200 servers in 12 zones ends within an hour.
 func TestSimulateLargeFleet(t *testing.T) {
 	servers := serversIn(12, 17)
 	all := names(servers)
@@ -44,13 +45,13 @@
 	startedAt := time.Now()
 	forecast, err := Simulate(Defaults, servers, c, 0.7, 0.22)
 	if err != nil || len(forecast.Steps) != 82 || forecast.Elapsed > time.Hour {
-		t.Fatalf("%d turns within %v, stuck %v, %v", len(forecast.Steps), forecast.Elapsed, forecast.Stuck, err)
+		t.Fatalf("%d machines within %v, stuck %v, %v", len(forecast.Steps), forecast.Elapsed, forecast.Stuck, err)
 	}
-	t.Logf("82 of 204 servers, two minutes each, load 0.7: %v, %d out at most, %.3f to spare; %v to reckon", forecast.Elapsed, forecast.MaxOut, forecast.Spare,
+	t.Logf("82 of 204 servers, two minutes each, load 0.7: %v, at most %d out at once, spare capacity %.3f; computed in %v", forecast.Elapsed, forecast.MaxOut, forecast.Spare,
 		time.Since(startedAt).Round(time.Millisecond))
 }
 
-// A hundred requests of mixed size: none starves, and the longest wait is not far from the mean.
+// A hundred requests of mixed size all end, and the longest wait for a first announcement is not far from the mean.
 func TestFairness(t *testing.T) {
 	sim := newSimulation(t, 21, 30, 3, 20)
 	all := names(sim.servers)
@@ -86,11 +87,11 @@
 	mean := sum / time.Duration(max(1, len(firstAnnouncedAfter)))
 	for _, r := range sim.schedule.Requests {
 		if r.State != Done {
-			t.Errorf("%+v", r)
+			t.Errorf("request not done: %+v", r)
 		}
 	}
 	if longest > 6*mean+time.Minute {
-		t.Errorf("the longest wait %v, the mean %v", longest, mean)
+		t.Errorf("longest wait %v, mean %v", longest, mean)
 	}
-	t.Logf("100 requests over 30 gateways: over after %v, first turns after %v in the mean, %v at worst", sim.now, mean, longest)
+	t.Logf("100 requests with 30 gateways: ended after %v; mean time to the first announcement %v, longest %v", sim.now, mean, longest)
 }
--- a/internal/fleet/maintenance/golden_test.go
+++ b/internal/fleet/maintenance/golden_test.go
@@ -14,8 +14,7 @@
 	"dewhitch/internal/golden"
 )
 
-// goldenSchedule has every field set, and each state and kind once at least; its second request has the fields that may be left out
-// left out.
+// goldenSchedule sets every field and has each state and kind at least once. Its second request omits all optional fields.
 var goldenSchedule = Schedule{LastID: 9, LastAnnouncementID: 8, Requests: []Request{
 	{ID: 1, Key: "k1", By: "alice", Reason: "kernel", Kind: Restart, ForMS: 300000, NotBefore: 1700000000011, After: 2, RequestedAt: 1700000000012,
 		State: OnHold, Note: "look", Overtaken: 3, Machines: []Machine{
@@ -30,7 +29,8 @@
 	{ID: 4, Key: "k4", By: "dan", Reason: "none", Kind: Off, ForMS: 5, RequestedAt: 6, State: Cancelled, Machines: []Machine{{Name: "g8", State: Cancelled}}},
 }, Roster: map[string]int64{"g1": 81, "g2": 82, "gateway-3": 83}, Off: []string{"s-00000009", "s-00000008"}}
 
-// TestGoldenSchedule freezes the section of the plan that voters store and members read, and the page of it that operators read.
+// TestGoldenSchedule compares the encoding of the plan's section, which voters store and members read, and of the operators' page with
+// the golden files.
 func TestGoldenSchedule(t *testing.T) {
 	if Section != "work" {
 		t.Error("section:", Section)
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestGoldenStates freezes the states and kinds as the plan, calls and operators have them.
+// TestGoldenStates compares the states and kinds with the values in plans, commands and operators' pages.
 func TestGoldenStates(t *testing.T) {
 	for state, want := range map[State]string{Waiting: "", Announced: "announced", Released: "free", Returned: "back", OnHold: "held", Done: "done",
 		Cancelled: "cancelled"} {
@@ -64,7 +64,7 @@
 			t.Errorf("%s, want %s", string(state), want)
 		}
 		if want == "" {
-			want = "waiting" // as it is shown
+			want = "waiting" // as operators read it
 		}
 		if got := state.String(); got != want {
 			t.Errorf("shown as %s, want %s", got, want)
@@ -77,7 +77,8 @@
 	}
 }
 
-// TestGoldenCommands freezes the arguments of operators' calls, which the leader reads, their names, and what a request becomes.
+// TestGoldenCommands compares the encoding of the operators' commands, their names, and the section that results from a request with
+// the golden files.
 func TestGoldenCommands(t *testing.T) {
 	for name, c := range map[string]Command{
 		"call": {By: "alice", Reason: "kernel", Key: "k1", Kind: Restart, ForMS: 300000, NotBefore: 1700000000011, After: 12,
@@ -105,7 +106,7 @@
 	golden.Compare(t, "settled-request.cbor", sections["work"])
 }
 
-// TestGoldenForecast freezes what work plan --json prints, and the page of the servers that it is made from, which the command reads.
+// TestGoldenForecast compares the output of "work plan --json", and the page of servers that the command reads, with the golden files.
 func TestGoldenForecast(t *testing.T) {
 	type page struct {
 		Ahead   Forecast          `json:"ahead"`
--- a/internal/fleet/maintenance/health.go
+++ b/internal/fleet/maintenance/health.go
@@ -5,14 +5,14 @@
 	"time"
 )
 
-// Bounds of the proof of health.
+// Thresholds of the proof of health of a returned server.
 const (
-	proofMinServed   = 5   // attempts
-	proofMinFailed   = 3   // attempts, before the machine is put on hold
-	proofFailedRatio = 0.2 // failed of all attempts, before the machine is put on hold
+	proofMinServed   = 5   // lowest number of served attempts that proves health
+	proofMinFailed   = 3   // lowest number of failed attempts that puts the server on hold
+	proofFailedRatio = 0.2 // lowest fraction of failed attempts that puts the server on hold
 )
 
-// proveHealth settles a returned machine: Done once it has proved its health, OnHold if it fails or takes too long.
+// proveHealth moves a returned machine to Done once its health is proved, or to OnHold if it fails or takes too long.
 func (e *evaluation) proveHealth(m *Machine) {
 	if g, ok := e.gateway(m.Name); ok {
 		e.proveGateway(m, g)
@@ -21,21 +21,21 @@
 	e.proveServer(m)
 }
 
-// proveGateway takes a gateway for healthy once another process of it is in the fleet, with a fresh view.
+// proveGateway considers a gateway healthy once a new process of it is in the fleet with a fresh view, MinHealthyTime after its return.
 func (e *evaluation) proveGateway(m *Machine, g Member) {
 	age := e.age(m)
 	switch {
 	case g.Reachable && g.Fresh && g.ProcessStartedAt != m.ProcessStartedAt && age >= e.cfg.MinHealthyTime:
 		m.enter(Done, e.unix, "")
 	case age > e.cfg.ReturnTimeout:
-		m.enter(OnHold, e.unix, "no new process of it is in the fleet: look at it, then resume")
+		m.enter(OnHold, e.unix, "no new process of this gateway is in the fleet: check it, then resume")
 	default:
-		m.Note = "waits for a new process of it in the fleet"
+		m.Note = "waits for a new process of this gateway in the fleet"
 	}
 }
 
-// proveServer takes a server for healthy once it is listed as ready, is warm and served proofMinServed attempts. After ReturnTimeout a
-// warm server without a failure is enough, as there may be too little traffic.
+// proveServer considers a server healthy once it is listed as ready, is warm and has served proofMinServed attempts, MinHealthyTime after
+// its return. After ReturnTimeout it needs no served attempts if it is warm and none failed, because there may be too little traffic.
 func (e *evaluation) proveServer(m *Machine) {
 	age := e.age(m)
 	server, listed := e.observed.Servers[m.Name]
@@ -45,20 +45,20 @@
 	case !listed || !server.Ready:
 		m.Note = "is not listed as ready"
 		if age > e.cfg.ReturnTimeout {
-			m.enter(OnHold, e.unix, "came back unlisted: look at it, then resume")
+			m.enter(OnHold, e.unix, "is not listed as ready after its return: check it, then resume")
 		}
 	case failed >= proofMinFailed && float64(failed) >= proofFailedRatio*float64(served+failed):
-		m.enter(OnHold, e.unix, fmt.Sprintf("ill on its return: %d of %d fetches; look at it, then resume", failed, served+failed))
+		m.enter(OnHold, e.unix, fmt.Sprintf("ill on its return: %d of %d attempts failed; check it, then resume", failed, served+failed))
 	case warm && age >= e.cfg.MinHealthyTime && served >= proofMinServed, age > e.cfg.ReturnTimeout && warm && failed == 0:
 		m.enter(Done, e.unix, "")
 	case age > 2*e.cfg.ReturnTimeout:
-		m.enter(OnHold, e.unix, "did not become warm: look at it, then resume")
+		m.enter(OnHold, e.unix, "is still in slow start long after its return: check it, then resume")
 	default:
-		m.Note = "proves itself"
+		m.Note = "its health is not proved yet"
 	}
 }
 
-// warming tells whether a server is in slow start.
+// warming returns true if a server is in slow start.
 func (e *evaluation) warming(server Server) bool {
 	return server.Since > 0 && time.Duration(e.unix-server.Since)*time.Millisecond < e.cfg.SlowStart
 }
--- a/internal/fleet/maintenance/schedule.go
+++ b/internal/fleet/maintenance/schedule.go
@@ -1,12 +1,12 @@
-// Package maintenance schedules machines (servers and gateways) for maintenance: which of them may be out at once, in which order, and
-// which gateways have acknowledged that they send a machine nothing new. The Schedule is a section of the plan. Operators' commands
-// change it, and the leader's Scheduler advances it by what it observes of the fleet.
+// Package maintenance schedules the maintenance of machines (servers and gateways). It decides which machines are taken out of service, in
+// which order and how many at once, and releases a machine once the gateways have acknowledged that they send it nothing new. The Schedule
+// is a section of the plan. Operators' commands change it, and the leader's Scheduler advances it by what it observes of the fleet.
 //
-// The package is pure: it has no clock, no goroutine and no I/O, and nothing in it may be called concurrently. The owner (package
-// agent) calls Scheduler.Observe for each server in a gateway's load report. On the leader it then calls Step several times a second,
-// with the schedule of the current plan, and proposes the returned one. A change holds once the plan has it.
+// The package has no clock, no goroutine and no I/O, and nothing in it may be called concurrently. The owner (package agent) calls
+// Scheduler.Observe for each server in a gateway's load report. On the leader it also calls Step several times a second, with the schedule
+// of the current plan, and proposes the returned one. A change takes effect once the plan contains it.
 //
-// docs/design/work.md has the rules and the alternatives that were rejected.
+// docs/design/work.md describes the rules and the rejected alternatives.
 package maintenance
 
 import (
@@ -21,22 +21,22 @@
 // Section is the key of the plan's section that holds the Schedule.
 const Section = "work"
 
-// State is that of a machine or of a request. The values are stored in the plan.
+// State is the state of a machine or of a request. Its value is stored in the plan.
 type State string
 
-// The states of a machine are Waiting, Announced, Free, Returned and Done, in this order, or OnHold or Cancelled. Those of a request are
-// Waiting, OnHold, Done and Cancelled.
+// The states of a machine are Waiting, Announced, Released, Returned and Done, in this order, or OnHold or Cancelled. The states of a
+// request are Waiting, OnHold, Done and Cancelled.
 const (
-	Waiting   State = ""          // in service, until the machine's turn
-	Announced State = "announced" // gateways that have acknowledged the turn send nothing new to the machine
+	Waiting   State = ""          // the machine is in service and not announced yet
+	Announced State = "announced" // gateways that have acknowledged the announcement send nothing new to the machine
 	Released  State = "free"      // no gateway sends to the machine; maintenance may begin
-	Returned  State = "back"      // in service again, until it has proved its health
-	OnHold    State = "held"      // an operator has to decide
+	Returned  State = "back"      // the machine is in service again, but its health is not proved yet
+	OnHold    State = "held"      // an operator has to resume, complete or cancel
 	Done      State = "done"
 	Cancelled State = "cancelled"
 )
 
-// String is the state as operators read it.
+// String returns the state as operators read it.
 func (s State) String() string {
 	if s == Waiting {
 		return "waiting"
@@ -44,13 +44,13 @@
 	return string(s)
 }
 
-// Kind is the kind of maintenance. The values are stored in the plan.
+// Kind is the kind of maintenance. Its value is stored in the plan.
 type Kind string
 
-// The kinds.
+// Kinds of maintenance.
 const (
 	Restart Kind = "restart" // the machine returns
-	Replace Kind = "replace" // another machine replaces it, under another name
+	Replace Kind = "replace" // another machine replaces this one, under another name
 	Off     Kind = "off"     // the machine does not return
 )
 
@@ -58,11 +58,11 @@
 type Machine struct {
 	Name             string `cbor:"1,keyasint" json:"name"`
 	State            State  `cbor:"2,keyasint,omitempty" json:"state,omitempty"`
-	Since            int64  `cbor:"3,keyasint,omitempty" json:"since,omitempty"` // start of this state, Unix ms
-	Until            int64  `cbor:"4,keyasint,omitempty" json:"until,omitempty"` // end of Free, Unix ms
-	AnnouncementID   uint64 `cbor:"5,keyasint,omitempty" json:"turn,omitempty"`  // number of the announcement; an acknowledgement of another one does not count
-	Note             string `cbor:"6,keyasint,omitempty" json:"note,omitempty"`  // why it waits and for which gateways, for operators
-	ProcessStartedAt int64  `cbor:"7,keyasint,omitempty" json:"life,omitempty"`  // of a gateway: the process that was announced; a different one has returned
+	Since            int64  `cbor:"3,keyasint,omitempty" json:"since,omitempty"` // start of the present state in Unix ms
+	Until            int64  `cbor:"4,keyasint,omitempty" json:"until,omitempty"` // latest end of the state Released in Unix ms
+	AnnouncementID   uint64 `cbor:"5,keyasint,omitempty" json:"turn,omitempty"`  // number of the machine's last announcement, which gateways acknowledge; 0: none
+	Note             string `cbor:"6,keyasint,omitempty" json:"note,omitempty"`  // reason of the present state, shown to operators
+	ProcessStartedAt int64  `cbor:"7,keyasint,omitempty" json:"life,omitempty"`  // start of a gateway's process when it was announced, in Unix ns; a later process has returned
 }
 
 // enter changes the state of the machine.
@@ -72,46 +72,47 @@
 	m.Note = note
 }
 
-// withdrawn tells whether nothing new may be sent to the machine.
+// withdrawn returns true if gateways may send nothing new to the machine.
 func (m *Machine) withdrawn() bool {
 	return m.State == Announced || m.State == Released || m.onHoldAfterAnnouncement()
 }
 
-// out tells whether the machine is withdrawn, or has returned and not proved its health yet.
+// out returns true if the machine is withdrawn, or has returned and not proved its health yet.
 func (m *Machine) out() bool { return m.withdrawn() || m.State == Returned }
 
-// onHoldAfterAnnouncement tells whether the machine was put on hold after its turn had been announced.
+// onHoldAfterAnnouncement returns true if the machine was announced before it was put on hold.
 func (m *Machine) onHoldAfterAnnouncement() bool { return m.State == OnHold && m.AnnouncementID > 0 }
 
-// ended tells whether nothing more happens to the machine.
+// ended returns true if the machine's state no longer changes.
 func (m *Machine) ended() bool { return m.State == Done || m.State == Cancelled }
 
-// Request is an operator's request for maintenance of machines. Its machines have their turns one after the other, in this order.
+// Request is an operator's request for maintenance of machines. Its machines are announced one after the other, the first that may be
+// announced first.
 type Request struct {
 	ID          uint64    `cbor:"1,keyasint" json:"id"`
-	Key         string    `cbor:"2,keyasint" json:"key"` // idempotency key
-	By          string    `cbor:"3,keyasint" json:"by"`  // the operator
-	Reason      string    `cbor:"4,keyasint" json:"why"`
-	Kind        Kind      `cbor:"5,keyasint" json:"kind"`
-	ForMS       int64     `cbor:"6,keyasint" json:"for_ms"`                         // longest time that a machine is Free, ms
-	NotBefore   int64     `cbor:"7,keyasint,omitempty" json:"not_before,omitempty"` // Unix ms
-	After       uint64    `cbor:"8,keyasint,omitempty" json:"after,omitempty"`      // ID of a request that has to end first
-	RequestedAt int64     `cbor:"9,keyasint" json:"asked"`                          // Unix ms
-	State       State     `cbor:"10,keyasint,omitempty" json:"state,omitempty"`     // see State
-	Note        string    `cbor:"11,keyasint,omitempty" json:"note,omitempty"`      // why it waits, for operators
-	Overtaken   int       `cbor:"12,keyasint,omitempty" json:"passed,omitempty"`    // turns of younger requests while this one could not begin
+	Key         string    `cbor:"2,keyasint" json:"key"`                            // idempotency key
+	By          string    `cbor:"3,keyasint" json:"by"`                             // name of the operator
+	Reason      string    `cbor:"4,keyasint" json:"why"`                            // reason that the operator gave
+	Kind        Kind      `cbor:"5,keyasint" json:"kind"`                           // kind of the maintenance of all machines
+	ForMS       int64     `cbor:"6,keyasint" json:"for_ms"`                         // longest time that each machine stays Released, in ms
+	NotBefore   int64     `cbor:"7,keyasint,omitempty" json:"not_before,omitempty"` // earliest announcement of a machine, in Unix ms; 0: no limit
+	After       uint64    `cbor:"8,keyasint,omitempty" json:"after,omitempty"`      // ID of a request that has to end before this one begins; 0: none
+	RequestedAt int64     `cbor:"9,keyasint" json:"asked"`                          // time of the request in Unix ms, by the leader's clock
+	State       State     `cbor:"10,keyasint,omitempty" json:"state,omitempty"`     // Waiting, OnHold, Done or Cancelled
+	Note        string    `cbor:"11,keyasint,omitempty" json:"note,omitempty"`      // reason of the present state, shown to operators
+	Overtaken   int       `cbor:"12,keyasint,omitempty" json:"passed,omitempty"`    // number of announcements for younger requests while this one had to wait
 	Machines    []Machine `cbor:"13,keyasint" json:"machines"`
 }
 
-// ended tells whether the request is over.
+// ended returns true if the request's state no longer changes.
 func (r *Request) ended() bool { return r.State == Done || r.State == Cancelled }
 
-// hasWaiting tells whether a machine of the request waits for its turn.
+// hasWaiting returns true if a machine of the request is waiting.
 func (r *Request) hasWaiting() bool {
 	return slices.ContainsFunc(r.Machines, func(m Machine) bool { return m.State == Waiting })
 }
 
-// endWithMachines ends a request whose machines have all ended: as cancelled if any of them was.
+// endWithMachines ends a request whose machines have all ended. The request is cancelled if any of them is, and done otherwise.
 func (r *Request) endWithMachines() {
 	cancelled := false
 	for i := range r.Machines {
@@ -127,53 +128,55 @@
 	}
 }
 
-// Schedule is the section of the plan. It is durable as part of it.
+// Schedule holds the requests for maintenance and the machines that are out for good. It is a section of the plan, and durable as part of
+// the plan.
 type Schedule struct {
-	LastID             uint64           `cbor:"1,keyasint" json:"next"`  // last ID that was given to a request
-	LastAnnouncementID uint64           `cbor:"2,keyasint" json:"turns"` // last number that was given to an announcement
-	Requests           []Request        `cbor:"3,keyasint" json:"requests"`
-	Roster             map[string]int64 `cbor:"4,keyasint" json:"roster"` // gateways that may send to servers, and since when they are known, Unix ms
-	Off                []string         `cbor:"5,keyasint" json:"off"`    // machines that were taken out for good
+	LastID             uint64           `cbor:"1,keyasint" json:"next"`     // ID of the newest request
+	LastAnnouncementID uint64           `cbor:"2,keyasint" json:"turns"`    // ID of the newest announcement
+	Requests           []Request        `cbor:"3,keyasint" json:"requests"` // open requests and the last ended ones, in order of their IDs
+	Roster             map[string]int64 `cbor:"4,keyasint" json:"roster"`   // gateways that may send to servers, with the time in Unix ms at which each was added
+	Off                []string         `cbor:"5,keyasint" json:"off"`      // machines that were taken out of service for good, oldest first
 }
 
-// Bounds of a schedule.
+// Limits on a schedule.
 const (
-	maxOpen     = 128 // requests that have not ended
-	maxEnded    = 64  // ended requests that are remembered
-	maxMachines = 256 // of a request
-	maxOff      = 1024
+	maxOpen     = 128  // limit on the requests that have not ended
+	maxEnded    = 64   // limit on the ended requests that are kept
+	maxMachines = 256  // limit on the machines of a request
+	maxOff      = 1024 // limit on the machines in Off; the oldest are dropped
 )
 
-// deterministicMode encodes maps in one order: in a random order the same schedule would be other bytes each time, and each a new plan.
+// deterministicMode encodes maps in a fixed order. In random order, equal schedules would have different encodings, and each encoding would
+// become a new plan.
 var deterministicMode = func() cbor.EncMode {
 	m, err := cbor.CoreDetEncOptions().EncMode()
 	if err != nil {
-		panic("work: " + err.Error()) // the options are constant
+		panic("maintenance: encoding options: " + err.Error()) // unreachable: the options are constant
 	}
 	return m
 }()
 
-// encode returns the bytes of a schedule, which are the same for equal schedules.
+// encode returns the schedule in CBOR. Equal schedules have equal encodings.
 func (s Schedule) encode() []byte {
 	raw, err := deterministicMode.Marshal(s)
 	if err != nil {
-		panic("work: " + err.Error()) // Schedule has only types that can be encoded
+		panic("maintenance: encode schedule: " + err.Error()) // unreachable: CBOR encodes every type in Schedule
 	}
 	return raw
 }
 
-// EncodeSection encodes a schedule as a section of the plan.
+// EncodeSection returns a schedule as a section of the plan.
 func EncodeSection(s Schedule) map[string]cbor.RawMessage {
 	return map[string]cbor.RawMessage{Section: s.encode()}
 }
 
-// Read decodes the schedule of a plan; a plan without one has an empty schedule.
+// Read decodes the schedule of a plan. The schedule is empty if the plan has none.
 func Read(p *fleet.Plan) (s Schedule, err error) {
 	_, err = p.Section(Section, &s)
 	return s, err
 }
 
-// clone copies all that a change may touch.
+// clone returns a copy that can be changed without an effect on s.
 func (s Schedule) clone() Schedule {
 	s.Requests = slices.Clone(s.Requests)
 	s.Roster = maps.Clone(s.Roster)
@@ -184,7 +187,7 @@
 	return s
 }
 
-// withoutNotes returns a copy without the notes, which change with the figures in them.
+// withoutNotes returns a copy without notes. Notes contain figures that change often.
 func (s Schedule) withoutNotes() Schedule {
 	s = s.clone()
 	for i := range s.Requests {
@@ -196,7 +199,8 @@
 	return s
 }
 
-// Withdrawn returns the machines that nothing new may be sent to, with the number of their turn; 0 for those that are off for good.
+// Withdrawn returns the machines to which gateways may send nothing new, with the ID of each machine's announcement, or 0 for a machine
+// that is out of service for good.
 func (s Schedule) Withdrawn() map[string]uint64 {
 	withdrawn := map[string]uint64{}
 	for _, name := range s.Off {
@@ -212,12 +216,12 @@
 	return withdrawn
 }
 
-// hasOpen tells whether any request has not ended.
+// hasOpen returns true if any request has not ended.
 func (s *Schedule) hasOpen() bool {
 	return slices.ContainsFunc(s.Requests, func(r Request) bool { return !r.ended() })
 }
 
-// find returns a request by its ID, or nil.
+// find returns the request with an ID, or nil.
 func (s *Schedule) find(id uint64) *Request {
 	for i := range s.Requests {
 		if s.Requests[i].ID == id {
@@ -227,7 +231,7 @@
 	return nil
 }
 
-// endWork ends the maintenance of a machine: after a restart it returns, otherwise it is off for good.
+// endWork ends the maintenance of a machine. The machine returns after a restart, and is out of service for good otherwise.
 func (s *Schedule) endWork(r *Request, m *Machine, unix int64, note string) {
 	m.enter(Returned, unix, note)
 	m.Until = 0
@@ -241,7 +245,7 @@
 	}
 }
 
-// dropEnded forgets the oldest ended requests beyond maxEnded.
+// dropEnded removes the oldest ended requests beyond maxEnded.
 func (s *Schedule) dropEnded() {
 	ended := 0
 	for _, r := range s.Requests {
--- a/internal/fleet/maintenance/scheduler.go
+++ b/internal/fleet/maintenance/scheduler.go
@@ -6,48 +6,48 @@
 	"time"
 )
 
-// Server is a server of the endpoint list, as the leader has it.
+// Server is a server in the leader's endpoint list.
 type Server struct {
 	Zone  string `json:"zone"`
 	Ready bool   `json:"ready"`
-	Since int64  `json:"since"` // its last start, Unix ms; 0: long ago
+	Since int64  `json:"since"` // time of its last start in Unix ms; 0: long ago
 }
 
-// Member is a gateway, as the leader knows it.
+// Member is the leader's view of a gateway.
 type Member struct {
-	HasLeft          bool // it shut down gracefully, and sends nothing any more
-	Reachable        bool // it reported within the lease
-	Fresh            bool // its view of the fleet is not older than the lease
+	HasLeft          bool // true if the gateway has left the fleet gracefully and sends nothing any more
+	Reachable        bool // true if the leader received a status within the lease
+	Fresh            bool // true if the gateway's view of the fleet is not older than the lease
 	Zone             string
 	Voter            bool
 	Leader           bool
-	ProcessStartedAt int64             // start of its process
-	Withdrawn        map[string]uint64 // machines that it has no attempt open to and sends nothing new, with the turn that it acknowledges
+	ProcessStartedAt int64             // start time of its process in Unix ns
+	Withdrawn        map[string]uint64 // machines to which it sends nothing and has nothing in flight, with the announcement ID that it acknowledges
 }
 
-// Observations are what the leader observes of the fleet.
+// Observations is the leader's view of the fleet.
 type Observations struct {
-	Servers           map[string]Server // by name
-	Members           map[string]Member // by name, all that the leader ever heard of
+	Servers           map[string]Server // listed servers by name
+	Members           map[string]Member // all members that the leader knows, by name, itself included
 	ZonesNotInService []string          // zones that are evacuated, probed or returning
-	Saturated         bool              // servers reject requests
-	Rate              float64           // attempts a second, of all gateways
+	Saturated         bool              // true if servers reject requests
+	Rate              float64           // attempts a second of all gateways together
 }
 
-// Config bounds what may be out at once.
+// Config holds the limits on the machines that are out at once, and the timeouts of their return.
 type Config struct {
-	MaxZoneFraction    float64       // of a zone's servers; at least one, if another one stays
-	MaxGatewayFraction float64       // of the gateways, one of a zone at a time; at least one, if another one stays
-	MaxServerFraction  float64       // of all servers
+	MaxZoneFraction    float64       // highest fraction of a zone's servers that may be out; one may be out if another one stays
+	MaxGatewayFraction float64       // highest fraction of the gateways that may be out, one of a zone; one may be out if another one stays
+	MaxServerFraction  float64       // highest fraction of all servers that may be out
 	AntiAffinity       [][2]string   // pairs of machines that may not be out together
-	SlowStart          time.Duration // from the start of a server until it is warm
-	MinHealthyTime     time.Duration // for which a returned machine has to be healthy
-	ReturnTimeout      time.Duration // until a returned machine without a proof of health is put on hold
-	MaxOvertakes       int           // by younger requests, before they wait for the older one
-	MaxLoadGrowth      float64       // factor of the highest load that servers bore, for the load of the next turn
+	SlowStart          time.Duration // time from the start of a server until it is warm
+	MinHealthyTime     time.Duration // shortest time from a machine's return to Done
+	ReturnTimeout      time.Duration // time after which a returned machine without proof of health is put on hold
+	MaxOvertakes       int           // number of announcements for younger requests after which these wait for an older one
+	MaxLoadGrowth      float64       // highest load of the remaining servers, as a multiple of the highest load that servers have handled
 }
 
-// Defaults are the values that gateways use.
+// Defaults is the configuration that gateways use.
 var Defaults = Config{
 	MaxZoneFraction:    0.34,
 	MaxGatewayFraction: 0.2,
@@ -59,33 +59,33 @@
 	MaxLoadGrowth:      1.5,
 }
 
-// minNoteInterval bounds how often a change of notes alone becomes a plan.
+// minNoteInterval is the shortest time between two plans that differ in notes only.
 const minNoteInterval = 3 * time.Second
 
-// Scheduler advances the schedule. Every voter observes, so that the next leader has the evidence; only the leader steps. All times of
-// type time.Duration are on the owner's monotonic clock.
+// Scheduler advances the schedule. Every voter calls Observe, so that a new leader has the evidence at once. Only the leader calls Step.
+// Times of type time.Duration are on the owner's monotonic clock.
 type Scheduler struct {
 	cfg       Config
-	health    map[string][]sample // by server, the oldest first
-	loads     []peakLoad          // by minute, the oldest first
-	changedAt time.Duration       // of the last step that changed the schedule
+	health    map[string][]sample // samples of the last healthSpan by server, oldest first
+	loads     []peakLoad          // peak loads of the last loadSpan, oldest first
+	changedAt time.Duration       // time of the last step that changed the schedule
 }
 
 // New returns a Scheduler without evidence.
 func New(cfg Config) *Scheduler { return &Scheduler{cfg: cfg, health: map[string][]sample{}} }
 
-// evaluation is the state of one call of Step.
+// evaluation is the state of one call to Step.
 type evaluation struct {
 	*Scheduler
 	schedule *Schedule
 	observed Observations
 	now      time.Duration
-	unix     int64  // Unix ms
-	fault    string // of the fleet, that stops every turn; empty: none
+	unix     int64  // leader's clock in Unix ms
+	fault    string // fault of the fleet that forbids announcements and releases; empty: none
 }
 
-// Step returns the schedule that should hold, given the one that does; changed tells whether it differs enough for a new plan. now is on
-// the clock of Observe, unix is the leader's clock in Unix ms. current is not modified.
+// Step returns the schedule that follows the current one, which it does not modify. changed is true if the two differ enough for a new
+// plan; otherwise next is current. now is on the clock of Observe, unix is the leader's clock in Unix ms.
 func (s *Scheduler) Step(now time.Duration, unix int64, current Schedule, observed Observations) (next Schedule, changed bool) {
 	idle := !current.hasOpen() && !current.rosterDiffers(observed)
 	next = current
@@ -113,8 +113,8 @@
 	return next, true
 }
 
-// needsPlan tells whether a schedule differs from the current one in more than its notes, or in notes after noteInterval: they hold
-// figures that change all the time, and each change would be a plan.
+// needsPlan returns true if a schedule differs from the current one in more than notes, or in notes minNoteInterval after the last change.
+// Notes contain figures that change all the time, and each change would become a plan.
 func (s *Scheduler) needsPlan(now time.Duration, current, next Schedule) bool {
 	if !slices.Equal(current.withoutNotes().encode(), next.withoutNotes().encode()) {
 		return true
@@ -122,7 +122,7 @@
 	return now-s.changedAt >= minNoteInterval && !slices.Equal(current.encode(), next.encode())
 }
 
-// rosterDiffers tells whether updateRoster would change the roster.
+// rosterDiffers returns true if updateRoster would change the roster.
 func (s *Schedule) rosterDiffers(observed Observations) bool {
 	for name, m := range observed.Members {
 		if _, known := s.Roster[name]; known == m.HasLeft && (known || m.Reachable) {
@@ -132,8 +132,9 @@
 	return false
 }
 
-// updateRoster adds every gateway that may send to servers, and removes those that left gracefully; an operator removes others. The
-// roster is durable in the plan, as a new leader may never have heard of a gateway that is cut off.
+// updateRoster adds reachable gateways to the roster and removes those that have left gracefully. An operator removes others. The roster
+// is durable in the plan, because a new leader may never have received anything from a gateway that is partitioned from it and still
+// sends to servers.
 func (e *evaluation) updateRoster() {
 	roster := e.schedule.Roster
 	for name, m := range e.observed.Members {
@@ -151,7 +152,7 @@
 	}
 }
 
-// observeFleet finds the fault that stops every turn, and records the load of the servers in use.
+// observeFleet sets the fault that forbids announcements and releases, if there is one, and records the load of the servers in use.
 func (e *evaluation) observeFleet() {
 	inUse := 0
 	withdrawn := e.schedule.Withdrawn()
@@ -166,11 +167,11 @@
 	case len(e.observed.ZonesNotInService) > 0:
 		e.fault = "zone " + strings.Join(e.observed.ZonesNotInService, ", ") + " is out or returning"
 	case e.observed.Saturated:
-		e.fault = "servers turn reqs away"
+		e.fault = "servers reject requests"
 	}
 }
 
-// gateway returns the member that a machine is; ok is false for a server.
+// gateway returns the member whose name a machine has. ok is false if there is none, or if a server has that name too.
 func (e *evaluation) gateway(name string) (m Member, ok bool) {
 	m, isMember := e.observed.Members[name]
 	_, isServer := e.observed.Servers[name]
--- a/internal/fleet/maintenance/scheduler_test.go
+++ b/internal/fleet/maintenance/scheduler_test.go
@@ -11,19 +11,20 @@
 	"pgregory.net/rapid"
 )
 
+// A request for a restart of all servers releases each of them once and ends, with at most two out at once.
 func TestRestartOfAllServers(t *testing.T) {
 	sim := newSimulation(t, 1, 6, 3, 4)
 	sim.submit("evening", Restart, names(sim.servers)...)
 	if !sim.runUntilEnded(20 * time.Minute) {
-		t.Fatalf("not over after %v: %+v", sim.now, sim.schedule.Requests)
+		t.Fatalf("not ended after %v: %+v", sim.now, sim.schedule.Requests)
 	}
 	if r := sim.schedule.Requests[0]; r.State != Done || sim.released != 12 || sim.maxOut > 2 {
-		t.Errorf("%s %q, %d turns, %d out at once", r.State, r.Note, sim.released, sim.maxOut)
+		t.Errorf("request %s %q, %d machines released, %d out at once", r.State, r.Note, sim.released, sim.maxOut)
 	}
-	t.Logf("12 servers in %v, %d out at most", sim.now, sim.maxOut)
+	t.Logf("12 servers in %v, at most %d out at once", sim.now, sim.maxOut)
 }
 
-// All gateways through a restart: one at a time, voters last, and the leader at the very end.
+// A request for a restart of all gateways takes one at a time out of service, the voters after the others and the leader last.
 func TestRestartOfAllGateways(t *testing.T) {
 	scheduler, schedule, observed := New(Defaults), Schedule{}, Observations{Members: map[string]Member{}, Servers: map[string]Server{"s-a0": {Zone: "a", Ready: true}}}
 	var all []string
@@ -44,7 +45,7 @@
 			g := observed.Members[m.Name]
 			switch m.State {
 			case Announced:
-				g.Withdrawn = map[string]uint64{m.Name: m.AnnouncementID} // it has no clients
+				g.Withdrawn = map[string]uint64{m.Name: m.AnnouncementID} // the gateway has no clients
 				out++
 			case Released:
 				if g.ProcessStartedAt == 1 {
@@ -62,33 +63,35 @@
 			observed.Members[m.Name] = g
 		}
 		if out > 1 {
-			t.Fatalf("%d are out: %+v", out, schedule.Requests[0])
+			t.Fatalf("%d gateways are out: %+v", out, schedule.Requests[0])
 		}
 	}
 	if got := strings.Join(order, " "); got != "g3 g4 g5 g0 g2 g1" || schedule.Requests[0].State != Done {
-		t.Errorf("%s; %+v", got, schedule.Requests[0])
+		t.Errorf("got order %s; %+v", got, schedule.Requests[0])
 	}
 }
 
+// A machine is not released before a stalled gateway acknowledges, or an operator removes the gateway: a gateway that has not applied the
+// plan may still send to the machine.
 func TestReleaseWaitsForStalledGateway(t *testing.T) {
 	sim := newSimulation(t, 2, 6, 3, 4)
 	sim.gateways["g3"].stalled = sim.now + 10*time.Second
 	sim.submit("one", Restart, "s-a1")
 	sim.run(9 * time.Second)
 	if m := sim.schedule.Requests[0].Machines[0]; m.State != Announced || m.Note != "waits for g3" {
-		t.Fatalf("%+v", m)
+		t.Fatalf("with a stalled gateway: %+v", m)
 	}
 	sim.run(5 * time.Second)
 	if sim.released != 1 {
-		t.Errorf("not free after it woke: %+v", sim.schedule.Requests[0])
+		t.Errorf("not released after the gateway resumed: %+v", sim.schedule.Requests[0])
 	}
-	// One that is over for good is waited for until a person says so.
+	// A gateway whose process ended without leaving blocks the release until an operator removes it.
 	sim.runUntilEnded(time.Minute)
 	sim.gateways["g2"].stalled = sim.now + time.Hour
 	sim.submit("two", Restart, "s-b1")
 	sim.run(time.Minute)
 	if m := sim.schedule.Requests[1].Machines[0]; m.State != Announced {
-		t.Fatalf("%+v", m)
+		t.Fatalf("with a gateway that does not return: %+v", m)
 	}
 	if err := sim.apply(removeGateways, Command{Machines: []string{"g2"}}); err != nil {
 		t.Fatal(err)
@@ -96,10 +99,11 @@
 	delete(sim.gateways, "g2")
 	sim.run(2 * time.Second)
 	if m := sim.schedule.Requests[1].Machines[0]; m.State != Released {
-		t.Errorf("%+v", m)
+		t.Errorf("after the removal of the gateway: %+v", m)
 	}
 }
 
+// A zone that goes out of service withdraws an announcement, and no machine is released until the zone is back.
 func TestFaultWithdrawsAnnouncement(t *testing.T) {
 	sim := newSimulation(t, 3, 4, 3, 4)
 	sim.gateways["g0"].stalled = sim.now + 5*time.Second
@@ -108,11 +112,11 @@
 	sim.zonesOut = []string{"c"}
 	sim.run(time.Second)
 	if m := sim.schedule.Requests[0].Machines[0]; m.State != Waiting || !strings.Contains(m.Note, "taken back") {
-		t.Fatalf("%+v", m)
+		t.Fatalf("with a zone out: %+v", m)
 	}
 	sim.run(10 * time.Second)
 	if sim.released != 0 {
-		t.Errorf("a turn began while a zone is out")
+		t.Errorf("a machine was released while a zone is out")
 	}
 	sim.zonesOut = nil
 	if !sim.runUntilEnded(5*time.Minute) || sim.released != 2 {
@@ -120,6 +124,8 @@
 	}
 }
 
+// A machine that fails after its return is put on hold and withdrawn, together with its request, until an operator resumes the request. A
+// machine whose work the operator never completes returns when its time is up.
 func TestUnhealthyMachineIsPutOnHold(t *testing.T) {
 	sim := newSimulation(t, 4, 4, 3, 4)
 	sim.submit("one", Restart, "s-a1", "s-b1")
@@ -127,28 +133,27 @@
 	sim.runUntilEnded(5 * time.Minute)
 	r := sim.schedule.Requests[0]
 	if r.State != OnHold || r.Machines[0].State != OnHold || !strings.Contains(r.Machines[0].Note, "ill on its return") {
-		t.Fatalf("%+v", r)
+		t.Fatalf("with an unhealthy machine: %+v", r)
 	}
 	withdrawnMachines := sim.schedule.Withdrawn()
 	if _, withdrawn := withdrawnMachines["s-a1"]; !withdrawn {
-		t.Error("the machine that failed is used")
+		t.Error("the unhealthy machine is not withdrawn")
 	}
 	sim.unhealthy["s-a1"] = false
 	if err := sim.apply(resumeRequest, Command{ID: r.ID}); err != nil {
 		t.Fatal(err)
 	}
 	if !sim.runUntilEnded(5*time.Minute) || sim.schedule.Requests[0].State != Done {
-		t.Errorf("resumed: %+v", sim.schedule.Requests[0])
+		t.Errorf("after resuming: %+v", sim.schedule.Requests[0])
 	}
-	// One that nobody gives back is tried once its time is up.
 	sim.neverDone = true
 	sim.submit("two", Restart, "s-c1")
 	if !sim.runUntilEnded(5*time.Minute) || sim.schedule.Requests[1].State != Done {
-		t.Errorf("never said to be done: %+v", sim.schedule.Requests[1])
+		t.Errorf("without completion by the operator: %+v", sim.schedule.Requests[1])
 	}
 }
 
-// A schedule in which nothing happens makes no new plans: notes alone make one in three seconds.
+// While only notes change, the scheduler proposes at most one plan in three seconds.
 func TestNotesAreRateLimited(t *testing.T) {
 	sim := newSimulation(t, 6, 12, 3, 4)
 	sim.gateways["g3"].stalled = sim.now + time.Hour
@@ -157,11 +162,11 @@
 	planChangesBefore := sim.planChanges
 	sim.run(30 * time.Second)
 	if n := sim.planChanges - planChangesBefore; n > 11 {
-		t.Errorf("%d plans in 30 s of waiting", n)
+		t.Errorf("%d plans in 30 s in which only notes changed", n)
 	}
 }
 
-// A server in slow start whose answers come late is healthy; one that never answers is not.
+// A server in slow start whose answers are late is healthy. A server that never answers is not.
 func TestLateAnswerIsNotFailure(t *testing.T) {
 	for _, neverAnswers := range []bool{false, true} {
 		scheduler := New(Defaults)
@@ -173,54 +178,56 @@
 			scheduler.Observe(now, "s", 0, 0, 1, late)
 		}
 		if served, failed := scheduler.healthSince("s", 4*time.Second, 0); neverAnswers != (failed >= 3) || neverAnswers != (served == 0) {
-			t.Errorf("never answers: %v: %d good, %d bad", neverAnswers, served, failed)
+			t.Errorf("never answers: %v: %d served, %d failed", neverAnswers, served, failed)
 		}
 	}
 }
 
+// Commands are idempotent by key, and rejected with the matching cause. A released machine can't be cancelled.
 func TestCommands(t *testing.T) {
 	sim := newSimulation(t, 5, 2, 2, 3)
 	sim.submit("k", Restart, "s-a1")
-	sim.submit("k", Restart, "s-a1") // sent twice, through two gateways
+	sim.submit("k", Restart, "s-a1") // the same request through another gateway
 	if len(sim.schedule.Requests) != 1 {
-		t.Fatalf("%+v", sim.schedule.Requests)
+		t.Fatalf("a repeated request is added: %+v", sim.schedule.Requests)
 	}
 	for name, c := range map[string]struct {
 		Command
 		want error
 	}{
-		"another's machine":       {Command{Key: "x", Kind: Restart, ForMS: 1, Machines: []string{"s-a1"}}, ErrConflict},
-		"a key of something else": {Command{Key: "k", Kind: Off, ForMS: 1, Machines: []string{"s-a2"}}, ErrConflict},
-		"no kind":                 {Command{Key: "x", ForMS: 1, Machines: []string{"s-a2"}}, ErrInvalid},
-		"no time":                 {Command{Key: "x", Kind: Off, Machines: []string{"s-a2"}}, ErrInvalid},
-		"none":                    {Command{Key: "x", Kind: Off, ForMS: 1}, ErrInvalid},
-		"after none":              {Command{Key: "x", Kind: Off, ForMS: 1, After: 77, Machines: []string{"s-a2"}}, ErrUnknown},
+		"machine of another request": {Command{Key: "x", Kind: Restart, ForMS: 1, Machines: []string{"s-a1"}}, ErrConflict},
+		"key of a different request": {Command{Key: "k", Kind: Off, ForMS: 1, Machines: []string{"s-a2"}}, ErrConflict},
+		"no kind":                    {Command{Key: "x", ForMS: 1, Machines: []string{"s-a2"}}, ErrInvalid},
+		"no duration":                {Command{Key: "x", Kind: Off, Machines: []string{"s-a2"}}, ErrInvalid},
+		"no machines":                {Command{Key: "x", Kind: Off, ForMS: 1}, ErrInvalid},
+		"after an unknown request":   {Command{Key: "x", Kind: Off, ForMS: 1, After: 77, Machines: []string{"s-a2"}}, ErrUnknown},
 	} {
 		if err := sim.apply(submitRequest, c.Command); !errors.Is(err, c.want) {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("%s: got error %v", name, err)
 		}
 	}
 	if err := sim.apply(completeWork, Command{ID: 1, Machines: []string{"s-a1"}}); !errors.Is(err, ErrState) {
-		t.Error("done before it is free")
+		t.Error("completing a machine before its release does not fail with ErrState")
 	}
 	sim.run(3 * time.Second)
 	if sim.schedule.Requests[0].Machines[0].State != Released {
-		t.Fatalf("%+v", sim.schedule.Requests[0])
+		t.Fatalf("not released: %+v", sim.schedule.Requests[0])
 	}
 	if err := sim.apply(cancelRequest, Command{ID: 1}); err != nil || sim.schedule.Requests[0].Machines[0].State != Released {
-		t.Errorf("a free machine is cancelled: %+v %v", sim.schedule.Requests[0], err)
+		t.Errorf("a released machine is cancelled: %+v %v", sim.schedule.Requests[0], err)
 	}
 	sim.submit("gone", Off, "s-b1")
 	sim.runUntilEnded(2 * time.Minute)
 	if _, withdrawn := sim.schedule.Withdrawn()["s-b1"]; !withdrawn || sim.schedule.Requests[1].State != Done {
-		t.Errorf("off, and used again: %+v", sim.schedule.Requests[1])
+		t.Errorf("a machine that is out for good is not withdrawn: %+v", sim.schedule.Requests[1])
 	}
 	if err := sim.apply(cancelRequest, Command{ID: 9}); !errors.Is(err, ErrUnknown) {
-		t.Error("cancels what is not there")
+		t.Error("cancelling an unknown request does not fail with ErrUnknown")
 	}
 }
 
-// Whatever stalls, fails or is cancelled: nothing is sent to a free machine, the bounds hold, and every request ends or is held.
+// Under random stalls, faults and commands, gateways send nothing to a released machine, the limit on machines out at once holds, and
+// every request ends or is put on hold.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed, gateways, servers := rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 6).Draw(t, "gateways"), rapid.IntRange(2, 5).Draw(t, "servers")
@@ -257,7 +264,7 @@
 			}
 			sim.run(time.Duration(200+sim.rng.IntN(3000)) * time.Millisecond)
 			if limit := max(1, int(Defaults.MaxServerFraction*float64(len(all)))); sim.maxOut > limit {
-				t.Fatalf("%d out at once, %d at most", sim.maxOut, limit)
+				t.Fatalf("%d machines out at once, limit %d", sim.maxOut, limit)
 			}
 		}
 		sim.zonesOut, sim.saturated, sim.neverDone = nil, false, false
@@ -268,7 +275,7 @@
 			}
 		}
 		if !sim.runUntilEnded(4 * time.Hour) {
-			t.Fatalf("some wait for ever: %+v", sim.schedule.Requests)
+			t.Fatalf("requests do not end: %+v", sim.schedule.Requests)
 		}
 	})
 }
--- a/internal/fleet/maintenance/simulation_test.go
+++ b/internal/fleet/maintenance/simulation_test.go
@@ -10,15 +10,15 @@
 
 const simulationTick = 200 * time.Millisecond
 
-// gateway applies plans late, or not at all while it is stalled; it keeps to the last plan that it applied.
+// gateway is a simulated gateway. It applies plans late, and none while it is stalled. It follows the plan that it applied last.
 type gateway struct {
-	withdrawn     map[string]uint64 // applied
-	acknowledged  map[string]uint64 // in its last report
-	stalled       time.Duration
-	attemptEndsAt map[string]time.Duration // last end of its attempts, by machine
+	withdrawn     map[string]uint64        // withdrawn machines of the plan that it applied last
+	acknowledged  map[string]uint64        // withdrawn machines in its last report
+	stalled       time.Duration            // time until which it does nothing
+	attemptEndsAt map[string]time.Duration // time at which its last attempt to each machine ends
 }
 
-// simulation is a fleet on a virtual clock: the leader steps the schedule, and gateways send to every machine that they do not know to be withdrawn.
+// simulation is a fleet on a virtual clock. The leader steps the schedule, and gateways send to every machine that their plan does not withdraw.
 type simulation struct {
 	t           fataler
 	rng         *rand.Rand
@@ -30,12 +30,12 @@
 	zonesOut    []string
 	saturated   bool
 	rate        float64
-	workTime    time.Duration // that the operator needs for a machine
-	neverDone   bool          // the operator never completes the work
-	unhealthy   map[string]bool
-	maxOut      int // machines that were out at once, at most
-	released    int // machines that became free
-	planChanges int
+	workTime    time.Duration   // time that the operator needs for a machine
+	neverDone   bool            // the operator never completes the work
+	unhealthy   map[string]bool // machines whose attempts all fail
+	maxOut      int             // highest number of machines that were out at once
+	released    int             // number of machines that were released
+	planChanges int             // number of steps that changed the schedule
 }
 
 type fataler interface{ Fatalf(string, ...any) }
@@ -73,14 +73,14 @@
 	}
 }
 
-// step is one tick: gateways send and report, the leader steps the schedule, and operators work on free machines.
+// step simulates one tick. Gateways send and report, the leader steps the schedule, and operators work on released machines.
 func (sim *simulation) step() {
 	sim.now += simulationTick
-	free := map[string]bool{}
+	releasedMachines := map[string]bool{}
 	for _, r := range sim.schedule.Requests {
 		for _, m := range r.Machines {
 			if m.State == Released {
-				free[m.Name] = true
+				releasedMachines[m.Name] = true
 			}
 		}
 	}
@@ -90,13 +90,13 @@
 		if g.stalled > sim.now {
 			continue
 		}
-		for range 3 { // attempts, by the plan that it has applied
+		for range 3 { // attempts that follow the applied plan
 			to := names[sim.rng.IntN(len(names))]
 			if _, withdrawn := g.withdrawn[to]; withdrawn || !sim.servers[to].Ready || slices.Contains(sim.schedule.Off, to) && sim.rng.IntN(2) == 0 {
 				continue
 			}
-			if free[to] {
-				sim.t.Fatalf("%v: %s sends to %s, which is free", sim.now, name, to)
+			if releasedMachines[to] {
+				sim.t.Fatalf("%v: %s sends to %s, which is released", sim.now, name, to)
 			}
 			g.attemptEndsAt[to] = sim.now + time.Duration(sim.rng.IntN(800))*time.Millisecond
 			if sim.unhealthy[to] {
@@ -105,7 +105,7 @@
 				sim.scheduler.Observe(sim.now, to, 1, 0, 0, 0)
 			}
 		}
-		if sim.rng.IntN(3) > 0 { // a plan reaches it, and is applied
+		if sim.rng.IntN(3) > 0 { // the gateway receives the plan and applies it
 			g.withdrawn = sim.schedule.Withdrawn()
 		}
 		g.acknowledged = map[string]uint64{}
@@ -134,11 +134,11 @@
 			if m.State != Released {
 				continue
 			}
-			if !free[m.Name] {
+			if !releasedMachines[m.Name] {
 				sim.released++
 				for name, g := range sim.gateways {
 					if g.attemptEndsAt[m.Name] > sim.now {
-						sim.t.Fatalf("%v: %s is free, and %s has an attempt open there", sim.now, m.Name, name)
+						sim.t.Fatalf("%v: %s is released while %s has an attempt to it in flight", sim.now, m.Name, name)
 					}
 				}
 			}
@@ -147,7 +147,7 @@
 				server.Since = sim.unix()
 				sim.servers[m.Name] = server
 				if err := sim.apply(completeWork, Command{ID: r.ID, Machines: []string{m.Name}}); err != nil {
-					sim.t.Fatalf("done: %v", err)
+					sim.t.Fatalf("complete the work: %v", err)
 				}
 			}
 		}
@@ -161,7 +161,7 @@
 	}
 }
 
-// runUntilEnded runs until all requests have ended or are held.
+// runUntilEnded runs until all requests have ended or are on hold, for d at most. It returns true if they have.
 func (sim *simulation) runUntilEnded(d time.Duration) bool {
 	for end := sim.now + d; sim.now < end; sim.step() {
 		if !slices.ContainsFunc(sim.schedule.Requests, func(r Request) bool { return !r.ended() && r.State != OnHold }) {
--- a/internal/fleet/maintenance/transition.go
+++ b/internal/fleet/maintenance/transition.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// advance moves the machines of a request through their states, and ends the request with the last of them.
+// advance moves the machines of a request through their states, and ends the request when all of them have ended.
 //
-//	Waiting --announceNext--> Announced --release--> Free --expire, completeWork--> Returned --proveHealth--> Done
+//	Waiting --announceNext--> Announced --release--> Released --expire, completeWork--> Returned --proveHealth--> Done
 //	Announced --release--> Waiting, on a fault of the fleet
 //	Returned --proveHealth--> OnHold --resumeRequest--> Returned
 func (e *evaluation) advance(r *Request) {
@@ -28,12 +28,13 @@
 	onHold := slices.ContainsFunc(r.Machines, func(m Machine) bool { return m.State == OnHold })
 	if onHold && r.State != OnHold {
 		r.State = OnHold
-		r.Note = "a machine of it is held"
+		r.Note = "a machine of this request is held"
 	}
 	r.endWithMachines()
 }
 
-// release frees an announced machine once all gateways have acknowledged its turn. A fault of the fleet withdraws the announcement.
+// release releases an announced machine for maintenance once no acknowledgement is missing. On a fault of the fleet it withdraws the
+// announcement instead.
 func (e *evaluation) release(r *Request, m *Machine) {
 	if e.fault != "" {
 		m.enter(Waiting, e.unix, "taken back: "+e.fault)
@@ -47,12 +48,13 @@
 	m.Until = e.unix + r.ForMS
 }
 
-// missingAcknowledgements names the gateways that have not acknowledged the machine's turn: of a server all in the roster are asked,
-// of a gateway the gateway itself. An acknowledgement of another turn does not count.
+// missingAcknowledgements returns the gateways that have not acknowledged the machine's announcement. A server needs the acknowledgement
+// of every gateway in the roster, a gateway only its own, or that it has left the fleet. An acknowledgement of another announcement
+// does not count.
 func (e *evaluation) missingAcknowledgements(m *Machine) (names []string) {
 	if g, ok := e.gateway(m.Name); ok {
 		if id, acknowledged := g.Withdrawn[m.Name]; (!acknowledged || id != m.AnnouncementID) && !g.HasLeft {
-			return []string{m.Name + ", to have no clients"}
+			return []string{m.Name + " to drain its clients"}
 		}
 		return nil
 	}
@@ -64,21 +66,21 @@
 	return names
 }
 
-// expire returns a machine whose time to be free is over.
+// expire ends the maintenance of a released machine when its time is up.
 func (e *evaluation) expire(r *Request, m *Machine) {
 	if e.unix >= m.Until {
 		e.schedule.endWork(r, m, e.unix, "its time is up, and nobody said that it is done")
 	}
 }
 
-// age is the time in the present state by the leader's clock.
+// age returns how long a machine has been in its present state, by the leader's clock.
 func (e *evaluation) age(m *Machine) time.Duration {
 	return time.Duration(e.unix-m.Since) * time.Millisecond
 }
 
-// announceNext announces the turn of one machine, if any may go out: one at a time is Announced, so that the fleet shows the effect of
-// a turn before the next one. Requests are served in the order of their age. A younger one may overtake an older one that can't begin,
-// MaxOvertakes times.
+// announceNext announces one machine, if any may be announced. Only one machine is Announced at a time, so that the effect of taking it
+// out of service shows before the next one. Requests are served oldest first. A younger request may overtake an older one that can't
+// announce a machine, at most MaxOvertakes times.
 func (e *evaluation) announceNext() {
 	waiting, announced := e.waitingRequests()
 	if announced {
@@ -100,13 +102,13 @@
 		if r.hasWaiting() {
 			overtaken = append(overtaken, r)
 			if r.Overtaken >= e.cfg.MaxOvertakes {
-				return // its machines get in sooner if no other request takes their place
+				return // without machines of other requests out, the limits admit this request's machines sooner
 			}
 		}
 	}
 }
 
-// waitingRequests returns the requests that may have a turn, the oldest first, and whether any machine is announced.
+// waitingRequests returns the requests in state Waiting, oldest first. announced is true, and the list nil, if a machine is announced.
 func (e *evaluation) waitingRequests() (waiting []*Request, announced bool) {
 	for i := range e.schedule.Requests {
 		r := &e.schedule.Requests[i]
@@ -124,7 +126,7 @@
 	return waiting, false
 }
 
-// announce begins the turn of a machine.
+// announce moves a machine to Announced under a new announcement ID.
 func (e *evaluation) announce(m *Machine) {
 	e.schedule.LastAnnouncementID++
 	m.enter(Announced, e.unix, "")
