--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -1,6 +1,6 @@
-// Package agent runs a fleet's member: the goroutine, clock, storage and transport of a fleet.Node, the
-// policies that its leader applies, and the operators' pages. The policies themselves are in evacuation,
-// maintenance and slowstart.
+// Package agent runs a member of a fleet. It owns the goroutine, clock, storage and transport of a fleet.Node,
+// applies the policies of packages evacuation, maintenance and slowstart while the member leads, and serves the
+// operators' pages.
 package agent
 
 import (
@@ -23,33 +23,33 @@
 )
 
 const (
-	logTick         = 100 * time.Millisecond // of the log's clock
-	minTickInterval = 5 * time.Millisecond   // between two calls of Node.Tick
-	inboxSize       = 2048                   // messages, and changes of members, that wait; more are lost, as on the wire
-	callQueueSize   = 16
+	logTick         = 100 * time.Millisecond // tick of the log
+	minTickInterval = 5 * time.Millisecond   // shortest time between two calls to Node.Tick
+	inboxSize       = 2048                   // limit on the queued messages, and on the queued member changes; more are lost, as on the network
+	callQueueSize   = 16                     // limit on the queued calls from other goroutines; more block their callers
 )
 
-// Options configure a member. Callbacks run on the agent's goroutine and must not block.
+// Options configures a member. Callbacks run on the agent's goroutine and must not block.
 type Options struct {
-	Gossip         gossip.Options // Log, Receive and Changed are set by Open
-	Voters         []string       // by name, the same list at every member; the first starts the log
-	Dir            string         // of a voter's storage; empty: its state is lost with the process, and it returns as another voter
-	Lease          time.Duration  // how long the leader's confirmations and grants hold
-	StatusInterval time.Duration  // minimum interval between two statuses
+	Gossip         gossip.Options // Open sets Log, Receive and StateChanged
+	Voters         []string       // names of the voters, the same list at every member; the first starts the log
+	Dir            string         // directory of a voter's storage; empty: its state is lost with the process, and it returns as another voter
+	Lease          time.Duration  // time for which the leader's confirmations and grants are valid
+	StatusInterval time.Duration  // shortest time between two statuses
 	Log            *zap.Logger
-	Maintenance    maintenance.Config // its SlowStart is set by Open
+	Maintenance    maintenance.Config // Open sets SlowStart
 	Zones          evacuation.Config
-	SlowStart      slowstart.Config // its Lease is set by Open
-	Quiesced       func() bool      // this gateway has drained its clients and has nothing in flight; may be nil
-	Drain          func(on bool)    // start or stop draining this gateway's clients; may be nil
-	OnDecisions    func(Decisions)  // called when they change; may be nil
+	SlowStart      slowstart.Config // Open sets Lease
+	Quiesced       func() bool      // returns true if this gateway has drained its clients and has nothing in flight; may be nil
+	Drain          func(on bool)    // starts or stops draining this gateway's clients; may be nil
+	OnDecisions    func(Decisions)  // receives the decisions at each change; may be nil
 }
 
-// Agent is a running member. Its exported methods may be called from any goroutine; unexported fields belong
+// Agent is a running member. Its exported methods may be called from any goroutine. Unexported fields belong
 // to the goroutine of Run, except where noted.
 type Agent struct {
 	options   Options
-	startedAt time.Time // origin of the member's clock
+	startedAt time.Time // origin of the member's monotonic clock
 
 	node     *fleet.Node
 	gossip   *gossip.Gossip // safe for concurrent use
@@ -64,29 +64,29 @@
 	stopped    chan struct{} // closed when Run returns
 	stopGossip func()        // set by Run
 
-	// Policies. They observe every report at every member, so that a new leader has evidence at once; their
-	// decisions count at the leader only.
+	// Policies. Every member passes all reports that it receives to them, so that a new leader has evidence at
+	// once. Only the leader acts on their decisions.
 	zones          *evacuation.Detector
 	slowStart      *slowstart.Allocator
 	maintenance    *maintenance.Scheduler
-	nextAllocation time.Duration // of slow-start rates
-	allocated      bool          // any server is in slow start
+	nextAllocation time.Duration // time of the next allocation of slow-start rates
+	allocated      bool          // true if the last allocation gave rates to any server
 
 	drain drainState
 
 	// Written by other goroutines.
-	withdrawn atomic.Pointer[map[string]uint64]  // machines to which this gateway sends nothing new, with their turn
-	endpoints atomic.Pointer[[]slowstart.Server] // listed and ready, as this process has the list
+	withdrawn atomic.Pointer[map[string]uint64]  // machines to which this gateway sends nothing new, with their announcement IDs
+	endpoints atomic.Pointer[[]slowstart.Server] // servers that this process's endpoint list has as ready
 }
 
-// memberChange is gossip's word on a member.
+// memberChange is a change of a member's state in gossip.
 type memberChange struct {
 	name  string
 	alive bool
 }
 
-// Open opens a member: it reads the storage and listens. Run must be called if there is no error; it closes
-// what Open opened.
+// Open reads the member's storage, listens, and returns the member. After a success Run must be called: it
+// closes what Open opened.
 func Open(o Options) (*Agent, error) {
 	o.SlowStart.Lease = o.Lease
 	o.Maintenance.SlowStart = o.SlowStart.Span
@@ -111,13 +111,13 @@
 		a.storage.close()
 		return nil, err
 	}
-	for _, name := range o.Voters { // statuses go to voters from the start, whether gossip has heard of them or not
+	for _, name := range o.Voters { // makes the voters known, so that statuses go to them before gossip finds them
 		a.node.SetAlive(name, false)
 	}
 	return a, nil
 }
 
-// openNode opens a voter's storage and makes the node.
+// openNode opens the storage, if this member is a voter with a directory, and creates the node.
 func (a *Agent) openNode() error {
 	o := a.options
 	var saved *fleet.VoterState
@@ -138,6 +138,7 @@
 	return nil
 }
 
+// nodeConfig returns the node's configuration, with the commands of all policies.
 func (a *Agent) nodeConfig() fleet.Config {
 	commands := fleet.FreezeCommands()
 	maps.Copy(commands, evacuation.Commands())
@@ -162,7 +163,8 @@
 	}
 }
 
-// openGossip listens for members. gossip's callbacks must not block, so what the channels can't take is lost.
+// openGossip starts to listen for members. Gossip's callbacks must not block, so they drop what does not fit into
+// the channels.
 func (a *Agent) openGossip() error {
 	options := a.options.Gossip
 	options.Log = a.options.Log
@@ -184,28 +186,28 @@
 	return err
 }
 
-// random63 draws a number of 63 bits.
+// random63 returns a random number of 63 bits.
 func random63() uint64 {
 	var b [8]byte
-	_, _ = crand.Read(b[:]) // it never fails
+	_, _ = crand.Read(b[:]) // never fails
 	return binary.BigEndian.Uint64(b[:]) >> 1
 }
 
-// AddCandidates tells, by name, under which addresses members may be found. It is a hint: members that are
-// not named stay known.
+// AddCandidates replaces the addresses, by name, at which gossip tries to join members that are not alive. They are
+// hints: a member without an address stays a member.
 func (a *Agent) AddCandidates(addressByName map[string]string) { a.gossip.AddCandidates(addressByName) }
 
-// AttemptCounter counts this process's attempts, for its reports.
+// AttemptCounter returns the counter of this process's attempts, from which its reports are made.
 func (a *Agent) AttemptCounter() *AttemptCounter { return a.attempts }
 
-// now is the time since the process started, and Unix ms derived from it. The system's clock is read once
-// only, as a step of it would end the lease of a machine in maintenance, or a slow start.
+// now returns the time since the process started, and Unix ms derived from it. The system clock is read only once,
+// because a step of it would end the maintenance of a machine, or a slow start, too early.
 func (a *Agent) now() (time.Duration, int64) {
 	d := time.Since(a.startedAt)
 	return d, a.startedAt.Add(d).UnixMilli()
 }
 
-// Run runs the member until the context ends. Its goroutine owns the node. It always returns nil.
+// Run runs the member until the context ends. The calling goroutine owns the node. Run always returns nil.
 func (a *Agent) Run(ctx context.Context) error {
 	defer a.storage.close()
 	defer close(a.stopped)
@@ -237,7 +239,7 @@
 	}
 }
 
-// runGossip runs the gossip on a goroutine of its own, and returns what stops it and waits.
+// runGossip runs gossip on a goroutine of its own. The returned function stops it and waits for its end.
 func (a *Agent) runGossip() (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	a.stopGossip = cancel
@@ -252,8 +254,8 @@
 	}
 }
 
-// processOutput stores, sends and publishes what the node has ready. Messages do not wait for a write: those
-// that depend on it are still inside the node.
+// processOutput stores, sends and publishes the node's output. Messages do not wait for a write, because the node
+// keeps back those that depend on it.
 func (a *Agent) processOutput() {
 	a.persist()
 	messages, events := a.node.TakeOutput()
@@ -263,7 +265,7 @@
 	for _, e := range events {
 		a.handleEvent(e)
 		if e.Kind == fleet.Fenced {
-			a.stopGossip() // gossip keeps one address for a name: others find the later process only once this one has left
+			a.stopGossip() // gossip keeps one address per name: others find the later process only after this one has left
 		}
 	}
 }
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -26,18 +26,18 @@
 	"dewhitch/internal/standin/zookeeper"
 )
 
-// startMembers runs members that know one another's addresses; stop ends them and waits.
+// startMembers starts n members that know one another's addresses. stop ends them and waits for their end.
 func startMembers(t *testing.T, n int, withStorage bool) (members []*Agent, stop func()) {
 	return startMembersWithRegistry(t, n, withStorage, nil)
 }
 
-// startMembersWithRegistry has them find one another by a registry only, if one is given.
+// startMembersWithRegistry starts n members that find one another through a registry only, if reg is not nil.
 func startMembersWithRegistry(t *testing.T, n int, withStorage bool, reg *zookeeper.Server) (members []*Agent, stop func()) {
 	t.Helper()
 	return startConfiguredMembers(t, n, withStorage, reg, func(*Agent) {})
 }
 
-// startConfiguredMembers calls configure with each of them before it runs.
+// startConfiguredMembers starts n members, and calls configure for each of them before it runs.
 func startConfiguredMembers(t *testing.T, n int, withStorage bool, reg *zookeeper.Server, configure func(*Agent)) (members []*Agent, stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -79,24 +79,24 @@
 	return members, func() { cancel(); running.Wait() }
 }
 
-// eventually waits for something that must happen.
+// eventually waits until f returns true, and fails the test after 30 seconds.
 func eventually(t *testing.T, event string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !f(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(event, "does not happen")
+			t.Fatal(event, "did not happen")
 		}
 	}
 }
 
-// waitForGoroutines waits until no goroutine is left: memberlist's probes outlive it by their timeout.
+// waitForGoroutines waits until all goroutines have ended: memberlist's probes outlive it by their timeout.
 func waitForGoroutines(t *testing.T) {
 	t.Helper()
 	eventually(t, "the end of all goroutines", func() bool { return goleak.Find() == nil })
 }
 
-// waitUntilFresh waits until each has a fresh view of all others, and acts on the plan that names all voters:
-// while the leader adds them one by one, the plan changes without a command.
+// waitUntilFresh waits until each member has a fresh view of all others, and follows the plan that names all voters.
+// While the leader adds the voters one by one, the plan changes without a command.
 func waitUntilFresh(t *testing.T, members []*Agent) {
 	for _, a := range members {
 		eventually(t, "the plan that names all voters", func() bool {
@@ -114,6 +114,8 @@
 	}
 }
 
+// Members that know no addresses find one another through the registry, and stay members when all their sessions with
+// the registry expire.
 func TestMembersFindOneAnotherByRegistry(t *testing.T) {
 	defer waitForGoroutines(t)
 	zk, err := zookeeper.New()
@@ -124,8 +126,8 @@
 	members, stop := startMembersWithRegistry(t, 4, false, zk)
 	defer stop()
 	waitUntilFresh(t, members)
-	// All sessions expire at once, as after a long outage of the registry: no member counts as dead for that,
-	// and the nodes are created anew.
+	// All sessions expire at once, as after a long outage of the registry. The members stay alive, and create their
+	// nodes again.
 	names, ownersBefore := []string{"g0", "g1", "g2", "g3"}, map[string]int64{}
 	for _, n := range names {
 		ownersBefore[n] = zk.Owner("/members/test/" + n)
@@ -144,12 +146,14 @@
 		}
 		for _, m := range s.Members {
 			if m.State != "alive" {
-				t.Errorf("%s takes %s for %s", s.Name, m.Name, m.State)
+				t.Errorf("%s has %s as %s", s.Name, m.Name, m.State)
 			}
 		}
 	}
 }
 
+// Operators' commands change the plan at every member and are answered with YES. Invalid and unknown ones are answered
+// with NO, or not found, and change nothing.
 func TestOperatorCommands(t *testing.T) {
 	defer waitForGoroutines(t)
 	members, stop := startMembers(t, 4, true)
@@ -180,13 +184,13 @@
 		}
 	}
 	if code, _ := post("melt", url.Values{"by": {"me"}, "why": {"so"}}); code != http.StatusNotFound {
-		t.Errorf("an unknown verb: %d", code)
+		t.Errorf("an unknown command: status %d", code)
 	}
 	if s, _ := members[3].Status(); s.Epoch != before.Epoch {
 		t.Errorf("rejected commands changed the plan: %v, %v", before.Epoch, s.Epoch)
 	}
 	if code, text := post("freeze", url.Values{"by": {"me"}, "why": {"so"}}); code != http.StatusOK || !strings.HasPrefix(text, "YES ") {
-		t.Fatalf("%d %s", code, text)
+		t.Fatalf("freeze: %d %s", code, text)
 	}
 	for _, a := range members {
 		eventually(t, "the freeze", func() bool {
@@ -194,7 +198,7 @@
 			return s.Frozen != nil && s.Frozen.Reason == "so"
 		})
 	}
-	eventually(t, "everybody's acknowledgement", func() bool {
+	eventually(t, "the acknowledgement by all members", func() bool {
 		s, _ := members[0].Status()
 		return len(s.Unacknowledged) == 0
 	})
@@ -205,12 +209,12 @@
 	defer r.Body.Close()
 	var s Status
 	if err := json.NewDecoder(r.Body).Decode(&s); err != nil || len(s.Members) != 4 || s.Leader == "" || s.Folder != "none" {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("status page: %+v, %v", s, err)
 	}
 }
 
-// A voter restarts with its storage under the same identity; storage that another process has open is
-// rejected with an error that says so.
+// A voter that restarts with its storage keeps its identity and its plan. Storage that another process has open, or
+// that is corrupt, is rejected.
 func TestVoterStorageAcrossRestart(t *testing.T) {
 	defer waitForGoroutines(t)
 	members, stop := startMembers(t, 1, true)
@@ -220,21 +224,21 @@
 	}
 	o := members[0].options
 	if _, err := Open(o); err == nil || !strings.Contains(err.Error(), "another process has the folder") {
-		t.Errorf("storage that is open elsewhere: %v", err)
+		t.Errorf("storage that another process has open: %v", err)
 	}
-	stop() // from here on the test may read what its goroutine owned
+	stop() // the test may read the node once its goroutine has ended
 	identity := members[0].node.SelfStatus().Identity
 	restarted, err := Open(o)
 	if err != nil {
 		t.Fatal(err)
 	}
 	if s := restarted.node.SelfStatus(); s.Identity != identity {
-		t.Errorf("it votes as %x, and voted as %x", s.Identity, identity)
+		t.Errorf("identity %x after the restart, %x before", s.Identity, identity)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
 	running.Go(func() { _ = restarted.Run(ctx) })
-	eventually(t, "the plan of its last process", func() bool {
+	eventually(t, "the adoption of the stored plan", func() bool {
 		s, _ := restarted.Status()
 		return s.Frozen != nil && s.Quorum
 	})
@@ -244,13 +248,14 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(o); err == nil {
-		t.Error("garbled storage is accepted")
+		t.Error("corrupt storage is accepted")
 	}
 	if _, err := restarted.Submit(t.Context(), "thaw", nil); !errors.Is(err, ErrEnded) {
-		t.Errorf("a member that has ended: %v", err)
+		t.Errorf("Submit after the end of Run: %v", err)
 	}
 }
 
+// Gossip beyond loopback needs a keyring, and the keyring's file must be valid.
 func TestKeyring(t *testing.T) {
 	open := func(listen, keys string) error {
 		path := ""
@@ -270,10 +275,10 @@
 		return err
 	}
 	if err := open("0.0.0.0:7946", ""); err == nil || !strings.Contains(err.Error(), "keyring") {
-		t.Errorf("beyond loopback without a keyring: %v", err)
+		t.Errorf("listening beyond loopback without a keyring: %v", err)
 	}
 	if err := open(standin.OwnAddr(), "not a key\n"); err == nil || !strings.Contains(err.Error(), ":1 is not base64") {
-		t.Errorf("a keyring that is none: %v", err)
+		t.Errorf("invalid keyring: %v", err)
 	}
 	if err := open(standin.OwnAddr(), "MDEyMzQ1Njc4OWFiY2RlZg==\n"); err != nil {
 		t.Error(err)
--- a/internal/fleet/agent/calls.go
+++ b/internal/fleet/agent/calls.go
@@ -7,10 +7,10 @@
 	"dewhitch/internal/fleet"
 )
 
-// ErrEnded tells that the member's Run has returned.
+// ErrEnded is returned after Run has returned.
 var ErrEnded = errors.New("fleet: this process is leaving")
 
-// call runs f on the agent's goroutine and waits for it. With ErrEnded f may or may not have run.
+// call runs f on the agent's goroutine and waits for its end. If it returns ErrEnded, f may or may not have run.
 func (a *Agent) call(f func()) error {
 	done := make(chan struct{})
 	select {
@@ -26,9 +26,8 @@
 	}
 }
 
-// Submit has the leader run the command called name, and waits for the epoch in which it takes effect.
-// Errors: those of fleet.Node.Submit, the context's, and ErrEnded; after the latter two the command may still
-// take effect.
+// Submit sends a command to the leader and returns the epoch in which it takes effect. It returns the errors of
+// fleet.Node.Submit, the context's error, or ErrEnded. After the latter two the command may still take effect.
 func (a *Agent) Submit(ctx context.Context, name string, args []byte) (fleet.Epoch, error) {
 	type result struct {
 		epoch fleet.Epoch
--- a/internal/fleet/agent/decisions.go
+++ b/internal/fleet/agent/decisions.go
@@ -11,14 +11,14 @@
 	"dewhitch/internal/fleet/slowstart"
 )
 
-// Decisions are what a gateway acts on.
+// Decisions holds the fleet's decisions that a gateway follows.
 type Decisions struct {
 	Plan      fleet.Plan
-	Withdrawn map[string]uint64 // machines to which nothing new may be sent, with their turn
-	SlowStart slowstart.Grant   // empty where its lease is over
+	Withdrawn map[string]uint64 // machines to which nothing new may be sent, with their announcement IDs
+	SlowStart slowstart.Grant   // rates granted by the leader; empty after the lease expired
 }
 
-// handleEvent logs an event of the node, and acts on changes of plan and grant.
+// handleEvent logs an event of the node, and updates the decisions if the event changes them.
 func (a *Agent) handleEvent(e fleet.Event) {
 	p := a.node.Plan()
 	a.logEvent(e, p.Epoch)
@@ -44,8 +44,8 @@
 	}
 }
 
-// updateDrainReasons updates what a plan says of this gateway. A section that can't be read changes nothing, except
-// that its zone counts as in use.
+// updateDrainReasons sets the reasons to drain that a plan gives to this gateway. If the zones' section can't be
+// decoded, its zone counts as in service. If the schedule can't be decoded, inMaintenance stays as it is.
 func (a *Agent) updateDrainReasons(p *fleet.Plan) {
 	statuses, err := zoneStatuses(p)
 	status, ok := statuses[a.options.Gossip.Metadata.Zone]
@@ -55,7 +55,8 @@
 	}
 }
 
-// publishDecisions passes on what this gateway acts on from now on.
+// publishDecisions passes the current decisions to OnDecisions. A section or grant that can't be decoded counts as
+// empty.
 func (a *Agent) publishDecisions(p fleet.Plan) {
 	if a.options.OnDecisions == nil {
 		return
@@ -65,7 +66,7 @@
 		d.Withdrawn = schedule.Withdrawn()
 	}
 	if grant, valid := a.node.Grant(); valid && len(grant) > 0 {
-		d.SlowStart, _ = slowstart.Read(grant) // a grant that can't be read is empty
+		d.SlowStart, _ = slowstart.Read(grant) // empty if the grant is invalid
 	}
 	a.options.OnDecisions(d)
 }
--- a/internal/fleet/agent/drain.go
+++ b/internal/fleet/agent/drain.go
@@ -6,18 +6,19 @@
 	"dewhitch/internal/fleet/evacuation"
 )
 
-// drainState says why this gateway drains its clients: it is cut off from its servers, or in maintenance.
+// drainState holds the reasons for which this gateway drains its clients: it is isolated from its servers, or in
+// maintenance.
 type drainState struct {
 	monitor            evacuation.SelfMonitor
-	isolated           bool // by the monitor
-	returnIndex        int  // this gateway's place among those of its zone when it stops draining
-	zoneEvacuated      bool // by the plan
-	inMaintenance      bool // by the plan
-	appliedMaintenance bool // at the last updateDrain
+	isolated           bool // last result of the monitor
+	returnIndex        int  // index of this gateway in the order in which the gateways of its zone stop draining
+	zoneEvacuated      bool // true if the plan has this gateway's zone as evacuated or probed
+	inMaintenance      bool // true if the plan withdraws this gateway for maintenance
+	appliedMaintenance bool // value of inMaintenance at the last updateDrain
 }
 
-// updateDrain starts or stops draining. Gateways of a zone stop one after the other, by name, so that clients
-// do not all come back at once.
+// updateDrain starts or stops draining. After an isolation the gateways of a zone stop draining one after the other,
+// in the order of their names, so that their clients do not all return at once.
 func (a *Agent) updateDrain(now time.Duration) {
 	d := &a.drain
 	isolated := d.monitor.Update(now, d.zoneEvacuated, a.node.Fresh(), d.returnIndex)
@@ -38,7 +39,7 @@
 	a.setDraining(d.inMaintenance || isolated)
 }
 
-// ownReturnIndex counts the members of this one's zone whose names sort before its own.
+// ownReturnIndex returns the number of members of this gateway's zone whose names sort before its own.
 func (a *Agent) ownReturnIndex() int {
 	own, count := a.options.Gossip, 0
 	for _, m := range a.gossip.Members() {
@@ -49,6 +50,7 @@
 	return count
 }
 
+// setDraining calls Options.Drain, if it is set.
 func (a *Agent) setDraining(on bool) {
 	if a.options.Drain != nil {
 		a.options.Drain(on)
--- a/internal/fleet/agent/forms.go
+++ b/internal/fleet/agent/forms.go
@@ -10,10 +10,10 @@
 	"dewhitch/internal/fleet/maintenance"
 )
 
-// formParser encodes a command's arguments from a form. Its errors name the field.
+// formParser returns the encoded argument of a command from the fields of a form. Its errors name the field.
 type formParser func(url.Values) ([]byte, error)
 
-// commandForms are the commands that operators can submit, by name.
+// commandForms returns the parsers of the commands that operators can submit, by name.
 func commandForms() map[string]formParser {
 	forms := map[string]formParser{
 		"freeze": parseNote,
@@ -66,7 +66,7 @@
 	return c.Encode(), nil
 }
 
-// parseInt64 sets v to a field's number, if the form has the field.
+// parseInt64 sets v to the number in a field. It leaves v as it is if the field is missing or empty.
 func parseInt64(f url.Values, field string, v *int64) error {
 	text := f.Get(field)
 	if text == "" {
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// parseUint64 sets v to a field's number, if the form has the field.
+// parseUint64 sets v to the number in a field. It leaves v as it is if the field is missing or empty.
 func parseUint64(f url.Values, field string, v *uint64) error {
 	text := f.Get(field)
 	if text == "" {
--- a/internal/fleet/agent/golden_fleet_test.go
+++ b/internal/fleet/agent/golden_fleet_test.go
@@ -23,7 +23,7 @@
 	"dewhitch/internal/golden"
 )
 
-// TestGoldenStatus freezes the page of the fleet that operators and the command read.
+// TestGoldenStatus compares the status page, which operators and the fleet command read, with the golden files.
 func TestGoldenStatus(t *testing.T) {
 	full := Status{Name: "g1", Fleet: "north-fleet", Leader: "g2", LeaderAge: 11, Quorum: true, Epoch: fleet.Epoch{Generation: 12, Index: 13},
 		Sections: []string{"freeze", "voters"}, Frozen: &fleet.OperatorMark{By: "alice", Reason: "night", At: 1700000000014},
@@ -45,7 +45,7 @@
 	}
 }
 
-// withoutTimes puts 1 in place of the times of a page, which the clock gives, and writes it with sorted keys.
+// withoutTimes returns a page with 1 in place of all times, which depend on the clock, and with sorted keys.
 func withoutTimes(t *testing.T, page []byte) []byte {
 	t.Helper()
 	var v any
@@ -61,7 +61,7 @@
 			}
 		case map[string]any:
 			for k, e := range v {
-				if slices.Contains([]string{"since", "until", "asked", "g0"}, k) && e != 0.0 { // g0: in the roster, since when
+				if slices.Contains([]string{"since", "until", "asked", "g0"}, k) && e != 0.0 { // g0: key of a time in the roster
 					v[k] = 1
 				}
 				walk(e)
@@ -76,8 +76,8 @@
 	return append(text, '\n')
 }
 
-// TestGoldenPages freezes the pages of a running member: paths, the fields of the operators' forms, answers,
-// and what is shown then; and the names, kinds and labels of its metrics.
+// TestGoldenPages checks the paths, form fields and answers of a running member's pages, and compares the pages after
+// the commands, and the names, types and labels of the metrics, with the golden files.
 func TestGoldenPages(t *testing.T) {
 	defer waitForGoroutines(t)
 	members, stop := startMembers(t, 1, false)
@@ -117,7 +117,7 @@
 	}{
 		{"freeze", url.Values{"by": {"erin"}, "why": {"noon"}}, 200},
 		{"thaw", url.Values{"by": {"erin"}, "why": {"day"}}, 200},
-		{"freeze", url.Values{"by": {"erin"}, "why": {"night"}}, 200}, // from here on the leader changes nothing of itself
+		{"freeze", url.Values{"by": {"erin"}, "why": {"night"}}, 200}, // while frozen, the leader proposes nothing by itself
 		{"leave", url.Values{"by": {"alice"}, "why": {"power"}, "zone": {"hall-b"}, "for_ms": {"1800000"}}, 200},
 		{"return", url.Values{"by": {"bob"}, "why": {"keep"}, "zone": {"hall-c"}, "hold": {"true"}}, 200},
 		{"leave", url.Values{"by": {"alice"}, "why": {"power"}, "zone": {"hall-b"}, "for_ms": {"x"}}, 400},
@@ -153,10 +153,10 @@
 		t.Fatal(err)
 	}
 	if a, b := slices.Sorted(maps.Keys(want)), slices.Sorted(maps.Keys(got)); !slices.Equal(a, b) {
-		t.Errorf("the page has %v, want %v", b, a)
+		t.Errorf("the status page has keys %v, want %v", b, a)
 	}
 	if got["folder"] != "none" || !reflect.DeepEqual(got["sections"], []any{"freeze", "voters", "work", "zones"}) {
-		t.Errorf("%s", text)
+		t.Errorf("status page: %s", text)
 	}
 
 	r := prometheus.NewRegistry()
@@ -178,7 +178,7 @@
 	golden.Compare(t, "metrics.txt", []byte(lines.String()))
 }
 
-// TestGoldenForms freezes how a maintenance command becomes the arguments that the leader reads.
+// TestGoldenForms compares the encoding of a maintenance command from a form with the golden file.
 func TestGoldenForms(t *testing.T) {
 	args, err := parseMaintenanceCommand(url.Values{"by": {"alice"}, "why": {"kernel"}, "key": {"k1"}, "kind": {"off"}, "for_ms": {"11"}, "not_before": {"12"},
 		"machine": {"s-00000001", "s-00000002"}, "id": {"13"}, "after": {"14"}})
@@ -188,12 +188,12 @@
 	golden.Compare(t, "form-work.cbor", args)
 	for _, key := range []string{"for_ms", "not_before", "id", "after"} {
 		if _, err := parseMaintenanceCommand(url.Values{key: {"x"}}); err == nil || !strings.HasPrefix(err.Error(), key+": ") {
-			t.Errorf("%s: %v", key, err)
+			t.Errorf("invalid field %s: %v", key, err)
 		}
 	}
 }
 
-// TestGoldenMachine freezes how a server is named in requests, plans and statuses.
+// TestGoldenMachine checks the name of a server in requests, plans and statuses.
 func TestGoldenMachine(t *testing.T) {
 	if got := MachineName(0x0a0b0c0d); got != "s-0a0b0c0d" {
 		t.Error(got)
--- a/internal/fleet/agent/golden_test.go
+++ b/internal/fleet/agent/golden_test.go
@@ -6,7 +6,8 @@
 	"dewhitch/internal/golden"
 )
 
-// TestGoldenMetrics keeps the names, types and labels of the fleet's metrics, which operators' alerts go by.
+// TestGoldenMetrics compares the names, types and labels of the fleet's metrics, which operators' alerts use, with the
+// golden file.
 func TestGoldenMetrics(t *testing.T) {
 	members, stop := startMembers(t, 1, false)
 	defer stop()
--- a/internal/fleet/agent/leader.go
+++ b/internal/fleet/agent/leader.go
@@ -13,15 +13,15 @@
 	"dewhitch/internal/fleet/maintenance"
 )
 
-// zoneStatuses reads the zones' section of a plan; without one no zone is evacuated.
+// zoneStatuses decodes the zones' section of a plan. The result is empty if the plan has no such section.
 func zoneStatuses(p *fleet.Plan) (evacuation.Statuses, error) {
 	statuses := evacuation.Statuses{}
 	_, err := p.Section(evacuation.Section, &statuses)
 	return statuses, err
 }
 
-// leaderTick is one evaluation round of the leader: the zones' states, or if those stay, maintenance. One
-// change is proposed at a time, and none while operators froze the plan.
+// leaderTick runs one round of the leader's policies: it proposes a change of the zones' states or, if they stay
+// the same, of the maintenance schedule. It proposes nothing while operators have frozen the plan.
 func (a *Agent) leaderTick(now time.Duration, unix int64, n *fleet.Node) {
 	p := n.Plan()
 	if _, frozen := p.Frozen(); frozen {
@@ -36,9 +36,9 @@
 	}
 }
 
-// evaluateZones proposes the detector's next states; false: they are as in the plan.
+// evaluateZones proposes the next statuses of the zones. It returns true if they differ from the plan's.
 func (a *Agent) evaluateZones(now time.Duration, unix int64, n *fleet.Node, planEpoch fleet.Epoch, statuses evacuation.Statuses) bool {
-	lastStarts := map[string]int64{} // of the youngest server in each zone
+	lastStarts := map[string]int64{} // start time of the newest server in each zone, in Unix ms
 	for _, s := range a.listedServers() {
 		lastStarts[s.Zone] = max(lastStarts[s.Zone], s.Since)
 	}
@@ -53,6 +53,7 @@
 	return changed
 }
 
+// logZoneChanges logs the zones and paths whose state differs between two versions of the statuses.
 func (a *Agent) logZoneChanges(old, next evacuation.Statuses, planEpoch fleet.Epoch) {
 	for key, status := range next {
 		previous, ok := old[key]
@@ -61,7 +62,7 @@
 		}
 		state := string(status.State)
 		if status.State == evacuation.Evacuated && previous.State == evacuation.Probing {
-			state = "is not well yet"
+			state = "failed its probes"
 		}
 		a.options.Log.Info("fleet: zone "+key+" "+state, zap.String("why", status.Reason), zap.Int("fails", status.FailedReturns),
 			zap.Strings("probers", status.Probers), zap.Stringer("on_epoch", planEpoch))
@@ -73,7 +74,7 @@
 	}
 }
 
-// stepMaintenance proposes the scheduler's next step.
+// stepMaintenance proposes the next maintenance schedule, if it differs from the plan's.
 func (a *Agent) stepMaintenance(now time.Duration, unix int64, n *fleet.Node, p fleet.Plan, statuses evacuation.Statuses) {
 	schedule, err := maintenance.Read(&p)
 	if err != nil {
@@ -91,8 +92,8 @@
 	}
 }
 
-// zonesNotInService are the zones, without paths between two, that are not fully in use, sorted; those that
-// operators hold are.
+// zonesNotInService returns the zones that are evacuated, probed or returning, sorted. It omits paths between two
+// zones, and zones that operators keep in service.
 func zonesNotInService(statuses evacuation.Statuses) (zones []string) {
 	for key, status := range statuses {
 		if !strings.Contains(key, ">") && !status.KeepInService {
@@ -103,7 +104,7 @@
 	return zones
 }
 
-// maintenanceServers are the listed servers by machine, as this process has the list.
+// maintenanceServers returns the servers of this process's endpoint list that are ready, by machine name.
 func (a *Agent) maintenanceServers() map[string]maintenance.Server {
 	all := map[string]maintenance.Server{}
 	for _, s := range a.listedServers() {
@@ -112,7 +113,7 @@
 	return all
 }
 
-// maintenanceMembers are all members as the leader knows them, itself among them.
+// maintenanceMembers returns the leader's view of all members by name, itself included.
 func (a *Agent) maintenanceMembers(now time.Duration, n *fleet.Node) map[string]maintenance.Member {
 	hasLeft := map[string]bool{}
 	for _, m := range a.gossip.Members() {
@@ -143,12 +144,13 @@
 	return members
 }
 
-// requestMachine is a machine within a maintenance request.
+// requestMachine identifies a machine within a maintenance request.
 type requestMachine struct {
 	request uint64
 	name    string
 }
 
+// machineStates returns the states of all machines of a schedule's requests.
 func machineStates(s maintenance.Schedule) map[requestMachine]maintenance.State {
 	states := map[requestMachine]maintenance.State{}
 	for _, r := range s.Requests {
@@ -159,6 +161,7 @@
 	return states
 }
 
+// logMaintenanceChanges logs the machines whose state differs between two versions of the schedule.
 func (a *Agent) logMaintenanceChanges(old, next maintenance.Schedule, planEpoch fleet.Epoch) {
 	oldStates := machineStates(old)
 	for _, r := range next.Requests {
--- a/internal/fleet/agent/metrics.go
+++ b/internal/fleet/agent/metrics.go
@@ -29,7 +29,7 @@
 	}
 }
 
-// Collect implements prometheus.Collector. A member that has ended has no metrics.
+// Collect implements prometheus.Collector. It collects nothing after Run has returned.
 func (a *Agent) Collect(ch chan<- prometheus.Metric) {
 	s, err := a.Status()
 	if err != nil {
--- a/internal/fleet/agent/observe.go
+++ b/internal/fleet/agent/observe.go
@@ -6,7 +6,7 @@
 	"dewhitch/internal/fleet"
 )
 
-// observe passes what a member's report adds on to the policies.
+// observe passes the attempts of a member since its last report to the policies.
 func (a *Agent) observe(now time.Duration, from fleet.Peer, delta fleet.Report) {
 	a.zones.Observe(now, from.Name, from.Status.Zone, from.Status.Region, delta)
 	a.slowStart.Observe(now, from.Name, from.Status.GrantSeq, delta)
@@ -18,8 +18,8 @@
 	}
 }
 
-// observeOwn counts this gateway's own attempts, wherever they went. A rejection is neither: the server is
-// reachable, but has no capacity.
+// observeOwn passes this gateway's own attempts, over all zones, to the monitor that may drain it. A rejected attempt
+// counts as neither served nor failed: the server is reachable, but has no capacity.
 func (a *Agent) observeOwn(now time.Duration, delta fleet.Report) {
 	served, failed := uint64(0), uint64(0)
 	for _, c := range delta.Zones {
--- a/internal/fleet/agent/pages.go
+++ b/internal/fleet/agent/pages.go
@@ -10,12 +10,12 @@
 	"dewhitch/internal/fleet/maintenance"
 )
 
-const maxFormSize = 64 << 10 // bytes
+const maxFormSize = 64 << 10 // limit in bytes on the body of a command
 
-// Pages registers the fleet's pages on the operators' listener: GET /fleet and /fleet/zones, work and servers
-// in JSON, and POST /fleet/COMMAND with a form of by, why and the command's own fields. A command is answered
-// with a line YES EPOCH, or NO and the reason; then it has changed nothing, except that with status 503 it
-// may still take effect.
+// Pages registers the fleet's pages on the operators' listener: GET /fleet, /fleet/zones, /fleet/work and
+// /fleet/servers in JSON, and POST /fleet/COMMAND with a form of by, why and the command's own fields. The answer to a
+// command is the line YES EPOCH, or NO and the reason. After NO the command has changed nothing, except that with
+// status 503 it may still take effect.
 func (a *Agent) Pages(mux *http.ServeMux) {
 	mux.HandleFunc("GET /fleet", a.statusPage)
 	mux.HandleFunc("GET /fleet/zones", a.planPage(func(p *fleet.Plan) (any, error) { return zoneStatuses(p) }))
@@ -41,7 +41,7 @@
 	_ = e.Encode(s)
 }
 
-// planPage shows what read takes from the plan.
+// planPage returns a page that shows the part of the plan that read returns, in JSON.
 func (a *Agent) planPage(read func(*fleet.Plan) (any, error)) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		var content any
@@ -62,7 +62,7 @@
 	}
 }
 
-// commandPage submits a command from a form.
+// commandPage returns a page that submits a command from a form.
 func (a *Agent) commandPage(name string, parse formParser) http.HandlerFunc {
 	return func(w http.ResponseWriter, r *http.Request) {
 		r.Body = http.MaxBytesReader(w, r.Body, maxFormSize)
@@ -87,4 +87,5 @@
 	}
 }
 
+// answerNo answers a request with NO and the error.
 func answerNo(w http.ResponseWriter, err error, status int) { http.Error(w, "NO "+err.Error(), status) }
--- a/internal/fleet/agent/slow_start.go
+++ b/internal/fleet/agent/slow_start.go
@@ -9,10 +9,10 @@
 	"dewhitch/internal/fleet/slowstart"
 )
 
-const allocationInterval = 200 * time.Millisecond // between two allocations of slow-start rates by the leader
+const allocationInterval = 200 * time.Millisecond // shortest time between two allocations of slow-start rates by the leader
 
-// EndpointsChanged tells of the servers that are listed and ready, at each change. It does not block, and
-// takes over the slice.
+// EndpointsChanged replaces the servers that are listed and ready. It does not block. The caller must not modify the
+// slice afterwards.
 func (a *Agent) EndpointsChanged(servers []slowstart.Server) { a.endpoints.Store(&servers) }
 
 func (a *Agent) listedServers() []slowstart.Server {
@@ -22,8 +22,8 @@
 	return nil
 }
 
-// grantFor is the leader's grant to a member: what it may send to servers in slow start, and to those of
-// zones that are recovering or health-checked. Nil while there are none.
+// grantFor returns the leader's encoded grant to a member: the rates at which the member may send to servers in slow
+// start, and to those of zones that are returning or probed. It returns nil if there are no such servers.
 func (a *Agent) grantFor(now time.Duration, to fleet.Peer, seq uint64) []byte {
 	if now >= a.nextAllocation {
 		a.nextAllocation = now + allocationInterval
@@ -35,8 +35,8 @@
 	return a.slowStart.Grant(now, to.Name, seq).Encode()
 }
 
-// allocate divides slow-start rates among gateways, by the plan and the endpoint list; false: there are none
-// to divide.
+// allocate divides slow-start rates among gateways, by the plan and the endpoint list. It returns false if there is
+// nothing to divide, or if the plan's zone statuses can't be decoded.
 func (a *Agent) allocate(now time.Duration) bool {
 	p := a.node.Plan()
 	statuses, err := zoneStatuses(&p)
@@ -48,8 +48,8 @@
 	return a.slowStart.Allocate(now, unix, servers, a.maySend(servers, statuses))
 }
 
-// serversByZoneState restricts the use of servers in evacuated zones. A server's slow start begins anew with
-// its zone's return.
+// serversByZoneState returns a copy of the servers with the use that the state of each server's zone allows. The slow
+// start of a server begins again when its zone returns.
 func serversByZoneState(listed []slowstart.Server, statuses evacuation.Statuses) []slowstart.Server {
 	servers := slices.Clone(listed)
 	for i := range servers {
@@ -71,15 +71,15 @@
 	return servers
 }
 
-// maySend returns whether a gateway may send to a server, by the state of the server's zone as seen from the
-// gateway's.
+// maySend returns a function that returns true if a gateway may send to a server, by the status of the server's zone
+// for the gateway's zone.
 func (a *Agent) maySend(servers []slowstart.Server, statuses evacuation.Statuses) func(gateway string, server uint32) bool {
 	zones := map[uint32]string{}
 	for _, s := range servers {
 		zones[s.ID] = s.Zone
 	}
 	type path struct{ from, to string }
-	rules := map[path]func(gateway string) bool{} // computed once a path: it is asked for every pair of gateway and server
+	rules := map[path]func(gateway string) bool{} // one per path, because the allocator asks for every pair of gateway and server
 	return func(gateway string, server uint32) bool {
 		from, _ := a.zones.ZoneOf(gateway)
 		p := path{from, zones[server]}
--- a/internal/fleet/agent/status.go
+++ b/internal/fleet/agent/status.go
@@ -10,38 +10,38 @@
 
 // States of a voter's storage in Status.Folder.
 const (
-	folderNone     = "none"   // nothing is stored
-	folderWritable = "kept"   // writes succeed
+	folderNone     = "none"   // this member stores nothing
+	folderWritable = "kept"   // the last write succeeded
 	folderHalted   = "halted" // the last write failed
 )
 
-// MemberStatus is a member on the status page.
+// MemberStatus describes a member on the status page.
 type MemberStatus struct {
 	gossip.Member
-	Epoch            fleet.Epoch `json:"epoch"`          // of the plan that it acts on, by its last status
-	ProcessStartedAt int64       `json:"incarnation"`    // when its process started, Unix ns; 0: there is no status of it yet
-	Age              int64       `json:"last_report_ms"` // since its last status; -1: there is none
-	Fresh            bool        `json:"fresh"`          // its view, by its last status
-	Voter            bool        `json:"voter"`          // by configuration
+	Epoch            fleet.Epoch `json:"epoch"`          // epoch of the plan that the member follows, by its last status
+	ProcessStartedAt int64       `json:"incarnation"`    // start time of the member's process in Unix ns; 0: no status received
+	Age              int64       `json:"last_report_ms"` // time since the member's last status in ms; -1: no status received
+	Fresh            bool        `json:"fresh"`          // true if the member's view was fresh, by its last status
+	Voter            bool        `json:"voter"`          // true if the configuration lists the member as a voter
 }
 
-// Status is the status page.
+// Status is the content of the status page.
 type Status struct {
 	Name           string              `json:"name"`
 	Fleet          string              `json:"fleet"`
 	Leader         string              `json:"leader"`
-	LeaderAge      int64               `json:"leader_ms"` // since the leader was last heard of
-	Quorum         bool                `json:"quorum"`    // the view is fresh: a leader with a quorum confirmed it within the lease
-	Epoch          fleet.Epoch         `json:"epoch"`
-	Sections       []string            `json:"sections"` // of the plan, sorted
-	Frozen         *fleet.OperatorMark `json:"frozen,omitempty"`
-	Unacknowledged []string            `json:"unacknowledged"` // members that do not act on the plan yet
+	LeaderAge      int64               `json:"leader_ms"`        // time since the last sign of the leader in ms
+	Quorum         bool                `json:"quorum"`           // true if the view is fresh: a leader with a quorum confirmed it within the lease
+	Epoch          fleet.Epoch         `json:"epoch"`            // epoch of the plan
+	Sections       []string            `json:"sections"`         // keys of the plan's sections, sorted
+	Frozen         *fleet.OperatorMark `json:"frozen,omitempty"` // operator's freeze of the plan; nil: none
+	Unacknowledged []string            `json:"unacknowledged"`   // members that do not follow the plan yet
 	Members        []MemberStatus      `json:"members"`
-	PassedOver     uint64              `json:"passed_over"` // messages and reports that were dropped as unusable
-	Folder         string              `json:"folder"`      // of a voter's storage: kept, halted, or none
+	PassedOver     uint64              `json:"passed_over"` // number of messages and reports that were dropped as unusable
+	Folder         string              `json:"folder"`      // state of a voter's storage: kept, halted or none
 }
 
-// Status returns this member's view; the error is ErrEnded.
+// Status returns this member's view of the fleet. Its only error is ErrEnded.
 func (a *Agent) Status() (s Status, err error) {
 	err = a.call(func() { s = a.status() })
 	return s, err
--- a/internal/fleet/agent/storage.go
+++ b/internal/fleet/agent/storage.go
@@ -8,37 +8,39 @@
 	"dewhitch/internal/fleet"
 )
 
+// Intervals of writes to a voter's storage and of their log lines.
 const (
-	writeRetryInterval   = logTick          // after a write failed
-	writeErrorLogPeriod  = 10 * time.Second // between two log lines about failing writes
-	slowWriteLogDuration = 100 * time.Millisecond
+	writeRetryInterval   = logTick                // shortest time between a failed write and the next one
+	writeErrorLogPeriod  = 10 * time.Second       // shortest time between two log lines about failed writes
+	slowWriteLogDuration = 100 * time.Millisecond // duration from which a write is logged as slow
 )
 
-// store is a voter's stable storage. Save is atomic.
+// store is a voter's stable storage. Save is atomic. Save and Close are never called at the same time.
 type store interface {
 	Save(fleet.StorageUpdate) error
 	Close() error
 }
 
-// storageWriter writes one update at a time, each on a goroutine of its own. A disk may take seconds to sync,
-// and a member that waited for it would miss plans, answer no status, and lose its lease or its lead. What
-// the voter must not send before a write is complete waits inside the node.
+// storageWriter writes one update at a time, each on a goroutine of its own. A disk may take seconds to sync. A
+// member that waited for it would miss plans, answer no status, and lose its lease or its leadership. The node
+// keeps back the messages that the voter must not send before a write is complete.
 type storageWriter struct {
-	store    store // nil: nothing is stored
-	results  chan writeResult
-	writing  bool
-	failedAt time.Time // of the last write; zero: it succeeded
-	loggedAt time.Time // when a failure was logged last
+	store    store            // nil if nothing is stored
+	results  chan writeResult // has room for the result of the write in progress
+	writing  bool             // true from the start of a write until finish
+	failedAt time.Time        // time at which the last write failed; zero: it succeeded
+	loggedAt time.Time        // time at which a failure was last logged; zero: writes succeed
 	log      *zap.Logger
 }
 
+// writeResult is the result of one write.
 type writeResult struct {
 	update  fleet.StorageUpdate
 	err     error
 	elapsed time.Duration
 }
 
-// begin starts a write, unless one is under way or failed just now.
+// begin starts a write, unless one is in progress or one failed within writeRetryInterval.
 func (w *storageWriter) begin(u fleet.StorageUpdate) {
 	if w.writing || w.halted() && time.Since(w.failedAt) < writeRetryInterval {
 		return
@@ -51,7 +53,7 @@
 	}()
 }
 
-// finish records the end of a write, and reports whether it succeeded.
+// finish records the end of a write. It returns true if the write succeeded.
 func (w *storageWriter) finish(r writeResult) bool {
 	w.writing = false
 	if r.elapsed >= slowWriteLogDuration {
@@ -73,10 +75,10 @@
 	return true
 }
 
-// halted tells whether the last write failed: the voter takes no part in the log until one succeeds.
+// halted returns true if the last write failed. The voter then takes no part in the log until a write succeeds.
 func (w *storageWriter) halted() bool { return !w.failedAt.IsZero() }
 
-// close waits for a write that is under way, and closes the store.
+// close waits for the write in progress, if there is one, and closes the store.
 func (w *storageWriter) close() {
 	if w.writing {
 		<-w.results
@@ -86,7 +88,7 @@
 	}
 }
 
-// persist begins to write what the node needs stored; without a store it counts as stored at once.
+// persist starts to write the update that the node needs stored. Without a store the update counts as stored at once.
 func (a *Agent) persist() {
 	for {
 		u, pending := a.node.PendingStorage()
@@ -101,8 +103,8 @@
 	}
 }
 
-// finishWrite tells the node of a write, unless the node needs another one by now: then that has to be
-// written in its turn. A write that failed is repeated by persist.
+// finishWrite reports a successful write to the node, unless the node needs a newer update stored by now. persist
+// writes a newer update, and repeats a failed write.
 func (a *Agent) finishWrite(r writeResult) {
 	if !a.storage.finish(r) {
 		return
--- a/internal/fleet/agent/storage_test.go
+++ b/internal/fleet/agent/storage_test.go
@@ -11,8 +11,8 @@
 // blockingStore is a store whose writes block while the disk is stuck.
 type blockingStore struct {
 	store
-	diskToken       chan struct{} // holds one while the disk works
-	entriesReceived atomic.Bool   // entries of the log came: it votes
+	diskToken       chan struct{} // holds one token while the disk works, and none while it is stuck
+	entriesReceived atomic.Bool   // true once entries of the log were written, that is, the voter takes part in the log
 }
 
 func (s *blockingStore) Save(p fleet.StorageUpdate) error {
@@ -24,28 +24,28 @@
 	return s.store.Save(p)
 }
 
-// maxAdoptionDelay is how soon all members must act on a committed plan.
+// maxAdoptionDelay is the longest time until all members follow a committed plan.
 const maxAdoptionDelay = time.Second
 
-// A voter whose disk is stuck acts on a committed plan and answers calls as any member does; only its
-// messages of the log wait for the disk. The fault that this guards against:
-// docs/incidents/2026-12-03-voter-waits-for-its-disk.md.
+// A voter whose disk is stuck follows a committed plan and answers calls like any member. Only its messages of the log
+// wait for the disk. docs/incidents/2026-12-03-voter-waits-for-its-disk.md describes the fault that this test guards
+// against.
 func TestVoterWithStuckDiskAdoptsPlan(t *testing.T) {
 	defer waitForGoroutines(t)
 	diskToken := make(chan struct{}, 1)
 	diskToken <- struct{}{}
-	var slowVoter *Agent
-	store := &blockingStore{diskToken: diskToken}
+	var stuckVoter *Agent
+	blockedStore := &blockingStore{diskToken: diskToken}
 	members, stop := startConfiguredMembers(t, 3, true, nil, func(a *Agent) {
-		if a.options.Gossip.Name == "g2" { // not the one that starts the log
-			store.store, slowVoter = a.storage.store, a
-			a.storage.store = store
+		if a.options.Gossip.Name == "g2" { // not the voter that starts the log
+			blockedStore.store, stuckVoter = a.storage.store, a
+			a.storage.store = blockedStore
 		}
 	})
 	defer stop()
 	waitUntilFresh(t, members)
-	eventually(t, "the voter's part in the log", store.entriesReceived.Load)
-	<-diskToken // stuck from here on
+	eventually(t, "the voter's first write of log entries", blockedStore.entriesReceived.Load)
+	<-diskToken // from here on the disk is stuck
 	released := false
 	release := func() {
 		if !released {
@@ -62,7 +62,7 @@
 	adopted := make(chan fleet.Epoch, 1)
 	go func() {
 		for end := committedAt.Add(maxAdoptionDelay); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-			s, err := slowVoter.Status()
+			s, err := stuckVoter.Status()
 			if err == nil && !s.Epoch.Less(epoch) {
 				adopted <- s.Epoch
 				return
@@ -73,10 +73,10 @@
 	select {
 	case at := <-adopted:
 		if at.Less(epoch) {
-			t.Errorf("the voter with the slow disk acts on %v %v after %v was committed", at, time.Since(committedAt), epoch)
+			t.Errorf("the voter with the stuck disk follows %v %v after %v was committed", at, time.Since(committedAt), epoch)
 		}
 	case <-time.After(2 * maxAdoptionDelay):
-		t.Errorf("the voter with the slow disk answers nothing %v after %v was committed", time.Since(committedAt), epoch)
+		t.Errorf("the voter with the stuck disk does not answer %v after %v was committed", time.Since(committedAt), epoch)
 		release()
 		<-adopted
 	}
--- a/internal/fleet/agent/tally.go
+++ b/internal/fleet/agent/tally.go
@@ -10,8 +10,8 @@
 )
 
 const (
-	maxCountedServers = fleet.MaxObservedServers // counted; beyond it all are forgotten and counted anew
-	maxOpenAttempts   = 1 << 16                  // in flight and counted; more are not
+	maxCountedServers = fleet.MaxObservedServers // limit on the servers with counters; beyond it all counters of servers are discarded
+	maxOpenAttempts   = 1 << 16                  // limit on the attempts in flight that are counted; further ones are not
 
 	// An attempt is late after lateFactor times the mean latency, or minLateAfter if that is longer.
 	minLateAfter     = 120 * time.Millisecond
@@ -22,14 +22,14 @@
 // Outcome is the result of an attempt.
 type Outcome int
 
-// The outcomes.
+// Outcomes of attempts.
 const (
-	Served Outcome = iota
-	ConnectFailed
-	TimedOut
-	Failed
-	Rejected
-	NoOutcome // cancelled, or never sent: it tells nothing of the server
+	Served        Outcome = iota // answered with success
+	ConnectFailed                // could not connect
+	TimedOut                     // no answer in time
+	Failed                       // ended with an error or a reset
+	Rejected                     // rejected because the server's queue was full
+	NoOutcome                    // cancelled or never sent, which is no evidence about the server
 )
 
 // AttemptID identifies an attempt in flight.
@@ -39,29 +39,31 @@
 }
 
 // AttemptCounter counts this process's attempts by zone and server, for its reports. An attempt counts as timed out as
-// soon as it takes much longer than usual, not when a client or deadline gives it up, so that evidence of an
-// outage is early. All methods may be called from any goroutine.
+// soon as it takes much longer than usual, not when its client or deadline abandons it, so that evidence of an outage
+// is early. All methods may be called from any goroutine.
 type AttemptCounter struct {
 	mu          sync.Mutex
 	now         func() time.Time
 	zones       map[string]fleet.AttemptCounts
 	servers     map[uint32]*serverCounter
-	changed     []uint32 // servers to report, in the order in which they changed since their last report
-	attempts    map[AttemptID]*openAttempt
-	requests    uint64  // received from clients
-	meanLatency float64 // seconds, of served attempts, exponential moving average; 0: none was served
+	changed     []uint32                   // servers to report, in the order in which they changed since their last report
+	attempts    map[AttemptID]*openAttempt // attempts in flight
+	requests    uint64                     // number of requests received from clients
+	meanLatency float64                    // exponential moving average of the latency of served attempts in seconds; 0: none was served
 }
 
+// openAttempt is an attempt in flight.
 type openAttempt struct {
 	zone      string
 	server    uint32
 	startedAt time.Time
-	late      bool // counted as timed out
+	late      bool // true once the attempt counts as timed out
 }
 
+// serverCounter holds the counters of one server.
 type serverCounter struct {
 	fleet.ServerReport
-	queued bool // in changed
+	queued bool // true if the server is in AttemptCounter.changed
 }
 
 func newAttemptCounter(now func() time.Time) *AttemptCounter {
@@ -80,7 +82,7 @@
 	c.requests++
 }
 
-// AttemptStarted records that an attempt is in flight.
+// AttemptStarted records that an attempt is in flight. Beyond maxOpenAttempts it ignores the attempt.
 func (c *AttemptCounter) AttemptStarted(id AttemptID, zone string, server uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -89,7 +91,8 @@
 	}
 }
 
-// AttemptEnded counts an attempt's outcome. queue and inFlight are the load that the server last reported.
+// AttemptEnded counts the outcome of an attempt and ignores unknown attempts. queue and inFlight are the load that the
+// server reported last.
 func (c *AttemptCounter) AttemptEnded(id AttemptID, outcome Outcome, queue, inFlight uint32) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -106,7 +109,7 @@
 		}
 	}
 	switch {
-	case attempt.late && outcome == Served: // its latency counts too: it tells most about a slow zone
+	case attempt.late && outcome == Served: // includes the latency, which is the strongest evidence of a slow zone
 		c.add(attempt, fleet.AttemptCounts{AnsweredLate: 1, LatencyMicros: uint64(latency.Microseconds())})
 	case !attempt.late && outcome != NoOutcome:
 		if outcome == Served {
@@ -116,7 +119,7 @@
 	}
 }
 
-// countsOf is one attempt as counters.
+// countsOf returns the counters of a single attempt.
 func countsOf(outcome Outcome, latency time.Duration) fleet.AttemptCounts {
 	counts := fleet.AttemptCounts{Attempts: 1}
 	switch outcome {
@@ -136,6 +139,7 @@
 	return counts
 }
 
+// updateMeanLatency adds the latency of a served attempt to the moving average.
 func (c *AttemptCounter) updateMeanLatency(seconds float64) {
 	if c.meanLatency == 0 {
 		c.meanLatency = seconds
@@ -165,7 +169,7 @@
 	}
 }
 
-// serversInFlight are the servers that attempts are in flight to.
+// serversInFlight returns the servers to which attempts are in flight.
 func (c *AttemptCounter) serversInFlight() map[uint32]bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -176,12 +180,12 @@
 	return servers
 }
 
-// lateAfter is how long an attempt may take before it counts as timed out.
+// lateAfter returns the time after which an attempt in flight counts as timed out.
 func (c *AttemptCounter) lateAfter() time.Duration {
 	return max(minLateAfter, time.Duration(lateFactor*c.meanLatency*float64(time.Second)))
 }
 
-// countLate counts attempts in flight as timed out once they are late.
+// countLate counts attempts in flight that have become late as timed out.
 func (c *AttemptCounter) countLate() {
 	now := c.now()
 	limit := c.lateAfter()
@@ -193,8 +197,8 @@
 	}
 }
 
-// report returns the next report; a full one has the servers that changed, up to MaxReportedServers in turns.
-// Nil: there is nothing to report yet.
+// report returns the next report, or nil if nothing was counted yet. A full report includes servers that changed since
+// they were last reported, MaxReportedServers at a time, the earliest change first.
 func (c *AttemptCounter) report(full bool) *fleet.Report {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/fleet/agent/tally_test.go
+++ b/internal/fleet/agent/tally_test.go
@@ -8,6 +8,8 @@
 	"dewhitch/internal/fleet"
 )
 
+// Attempts count by zone and server. A late attempt counts as timed out while it is in flight, and as answered late
+// once it is served. A cancelled attempt does not count.
 func TestAttemptCounter(t *testing.T) {
 	now := time.Unix(0, 0)
 	counter := newAttemptCounter(func() time.Time { return now })
@@ -20,21 +22,21 @@
 	counter.AttemptStarted(AttemptID{"cancelled", 0}, "b", 2)
 	counter.AttemptEnded(AttemptID{"cancelled", 0}, NoOutcome, 0, 0)
 	if r := counter.report(true); r.Zones["b"].Attempts != 0 || r.Zones["a"].Served != 10 || r.Servers[1].Queue != 3 {
-		t.Errorf("%+v", r)
+		t.Errorf("ten served attempts, one in flight, one cancelled: %+v", r)
 	}
 	now = now.Add(minLateAfter + time.Millisecond)
 	if r := counter.report(true); r.Zones["b"] != (fleet.AttemptCounts{Attempts: 1, TimedOut: 1}) || len(r.Servers) != 1 {
-		t.Errorf("a late attempt counts as timed out: %+v", r)
+		t.Errorf("after an attempt became late: %+v", r)
 	}
 	counter.AttemptEnded(AttemptID{"late", 0}, Served, 0, 0)
 	counter.AttemptEnded(AttemptID{"late", 0}, Served, 0, 0)
 	latency := uint64((minLateAfter + time.Millisecond).Microseconds())
 	if r := counter.report(true); r.Zones["b"] != (fleet.AttemptCounts{Attempts: 1, TimedOut: 1, AnsweredLate: 1, LatencyMicros: latency}) {
-		t.Errorf("its late answer counts once, with its latency: %+v", r)
+		t.Errorf("after the late answer: %+v", r)
 	}
 }
 
-// Reports name all changed servers in turns, MaxReportedServers at a time.
+// Successive reports include all changed servers, at most MaxReportedServers at a time.
 func TestReportsRotateServers(t *testing.T) {
 	counter := newAttemptCounter(time.Now)
 	const servers = 3*fleet.MaxReportedServers + 1
@@ -46,7 +48,7 @@
 	for range 4 {
 		r := counter.report(true)
 		if len(r.Servers) > fleet.MaxReportedServers {
-			t.Fatalf("%d servers in a report", len(r.Servers))
+			t.Fatalf("a report has %d servers", len(r.Servers))
 		}
 		for id := range r.Servers {
 			reported[id] = true
--- a/internal/fleet/agent/withdrawal.go
+++ b/internal/fleet/agent/withdrawal.go
@@ -6,22 +6,22 @@
 	"strings"
 )
 
-// MachineName is a server's name in commands, plans and statuses.
+// MachineName returns the name of a server in commands, plans and statuses.
 func MachineName(id uint32) string { return fmt.Sprintf("s-%08x", id) }
 
-// parseMachine returns the server of a machine's name; false: the machine is a gateway.
+// parseMachine returns the server with a machine's name. It returns false if the machine is a gateway.
 func parseMachine(name string) (uint32, bool) {
 	text, ok := strings.CutPrefix(name, "s-")
 	id, err := strconv.ParseUint(text, 16, 32)
 	return uint32(id), ok && err == nil && MachineName(uint32(id)) == name
 }
 
-// WithdrawalsApplied tells that nothing new is sent to the withdrawn machines of the last Decisions any more. It takes
-// over the map.
+// WithdrawalsApplied records that this gateway sends nothing new to the withdrawn machines of its last Decisions. The
+// caller must not modify the map afterwards.
 func (a *Agent) WithdrawalsApplied(withdrawn map[string]uint64) { a.withdrawn.Store(&withdrawn) }
 
-// withdrawnMachines returns the withdrawn machines that may be taken down as far as this gateway is concerned,
-// each with its turn.
+// withdrawnMachines returns the withdrawn machines to which this gateway sends nothing and has nothing in flight, with
+// their announcement IDs.
 func (a *Agent) withdrawnMachines() map[string]uint64 {
 	withdrawn := a.withdrawn.Load()
 	if withdrawn == nil || len(*withdrawn) == 0 {
@@ -37,8 +37,8 @@
 	return idle
 }
 
-// sendsNothingTo tells whether this gateway has nothing in flight to a withdrawn machine. It sends nothing to
-// other gateways; of itself it asks whether it has drained its clients.
+// sendsNothingTo returns true if this gateway has nothing in flight to a withdrawn server. Gateways send no attempts to
+// other gateways, so it returns true for them, and for this gateway if it has drained its clients.
 func (a *Agent) sendsNothingTo(machine string, inFlight map[uint32]bool) bool {
 	if id, isServer := parseMachine(machine); isServer && !inFlight[id] {
 		return true
--- a/internal/fleet/maintenance/scheduler_test.go
+++ b/internal/fleet/maintenance/scheduler_test.go
@@ -199,7 +199,7 @@
 		"key of a different request": {Command{Key: "k", Kind: Off, ForMS: 1, Machines: []string{"s-a2"}}, ErrConflict},
 		"no kind":                    {Command{Key: "x", ForMS: 1, Machines: []string{"s-a2"}}, ErrInvalid},
 		"no duration":                {Command{Key: "x", Kind: Off, Machines: []string{"s-a2"}}, ErrInvalid},
-		"no machines":                {Command{Key: "x", Kind: Off, ForMS: 1}, ErrInvalid},
+		"none":                       {Command{Key: "x", Kind: Off, ForMS: 1}, ErrInvalid},
 		"after an unknown request":   {Command{Key: "x", Kind: Off, ForMS: 1, After: 77, Machines: []string{"s-a2"}}, ErrUnknown},
 	} {
 		if err := sim.apply(submitRequest, c.Command); !errors.Is(err, c.want) {
