--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -25,7 +25,7 @@
 const (
 	logTick         = 100 * time.Millisecond // tick of the log
 	minTickInterval = 5 * time.Millisecond   // shortest time between two calls to Node.Tick
-	inboxSize       = 2048                   // limit on the queued messages, and on the queued member changes; more are lost, as on the network
+	inboxSize       = 2048                   // limit on queued messages, and on queued member changes; more are lost, as on the network
 	callQueueSize   = 16                     // limit on the queued calls from other goroutines; more block their callers
 )
 
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -12,8 +12,8 @@
 
 var goldenMetadata = Metadata{Zone: "hall-a", Region: "north", Number: 3, Version: "1.2.3", Role: "gateway"}
 
-// TestGoldenMetadata freezes what members announce of themselves, and what other members read of it. Packets
-// and streams are the library's own.
+// TestGoldenMetadata compares the encoded metadata of a member with the golden files, and reads it as another member
+// does. The library defines packets and streams.
 func TestGoldenMetadata(t *testing.T) {
 	for name, metadata := range map[string]Metadata{"about": goldenMetadata, "about-least": {}} {
 		if name == "about" {
@@ -28,17 +28,17 @@
 		}
 		(&delegate{g}).NotifyLeave(n)
 		if got := g.members["g3"].State; got != "gone" {
-			t.Errorf("lost: %s", got)
+			t.Errorf("state of a dead member: %s", got)
 		}
 		n.State = memberlist.StateLeft
 		(&delegate{g}).NotifyLeave(n)
 		if got := g.members["g3"].State; got != "left" {
-			t.Errorf("left: %s", got)
+			t.Errorf("state of a member that left: %s", got)
 		}
 	}
 }
 
-// TestGoldenMember freezes a member as operators are shown it.
+// TestGoldenMember compares a member in the JSON of the operators' page with the golden file.
 func TestGoldenMember(t *testing.T) {
 	m := Member{Name: "g3", State: "suspect", Address: "127.0.0.3:7003", Metadata: goldenMetadata}
 	golden.Filled(t, m)
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -1,5 +1,5 @@
-// Package gossip knows the members of a fleet and carries their messages: SWIM by hashicorp/memberlist, over
-// a transport that can reach each peer under an address of its own.
+// Package gossip tracks the members of a fleet and sends messages between them. It runs the SWIM protocol of
+// hashicorp/memberlist over a transport that can use a configured address for each peer.
 package gossip
 
 import (
@@ -16,41 +16,41 @@
 )
 
 const (
-	joinInterval    = time.Second            // between two attempts to join missing members, randomized by half of it
-	probeInterval   = time.Second            // between two of SWIM's health checks
-	gossipInterval  = 500 * time.Millisecond // between two rounds of SWIM's gossip; it carries membership only, which may take seconds
-	streamTimeout   = 2 * time.Second        // to open a connection
-	deadReclaimTime = 10 * time.Second       // a dead member may return under another address
-	leaveTimeout    = time.Second            // to tell the others on shutdown
+	joinInterval    = time.Second            // mean time between two attempts to join missing members, randomized by half of it
+	probeInterval   = time.Second            // time between two of SWIM's health checks
+	gossipInterval  = 500 * time.Millisecond // time between two rounds of SWIM's gossip, which carries only membership and may take seconds
+	streamTimeout   = 2 * time.Second        // timeout for opening a connection
+	deadReclaimTime = 10 * time.Second       // time after which a dead member may return under another address
+	leaveTimeout    = time.Second            // timeout for the announcement that this member leaves
 )
 
-// Options configure a member's part.
+// Options configures a member.
 type Options struct {
-	Fleet        string
-	Name         string
-	Listen       string            // host:port, for TCP and UDP
-	Peers        map[string]string // by name, the address under which this process reaches a member; others as they advertise themselves
-	Seeds        []string          // NAME/HOST:PORT, or the name of a peer
-	Keyring      string            // path of a file with a base64 key a line, the first to encrypt with; empty: only loopback is allowed
+	Fleet        string            // name of the fleet
+	Name         string            // name of this member
+	Listen       string            // host:port for TCP and UDP
+	Peers        map[string]string // addresses at which this process reaches members, by name; others are reached as they advertise themselves
+	Seeds        []string          // members to join, each as NAME/HOST:PORT or as the name of a peer
+	Keyring      string            // path of a file with a base64 key per line, of which the first encrypts; empty: only loopback is allowed
 	Metadata     Metadata
-	Receive      func([]byte)             // a message of a member; called by several goroutines, must neither block nor keep the bytes
-	StateChanged func(name, state string) // a member changed to alive, dead or left; must not block
+	Receive      func([]byte)             // handles a message from a member; called from several goroutines, must not block or keep the bytes
+	StateChanged func(name, state string) // handles a change of a member to alive, dead or left; called from several goroutines, must not block
 	Log          *zap.Logger
 }
 
-// Gossip is one member's part. Its methods may be called from any goroutine.
+// Gossip is this process's member of a fleet. Its methods may be called from any goroutine.
 type Gossip struct {
 	options   Options
 	list      *memberlist.Memberlist
 	transport *transport
-	outgoing  chan outgoingMessage // too large for a datagram
+	outgoing  chan outgoingMessage // messages that are too large for a datagram
 
 	mu         sync.Mutex
-	members    map[string]Member // every member ever seen by this process
-	candidates map[string]string // addresses by name, of AddCandidates
+	members    map[string]Member // all members that this process has ever seen, by name
+	candidates map[string]string // addresses of AddCandidates, by name
 }
 
-// Open listens and takes part; Run finds the others. Without a keyring it listens on loopback only.
+// Open starts to listen. Run joins the other members. Without a keyring, an address outside loopback is an error.
 func Open(o Options) (*Gossip, error) {
 	config, err := memberlistConfig(o)
 	if err != nil {
@@ -61,7 +61,7 @@
 		return nil, err
 	}
 	if ip := net.ParseIP(config.BindAddr); ring == nil && (ip == nil || !ip.IsLoopback()) {
-		return nil, fmt.Errorf("gossip: %s is not of loopback, and without a keyring anybody there could speak", o.Listen)
+		return nil, fmt.Errorf("gossip: listening on %s, which is not a loopback address, requires a keyring", o.Listen)
 	}
 	transport, err := newTransport(o.Listen, o.Peers)
 	if err != nil {
@@ -84,7 +84,7 @@
 	return g, nil
 }
 
-// memberlistConfig is the library's configuration, without what Open makes.
+// memberlistConfig returns the library's configuration, without the keyring, transport and delegates that Open adds.
 func memberlistConfig(o Options) (*memberlist.Config, error) {
 	host, portText, err := net.SplitHostPort(o.Listen)
 	if err != nil {
@@ -100,7 +100,7 @@
 	}
 	config := memberlist.DefaultLANConfig()
 	config.Name = o.Name
-	config.Label = o.Fleet // members of other fleets are rejected
+	config.Label = o.Fleet // rejects members of other fleets
 	config.BindAddr = host
 	config.BindPort = port
 	config.AdvertiseAddr = host
@@ -115,7 +115,7 @@
 	return config, nil
 }
 
-// Run joins members that are missing until the context ends, then leaves and closes what Open opened.
+// Run joins missing members until the context ends. Then it leaves the fleet and closes what Open opened.
 func (g *Gossip) Run(ctx context.Context) {
 	var senders sync.WaitGroup
 	for range streamSenders {
@@ -123,7 +123,7 @@
 	}
 	for ctx.Err() == nil {
 		if addresses := g.joinTargets(); len(addresses) > 0 {
-			_, _ = g.list.Join(addresses) // a failure is repeated in the next round
+			_, _ = g.list.Join(addresses) // the next round retries after a failure
 		}
 		select {
 		case <-ctx.Done():
--- a/internal/fleet/gossip/join.go
+++ b/internal/fleet/gossip/join.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	maxCandidates  = 4096
-	aloneJoinCount = 5 // addresses that a member without any other tries at once; else one
+	maxCandidates  = 4096 // limit on the addresses of AddCandidates
+	aloneJoinCount = 5    // addresses per round that a member without any other member tries to join; with others it tries one
 )
 
-// AddCandidates replaces the addresses, by name, under which members may be found. It is a hint: a member
-// that is not named is not gone, as a registry that lost its sessions names nobody.
+// AddCandidates replaces the addresses, by name, at which members may be found. They are hints: a missing address is
+// no sign that a member is gone, because a registry that lost its sessions lists no member.
 func (g *Gossip) AddCandidates(addressByName map[string]string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -23,8 +23,8 @@
 	}
 }
 
-// joinTargets chooses addresses to join in this round at random: one, or several while this member is alone.
-// None if nobody is missing.
+// joinTargets returns randomly chosen addresses to join in this round: one, or up to aloneJoinCount while this member
+// knows no other. It returns none if no member is missing.
 func (g *Gossip) joinTargets() []string {
 	alone := g.list.NumMembers() <= 1
 	addresses := g.missingMembers()
@@ -36,8 +36,8 @@
 	return addresses[:min(limit, len(addresses))]
 }
 
-// missingMembers returns NAME/HOST:PORT of candidates and seeds that are not alive, and of dead members.
-// One that left is not missing.
+// missingMembers returns NAME/HOST:PORT of the candidates and seeds that are not alive, and of the members that died.
+// Of the members that left, it returns only candidates and seeds.
 func (g *Gossip) missingMembers() []string {
 	addresses := g.missingCandidates()
 	for _, seed := range g.options.Seeds {
@@ -59,6 +59,7 @@
 	return addresses
 }
 
+// missingCandidates returns NAME/HOST:PORT of the candidates that are not alive.
 func (g *Gossip) missingCandidates() (addresses []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
--- a/internal/fleet/gossip/keyring.go
+++ b/internal/fleet/gossip/keyring.go
@@ -9,7 +9,7 @@
 	"github.com/hashicorp/memberlist"
 )
 
-// readKeyring reads a file of keys; nil for an empty path.
+// readKeyring reads a file with a base64 key per line. It returns nil if the path is empty.
 func readKeyring(path string) (*memberlist.Keyring, error) {
 	if path == "" {
 		return nil, nil
--- a/internal/fleet/gossip/members.go
+++ b/internal/fleet/gossip/members.go
@@ -11,12 +11,12 @@
 // States of a member.
 const (
 	StateAlive   = "alive"
-	StateSuspect = "suspect" // it does not answer health checks
-	StateDead    = "gone"    // it was suspect for too long
-	StateLeft    = "left"    // it announced that it leaves
+	StateSuspect = "suspect" // the member does not answer health checks
+	StateDead    = "gone"    // the member was suspect for too long
+	StateLeft    = "left"    // the member announced that it leaves
 )
 
-// Metadata is what a member announces of itself; it stays the same for its process.
+// Metadata describes a member to the others. It does not change during the life of a process.
 type Metadata struct {
 	Zone    string `cbor:"1,keyasint" json:"zone"`
 	Region  string `cbor:"2,keyasint,omitempty" json:"region,omitempty"`
@@ -25,16 +25,16 @@
 	Role    string `cbor:"5,keyasint" json:"role"`
 }
 
-// Member is a member as gossip knows it.
+// Member is gossip's view of a member.
 type Member struct {
 	Name     string `json:"name"`
 	State    string `json:"state"`
-	Address  string `json:"address"` // host:port, as it advertises itself
+	Address  string `json:"address"` // host:port that the member advertises
 	Metadata `json:"about"`
 }
 
-// Members returns every member ever seen, this one among them, sorted by name. States lag by seconds: they
-// are no evidence of a member's health now.
+// Members returns all members that this process has ever seen, itself included, sorted by name. States lag by seconds
+// and are no evidence of a member's present health.
 func (g *Gossip) Members() []Member {
 	suspect := map[string]bool{}
 	for _, n := range g.list.Members() {
@@ -53,7 +53,7 @@
 	return all
 }
 
-// member returns a member as the library last announced it; the zero Member if it never did.
+// member returns a member as the library last reported it. It returns false if the library never reported the member.
 func (g *Gossip) member(name string) (Member, bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -61,7 +61,8 @@
 	return m, ok
 }
 
-// setMember records a member's change. Metadata that can't be read, as of another program, counts as empty.
+// setMember records a change of a member. Metadata that can't be decoded, such as that of another program, counts as
+// empty.
 func (g *Gossip) setMember(n *memberlist.Node, state string) {
 	m := Member{Name: n.Name, State: state, Address: n.Address()}
 	if cbor.Unmarshal(n.Meta, &m.Metadata) != nil {
@@ -76,6 +77,7 @@
 // delegate implements memberlist.Delegate and EventDelegate. The library calls it from its own goroutines.
 type delegate struct{ g *Gossip }
 
+// NodeMeta returns the encoded metadata of this member, or nil if it exceeds the limit.
 func (d *delegate) NodeMeta(limit int) []byte {
 	b, err := cbor.Marshal(d.g.options.Metadata)
 	if err != nil || len(b) > limit {
--- a/internal/fleet/gossip/send.go
+++ b/internal/fleet/gossip/send.go
@@ -9,17 +9,18 @@
 )
 
 const (
-	maxDatagram       = 1200 // bytes of a message sent as one; larger ones go over connections
-	outgoingQueueSize = 256  // messages that wait for a connection; more are lost
-	streamSenders     = 4    // goroutines
+	maxDatagram       = 1200 // limit in bytes on a message that is sent as a datagram; larger ones are sent over connections
+	outgoingQueueSize = 256  // limit on the messages that wait for a connection; more are lost
+	streamSenders     = 4    // number of goroutines that send over connections
 )
 
+// outgoingMessage is a message to send over a connection.
 type outgoingMessage struct {
 	to   memberlist.Address
 	data []byte
 }
 
-// Send sends a message to a member, best effort: a message may be lost without an error. It does not block.
+// Send sends a message to a member. It does not block. The message may be lost without an error.
 func (g *Gossip) Send(name string, b []byte) {
 	to, ok := g.address(name)
 	if !ok {
@@ -35,10 +36,11 @@
 	}
 }
 
-// SentBytes is the number of bytes that this member has sent to others.
+// SentBytes returns the number of bytes that this process has sent to other members.
 func (g *Gossip) SentBytes() uint64 { return g.transport.sentBytes.Load() }
 
-// address is where to reach a member: as announced, else as configured for a peer that was not seen yet.
+// address returns the advertised address of a member, or the configured address of a peer that was not seen yet. It
+// returns false if there is neither.
 func (g *Gossip) address(name string) (memberlist.Address, bool) {
 	m, ok := g.member(name)
 	if configuredAddress, configured := g.options.Peers[name]; configured && !ok {
@@ -48,7 +50,7 @@
 	return memberlist.Address{Addr: m.Address, Name: name}, ok
 }
 
-// sendOutgoing sends messages over connections, one at a time, until the context ends.
+// sendOutgoing sends messages from the queue over connections, one at a time, until the context ends.
 func (g *Gossip) sendOutgoing(ctx context.Context) {
 	for {
 		select {
--- a/internal/fleet/gossip/transport.go
+++ b/internal/fleet/gossip/transport.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	acceptQueueSize     = 256                   // packets and streams that the library has not taken; more are lost, as on the wire
-	maxPacket           = 64 << 10              // bytes
-	receiveBuffer       = 1 << 20               // bytes, of the socket; the system may give less
-	acceptRetryInterval = 10 * time.Millisecond // while the process is out of descriptors
+	acceptQueueSize     = 256                   // limit on the queued packets, and on the queued streams, for the library; more are lost, as on the network
+	maxPacket           = 64 << 10              // size in bytes of the buffer for a received packet
+	receiveBuffer       = 1 << 20               // size in bytes of the socket's receive buffer; the system may grant less
+	acceptRetryInterval = 10 * time.Millisecond // pause after a failed accept, such as while the process has no free descriptor
 )
 
-// transport implements memberlist.NodeAwareTransport over sockets of its own. It reaches each peer under the
-// address that this process has for it. Unlike the library's own transport it reads all packets into one
-// buffer: a new buffer of 64 KiB for each packet dominates a member's cost.
+// transport implements memberlist.NodeAwareTransport over sockets of its own. It reaches a peer at the address that is
+// configured for it. Unlike the library's transport it reads all packets into one buffer, because a new buffer of
+// 64 KiB for each packet dominates a member's cost.
 type transport struct {
 	udp          *net.UDPConn
 	tcp          *net.TCPListener
 	address      *net.TCPAddr
-	peers        map[string]string // addresses by name
+	peers        map[string]string // configured addresses by name
 	packets      chan *memberlist.Packet
 	streams      chan net.Conn
 	closed       chan struct{}
 	shutdownOnce sync.Once
 	listeners    sync.WaitGroup
-	sentBytes    atomic.Uint64 // bytes
+	sentBytes    atomic.Uint64
 }
 
 // countedConn counts the bytes written to a connection.
@@ -46,6 +46,7 @@
 	return n, err
 }
 
+// newTransport listens for packets and streams on an address, and starts to receive them.
 func newTransport(listen string, peers map[string]string) (*transport, error) {
 	listener, err := net.Listen("tcp", listen)
 	if err != nil {
@@ -69,6 +70,7 @@
 	return t, nil
 }
 
+// listenPackets queues received packets for the library until Shutdown, and drops those that do not fit.
 func (t *transport) listenPackets() {
 	b := make([]byte, maxPacket)
 	for {
@@ -77,7 +79,7 @@
 			if errors.Is(err, net.ErrClosed) {
 				return
 			}
-			continue // an ICMP error for a packet that was sent
+			continue // ICMP error for an earlier packet that this socket sent
 		}
 		if n == 0 {
 			continue
@@ -92,6 +94,7 @@
 	}
 }
 
+// listenStreams queues accepted connections for the library until Shutdown, and closes those that do not fit.
 func (t *transport) listenStreams() {
 	for {
 		c, err := t.tcp.Accept()
@@ -113,7 +116,7 @@
 // FinalAdvertiseAddr implements memberlist.Transport.
 func (t *transport) FinalAdvertiseAddr(string, int) (net.IP, int, error) {
 	if t.address.IP.IsUnspecified() {
-		return nil, 0, fmt.Errorf("gossip: %v is no address that others can reach", t.address)
+		return nil, 0, fmt.Errorf("gossip: other members can't reach the unspecified address %v", t.address)
 	}
 	return t.address.IP, t.address.Port, nil
 }
@@ -144,8 +147,7 @@
 	return countedConn{c, &t.sentBytes}, nil
 }
 
-// peerAddress is where this process reaches a member: as configured for it, else as the member advertises
-// itself.
+// peerAddress returns the configured address of a member, or else the one that the member advertises.
 func (t *transport) peerAddress(a memberlist.Address) string {
 	if configured, ok := t.peers[a.Name]; ok {
 		return configured
--- a/internal/fleet/memberregistry/golden_test.go
+++ b/internal/fleet/memberregistry/golden_test.go
@@ -15,8 +15,8 @@
 	"dewhitch/internal/standin/zookeeper"
 )
 
-// TestGoldenNode freezes the name and the data of a member's node in the registry, as another process finds
-// it there, and has such a node, written by nothing of this package, read by Run.
+// TestGoldenNode compares the name and data of the node that Run creates with the golden file, and checks that Run
+// reads such a node, which the test writes without this package.
 func TestGoldenNode(t *testing.T) {
 	zk, err := zookeeper.New()
 	if err != nil {
@@ -58,7 +58,7 @@
 	case line := <-nodes:
 		golden.Compare(t, "node.txt", []byte(line))
 	default:
-		t.Fatal("no node")
+		t.Fatal("Run created no node")
 	}
 
 	name, data, _ := strings.Cut(string(golden.Read(t, "node.txt")), " ")
@@ -81,6 +81,6 @@
 			t.Errorf("read as %v", got)
 		}
 	case <-ctx.Done():
-		t.Fatal("the nodes are not read")
+		t.Fatal("Run did not report both nodes")
 	}
 }
--- a/internal/fleet/memberregistry/memberregistry.go
+++ b/internal/fleet/memberregistry/memberregistry.go
@@ -1,5 +1,5 @@
-// Package memberregistry lets the members of a fleet find one another by ephemeral nodes in a registry: it
-// keeps a node for this member and follows the others'. It owns its session with the registry.
+// Package memberregistry lets the members of a fleet find one another through ephemeral nodes in a registry. It
+// maintains a node for this member, and watches the nodes of all members. It uses a session of its own.
 package memberregistry
 
 import (
@@ -16,24 +16,24 @@
 	"dewhitch/internal/registry"
 )
 
-// Options configure where, and who this member is.
+// Options configures the registry and the node of this member.
 type Options struct {
-	Servers []string      // of the registry, host:port; empty: Run does nothing
-	Path    string        // of the folder with the members' nodes
-	Session time.Duration // timeout after which the registry deletes a lost member's node
-	Name    string        // of this member
-	Address string        // under which others reach this member, host:port
+	Servers []string      // host:port of the registry's servers; empty: Run does nothing
+	Path    string        // path of the parent of the members' nodes
+	Session time.Duration // timeout after which the registry deletes the node of a member that it lost contact with
+	Name    string        // name of this member
+	Address string        // host:port at which other members reach this one
 	Log     *zap.Logger
 }
 
-// memberNode is the data of a member's node; the node's name is the member's, escaped for a path.
+// memberNode is the data of a member's node. The node's name is the name of the member, escaped for a path.
 type memberNode struct {
-	Address string `json:"address"`
+	Address string `json:"address"` // host:port with an IP address
 }
 
-// Run keeps this member's node and calls found with all members' addresses by name at each change, until the
-// context ends. The addresses are hints: a missing member need not be dead, as all sessions expire at
-// once while the registry is away.
+// Run maintains this member's node until the context ends, and calls onChange with the addresses of all members by
+// name at each change. The addresses are hints: a member without one may be alive, because all sessions expire at once
+// while the registry is unreachable.
 func Run(ctx context.Context, o Options, onChange func(map[string]string)) error {
 	if len(o.Servers) == 0 {
 		return nil
@@ -55,7 +55,7 @@
 	return group.Wait()
 }
 
-// decodeNodes decodes nodes, and logs and skips those that are no member's.
+// decodeNodes returns the addresses in nodes by member name. It logs and skips nodes that can't be decoded.
 func decodeNodes(nodes map[string][]byte, log *zap.Logger) map[string]string {
 	addressByName := map[string]string{}
 	for escaped, data := range nodes {
@@ -69,6 +69,7 @@
 	return addressByName
 }
 
+// decodeNode returns the name and the address of a member from its node.
 func decodeNode(escaped string, data []byte) (name, address string, err error) {
 	if name, err = url.PathUnescape(escaped); err != nil {
 		return "", "", err
@@ -80,11 +81,11 @@
 	return name, n.Address, checkNumericAddress(n.Address)
 }
 
-// checkNumericAddress rejects an address that would need a name lookup.
+// checkNumericAddress returns an error if an address is not host:port, or if its host would need a name lookup.
 func checkNumericAddress(address string) error {
 	host, _, err := net.SplitHostPort(address)
 	if err == nil && net.ParseIP(host) == nil {
-		err = fmt.Errorf("%q is no IP address", host)
+		err = fmt.Errorf("host %q is not an IP address", host)
 	}
 	return err
 }
