--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -224,8 +224,8 @@
 			a.node.Tick(a.now())
 			a.updateDrain(now)
 		case b := <-a.inbox:
-			now, unix := a.now()
-			a.node.Step(now, unix, b)
+			now, unixMS := a.now()
+			a.node.Step(now, unixMS, b)
 		case c := <-a.memberChanges:
 			a.node.SetAlive(c.name, c.alive)
 		case f := <-a.calls:
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -174,7 +174,7 @@
 		n, _ := r.Body.Read(b)
 		return r.StatusCode, string(b[:n])
 	}
-	before, err := members[3].Status()
+	statusBefore, err := members[3].Status()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -186,8 +186,8 @@
 	if code, _ := post("melt", url.Values{"by": {"me"}, "why": {"so"}}); code != http.StatusNotFound {
 		t.Errorf("an unknown command: status %d", code)
 	}
-	if s, _ := members[3].Status(); s.Epoch != before.Epoch {
-		t.Errorf("rejected commands changed the plan: %v, %v", before.Epoch, s.Epoch)
+	if s, _ := members[3].Status(); s.Epoch != statusBefore.Epoch {
+		t.Errorf("rejected commands changed the plan: %v, %v", statusBefore.Epoch, s.Epoch)
 	}
 	if code, text := post("freeze", url.Values{"by": {"me"}, "why": {"so"}}); code != http.StatusOK || !strings.HasPrefix(text, "YES ") {
 		t.Fatalf("freeze: %d %s", code, text)
@@ -222,13 +222,13 @@
 	if _, err := members[0].Submit(t.Context(), "freeze", fleet.EncodeNote("me", "so")); err != nil {
 		t.Fatal(err)
 	}
-	o := members[0].options
-	if _, err := Open(o); err == nil || !strings.Contains(err.Error(), "another process has the folder") {
+	options := members[0].options
+	if _, err := Open(options); err == nil || !strings.Contains(err.Error(), "another process has the folder") {
 		t.Errorf("storage that another process has open: %v", err)
 	}
 	stop() // the test may read the node once its goroutine has ended
 	identity := members[0].node.SelfStatus().Identity
-	restarted, err := Open(o)
+	restarted, err := Open(options)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -244,10 +244,10 @@
 	})
 	cancel()
 	running.Wait()
-	if err := os.WriteFile(filepath.Join(o.Dir, "fleet.db"), []byte("not what was stored"), 0o640); err != nil {
+	if err := os.WriteFile(filepath.Join(options.Dir, "fleet.db"), []byte("not what was stored"), 0o640); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(o); err == nil {
+	if _, err := Open(options); err == nil {
 		t.Error("corrupt storage is accepted")
 	}
 	if _, err := restarted.Submit(t.Context(), "thaw", nil); !errors.Is(err, ErrEnded) {
--- a/internal/fleet/agent/calls.go
+++ b/internal/fleet/agent/calls.go
@@ -35,8 +35,8 @@
 	}
 	results := make(chan result, 1)
 	if err := a.call(func() {
-		now, unix := a.now()
-		a.node.Submit(now, unix, name, args, func(e fleet.Epoch, err error) { results <- result{e, err} })
+		now, unixMS := a.now()
+		a.node.Submit(now, unixMS, name, args, func(e fleet.Epoch, err error) { results <- result{e, err} })
 	}); err != nil {
 		return fleet.Epoch{}, err
 	}
--- a/internal/fleet/agent/golden_fleet_test.go
+++ b/internal/fleet/agent/golden_fleet_test.go
@@ -198,7 +198,7 @@
 	if got := MachineName(0x0a0b0c0d); got != "s-0a0b0c0d" {
 		t.Error(got)
 	}
-	if id, ok := parseMachine("s-0a0b0c0d"); !ok || id != 0x0a0b0c0d {
+	if id, ok := parseMachineName("s-0a0b0c0d"); !ok || id != 0x0a0b0c0d {
 		t.Error(id, ok)
 	}
 }
--- a/internal/fleet/agent/leader.go
+++ b/internal/fleet/agent/leader.go
@@ -22,7 +22,7 @@
 
 // leaderTick runs one round of the leader's policies: it proposes a change of the zones' states or, if they stay
 // the same, of the maintenance schedule. It proposes nothing while operators have frozen the plan.
-func (a *Agent) leaderTick(now time.Duration, unix int64, n *fleet.Node) {
+func (a *Agent) leaderTick(now time.Duration, unixMS int64, n *fleet.Node) {
 	p := n.Plan()
 	if _, frozen := p.Frozen(); frozen {
 		return
@@ -31,19 +31,19 @@
 	if err != nil {
 		return
 	}
-	if !a.evaluateZones(now, unix, n, p.Epoch, statuses) {
-		a.stepMaintenance(now, unix, n, p, statuses)
+	if !a.evaluateZones(now, unixMS, n, p.Epoch, statuses) {
+		a.stepMaintenance(now, unixMS, n, p, statuses)
 	}
 }
 
 // evaluateZones proposes the next statuses of the zones. It returns true if they differ from the plan's.
-func (a *Agent) evaluateZones(now time.Duration, unix int64, n *fleet.Node, planEpoch fleet.Epoch, statuses evacuation.Statuses) bool {
+func (a *Agent) evaluateZones(now time.Duration, unixMS int64, n *fleet.Node, planEpoch fleet.Epoch, statuses evacuation.Statuses) bool {
 	lastStarts := map[string]int64{} // start time of the newest server in each zone, in Unix ms
 	for _, s := range a.listedServers() {
 		lastStarts[s.Zone] = max(lastStarts[s.Zone], s.Since)
 	}
 	a.zones.SetServerStarts(lastStarts)
-	next, changed := a.zones.Evaluate(now, unix, statuses, func(name string) bool {
+	next, changed := a.zones.Evaluate(now, unixMS, statuses, func(name string) bool {
 		p, ok := n.Peer(name)
 		return name == a.options.Gossip.Name || ok && now-p.LastStatusAt < a.options.Lease
 	})
@@ -75,12 +75,12 @@
 }
 
 // stepMaintenance proposes the next maintenance schedule, if it differs from the plan's.
-func (a *Agent) stepMaintenance(now time.Duration, unix int64, n *fleet.Node, p fleet.Plan, statuses evacuation.Statuses) {
+func (a *Agent) stepMaintenance(now time.Duration, unixMS int64, n *fleet.Node, p fleet.Plan, statuses evacuation.Statuses) {
 	schedule, err := maintenance.Read(&p)
 	if err != nil {
 		return
 	}
-	next, changed := a.maintenance.Step(now, unix, schedule, maintenance.Observations{
+	next, changed := a.maintenance.Step(now, unixMS, schedule, maintenance.Observations{
 		Servers:           a.maintenanceServers(),
 		Members:           a.maintenanceMembers(now, n),
 		Saturated:         a.zones.Saturated(),
--- a/internal/fleet/agent/slow_start.go
+++ b/internal/fleet/agent/slow_start.go
@@ -44,8 +44,8 @@
 		return false
 	}
 	servers := serversByZoneState(a.listedServers(), statuses)
-	_, unix := a.now()
-	return a.slowStart.Allocate(now, unix, servers, a.maySend(servers, statuses))
+	_, unixMS := a.now()
+	return a.slowStart.Allocate(now, unixMS, servers, a.maySend(servers, statuses))
 }
 
 // serversByZoneState returns a copy of the servers with the use that the state of each server's zone allows. The slow
--- a/internal/fleet/agent/withdrawal.go
+++ b/internal/fleet/agent/withdrawal.go
@@ -9,8 +9,8 @@
 // MachineName returns the name of a server in commands, plans and statuses.
 func MachineName(id uint32) string { return fmt.Sprintf("s-%08x", id) }
 
-// parseMachine returns the server with a machine's name. It returns false if the machine is a gateway.
-func parseMachine(name string) (uint32, bool) {
+// parseMachineName returns the server with a machine's name. It returns false if the machine is a gateway.
+func parseMachineName(name string) (uint32, bool) {
 	text, ok := strings.CutPrefix(name, "s-")
 	id, err := strconv.ParseUint(text, 16, 32)
 	return uint32(id), ok && err == nil && MachineName(uint32(id)) == name
@@ -40,7 +40,7 @@
 // sendsNothingTo returns true if this gateway has nothing in flight to a withdrawn server. Gateways send no attempts to
 // other gateways, so it returns true for them, and for this gateway if it has drained its clients.
 func (a *Agent) sendsNothingTo(machine string, inFlight map[uint32]bool) bool {
-	if id, isServer := parseMachine(machine); isServer && !inFlight[id] {
+	if id, isServer := parseMachineName(machine); isServer && !inFlight[id] {
 		return true
 	} else if !isServer && machine != a.options.Gossip.Name {
 		return true
--- a/internal/fleet/maintenance/admission.go
+++ b/internal/fleet/maintenance/admission.go
@@ -11,7 +11,7 @@
 	if e.fault != "" {
 		return e.fault
 	}
-	if e.unix < r.NotBefore {
+	if e.unixMS < r.NotBefore {
 		return "not before " + time.UnixMilli(r.NotBefore).UTC().Format(time.RFC3339)
 	}
 	if r.After != 0 {
--- a/internal/fleet/maintenance/command.go
+++ b/internal/fleet/maintenance/command.go
@@ -97,8 +97,8 @@
 
 // handler returns a command handler that applies a command to the schedule of the plan. The handler returns nil if the command does not
 // change the schedule.
-func handler(apply func(s *Schedule, c Command, unix int64) error) fleet.CommandHandler {
-	return func(p *fleet.Plan, args []byte, unix int64) (map[string]cbor.RawMessage, error) {
+func handler(apply func(s *Schedule, c Command, unixMS int64) error) fleet.CommandHandler {
+	return func(p *fleet.Plan, args []byte, unixMS int64) (map[string]cbor.RawMessage, error) {
 		var c Command
 		if err := cbor.Unmarshal(args, &c); err != nil {
 			return nil, err
@@ -111,7 +111,7 @@
 			return nil, err
 		}
 		next := current.clone()
-		if err := apply(&next, c, unix); err != nil {
+		if err := apply(&next, c, unixMS); err != nil {
 			return nil, err
 		}
 		if slices.Equal(current.encode(), next.encode()) {
@@ -122,7 +122,7 @@
 }
 
 // submitRequest adds a request. It is idempotent by the request's key: a repeated request changes nothing, whichever gateway forwards it.
-func submitRequest(s *Schedule, c Command, unix int64) error {
+func submitRequest(s *Schedule, c Command, unixMS int64) error {
 	if err := c.checkRequest(); err != nil {
 		return err
 	}
@@ -143,7 +143,7 @@
 	if c.After != 0 && s.find(c.After) == nil {
 		return reject(ErrUnknown, "no request %d to come after", c.After)
 	}
-	s.add(c, unix)
+	s.add(c, unixMS)
 	return nil
 }
 
@@ -192,7 +192,7 @@
 }
 
 // add appends a request and removes its machines from Off, because they are in use again.
-func (s *Schedule) add(c Command, unix int64) {
+func (s *Schedule) add(c Command, unixMS int64) {
 	s.LastID++
 	r := Request{
 		ID:          s.LastID,
@@ -203,10 +203,10 @@
 		ForMS:       c.ForMS,
 		NotBefore:   c.NotBefore,
 		After:       c.After,
-		RequestedAt: unix,
+		RequestedAt: unixMS,
 	}
 	for _, name := range c.Machines {
-		r.Machines = append(r.Machines, Machine{Name: name, Since: unix})
+		r.Machines = append(r.Machines, Machine{Name: name, Since: unixMS})
 		s.Off = slices.DeleteFunc(s.Off, func(off string) bool { return off == name })
 	}
 	s.Requests = append(s.Requests, r)
@@ -226,7 +226,7 @@
 
 // cancelRequest cancels the machines of a request whose maintenance has not begun. A released machine stays Released: it may be
 // disassembled, and only the operator who works on it can complete its maintenance.
-func cancelRequest(s *Schedule, c Command, unix int64) error {
+func cancelRequest(s *Schedule, c Command, unixMS int64) error {
 	r, err := s.findOpen(c.ID)
 	if err != nil {
 		return err
@@ -234,7 +234,7 @@
 	for i := range r.Machines {
 		m := &r.Machines[i]
 		if m.State == Waiting || m.State == Announced || m.State == OnHold && m.AnnouncementID == 0 {
-			m.enter(Cancelled, unix, "cancelled by "+c.By)
+			m.enter(Cancelled, unixMS, "cancelled by "+c.By)
 		}
 	}
 	r.Note = "cancelled by " + c.By + ": " + c.Reason
@@ -244,7 +244,7 @@
 
 // completeWork ends the maintenance of the named machines of a request, or without names of all that are released, or on hold after
 // their announcement.
-func completeWork(s *Schedule, c Command, unix int64) error {
+func completeWork(s *Schedule, c Command, unixMS int64) error {
 	r, err := s.findOpen(c.ID)
 	if err != nil {
 		return err
@@ -258,7 +258,7 @@
 		}
 		switch {
 		case m.State == Released || m.onHoldAfterAnnouncement():
-			s.endWork(r, m, unix, "completed by "+c.By)
+			s.endWork(r, m, unixMS, "completed by "+c.By)
 			completed = true
 		case named && m.State != Returned && m.State != Done:
 			return reject(ErrState, "%s of request %d is %s, not free", m.Name, r.ID, m.State)
@@ -283,7 +283,7 @@
 }
 
 // resumeRequest ends the hold of a request and of its machines. A machine on hold becomes Waiting, or Returned if it was announced.
-func resumeRequest(s *Schedule, c Command, unix int64) error {
+func resumeRequest(s *Schedule, c Command, unixMS int64) error {
 	r, err := s.findOpen(c.ID)
 	if err != nil {
 		return err
@@ -293,7 +293,7 @@
 		if m.State != OnHold {
 			continue
 		}
-		m.enter(Waiting, unix, "resumed by "+c.By)
+		m.enter(Waiting, unixMS, "resumed by "+c.By)
 		if m.AnnouncementID > 0 {
 			m.State = Returned
 		}
--- a/internal/fleet/maintenance/evidence.go
+++ b/internal/fleet/maintenance/evidence.go
@@ -32,13 +32,13 @@
 	if served+failed+timedOut+answeredLate == 0 {
 		return
 	}
-	samples := append(s.health[server], sample{now, served, failed, timedOut, answeredLate})
+	samples := append(s.samples[server], sample{now, served, failed, timedOut, answeredLate})
 	for len(samples) > 0 && now-samples[0].at > healthSpan {
 		samples = samples[1:]
 	}
-	s.health[server] = samples
-	if len(s.health) > maxTrackedServers {
-		clear(s.health) // servers are continually replaced under new names; those in use are observed again at once
+	s.samples[server] = samples
+	if len(s.samples) > maxTrackedServers {
+		clear(s.samples) // servers are continually replaced under new names; those in use are observed again at once
 	}
 }
 
@@ -46,7 +46,7 @@
 // others, so a timed-out attempt counts as failed only after lateAnswerDelay, and not if it was answered late.
 func (s *Scheduler) healthSince(server string, now, since time.Duration) (served, failed uint64) {
 	timedOut, answeredLate := uint64(0), uint64(0)
-	for _, report := range s.health[server] {
+	for _, report := range s.samples[server] {
 		if report.at < since {
 			continue
 		}
@@ -64,20 +64,20 @@
 // peak loads older than loadSpan.
 func (s *Scheduler) recordLoad(now time.Duration, rate float64, faultless bool) {
 	if faultless {
-		if n := len(s.loads); n == 0 || now-s.loads[n-1].at >= loadBucket {
-			s.loads = append(s.loads, peakLoad{at: now})
+		if n := len(s.peakLoads); n == 0 || now-s.peakLoads[n-1].at >= loadBucket {
+			s.peakLoads = append(s.peakLoads, peakLoad{at: now})
 		}
-		last := &s.loads[len(s.loads)-1]
+		last := &s.peakLoads[len(s.peakLoads)-1]
 		last.rate = max(last.rate, rate)
 	}
-	for len(s.loads) > 0 && now-s.loads[0].at > loadSpan {
-		s.loads = s.loads[1:]
+	for len(s.peakLoads) > 0 && now-s.peakLoads[0].at > loadSpan {
+		s.peakLoads = s.peakLoads[1:]
 	}
 }
 
 // maxLoad returns the highest load that servers have handled within loadSpan, in attempts a second per server.
 func (s *Scheduler) maxLoad() (rate float64) {
-	for _, l := range s.loads {
+	for _, l := range s.peakLoads {
 		rate = max(rate, l.rate)
 	}
 	return rate
--- a/internal/fleet/maintenance/forecast.go
+++ b/internal/fleet/maintenance/forecast.go
@@ -98,14 +98,14 @@
 	}
 }
 
-func (f *forecastRun) unix() int64 { return f.startedAt + f.now.Milliseconds() }
+func (f *forecastRun) unixMS() int64 { return f.startedAt + f.now.Milliseconds() }
 
 // simulateMachines simulates the acknowledgements and load reports of the gateways and the operator's work, for each machine.
 func (f *forecastRun) simulateMachines() {
 	r := &f.schedule.Requests[0]
 	for i := range r.Machines {
 		m := &r.Machines[i]
-		age := time.Duration(f.unix()-m.Since) * time.Millisecond
+		age := time.Duration(f.unixMS()-m.Since) * time.Millisecond
 		switch m.State {
 		case Announced:
 			if age >= forecastAckDelay {
@@ -135,9 +135,9 @@
 		return
 	}
 	server := f.servers[m.Name]
-	server.Since = f.unix()
+	server.Since = f.unixMS()
 	f.servers[m.Name] = server
-	f.schedule.endWork(r, m, f.unix(), "")
+	f.schedule.endWork(r, m, f.unixMS(), "")
 }
 
 // updateExtremes updates the highest number of servers that are out, and the lowest spare capacity.
@@ -158,7 +158,7 @@
 
 // capacityFraction returns the fraction of its full capacity that a server has now. It grows linearly during slow start.
 func (f *forecastRun) capacityFraction(s Server, startCapacity float64) float64 {
-	age := time.Duration(f.unix()-s.Since) * time.Millisecond
+	age := time.Duration(f.unixMS()-s.Since) * time.Millisecond
 	if s.Since <= 0 || age >= f.cfg.SlowStart {
 		return 1
 	}
@@ -182,5 +182,5 @@
 		Members: map[string]Member{"g": {Reachable: true, Fresh: true, Withdrawn: maps.Clone(f.acknowledged)}},
 		Rate:    f.load * float64(len(f.servers)),
 	}
-	f.schedule, _ = f.scheduler.Step(f.now, f.unix(), f.schedule, observed)
+	f.schedule, _ = f.scheduler.Step(f.now, f.unixMS(), f.schedule, observed)
 }
--- a/internal/fleet/maintenance/forecast_test.go
+++ b/internal/fleet/maintenance/forecast_test.go
@@ -22,7 +22,7 @@
 func TestSimulate(t *testing.T) {
 	cfg := Defaults
 	servers := serversIn(3, 4)
-	c := Command{By: "ann", Reason: "release", Key: "k", Kind: Restart, ForMS: 60_000, Machines: names(servers)}
+	c := Command{By: "ann", Reason: "release", Key: "k", Kind: Restart, ForMS: 60_000, Machines: sortedNames(servers)}
 	forecast, err := Simulate(cfg, servers, c, 0.7, 0.22)
 	if err != nil || len(forecast.Steps) != 12 || forecast.MaxOut > 2 || len(forecast.Stuck) > 0 || forecast.Spare > 0.3 || forecast.Spare < 0 {
 		t.Errorf("%+v %v", forecast, err)
@@ -40,7 +40,7 @@
 // The restart of 40 % of 200 servers in 12 zones ends within an hour.
 func TestSimulateLargeFleet(t *testing.T) {
 	servers := serversIn(12, 17)
-	all := names(servers)
+	all := sortedNames(servers)
 	c := Command{By: "ann", Reason: "release", Key: "k", Kind: Restart, ForMS: 120_000, Machines: all[:82]}
 	startedAt := time.Now()
 	forecast, err := Simulate(Defaults, servers, c, 0.7, 0.22)
@@ -54,7 +54,7 @@
 // A hundred requests of mixed size all end, and the longest wait for a first announcement is not far from the mean.
 func TestFairness(t *testing.T) {
 	sim := newSimulation(t, 21, 30, 3, 20)
-	all := names(sim.servers)
+	all := sortedNames(sim.servers)
 	submitted := 0
 	for submitted < 100 {
 		var machines []string
@@ -72,7 +72,7 @@
 	recordAnnouncements := func() {
 		for _, r := range sim.schedule.Requests {
 			if _, ok := firstAnnouncedAfter[r.Key]; !ok && slices.ContainsFunc(r.Machines, func(m Machine) bool { return m.AnnouncementID > 0 }) {
-				firstAnnouncedAfter[r.Key] = time.Duration(sim.unix()-r.RequestedAt) * time.Millisecond
+				firstAnnouncedAfter[r.Key] = time.Duration(sim.unixMS()-r.RequestedAt) * time.Millisecond
 			}
 		}
 	}
--- a/internal/fleet/maintenance/health.go
+++ b/internal/fleet/maintenance/health.go
@@ -26,9 +26,9 @@
 	age := e.age(m)
 	switch {
 	case g.Reachable && g.Fresh && g.ProcessStartedAt != m.ProcessStartedAt && age >= e.cfg.MinHealthyTime:
-		m.enter(Done, e.unix, "")
+		m.enter(Done, e.unixMS, "")
 	case age > e.cfg.ReturnTimeout:
-		m.enter(OnHold, e.unix, "no new process of this gateway is in the fleet: check it, then resume")
+		m.enter(OnHold, e.unixMS, "no new process of this gateway is in the fleet: check it, then resume")
 	default:
 		m.Note = "waits for a new process of this gateway in the fleet"
 	}
@@ -45,14 +45,14 @@
 	case !listed || !server.Ready:
 		m.Note = "is not listed as ready"
 		if age > e.cfg.ReturnTimeout {
-			m.enter(OnHold, e.unix, "is not listed as ready after its return: check it, then resume")
+			m.enter(OnHold, e.unixMS, "is not listed as ready after its return: check it, then resume")
 		}
 	case failed >= proofMinFailed && float64(failed) >= proofFailedRatio*float64(served+failed):
-		m.enter(OnHold, e.unix, fmt.Sprintf("ill on its return: %d of %d attempts failed; check it, then resume", failed, served+failed))
+		m.enter(OnHold, e.unixMS, fmt.Sprintf("ill on its return: %d of %d attempts failed; check it, then resume", failed, served+failed))
 	case warm && age >= e.cfg.MinHealthyTime && served >= proofMinServed, age > e.cfg.ReturnTimeout && warm && failed == 0:
-		m.enter(Done, e.unix, "")
+		m.enter(Done, e.unixMS, "")
 	case age > 2*e.cfg.ReturnTimeout:
-		m.enter(OnHold, e.unix, "is still in slow start long after its return: check it, then resume")
+		m.enter(OnHold, e.unixMS, "is still in slow start long after its return: check it, then resume")
 	default:
 		m.Note = "its health is not proved yet"
 	}
@@ -60,5 +60,5 @@
 
 // warming returns true if a server is in slow start.
 func (e *evaluation) warming(server Server) bool {
-	return server.Since > 0 && time.Duration(e.unix-server.Since)*time.Millisecond < e.cfg.SlowStart
+	return server.Since > 0 && time.Duration(e.unixMS-server.Since)*time.Millisecond < e.cfg.SlowStart
 }
--- a/internal/fleet/maintenance/schedule.go
+++ b/internal/fleet/maintenance/schedule.go
@@ -66,9 +66,9 @@
 }
 
 // enter changes the state of the machine.
-func (m *Machine) enter(state State, unix int64, note string) {
+func (m *Machine) enter(state State, unixMS int64, note string) {
 	m.State = state
-	m.Since = unix
+	m.Since = unixMS
 	m.Note = note
 }
 
@@ -232,8 +232,8 @@
 }
 
 // endWork ends the maintenance of a machine. The machine returns after a restart, and is out of service for good otherwise.
-func (s *Schedule) endWork(r *Request, m *Machine, unix int64, note string) {
-	m.enter(Returned, unix, note)
+func (s *Schedule) endWork(r *Request, m *Machine, unixMS int64, note string) {
+	m.enter(Returned, unixMS, note)
 	m.Until = 0
 	if r.Kind == Restart {
 		return
--- a/internal/fleet/maintenance/scheduler.go
+++ b/internal/fleet/maintenance/scheduler.go
@@ -66,13 +66,13 @@
 // Times of type time.Duration are on the owner's monotonic clock.
 type Scheduler struct {
 	cfg       Config
-	health    map[string][]sample // samples of the last healthSpan by server, oldest first
-	loads     []peakLoad          // peak loads of the last loadSpan, oldest first
+	samples   map[string][]sample // samples of the last healthSpan by server, oldest first
+	peakLoads []peakLoad          // peak loads of the last loadSpan, oldest first
 	changedAt time.Duration       // time of the last step that changed the schedule
 }
 
 // New returns a Scheduler without evidence.
-func New(cfg Config) *Scheduler { return &Scheduler{cfg: cfg, health: map[string][]sample{}} }
+func New(cfg Config) *Scheduler { return &Scheduler{cfg: cfg, samples: map[string][]sample{}} }
 
 // evaluation is the state of one call to Step.
 type evaluation struct {
@@ -80,19 +80,19 @@
 	schedule *Schedule
 	observed Observations
 	now      time.Duration
-	unix     int64  // leader's clock in Unix ms
+	unixMS   int64  // time of the leader's clock
 	fault    string // fault of the fleet that forbids announcements and releases; empty: none
 }
 
 // Step returns the schedule that follows the current one, which it does not modify. changed is true if the two differ enough for a new
-// plan; otherwise next is current. now is on the clock of Observe, unix is the leader's clock in Unix ms.
-func (s *Scheduler) Step(now time.Duration, unix int64, current Schedule, observed Observations) (next Schedule, changed bool) {
+// plan; otherwise next is current. now is on the clock of Observe, unixMS is the time of the leader's clock.
+func (s *Scheduler) Step(now time.Duration, unixMS int64, current Schedule, observed Observations) (next Schedule, changed bool) {
 	idle := !current.hasOpen() && !current.rosterDiffers(observed)
 	next = current
 	if !idle {
 		next = current.clone()
 	}
-	e := &evaluation{Scheduler: s, schedule: &next, observed: observed, now: now, unix: unix}
+	e := &evaluation{Scheduler: s, schedule: &next, observed: observed, now: now, unixMS: unixMS}
 	if idle {
 		e.observeFleet()
 		return current, false
@@ -147,7 +147,7 @@
 				roster = map[string]int64{}
 				e.schedule.Roster = roster
 			}
-			roster[name] = e.unix
+			roster[name] = e.unixMS
 		}
 	}
 }
--- a/internal/fleet/maintenance/scheduler_test.go
+++ b/internal/fleet/maintenance/scheduler_test.go
@@ -14,7 +14,7 @@
 // A request for a restart of all servers releases each of them once and ends, with at most two out at once.
 func TestRestartOfAllServers(t *testing.T) {
 	sim := newSimulation(t, 1, 6, 3, 4)
-	sim.submit("evening", Restart, names(sim.servers)...)
+	sim.submit("evening", Restart, sortedNames(sim.servers)...)
 	if !sim.runUntilEnded(20 * time.Minute) {
 		t.Fatalf("not ended after %v: %+v", sim.now, sim.schedule.Requests)
 	}
@@ -37,7 +37,7 @@
 	if err := submitRequest(&schedule, c, 0); err != nil {
 		t.Fatal(err)
 	}
-	var order []string
+	var releaseOrder []string
 	for now := time.Duration(0); now < 5*time.Minute; now += simulationTick {
 		schedule, _ = scheduler.Step(now, 1_700_000_000_000+now.Milliseconds(), schedule, observed)
 		out := 0
@@ -49,7 +49,7 @@
 				out++
 			case Released:
 				if g.ProcessStartedAt == 1 {
-					order = append(order, m.Name)
+					releaseOrder = append(releaseOrder, m.Name)
 				}
 				g = Member{Reachable: true, Fresh: true, Zone: g.Zone, Voter: g.Voter, Leader: g.Leader, ProcessStartedAt: 2, Withdrawn: g.Withdrawn}
 				observed.Members[m.Name] = g
@@ -66,7 +66,7 @@
 			t.Fatalf("%d gateways are out: %+v", out, schedule.Requests[0])
 		}
 	}
-	if got := strings.Join(order, " "); got != "g3 g4 g5 g0 g2 g1" || schedule.Requests[0].State != Done {
+	if got := strings.Join(releaseOrder, " "); got != "g3 g4 g5 g0 g2 g1" || schedule.Requests[0].State != Done {
 		t.Errorf("got order %s; %+v", got, schedule.Requests[0])
 	}
 }
@@ -75,7 +75,7 @@
 // plan may still send to the machine.
 func TestReleaseWaitsForStalledGateway(t *testing.T) {
 	sim := newSimulation(t, 2, 6, 3, 4)
-	sim.gateways["g3"].stalled = sim.now + 10*time.Second
+	sim.gateways["g3"].stalledUntil = sim.now + 10*time.Second
 	sim.submit("one", Restart, "s-a1")
 	sim.run(9 * time.Second)
 	if m := sim.schedule.Requests[0].Machines[0]; m.State != Announced || m.Note != "waits for g3" {
@@ -87,7 +87,7 @@
 	}
 	// A gateway whose process ended without leaving blocks the release until an operator removes it.
 	sim.runUntilEnded(time.Minute)
-	sim.gateways["g2"].stalled = sim.now + time.Hour
+	sim.gateways["g2"].stalledUntil = sim.now + time.Hour
 	sim.submit("two", Restart, "s-b1")
 	sim.run(time.Minute)
 	if m := sim.schedule.Requests[1].Machines[0]; m.State != Announced {
@@ -106,7 +106,7 @@
 // A zone that goes out of service withdraws an announcement, and no machine is released until the zone is back.
 func TestFaultWithdrawsAnnouncement(t *testing.T) {
 	sim := newSimulation(t, 3, 4, 3, 4)
-	sim.gateways["g0"].stalled = sim.now + 5*time.Second
+	sim.gateways["g0"].stalledUntil = sim.now + 5*time.Second
 	sim.submit("one", Restart, "s-a1", "s-b1")
 	sim.run(time.Second)
 	sim.zonesOut = []string{"c"}
@@ -156,8 +156,8 @@
 // While only notes change, the scheduler proposes at most one plan in three seconds.
 func TestNotesAreRateLimited(t *testing.T) {
 	sim := newSimulation(t, 6, 12, 3, 4)
-	sim.gateways["g3"].stalled = sim.now + time.Hour
-	sim.submit("one", Restart, names(sim.servers)...)
+	sim.gateways["g3"].stalledUntil = sim.now + time.Hour
+	sim.submit("one", Restart, sortedNames(sim.servers)...)
 	sim.run(5 * time.Second)
 	planChangesBefore := sim.planChanges
 	sim.run(30 * time.Second)
@@ -232,12 +232,12 @@
 	rapid.Check(t, func(t *rapid.T) {
 		seed, gateways, servers := rapid.Uint64().Draw(t, "seed"), rapid.IntRange(1, 6).Draw(t, "gateways"), rapid.IntRange(2, 5).Draw(t, "servers")
 		sim := newSimulation(t, seed, gateways, 3, servers)
-		all := names(sim.servers)
+		all := sortedNames(sim.servers)
 		for range 120 {
 			switch sim.rng.IntN(12) {
 			case 0:
 				g := sim.gateways[fmt.Sprint("g", sim.rng.IntN(gateways))]
-				g.stalled = sim.now + time.Duration(sim.rng.IntN(10_000))*time.Millisecond
+				g.stalledUntil = sim.now + time.Duration(sim.rng.IntN(10_000))*time.Millisecond
 			case 1:
 				sim.zonesOut = nil
 				if sim.rng.IntN(3) == 0 {
--- a/internal/fleet/maintenance/simulation_test.go
+++ b/internal/fleet/maintenance/simulation_test.go
@@ -14,7 +14,7 @@
 type gateway struct {
 	withdrawn     map[string]uint64        // withdrawn machines of the plan that it applied last
 	acknowledged  map[string]uint64        // withdrawn machines in its last report
-	stalled       time.Duration            // time until which it does nothing
+	stalledUntil  time.Duration            // time until which it does nothing
 	attemptEndsAt map[string]time.Duration // time at which its last attempt to each machine ends
 }
 
@@ -55,12 +55,12 @@
 	return sim
 }
 
-func (sim *simulation) unix() int64 { return 1_700_000_000_000 + sim.now.Milliseconds() }
+func (sim *simulation) unixMS() int64 { return 1_700_000_000_000 + sim.now.Milliseconds() }
 
 func (sim *simulation) apply(command func(*Schedule, Command, int64) error, c Command) error {
 	c.By, c.Reason = "ann", "release"
 	next := sim.schedule.clone()
-	if err := command(&next, c, sim.unix()); err != nil {
+	if err := command(&next, c, sim.unixMS()); err != nil {
 		return err
 	}
 	sim.schedule = next
@@ -87,7 +87,7 @@
 	names := slices.Sorted(maps.Keys(sim.servers))
 	for _, name := range slices.Sorted(maps.Keys(sim.gateways)) {
 		g := sim.gateways[name]
-		if g.stalled > sim.now {
+		if g.stalledUntil > sim.now {
 			continue
 		}
 		for range 3 { // attempts that follow the applied plan
@@ -117,10 +117,10 @@
 	}
 	observed := Observations{Servers: sim.servers, Members: map[string]Member{}, ZonesNotInService: sim.zonesOut, Saturated: sim.saturated, Rate: sim.rate}
 	for name, g := range sim.gateways {
-		observed.Members[name] = Member{Reachable: g.stalled <= sim.now, Withdrawn: g.acknowledged}
+		observed.Members[name] = Member{Reachable: g.stalledUntil <= sim.now, Withdrawn: g.acknowledged}
 	}
 	var changed bool
-	if sim.schedule, changed = sim.scheduler.Step(sim.now, sim.unix(), sim.schedule, observed); changed {
+	if sim.schedule, changed = sim.scheduler.Step(sim.now, sim.unixMS(), sim.schedule, observed); changed {
 		sim.planChanges++
 	}
 	out := 0
@@ -142,9 +142,9 @@
 					}
 				}
 			}
-			if age := time.Duration(sim.unix()-m.Since) * time.Millisecond; age >= sim.workTime && !sim.neverDone {
+			if age := time.Duration(sim.unixMS()-m.Since) * time.Millisecond; age >= sim.workTime && !sim.neverDone {
 				server := sim.servers[m.Name]
-				server.Since = sim.unix()
+				server.Since = sim.unixMS()
 				sim.servers[m.Name] = server
 				if err := sim.apply(completeWork, Command{ID: r.ID, Machines: []string{m.Name}}); err != nil {
 					sim.t.Fatalf("complete the work: %v", err)
@@ -171,4 +171,4 @@
 	return false
 }
 
-func names(servers map[string]Server) []string { return slices.Sorted(maps.Keys(servers)) }
+func sortedNames(servers map[string]Server) []string { return slices.Sorted(maps.Keys(servers)) }
--- a/internal/fleet/maintenance/transition.go
+++ b/internal/fleet/maintenance/transition.go
@@ -37,15 +37,15 @@
 // announcement instead.
 func (e *evaluation) release(r *Request, m *Machine) {
 	if e.fault != "" {
-		m.enter(Waiting, e.unix, "taken back: "+e.fault)
+		m.enter(Waiting, e.unixMS, "taken back: "+e.fault)
 		return
 	}
 	if missing := e.missingAcknowledgements(m); len(missing) > 0 {
 		m.Note = "waits for " + strings.Join(missing, ", ")
 		return
 	}
-	m.enter(Released, e.unix, "")
-	m.Until = e.unix + r.ForMS
+	m.enter(Released, e.unixMS, "")
+	m.Until = e.unixMS + r.ForMS
 }
 
 // missingAcknowledgements returns the gateways that have not acknowledged the machine's announcement. A server needs the acknowledgement
@@ -68,14 +68,14 @@
 
 // expire ends the maintenance of a released machine when its time is up.
 func (e *evaluation) expire(r *Request, m *Machine) {
-	if e.unix >= m.Until {
-		e.schedule.endWork(r, m, e.unix, "its time is up, and nobody said that it is done")
+	if e.unixMS >= m.Until {
+		e.schedule.endWork(r, m, e.unixMS, "its time is up, and nobody said that it is done")
 	}
 }
 
 // age returns how long a machine has been in its present state, by the leader's clock.
 func (e *evaluation) age(m *Machine) time.Duration {
-	return time.Duration(e.unix-m.Since) * time.Millisecond
+	return time.Duration(e.unixMS-m.Since) * time.Millisecond
 }
 
 // announceNext announces one machine, if any may be announced. Only one machine is Announced at a time, so that the effect of taking it
@@ -129,7 +129,7 @@
 // announce moves a machine to Announced under a new announcement ID.
 func (e *evaluation) announce(m *Machine) {
 	e.schedule.LastAnnouncementID++
-	m.enter(Announced, e.unix, "")
+	m.enter(Announced, e.unixMS, "")
 	m.AnnouncementID = e.schedule.LastAnnouncementID
 	m.ProcessStartedAt = e.observed.Members[m.Name].ProcessStartedAt
 }
