--- a/internal/resp/golden_test.go
+++ b/internal/resp/golden_test.go
@@ -9,7 +9,8 @@
 	"dewhitch/internal/golden"
 )
 
-// Each kind of value as it is written, and as it is read from the same bytes. Clients, servers and planners read and write them.
+// TestGoldenValues compares the encoding of each kind of value with a golden file, and checks that the same bytes decode to the value.
+// Clients, servers and planners read and write these values.
 func TestGoldenValues(t *testing.T) {
 	b := AppendBulk(nil, "bulk\r\n1")
 	b = AppendBulk(b, []byte{})
@@ -17,13 +18,13 @@
 	b = AppendArray(b, 0)
 	b = AppendInt(b, math.MaxInt64)
 	b = AppendStatus(b, "PONG")
-	b = AppendFailure(b, "BUSY 20")
-	b = AppendFailure(b, "ERR a\r\n+PONG")
+	b = AppendError(b, "BUSY 20")
+	b = AppendError(b, "ERR a\r\n+PONG")
 	b = AppendStatus(b, strings.Repeat("x", MaxLine+9))
 	for _, v := range []float64{2.5, -1.25, 9.9996, -0.0001, 1e21, 0} {
 		b = AppendNumber(b, v)
 	}
-	b = append(append(AppendBulkHead(b, 3), "abc"...), End...)
+	b = append(append(AppendBulkHeader(b, 3), "abc"...), BulkEnd...)
 	values := []Value{
 		{Kind: Bulk, Text: []byte("bulk\r\n1")},
 		{Kind: Bulk, Text: []byte{}},
@@ -31,8 +32,8 @@
 		{Kind: Array},
 		{Kind: Integer, Int: math.MaxInt64},
 		{Kind: Status, Text: []byte("PONG")},
-		{Kind: Failure, Text: []byte("BUSY 20")},
-		{Kind: Failure, Text: []byte("ERR a  +PONG")},
+		{Kind: Error, Text: []byte("BUSY 20")},
+		{Kind: Error, Text: []byte("ERR a  +PONG")},
 		{Kind: Status, Text: []byte(strings.Repeat("x", MaxLine-1))},
 	}
 	r := NewReader(strings.NewReader(string(b)), 0)
