--- a/internal/fleet/maintenance/simulation_test.go
+++ b/internal/fleet/maintenance/simulation_test.go
@@ -27,9 +27,9 @@
 	schedule    Schedule
 	servers     map[string]Server
 	gateways    map[string]*gateway
-	zonesOut    []string
-	saturated   bool
-	rate        float64
+	zonesOut    []string        // zones that are not in service
+	saturated   bool            // servers reject requests
+	rate        float64         // attempts a second of all gateways together
 	workTime    time.Duration   // time that the operator needs for a machine
 	neverDone   bool            // the operator never completes the work
 	unhealthy   map[string]bool // machines whose attempts all fail
@@ -38,8 +38,10 @@
 	planChanges int             // number of steps that changed the schedule
 }
 
+// fataler is the part of testing.T and rapid.T that the simulation uses.
 type fataler interface{ Fatalf(string, ...any) }
 
+// newSimulation returns a simulation with a number of gateways, of zones, and of servers in each zone, after 2 s.
 func newSimulation(t fataler, seed uint64, gateways, zones, servers int) *simulation {
 	sim := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 5)), scheduler: New(Defaults), servers: map[string]Server{}, gateways: map[string]*gateway{},
 		rate: 100, workTime: 5 * time.Second, unhealthy: map[string]bool{}}
@@ -57,6 +59,7 @@
 
 func (sim *simulation) unixMS() int64 { return 1_700_000_000_000 + sim.now.Milliseconds() }
 
+// apply runs a command on the schedule, which stays as it is if the command is rejected.
 func (sim *simulation) apply(command func(*Schedule, Command, int64) error, c Command) error {
 	c.By, c.Reason = "ann", "release"
 	next := sim.schedule.clone()
@@ -67,9 +70,10 @@
 	return nil
 }
 
+// submit adds a request that releases each machine for at most a minute.
 func (sim *simulation) submit(key string, kind Kind, machines ...string) {
 	if err := sim.apply(submitRequest, Command{Key: key, Kind: kind, ForMS: 60_000, Machines: machines}); err != nil {
-		sim.t.Fatalf("%s: %v", key, err)
+		sim.t.Fatalf("submit request %s: %v", key, err)
 	}
 }
 
