--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -26,19 +26,19 @@
 	"dewhitch/internal/standin/zookeeper"
 )
 
-// start runs members that know one another's addresses; stop ends them and waits.
-func start(t *testing.T, n int, dirs bool) (all []*Agent, stop func()) {
-	return startWithRegistry(t, n, dirs, nil)
+// startMembers starts n members that know one another's addresses. stop ends them and waits for their end.
+func startMembers(t *testing.T, n int, withStorage bool) (members []*Agent, stop func()) {
+	return startMembersWithRegistry(t, n, withStorage, nil)
 }
 
-// startWithRegistry has them find one another by a registry only, if one is given.
-func startWithRegistry(t *testing.T, n int, dirs bool, reg *zookeeper.Server) (all []*Agent, stop func()) {
+// startMembersWithRegistry starts n members that find one another through a registry only, if reg is not nil.
+func startMembersWithRegistry(t *testing.T, n int, withStorage bool, reg *zookeeper.Server) (members []*Agent, stop func()) {
 	t.Helper()
-	return startConfigured(t, n, dirs, reg, func(*Agent) {})
+	return startConfiguredMembers(t, n, withStorage, reg, func(*Agent) {})
 }
 
-// startConfigured calls configure with each of them before it runs.
-func startConfigured(t *testing.T, n int, dirs bool, reg *zookeeper.Server, configure func(*Agent)) (all []*Agent, stop func()) {
+// startConfiguredMembers starts n members, and calls configure for each of them before it runs.
+func startConfiguredMembers(t *testing.T, n int, withStorage bool, reg *zookeeper.Server, configure func(*Agent)) (members []*Agent, stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
@@ -56,7 +56,7 @@
 		o := Options{Zones: evacuation.Defaults, Voters: voters, Lease: 2 * time.Second, StatusInterval: 200 * time.Millisecond, Log: zap.NewNop(),
 			Gossip: gossip.Options{Fleet: "test", Name: name, Listen: peers[name], Peers: peers, Seeds: []string{"g0"},
 				Metadata: gossip.Metadata{Zone: "a", Role: "gateway"}}}
-		if dirs {
+		if withStorage {
 			o.Dir = filepath.Join(t.TempDir(), name)
 		}
 		if reg != nil {
@@ -73,90 +73,94 @@
 			})
 		}
 		configure(a)
-		all = append(all, a)
+		members = append(members, a)
 		running.Go(func() { _ = a.Run(ctx) })
 	}
-	return all, func() { cancel(); running.Wait() }
+	return members, func() { cancel(); running.Wait() }
 }
 
-// eventually waits for something that must happen.
-func eventually(t *testing.T, what string, f func() bool) {
+// eventually waits until f returns true, and fails the test after 30 seconds.
+func eventually(t *testing.T, event string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !f(); time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatal(what, "does not happen")
+			t.Fatal(event, "did not happen")
 		}
 	}
 }
 
-// waitForGoroutines waits until no goroutine is left: memberlist's probes outlive it by their timeout.
+// waitForGoroutines waits until all goroutines have ended: memberlist's probes outlive it by their timeout.
 func waitForGoroutines(t *testing.T) {
 	t.Helper()
 	eventually(t, "the end of all goroutines", func() bool { return goleak.Find() == nil })
 }
 
-// waitUntilFresh waits until each has a fresh view of all others, and acts on the plan that names all voters:
-// while the leader adds them one by one, the plan changes without a command.
-func waitUntilFresh(t *testing.T, all []*Agent) {
-	for _, a := range all {
+// waitUntilFresh waits until each member has a fresh view of all others, and follows the plan that names all voters.
+// While the leader adds the voters one by one, the plan changes without a command.
+func waitUntilFresh(t *testing.T, members []*Agent) {
+	for _, a := range members {
 		eventually(t, "the plan that names all voters", func() bool {
-			named := map[string]uint64{}
+			voters := map[string]uint64{}
 			err := a.call(func() {
 				p := a.node.Plan()
-				_, _ = p.Section("voters", &named)
+				_, _ = p.Section("voters", &voters)
 			})
-			return err == nil && len(named) == len(a.options.Voters)
+			return err == nil && len(voters) == len(a.options.Voters)
 		})
 		eventually(t, "a fresh view", func() bool {
 			s, err := a.Status()
-			return err == nil && s.Quorum && len(s.Members) == len(all)
+			return err == nil && s.Quorum && len(s.Members) == len(members)
 		})
 	}
 }
 
+// Members that know no addresses find one another through the registry, and stay members when all their sessions with
+// the registry expire.
 func TestMembersFindOneAnotherByRegistry(t *testing.T) {
 	defer waitForGoroutines(t)
-	z, err := zookeeper.New()
+	zk, err := zookeeper.New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer z.Close()
-	all, stop := startWithRegistry(t, 4, false, z)
+	defer zk.Close()
+	members, stop := startMembersWithRegistry(t, 4, false, zk)
 	defer stop()
-	waitUntilFresh(t, all)
-	// All sessions expire at once, as after a long outage of the registry: no member counts as dead for that,
-	// and the nodes are created anew.
-	names, owners := []string{"g0", "g1", "g2", "g3"}, map[string]int64{}
+	waitUntilFresh(t, members)
+	// All sessions expire at once, as after a long outage of the registry. The members stay alive, and create their
+	// nodes again.
+	names, ownersBefore := []string{"g0", "g1", "g2", "g3"}, map[string]int64{}
 	for _, n := range names {
-		owners[n] = z.Owner("/members/test/" + n)
-		z.Expire(owners[n])
+		ownersBefore[n] = zk.Owner("/members/test/" + n)
+		zk.Expire(ownersBefore[n])
 	}
 	for _, n := range names {
 		eventually(t, "a new node of "+n, func() bool {
-			now := z.Owner("/members/test/" + n)
-			return now != 0 && now != owners[n]
+			now := zk.Owner("/members/test/" + n)
+			return now != 0 && now != ownersBefore[n]
 		})
 	}
-	for _, a := range all {
+	for _, a := range members {
 		s, err := a.Status()
-		if err != nil || !s.Quorum || len(s.Members) != len(all) {
+		if err != nil || !s.Quorum || len(s.Members) != len(members) {
 			t.Errorf("%s after the registry's sessions expired: %+v %v", s.Name, s, err)
 		}
 		for _, m := range s.Members {
 			if m.State != "alive" {
-				t.Errorf("%s takes %s for %s", s.Name, m.Name, m.State)
+				t.Errorf("%s has %s as %s", s.Name, m.Name, m.State)
 			}
 		}
 	}
 }
 
+// Operators' commands change the plan at every member and are answered with YES. Invalid and unknown ones are answered
+// with NO, or not found, and change nothing.
 func TestOperatorCommands(t *testing.T) {
 	defer waitForGoroutines(t)
-	all, stop := start(t, 4, true)
+	members, stop := startMembers(t, 4, true)
 	defer stop()
-	waitUntilFresh(t, all)
+	waitUntilFresh(t, members)
 	mux := http.NewServeMux()
-	all[3].Pages(mux)
+	members[3].Pages(mux)
 	server := httptest.NewServer(mux)
 	defer server.Close()
 	defer http.DefaultClient.CloseIdleConnections()
@@ -170,7 +174,7 @@
 		n, _ := r.Body.Read(b)
 		return r.StatusCode, string(b[:n])
 	}
-	before, err := all[3].Status()
+	statusBefore, err := members[3].Status()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -180,22 +184,22 @@
 		}
 	}
 	if code, _ := post("melt", url.Values{"by": {"me"}, "why": {"so"}}); code != http.StatusNotFound {
-		t.Errorf("an unknown verb: %d", code)
+		t.Errorf("an unknown command: status %d", code)
 	}
-	if s, _ := all[3].Status(); s.Epoch != before.Epoch {
-		t.Errorf("rejected commands changed the plan: %v, %v", before.Epoch, s.Epoch)
+	if s, _ := members[3].Status(); s.Epoch != statusBefore.Epoch {
+		t.Errorf("rejected commands changed the plan: %v, %v", statusBefore.Epoch, s.Epoch)
 	}
 	if code, text := post("freeze", url.Values{"by": {"me"}, "why": {"so"}}); code != http.StatusOK || !strings.HasPrefix(text, "YES ") {
-		t.Fatalf("%d %s", code, text)
+		t.Fatalf("freeze: %d %s", code, text)
 	}
-	for _, a := range all {
+	for _, a := range members {
 		eventually(t, "the freeze", func() bool {
 			s, _ := a.Status()
 			return s.Frozen != nil && s.Frozen.Reason == "so"
 		})
 	}
-	eventually(t, "everybody's acknowledgement", func() bool {
-		s, _ := all[0].Status()
+	eventually(t, "the acknowledgement by all members", func() bool {
+		s, _ := members[0].Status()
 		return len(s.Unacknowledged) == 0
 	})
 	r, err := http.Get(server.URL + "/fleet")
@@ -205,52 +209,53 @@
 	defer r.Body.Close()
 	var s Status
 	if err := json.NewDecoder(r.Body).Decode(&s); err != nil || len(s.Members) != 4 || s.Leader == "" || s.Folder != "none" {
-		t.Errorf("%+v, %v", s, err)
+		t.Errorf("status page: %+v, %v", s, err)
 	}
 }
 
-// A voter restarts with its storage under the same identity; storage that another process has open is
-// rejected with an error that says so.
+// A voter that restarts with its storage keeps its identity and its plan. Storage that another process has open, or
+// that is corrupt, is rejected.
 func TestVoterStorageAcrossRestart(t *testing.T) {
 	defer waitForGoroutines(t)
-	all, stop := start(t, 1, true)
-	waitUntilFresh(t, all)
-	if _, err := all[0].Submit(t.Context(), "freeze", fleet.EncodeNote("me", "so")); err != nil {
+	members, stop := startMembers(t, 1, true)
+	waitUntilFresh(t, members)
+	if _, err := members[0].Submit(t.Context(), "freeze", fleet.EncodeNote("me", "so")); err != nil {
 		t.Fatal(err)
 	}
-	o := all[0].options
-	if _, err := Open(o); err == nil || !strings.Contains(err.Error(), "another process has the folder") {
-		t.Errorf("storage that is open elsewhere: %v", err)
+	options := members[0].options
+	if _, err := Open(options); err == nil || !strings.Contains(err.Error(), "another process has the folder") {
+		t.Errorf("storage that another process has open: %v", err)
 	}
-	stop() // from here on the test may read what its goroutine owned
-	was := all[0].node.SelfStatus().Identity
-	again, err := Open(o)
+	stop() // the test may read the node once its goroutine has ended
+	identity := members[0].node.SelfStatus().Identity
+	restarted, err := Open(options)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if s := again.node.SelfStatus(); s.Identity != was {
-		t.Errorf("it votes as %x, and voted as %x", s.Identity, was)
+	if s := restarted.node.SelfStatus(); s.Identity != identity {
+		t.Errorf("identity %x after the restart, %x before", s.Identity, identity)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
-	running.Go(func() { _ = again.Run(ctx) })
-	eventually(t, "the plan of its last process", func() bool {
-		s, _ := again.Status()
+	running.Go(func() { _ = restarted.Run(ctx) })
+	eventually(t, "the adoption of the stored plan", func() bool {
+		s, _ := restarted.Status()
 		return s.Frozen != nil && s.Quorum
 	})
 	cancel()
 	running.Wait()
-	if err := os.WriteFile(filepath.Join(o.Dir, "fleet.db"), []byte("not what was stored"), 0o640); err != nil {
+	if err := os.WriteFile(filepath.Join(options.Dir, "fleet.db"), []byte("not what was stored"), 0o640); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := Open(o); err == nil {
-		t.Error("garbled storage is accepted")
+	if _, err := Open(options); err == nil {
+		t.Error("corrupt storage is accepted")
 	}
-	if _, err := again.Submit(t.Context(), "thaw", nil); !errors.Is(err, ErrEnded) {
-		t.Errorf("a member that has ended: %v", err)
+	if _, err := restarted.Submit(t.Context(), "thaw", nil); !errors.Is(err, ErrEnded) {
+		t.Errorf("Submit after the end of Run: %v", err)
 	}
 }
 
+// Gossip beyond loopback needs a keyring, and the keyring's file must be valid.
 func TestKeyring(t *testing.T) {
 	open := func(listen, keys string) error {
 		path := ""
@@ -261,7 +266,7 @@
 			}
 		}
 		g, err := gossip.Open(gossip.Options{Fleet: "test", Name: "g", Listen: listen, Keyring: path, Log: zap.NewNop(),
-			Receive: func([]byte) {}, Changed: func(string, string) {}})
+			Receive: func([]byte) {}, StateChanged: func(string, string) {}})
 		if err == nil {
 			ctx, cancel := context.WithCancel(t.Context())
 			cancel()
@@ -270,10 +275,10 @@
 		return err
 	}
 	if err := open("0.0.0.0:7946", ""); err == nil || !strings.Contains(err.Error(), "keyring") {
-		t.Errorf("beyond loopback without a keyring: %v", err)
+		t.Errorf("listening beyond loopback without a keyring: %v", err)
 	}
 	if err := open(standin.OwnAddr(), "not a key\n"); err == nil || !strings.Contains(err.Error(), ":1 is not base64") {
-		t.Errorf("a keyring that is none: %v", err)
+		t.Errorf("invalid keyring: %v", err)
 	}
 	if err := open(standin.OwnAddr(), "MDEyMzQ1Njc4OWFiY2RlZg==\n"); err != nil {
 		t.Error(err)
--- a/internal/fleet/agent/golden_fleet_test.go
+++ b/internal/fleet/agent/golden_fleet_test.go
@@ -23,7 +23,7 @@
 	"dewhitch/internal/golden"
 )
 
-// TestGoldenStatus freezes the page of the fleet that operators and the command read.
+// TestGoldenStatus compares the status page, which operators and the fleet command read, with the golden files.
 func TestGoldenStatus(t *testing.T) {
 	full := Status{Name: "g1", Fleet: "north-fleet", Leader: "g2", LeaderAge: 11, Quorum: true, Epoch: fleet.Epoch{Generation: 12, Index: 13},
 		Sections: []string{"freeze", "voters"}, Frozen: &fleet.OperatorMark{By: "alice", Reason: "night", At: 1700000000014},
@@ -45,7 +45,7 @@
 	}
 }
 
-// withoutTimes puts 1 in place of the times of a page, which the clock gives, and writes it with sorted keys.
+// withoutTimes returns a page with 1 in place of all times, which depend on the clock, and with sorted keys.
 func withoutTimes(t *testing.T, page []byte) []byte {
 	t.Helper()
 	var v any
@@ -61,7 +61,7 @@
 			}
 		case map[string]any:
 			for k, e := range v {
-				if slices.Contains([]string{"since", "until", "asked", "g0"}, k) && e != 0.0 { // g0: in the roster, since when
+				if slices.Contains([]string{"since", "until", "asked", "g0"}, k) && e != 0.0 { // g0: key of a time in the roster
 					v[k] = 1
 				}
 				walk(e)
@@ -76,29 +76,29 @@
 	return append(text, '\n')
 }
 
-// TestGoldenPages freezes the pages of a running member: paths, the fields of the operators' forms, answers,
-// and what is shown then; and the names, kinds and labels of its metrics.
+// TestGoldenPages checks the paths, form fields and answers of a running member's pages, and compares the pages after
+// the commands, and the names, types and labels of the metrics, with the golden files.
 func TestGoldenPages(t *testing.T) {
 	defer waitForGoroutines(t)
-	all, stop := start(t, 1, false)
+	members, stop := startMembers(t, 1, false)
 	defer stop()
-	waitUntilFresh(t, all)
+	waitUntilFresh(t, members)
 	eventually(t, "the roster", func() bool {
 		var roster map[string]int64
-		err := all[0].call(func() {
-			p := all[0].node.Plan()
-			b, _ := maintenance.Read(&p)
-			roster = b.Roster
+		err := members[0].call(func() {
+			p := members[0].node.Plan()
+			schedule, _ := maintenance.Read(&p)
+			roster = schedule.Roster
 		})
 		return err == nil && roster["g0"] != 0
 	})
-	all[0].EndpointsChanged([]slowstart.Server{{ID: 0x0a0b0c0d, Zone: "hall-a", Since: 1700000000021}})
+	members[0].EndpointsChanged([]slowstart.Server{{ID: 0x0a0b0c0d, Zone: "hall-a", Since: 1700000000021}})
 	mux := http.NewServeMux()
-	all[0].Pages(mux)
+	members[0].Pages(mux)
 	server := httptest.NewServer(mux)
 	defer server.Close()
 	defer http.DefaultClient.CloseIdleConnections()
-	body := func(r *http.Response, err error) (int, []byte) {
+	readAnswer := func(r *http.Response, err error) (int, []byte) {
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -109,7 +109,7 @@
 		}
 		return r.StatusCode, text
 	}
-	yes := regexp.MustCompile(`^YES [0-9]+\.[0-9]+\n$`)
+	acceptedAnswer := regexp.MustCompile(`^YES [0-9]+\.[0-9]+\n$`)
 	for _, c := range []struct {
 		verb string
 		form url.Values
@@ -117,7 +117,7 @@
 	}{
 		{"freeze", url.Values{"by": {"erin"}, "why": {"noon"}}, 200},
 		{"thaw", url.Values{"by": {"erin"}, "why": {"day"}}, 200},
-		{"freeze", url.Values{"by": {"erin"}, "why": {"night"}}, 200}, // from here on the leader changes nothing of itself
+		{"freeze", url.Values{"by": {"erin"}, "why": {"night"}}, 200}, // while frozen, the leader proposes nothing by itself
 		{"leave", url.Values{"by": {"alice"}, "why": {"power"}, "zone": {"hall-b"}, "for_ms": {"1800000"}}, 200},
 		{"return", url.Values{"by": {"bob"}, "why": {"keep"}, "zone": {"hall-c"}, "hold": {"true"}}, 200},
 		{"leave", url.Values{"by": {"alice"}, "why": {"power"}, "zone": {"hall-b"}, "for_ms": {"x"}}, 400},
@@ -132,13 +132,13 @@
 		{"work-done", url.Values{"by": {"dan"}, "why": {"no"}, "id": {"2"}}, 409},
 		{"work-gone", url.Values{"by": {"dan"}, "why": {"no"}, "machine": {"g9"}}, 409},
 	} {
-		code, text := body(http.PostForm(server.URL+"/fleet/"+c.verb, c.form))
-		if code != c.code || code == 200 && !yes.Match(text) || code != 200 && !strings.HasPrefix(string(text), "NO ") {
+		code, text := readAnswer(http.PostForm(server.URL+"/fleet/"+c.verb, c.form))
+		if code != c.code || code == 200 && !acceptedAnswer.Match(text) || code != 200 && !strings.HasPrefix(string(text), "NO ") {
 			t.Errorf("%s %v: %d %s", c.verb, c.form, code, text)
 		}
 	}
 	for page, file := range map[string]string{"zones": "page-zones.json", "work": "page-work.json", "servers": "page-servers.json"} {
-		code, text := body(http.Get(server.URL + "/fleet/" + page))
+		code, text := readAnswer(http.Get(server.URL + "/fleet/" + page))
 		if code != 200 {
 			t.Fatalf("%s: %d %s", page, code, text)
 		}
@@ -148,19 +148,19 @@
 	if err := json.Unmarshal(golden.Read(t, "status.json"), &want); err != nil {
 		t.Fatal(err)
 	}
-	_, text := body(http.Get(server.URL + "/fleet"))
+	_, text := readAnswer(http.Get(server.URL + "/fleet"))
 	if err := json.Unmarshal(text, &got); err != nil {
 		t.Fatal(err)
 	}
 	if a, b := slices.Sorted(maps.Keys(want)), slices.Sorted(maps.Keys(got)); !slices.Equal(a, b) {
-		t.Errorf("the page has %v, want %v", b, a)
+		t.Errorf("the status page has keys %v, want %v", b, a)
 	}
 	if got["folder"] != "none" || !reflect.DeepEqual(got["sections"], []any{"freeze", "voters", "work", "zones"}) {
-		t.Errorf("%s", text)
+		t.Errorf("status page: %s", text)
 	}
 
 	r := prometheus.NewRegistry()
-	r.MustRegister(all[0])
+	r.MustRegister(members[0])
 	families, err := r.Gather()
 	if err != nil {
 		t.Fatal(err)
@@ -178,7 +178,7 @@
 	golden.Compare(t, "metrics.txt", []byte(lines.String()))
 }
 
-// TestGoldenForms freezes how a maintenance command becomes the arguments that the leader reads.
+// TestGoldenForms compares the encoding of a maintenance command from a form with the golden file.
 func TestGoldenForms(t *testing.T) {
 	args, err := parseMaintenanceCommand(url.Values{"by": {"alice"}, "why": {"kernel"}, "key": {"k1"}, "kind": {"off"}, "for_ms": {"11"}, "not_before": {"12"},
 		"machine": {"s-00000001", "s-00000002"}, "id": {"13"}, "after": {"14"}})
@@ -188,17 +188,17 @@
 	golden.Compare(t, "form-work.cbor", args)
 	for _, key := range []string{"for_ms", "not_before", "id", "after"} {
 		if _, err := parseMaintenanceCommand(url.Values{key: {"x"}}); err == nil || !strings.HasPrefix(err.Error(), key+": ") {
-			t.Errorf("%s: %v", key, err)
+			t.Errorf("invalid field %s: %v", key, err)
 		}
 	}
 }
 
-// TestGoldenMachine freezes how a server is named in requests, plans and statuses.
+// TestGoldenMachine checks the name of a server in requests, plans and statuses.
 func TestGoldenMachine(t *testing.T) {
-	if got := Machine(0x0a0b0c0d); got != "s-0a0b0c0d" {
+	if got := MachineName(0x0a0b0c0d); got != "s-0a0b0c0d" {
 		t.Error(got)
 	}
-	if id, ok := parseMachine("s-0a0b0c0d"); !ok || id != 0x0a0b0c0d {
+	if id, ok := parseMachineName("s-0a0b0c0d"); !ok || id != 0x0a0b0c0d {
 		t.Error(id, ok)
 	}
 }
