--- a/internal/fleet/gossip/join.go
+++ b/internal/fleet/gossip/join.go
@@ -6,28 +6,28 @@
 )
 
 const (
-	maxCandidates  = 4096
-	aloneJoinCount = 5 // addresses that a member without any other tries at once; else one
+	maxCandidates  = 4096 // limit on the addresses of AddCandidates
+	aloneJoinCount = 5    // addresses per round that a member without any other member tries to join; with others it tries one
 )
 
-// AddCandidates replaces the addresses, by name, under which members may be found. It is a hint: a member
-// that is not named is not gone, as a registry that lost its sessions names nobody.
-func (g *Gossip) AddCandidates(at map[string]string) {
+// AddCandidates replaces the addresses, by name, at which members may be found. They are hints: a missing address is
+// no sign that a member is gone, because a registry that lost its sessions lists no member.
+func (g *Gossip) AddCandidates(addressByName map[string]string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.candidates = map[string]string{}
-	for name, address := range at {
+	for name, address := range addressByName {
 		if len(g.candidates) < maxCandidates && name != g.options.Name {
 			g.candidates[name] = address
 		}
 	}
 }
 
-// joinTargets chooses addresses to join in this round at random: one, or several while this member is alone.
-// None if nobody is missing.
+// joinTargets returns randomly chosen addresses to join in this round: one, or up to aloneJoinCount while this member
+// knows no other. It returns none if no member is missing.
 func (g *Gossip) joinTargets() []string {
 	alone := g.list.NumMembers() <= 1
-	addresses := g.missing()
+	addresses := g.missingMembers()
 	rand.Shuffle(len(addresses), func(i, j int) { addresses[i], addresses[j] = addresses[j], addresses[i] })
 	limit := 1
 	if alone {
@@ -36,9 +36,9 @@
 	return addresses[:min(limit, len(addresses))]
 }
 
-// missing returns NAME/HOST:PORT of candidates and seeds that are not alive, and of dead members.
-// One that left is not missing.
-func (g *Gossip) missing() []string {
+// missingMembers returns NAME/HOST:PORT of the candidates and seeds that are not alive, and of the members that died.
+// Of the members that left, it returns only candidates and seeds.
+func (g *Gossip) missingMembers() []string {
 	addresses := g.missingCandidates()
 	for _, seed := range g.options.Seeds {
 		name, address, complete := strings.Cut(seed, "/")
@@ -59,6 +59,7 @@
 	return addresses
 }
 
+// missingCandidates returns NAME/HOST:PORT of the candidates that are not alive.
 func (g *Gossip) missingCandidates() (addresses []string) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -66,8 +67,8 @@
 		if g.members[name].State == StateAlive {
 			continue
 		}
-		if own, ok := g.options.Peers[name]; ok {
-			address = own
+		if configured, ok := g.options.Peers[name]; ok {
+			address = configured
 		}
 		addresses = append(addresses, name+"/"+address)
 	}
--- a/internal/fleet/maintenance/simulation_test.go
+++ b/internal/fleet/maintenance/simulation_test.go
@@ -8,43 +8,45 @@
 	"time"
 )
 
-const tick = 200 * time.Millisecond
+const simulationTick = 200 * time.Millisecond
 
-// gateway applies plans late, or not at all while it is stalled; it keeps to the last plan that it applied.
+// gateway is a simulated gateway. It applies plans late, and none while it is stalled. It follows the plan that it applied last.
 type gateway struct {
-	withdrawn    map[string]uint64 // applied
-	acknowledged map[string]uint64 // in its last report
-	stalled      time.Duration
-	open         map[string]time.Duration // last end of its attempts, by machine
+	withdrawn     map[string]uint64        // withdrawn machines of the plan that it applied last
+	acknowledged  map[string]uint64        // withdrawn machines in its last report
+	stalledUntil  time.Duration            // time until which it does nothing
+	attemptEndsAt map[string]time.Duration // time at which its last attempt to each machine ends
 }
 
-// simulation is a fleet on a virtual clock: the leader steps the schedule, and gateways send to every machine that they do not know to be withdrawn.
+// simulation is a fleet on a virtual clock. The leader steps the schedule, and gateways send to every machine that their plan does not withdraw.
 type simulation struct {
-	t         fataler
-	rng       *rand.Rand
-	scheduler *Scheduler
-	now       time.Duration
-	schedule  Schedule
-	servers   map[string]Server
-	gateways  map[string]*gateway
-	zonesOut  []string
-	rejecting bool
-	rate      float64
-	workTime  time.Duration // that the operator needs for a machine
-	neverDone bool          // the operator never completes the work
-	unhealthy map[string]bool
-	maxOut    int // machines that were out at once, at most
-	turns     int // machines that became free
-	changes   int
+	t           fataler
+	rng         *rand.Rand
+	scheduler   *Scheduler
+	now         time.Duration
+	schedule    Schedule
+	servers     map[string]Server
+	gateways    map[string]*gateway
+	zonesOut    []string        // zones that are not in service
+	saturated   bool            // servers reject requests
+	rate        float64         // attempts a second of all gateways together
+	workTime    time.Duration   // time that the operator needs for a machine
+	neverDone   bool            // the operator never completes the work
+	unhealthy   map[string]bool // machines whose attempts all fail
+	maxOut      int             // highest number of machines that were out at once
+	released    int             // number of machines that were released
+	planChanges int             // number of steps that changed the schedule
 }
 
+// fataler is the part of testing.T and rapid.T that the simulation uses.
 type fataler interface{ Fatalf(string, ...any) }
 
+// newSimulation returns a simulation with a number of gateways, of zones, and of servers in each zone, after 2 s.
 func newSimulation(t fataler, seed uint64, gateways, zones, servers int) *simulation {
 	sim := &simulation{t: t, rng: rand.New(rand.NewPCG(seed, 5)), scheduler: New(Defaults), servers: map[string]Server{}, gateways: map[string]*gateway{},
 		rate: 100, workTime: 5 * time.Second, unhealthy: map[string]bool{}}
 	for i := range gateways {
-		sim.gateways[fmt.Sprint("g", i)] = &gateway{withdrawn: map[string]uint64{}, acknowledged: map[string]uint64{}, open: map[string]time.Duration{}}
+		sim.gateways[fmt.Sprint("g", i)] = &gateway{withdrawn: map[string]uint64{}, acknowledged: map[string]uint64{}, attemptEndsAt: map[string]time.Duration{}}
 	}
 	for z := range zones {
 		for i := range servers {
@@ -55,73 +57,75 @@
 	return sim
 }
 
-func (sim *simulation) unix() int64 { return 1_700_000_000_000 + sim.now.Milliseconds() }
+func (sim *simulation) unixMS() int64 { return 1_700_000_000_000 + sim.now.Milliseconds() }
 
-func (sim *simulation) call(f func(*Schedule, Command, int64) error, c Command) error {
+// apply runs a command on the schedule, which stays as it is if the command is rejected.
+func (sim *simulation) apply(command func(*Schedule, Command, int64) error, c Command) error {
 	c.By, c.Reason = "ann", "release"
 	next := sim.schedule.clone()
-	if err := f(&next, c, sim.unix()); err != nil {
+	if err := command(&next, c, sim.unixMS()); err != nil {
 		return err
 	}
 	sim.schedule = next
 	return nil
 }
 
+// submit adds a request that releases each machine for at most a minute.
 func (sim *simulation) submit(key string, kind Kind, machines ...string) {
-	if err := sim.call(submitRequest, Command{Key: key, Kind: kind, ForMS: 60_000, Machines: machines}); err != nil {
-		sim.t.Fatalf("%s: %v", key, err)
+	if err := sim.apply(submitRequest, Command{Key: key, Kind: kind, ForMS: 60_000, Machines: machines}); err != nil {
+		sim.t.Fatalf("submit request %s: %v", key, err)
 	}
 }
 
-// step is one tick: gateways send and report, the leader steps the schedule, and operators work on free machines.
+// step simulates one tick. Gateways send and report, the leader steps the schedule, and operators work on released machines.
 func (sim *simulation) step() {
-	sim.now += tick
-	free := map[string]bool{}
+	sim.now += simulationTick
+	releasedMachines := map[string]bool{}
 	for _, r := range sim.schedule.Requests {
 		for _, m := range r.Machines {
 			if m.State == Released {
-				free[m.Name] = true
+				releasedMachines[m.Name] = true
 			}
 		}
 	}
 	names := slices.Sorted(maps.Keys(sim.servers))
 	for _, name := range slices.Sorted(maps.Keys(sim.gateways)) {
 		g := sim.gateways[name]
-		if g.stalled > sim.now {
+		if g.stalledUntil > sim.now {
 			continue
 		}
-		for range 3 { // attempts, by the plan that it has applied
+		for range 3 { // attempts that follow the applied plan
 			to := names[sim.rng.IntN(len(names))]
 			if _, withdrawn := g.withdrawn[to]; withdrawn || !sim.servers[to].Ready || slices.Contains(sim.schedule.Off, to) && sim.rng.IntN(2) == 0 {
 				continue
 			}
-			if free[to] {
-				sim.t.Fatalf("%v: %s sends to %s, which is free", sim.now, name, to)
+			if releasedMachines[to] {
+				sim.t.Fatalf("%v: %s sends to %s, which is released", sim.now, name, to)
 			}
-			g.open[to] = sim.now + time.Duration(sim.rng.IntN(800))*time.Millisecond
+			g.attemptEndsAt[to] = sim.now + time.Duration(sim.rng.IntN(800))*time.Millisecond
 			if sim.unhealthy[to] {
 				sim.scheduler.Observe(sim.now, to, 0, 1, 0, 0)
 			} else {
 				sim.scheduler.Observe(sim.now, to, 1, 0, 0, 0)
 			}
 		}
-		if sim.rng.IntN(3) > 0 { // a plan reaches it, and is applied
+		if sim.rng.IntN(3) > 0 { // the gateway receives the plan and applies it
 			g.withdrawn = sim.schedule.Withdrawn()
 		}
 		g.acknowledged = map[string]uint64{}
-		for to, turn := range g.withdrawn {
-			if g.open[to] <= sim.now {
-				g.acknowledged[to] = turn
+		for to, id := range g.withdrawn {
+			if g.attemptEndsAt[to] <= sim.now {
+				g.acknowledged[to] = id
 			}
 		}
 	}
-	f := Observations{Servers: sim.servers, Members: map[string]Member{}, ZonesNotInService: sim.zonesOut, Saturated: sim.rejecting, Rate: sim.rate}
+	observed := Observations{Servers: sim.servers, Members: map[string]Member{}, ZonesNotInService: sim.zonesOut, Saturated: sim.saturated, Rate: sim.rate}
 	for name, g := range sim.gateways {
-		f.Members[name] = Member{Reachable: g.stalled <= sim.now, Withdrawn: g.acknowledged}
+		observed.Members[name] = Member{Reachable: g.stalledUntil <= sim.now, Withdrawn: g.acknowledged}
 	}
-	var moved bool
-	if sim.schedule, moved = sim.scheduler.Step(sim.now, sim.unix(), sim.schedule, f); moved {
-		sim.changes++
+	var changed bool
+	if sim.schedule, changed = sim.scheduler.Step(sim.now, sim.unixMS(), sim.schedule, observed); changed {
+		sim.planChanges++
 	}
 	out := 0
 	for i := range sim.schedule.Requests {
@@ -134,20 +138,20 @@
 			if m.State != Released {
 				continue
 			}
-			if !free[m.Name] {
-				sim.turns++
+			if !releasedMachines[m.Name] {
+				sim.released++
 				for name, g := range sim.gateways {
-					if g.open[m.Name] > sim.now {
-						sim.t.Fatalf("%v: %s is free, and %s has an attempt open there", sim.now, m.Name, name)
+					if g.attemptEndsAt[m.Name] > sim.now {
+						sim.t.Fatalf("%v: %s is released while %s has an attempt to it in flight", sim.now, m.Name, name)
 					}
 				}
 			}
-			if age := time.Duration(sim.unix()-m.Since) * time.Millisecond; age >= sim.workTime && !sim.neverDone {
-				s := sim.servers[m.Name]
-				s.Since = sim.unix()
-				sim.servers[m.Name] = s
-				if err := sim.call(completeWork, Command{ID: r.ID, Machines: []string{m.Name}}); err != nil {
-					sim.t.Fatalf("done: %v", err)
+			if age := time.Duration(sim.unixMS()-m.Since) * time.Millisecond; age >= sim.workTime && !sim.neverDone {
+				server := sim.servers[m.Name]
+				server.Since = sim.unixMS()
+				sim.servers[m.Name] = server
+				if err := sim.apply(completeWork, Command{ID: r.ID, Machines: []string{m.Name}}); err != nil {
+					sim.t.Fatalf("complete the work: %v", err)
 				}
 			}
 		}
@@ -161,7 +165,7 @@
 	}
 }
 
-// runUntilEnded runs until all requests have ended or are held.
+// runUntilEnded runs until all requests have ended or are on hold, for d at most. It returns true if they have.
 func (sim *simulation) runUntilEnded(d time.Duration) bool {
 	for end := sim.now + d; sim.now < end; sim.step() {
 		if !slices.ContainsFunc(sim.schedule.Requests, func(r Request) bool { return !r.ended() && r.State != OnHold }) {
@@ -171,4 +175,4 @@
 	return false
 }
 
-func names(servers map[string]Server) []string { return slices.Sorted(maps.Keys(servers)) }
+func sortedNames(servers map[string]Server) []string { return slices.Sorted(maps.Keys(servers)) }
--- a/internal/front/platform/submit.go
+++ b/internal/front/platform/submit.go
@@ -120,7 +120,7 @@
 		posting = s.receivedPosting
 		posting.Event = ledger.FrontNotSubmitted
 	case outcome == front.ClientDeparted:
-		posting.Event = ledger.FrontClientLeft
+		posting.Event = ledger.FrontClientDeparted
 	case outcome == front.WriteFailed:
 		posting.Event = ledger.FrontWriteFailed
 	default:
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -11,94 +11,96 @@
 	"dewhitch/internal/ledger/ledgertest"
 )
 
-func quiet(t interface {
+// requireBalanced fails the test if an audit of all rows finds a mismatch.
+func requireBalanced(t interface {
 	Helper()
 	Fatalf(string, ...any)
-}, l *Ledger, where string) {
+}, l *Ledger, context string) {
 	t.Helper()
 	if found := l.Audit(true); len(found) > 0 {
-		t.Fatalf("%s: %+v: %v\n%+v", where, found[0].Key, found[0], l.Flight(found[0].Key, 40))
+		t.Fatalf("%s: %+v: %v\n%+v", context, found[0].Key, found[0], l.RecentPostings(found[0].Key, 40))
 	}
 }
 
-// Whatever the order in which the owners post, the books add up at every moment: with rows evicted all the time, with
-// none, and with counts that wrap.
-func TestAddsUpAtEveryMoment(t *testing.T) {
+// Guards against mismatches that depend on the order of postings. The ledger must balance at any time, in any order in which the
+// owners may post: with constant evictions, without any, and with counts that wrap. It is audited after every seventh posting.
+func TestBalancesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
 		rows := rapid.SampledFrom([]int{16, 40, 1000}).Draw(t, "rows")
-		l := New(Limits{Rows: rows, Open: 1000, Flight: 1000}, true)
+		l := New(Limits{Rows: rows, Open: 1000, RecentPostings: 1000}, true)
 		if rapid.Bool().Draw(t, "wraps") {
-			// Figures that add up and are about to wrap: 2^64-3 of all, with as many taken as served.
+			// Balanced figures that are about to wrap: all are 2^64-3, with as many requests taken as served.
 			var c Counts
-			for _, e := range []Event{FrontTaken, FrontServed, PlanTaken, PlanServed, PlanSent, PlanHeard, AttemptStarted, AttemptOK} {
+			for _, e := range []Event{FrontTaken, FrontServed, PlanTaken, PlanServed, PlanSent, PlanNotified, AttemptStarted, AttemptOK} {
 				c.Set(e, math.MaxUint64-2, 0)
 			}
 			c.Set(FrontTaken, math.MaxUint64-2, math.MaxInt64-1)
 			c.Set(PlanTaken, math.MaxUint64-2, math.MaxInt64-1)
 			l.Restore(StoredRow{Key: Key{1, 0, 0}, Counts: c})
 		}
-		n := 0
-		ledgertest.Storm(seed, 300, 12, func(p Posting) {
+		posted := 0
+		ledgertest.RandomPostings(seed, 300, 12, func(p Posting) {
 			l.Post(p)
-			if n++; n%7 == 0 {
-				quiet(t, l, fmt.Sprint("posting ", n))
+			if posted++; posted%7 == 0 {
+				requireBalanced(t, l, fmt.Sprint("posting ", posted))
 			}
 		})
-		quiet(t, l, "the end")
-		if l.Open() != 0 || l.Abandoned != 0 {
-			t.Fatalf("%d are open at the end, %d abandoned", l.Open(), l.Abandoned)
+		requireBalanced(t, l, "after the last posting")
+		if l.OpenCount() != 0 || l.Abandoned != 0 {
+			t.Fatalf("after the last posting %d entries are open and %d abandoned, expected 0", l.OpenCount(), l.Abandoned)
 		}
 	})
 }
 
-// A process may end between any two postings. What its books held then, closed as cut off, adds up with nothing open.
+// Guards against entries that a kill of the process leaves open. After each posting of a sequence, CutOff must close all open
+// entries so that the ledger balances.
 func TestCutOffAtEveryPosting(t *testing.T) {
 	for seed := range uint64(8) {
-		var all []Posting
-		ledgertest.Storm(seed, 40, 6, func(p Posting) { all = append(all, p) })
-		for at := range all {
-			l := New(Limits{Rows: 1000, Open: 1000, Flight: 100}, false)
-			for _, p := range all[:at] {
+		var postings []Posting
+		ledgertest.RandomPostings(seed, 40, 6, func(p Posting) { postings = append(postings, p) })
+		for cutOffAt := range postings {
+			l := New(Limits{Rows: 1000, Open: 1000, RecentPostings: 100}, false)
+			for _, p := range postings[:cutOffAt] {
 				l.Post(p)
 			}
 			l.CutOff(0)
-			quiet(t, l, fmt.Sprintf("seed %d, cut off at %d", seed, at))
-			if l.Open() != 0 || l.Abandoned != 0 {
-				t.Fatalf("seed %d, cut off at %d: %d open, %d abandoned", seed, at, l.Open(), l.Abandoned)
+			requireBalanced(t, l, fmt.Sprintf("seed %d, cut off after %d postings", seed, cutOffAt))
+			if l.OpenCount() != 0 || l.Abandoned != 0 {
+				t.Fatalf("seed %d, cut off after %d postings: %d entries open, %d abandoned, expected 0", seed, cutOffAt, l.OpenCount(), l.Abandoned)
 			}
-			taken := l.Total()
-			if taken.N[FrontTaken] != taken.Ended() {
-				t.Fatalf("seed %d, cut off at %d: %d taken, %d ended", seed, at, taken.N[FrontTaken], taken.Ended())
+			total := l.Total()
+			if total.N[FrontTaken] != total.Ended() {
+				t.Fatalf("seed %d, cut off after %d postings: %d requests taken, %d ended", seed, cutOffAt, total.N[FrontTaken], total.Ended())
 			}
 		}
 	}
 }
 
-// Any one posting that is lost, doubled or wrong in its units is found, in its row: at once or, where what is lost is
-// the end of something, once that is open beyond every deadline.
-func TestEveryMiscountIsFound(t *testing.T) {
+// Guards against faults that no check detects. Each single posting is lost, doubled or given wrong units in turn; the checks must
+// report its row, and no other: Audit, or, if the lost posting is an end, Overdue after the deadline.
+func TestEveryFaultIsFound(t *testing.T) {
 	for seed := range uint64(6) {
-		var all []Posting
-		module := map[uint64]int64{} // what its tallies hold
-		ledgertest.Storm(seed, 30, 8, func(p Posting) {
-			all = append(all, p)
+		var postings []Posting
+		tallies := map[uint64]int64{} // millionths of units on the decision module's tallies, by customer
+		ledgertest.RandomPostings(seed, 30, 8, func(p Posting) {
+			postings = append(postings, p)
 			switch p.Event {
 			case UnitsDrawn, UnitsReturned:
-				module[p.Key.Customer] += p.Units
+				tallies[p.Key.Customer] += p.Units
 			case UnitsPushed:
-				module[p.Key.Customer] -= p.Units
+				tallies[p.Key.Customer] -= p.Units
 			}
 		})
-		for at, bad := range all {
+		for faultAt, faulty := range postings {
 			for _, fault := range []string{"lost", "doubled", "wrong units"} {
-				if fault == "wrong units" && !bad.Event.HasUnits() || bad.Event == FrontIdempotencyKey { // a note, and no figure
+				if fault == "wrong units" && !faulty.Event.HasUnits() || faulty.Event == FrontIdempotencyKey { // it is not a figure, and no check covers it
 					continue
 				}
-				l := New(Limits{Rows: 1000, Open: 1000, Flight: 100}, false)
-				for i, p := range all {
+				l := New(Limits{Rows: 1000, Open: 1000, RecentPostings: 100}, false)
+				for i, p := range postings {
 					switch {
-					case i != at:
+					case i != faultAt:
 						l.Post(p)
 					case fault == "doubled":
 						l.Post(p)
@@ -109,28 +111,29 @@
 					}
 				}
 				found := append(l.Audit(true), l.Overdue(1)...)
-				units, _ := l.AuditAccounts(l.Accounts(), func(c uint64) (float64, bool) {
-					return float64(module[c]) / 1e6, true
+				accountMismatches, _ := l.AuditAccounts(l.Accounts(), func(c uint64) (float64, bool) {
+					return float64(tallies[c]) / 1e6, true
 				})
-				found = append(found, units...)
-				right := false
+				found = append(found, accountMismatches...)
+				rowFound := false
 				for _, m := range found {
-					if m.Key != bad.Key {
-						t.Fatalf("seed %d: %v %s: wrong row %v named", seed, bad, fault, m.Key)
+					if m.Key != faulty.Key {
+						t.Fatalf("seed %d: posting %v %s: the mismatch is reported for row %v", seed, faulty, fault, m.Key)
 					}
-					right = true
+					rowFound = true
 				}
-				if !right {
-					t.Fatalf("seed %d: posting %d, %v of %v, %s, is not found", seed, at, bad.Event, bad.Key, fault)
+				if !rowFound {
+					t.Fatalf("seed %d: posting %d (%v, row %v) %s: no mismatch is reported", seed, faultAt, faulty.Event, faulty.Key, fault)
 				}
 			}
 		}
 	}
 }
 
-// 200,000 customers that come once each: memory stays bounded, and what was rolled up is exact, by plan.
-func TestOneOffHauliers(t *testing.T) {
-	l := New(Limits{Rows: 500, Open: 100, Flight: 100}, true)
+// Guards against unbounded memory and wrong sums with customers that send one request each: with 200,000 of them the number of
+// rows stays limited, and the rolled-up figures are exact by plan.
+func TestOneTimeCustomers(t *testing.T) {
+	l := New(Limits{Rows: 500, Open: 100, RecentPostings: 100}, true)
 	var want [3]uint64
 	var stated Counts
 	for i := range uint64(200_000) {
@@ -146,27 +149,28 @@
 		}
 	}
 	if rows := len(l.Lines()); rows > 503 {
-		t.Errorf("%d rows", rows)
+		t.Errorf("the ledger has %d rows, expected at most 503", rows)
 	}
-	quiet(t, l, "one-off hauliers")
+	requireBalanced(t, l, "one-time customers")
 	var got [3]uint64
 	for _, line := range l.Lines() {
 		got[line.Key.Plan] += line.Counts.N[FrontTaken]
 	}
 	if got != want {
-		t.Errorf("taken by plan: %v, not %v", got, want)
+		t.Errorf("requests taken by plan: got %v, expected %v", got, want)
 	}
 	for _, d := range l.Statement().Deltas {
 		stated.Add(&d.Counts)
 	}
 	if stated != l.Total() {
-		t.Errorf("the statements add up to %v, the books to %v", stated.N[FrontTaken], l.Total().N[FrontTaken])
+		t.Errorf("the statements add up to %v requests taken, the ledger to %v", stated.N[FrontTaken], l.Total().N[FrontTaken])
 	}
 }
 
-// A row with a miscount that is rolled up before any audit is still reported under its name.
-func TestRolledUpWithAMiscount(t *testing.T) {
-	l := New(Limits{Rows: 20, Open: 100, Flight: 100}, false)
+// Guards against a mismatch that is lost because its row is rolled up before any audit: it must be reported under the
+// customer's own key.
+func TestEvictedRowIsReportedByName(t *testing.T) {
+	l := New(Limits{Rows: 20, Open: 100, RecentPostings: 100}, false)
 	for i := range uint64(100) {
 		k := Key{1000 + i, 0, 0}
 		for _, e := range []Event{FrontTaken, PlanTaken, PlanRejectedQuota, FrontRejected} {
@@ -175,83 +179,84 @@
 			}
 		}
 	}
-	named := false
+	reported := false
 	for _, m := range l.Audit(false) {
-		named = named || m.Key.Customer == 1007
+		reported = reported || m.Key.Customer == 1007
 	}
-	if !named {
-		t.Error("it is not named")
+	if !reported {
+		t.Error("no mismatch is reported for customer 1007")
 	}
 }
 
-// The statements of any storm add up to its books, row by row where no row was evicted between, and hold nothing twice.
-func TestStatements(t *testing.T) {
+// Guards against figures that statements omit or repeat. The statements of any sequence of postings must add up to the ledger,
+// with and without evictions, and the stored rows must restore a ledger that balances.
+func TestStatementsAddUpToLedger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		l := New(Limits{Rows: rapid.SampledFrom([]int{16, 1000}).Draw(t, "rows"), Open: 1000, Flight: 10}, true)
-		tries, keyed := 0, 0
-		sum, rows, n := map[Key]*Counts{}, map[Key]StoredRow{}, 0
-		var open []Open
-		take := func() {
+		l := New(Limits{Rows: rapid.SampledFrom([]int{16, 1000}).Draw(t, "rows"), Open: 1000, RecentPostings: 10}, true)
+		attempts, keyed := 0, 0
+		stated, stored, posted := map[Key]*Counts{}, map[Key]StoredRow{}, 0
+		var open []OpenEntry
+		takeStatement := func() {
 			s := l.Statement()
-			tries += len(s.IdempotentRequests)
+			attempts += len(s.IdempotentRequests)
 			for _, d := range s.Deltas {
-				if sum[d.Key] == nil {
-					sum[d.Key] = &Counts{}
+				if stated[d.Key] == nil {
+					stated[d.Key] = &Counts{}
 				}
-				sum[d.Key].Add(&d.Counts)
+				stated[d.Key].Add(&d.Counts)
 			}
 			open = s.Open
 			for _, k := range s.Rows {
-				if rows[k.Key] = k; k.RolledUp {
-					delete(rows, k.Key)
+				if stored[k.Key] = k; k.RolledUp {
+					delete(stored, k.Key)
 				}
 			}
 		}
-		ledgertest.Storm(rapid.Uint64().Draw(t, "seed"), 200, 12, func(p Posting) {
+		ledgertest.RandomPostings(rapid.Uint64().Draw(t, "seed"), 200, 12, func(p Posting) {
 			l.Post(p)
 			if p.Event == FrontIdempotencyKey {
 				keyed++
 			}
-			if n++; n%23 == 0 {
-				take()
-				// What a store holds after any statement adds up as well as what it was made of.
-				again := New(Limits{Rows: 1000, Open: 1000, Flight: 10}, true)
-				for _, k := range rows {
-					again.Restore(k)
+			if posted++; posted%23 == 0 {
+				takeStatement()
+				// The ledger that a store would restore after any statement must balance as well.
+				restored := New(Limits{Rows: 1000, Open: 1000, RecentPostings: 10}, true)
+				for _, k := range stored {
+					restored.Restore(k)
 				}
 				for _, o := range open {
-					again.RestoreOpen(o)
+					restored.RestoreOpen(o)
 				}
-				quiet(t, again, "restored")
+				requireBalanced(t, restored, "restored")
 			}
 		})
-		take()
-		var all, kept Counts
-		for _, c := range sum {
-			all.Add(c)
+		takeStatement()
+		var statedTotal, storedTotal Counts
+		for _, c := range stated {
+			statedTotal.Add(c)
 		}
-		again := New(Limits{Rows: 1000, Open: 1000, Flight: 10}, true)
-		for _, k := range rows {
-			kept.Add(&k.Counts)
-			again.Restore(k)
+		restored := New(Limits{Rows: 1000, Open: 1000, RecentPostings: 10}, true)
+		for _, k := range stored {
+			storedTotal.Add(&k.Counts)
+			restored.Restore(k)
 		}
-		if all != l.Total() || kept != l.Total() || again.Total() != l.Total() {
-			t.Fatalf("stated %d, kept %d, restored %d, booked %d", all.N[FrontTaken], kept.N[FrontTaken],
-				again.Total().N[FrontTaken], l.Total().N[FrontTaken])
+		if statedTotal != l.Total() || storedTotal != l.Total() || restored.Total() != l.Total() {
+			t.Fatalf("requests taken: %d in statements, %d in stored rows, %d restored, %d in the ledger", statedTotal.N[FrontTaken], storedTotal.N[FrontTaken],
+				restored.Total().N[FrontTaken], l.Total().N[FrontTaken])
 		}
-		quiet(t, again, "restored")
-		if tries != keyed {
-			t.Fatalf("%d tries with a key were stated, of %d", tries, keyed)
+		requireBalanced(t, restored, "restored")
+		if attempts != keyed {
+			t.Fatalf("the statements contain %d attempts with an idempotency key, expected %d", attempts, keyed)
 		}
 	})
 }
 
 func BenchmarkPost(b *testing.B) {
-	l := New(Limits{Rows: 20000, Open: 10000, Flight: 4096}, true)
-	var all []Posting
-	ledgertest.Storm(1, 2000, 300, func(p Posting) { all = append(all, p) })
+	l := New(Limits{Rows: 20000, Open: 10000, RecentPostings: 4096}, true)
+	var postings []Posting
+	ledgertest.RandomPostings(1, 2000, 300, func(p Posting) { postings = append(postings, p) })
 	b.ReportAllocs()
 	for i := 0; b.Loop(); i++ {
-		l.Post(all[i%len(all)])
+		l.Post(postings[i%len(postings)])
 	}
 }
--- a/internal/ledger/recorder/report.go
+++ b/internal/ledger/recorder/report.go
@@ -8,41 +8,42 @@
 	"dewhitch/internal/ledger"
 )
 
-// CloseStatement closes a period and makes it last.
+// CloseStatement ends a period and commits its statement to the store, if there is one. A failure is logged, and the statement
+// is committed with the next one.
 func (rec *Recorder) CloseStatement() {
-	if rec.keeper == nil {
+	if rec.store == nil {
 		return
 	}
 	rec.mu.Lock()
-	rec.drainQueue(rec.keeper.Mark)
-	rec.keeper.Cut(rec.ledger.Statement())
+	rec.drainQueue(rec.store.EndPeriod)
+	rec.store.Stage(rec.ledger.Statement())
 	names := ledger.Names{Plans: slices.Clone(rec.names.Plans), Classes: slices.Clone(rec.names.Classes)}
 	rec.mu.Unlock()
-	if err := rec.keeper.Commit(names); err != nil {
+	if err := rec.store.Commit(names); err != nil {
 		rec.options.Log.Error("the ledger's figures could not be kept; they stay in memory", zap.Error(err))
 	}
 }
 
-// Report is a view of the books for operators.
+// Report is a summary of the ledger for operators.
 type Report struct {
 	Names     ledger.Names
-	Lines     []ledger.Line // of the customers asked for, or by plan and class over all
+	Lines     []ledger.Line // sums over all customers by plan and class
 	Total     ledger.Counts
-	Open      int
+	Open      int // number of open requests and counter calls
 	Rows      int
 	Evictions uint64
 	Abandoned uint64
-	Alarms    int // that stand
-	Raised    uint64
-	Cleared   uint64
+	Alarms    int    // number of active alarms
+	Raised    uint64 // number of alarms raised since the start
+	Cleared   uint64 // number of alarms cleared since the start
 }
 
-// Report adds up the rows by plan and class, over all customers.
+// Report returns the sums of the rows by plan and class, over all customers, and the numbers of entries and alarms.
 func (rec *Recorder) Report() Report {
 	rec.mu.Lock()
 	defer rec.mu.Unlock()
 	rec.drainQueue(nil)
-	r := Report{Names: rec.names, Total: rec.ledger.Total(), Open: rec.ledger.Open(), Evictions: rec.ledger.Evictions, Abandoned: rec.ledger.Abandoned,
+	r := Report{Names: rec.names, Total: rec.ledger.Total(), Open: rec.ledger.OpenCount(), Evictions: rec.ledger.Evictions, Abandoned: rec.ledger.Abandoned,
 		Alarms: len(rec.alarms), Raised: rec.raised.Load(), Cleared: rec.cleared.Load()}
 	r.Rows, r.Lines = rec.ledger.Sums()
 	return r
--- a/internal/ledger/store/log.go
+++ b/internal/ledger/store/log.go
@@ -8,20 +8,20 @@
 	"dewhitch/internal/ledger"
 )
 
-// prepare has a segment ready before it is needed.
-func (s *Store) prepare() {
+// createSegments keeps one spare segment ready, until the store closes. It runs on its own goroutine.
+func (s *Store) createSegments() {
 	failed := false
 	for {
 		seg, err := s.newSegment()
 		if err != nil && !failed {
-			s.options.Log.Error("the ledger's log has no room on the disk", zap.Error(err))
+			s.options.Log.Error("the next segment of the ledger's log can't be created", zap.Error(err))
 		}
 		failed = err != nil
 		if seg != nil {
 			select {
-			case s.spares <- seg:
+			case s.spareSegments <- seg:
 			case <-s.closing:
-				s.remove(seg)
+				s.removeSegment(seg)
 				return
 			}
 		}
@@ -33,21 +33,23 @@
 	}
 }
 
-// newSegment makes a segment, if one more may wait for the disk; else it returns nil.
+// newSegment creates a segment. It returns nil without an error if the log already has the maximum of segments that no committed
+// statement covers.
 func (s *Store) newSegment() (*segment, error) {
 	s.mu.Lock()
 	n := s.nextNumber
-	mayWait := len(s.full)+1 < s.options.Segments
-	if mayWait {
+	hasRoom := len(s.fullSegments)+1 < s.options.Segments
+	if hasRoom {
 		s.nextNumber++
 	}
 	s.mu.Unlock()
-	if !mayWait {
+	if !hasRoom {
 		return nil, nil
 	}
 	return createSegment(s.options.Files, s.options.Dir, n, s.options.SegmentBytes)
 }
 
+// wantSegment wakes createSegments.
 func (s *Store) wantSegment() {
 	select {
 	case s.segmentWanted <- struct{}{}:
@@ -55,36 +57,37 @@
 	}
 }
 
-func (s *Store) remove(seg *segment) error {
-	if seg.m != nil {
-		s.options.Files.Unmap(seg.m)
-		seg.m = nil
+// removeSegment unmaps a segment and deletes its file.
+func (s *Store) removeSegment(seg *segment) error {
+	if seg.mapped != nil {
+		s.options.Files.Unmap(seg.mapped)
+		seg.mapped = nil
 	}
 	return os.Remove(seg.path)
 }
 
-// Append implements recorder.Keeper.
+// Append implements recorder.Store. Without a usable log it only counts the posting, which the next statement will contain.
 func (s *Store) Append(p ledger.Posting) {
-	if !s.logIntact.Load() || s.behindGap.Load() {
-		s.unlogged++
+	if !s.logIntact.Load() || s.afterGap.Load() {
+		s.unloggedPostings++
 		return
 	}
-	if s.current.at == s.current.capacity && !s.rotate() {
-		s.current.gap()
+	if s.current.written == s.current.capacity && !s.rotate() {
+		s.current.putGap()
 		s.logIntact.Store(false)
-		s.unlogged++
+		s.unloggedPostings++
 		return
 	}
 	s.current.put(p)
 }
 
-// rotate goes on in the segment that is ready, if one is.
+// rotate makes the spare segment the current one. It returns false if there is no spare.
 func (s *Store) rotate() bool {
 	select {
-	case seg := <-s.spares:
+	case seg := <-s.spareSegments:
 		s.mu.Lock()
 		if s.current != nil {
-			s.full = append(s.full, s.current)
+			s.fullSegments = append(s.fullSegments, s.current)
 		}
 		s.mu.Unlock()
 		s.current = seg
@@ -96,11 +99,12 @@
 	}
 }
 
-func (s *Store) firstFree() uint64 {
+// firstFreeNumber returns the number after those of all segments that hold postings.
+func (s *Store) firstFreeNumber() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	n := s.meta.Segment
-	for _, seg := range s.full {
+	for _, seg := range s.fullSegments {
 		n = max(n, seg.number)
 	}
 	return n + 1
--- a/internal/ledger/store/write.go
+++ b/internal/ledger/store/write.go
@@ -21,9 +21,9 @@
 	keyOpen       = []byte("open")
 )
 
-// write puts a statement into the embedded store, all of it or nothing.
-func (s *Store) write(p *uncommitted, names ledger.Names) (meta, error) {
-	db, err := open(filepath.Join(s.options.Dir, dbName), &bbolt.Options{Timeout: s.options.Wait, NoSync: !s.options.Sync})
+// write commits a statement to the embedded store in one transaction, and returns the new meta. The caller's meta is unchanged.
+func (s *Store) write(staged *stagedStatement, names ledger.Names) (meta, error) {
+	db, err := open(filepath.Join(s.options.Dir, dbName), &bbolt.Options{Timeout: s.options.OpenTimeout, NoSync: !s.options.Sync})
 	if err != nil {
 		return meta{}, err
 	}
@@ -32,7 +32,7 @@
 	err = guard(func() error {
 		return db.Update(func(tx *bbolt.Tx) error {
 			w := writer{tx: tx, meta: s.meta, maxRecords: s.options.Records}
-			err := w.statement(p, names)
+			err := w.statement(staged, names)
 			m = w.meta
 			return err
 		})
@@ -44,10 +44,11 @@
 type writer struct {
 	tx         *bbolt.Tx
 	meta       meta
-	maxRecords int // for export, that are kept
+	maxRecords int // number of records for export that are kept
 }
 
-func (w *writer) statement(p *uncommitted, names ledger.Names) error {
+// statement writes a whole statement, with the meta last.
+func (w *writer) statement(staged *stagedStatement, names ledger.Names) error {
 	for _, name := range [][]byte{bucketMeta, bucketRows, bucketRecords} {
 		if _, err := w.tx.CreateBucketIfNotExists(name); err != nil {
 			return err
@@ -57,14 +58,14 @@
 	m.Statements++
 	from := m.Stated
 	if from.IsZero() {
-		from = p.to
+		from = staged.end
 	}
-	m.Names, m.Segment, m.At, m.Stated = names, p.segment, p.at, p.to
-	w.tx.Bucket(bucketRecords).FillPercent = 1 // they come in their order
+	m.Names, m.Segment, m.Position, m.Stated = names, staged.segment, staged.position, staged.end
+	w.tx.Bucket(bucketRecords).FillPercent = 1 // records are appended in key order, so that pages can be filled completely
 	for _, write := range []func() error{
-		func() error { return w.rows(p) },
-		func() error { return w.putJSON(keyOpen, p.open) },
-		func() error { return w.records(p, names, from) },
+		func() error { return w.rows(staged) },
+		func() error { return w.putJSON(keyOpen, staged.open) },
+		func() error { return w.records(staged, names, from) },
 		w.dropOldRecords,
 	} {
 		if err := write(); err != nil {
@@ -74,11 +75,11 @@
 	return w.putJSON(keyMeta, m)
 }
 
-// rows writes the rows that have changed, and deletes those that were rolled up.
-func (w *writer) rows(p *uncommitted) (err error) {
+// rows writes the changed rows, and deletes those that were rolled up.
+func (w *writer) rows(staged *stagedStatement) (err error) {
 	rows := w.tx.Bucket(bucketRows)
-	for _, k := range sortedKeys(p.rows) {
-		row := p.rows[k]
+	for _, k := range sortedKeys(staged.rows) {
+		row := staged.rows[k]
 		if row.RolledUp {
 			err = rows.Delete(rowKey(k))
 		} else {
@@ -91,21 +92,21 @@
 	return nil
 }
 
-// records writes the records for export: notes, figures by row, and tries at requests with an idempotency key.
-func (w *writer) records(p *uncommitted, names ledger.Names, from time.Time) error {
-	for _, r := range p.notes {
+// records writes the records for export: notes, figures by row, and attempts at requests with an idempotency key.
+func (w *writer) records(staged *stagedStatement, names ledger.Names, from time.Time) error {
+	for _, r := range staged.notes {
 		if err := w.record(r); err != nil {
 			return err
 		}
 	}
-	for _, k := range sortedKeys(p.deltas) {
-		r := statement.Record{Kind: statement.Figures, From: from, To: p.to, Customer: ledger.CustomerText(k.Customer),
-			Plan: names.Plan(k.Plan), Class: names.Class(k.Class), Figures: p.deltas[k]}
+	for _, k := range sortedKeys(staged.deltas) {
+		r := statement.Record{Kind: statement.Figures, From: from, To: staged.end, Customer: ledger.CustomerText(k.Customer),
+			Plan: names.Plan(k.Plan), Class: names.Class(k.Class), Figures: staged.deltas[k]}
 		if err := w.record(r); err != nil {
 			return err
 		}
 	}
-	for _, t := range p.idempotentRequests {
+	for _, t := range staged.idempotentRequests {
 		r := statement.Record{Kind: statement.AttemptRecord, From: time.Unix(0, t.Taken).UTC(), To: time.Unix(0, t.Ended).UTC(),
 			Customer: ledger.CustomerText(t.Key.Customer), Plan: names.Plan(t.Key.Plan), Class: names.Class(t.Key.Class),
 			Key: fmt.Sprintf("%016x", t.Hash), End: t.End.String()}
@@ -116,17 +117,17 @@
 	return nil
 }
 
-// record numbers a record, links it to the chain of those before, and writes it.
+// record assigns the next number to a record, links it to the chain, and writes it.
 func (w *writer) record(r statement.Record) error {
 	m := &w.meta
 	m.Seq++
 	r.Seq, r.Node, r.Role, r.Incarnation = m.Seq, m.Node, m.Role, m.Incarnation
-	line := r.Seal(nil, m.Chain) // the store keeps it until the end of the transaction
+	line := r.Seal(nil, m.Chain) // a new slice, as the embedded store refers to it until the end of the transaction
 	m.Chain = r.Chain
 	return w.tx.Bucket(bucketRecords).Put(recordKey(m.Seq), line)
 }
 
-// dropOldRecords deletes the oldest records beyond those that are kept.
+// dropOldRecords deletes the oldest records beyond maxRecords.
 func (w *writer) dropOldRecords() error {
 	m := &w.meta
 	m.First = max(1, m.First)
@@ -138,7 +139,7 @@
 	return nil
 }
 
-// putJSON writes a value with its checksum.
+// putJSON writes a value as JSON with a checksum.
 func (w *writer) putJSON(key []byte, v any) error {
 	text, err := json.Marshal(v)
 	if err != nil {
--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -312,7 +312,7 @@
 		n := &sum.booked.N
 		fmt.Fprintf(tw, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", row.Node, row.Plan, row.Class, sum.tally.Sent,
 			n[ledger.FrontTaken], n[ledger.FrontServed], sum.tally.Served, n[ledger.FrontRejected], sum.tally.Rejected, n[ledger.FrontFailed],
-			sum.tally.Failed, n[ledger.FrontClientLeft]+n[ledger.FrontWriteFailed], n[ledger.FrontCutoff], sum.tally.Lost)
+			sum.tally.Failed, n[ledger.FrontClientDeparted]+n[ledger.FrontWriteFailed], n[ledger.FrontCutoff], sum.tally.Lost)
 	}
 	tw.Flush()
 }
