--- a/internal/fleet/agent/drain.go
+++ b/internal/fleet/agent/drain.go
@@ -6,40 +6,41 @@
 	"dewhitch/internal/fleet/evacuation"
 )
 
-// drainState says why this gateway drains its clients: it is cut off from its servers, or in maintenance.
+// drainState holds the reasons for which this gateway drains its clients: it is isolated from its servers, or in
+// maintenance.
 type drainState struct {
-	monitor          evacuation.SelfMonitor
-	cutOff           bool // by the monitor
-	turn             int  // this gateway's place among those of its zone when it stops draining
-	zoneEvacuated    bool // by the plan
-	inMaintenance    bool // by the plan
-	wasInMaintenance bool // at the last updateDrain
+	monitor            evacuation.SelfMonitor
+	isolated           bool // last result of the monitor
+	returnIndex        int  // index of this gateway in the order in which the gateways of its zone stop draining
+	zoneEvacuated      bool // true if the plan has this gateway's zone as evacuated or probed
+	inMaintenance      bool // true if the plan withdraws this gateway for maintenance
+	appliedMaintenance bool // value of inMaintenance at the last updateDrain
 }
 
-// updateDrain starts or stops draining. Gateways of a zone stop one after the other, by name, so that clients
-// do not all come back at once.
+// updateDrain starts or stops draining. After an isolation the gateways of a zone stop draining one after the other,
+// in the order of their names, so that their clients do not all return at once.
 func (a *Agent) updateDrain(now time.Duration) {
 	d := &a.drain
-	cutOff := d.monitor.Update(now, d.zoneEvacuated, a.node.Fresh(), d.turn)
-	if d.inMaintenance != d.wasInMaintenance {
-		d.wasInMaintenance = d.inMaintenance
-		a.setDraining(d.inMaintenance || cutOff)
+	isolated := d.monitor.Update(now, d.zoneEvacuated, a.node.Fresh(), d.returnIndex)
+	if d.inMaintenance != d.appliedMaintenance {
+		d.appliedMaintenance = d.inMaintenance
+		a.setDraining(d.inMaintenance || isolated)
 	}
-	if cutOff == d.cutOff {
+	if isolated == d.isolated {
 		return
 	}
-	d.cutOff = cutOff
-	if cutOff {
-		d.turn = a.gatewaysBefore()
+	d.isolated = isolated
+	if isolated {
+		d.returnIndex = a.ownReturnIndex()
 		a.options.Log.Warn("fleet: cut off from what it needs: this gateway sends its clients away")
 	} else {
 		a.options.Log.Info("fleet: this gateway takes clients again")
 	}
-	a.setDraining(d.inMaintenance || cutOff)
+	a.setDraining(d.inMaintenance || isolated)
 }
 
-// gatewaysBefore counts the members of this one's zone whose names sort before its own.
-func (a *Agent) gatewaysBefore() int {
+// ownReturnIndex returns the number of members of this gateway's zone whose names sort before its own.
+func (a *Agent) ownReturnIndex() int {
 	own, count := a.options.Gossip, 0
 	for _, m := range a.gossip.Members() {
 		if m.Zone == own.Metadata.Zone && m.Name < own.Name {
@@ -49,6 +50,7 @@
 	return count
 }
 
+// setDraining calls Options.Drain, if it is set.
 func (a *Agent) setDraining(on bool) {
 	if a.options.Drain != nil {
 		a.options.Drain(on)
--- a/internal/fleet/maintenance/forecast.go
+++ b/internal/fleet/maintenance/forecast.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// Forecast is the expected course of a request, simulated with the Scheduler itself.
+// Forecast is the expected course of a request, simulated with a Scheduler.
 type Forecast struct {
-	Turns   []ForecastStep `json:"turns"`
-	Elapsed time.Duration  `json:"took"`
-	Spare   float64        `json:"spare"`           // lowest capacity beyond the load, as a fraction of the capacity of all servers
-	MaxOut  int            `json:"most_out"`        // servers
-	Stuck   []string       `json:"stuck,omitempty"` // machines that never have their turn, with what blocks them
+	Steps   []ForecastStep `json:"turns"`           // machines whose maintenance ended, in that order
+	Elapsed time.Duration  `json:"took"`            // simulated time until the request ended or got stuck
+	Spare   float64        `json:"spare"`           // lowest spare capacity, as a fraction of the capacity of all servers
+	MaxOut  int            `json:"most_out"`        // highest number of servers out of service at once
+	Stuck   []string       `json:"stuck,omitempty"` // machines whose maintenance does not end, with the reason
 }
 
-// ForecastStep is the turn of one machine. The times are from the start of the forecast.
+// ForecastStep is the maintenance of one machine. Times are since the start of the forecast.
 type ForecastStep struct {
 	Name string        `json:"name"`
-	Free time.Duration `json:"free"`
-	Done time.Duration `json:"done"`
+	Free time.Duration `json:"free"` // time of the release
+	Done time.Duration `json:"done"` // time of the proof of health
 }
 
 // Parameters of the simulation.
 const (
-	forecastTick     = 200 * time.Millisecond
-	forecastAckTime  = 400 * time.Millisecond // until all gateways have acknowledged a turn
-	forecastInterval = time.Second            // between two observations of a returned machine
-	forecastServed   = 2                      // attempts in each of them
-	forecastMaxIdle  = time.Minute            // without a turn, until the rest is stuck
-	forecastMaxTime  = 24 * time.Hour
+	forecastTick                 = 200 * time.Millisecond // simulated time between two steps
+	forecastAckDelay             = 400 * time.Millisecond // time until all gateways have acknowledged an announcement
+	forecastObservationInterval  = time.Second            // time between two load reports on a returned machine
+	forecastServedPerObservation = 2                      // served attempts in each load report
+	forecastMaxIdle              = time.Minute            // time without an active machine after which the request counts as stuck
+	forecastMaxDuration          = 24 * time.Hour         // limit on the simulated time
 )
 
 // forecastRun is the state of one simulation.
@@ -39,26 +39,26 @@
 	scheduler    *Scheduler
 	schedule     Schedule
 	servers      map[string]Server
-	acknowledged map[string]uint64        // turn by machine
-	freeAt       map[string]time.Duration // of machines with a turn that is not done
-	workTime     time.Duration            // of each machine
-	load         float64                  // fraction of the capacity of all servers
-	startedAt    int64                    // Unix ms
-	now          time.Duration            // since then
+	acknowledged map[string]uint64        // acknowledged announcement IDs by machine
+	releasedAt   map[string]time.Duration // release times of machines that are not Done, by name
+	workTime     time.Duration            // time that each machine stays released
+	load         float64                  // load as a fraction of the capacity of all servers
+	startedAt    int64                    // start of the simulation in Unix ms
+	now          time.Duration            // simulated time since startedAt
 	result       Forecast
 }
 
-// Simulate plays a request on a fleet without any other fault: each machine is free for as long as the request allows. load is a fraction
-// of the capacity of all servers, start the fraction of its capacity that a server has when it starts. It returns the error of a request
-// that would be refused.
-func Simulate(cfg Config, servers map[string]Server, c Command, load, start float64) (Forecast, error) {
+// Simulate returns the forecast of a request on a fleet without faults, in which each machine stays released for as long as the request
+// allows. load is a fraction of the capacity of all servers, startCapacity the fraction of its capacity that a server has when it starts.
+// It returns an error if the fleet would reject the request.
+func Simulate(cfg Config, servers map[string]Server, c Command, load, startCapacity float64) (Forecast, error) {
 	run := newForecastRun(cfg, servers, c, load)
 	if err := submitRequest(&run.schedule, c, run.startedAt); err != nil {
 		return Forecast{}, err
 	}
-	for ; run.now < forecastMaxTime; run.now += forecastTick {
-		run.work()
-		run.measure(start)
+	for ; run.now < forecastMaxDuration; run.now += forecastTick {
+		run.simulateMachines()
+		run.updateExtremes(startCapacity)
 		r := &run.schedule.Requests[0]
 		if r.ended() {
 			run.result.Elapsed = run.now
@@ -78,7 +78,7 @@
 	return run.result, nil
 }
 
-// newForecastRun starts at a time at which all servers are warm.
+// newForecastRun returns a simulation that starts when all servers are warm.
 func newForecastRun(cfg Config, servers map[string]Server, c Command, load float64) *forecastRun {
 	startedAt := int64(1)
 	for _, s := range servers {
@@ -90,7 +90,7 @@
 		schedule:     Schedule{Roster: map[string]int64{}},
 		servers:      maps.Clone(servers),
 		acknowledged: map[string]uint64{},
-		freeAt:       map[string]time.Duration{},
+		releasedAt:   map[string]time.Duration{},
 		workTime:     time.Duration(c.ForMS) * time.Millisecond,
 		load:         load,
 		startedAt:    startedAt + cfg.SlowStart.Milliseconds(),
@@ -98,89 +98,89 @@
 	}
 }
 
-func (f *forecastRun) unix() int64 { return f.startedAt + f.now.Milliseconds() }
+func (f *forecastRun) unixMS() int64 { return f.startedAt + f.now.Milliseconds() }
 
-// work plays the gateways and the operator on each machine.
-func (f *forecastRun) work() {
+// simulateMachines simulates the acknowledgements and load reports of the gateways and the operator's work, for each machine.
+func (f *forecastRun) simulateMachines() {
 	r := &f.schedule.Requests[0]
 	for i := range r.Machines {
 		m := &r.Machines[i]
-		age := time.Duration(f.unix()-m.Since) * time.Millisecond
+		age := time.Duration(f.unixMS()-m.Since) * time.Millisecond
 		switch m.State {
 		case Announced:
-			if age >= forecastAckTime {
-				f.acknowledged[m.Name] = m.Turn
+			if age >= forecastAckDelay {
+				f.acknowledged[m.Name] = m.AnnouncementID
 			}
 		case Released:
 			f.workOn(r, m, age)
 		case Returned:
-			if f.now%forecastInterval == 0 {
-				f.scheduler.Observe(f.now, m.Name, forecastServed, 0, 0, 0)
+			if f.now%forecastObservationInterval == 0 {
+				f.scheduler.Observe(f.now, m.Name, forecastServedPerObservation, 0, 0, 0)
 			}
 		case Done:
-			if free, ok := f.freeAt[m.Name]; ok {
-				f.result.Turns = append(f.result.Turns, ForecastStep{m.Name, free, f.now})
-				delete(f.freeAt, m.Name)
+			if releasedAt, ok := f.releasedAt[m.Name]; ok {
+				f.result.Steps = append(f.result.Steps, ForecastStep{m.Name, releasedAt, f.now})
+				delete(f.releasedAt, m.Name)
 			}
 		}
 	}
 }
 
-// workOn restarts a machine at the end of its work.
+// workOn records the release of a machine, and restarts the machine at the end of its maintenance.
 func (f *forecastRun) workOn(r *Request, m *Machine, age time.Duration) {
-	if _, ok := f.freeAt[m.Name]; !ok {
-		f.freeAt[m.Name] = f.now
+	if _, ok := f.releasedAt[m.Name]; !ok {
+		f.releasedAt[m.Name] = f.now
 	}
 	if age < f.workTime-forecastTick {
 		return
 	}
 	server := f.servers[m.Name]
-	server.Since = f.unix()
+	server.Since = f.unixMS()
 	f.servers[m.Name] = server
-	f.schedule.endWork(r, m, f.unix(), "")
+	f.schedule.endWork(r, m, f.unixMS(), "")
 }
 
-// measure updates the extremes: the machines that are out, and the capacity beyond the load.
-func (f *forecastRun) measure(start float64) {
+// updateExtremes updates the highest number of servers that are out, and the lowest spare capacity.
+func (f *forecastRun) updateExtremes(startCapacity float64) {
 	out := 0
-	capacity := 0.0 // in warm servers
+	capacity := 0.0 // sum of the servers' capacities; a warm server has 1
 	withdrawn := f.schedule.Withdrawn()
 	for name, s := range f.servers {
-		if _, skip := withdrawn[name]; skip {
+		if _, isWithdrawn := withdrawn[name]; isWithdrawn {
 			out++
 			continue
 		}
-		capacity += f.warmth(s, start)
+		capacity += f.capacityFraction(s, startCapacity)
 	}
 	f.result.MaxOut = max(f.result.MaxOut, out)
 	f.result.Spare = min(f.result.Spare, capacity/float64(len(f.servers))-f.load)
 }
 
-// warmth is the fraction of its capacity that a server has; it grows linearly over the slow start.
-func (f *forecastRun) warmth(s Server, start float64) float64 {
-	age := time.Duration(f.unix()-s.Since) * time.Millisecond
+// capacityFraction returns the fraction of its full capacity that a server has now. It grows linearly during slow start.
+func (f *forecastRun) capacityFraction(s Server, startCapacity float64) float64 {
+	age := time.Duration(f.unixMS()-s.Since) * time.Millisecond
 	if s.Since <= 0 || age >= f.cfg.SlowStart {
 		return 1
 	}
-	return start + (1-start)*age.Seconds()/f.cfg.SlowStart.Seconds()
+	return startCapacity + (1-startCapacity)*age.Seconds()/f.cfg.SlowStart.Seconds()
 }
 
-// stuck tells whether no machine has a turn, and none had one for forecastMaxIdle.
+// stuck returns true if no machine is out of service, and none has been for forecastMaxIdle.
 func (f *forecastRun) stuck(r *Request) bool {
-	inTurn := slices.ContainsFunc(r.Machines, func(m Machine) bool { return m.State != Waiting && !m.ended() })
-	if inTurn || f.now <= forecastMaxIdle {
+	active := slices.ContainsFunc(r.Machines, func(m Machine) bool { return m.State != Waiting && !m.ended() })
+	if active || f.now <= forecastMaxIdle {
 		return false
 	}
-	turns := f.result.Turns
-	return len(turns) == 0 || f.now-turns[len(turns)-1].Done > forecastMaxIdle
+	steps := f.result.Steps
+	return len(steps) == 0 || f.now-steps[len(steps)-1].Done > forecastMaxIdle
 }
 
-// step advances the schedule, with one gateway that acknowledges for all.
+// step advances the schedule. One gateway stands for all.
 func (f *forecastRun) step() {
 	observed := Observations{
 		Servers: f.servers,
 		Members: map[string]Member{"g": {Reachable: true, Fresh: true, Withdrawn: maps.Clone(f.acknowledged)}},
 		Rate:    f.load * float64(len(f.servers)),
 	}
-	f.schedule, _ = f.scheduler.Step(f.now, f.unix(), f.schedule, observed)
+	f.schedule, _ = f.scheduler.Step(f.now, f.unixMS(), f.schedule, observed)
 }
