--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -41,12 +41,12 @@
 		got, err := Parse([]byte(c.line))
 		if c.err != "" {
 			if err == nil || err.Error() != c.err {
-				t.Errorf("%q: error %v, want %q", c.line, err, c.err)
+				t.Errorf("%q: got error %v, want %q", c.line, err, c.err)
 			}
 			continue
 		}
 		if err != nil || got != c.want {
-			t.Errorf("%q: %+v, %v; want %+v", c.line, got, err, c.want)
+			t.Errorf("%q: got %+v, error %v, want %+v", c.line, got, err, c.want)
 		}
 	}
 }
@@ -154,7 +154,7 @@
 		{"readyz", ""},                // an incomplete line gets no answer
 	} {
 		if got := call(t, addr, c.line); got != c.want {
-			t.Errorf("%.20q: %q, want %q", c.line, got, c.want)
+			t.Errorf("%.20q: got answer %q, want %q", c.line, got, c.want)
 		}
 	}
 }
@@ -179,7 +179,7 @@
 			t.Fatalf("got answer %q, want YES", got)
 		}
 		if waited := time.Since(start); waited > callTimeout/2 { // a loose bound, as speed is not tested here
-			t.Fatalf("answered after %v", waited)
+			t.Fatalf("call answered after %v, which is over half of callTimeout", waited)
 		}
 	}
 	// The oldest connections were closed.
--- a/internal/classtable/classtable.go
+++ b/internal/classtable/classtable.go
@@ -16,8 +16,8 @@
 // Entry maps a class name to a class of the module.
 type Entry struct {
 	Name        string
-	Class       int            // index of the module's class, or below 0 if none is strict enough and requests of the name are rejected
-	Idempotency dw.Idempotency // idempotency in the latest settings with the name, which decides by which command its requests may come
+	Class       int            // index of the module's class; below 0 if none is strict enough, so that requests are rejected
+	Idempotency dw.Idempotency // idempotency in the latest settings with the name; decides which commands may use the name
 }
 
 // Table lists the names that clients may use, those of the current settings first. A table is not modified after its creation.
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -22,11 +22,11 @@
 	Name        string          // name of the gateway's node
 	Listen      string          // address of the clients' listener
 	Discovery   string          // address of the discovery service
-	Counter     string          // address of the shared counter; empty if Settings.Counter is false
+	Counter     string          // address of the shared counter; required if Settings.Counter is true
 	Admin       string          // address of the operators' calls; empty if there is none
 	InheritedFD int             // descriptor of the clients' listening socket, inherited from the parent; 0 if there is none
 	TempDir     string          // $TMPDIR, shared with the process that replaces this one
-	Seed        uint64          // seed of the decision module's random numbers
+	Seed        uint64          // seed of the random numbers of the decision module and of discovery
 	Cores       float64         // number of CPU cores that the process may use; default 1
 	MemoryMB    int             // memory that the process may use, in MiB; default 192, at least 32
 	Sockets     int             // number of sockets that the process may open; default 1024, at least 64
--- a/internal/forward/link.go
+++ b/internal/forward/link.go
@@ -51,8 +51,8 @@
 	return conn, nil
 }
 
-// send writes a command and waits up to timeout for its answer, without blocking. It returns true if the command was written
-// completely. Otherwise the planner has applied nothing, and the link is lost.
+// send writes a command, whose answer must arrive within timeout, and does not wait for it. It returns true if the command was
+// written completely. Otherwise the planner has applied nothing, and the link is lost.
 func (l *link) send(encoded []byte, p *pendingCommand, timeout time.Duration) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -20,9 +20,9 @@
 
 // Bounds of the file, which another process wrote and which may be corrupt.
 const (
-	maxSize   = 1 << 20 // bytes
-	maxIDs    = 1 << 14
-	maxIDSize = 64 // bytes
+	maxSize   = 1 << 20 // greatest size of the file in bytes
+	maxIDs    = 1 << 14 // greatest number of excluded servers
+	maxIDSize = 64      // greatest length of a server's id in bytes
 )
 
 // ErrNone is returned by Load if there is no handover file.
--- a/internal/operator/golden_ledger_test.go
+++ b/internal/operator/golden_ledger_test.go
@@ -45,7 +45,7 @@
 		w := httptest.NewRecorder()
 		mux.ServeHTTP(w, httptest.NewRequest(http.MethodGet, path, nil))
 		if kind := w.Header().Get("Content-Type"); w.Code != http.StatusOK || kind != c.kind {
-			t.Errorf("%s: %d, %s", path, w.Code, kind)
+			t.Errorf("%s: got status %d, content type %s", path, w.Code, kind)
 		}
 		golden.Compare(t, c.name, w.Body.Bytes())
 	}
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -55,7 +55,7 @@
 		body, err := io.ReadAll(answer.Body)
 		answer.Body.Close()
 		if err != nil || answer.StatusCode != http.StatusOK {
-			t.Fatalf("%s: %d, %v", path, answer.StatusCode, err)
+			t.Fatalf("%s: got status %d, error %v", path, answer.StatusCode, err)
 		}
 		kind, _, _ := strings.Cut(answer.Header.Get("Content-Type"), ";") // the library determines the parameters after it
 		page := strings.Builder{}
--- a/internal/ops/figures.go
+++ b/internal/ops/figures.go
@@ -32,8 +32,8 @@
 // reorder classes, and a class keeps its counts under its name. The zero value is ready for use.
 type Figures struct {
 	mu      sync.Mutex
-	classes []*classCounts                          // in the order of their first mention; at most MaxClasses
-	byName  atomic.Pointer[map[string]*classCounts] // replaced and never changed, so that it is read without the lock
+	classes []*classCounts                          // classes in the order in which they were added; at most MaxClasses
+	byName  atomic.Pointer[map[string]*classCounts] // the same classes by name; replaced and never changed, so that it is read without the lock
 
 	dispatches        atomic.Int64 // attempts written to backends, of all classes, including unknown ones
 	concurrent        atomic.Int64 // number of open requests
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -34,15 +34,15 @@
 	}
 	text := f.AppendJSON(nil)
 	if err := json.Unmarshal(text, &got); err != nil {
-		t.Fatalf("%s: %v", text, err)
+		t.Fatalf("invalid JSON %s: %v", text, err)
 	}
 	r := got.Replies
 	if r["lookup"].Success != 2 || r["order"].Overload != 1 || r["order"].Error != 1 || r["order"].Dispatches != 1 ||
 		r["bulk"].Error != 1 || len(r) != 3 {
-		t.Fatalf("%s", text)
+		t.Fatalf("wrong counts of a class: %s", text)
 	}
 	if got.Dispatches != 1 || got.Concurrent != 1 || got.Targets != 5 || got.Disabled != 2 || got.ReloadSuccess != 1 || got.ReloadFailure != 2 {
-		t.Fatalf("%s", text)
+		t.Fatalf("wrong totals: %s", text)
 	}
 }
 
--- a/internal/snapshot/files.go
+++ b/internal/snapshot/files.go
@@ -14,7 +14,7 @@
 	"dewhitch/internal/durable"
 )
 
-// Names of snapshot files, and bounds on what is read of their folder, which may hold other files too.
+// Parts of the names of snapshot files, and bounds on reading and claiming them. Their folder may hold other files too.
 const (
 	fileSuffix       = ".snapshot"
 	temporarySuffix  = ".part"
