--- a/cmd/dewhitch/commands_test.go
+++ b/cmd/dewhitch/commands_test.go
@@ -6,17 +6,17 @@
 )
 
 func TestCommands(t *testing.T) {
-	w := newEnvironment(t)
+	env := newEnvironment(t)
 	for _, c := range []struct{ args, want string }{{"check", "configuration of n0 is good"}, {"version", "dewhitch "}} {
-		out, err := w.command(c.args).CombinedOutput()
+		out, err := env.command(c.args).CombinedOutput()
 		if err != nil || !strings.Contains(string(out), c.want) {
 			t.Errorf("%s: %v, %s", c.args, err, out)
 		}
 	}
-	w.listen = ""
+	env.listenAddr = ""
 	for _, c := range []struct{ args, want string }{{"forward", "forward.listen: missing"},
 		{"serve", "listen (NODE_LISTEN): missing"}, {"check", "listen (NODE_LISTEN): missing"}, {"novel", "unexpected argument"}} {
-		if out := w.run(c.args); !strings.Contains(out, c.want) {
+		if out := env.runToFailure(c.args); !strings.Contains(out, c.want) {
 			t.Errorf("%s: %s", c.args, out)
 		}
 	}
--- a/cmd/dewhitch/drain_calls_test.go
+++ b/cmd/dewhitch/drain_calls_test.go
@@ -16,19 +16,19 @@
 func TestDrainedGatewayIsNotRegistered(t *testing.T) {
 	t.Parallel()
 	z := newZookeeper(t)
-	w := newEnvironment(t)
-	w.registry = z.Addr()
-	p := w.start("serve")
+	env := newEnvironment(t)
+	env.registryAddr = z.Addr()
+	p := env.start("serve")
 	const node = "/dewhitch/planners/gateway-0"
 	registered := func(want bool) func() bool { return func() bool { return (z.Owner(node) != 0) == want } }
 	if !eventually(registered(true)) {
 		t.Fatalf("never registered\n%s", p.log())
 	}
-	evacuate(t, w)
+	evacuate(t, env)
 	if !eventually(registered(false)) {
 		t.Error("still registered while drained")
 	}
-	if answer := adminCall(t, w.admin, "activate"); answer != "YES" {
+	if answer := adminCall(t, env.adminAddr, "activate"); answer != "YES" {
 		t.Fatalf("activate: %q", answer)
 	}
 	if !eventually(registered(true)) {
@@ -40,25 +40,25 @@
 // on: it is refused or left unread.
 func TestDrainOfAProcessThatStandsStill(t *testing.T) {
 	t.Parallel()
-	w := newEnvironment(t)
-	p := w.start("serve")
-	c := w.dial()
-	c.Write(patientQuery("q1"))
-	server := w.hangingServer()
-	called := evacuate(t, w)
-	waitUntil(called.Add(time.Second))
+	env := newEnvironment(t)
+	p := env.start("serve")
+	c := env.dial()
+	c.Write(queryWithLongDeadline("q1"))
+	server := env.nextBackendCommand()
+	drainedAt := evacuate(t, env)
+	waitUntil(drainedAt.Add(time.Second))
 	p.cmd.Process.Signal(syscall.SIGSTOP)
-	waitUntil(called.Add(recentRequest + 100*time.Millisecond))
-	c.Write(patientQuery("q2"))
+	waitUntil(drainedAt.Add(recentRequestAge + 100*time.Millisecond))
+	c.Write(queryWithLongDeadline("q2"))
 	p.cmd.Process.Signal(syscall.SIGCONT)
-	waitUntil(called.Add(recentRequest + 500*time.Millisecond))
+	waitUntil(drainedAt.Add(recentRequestAge + 500*time.Millisecond))
 	server.serve("one")
-	c.SetReadDeadline(called.Add(drainTerm))
+	c.SetReadDeadline(drainedAt.Add(drainTerm))
 	got, err := io.ReadAll(c.r)
 	if text := string(got); err != nil || text != "$3\r\none\r\n" && text != "$3\r\none\r\n-BUSY\r\n" {
 		t.Errorf("%q, %v", got, err)
 	}
-	if got := adminCall(t, w.admin, "telemetry"); !strings.Contains(got, `"dispatches":1,"concurrent":0`) {
+	if got := adminCall(t, env.adminAddr, "telemetry"); !strings.Contains(got, `"dispatches":1,"concurrent":0`) {
 		t.Errorf("%s", got)
 	}
 }
@@ -67,58 +67,58 @@
 // once each time, and one whose request is out gets its answer, and ends.
 func TestDrainWithConcurrentCalls(t *testing.T) {
 	t.Parallel()
-	for name, calls := range map[string]func(t *testing.T, w *environment, p *process) (called time.Time){
-		"twice": func(t *testing.T, w *environment, _ *process) time.Time {
-			called := evacuate(t, w)
-			evacuate(t, w)
-			return called
+	for name, scenario := range map[string]func(t *testing.T, env *environment, p *process) (drainedAt time.Time){
+		"twice": func(t *testing.T, env *environment, _ *process) time.Time {
+			drainedAt := evacuate(t, env)
+			evacuate(t, env)
+			return drainedAt
 		},
-		"during a reload": func(t *testing.T, w *environment, p *process) time.Time {
+		"during a reload": func(t *testing.T, env *environment, p *process) time.Time {
 			p.cmd.Process.Signal(syscall.SIGHUP)
-			called := evacuate(t, w)
+			drainedAt := evacuate(t, env)
 			p.cmd.Process.Signal(syscall.SIGHUP)
-			return called
+			return drainedAt
 		},
-		"over a broken configuration": func(t *testing.T, w *environment, p *process) time.Time {
-			os.WriteFile(p.config, []byte(`{"name"`), 0o600)
+		"over a broken configuration": func(t *testing.T, env *environment, p *process) time.Time {
+			os.WriteFile(p.configPath, []byte(`{"name"`), 0o600)
 			p.cmd.Process.Signal(syscall.SIGHUP)
-			return evacuate(t, w)
+			return evacuate(t, env)
 		},
-		"after its end": func(t *testing.T, w *environment, _ *process) time.Time {
-			evacuate(t, w)
-			if answer := adminCall(t, w.admin, "activate"); answer != "YES" {
+		"after its end": func(t *testing.T, env *environment, _ *process) time.Time {
+			evacuate(t, env)
+			if answer := adminCall(t, env.adminAddr, "activate"); answer != "YES" {
 				t.Errorf("activate: %q", answer)
 			}
-			return evacuate(t, w)
+			return evacuate(t, env)
 		},
-		"at SIGTERM": func(t *testing.T, w *environment, p *process) time.Time {
+		"at SIGTERM": func(t *testing.T, env *environment, p *process) time.Time {
 			p.cmd.Process.Signal(syscall.SIGTERM)
-			return evacuate(t, w)
+			return evacuate(t, env)
 		},
-		"before SIGTERM": func(t *testing.T, w *environment, p *process) time.Time {
-			called := evacuate(t, w)
+		"before SIGTERM": func(t *testing.T, env *environment, p *process) time.Time {
+			drainedAt := evacuate(t, env)
 			p.cmd.Process.Signal(syscall.SIGTERM)
-			return called
+			return drainedAt
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			w := newEnvironment(t)
-			p := w.start("serve")
-			owed, idle := w.dial(), w.dial()
-			owed.Write(patientQuery("q1"))
-			server := w.hangingServer()
+			env := newEnvironment(t)
+			p := env.start("serve")
+			waiting, idle := env.dial(), env.dial()
+			waiting.Write(queryWithLongDeadline("q1"))
+			server := env.nextBackendCommand()
 			idle.Write([]byte("*1\r\n$4\r\nPING\r\n"))
 			if err := expect(idle.r, []byte("+PONG\r\n")); err != nil {
 				t.Fatal(err)
 			}
-			called := calls(t, w, p)
-			idle.endsBy(t, called.Add(drainTerm))
+			drainedAt := scenario(t, env, p)
+			idle.expectClosedBy(t, drainedAt.Add(drainTerm))
 			server.serve("one")
-			if err := expect(owed.r, []byte("$3\r\none\r\n")); err != nil {
+			if err := expect(waiting.r, []byte("$3\r\none\r\n")); err != nil {
 				t.Errorf("the request that was out: %v", err)
 			}
-			owed.endsBy(t, called.Add(drainTerm))
+			waiting.expectClosedBy(t, drainedAt.Add(drainTerm))
 		})
 	}
 }
@@ -127,19 +127,19 @@
 // others hold its connections, and of clients within the 3 s that are allowed to bad ones.
 func TestBadInputDuringADrain(t *testing.T) {
 	t.Parallel()
-	const dueAdmin, dueClient = time.Second, 3 * time.Second
-	w := newEnvironment(t)
-	w.start("serve")
-	evacuate(t, w)
+	const adminDeadline, clientDeadline = time.Second, 3 * time.Second
+	env := newEnvironment(t)
+	env.start("serve")
+	evacuate(t, env)
 	for range 40 { // more than the address has places
-		conn, err := net.Dial("tcp", w.admin)
+		conn, err := net.Dial("tcp", env.adminAddr)
 		if err != nil {
 			t.Fatal(err)
 		}
 		t.Cleanup(func() { conn.Close() })
 		fmt.Fprint(conn, "activ")
 	}
-	for line, want := range map[string]string{
+	for call, want := range map[string]string{
 		"evacuate now":           "NO evacuate takes no argument",
 		"evacuat":                `NO unknown call "evacuat"`,
 		"":                       "NO empty call",
@@ -150,14 +150,14 @@
 		"evacuate":               "YES",
 	} {
 		began := time.Now()
-		if got := adminCall(t, w.admin, line); got != want {
-			t.Errorf("%.20q: %q, not %q", line, got, want)
+		if got := adminCall(t, env.adminAddr, call); got != want {
+			t.Errorf("%.20q: %q, not %q", call, got, want)
 		}
-		if took := time.Since(began); took > dueAdmin {
-			t.Errorf("%.20q was answered after %v", line, took)
+		if took := time.Since(began); took > adminDeadline {
+			t.Errorf("%.20q was answered after %v", call, took)
 		}
 	}
-	for says, want := range map[string]string{
+	for input, want := range map[string]string{
 		"PING\r\n":                             "-ERR protocol error: a command is an array\r\n",
 		"*1\r\n$x\r\n":                         "-ERR protocol error: bad number \"x\"\r\n",
 		"*99\r\n":                              "-ERR protocol error: length 99, 16 at most\r\n",
@@ -166,11 +166,11 @@
 		"*1\r\n$4\r\nPING\r\n*1\r\n$":          "-ERR draining\r\n",
 		"\r\n":                                 "-ERR protocol error: a command is an array\r\n",
 	} {
-		c := w.dial()
-		io.WriteString(c, says)
-		c.SetReadDeadline(time.Now().Add(dueClient))
+		c := env.dial()
+		io.WriteString(c, input)
+		c.SetReadDeadline(time.Now().Add(clientDeadline))
 		if got, err := io.ReadAll(c.r); err != nil || string(got) != want {
-			t.Errorf("%q: %q, %v, not %q", says, got, err, want)
+			t.Errorf("%q: %q, %v, not %q", input, got, err, want)
 		}
 	}
 }
--- a/cmd/dewhitch/earliest_kill_test.go
+++ b/cmd/dewhitch/earliest_kill_test.go
@@ -12,9 +12,9 @@
 
 // The platform kills a process no sooner than this after SIGTERM, where the longest deadline is longestCounted or above.
 const (
-	longestCounted = 3 * time.Second
-	killMargin     = 700 * time.Millisecond
-	earliestKill   = longestCounted + killMargin
+	maxCountedDeadline = 3 * time.Second
+	killMargin         = 700 * time.Millisecond
+	earliestKill       = maxCountedDeadline + killMargin
 )
 
 // A request waits for a server that hangs, for longer than the gateway is given to end. Its client writes another on the same
@@ -22,16 +22,16 @@
 // the first in time, and ends the connection.
 func TestNoConnectionIsOpenAtTheEarliestKill(t *testing.T) {
 	t.Parallel()
-	w := newEnvironment(t)
-	p := w.start("serve")
-	c := w.dial()
-	c.Write(patientQuery("q1"))
-	w.hangingServer()
-	signalled := time.Now()
+	env := newEnvironment(t)
+	p := env.start("serve")
+	c := env.dial()
+	c.Write(queryWithLongDeadline("q1"))
+	env.nextBackendCommand()
+	signalledAt := time.Now()
 	p.cmd.Process.Signal(syscall.SIGTERM)
-	waitUntil(signalled.Add(time.Second))
-	c.Write(patientQuery("q2"))
-	c.SetReadDeadline(signalled.Add(earliestKill))
+	waitUntil(signalledAt.Add(time.Second))
+	c.Write(queryWithLongDeadline("q2"))
+	c.SetReadDeadline(signalledAt.Add(earliestKill))
 	answers, err := io.ReadAll(c.r)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Fatalf("the connection is open, and owed an answer, when the gateway may be killed\n%s", p.log())
--- a/cmd/dewhitch/fleet_test.go
+++ b/cmd/dewhitch/fleet_test.go
@@ -16,24 +16,24 @@
 	"dewhitch/internal/standin"
 )
 
-// alone starts one gateway among stand-ins, in a fleet of its own or in none.
-func alone(t *testing.T, fleet bool) (p *standin.Process, show string) {
+// startSingleGateway starts one gateway among stand-ins, in a fleet of its own or in none.
+func startSingleGateway(t *testing.T, fleet bool) (p *standin.Process, operatorAddr string) {
 	t.Helper()
-	show = standin.OwnAddr()
-	p, _ = aloneWith(t, fleet, show)
-	return p, show
+	operatorAddr = standin.OwnAddr()
+	p, _ = startSingleGatewayAt(t, fleet, operatorAddr)
+	return p, operatorAddr
 }
 
-// aloneWith starts one whose operators' listener is at an address, or off if that is empty; show is that, or a free one.
-func aloneWith(t *testing.T, fleet bool, operator string) (p *standin.Process, show string) {
+// startSingleGatewayAt starts one whose operators' listener is at an address, or off if that is empty; show is that, or a free one.
+func startSingleGatewayAt(t *testing.T, fleet bool, operator string) (p *standin.Process, operatorAddr string) {
 	t.Helper()
 	backends, err := standin.NewBackends(1, false, standin.Always(standin.Step{}))
-	kept(t, backends, err)
+	closeAtCleanup(t, backends, err)
 	counter := newCounter(t)
 	discovery := newDiscovery(t, standin.Members(standin.Member("s-00000001", backends.Nodes[0].Addr(), "up")), 1)
 	p = &standin.Process{Name: "n0", Dir: t.TempDir(), Listen: standin.OwnAddr(), Path: program}
-	if show = operator; show == "" {
-		show = standin.OwnAddr()
+	if operatorAddr = operator; operatorAddr == "" {
+		operatorAddr = standin.OwnAddr()
 	}
 	config, err := standin.Config{Name: "n0", Listen: p.Listen, Discovery: discovery.Addr(), Counter: counter.Addr(), Instances: 1,
 		Zones: []string{"hall-a", "hall-b"}, Plans: []standin.Plan{{Name: "basic", QuotaRate: 10, Depth: 10, Pays: 1}},
@@ -55,13 +55,13 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(p.Kill)
-	return p, show
+	return p, operatorAddr
 }
 
 func TestFleetCommands(t *testing.T) {
-	p, show := alone(t, true)
+	p, operatorAddr := startSingleGateway(t, true)
 	run := func(args ...string) (string, error) {
-		out, err := exec.Command(program, append([]string{"fleet", "--at", show}, args...)...).CombinedOutput()
+		out, err := exec.Command(program, append([]string{"fleet", "--at", operatorAddr}, args...)...).CombinedOutput()
 		return string(out), err
 	}
 	var status struct {
@@ -119,7 +119,7 @@
 // Without a fleet file there is nothing of a fleet: no datagrams' socket, no page, no metric.
 func TestNoFleetNoSocket(t *testing.T) {
 	for _, fleet := range []bool{true, false} {
-		p, show := alone(t, fleet)
+		p, operatorAddr := startSingleGateway(t, fleet)
 		pid := p.Program().Cmd.Process.Pid
 		udp, err := os.ReadFile(fmt.Sprintf("/proc/%d/net/udp", pid))
 		if err != nil {
@@ -141,7 +141,7 @@
 		}
 		// The operators' listener has the metrics of every gateway, and of a fleet what there is one of.
 		for path, want := range map[string]bool{"/metrics": true, "/fleet": fleet, "/ledger": false} {
-			status, text := page(t, show, path)
+			status, text := getOperatorPage(t, operatorAddr, path)
 			if (status == http.StatusOK) != want {
 				t.Errorf("a fleet %v: %s: status %d", fleet, path, status)
 			}
@@ -151,7 +151,7 @@
 		}
 		// It listens before it has read the list.
 		if !eventually(func() bool {
-			_, text := page(t, show, "/metrics")
+			_, text := getOperatorPage(t, operatorAddr, "/metrics")
 			return strings.Contains(text, `dewhitch_list_version{stage="applied"} 1`)
 		}) {
 			t.Errorf("a fleet %v: the list that is in force does not show", fleet)
@@ -159,10 +159,10 @@
 	}
 }
 
-// page reads a page of an operators' listener.
-func page(t *testing.T, show, path string) (status int, text string) {
+// getOperatorPage reads a page of an operators' listener.
+func getOperatorPage(t *testing.T, operatorAddr, path string) (status int, text string) {
 	t.Helper()
-	answer, err := http.Get("http://" + show + path)
+	answer, err := http.Get("http://" + operatorAddr + path)
 	if err != nil {
 		t.Fatalf("the operators' listener: %v", err)
 	}
@@ -176,10 +176,10 @@
 
 // Where the operators' file names no address, as on the platform, nothing listens but the clients' address.
 func TestNoOperatorsAddressNoListener(t *testing.T) {
-	p, show := aloneWith(t, false, "")
-	if c, err := standin.Dial(show, time.Second); err == nil {
+	p, operatorAddr := startSingleGatewayAt(t, false, "")
+	if c, err := standin.Dial(operatorAddr, time.Second); err == nil {
 		c.Close()
-		t.Errorf("something listens at %s", show)
+		t.Errorf("something listens at %s", operatorAddr)
 	}
 	listeners, err := os.ReadFile(fmt.Sprintf("/proc/%d/net/tcp", p.Program().Cmd.Process.Pid))
 	if err != nil {
@@ -188,7 +188,7 @@
 	found := 0
 	for line := range strings.SplitSeq(string(listeners), "\n") {
 		const stateField, inodeField, listening = 3, 9, "0A"
-		if f := strings.Fields(line); len(f) > inodeField && f[stateField] == listening && holdsSocket(p, f[inodeField]) {
+		if f := strings.Fields(line); len(f) > inodeField && f[stateField] == listening && hasSocketOpen(p, f[inodeField]) {
 			found++
 		}
 	}
@@ -197,8 +197,8 @@
 	}
 }
 
-// holdsSocket tells whether a process has the socket of that inode open.
-func holdsSocket(p *standin.Process, inode string) bool {
+// hasSocketOpen tells whether a process has the socket of that inode open.
+func hasSocketOpen(p *standin.Process, inode string) bool {
 	links, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", p.Program().Cmd.Process.Pid))
 	return slices.ContainsFunc(links, func(l string) bool {
 		to, _ := os.Readlink(l)
--- a/cmd/dewhitch/golden_fleet_test.go
+++ b/cmd/dewhitch/golden_fleet_test.go
@@ -15,25 +15,25 @@
 	"dewhitch/internal/golden"
 )
 
-// goldenPages are the pages of a member by their paths: those that its own package has frozen.
-var goldenPages = map[string]string{
+// goldenPageFiles are the pages of a member by their paths: those that its own package has frozen.
+var goldenPageFiles = map[string]string{
 	"/fleet":         "../../../../internal/fleet/agent/testdata/golden/status.json",
 	"/fleet/zones":   "../../../../internal/fleet/evacuation/testdata/golden/verdicts.json",
 	"/fleet/work":    "../../../../internal/fleet/maintenance/testdata/golden/book.json",
 	"/fleet/servers": "servers.json",
 }
 
-// shape puts its type in place of each value of decoded JSON.
-func shape(v any) any {
+// replaceValuesByTypes puts its type in place of each value of decoded JSON.
+func replaceValuesByTypes(v any) any {
 	switch v := v.(type) {
 	case []any:
 		for i := range v {
-			v[i] = shape(v[i])
+			v[i] = replaceValuesByTypes(v[i])
 		}
 		return v
 	case map[string]any:
 		for k := range v {
-			v[k] = shape(v[k])
+			v[k] = replaceValuesByTypes(v[k])
 		}
 		return v
 	default:
@@ -46,7 +46,7 @@
 // commands read it.
 func TestGoldenCommands(t *testing.T) {
 	pages := map[string][]byte{}
-	for path, file := range goldenPages {
+	for path, file := range goldenPageFiles {
 		pages[path] = golden.Read(t, file)
 	}
 	var mu sync.Mutex
@@ -78,7 +78,7 @@
 		}
 		return out
 	}
-	said := []string{"--why", "so", "--by", "alice"}
+	whyAndBy := []string{"--why", "so", "--by", "alice"}
 	for _, line := range []string{"freeze", "thaw", "leave hall-b --for 30m", "leave hall-b", "return hall-b", "return hall-b --hold",
 		"work request --machines s-00000001,s-00000002 --kind restart --for 5m --not-before 2030-01-02T03:04:05Z --after 7 --key k1",
 		"work request --machines s-00000003 --kind replace --for 1m", "work request --machines s-00000004 --kind off --for 2m",
@@ -86,7 +86,7 @@
 		mu.Lock()
 		fmt.Fprintln(&calls, "$", line)
 		mu.Unlock()
-		if out := run(append(strings.Fields(line), said...)...); string(out) != "YES 12.13\n" {
+		if out := run(append(strings.Fields(line), whyAndBy...)...); string(out) != "YES 12.13\n" {
 			t.Errorf("%s: %s", line, out)
 		}
 	}
@@ -122,7 +122,7 @@
 		"--json"); json.Unmarshal(out, &plan) != nil {
 		t.Errorf("work plan: %s", out)
 	}
-	text, err := json.MarshalIndent(shape(plan), "", "  ")
+	text, err := json.MarshalIndent(replaceValuesByTypes(plan), "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/dewhitch/golden_ledger_test.go
+++ b/cmd/dewhitch/golden_ledger_test.go
@@ -18,12 +18,12 @@
 
 // The frozen store and segment, and the frozen export of another node, as the packages that write them hold them.
 const (
-	frozenStore  = "../../../../internal/ledger/store/testdata/golden/"
-	frozenExport = "../../internal/ledger/statement/testdata/golden/records.jsonl"
+	goldenStoreDir   = "../../../../internal/ledger/store/testdata/golden/"
+	goldenExportFile = "../../internal/ledger/statement/testdata/golden/records.jsonl"
 )
 
-// frozenLedger makes the folder of a ledger from the frozen store and the segment behind it.
-func frozenLedger(t *testing.T) string {
+// newGoldenLedger makes the folder of a ledger from the frozen store and the segment behind it.
+func newGoldenLedger(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
 	db, err := bbolt.Open(filepath.Join(dir, "ledger.db"), 0o600, nil)
@@ -32,17 +32,17 @@
 	}
 	defer db.Close()
 	if err := db.Update(func(tx *bbolt.Tx) error {
-		for line := range strings.Lines(string(golden.Read(t, frozenStore+"store"))) {
-			part := strings.SplitN(strings.TrimSuffix(line, "\n"), " ", 3)
-			key, err := hex.DecodeString(part[1])
+		for line := range strings.Lines(string(golden.Read(t, goldenStoreDir+"store"))) {
+			fields := strings.SplitN(strings.TrimSuffix(line, "\n"), " ", 3)
+			key, err := hex.DecodeString(fields[1])
 			if err != nil {
 				return err
 			}
-			value, err := strconv.Unquote(part[2])
+			value, err := strconv.Unquote(fields[2])
 			if err != nil {
 				return err
 			}
-			b, err := tx.CreateBucketIfNotExists([]byte(part[0]))
+			b, err := tx.CreateBucketIfNotExists([]byte(fields[0]))
 			if err != nil {
 				return err
 			}
@@ -54,7 +54,7 @@
 	}); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(filepath.Join(dir, "wal-000000000000000c.log"), golden.Read(t, frozenStore+"segment"), 0o600); err != nil {
+	if err := os.WriteFile(filepath.Join(dir, "wal-000000000000000c.log"), golden.Read(t, goldenStoreDir+"segment"), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	return dir
@@ -64,16 +64,16 @@
 // accounting reads the CSV, and the commands merge and verify read the JSON lines again. Nothing in it is masked.
 func TestLedgerForms(t *testing.T) {
 	t.Parallel()
-	dir, files := frozenLedger(t), t.TempDir()
-	export, sound := filepath.Join(files, "export"), filepath.Join(files, "sound")
-	first, _, _ := bytes.Cut(golden.Read(t, "../../"+frozenExport), []byte("\n"))
-	if err := os.WriteFile(sound, first, 0o600); err != nil {
+	dir, files := newGoldenLedger(t), t.TempDir()
+	export, validExport := filepath.Join(files, "export"), filepath.Join(files, "sound")
+	first, _, _ := bytes.Cut(golden.Read(t, "../../"+goldenExportFile), []byte("\n"))
+	if err := os.WriteFile(validExport, first, 0o600); err != nil {
 		t.Fatal(err)
 	}
 	for _, c := range []struct {
 		name   string
 		args   []string
-		failed bool
+		fails  bool
 		sorted bool // nodes and mismatches come in any order: the lines are compared sorted, and each node as one
 	}{
 		{"show", []string{"show", dir}, false, false},
@@ -81,17 +81,17 @@
 		{"export.jsonl", []string{"export", dir}, false, false},
 		{"export-after.jsonl", []string{"export", "--after", "43", dir}, false, false},
 		{"export.csv", []string{"export", "--csv", dir}, false, false},
-		{"verify", []string{"verify", dir, frozenExport}, true, true},
-		{"verify-sound", []string{"verify", sound}, false, false},
+		{"verify", []string{"verify", dir, goldenExportFile}, true, true},
+		{"verify-sound", []string{"verify", validExport}, false, false},
 		{"merge", []string{"merge", export}, true, false},
 		{"merge-hauliers", []string{"merge", "--hauliers", export}, true, false},
-		{"merge-two", []string{"merge", export, frozenExport}, true, true},
+		{"merge-two", []string{"merge", export, goldenExportFile}, true, true},
 	} {
 		cmd := exec.Command(program, append([]string{"ledger"}, c.args...)...)
 		var errors bytes.Buffer
 		cmd.Stderr = &errors
 		out, err := cmd.Output()
-		if (err != nil) != c.failed {
+		if (err != nil) != c.fails {
 			t.Errorf("%s: %v, %s", c.name, err, errors.Bytes())
 		}
 		if c.name == "export.jsonl" {
--- a/cmd/dewhitch/golden_test.go
+++ b/cmd/dewhitch/golden_test.go
@@ -22,8 +22,8 @@
 	"dewhitch/internal/telemetry"
 )
 
-// goldenAt is the instant of the golden snapshot.
-const goldenAt = dw.Instant(1_790_000_000_000_000_000)
+// goldenTime is the instant of the golden snapshot.
+const goldenTime = dw.Instant(1_790_000_000_000_000_000)
 
 // goldenSnapshot is a snapshot with a value of its own in each field.
 func goldenSnapshot() (snapshot.Generation, *snapshot.Image) {
@@ -31,15 +31,15 @@
 		Node: "n7", Instances: 5, Self: 3, Zones: 2, Classes: []string{"query", "booking"},
 		Plans: []snapshot.Plan{{Name: "fleet", Rate: 8.1, Burst: 16.2, Ceiling: 24.3}, {Name: "basic", Rate: 4.4, Burst: 9.5, Ceiling: 12.6}},
 		State: dw.State{
-			At: goldenAt, SentAttempts: 101.1, EndpointRequests: 102.2, ThrottleRequests: 103.3, ThrottleAccepts: 104.4, RetryBudget: 105.5, Latency: 0.061, IdleLatency: 0.052,
-			MeanPriority: 2.3, MeasuredAt: goldenAt - 1e9, CounterCallRate: 106.6, CounterMinLatency: 0.0017, ClassLatencyRatios: []float64{1.25, 3.75},
+			At: goldenTime, SentAttempts: 101.1, EndpointRequests: 102.2, ThrottleRequests: 103.3, ThrottleAccepts: 104.4, RetryBudget: 105.5, Latency: 0.061, IdleLatency: 0.052,
+			MeanPriority: 2.3, MeasuredAt: goldenTime - 1e9, CounterCallRate: 106.6, CounterMinLatency: 0.0017, ClassLatencyRatios: []float64{1.25, 3.75},
 			ZoneFailureShare: []float64{0.125, 0.625},
 			Servers: []dw.ServerStatistics{
 				{
-					Endpoint: dw.Endpoint{ID: 0x5be2a07c, Cell: 11, Zone: 1, Kind: 13, StartedAt: goldenAt - 2e9, Rating: 14.5,
+					Endpoint: dw.Endpoint{ID: 0x5be2a07c, Cell: 11, Zone: 1, Kind: 13, StartedAt: goldenTime - 2e9, Rating: 14.5,
 						State: dw.Draining, FleetSlowStartRate: 15.5, HealthCheck: dw.HealthCheckAny},
-					Latency: 0.071, MeasuredAt: goldenAt - 3e9, SucceededAt: goldenAt - 4e9, SlowStartBudget: 0.81, SlowStartBudgetAt: goldenAt - 5e9,
-					Failures: []dw.FailureStatistics{{Count: 21, SucceededAt: goldenAt - 6e9, FirstFailedAt: goldenAt - 7e9, EjectedUntil: goldenAt + 8e9}, {}},
+					Latency: 0.071, MeasuredAt: goldenTime - 3e9, SucceededAt: goldenTime - 4e9, SlowStartBudget: 0.81, SlowStartBudgetAt: goldenTime - 5e9,
+					Failures: []dw.FailureStatistics{{Count: 21, SucceededAt: goldenTime - 6e9, FirstFailedAt: goldenTime - 7e9, EjectedUntil: goldenTime + 8e9}, {}},
 				},
 				{
 					Endpoint: dw.Endpoint{ID: 9, Cell: 31, Zone: 32, Kind: 33, Rating: 34.5, State: dw.Removed, FleetSlowStartRate: 35.5, HealthCheck: dw.HealthCheckIdempotent},
@@ -49,8 +49,8 @@
 			Customers: []dw.AccountState{
 				{
 					ID: 0xfedcba9876543210, Plan: 1, Spread: 4, Assigned: true, Window: 4e9, Level: 41.1, PredictedUse: 42.2, OwnRate: 43.3,
-					OthersRate: 44.4, Demand: 45.5, DemandSpan: 46.6, UpdatedAt: goldenAt - 9e9, LastTotalAt: goldenAt - 10e9,
-					BlockedUntil: goldenAt + 11e9, LastRequestAt: goldenAt - 12e9, WindowNumber: 447_500_000, WindowTotal: 47.7, OwnInWindow: 48.8, WindowElapsed: 49.9,
+					OthersRate: 44.4, Demand: 45.5, DemandSpan: 46.6, UpdatedAt: goldenTime - 9e9, LastTotalAt: goldenTime - 10e9,
+					BlockedUntil: goldenTime + 11e9, LastRequestAt: goldenTime - 12e9, WindowNumber: 447_500_000, WindowTotal: 47.7, OwnInWindow: 48.8, WindowElapsed: 49.9,
 				},
 				{ID: 0xabc, Plan: 9, Spread: 2, Window: 8e9, Level: -51.1},
 			},
@@ -70,9 +70,9 @@
 	if err := os.WriteFile(file, text, 0o600); err != nil {
 		t.Fatal(err)
 	}
-	golden.Compare(t, "show.json", printed(t, func() error { return snapshotShow{File: file, JSON: true}.Run() }))
-	now := time.Unix(0, int64(goldenAt)).Add(1500 * time.Millisecond)
-	golden.Compare(t, "show", printed(t, func() error { return printSnapshot(g, m, now) }))
+	golden.Compare(t, "show.json", captureStdout(t, func() error { return snapshotShow{File: file, JSON: true}.Run() }))
+	now := time.Unix(0, int64(goldenTime)).Add(1500 * time.Millisecond)
+	golden.Compare(t, "show", captureStdout(t, func() error { return printSnapshot(g, m, now) }))
 
 	var got struct {
 		Generation snapshot.Generation
@@ -86,8 +86,8 @@
 	}
 }
 
-// printed is what f writes to the standard output.
-func printed(t *testing.T, f func() error) []byte {
+// captureStdout is what f writes to the standard output.
+func captureStdout(t *testing.T, f func() error) []byte {
 	t.Helper()
 	out, err := os.Create(filepath.Join(t.TempDir(), "out"))
 	if err != nil {
@@ -120,7 +120,7 @@
 	go func() {
 		served <- (&admin.Server{Listener: l, Gateway: calls, Log: calls.log}).Serve(t.Context())
 	}()
-	var seen bytes.Buffer
+	var answers bytes.Buffer
 	for _, line := range []string{"readyz", "telemetry", "exclude none", "include none", "evacuate", "activate"} {
 		conn, err := net.Dial("tcp", l.Addr().String())
 		if err != nil {
@@ -132,10 +132,10 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		seen.WriteString("> " + line + "\n")
-		seen.Write(answer)
+		answers.WriteString("> " + line + "\n")
+		answers.Write(answer)
 	}
-	golden.Compare(t, "calls", seen.Bytes())
+	golden.Compare(t, "calls", answers.Bytes())
 	select {
 	case err := <-served:
 		t.Errorf("it ended: %v", err)
--- a/cmd/dewhitch/large_test.go
+++ b/cmd/dewhitch/large_test.go
@@ -19,12 +19,12 @@
 
 var errBusy = errors.New("refused")
 
-const largeValue = 3 << 20
+const largeValueSize = 3 << 20
 
-// large is the value of a request: its bytes follow from its id.
-func large(id string) []byte {
+// largeValueOf is the value of a request: its bytes follow from its id.
+func largeValueOf(id string) []byte {
 	n, _ := strconv.Atoi(strings.TrimLeft(id, "v"))
-	b := make([]byte, largeValue+n)
+	b := make([]byte, largeValueSize+n)
 	rng := rand.New(rand.NewPCG(uint64(n), 1))
 	for i := 0; i < len(b); i += 8 {
 		v := rng.Uint64()
@@ -37,19 +37,19 @@
 }
 
 // serveLarge has the backends answer with large values, in pieces split anywhere; those whose id begins with x end within.
-func (b *handBackends) serveLarge(pause time.Duration) {
+func (b *manualBackends) serveLarge(pause time.Duration) {
 	for c := range b.conns {
 		go func() {
 			defer c.Close()
 			for r := bufio.NewReader(c); ; {
-				words, err := readCommand(r)
+				command, err := readCommand(r)
 				if err != nil {
 					return
 				}
-				value := large(words[2])
+				value := largeValueOf(command[2])
 				text := append(fmt.Appendf(nil, "*3\r\n$%d\r\n", len(value)), value...)
 				text = append(text, "\r\n$-1\r\n$18\r\nqueue=0,inflight=1\r\n"...)
-				if words[2][0] == 'x' {
+				if command[2][0] == 'x' {
 					text = text[:len(text)/2]
 				}
 				for at, n := 0, 1; at < len(text); at, n = at+n, n*3%300007+1 {
@@ -60,7 +60,7 @@
 						time.Sleep(pause)
 					}
 				}
-				if words[2][0] == 'x' {
+				if command[2][0] == 'x' {
 					return
 				}
 			}
@@ -91,8 +91,8 @@
 	return fields, nil
 }
 
-// peak is the most memory that a process has had resident, in bytes.
-func peak(t *testing.T, pid int) int {
+// peakResidentBytes is the most memory that a process has had resident, in bytes.
+func peakResidentBytes(t *testing.T, pid int) int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
 		t.Fatal(err)
@@ -111,14 +111,14 @@
 	r *bufio.Reader
 }
 
-func dialLarge(t *testing.T, w *environment) *largeClient {
-	c, err := net.Dial("tcp", w.listen)
+func dialLarge(t *testing.T, env *environment) *largeClient {
+	c, err := net.Dial("tcp", env.listenAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
 	c.(*net.TCPConn).SetReadBuffer(64 << 10)
-	c.SetDeadline(time.Now().Add(3 * patience))
+	c.SetDeadline(time.Now().Add(3 * waitLimit))
 	return &largeClient{c, bufio.NewReaderSize(c, 4<<10)}
 }
 
@@ -126,13 +126,13 @@
 	return encode("SVC.QUERY 00000000b4d65521 " + id + " c=lookup,t=wide,d=60000,units=1,spread=2,first=0")
 }
 
-// get reads the answer to a query, which must be the value of the id to the byte, or errBusy. A slow client pauses between pieces.
-func (c *largeClient) get(id string, slow bool) error {
+// readValue reads the answer to a query, which must be the value of the id to the byte, or errBusy. A slow client pauses between pieces.
+func (c *largeClient) readValue(id string, slow bool) error {
 	line, err := c.r.ReadString('\n')
 	if strings.HasPrefix(line, "-BUSY") {
 		return errBusy
 	}
-	want := large(id)
+	want := largeValueOf(id)
 	if err != nil || line != fmt.Sprintf("$%d\r\n", len(want)) {
 		return fmt.Errorf("%s: %q, %v", id, line, err)
 	}
@@ -153,11 +153,11 @@
 	return nil
 }
 
-// getTwo pipelines two queries and a PING, so that the second value waits behind the first, and returns how many were rejected.
-func (c *largeClient) getTwo(first, second string, slow bool) (rejected int64, err error) {
+// queryTwo pipelines two queries and a PING, so that the second value waits behind the first, and returns how many were rejected.
+func (c *largeClient) queryTwo(first, second string, slow bool) (rejected int64, err error) {
 	c.Write(append(append(largeQuery(first), largeQuery(second)...), encode("PING")...))
 	for _, id := range []string{first, second} {
-		if err := c.get(id, slow); err == errBusy {
+		if err := c.readValue(id, slow); err == errBusy {
 			rejected++
 		} else if err != nil {
 			return rejected, err
@@ -173,23 +173,23 @@
 // the byte and in the order of their commands; the connection to the backend is used again; a value that breaks off, and a
 // client that leaves within one, end no more than that.
 func TestLargeValues(t *testing.T) {
-	w := newEnvironment(t)
-	w.override = []string{`{"limits": {"memory_mb": 64, "sockets": 512}}`}
-	go w.backends.serveLarge(200 * time.Microsecond)
-	p := w.start("serve")
-	c := dialLarge(t, w) // the module learns how quick the backend is
+	env := newEnvironment(t)
+	env.overrides = []string{`{"limits": {"memory_mb": 64, "sockets": 512}}`}
+	go env.backends.serveLarge(200 * time.Microsecond)
+	p := env.start("serve")
+	c := dialLarge(t, env) // the module learns how quick the backend is
 	for i := range 20 {
 		c.Write(largeQuery(fmt.Sprint("v", i)))
-		if err := c.get(fmt.Sprint("v", i), false); err != nil && err != errBusy {
+		if err := c.readValue(fmt.Sprint("v", i), false); err != nil && err != errBusy {
 			t.Fatal(err)
 		}
 	}
 	var clients sync.WaitGroup
 	var rejected atomic.Int64
 	for i := range 40 {
-		c := dialLarge(t, w)
+		c := dialLarge(t, env)
 		clients.Go(func() {
-			n, err := c.getTwo(fmt.Sprint("v", 2*i+1), fmt.Sprint("v", 2*i+2), i%4 == 0)
+			n, err := c.queryTwo(fmt.Sprint("v", 2*i+1), fmt.Sprint("v", 2*i+2), i%4 == 0)
 			rejected.Add(n)
 			if err != nil {
 				t.Error(err)
@@ -200,7 +200,7 @@
 	if t.Failed() {
 		t.Fatal(p.log())
 	}
-	resident := peak(t, p.cmd.Process.Pid)
+	resident := peakResidentBytes(t, p.cmd.Process.Pid)
 	t.Logf("80 values of 3 MiB: %d MiB resident at most", resident>>20)
 	if resident > 64<<20 {
 		t.Errorf("%d bytes resident", resident)
@@ -208,25 +208,25 @@
 	if n := rejected.Load(); n > 40 {
 		t.Errorf("%d of 80 were refused", n)
 	}
-	checkBrokenValues(t, w)
+	checkBrokenValues(t, env)
 }
 
 // checkBrokenValues: of a value that breaks off the client sees the end, and nothing else; a client that leaves within its value
 // takes nothing along, and the next is served.
-func checkBrokenValues(t *testing.T, w *environment) {
-	c := dialLarge(t, w)
+func checkBrokenValues(t *testing.T, env *environment) {
+	c := dialLarge(t, env)
 	c.Write(largeQuery("x1"))
 	line, _ := c.r.ReadString('\n')
-	if n, err := io.Copy(io.Discard, c.r); !strings.HasPrefix(line, "$3145") || n >= largeValue {
+	if n, err := io.Copy(io.Discard, c.r); !strings.HasPrefix(line, "$3145") || n >= largeValueSize {
 		t.Errorf("%q and %d bytes, %v", line, n, err)
 	}
-	c = dialLarge(t, w)
+	c = dialLarge(t, env)
 	c.Write(largeQuery("v90"))
 	c.r.ReadString('\n')
 	c.Close()
-	c = dialLarge(t, w)
+	c = dialLarge(t, env)
 	c.Write(largeQuery("v91"))
-	if err := c.get("v91", false); err != nil {
+	if err := c.readValue("v91", false); err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/dewhitch/ledger_test.go
+++ b/cmd/dewhitch/ledger_test.go
@@ -24,95 +24,95 @@
 
 // ledgerTest is two gateways with a ledger each, and one client on each.
 type ledgerTest struct {
-	t          *testing.T
-	world      *environment
-	a, b       *process
-	dirA, dirB string
-	answer     chan struct{} // closed: the backends serve
-	one, two   *client
+	t                  *testing.T
+	env                *environment
+	gatewayA, gatewayB *process
+	dirA, dirB         string
+	startServing       chan struct{} // closed: the backends serve
+	clientA, clientB   *client
 }
 
 func newLedgerTest(t *testing.T) *ledgerTest {
 	first := newEnvironment(t)
-	answer := make(chan struct{})
+	startServing := make(chan struct{})
 	go func() {
-		<-answer
+		<-startServing
 		first.backends.serveAll()
 	}()
 	second := *first
-	second.listen, second.limits = standin.OwnAddr(), standin.OwnAddr()
-	second.override = append(second.override, `{"name": "n1"}`)
-	second.self = 1
-	l := &ledgerTest{t: t, world: first, answer: answer, a: first.start("serve"), b: second.start("serve")}
-	l.dirA = filepath.Join(filepath.Dir(l.a.config), "ledger")
-	l.dirB = filepath.Join(filepath.Dir(l.b.config), "ledger")
-	l.one, l.two = dial(t, first.listen), dial(t, second.listen)
+	second.listenAddr, second.limitsAddr = standin.OwnAddr(), standin.OwnAddr()
+	second.overrides = append(second.overrides, `{"name": "n1"}`)
+	second.instance = 1
+	l := &ledgerTest{t: t, env: first, startServing: startServing, gatewayA: first.start("serve"), gatewayB: second.start("serve")}
+	l.dirA = filepath.Join(filepath.Dir(l.gatewayA.configPath), "ledger")
+	l.dirB = filepath.Join(filepath.Dir(l.gatewayB.configPath), "ledger")
+	l.clientA, l.clientB = dial(t, first.listenAddr), dial(t, second.listenAddr)
 	return l
 }
 
-// shows tells whether the figures of a folder have such a line, or will soon. Its numbers are taken, served, refused, failed, open.
-func (l *ledgerTest) shows(dir, want string) bool {
+// showsRow tells whether the figures of a folder have such a line, or will soon. Its numbers are taken, served, refused, failed, open.
+func (l *ledgerTest) showsRow(dir, row string) bool {
 	return eventually(func() bool {
 		out, err := ledgerCommand(l.t, "show", dir)
-		return err == nil && strings.Contains(strings.Join(strings.Fields(out), " "), want)
+		return err == nil && strings.Contains(strings.Join(strings.Fields(out), " "), row)
 	})
 }
 
-// bookTwice sends two attempts at one booking, the second to the other gateway while the first is open, and then has both served.
-func (l *ledgerTest) bookTwice() {
+// submitBookingTwice sends two attempts at one booking, the second to the other gateway while the first is open, and then has both served.
+func (l *ledgerTest) submitBookingTwice() {
 	args := "c=order,t=wide,d=60000,k=lorry-7,spread=3,first=0"
-	l.one.write("SVC.SUBMIT 00000000000000aa x1 " + args)
-	if !l.shows(l.dirA, "wide order 1 0 0 0 1") {
+	l.clientA.write("SVC.SUBMIT 00000000000000aa x1 " + args)
+	if !l.showsRow(l.dirA, "wide order 1 0 0 0 1") {
 		out, err := ledgerCommand(l.t, "show", l.dirA)
 		l.t.Fatalf("an open booking is not shown: %s, %v", out, err)
 	}
-	l.two.write("SVC.SUBMIT 00000000000000aa x2 " + args)
-	if !l.shows(l.dirB, "wide order 1 0 0 0 1") {
+	l.clientB.write("SVC.SUBMIT 00000000000000aa x2 " + args)
+	if !l.showsRow(l.dirB, "wide order 1 0 0 0 1") {
 		l.t.Fatal("the second try is not shown")
 	}
-	close(l.answer)
-	for _, c := range []*client{l.one, l.two} {
-		if a := c.answer(); !strings.HasPrefix(a, "x") {
+	close(l.startServing)
+	for _, c := range []*client{l.clientA, l.clientB} {
+		if a := c.readAnswer(); !strings.HasPrefix(a, "x") {
 			l.t.Fatalf("answered %q", a)
 		}
 	}
 }
 
-// killWithOpenQuery kills the first gateway while a query is open.
-func (l *ledgerTest) killWithOpenQuery() {
-	l.world.counter.SetMode("silent")
-	l.one.write("LIMIT.GET 00000000000000bb t=forty,d=60000,spread=1,first=0") // unknown on this front, and no request
-	l.one.answer()
-	c := dial(l.t, l.world.limits)
+// killGatewayWithOpenQuery kills the first gateway while a query is open.
+func (l *ledgerTest) killGatewayWithOpenQuery() {
+	l.env.counter.SetMode("silent")
+	l.clientA.write("LIMIT.GET 00000000000000bb t=forty,d=60000,spread=1,first=0") // unknown on this front, and no request
+	l.clientA.readAnswer()
+	c := dial(l.t, l.env.limitsAddr)
 	c.write("LIMIT.GET 00000000000000bb t=forty,d=60000,spread=1,first=0")
-	if !l.shows(l.dirA, "forty limit.get 1 0 0 0 1") {
+	if !l.showsRow(l.dirA, "forty limit.get 1 0 0 0 1") {
 		l.t.Fatal("an open query is not shown")
 	}
-	l.a.cmd.Process.Kill()
-	l.a.wait()
+	l.gatewayA.cmd.Process.Kill()
+	l.gatewayA.wait()
 	if out, err := ledgerCommand(l.t, "verify", l.dirA, l.dirB); err != nil {
 		l.t.Errorf("verify, of a killed gateway and one at work: %v, %s", err, out)
 	}
 }
 
-// restartAndEnd starts the first gateway again on its folder, which closes what was open; then both end.
-func (l *ledgerTest) restartAndEnd() {
-	again := exec.Command(l.a.cmd.Path, l.a.cmd.Args[1:]...)
-	again.Env = l.a.cmd.Env
+// restartAndStop starts the first gateway again on its folder, which closes what was open; then both end.
+func (l *ledgerTest) restartAndStop() {
+	again := exec.Command(l.gatewayA.cmd.Path, l.gatewayA.cmd.Args[1:]...)
+	again.Env = l.gatewayA.cmd.Env
 	var log bytes.Buffer
 	again.Stderr = &log
 	if err := again.Start(); err != nil {
 		l.t.Fatal(err)
 	}
-	if !l.shows(l.dirA, "forty limit.get 1 0 0 1 0") {
+	if !l.showsRow(l.dirA, "forty limit.get 1 0 0 1 0") {
 		l.t.Error("what the kill left open is not closed")
 	}
 	again.Process.Signal(syscall.SIGTERM)
-	l.b.cmd.Process.Signal(syscall.SIGTERM)
+	l.gatewayB.cmd.Process.Signal(syscall.SIGTERM)
 	if err := again.Wait(); err != nil {
 		l.t.Error(err, log.String())
 	}
-	if err := l.b.wait(); err != nil {
+	if err := l.gatewayB.wait(); err != nil {
 		l.t.Error(err)
 	}
 	if !strings.Contains(log.String(), `"reqs_cut_off_by_crash":1`) {
@@ -139,8 +139,8 @@
 	return file
 }
 
-// checkFaults checks that a record that is missing, one that comes twice and one that was changed are reported.
-func (l *ledgerTest) checkFaults(file string) {
+// checkDamagedExports checks that a record that is missing, one that comes twice and one that was changed are reported.
+func (l *ledgerTest) checkDamagedExports(file string) {
 	text, _ := os.ReadFile(file)
 	lines := strings.SplitAfter(strings.TrimSuffix(string(text), "\n")+"\n", "\n")
 	lines = lines[:len(lines)-1]
@@ -164,19 +164,19 @@
 func TestLedgerCommands(t *testing.T) {
 	t.Parallel()
 	l := newLedgerTest(t)
-	l.bookTwice()
-	l.killWithOpenQuery()
-	l.restartAndEnd()
+	l.submitBookingTwice()
+	l.killGatewayWithOpenQuery()
+	l.restartAndStop()
 	files := []string{l.export(l.dirA), l.export(l.dirB)}
 	out, err := ledgerCommand(t, append([]string{"merge"}, files...)...)
 	if flat := strings.Join(strings.Fields(out), " "); err != nil || !strings.Contains(flat, "wide order 2 2 0 0 0") ||
 		!strings.Contains(flat, "bookings by key: 1; with tries through several nodes: 1, of these with two tries open at once: 1") {
 		t.Errorf("merged: %v, %s", err, out)
 	}
-	l.checkFaults(files[0])
+	l.checkDamagedExports(files[0])
 }
 
-func get(t *testing.T, addr, path string) string {
+func getPage(t *testing.T, addr, path string) string {
 	r, err := http.Get("http://" + addr + path)
 	if err != nil {
 		t.Fatal(err)
@@ -192,31 +192,31 @@
 // The operators' listener shows figures that a scraper can read, with bounded labels.
 func TestMetrics(t *testing.T) {
 	t.Parallel()
-	w := newEnvironment(t)
-	go w.backends.serveAll()
-	w.operator = standin.OwnAddr()
-	w.start("serve")
-	c := dial(t, w.listen)
-	c.write(booking(7, 0), booking(8, 0))
-	c.answer()
-	c.answer()
+	env := newEnvironment(t)
+	go env.backends.serveAll()
+	env.operatorAddr = standin.OwnAddr()
+	env.start("serve")
+	c := dial(t, env.listenAddr)
+	c.write(bookingCommand(7, 0), bookingCommand(8, 0))
+	c.readAnswer()
+	c.readAnswer()
 	// The page is of one moment, and so are these figures: a push of the units that were spent is open for as long as the
 	// counter takes, after both are served.
 	want := []string{`dewhitch_reqs_total{class="lookup",event="served",plan="forty"} 2`,
 		`dewhitch_fetches_total{class="lookup",event="fetch_ok",plan="forty"} 2`,
 		"dewhitch_ledger_alarms 0", "dewhitch_ledger_lasting 1", "dewhitch_ledger_open 0"}
 	var body string
-	lacks := func(line string) bool { return !strings.Contains(body, line+"\n") }
+	missingFromBody := func(line string) bool { return !strings.Contains(body, line+"\n") }
 	if !eventually(func() bool {
-		body = get(t, w.operator, "/metrics")
-		return !slices.ContainsFunc(want, lacks)
+		body = getPage(t, env.operatorAddr, "/metrics")
+		return !slices.ContainsFunc(want, missingFromBody)
 	}) {
 		t.Fatalf("no page has all of %q; the last is\n%s", want, body)
 	}
 	if strings.Contains(body, "0000000000000007") {
 		t.Error("a customer is a label")
 	}
-	if lines := get(t, w.operator, "/ledger"); !strings.Contains(lines, `{"plan":"forty","class":"lookup","counts":{"taken":2,"served":2`) {
+	if lines := getPage(t, env.operatorAddr, "/ledger"); !strings.Contains(lines, `{"plan":"forty","class":"lookup","counts":{"taken":2,"served":2`) {
 		t.Error(lines)
 	}
 }
--- a/cmd/dewhitch/player_test.go
+++ b/cmd/dewhitch/player_test.go
@@ -18,8 +18,8 @@
 	"dewhitch/internal/standin"
 )
 
-// patience is how long the tests wait for what must come. Nothing fails for being slow before that.
-const patience = 20 * time.Second
+// waitLimit is how long the tests wait for what must come. Nothing fails for being slow before that.
+const waitLimit = 20 * time.Second
 
 var program string
 
@@ -57,54 +57,54 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			p := &player{t: t, world: newEnvironment(t), conns: map[string]*party{}}
+			p := &exchangePlayer{t: t, env: newEnvironment(t), conns: map[string]*peerConn{}}
 			for i, line := range strings.Split(string(text), "\n") {
 				if line = strings.TrimSpace(line); line != "" && line[0] != '#' {
-					p.where = fmt.Sprintf("%s:%d: %s", f, i+1, line)
-					p.play(line)
+					p.step = fmt.Sprintf("%s:%d: %s", f, i+1, line)
+					p.playLine(line)
 				}
 			}
 		})
 	}
 }
 
-type player struct {
-	t     *testing.T
-	world *environment
-	prog  *process
-	conns map[string]*party
-	where string
+type exchangePlayer struct {
+	t       *testing.T
+	env     *environment
+	process *process
+	conns   map[string]*peerConn
+	step    string
 }
 
-type party struct {
+type peerConn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
-func (p *player) fail(format string, a ...any) {
+func (p *exchangePlayer) fail(format string, a ...any) {
 	p.t.Helper()
-	p.t.Fatalf("%s\n%s\n%s", p.where, fmt.Sprintf(format, a...), p.prog.log())
+	p.t.Fatalf("%s\n%s\n%s", p.step, fmt.Sprintf(format, a...), p.process.log())
 }
 
-func (p *player) play(line string) {
-	who, rest, _ := strings.Cut(line, " ")
+func (p *exchangePlayer) playLine(line string) {
+	party, rest, _ := strings.Cut(line, " ")
 	verb, rest, _ := strings.Cut(rest, " ")
-	if who == "p" || who == "w" {
-		p.happen(verb, rest)
+	if party == "p" || party == "w" {
+		p.playEvent(verb, rest)
 		return
 	}
-	if p.prog == nil {
-		p.prog = p.world.start("serve")
+	if p.process == nil {
+		p.process = p.env.start("serve")
 	}
-	c := p.conns[who]
+	c := p.conns[party]
 	if c == nil {
-		c = p.meet(who)
+		c = p.connection(party)
 	}
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(waitLimit))
 	var sent []byte
 	switch {
 	case rest == "":
-	case who[0] == 'a' && !strings.HasPrefix(rest, `"`): // the operators' address speaks lines
+	case party[0] == 'a' && !strings.HasPrefix(rest, `"`): // the operators' address speaks lines
 		sent = []byte(rest + "\n")
 	default:
 		sent = encode(rest)
@@ -120,16 +120,16 @@
 		}
 	case "close":
 		c.Close()
-		delete(p.conns, who)
+		delete(p.conns, party)
 	case "reset":
 		c.Conn.(*net.TCPConn).SetLinger(0)
 		c.Close()
-		delete(p.conns, who)
+		delete(p.conns, party)
 	case "closed": // by the program
 		if b, err := c.r.ReadByte(); err == nil {
 			p.fail("%q came", b)
 		}
-		delete(p.conns, who)
+		delete(p.conns, party)
 	case "silent": // nothing comes
 		c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 		if b, err := c.r.ReadByte(); err == nil || err == io.EOF {
@@ -140,56 +140,56 @@
 	}
 }
 
-// meet opens a client's session, or takes the next connection that the program opens to a backend.
-func (p *player) meet(who string) *party {
+// connection opens a client's session, or takes the next connection that the program opens to a backend.
+func (p *exchangePlayer) connection(party string) *peerConn {
 	var conn net.Conn
 	var err error
-	if who[0] == 'b' {
+	if party[0] == 'b' {
 		select {
-		case conn = <-p.world.backends.conns:
-		case <-time.After(patience):
+		case conn = <-p.env.backends.conns:
+		case <-time.After(waitLimit):
 			p.fail("no connection to a backend came")
 		}
 	} else {
-		addr := p.world.listen
-		switch who[0] {
+		addr := p.env.listenAddr
+		switch party[0] {
 		case 'l':
-			addr = p.world.limits
+			addr = p.env.limitsAddr
 		case 'a':
-			addr = p.world.admin
+			addr = p.env.adminAddr
 		}
-		if conn, err = net.DialTimeout("tcp", addr, patience); err != nil {
+		if conn, err = net.DialTimeout("tcp", addr, waitLimit); err != nil {
 			p.fail("%v", err)
 		}
 	}
-	c := &party{conn, bufio.NewReader(conn)}
-	p.conns[who] = c
+	c := &peerConn{conn, bufio.NewReader(conn)}
+	p.conns[party] = c
 	p.t.Cleanup(func() { conn.Close() })
 	return c
 }
 
-// happen carries out a VERB of the program or of its surroundings.
-func (p *player) happen(verb, rest string) {
-	if !p.configure(verb, rest) && !p.changeSurroundings(verb, rest) && !p.control(verb, rest) {
+// playEvent carries out a VERB of the program or of its surroundings.
+func (p *exchangePlayer) playEvent(verb, rest string) {
+	if !p.configure(verb, rest) && !p.changeStandIns(verb, rest) && !p.controlProcess(verb, rest) {
 		p.fail("no such verb")
 	}
 }
 
 // configure carries out the verbs on the configuration; false: it is another verb.
-func (p *player) configure(verb, rest string) bool {
+func (p *exchangePlayer) configure(verb, rest string) bool {
 	switch verb {
 	case "settings": // a JSON object that goes over the usual settings
-		p.world.override = append(p.world.override, rest)
+		p.env.overrides = append(p.env.overrides, rest)
 	case "known": // the list that the configuration holds, as id=phase words
-		p.world.override = append(p.world.override, fmt.Sprintf(`{"known":{"revision":40,"complete":true,"members":%s}}`, p.world.members(rest)))
+		p.env.overrides = append(p.env.overrides, fmt.Sprintf(`{"known":{"revision":40,"complete":true,"members":%s}}`, p.env.members(rest)))
 	case "anew": // the configuration is replaced, with the JSON object laid over it, and the program notified of that
-		usual := p.world.override
-		p.world.override = append(slices.Clone(usual), rest)
-		text := p.world.config()
-		p.world.override = usual
+		usual := p.env.overrides
+		p.env.overrides = append(slices.Clone(usual), rest)
+		text := p.env.config()
+		p.env.overrides = usual
 		p.reloadConfig(text)
 	case "torn": // the configuration is half written when the program is told to read it
-		text := p.world.config()
+		text := p.env.config()
 		p.reloadConfig(text[:len(text)/2])
 	default:
 		return false
@@ -198,37 +198,37 @@
 }
 
 // reloadConfig replaces the configuration and has the program read it.
-func (p *player) reloadConfig(text []byte) {
-	if err := os.WriteFile(p.prog.config, text, 0o600); err != nil {
+func (p *exchangePlayer) reloadConfig(text []byte) {
+	if err := os.WriteFile(p.process.configPath, text, 0o600); err != nil {
 		p.fail("%v", err)
 	}
-	p.prog.cmd.Process.Signal(syscall.SIGHUP)
+	p.process.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// changeSurroundings carries out the verbs on discovery, the counter, the backends and the clock; false: it is another verb.
-func (p *player) changeSurroundings(verb, rest string) bool {
+// changeStandIns carries out the verbs on discovery, the counter, the backends and the clock; false: it is another verb.
+func (p *exchangePlayer) changeStandIns(verb, rest string) bool {
 	switch verb {
 	case "moves": // to a past of its own, and an older one: discovery and the counter are at other addresses, and the list there has these members
-		old := *p.world
-		p.world.counter, p.world.discovery = newCounter(p.t), newDiscovery(p.t, p.world.members(rest), 7)
-		p.happen("anew", "{}")
+		old := *p.env
+		p.env.counter, p.env.discovery = newCounter(p.t), newDiscovery(p.t, p.env.members(rest), 7)
+		p.playEvent("anew", "{}")
 		old.counter.StopAccepting()
 		old.discovery.StopAccepting()
 	case "members": // the list that discovery has from now on, as id=phase words
-		p.world.discovery.Set(p.world.members(rest))
+		p.env.discovery.Set(p.env.members(rest))
 	case "away": // discovery refuses connections
-		p.world.discovery.StopAccepting()
+		p.env.discovery.StopAccepting()
 	case "counter": // how it answers from now on: add, silent, full, late, reset, spoilt, interim, doubled
-		p.world.counter.SetMode(rest)
+		p.env.counter.SetMode(rest)
 	case "counted": // the sum of all totals
 		want, _ := strconv.ParseFloat(rest, 64)
-		if !eventually(func() bool { return p.world.counter.Sum("") == want }) {
-			p.fail("the counter holds %v", p.world.counter.Sum(""))
+		if !eventually(func() bool { return p.env.counter.Sum("") == want }) {
+			p.fail("the counter holds %v", p.env.counter.Sum(""))
 		}
 	case "backends": // closed: connections are refused
-		p.world.backends.StopAccepting()
+		p.env.backends.StopAccepting()
 	case "window":
-		earlyInWindow()
+		waitForFirstHalfOfWindow()
 	case "sleep":
 		d, _ := time.ParseDuration(rest)
 		time.Sleep(d)
@@ -238,23 +238,23 @@
 	return true
 }
 
-// control carries out the verbs on the process; false: it is another verb.
-func (p *player) control(verb, rest string) bool {
+// controlProcess carries out the verbs on the process; false: it is another verb.
+func (p *exchangePlayer) controlProcess(verb, rest string) bool {
 	switch verb {
 	case "start":
-		p.prog = p.world.start("serve")
+		p.process = p.env.start("serve")
 	case "fails": // to start, naming a key
-		if out := p.world.run("serve"); !strings.Contains(out, rest) {
+		if out := p.env.runToFailure("serve"); !strings.Contains(out, rest) {
 			p.fail("it says %s", out)
 		}
 	case "logs": // the program has logged it by now, or will soon
-		if !eventually(func() bool { return strings.Contains(p.prog.log(), rest) }) {
+		if !eventually(func() bool { return strings.Contains(p.process.log(), rest) }) {
 			p.fail("it does not")
 		}
 	case "signal":
-		p.prog.cmd.Process.Signal(syscall.SIGTERM)
+		p.process.cmd.Process.Signal(syscall.SIGTERM)
 	case "ends":
-		if err := p.prog.wait(); err != nil {
+		if err := p.process.wait(); err != nil {
 			p.fail("%v", err)
 		}
 	default:
@@ -263,19 +263,19 @@
 	return true
 }
 
-// earlyInWindow waits, if need be, for the first half of the counter's window, which lasts 30 s for the plans of the
+// waitForFirstHalfOfWindow waits, if need be, for the first half of the counter's window, which lasts 30 s for the plans of the
 // tests: what follows must not be cut in two by its end. The customers' windows turn at most 4 s before the minute's
 // halves.
-func earlyInWindow() {
+func waitForFirstHalfOfWindow() {
 	const window = 30 * time.Second
 	if in := time.Duration(time.Now().UnixNano()) % window; in > window/2 {
 		time.Sleep(window - in)
 	}
 }
 
-func eventually(ok func() bool) bool {
-	for end := time.Now().Add(patience); time.Now().Before(end); time.Sleep(5 * time.Millisecond) {
-		if ok() {
+func eventually(condition func() bool) bool {
+	for deadline := time.Now().Add(waitLimit); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
+		if condition() {
 			return true
 		}
 	}
--- a/cmd/dewhitch/redis_test.go
+++ b/cmd/dewhitch/redis_test.go
@@ -17,20 +17,20 @@
 func TestRealClient(t *testing.T) {
 	t.Parallel()
 	z := newZookeeper(t)
-	w := newEnvironment(t)
-	go w.backends.serveAll()
-	w.registry = z.Addr()
-	p := w.start("serve")
+	env := newEnvironment(t)
+	go env.backends.serveAll()
+	env.registryAddr = z.Addr()
+	p := env.start("serve")
 	if !eventually(func() bool { return z.Owner("/dewhitch/planners/gateway-0") != 0 }) {
 		t.Fatal("the planner is not registered\n", p.log())
 	}
-	f := *w
-	f.listen = standin.OwnAddr()
-	forwarder := f.start("forward")
-	if !eventually(func() bool { return strings.Contains(forwarder.log(), w.limits) }) {
+	forwarderEnv := *env
+	forwarderEnv.listenAddr = standin.OwnAddr()
+	forwarder := forwarderEnv.start("forward")
+	if !eventually(func() bool { return strings.Contains(forwarder.log(), env.limitsAddr) }) {
 		t.Fatal("the forwarder does not know the planner\n", forwarder.log())
 	}
-	for front, addr := range map[string]string{"planner": w.limits, "forwarder": f.listen} {
+	for front, addr := range map[string]string{"planner": env.limitsAddr, "forwarder": forwarderEnv.listenAddr} {
 		for _, protocol := range []int{2, 3} {
 			t.Run(fmt.Sprintf("%s resp%d", front, protocol), func(t *testing.T) {
 				checkClient(t, addr, protocol, fmt.Sprintf("%016x", 700+10*protocol+len(front)))
@@ -41,15 +41,15 @@
 
 // checkClient has a client work on one connection, through its commands on its own session, on limits and of the platform.
 func checkClient(t *testing.T, addr string, protocol int, customer string) {
-	ctx, cancel := context.WithTimeout(t.Context(), 6*patience)
+	ctx, cancel := context.WithTimeout(t.Context(), 6*waitLimit)
 	defer cancel()
 	c := redis.NewClient(&redis.Options{Addr: addr, ClientName: "lorries", Protocol: protocol,
-		ReadTimeout: patience, DialTimeout: patience, MaxRetries: -1})
+		ReadTimeout: waitLimit, DialTimeout: waitLimit, MaxRetries: -1})
 	defer c.Close()
-	check := func(what string, got any, err error, want any) {
+	check := func(name string, got any, err error, want any) {
 		t.Helper()
 		if err != nil || fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Errorf("%s: %v, %v; want %v", what, got, err, want)
+			t.Errorf("%s: %v, %v; want %v", name, got, err, want)
 		}
 	}
 	checkSession(ctx, c, check)
@@ -59,14 +59,14 @@
 		pipe.Do(ctx, "CLIENT", "SETINFO", "LIB-NAME", "go-redis")
 		pipe.Do(ctx, "SELECT", 0)
 	}
-	adjust := pipe.Do(ctx, "LIMIT.ADJUST", customer, 4, argsOf40)
-	left := pipe.Do(ctx, "LIMIT.GET", customer, argsOf40)
+	adjust := pipe.Do(ctx, "LIMIT.ADJUST", customer, 4, fortyPlanArgs)
+	remaining := pipe.Do(ctx, "LIMIT.GET", customer, fortyPlanArgs)
 	_, err := pipe.Exec(ctx)
 	check("a pipeline", adjust.Val(), err, "4")
-	values, _ := left.Slice()
-	check("LIMIT.GET", len(values) == 3 && values[0] == "40", left.Err(), true)
-	taken, err := c.Do(ctx, "SVC.QUERY", customer, "r"+customer[8:], "c=lookup,"+argsOf40).Result()
-	check("SVC.QUERY", taken, err, "r"+customer[8:])
+	values, _ := remaining.Slice()
+	check("LIMIT.GET", len(values) == 3 && values[0] == "40", remaining.Err(), true)
+	served, err := c.Do(ctx, "SVC.QUERY", customer, "r"+customer[8:], "c=lookup,"+fortyPlanArgs).Result()
+	check("SVC.QUERY", served, err, "r"+customer[8:])
 	quit := c.Conn()
 	defer quit.Close()
 	answer, err := quit.Do(ctx, "QUIT").Result()
@@ -78,7 +78,7 @@
 }
 
 // checkSession has a client send the commands on its own session.
-func checkSession(ctx context.Context, c *redis.Client, check func(what string, got any, err error, want any)) {
+func checkSession(ctx context.Context, c *redis.Client, check func(name string, got any, err error, want any)) {
 	name, err := c.ClientGetName(ctx).Result()
 	check("CLIENT GETNAME", name, err, "lorries")
 	v, err := c.Ping(ctx).Result()
--- a/cmd/dewhitch/repeat_window_test.go
+++ b/cmd/dewhitch/repeat_window_test.go
@@ -16,8 +16,8 @@
 
 // The slack of the rules on sockets, and how long a gateway may be held up between reading its clock and writing.
 const (
-	ruleSlack  = 50 * time.Millisecond
-	clockStall = 150 * time.Millisecond
+	ruleSlack       = 50 * time.Millisecond
+	maxProcessStall = 150 * time.Millisecond
 )
 
 // What happens: a server breaks the connection under a booking, which may have run; the gateway repeats it at another, which is
@@ -28,25 +28,25 @@
 // that had been cut was healed. Mended in repeat_window.go.
 func TestRepeatEndsWithItsWindow(t *testing.T) {
 	t.Parallel()
-	w := newEnvironment(t)
-	w.override = append(w.override, `{"settings":{"RequestClasses":[{"Name":"order","Aim":4000000000,"Deadline":4000000000,
+	env := newEnvironment(t)
+	env.overrides = append(env.overrides, `{"settings":{"RequestClasses":[{"Name":"order","Aim":4000000000,"Deadline":4000000000,
 		"DedupWindow":1000000000,"Effect":"keyed","Group":"all","Points":5}]}}`)
-	w.discovery.Set(w.members("s-00000001=up s-00000002=up s-00000003=up"))
-	p := w.start("serve")
-	c := w.dial()
+	env.discovery.Set(env.members("s-00000001=up s-00000002=up s-00000003=up"))
+	p := env.start("serve")
+	c := env.dial()
 	c.Write(encode("SVC.SUBMIT 00000000b4d65521 q1 c=order,t=wide,d=4000,k=5c0f6e1a2b3d4c59,units=1,spread=2,first=0 BODY"))
-	first := w.hangingServer()
-	began := time.Now()
+	first := env.nextBackendCommand()
+	firstAttemptAt := time.Now()
 	first.Conn.(*net.TCPConn).SetLinger(0)
 	first.Close()
 
-	repeat := w.hangingServer()
-	repeat.SetReadDeadline(began.Add(repeatWindow + ruleSlack + clockStall))
+	repeat := env.nextBackendCommand()
+	repeat.SetReadDeadline(firstAttemptAt.Add(repeatWindow + ruleSlack + maxProcessStall))
 	if _, err := repeat.r.ReadByte(); errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the repeat is open %v after the first attempt, and servers forget that after %v\n%s", time.Since(began),
+		t.Errorf("the repeat is open %v after the first attempt, and servers forget that after %v\n%s", time.Since(firstAttemptAt),
 			repeatWindow, p.log())
 	}
-	c.SetReadDeadline(began.Add(4 * time.Second))
+	c.SetReadDeadline(firstAttemptAt.Add(4 * time.Second))
 	answer, err := bufio.NewReader(c).ReadString('\n')
 	if err != nil || !strings.HasPrefix(answer, "-") {
 		t.Errorf("the client was answered %q, %v", answer, err)
