--- a/cmd/dewhitch/drain_calls_test.go
+++ b/cmd/dewhitch/drain_calls_test.go
@@ -11,33 +11,33 @@
 	"time"
 )
 
-// A drained planner leaves the registry, so that forwarders send their clients' commands elsewhere, and comes back with the
-// end of the drain.
+// TestDrainedGatewayIsNotRegistered guards against forwarders that send commands to a drained planner: it must be removed from
+// the registry during the drain, and registered again after it.
 func TestDrainedGatewayIsNotRegistered(t *testing.T) {
 	t.Parallel()
-	z := newZookeeper(t)
+	registry := newZookeeper(t)
 	env := newEnvironment(t)
-	env.registryAddr = z.Addr()
+	env.registryAddr = registry.Addr()
 	p := env.start("serve")
 	const node = "/dewhitch/planners/gateway-0"
-	registered := func(want bool) func() bool { return func() bool { return (z.Owner(node) != 0) == want } }
+	registered := func(expected bool) func() bool { return func() bool { return (registry.Owner(node) != 0) == expected } }
 	if !eventually(registered(true)) {
-		t.Fatalf("never registered\n%s", p.log())
+		t.Fatalf("the planner was not registered after its start\n%s", p.log())
 	}
 	evacuate(t, env)
 	if !eventually(registered(false)) {
-		t.Error("still registered while drained")
+		t.Error("the planner is still registered while drained")
 	}
 	if answer := adminCall(t, env.adminAddr, "activate"); answer != "YES" {
 		t.Fatalf("activate: %q", answer)
 	}
 	if !eventually(registered(true)) {
-		t.Errorf("not registered after the drain\n%s", p.log())
+		t.Errorf("the planner was not registered again after the drain\n%s", p.log())
 	}
 }
 
-// The process stands still from before the end of taking requests until after it. What a client wrote meanwhile is not sent
-// on: it is refused or left unread.
+// TestDrainOfAProcessThatStandsStill guards against a request that is sent to a server too late in a drain. The process is
+// stopped while the time for taking requests ends, and a client writes a request meanwhile: that must be refused or left unread.
 func TestDrainOfAProcessThatStandsStill(t *testing.T) {
 	t.Parallel()
 	env := newEnvironment(t)
@@ -56,15 +56,16 @@
 	c.SetReadDeadline(drainedAt.Add(drainTerm))
 	got, err := io.ReadAll(c.r)
 	if text := string(got); err != nil || text != "$3\r\none\r\n" && text != "$3\r\none\r\n-BUSY\r\n" {
-		t.Errorf("%q, %v", got, err)
+		t.Errorf("got %q, %v; expected the first value, and at most a refusal after it", got, err)
 	}
 	if got := adminCall(t, env.adminAddr, "telemetry"); !strings.Contains(got, `"dispatches":1,"concurrent":0`) {
-		t.Errorf("%s", got)
+		t.Errorf("telemetry: got %s, expected one dispatch and none in flight", got)
 	}
 }
 
-// A drain that comes twice, over a reload, over a broken configuration, and after its own end: an idle connection ends at
-// once each time, and one whose request is out gets its answer, and ends.
+// TestDrainWithConcurrentCalls guards against drains that other calls and signals cancel or delay: a second drain, a reload, an
+// invalid configuration, an earlier drain that has ended, and SIGTERM. Each time an idle connection must end within the term, and
+// a connection with a request in flight must get its answer and then end.
 func TestDrainWithConcurrentCalls(t *testing.T) {
 	t.Parallel()
 	for name, scenario := range map[string]func(t *testing.T, env *environment, p *process) (drainedAt time.Time){
@@ -116,22 +117,23 @@
 			idle.expectClosedBy(t, drainedAt.Add(drainTerm))
 			server.serve("one")
 			if err := expect(waiting.r, []byte("$3\r\none\r\n")); err != nil {
-				t.Errorf("the request that was out: %v", err)
+				t.Errorf("the request in flight was not served: %v", err)
 			}
 			waiting.expectClosedBy(t, drainedAt.Add(drainTerm))
 		})
 	}
 }
 
-// Bad input during a drain gets the answers that it gets at any time: at the operators' address within a second, though
-// others hold its connections, and of clients within the 3 s that are allowed to bad ones.
+// TestBadInputDuringADrain guards against bad input that gets other answers during a drain, or late ones. At the operators'
+// address an answer is due within a second, although other callers occupy all of its connections. A client that sends bad input
+// gets its answer, and the end of its connection, within 3 s.
 func TestBadInputDuringADrain(t *testing.T) {
 	t.Parallel()
 	const adminDeadline, clientDeadline = time.Second, 3 * time.Second
 	env := newEnvironment(t)
 	env.start("serve")
 	evacuate(t, env)
-	for range 40 { // more than the address has places
+	for range 40 { // more connections than the operators' address serves at once
 		conn, err := net.Dial("tcp", env.adminAddr)
 		if err != nil {
 			t.Fatal(err)
@@ -151,10 +153,10 @@
 	} {
 		began := time.Now()
 		if got := adminCall(t, env.adminAddr, call); got != want {
-			t.Errorf("%.20q: %q, not %q", call, got, want)
+			t.Errorf("%.20q: got %q, expected %q", call, got, want)
 		}
 		if took := time.Since(began); took > adminDeadline {
-			t.Errorf("%.20q was answered after %v", call, took)
+			t.Errorf("%.20q was answered after %v, expected at most a second", call, took)
 		}
 	}
 	for input, want := range map[string]string{
@@ -170,7 +172,7 @@
 		io.WriteString(c, input)
 		c.SetReadDeadline(time.Now().Add(clientDeadline))
 		if got, err := io.ReadAll(c.r); err != nil || string(got) != want {
-			t.Errorf("%q: %q, %v, not %q", input, got, err, want)
+			t.Errorf("%q: got %q, %v; expected %q", input, got, err, want)
 		}
 	}
 }
--- a/cmd/dewhitch/drain_fleet_test.go
+++ b/cmd/dewhitch/drain_fleet_test.go
@@ -15,51 +15,52 @@
 	"dewhitch/internal/standin"
 )
 
-// The load of TestDrainsUnderLoad. The longest wait is above the recent past, so that requests are out through all of a
-// drain, and below what would let one that is taken in time be out for long after its term.
+// The load of TestDrainsUnderLoad. maxRequestTimeout is longer than recentRequestAge, so that requests are in flight throughout a
+// drain. It is short enough that a request taken before the drain is not in flight for long after drainTerm.
 const (
 	drainGateways     = 4
 	drainSeeds        = 10
 	minRequestTimeout = 200 * time.Millisecond
 	maxRequestTimeout = 2500 * time.Millisecond
-	routedAfterDrain  = 200 * time.Millisecond // after the call, in which the front still sends new connections
-	answerTolerance   = 500 * time.Millisecond // beyond a request's wait: a later answer is none
-	schedulingSlack   = 300 * time.Millisecond // for the machine that the test runs on
+	routedAfterDrain  = 200 * time.Millisecond // time after the start of a drain in which new connections are still routed to the gateway
+	answerTolerance   = 500 * time.Millisecond // time after a request's deadline until an answer counts as missing
+	schedulingSlack   = 300 * time.Millisecond // allowance for scheduling delays of the machine that runs the test
 )
 
-// connection is what a client knows of one connection to a gateway.
+// connection is a client's connection to a gateway, with its unanswered requests. mu guards all fields below it.
 type connection struct {
 	net.Conn
 	mu             sync.Mutex
-	unanswered     []request // in the order written, not answered yet
-	lastDeadline   time.Time // when the time of all of them is up
+	unanswered     []request // requests without an answer, in the order written
+	lastDeadline   time.Time // latest deadline of the requests sent so far
 	lastSentAt     time.Time // when the last byte of the last request was written
 	lastAnsweredAt time.Time
-	closed         bool // the gateway, or its client, has closed it
-	closedByClient bool // by its client
+	closed         bool // true once the gateway or the client has closed the connection
+	closedByClient bool // true if the client closed the connection
 }
 
-// request is one that a client has written whole.
+// request is a request that a client has written completely.
 type request struct {
 	id       string
 	sentAt   time.Time
-	deadline time.Time // when its client's time is up, and that of all before it, behind which its answer waits
+	deadline time.Time // latest deadline of this request and of those before it on the connection, whose answers precede its own
 }
 
-// gatewayRecord is a gateway of the test, with every connection that was made to it.
+// gatewayRecord is a gateway of the test, with every connection that was opened to it and the faults found. mu guards the fields
+// below it.
 type gatewayRecord struct {
 	env              *environment
 	instance         int
-	maxTimeout       time.Duration // that a client waits
+	maxTimeout       time.Duration // longest time that a client waits for an answer
 	mu               sync.Mutex
 	conns            []*connection
-	endingSince      time.Time     // of the drain, or of SIGTERM; zero: none
-	routedAfterDrain time.Duration // from then on, in which the front still sends new connections
+	endingSince      time.Time     // start of the drain, or time of SIGTERM; zero while the gateway is in service
+	routedAfterDrain time.Duration // time after endingSince in which new connections are still routed to the gateway
 	faults           []string
-	clientsClosed    bool // no client connects any more
+	clientsClosed    bool // true once no client may connect any more
 }
 
-// closeClients ends all of its clients' connections, for good.
+// closeClients closes all client connections to the gateway and prevents new ones.
 func (g *gatewayRecord) closeClients() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -69,12 +70,12 @@
 	}
 }
 
-// drainTest is one run.
+// drainTest is one run of TestDrainsUnderLoad or TestSoak: gateways before shared backends, and the clients' goroutines.
 type drainTest struct {
 	t        *testing.T
 	backends *standin.Backends
 	gateways []*gatewayRecord
-	done     chan struct{}
+	done     chan struct{} // closed when the clients must stop
 	clients  sync.WaitGroup
 }
 
@@ -84,14 +85,15 @@
 	g.faults = append(g.faults, fmt.Sprintf(format, a...))
 }
 
-// receivesNewConnections tells whether the front still sends new connections here.
+// receivesNewConnections returns true while the platform still routes new connections to the gateway.
 func (g *gatewayRecord) receivesNewConnections() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.endingSince.IsZero() || time.Since(g.endingSince) < g.routedAfterDrain
 }
 
-// connect opens a connection; nil: the front sends none.
+// connect opens a client connection. It returns nil if the platform routes no new connections to the gateway, or if dialling
+// fails.
 func (g *gatewayRecord) connect() *connection {
 	if !g.receivesNewConnections() {
 		return nil
@@ -111,7 +113,7 @@
 	return c
 }
 
-// sendRequest writes a request.
+// sendRequest writes a request with a random customer, id and deadline, and records it as unanswered.
 func (c *connection) sendRequest(g *gatewayRecord, rng *rand.Rand) error {
 	id := fmt.Sprintf("r%016x", rng.Uint64())
 	timeout := minRequestTimeout + time.Duration(rng.Int64N(int64(g.maxTimeout-minRequestTimeout)))
@@ -128,7 +130,8 @@
 	return err
 }
 
-// readAnswers reads answers until the connection ends, and holds each to the request that it answers.
+// readAnswers reads answers until the connection ends, checks each against the oldest unanswered request, and then calls
+// onAnswer.
 func (c *connection) readAnswers(g *gatewayRecord, onAnswer func()) {
 	for r := bufio.NewReader(c.Conn); ; {
 		reply, err := standin.ReadReply(r)
@@ -136,7 +139,7 @@
 		if err != nil {
 			c.closed = true
 			if !c.closedByClient && !errors.Is(err, io.EOF) && len(c.unanswered) == 0 {
-				g.addFault("a connection that was owed nothing ended with %v", err)
+				g.addFault("a connection without unanswered requests ended with %v, expected EOF", err)
 			}
 			c.mu.Unlock()
 			return
@@ -145,10 +148,10 @@
 			answered := c.unanswered[0]
 			c.unanswered, c.lastAnsweredAt = c.unanswered[1:], time.Now()
 			if late := time.Since(answered.deadline); late > answerTolerance+schedulingSlack {
-				g.addFault("request %s was answered %v after its time", answered.id, late)
+				g.addFault("request %s was answered %v after its deadline", answered.id, late)
 			}
 			if reply.Kind == '$' && reply.Text != answered.id {
-				g.addFault("request %s was served with %q", answered.id, reply.Text)
+				g.addFault("request %s was answered with the value %q", answered.id, reply.Text)
 			}
 		}
 		c.mu.Unlock()
@@ -156,7 +159,7 @@
 	}
 }
 
-// closeByClient closes the connection for the client's own reasons.
+// closeByClient closes the connection from the client's side.
 func (c *connection) closeByClient() {
 	c.mu.Lock()
 	c.closedByClient, c.closed = true, true
@@ -164,7 +167,8 @@
 	c.Close()
 }
 
-// checkTerm tells why the rule forbids that the connection is open at that time, if it does.
+// checkTerm returns true, with the reason, if the connection is open at that time although the drain's term does not allow it:
+// it has been idle for longer than schedulingSlack, or it has an unanswered request that is younger than recentRequestAge.
 func (c *connection) checkTerm(at time.Time) (reason string, violated bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -173,24 +177,24 @@
 	case len(c.unanswered) == 0 && at.Sub(c.lastAnsweredAt) > schedulingSlack:
 		return "idle", true
 	case len(c.unanswered) > 0 && at.Sub(c.lastSentAt) < recentRequestAge:
-		return fmt.Sprintf("with a request of %v before", at.Sub(c.lastSentAt).Round(time.Millisecond)), true
+		return fmt.Sprintf("with a request sent %v earlier", at.Sub(c.lastSentAt).Round(time.Millisecond)), true
 	}
 	return "", false
 }
 
-// behaviour is what one kind of client does with one connection, until that ends.
+// behaviour is what one kind of client does with a connection until the connection ends.
 type behaviour func(d *drainTest, g *gatewayRecord, c *connection, rng *rand.Rand)
 
-// A client that asks again the moment it is answered.
+// requestContinuously sends the next request as soon as the previous one is answered.
 func requestContinuously(_ *drainTest, g *gatewayRecord, c *connection, rng *rand.Rand) {
 	c.sendRequest(g, rng)
 	c.readAnswers(g, func() { c.sendRequest(g, rng) })
 }
 
-// A client that writes many requests without waiting for answers, all the time.
+// pipelineRequests sends a request every 50 ms without waiting for answers.
 func pipelineRequests(d *drainTest, g *gatewayRecord, c *connection, rng *rand.Rand) {
 	d.clients.Go(func() {
-		tick := time.NewTicker(50 * time.Millisecond) // fewer are out at once than the gateway takes of one client
+		tick := time.NewTicker(50 * time.Millisecond) // keeps fewer requests in flight than the gateway takes from one client
 		defer tick.Stop()
 		for {
 			select {
@@ -206,18 +210,18 @@
 	c.readAnswers(g, func() {})
 }
 
-// A client that connects and says nothing.
+// sendNothing keeps a connection open without writing to it.
 func sendNothing(_ *drainTest, g *gatewayRecord, c *connection, _ *rand.Rand) {
 	c.readAnswers(g, func() {})
 }
 
-// A client that asks once and keeps its connection.
+// requestOnce sends one request and keeps the connection open.
 func requestOnce(_ *drainTest, g *gatewayRecord, c *connection, rng *rand.Rand) {
 	c.sendRequest(g, rng)
 	c.readAnswers(g, func() {})
 }
 
-// A client that writes a command a byte at a time, and never all of it.
+// trickleCommand writes a command byte by byte and never completes it.
 func trickleCommand(d *drainTest, g *gatewayRecord, c *connection, _ *rand.Rand) {
 	d.clients.Go(func() {
 		tick := time.NewTicker(100 * time.Millisecond)
@@ -232,19 +236,20 @@
 			}
 		}
 	})
-	// Its error is an answer to nothing that it wrote whole.
+	// The only possible answer is an error, as no complete command was written.
 	c.readAnswers(g, func() {})
 }
 
-// A client that asks and does not wait for the answer.
+// requestAndDisconnect sends a request and closes the connection within 100 ms.
 func requestAndDisconnect(d *drainTest, g *gatewayRecord, c *connection, rng *rand.Rand) {
 	c.sendRequest(g, rng)
 	d.clients.Go(func() { c.readAnswers(g, func() {}) })
-	time.Sleep(time.Duration(rng.Int64N(int64(100 * time.Millisecond)))) // its patience
+	time.Sleep(time.Duration(rng.Int64N(int64(100 * time.Millisecond)))) // how long the client waits for the answer
 	c.closeByClient()
 }
 
-// runClient has a client behave so on one connection after another.
+// runClient starts a client that opens one connection after another and behaves as told on each. It stops at the end of the run,
+// or when connect returns nil.
 func (d *drainTest) runClient(g *gatewayRecord, behave behaviour, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	d.clients.Go(func() {
@@ -264,7 +269,7 @@
 	})
 }
 
-// drain drains a gateway at its moment, and judges it at the end of its term.
+// drain drains a gateway at a given time, and checks its connections drainTerm later.
 func (d *drainTest) drain(g *gatewayRecord, drainAt time.Time) {
 	waitUntil(drainAt)
 	g.mu.Lock()
@@ -285,19 +290,19 @@
 			suspected[c] = reason
 		}
 	}
-	// The test's own machine may be late to see an end that the gateway has made.
+	// The test may see the end of a connection later than the gateway closed it.
 	waitUntil(end.Add(schedulingSlack))
 	for c, reason := range suspected {
 		c.mu.Lock()
 		ended := c.closed
 		c.mu.Unlock()
 		if !ended {
-			g.addFault("held %v after the call: %s", drainTerm, reason)
+			g.addFault("a connection is open %v after the start of the drain: %s", drainTerm, reason)
 		}
 	}
 }
 
-// deliveredRequests are the requests that have come to a server.
+// deliveredRequests returns the ids of the requests that reached a server.
 func (d *drainTest) deliveredRequests() map[string]bool {
 	delivered := map[string]bool{}
 	for _, c := range d.backends.Commands() {
@@ -306,7 +311,8 @@
 	return delivered
 }
 
-// checkLostRequests tells of requests that a server has had and whose connection was ended without their answer.
+// checkLostRequests reports requests that reached a server and whose connection the gateway closed without an answer, and
+// requests that are unanswered after their deadline.
 func (d *drainTest) checkLostRequests() {
 	delivered := d.deliveredRequests()
 	for _, g := range d.gateways {
@@ -317,10 +323,10 @@
 			c.mu.Lock()
 			for _, r := range c.unanswered {
 				if c.closed && !c.closedByClient && delivered[r.id] {
-					g.addFault("request %s was sent on, and its connection ended without an answer", r.id)
+					g.addFault("request %s reached a server, but its connection ended without an answer", r.id)
 				}
 				if !c.closed && time.Since(r.deadline) > answerTolerance+schedulingSlack {
-					g.addFault("request %s has no answer %v after its time", r.id, time.Since(r.deadline))
+					g.addFault("request %s has no answer %v after its deadline", r.id, time.Since(r.deadline))
 				}
 			}
 			c.mu.Unlock()
@@ -328,8 +334,8 @@
 	}
 }
 
-// Several gateways under load, of which some are drained at random moments, while servers hang. No client connection may be
-// held beyond the term, and no request may be lost, by any of them.
+// TestDrainsUnderLoad guards against client connections that outlast the term of a drain, and against lost requests. Several
+// gateways are under load, servers hang, and some gateways are drained at random times.
 func TestDrainsUnderLoad(t *testing.T) {
 	for seed := range uint64(drainSeeds) {
 		seed += 370
@@ -354,7 +360,7 @@
 			d.clients.Wait()
 			for _, g := range d.gateways {
 				if len(g.faults) > 0 {
-					t.Errorf("gateway %d, drained: %v, %d connections: %d faults:\n%s", g.instance, !g.endingSince.IsZero(), len(g.conns),
+					t.Errorf("gateway %d (drained: %v), %d connections: %d faults:\n%s", g.instance, !g.endingSince.IsZero(), len(g.conns),
 						len(g.faults), strings.Join(g.faults[:min(len(g.faults), 8)], "\n"))
 				}
 			}
@@ -362,7 +368,8 @@
 	}
 }
 
-// randomHangs is a script by which some requests hang, and some are slow.
+// randomHangs returns a script by which one request in 8 is answered after a delay of up to maxRequestTimeout. Of the others,
+// some hang, some fail and most are served within 40 ms.
 func randomHangs(seed uint64) standin.Script {
 	type step = struct {
 		Weight float64
@@ -379,23 +386,24 @@
 	}
 }
 
-// start starts the gateways, and the clients of each.
+// start starts the gateways and the clients of each.
 func (d *drainTest) start(seed uint64) {
 	for instance := range drainGateways {
 		env := newEnvironment(d.t)
 		env.instance = instance
 		env.overrides = append(env.overrides, fmt.Sprintf(`{"settings":{"NInstances":%d}}`, drainGateways))
 		var members []string
-		for n, l := range d.backends.Nodes {
-			members = append(members, standin.Member(fmt.Sprintf("s-%08x", n+1), l.Addr(), "up"))
+		for n, listener := range d.backends.Nodes {
+			members = append(members, standin.Member(fmt.Sprintf("s-%08x", n+1), listener.Addr(), "up"))
 		}
 		env.discovery.Set(standin.Members(members...))
 		env.start("serve")
-		d.gateways = append(d.gateways, &gatewayRecord{env: env, instance: instance, maxTimeout: maxRequestTimeout, routedAfterDrain: routedAfterDrain})
+		d.gateways = append(d.gateways, &gatewayRecord{env: env, instance: instance, maxTimeout: maxRequestTimeout,
+			routedAfterDrain: routedAfterDrain})
 	}
 	for i, g := range d.gateways {
-		for k, behave := range []behaviour{requestContinuously, requestContinuously, requestContinuously, requestContinuously, requestContinuously, requestContinuously, pipelineRequests, sendNothing, requestOnce, trickleCommand,
-			requestAndDisconnect} {
+		for k, behave := range []behaviour{requestContinuously, requestContinuously, requestContinuously, requestContinuously, requestContinuously,
+			requestContinuously, pipelineRequests, sendNothing, requestOnce, trickleCommand, requestAndDisconnect} {
 			d.runClient(g, behave, seed<<16+uint64(i<<8+k))
 		}
 	}
--- a/cmd/dewhitch/drain_test.go
+++ b/cmd/dewhitch/drain_test.go
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// The term of a drain, as operators state it: so long after the call no client connection may be open that is idle or
-// whose last request came within the recent past.
+// The term of a drain, as operators state it: drainTerm after the call no client connection may be open that is idle or whose
+// last request is younger than recentRequestAge.
 const (
 	drainTerm        = 4 * time.Second
 	recentRequestAge = 2 * time.Second
 )
 
-// evacuate begins a drain and returns when the call was made.
+// evacuate starts a drain and returns the time of the call.
 func evacuate(t *testing.T, env *environment) time.Time {
 	t.Helper()
 	calledAt := time.Now()
@@ -29,16 +29,16 @@
 	return calledAt
 }
 
-// waitUntil waits for a moment of the schedule that a test plays. A machine that is late by over a second would break the term
-// that the gateway is held to, as it is one of real time.
+// waitUntil sleeps until a time of the test's schedule. The term of a drain is real time, so a machine that wakes the test more
+// than a second late breaks it.
 func waitUntil(at time.Time) { time.Sleep(time.Until(at)) }
 
-// queryWithLongDeadline is a request that the settings let wait for a minute.
+// queryWithLongDeadline returns an encoded request with a deadline of a minute, which the settings allow.
 func queryWithLongDeadline(id string) []byte {
 	return encode("SVC.QUERY 00000000b4d65521 " + id + " c=lookup,t=wide,d=60000,units=1,spread=2,first=0")
 }
 
-// dial opens a client connection to the gateway.
+// dial opens a client connection to the gateway. The test closes it at its end.
 func (env *environment) dial() *peerConn {
 	env.t.Helper()
 	conn, err := net.DialTimeout("tcp", env.listenAddr, waitLimit)
@@ -50,7 +50,7 @@
 	return &peerConn{conn, bufio.NewReader(conn)}
 }
 
-// nextBackendCommand takes the next connection to a backend and the command on it, which it leaves unanswered.
+// nextBackendCommand accepts the next connection to a backend, reads a command from it and leaves that unanswered.
 func (env *environment) nextBackendCommand() *peerConn {
 	env.t.Helper()
 	select {
@@ -63,17 +63,17 @@
 		}
 		return p
 	case <-time.After(waitLimit):
-		env.t.Fatal("no request reached a server")
+		env.t.Fatal("no request reached a server within 20 s")
 		return nil
 	}
 }
 
-// serve answers the command at hand.
+// serve answers the command that was read last.
 func (c *peerConn) serve(value string) {
 	fmt.Fprintf(c, "*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 }
 
-// expectClosedBy fails the test unless the gateway ends the connection, with nothing said before, by that time.
+// expectClosedBy fails the test unless the gateway closes the connection by the deadline without writing to it.
 func (c *peerConn) expectClosedBy(t *testing.T, deadline time.Time) {
 	t.Helper()
 	c.SetReadDeadline(deadline)
@@ -81,12 +81,13 @@
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		t.Errorf("the connection is still held %v after the call", drainTerm)
 	} else if err != nil && !strings.Contains(err.Error(), "reset") || len(rest) > 0 {
-		t.Errorf("%q came, and %v", rest, err)
+		t.Errorf("got %q and %v, expected the connection to end without data", rest, err)
 	}
 }
 
-// A request waits for a hanging server when the gateway is drained. It is answered more than 2 s into the drain, and its
-// client writes the next at that moment: that one is not taken, as it would be out, and recent, at the end of the term.
+// TestDrainEndsBehindAHangingServer guards against a request that is taken too late in a drain. A request waits for a hanging
+// server when the gateway is drained, and is answered more than 2 s into the drain. The client then writes the next request: the
+// gateway must not take it, as it would still be in flight, and recent, at the end of the term.
 func TestDrainEndsBehindAHangingServer(t *testing.T) {
 	t.Parallel()
 	env := newEnvironment(t)
@@ -98,20 +99,21 @@
 	waitUntil(drainedAt.Add(recentRequestAge + 100*time.Millisecond))
 	server.serve("one")
 	if err := expect(c.r, []byte("$3\r\none\r\n")); err != nil {
-		t.Fatalf("the request that was taken before the drain: %v\n%s", err, p.log())
+		t.Fatalf("the request that was taken before the drain was not served: %v\n%s", err, p.log())
 	}
 	c.Write(queryWithLongDeadline("q2"))
 	c.expectClosedBy(t, drainedAt.Add(drainTerm))
 }
 
-// A client always has its next commands on their way, so that the gateway always has some of them read ahead.
+// TestDrainEndsUnderAPipeline guards against a drain that never ends because the gateway always has commands in its read buffer:
+// the client writes them without a pause.
 func TestDrainEndsUnderAPipeline(t *testing.T) {
 	t.Parallel()
 	env := newEnvironment(t)
 	env.start("serve")
 	c := env.dial()
 	go func() {
-		// The first command has an odd length and all others 16 bytes, so that what fills a buffer never ends with one.
+		// The first command has an odd length and all others have 16 bytes, so that a full buffer never ends with a complete command.
 		c.Write([]byte("*01\r\n$4\r\nPING\r\n"))
 		for pings := []byte(strings.Repeat("*01\r\n$04\r\nPING\r\n", 300)); ; {
 			if _, err := c.Write(pings); err != nil {
@@ -126,7 +128,8 @@
 	}
 }
 
-// Half a command, and one that comes byte by byte: neither keeps the connection beyond the term.
+// TestDrainEndsWithinACommand guards against connections that stay open beyond the term because a command is incomplete: the
+// client stops in the middle of it, or goes on byte by byte.
 func TestDrainEndsWithinACommand(t *testing.T) {
 	t.Parallel()
 	for name, interval := range map[string]time.Duration{"left": time.Hour, "trickled": 50 * time.Millisecond} {
@@ -156,7 +159,8 @@
 	}
 }
 
-// A client that sends what can't be used, one command after another, is made to wait between them; not beyond the term.
+// TestDrainEndsWithinAPenalty guards against connections that stay open beyond the term because of the delay between the answers
+// to invalid commands.
 func TestDrainEndsWithinAPenalty(t *testing.T) {
 	t.Parallel()
 	env := newEnvironment(t)
@@ -170,11 +174,12 @@
 		t.Errorf("the connection is still held %v after the call", drainTerm)
 	}
 	if n := strings.Count(string(answers), "-ERR unknown command"); n != 14 {
-		t.Errorf("%d of the 14 commands, which had been read, were answered", n)
+		t.Errorf("%d of the 14 commands were answered, expected all, as they had been read", n)
 	}
 }
 
-// Connections that come at the call and after it: one that says nothing, and one that says half a command.
+// TestDrainEndsNewConnections guards against connections that stay open beyond the term because they were opened after the start
+// of the drain: one sends nothing, the other half a command.
 func TestDrainEndsNewConnections(t *testing.T) {
 	t.Parallel()
 	env := newEnvironment(t)
@@ -186,7 +191,8 @@
 	half.expectClosedBy(t, drainedAt.Add(drainTerm))
 }
 
-// After the time for taking requests, one that comes on a new connection is refused at once: it has not run.
+// TestDrainRejectsLateRequests guards against requests on new connections that are sent to a server late in a drain. After the
+// time for taking requests they are refused at once, without an attempt, and they are served again after the drain.
 func TestDrainRejectsLateRequests(t *testing.T) {
 	t.Parallel()
 	env := newEnvironment(t)
@@ -197,10 +203,10 @@
 	late.Write(queryWithLongDeadline("q1"))
 	late.SetReadDeadline(drainedAt.Add(drainTerm))
 	if answer, err := io.ReadAll(late.r); err != nil || string(answer) != "-BUSY\r\n" {
-		t.Errorf("%q, %v", answer, err)
+		t.Errorf("got %q, %v; expected -BUSY and the end of the connection", answer, err)
 	}
 	if got := adminCall(t, env.adminAddr, "telemetry"); !strings.Contains(got, `"lookup":{"success":0,"overload":1,"error":0,"dispatches":0}`) {
-		t.Errorf("%s", got)
+		t.Errorf("telemetry: got %s, expected one overload and no dispatch", got)
 	}
 	if answer := adminCall(t, env.adminAddr, "activate"); answer != "YES" {
 		t.Fatalf("activate: %q", answer)
@@ -209,13 +215,14 @@
 	again.Write(queryWithLongDeadline("q2"))
 	env.nextBackendCommand().serve("two")
 	if err := expect(again.r, []byte("$3\r\ntwo\r\n")); err != nil {
-		t.Errorf("after the drain: %v", err)
+		t.Errorf("a request after the drain was not served: %v", err)
 	}
 }
 
-// A request that was taken before the drain waits for a server that hangs, for longer than the term. Its client goes on writing on
-// the connection: at the end of the term that may not be open with a request of the last 2 s, read or not. One whose client
-// writes nothing more keeps its connection until it is answered.
+// TestDrainEndsUnderAClientThatWritesBehindAHangingServer guards against connections that are open at the end of the term with a
+// request of the last 2 s, whether the gateway has read it or not. A request that was taken before the drain waits for a hanging
+// server for longer than the term, and its client writes another. A client that writes nothing more keeps its connection until
+// its request is answered.
 func TestDrainEndsUnderAClientThatWritesBehindAHangingServer(t *testing.T) {
 	t.Parallel()
 	env := newEnvironment(t)
@@ -231,14 +238,14 @@
 	writing.SetReadDeadline(drainedAt.Add(drainTerm))
 	answers, err := io.ReadAll(writing.r)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("the connection is still held %v after the call, with a request of 1.5 s before\n%s", drainTerm, p.log())
+		t.Fatalf("the connection is open %v after the start of the drain, with a request sent 1.5 s earlier\n%s", drainTerm, p.log())
 	}
 	if got := string(answers); strings.Count(got, "\r\n") != 1 || got[0] != '-' {
-		t.Errorf("%q came, and %v", got, err)
+		t.Errorf("got %q and %v, expected one error answer", got, err)
 	}
 	waitUntil(drainedAt.Add(drainTerm + 500*time.Millisecond))
 	server.serve("two")
 	if err := expect(waitingOnly.r, []byte("$3\r\ntwo\r\n")); err != nil {
-		t.Errorf("the request whose client waits: %v", err)
+		t.Errorf("the request of the client that only waits was not served: %v", err)
 	}
 }
--- a/cmd/dewhitch/earliest_kill_test.go
+++ b/cmd/dewhitch/earliest_kill_test.go
@@ -10,16 +10,17 @@
 	"time"
 )
 
-// The platform kills a process no sooner than this after SIGTERM, where the longest deadline is longestCounted or above.
+// The platform sends SIGKILL no sooner than the longest deadline plus killMargin after SIGTERM. Deadlines above
+// maxCountedDeadline count as maxCountedDeadline, which gives earliestKill.
 const (
 	maxCountedDeadline = 3 * time.Second
 	killMargin         = 700 * time.Millisecond
 	earliestKill       = maxCountedDeadline + killMargin
 )
 
-// A request waits for a server that hangs, for longer than the gateway is given to end. Its client writes another on the same
-// connection, which is open until the first is answered: killed with that, the gateway would lose the second. So it answers
-// the first in time, and ends the connection.
+// TestNoConnectionIsOpenAtTheEarliestKill guards against requests that are lost because a connection is open at SIGKILL. A
+// request waits for a hanging server for longer than the gateway has until then, and its client writes another on the same
+// connection. The gateway must answer the first in time and end the connection.
 func TestNoConnectionIsOpenAtTheEarliestKill(t *testing.T) {
 	t.Parallel()
 	env := newEnvironment(t)
@@ -34,10 +35,10 @@
 	c.SetReadDeadline(signalledAt.Add(earliestKill))
 	answers, err := io.ReadAll(c.r)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("the connection is open, and owed an answer, when the gateway may be killed\n%s", p.log())
+		t.Fatalf("the connection is open with an unanswered request at the time of the earliest SIGKILL\n%s", p.log())
 	}
 	if got := string(answers); strings.Count(got, "\r\n") != 1 || got[0] != '-' {
-		t.Errorf("%q came, and %v", got, err)
+		t.Errorf("got %q and %v, expected one error answer", got, err)
 	}
 	if err := p.wait(); err != nil {
 		t.Error(err)
--- a/cmd/dewhitch/fleet_plan_test.go
+++ b/cmd/dewhitch/fleet_plan_test.go
@@ -9,9 +9,11 @@
 	"dewhitch/internal/fleet/evacuation"
 )
 
+// TestZoneUses guards against a gateway that uses zones other than the fleet's plan says: only probers send health checks to a
+// zone that is probed, and all other gateways avoid it. A start time in the future counts as the current time.
 func TestZoneUses(t *testing.T) {
 	zones := []string{"hall-a", "hall-b", "hall-c"}
-	v := evacuation.Statuses{"hall-b": {State: evacuation.Probing, Probers: []string{"n1"}, Since: 5}, "hall-a>hall-c": {State: evacuation.Evacuated},
+	statuses := evacuation.Statuses{"hall-b": {State: evacuation.Probing, Probers: []string{"n1"}, Since: 5}, "hall-a>hall-c": {State: evacuation.Evacuated},
 		"hall-c": {KeepInService: true, State: evacuation.Returning}}
 	since := core.FromUnixMS(5)
 	for _, c := range []struct {
@@ -23,11 +25,11 @@
 		{1, "n1", map[int]core.ZoneUse{1: {StartedAt: since, HealthCheck: dw.HealthCheckIdempotent}}},
 		{2, "n2", map[int]core.ZoneUse{1: {Avoid: true}}},
 	} {
-		if got := zoneUses(v, zones, c.own, c.name, core.FromUnixMS(9)); !maps.Equal(got, c.want) {
-			t.Errorf("%s: %+v, expected %+v", c.name, got, c.want)
+		if got := zoneUses(statuses, zones, c.own, c.name, core.FromUnixMS(9)); !maps.Equal(got, c.want) {
+			t.Errorf("%s: got %+v, expected %+v", c.name, got, c.want)
 		}
 	}
-	if got := zoneUses(v, zones, 1, "n1", core.FromUnixMS(3)); got[1].StartedAt != core.FromUnixMS(3) {
-		t.Errorf("a start in the future: %+v", got)
+	if got := zoneUses(statuses, zones, 1, "n1", core.FromUnixMS(3)); got[1].StartedAt != core.FromUnixMS(3) {
+		t.Errorf("a start time in the future: got %+v, expected the current time", got)
 	}
 }
--- a/cmd/dewhitch/fleet_test.go
+++ b/cmd/dewhitch/fleet_test.go
@@ -16,7 +16,8 @@
 	"dewhitch/internal/standin"
 )
 
-// startSingleGateway starts one gateway among stand-ins, in a fleet of its own or in none.
+// startSingleGateway starts one gateway with stand-ins, as the only member of a fleet or without one. It returns the address of
+// its operators' listener.
 func startSingleGateway(t *testing.T, fleet bool) (p *standin.Process, operatorAddr string) {
 	t.Helper()
 	operatorAddr = standin.OwnAddr()
@@ -24,7 +25,8 @@
 	return p, operatorAddr
 }
 
-// startSingleGatewayAt starts one whose operators' listener is at an address, or off if that is empty; show is that, or a free one.
+// startSingleGatewayAt starts a gateway as startSingleGateway does, with the operators' listener at the given address. The
+// listener is off if that is empty; show is then an unused address.
 func startSingleGatewayAt(t *testing.T, fleet bool, operator string) (p *standin.Process, operatorAddr string) {
 	t.Helper()
 	backends, err := standin.NewBackends(1, false, standin.Always(standin.Step{}))
@@ -58,6 +60,8 @@
 	return p, operatorAddr
 }
 
+// TestFleetCommands guards against fleet commands whose answer or exit code is wrong. A gateway forms a fleet of one member, and
+// the commands run against it in the order in which operators would use them.
 func TestFleetCommands(t *testing.T) {
 	p, operatorAddr := startSingleGateway(t, true)
 	run := func(args ...string) (string, error) {
@@ -72,7 +76,7 @@
 	}
 	for end := time.Now().Add(30 * time.Second); !status.Quorum; time.Sleep(50 * time.Millisecond) {
 		if time.Now().After(end) {
-			t.Fatalf("no quorum of one: %+v\n%s", status, p.Program().Log())
+			t.Fatalf("the fleet of one member has no quorum after 30 s: %+v\n%s", status, p.Program().Log())
 		}
 		if text, err := run("status", "--json"); err == nil {
 			if err := json.Unmarshal([]byte(text), &status); err != nil {
@@ -81,7 +85,7 @@
 		}
 	}
 	if status.Leader != "n0" || status.Folder != "kept" || len(status.Members) != 1 {
-		t.Errorf("%+v", status)
+		t.Errorf("got status %+v, expected the leader n0, a kept folder and one member", status)
 	}
 	for _, c := range []struct {
 		args []string
@@ -111,12 +115,13 @@
 		{[]string{"work", "plan", "--machines", "s-000000aa", "--for", "1m", "--load", "0.5"}, "never: s-000000aa: is not listed", true},
 	} {
 		if text, err := run(c.args...); (err == nil) != c.good || !strings.Contains(text, c.want) {
-			t.Errorf("%v: %v: %s; expected %s", c.args, err, text, c.want)
+			t.Errorf("%v: got %v: %s; expected %s", c.args, err, text, c.want)
 		}
 	}
 }
 
-// Without a fleet file there is nothing of a fleet: no datagrams' socket, no page, no metric.
+// TestNoFleetNoSocket guards against parts of a fleet in a gateway without a fleet file: it must have no UDP socket, no page and
+// no metric of a fleet.
 func TestNoFleetNoSocket(t *testing.T) {
 	for _, fleet := range []bool{true, false} {
 		p, operatorAddr := startSingleGateway(t, fleet)
@@ -137,29 +142,29 @@
 			}
 		}
 		if (found > 0) != fleet {
-			t.Errorf("a fleet %v: %d sockets for datagrams", fleet, found)
+			t.Errorf("with a fleet file: %v: got %d UDP sockets", fleet, found)
 		}
-		// The operators' listener has the metrics of every gateway, and of a fleet what there is one of.
+		// The operators' listener serves the metrics of every gateway, and pages on the fleet only if there is one.
 		for path, want := range map[string]bool{"/metrics": true, "/fleet": fleet, "/ledger": false} {
 			status, text := getOperatorPage(t, operatorAddr, path)
 			if (status == http.StatusOK) != want {
-				t.Errorf("a fleet %v: %s: status %d", fleet, path, status)
+				t.Errorf("with a fleet file: %v: %s: wrong status %d", fleet, path, status)
 			}
 			if path == "/metrics" && strings.Contains(text, "dewhitch_fleet_") != fleet {
-				t.Errorf("a fleet %v: metrics: %s", fleet, text)
+				t.Errorf("with a fleet file: %v: wrong metrics of the fleet in %s", fleet, text)
 			}
 		}
-		// It listens before it has read the list.
+		// The listener starts before the gateway has read the endpoint list.
 		if !eventually(func() bool {
 			_, text := getOperatorPage(t, operatorAddr, "/metrics")
 			return strings.Contains(text, `dewhitch_list_version{stage="applied"} 1`)
 		}) {
-			t.Errorf("a fleet %v: the list that is in force does not show", fleet)
+			t.Errorf("with a fleet file: %v: the metrics do not show the applied list", fleet)
 		}
 	}
 }
 
-// getOperatorPage reads a page of an operators' listener.
+// getOperatorPage requests a page of an operators' listener.
 func getOperatorPage(t *testing.T, operatorAddr, path string) (status int, text string) {
 	t.Helper()
 	answer, err := http.Get("http://" + operatorAddr + path)
@@ -174,7 +179,8 @@
 	return answer.StatusCode, string(body)
 }
 
-// Where the operators' file names no address, as on the platform, nothing listens but the clients' address.
+// TestNoOperatorsAddressNoListener guards against a listener that nobody configured: if the operators' file names no address, as
+// on the platform, the process listens at the clients' address only.
 func TestNoOperatorsAddressNoListener(t *testing.T) {
 	p, operatorAddr := startSingleGatewayAt(t, false, "")
 	if c, err := standin.Dial(operatorAddr, time.Second); err == nil {
@@ -193,11 +199,11 @@
 		}
 	}
 	if found != 1 {
-		t.Errorf("%d sockets listen", found)
+		t.Errorf("got %d listening sockets, expected one", found)
 	}
 }
 
-// hasSocketOpen tells whether a process has the socket of that inode open.
+// hasSocketOpen returns true if the process has the socket with that inode open.
 func hasSocketOpen(p *standin.Process, inode string) bool {
 	links, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", p.Program().Cmd.Process.Pid))
 	return slices.ContainsFunc(links, func(l string) bool {
--- a/cmd/dewhitch/golden_commandline_test.go
+++ b/cmd/dewhitch/golden_commandline_test.go
@@ -11,8 +11,8 @@
 	"dewhitch/internal/golden"
 )
 
-// The names of all commands, arguments and flags, with defaults and the words that a flag takes. Operators and their scripts write
-// them. What the help says of each is not a part of the form.
+// TestGoldenCommandLine guards against changed names of commands, arguments and flags, and changed defaults and enum values,
+// which operators' scripts rely on. Help texts are not compared.
 func TestGoldenCommandLine(t *testing.T) {
 	k, err := kong.New(&cli, kong.Name("dewhitch"))
 	if err != nil {
@@ -21,6 +21,7 @@
 	golden.Compare(t, "commands.txt", appendNode(nil, k.Model.Node, k.Model.Name))
 }
 
+// appendNode appends a line for the command at path and for each of its arguments and flags, and then its subcommands.
 func appendNode(b []byte, n *kong.Node, path string) []byte {
 	b = append(append(b, path...), '\n')
 	for _, a := range n.Positional {
@@ -38,7 +39,7 @@
 	return b
 }
 
-// What check and version print. Operators' scripts read it.
+// TestGoldenTexts guards against changes in the output of the commands check and version, which operators' scripts read.
 func TestGoldenTexts(t *testing.T) {
 	const files = "../../internal/config/testdata/golden/"
 	t.Setenv("NODE_CONFIG", files+"node.json")
--- a/cmd/dewhitch/golden_fleet_test.go
+++ b/cmd/dewhitch/golden_fleet_test.go
@@ -15,7 +15,8 @@
 	"dewhitch/internal/golden"
 )
 
-// goldenPageFiles are the pages of a member by their paths: those that its own package has frozen.
+// goldenPageFiles holds, by path, the file of each page that a member serves. Most of them are golden files of the packages that
+// write the pages.
 var goldenPageFiles = map[string]string{
 	"/fleet":         "../../../../internal/fleet/agent/testdata/golden/status.json",
 	"/fleet/zones":   "../../../../internal/fleet/evacuation/testdata/golden/verdicts.json",
@@ -23,7 +24,7 @@
 	"/fleet/servers": "servers.json",
 }
 
-// replaceValuesByTypes puts its type in place of each value of decoded JSON.
+// replaceValuesByTypes replaces each scalar value of decoded JSON by the name of its Go type.
 func replaceValuesByTypes(v any) any {
 	switch v := v.(type) {
 	case []any:
@@ -41,9 +42,9 @@
 	}
 }
 
-// TestGoldenCommands freezes what the commands of a fleet send to a member's operators' listener, which may be of another
-// version: method, path and form of each call with all of its flags. A page as JSON is printed as it came; the other
-// commands read it.
+// TestGoldenCommands guards against changes in what the fleet commands send to a member's operators' listener, which may run
+// another version: the method, path and form of each call with all of its flags. With --json, a command must print the page as
+// received; without it, the command must read the page.
 func TestGoldenCommands(t *testing.T) {
 	pages := map[string][]byte{}
 	for path, file := range goldenPageFiles {
@@ -87,12 +88,12 @@
 		fmt.Fprintln(&calls, "$", line)
 		mu.Unlock()
 		if out := run(append(strings.Fields(line), whyAndBy...)...); string(out) != "YES 12.13\n" {
-			t.Errorf("%s: %s", line, out)
+			t.Errorf("%s: got %q, expected the member's answer", line, out)
 		}
 	}
 	for _, c := range []struct {
 		line, page string
-		shows      []string // without --json: values of the page
+		shows      []string // values of the page that the output without --json contains
 	}{
 		{"status", "/fleet", []string{"g1", "north-fleet", "g2", "11 ms", "12.13", "alice", "night", "2023-11-14T22:13:20Z", "g3", "g4", "alive",
 			"hall-a", "16.17", "19 ms", "true", "kept"}},
@@ -105,7 +106,7 @@
 		fmt.Fprintln(&calls, "$", c.line)
 		mu.Unlock()
 		if out, want := run(append(strings.Fields(c.line), "--json")...), pages[c.page]; string(out) != string(want) {
-			t.Errorf("%s: %s, want %s", c.line, out, want)
+			t.Errorf("%s --json: got %s, expected %s", c.line, out, want)
 		}
 		out := run(strings.Fields(c.line)...)
 		for _, s := range c.shows {
@@ -120,7 +121,7 @@
 	var plan any
 	if out := run("work", "plan", "--machines", "s-00000001,s-000000ff", "--for", "1m", "--load", "0.1", "--cold", "10s", "--start", "0.5",
 		"--json"); json.Unmarshal(out, &plan) != nil {
-		t.Errorf("work plan: %s", out)
+		t.Errorf("work plan: the output is not JSON: %s", out)
 	}
 	text, err := json.MarshalIndent(replaceValuesByTypes(plan), "", "  ")
 	if err != nil {
--- a/cmd/dewhitch/golden_ledger_test.go
+++ b/cmd/dewhitch/golden_ledger_test.go
@@ -16,13 +16,13 @@
 	"dewhitch/internal/golden"
 )
 
-// The frozen store and segment, and the frozen export of another node, as the packages that write them hold them.
+// The golden store and segment, and the golden export of another node, in the packages that write these files.
 const (
 	goldenStoreDir   = "../../../../internal/ledger/store/testdata/golden/"
 	goldenExportFile = "../../internal/ledger/statement/testdata/golden/records.jsonl"
 )
 
-// newGoldenLedger makes the folder of a ledger from the frozen store and the segment behind it.
+// newGoldenLedger creates the folder of a ledger from the golden store and the segment that follows it.
 func newGoldenLedger(t *testing.T) string {
 	t.Helper()
 	dir := t.TempDir()
@@ -60,8 +60,8 @@
 	return dir
 }
 
-// TestLedgerForms freezes what the ledger commands print on a frozen store: people read the tables and the mismatches,
-// accounting reads the CSV, and the commands merge and verify read the JSON lines again. Nothing in it is masked.
+// TestLedgerForms guards against changes in what the ledger commands print for the golden store: people read the tables and the
+// mismatches, accounting reads the CSV, and the commands merge and verify read the JSON lines. Nothing in the output is masked.
 func TestLedgerForms(t *testing.T) {
 	t.Parallel()
 	dir, files := newGoldenLedger(t), t.TempDir()
@@ -74,7 +74,7 @@
 		name   string
 		args   []string
 		fails  bool
-		sorted bool // nodes and mismatches come in any order: the lines are compared sorted, and each node as one
+		sorted bool // true if nodes and mismatches are printed in any order; lines are then sorted, with each node on its own
 	}{
 		{"show", []string{"show", dir}, false, false},
 		{"show-hauliers", []string{"show", "--hauliers", dir}, false, false},
@@ -92,7 +92,7 @@
 		cmd.Stderr = &errors
 		out, err := cmd.Output()
 		if (err != nil) != c.fails {
-			t.Errorf("%s: %v, %s", c.name, err, errors.Bytes())
+			t.Errorf("%s: unexpected result of the command: %v, with the standard error: %s", c.name, err, errors.Bytes())
 		}
 		if c.name == "export.jsonl" {
 			if err := os.WriteFile(export, out, 0o600); err != nil {
--- a/cmd/dewhitch/golden_test.go
+++ b/cmd/dewhitch/golden_test.go
@@ -22,10 +22,10 @@
 	"dewhitch/internal/telemetry"
 )
 
-// goldenTime is the instant of the golden snapshot.
+// goldenTime is the time of the golden snapshot.
 const goldenTime = dw.Instant(1_790_000_000_000_000_000)
 
-// goldenSnapshot is a snapshot with a value of its own in each field.
+// goldenSnapshot returns a snapshot in which each field has a different value.
 func goldenSnapshot() (snapshot.Generation, *snapshot.Image) {
 	return snapshot.Generation{Incarnation: 71, Number: 72}, &snapshot.Image{
 		Node: "n7", Instances: 5, Self: 3, Zones: 2, Classes: []string{"query", "booking"},
@@ -58,11 +58,12 @@
 	}
 }
 
-// TestGoldenSnapshotShow keeps what the command snapshot show prints, as JSON and as tables: operators' scripts read the
-// first, whose names of fields are given by the struct types of a snapshot.
+// TestGoldenSnapshotShow guards against changes in what the command snapshot show prints, as JSON and as tables. Operators'
+// scripts read the JSON, whose keys are the field names of the snapshot's struct types, so that renaming a field would break
+// them.
 func TestGoldenSnapshotShow(t *testing.T) {
-	g, m := goldenSnapshot()
-	text, err := snapshot.Encode(nil, g, m)
+	generation, image := goldenSnapshot()
+	text, err := snapshot.Encode(nil, generation, image)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -72,21 +73,21 @@
 	}
 	golden.Compare(t, "show.json", captureStdout(t, func() error { return snapshotShow{File: file, JSON: true}.Run() }))
 	now := time.Unix(0, int64(goldenTime)).Add(1500 * time.Millisecond)
-	golden.Compare(t, "show", captureStdout(t, func() error { return printSnapshot(g, m, now) }))
+	golden.Compare(t, "show", captureStdout(t, func() error { return printSnapshot(generation, image, now) }))
 
 	var got struct {
 		Generation snapshot.Generation
 		snapshot.Image
 	}
-	g, m = goldenSnapshot() // printSnapshot has ordered the customers
+	generation, image = goldenSnapshot() // again, as printSnapshot has sorted the customers
 	d := json.NewDecoder(bytes.NewReader(golden.Read(t, "show.json")))
 	d.DisallowUnknownFields()
-	if err := d.Decode(&got); err != nil || got.Generation != g || !reflect.DeepEqual(&got.Image, m) {
-		t.Errorf("read back: %v\n got %+v %+v\nwant %+v %+v", err, got.Generation, got.Image, g, *m)
+	if err := d.Decode(&got); err != nil || got.Generation != generation || !reflect.DeepEqual(&got.Image, image) {
+		t.Errorf("the JSON decodes with error %v\n     got %+v %+v\nexpected %+v %+v", err, got.Generation, got.Image, generation, *image)
 	}
 }
 
-// captureStdout is what f writes to the standard output.
+// captureStdout returns what f writes to the standard output.
 func captureStdout(t *testing.T, f func() error) []byte {
 	t.Helper()
 	out, err := os.Create(filepath.Join(t.TempDir(), "out"))
@@ -106,23 +107,23 @@
 	return text
 }
 
-// TestGoldenCalls keeps what a gateway that has just started answers to the operators' calls: the fields of its figures,
-// and what it says of a server that was never listed. Operators' scripts read it.
+// TestGoldenCalls guards against changes in the answers to operators' calls, which operators' scripts read: the keys of the
+// figures of a gateway that has just started, and the answer for a server that was never listed.
 func TestGoldenCalls(t *testing.T) {
 	calls := &adminCalls{state: &ops.State{}, figures: &ops.Figures{}, metrics: telemetry.New(),
 		decoder: discovery.NewDecoder(discovery.Names{}), log: zap.NewNop()}
 	calls.figures.Classes([]string{"lookup"})
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	served := make(chan error, 1)
 	go func() {
-		served <- (&admin.Server{Listener: l, Gateway: calls, Log: calls.log}).Serve(t.Context())
+		served <- (&admin.Server{Listener: listener, Gateway: calls, Log: calls.log}).Serve(t.Context())
 	}()
 	var answers bytes.Buffer
 	for _, line := range []string{"readyz", "telemetry", "exclude none", "include none", "evacuate", "activate"} {
-		conn, err := net.Dial("tcp", l.Addr().String())
+		conn, err := net.Dial("tcp", listener.Addr().String())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -138,7 +139,7 @@
 	golden.Compare(t, "calls", answers.Bytes())
 	select {
 	case err := <-served:
-		t.Errorf("it ended: %v", err)
+		t.Errorf("the admin server ended with %v", err)
 	default:
 	}
 }
--- a/cmd/dewhitch/handover_test.go
+++ b/cmd/dewhitch/handover_test.go
@@ -17,36 +17,37 @@
 	"dewhitch/internal/handover"
 )
 
-// adminCall makes one call at an operators' address and returns the first line of the answer; empty if there was none.
+// adminCall makes a call at an operators' address and returns the first line of the answer. It is empty if none came.
 func adminCall(t *testing.T, addr, line string) string {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", addr, waitLimit)
+	conn, err := net.DialTimeout("tcp", addr, waitLimit)
 	if err != nil {
 		return ""
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(waitLimit))
-	io.WriteString(c, line+"\n")
-	answer, _ := bufio.NewReader(c).ReadString('\n')
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(waitLimit))
+	io.WriteString(conn, line+"\n")
+	answer, _ := bufio.NewReader(conn).ReadString('\n')
 	return strings.TrimSuffix(answer, "\n")
 }
 
-// sendQuery sends one query on a new connection and returns the answer's first line.
+// sendQuery sends a query of one customer with a long deadline as sendQueryWithArguments does.
 func sendQuery(t *testing.T, addr, id string) string {
 	t.Helper()
 	return sendQueryWithArguments(t, addr, "00000000b4d65521", id, "c=lookup,t=wide,d=60000,units=1,spread=2,first=0")
 }
 
+// sendQueryWithArguments sends one query on a new connection and returns the value, or the first line of any other answer.
 func sendQueryWithArguments(t *testing.T, addr, customer, id, arguments string) string {
 	t.Helper()
-	c, err := net.DialTimeout("tcp", addr, waitLimit)
+	conn, err := net.DialTimeout("tcp", addr, waitLimit)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer c.Close()
-	c.SetDeadline(time.Now().Add(waitLimit))
-	c.Write(encode("SVC.QUERY " + customer + " " + id + " " + arguments))
-	r := bufio.NewReader(c)
+	defer conn.Close()
+	conn.SetDeadline(time.Now().Add(waitLimit))
+	conn.Write(encode("SVC.QUERY " + customer + " " + id + " " + arguments))
+	r := bufio.NewReader(conn)
 	line, err := r.ReadString('\n')
 	if err != nil {
 		t.Fatalf("%q, %v", line, err)
@@ -58,12 +59,12 @@
 	return strings.TrimSpace(line)
 }
 
-// inheritableFile is the listener's socket as a platform hands it down. The File of a listener, and exec with it, would put
-// the socket into blocking mode, which all its holders share; a program that waits in accept then waits in the kernel,
-// and cannot close its listener until a client comes. A descriptor of the socket's own, in a File that Go did not make
-// non-blocking, is passed on as it is.
-func inheritableFile(t *testing.T, l *net.TCPListener) *os.File {
-	raw, err := l.SyscallConn()
+// inheritableFile returns the listener's socket as the platform passes it to a process. The listener's File method, and exec with
+// that file, would put the socket into blocking mode, which all holders of the socket share: a program that waits in accept would
+// then wait in the kernel and could not close its listener until a client connects. A duplicated descriptor, in an os.File that
+// Go did not make non-blocking, is inherited as it is.
+func inheritableFile(t *testing.T, listener *net.TCPListener) *os.File {
+	raw, err := listener.SyscallConn()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -75,18 +76,18 @@
 	return os.NewFile(uintptr(fd), "clients")
 }
 
-// shareListener has the world's programs share a folder and the clients' listening socket, as on the platform, and returns what
-// starts one and waits until it is ready.
+// shareListener has all programs of the environment share a folder and the clients' listening socket, as on the platform. It
+// returns a function that starts one and waits until it is ready.
 func (env *environment) shareListener() func() *process {
 	go env.backends.serveAll()
 	env.sharedTempDir = env.t.TempDir()
-	env.limitsAddr = "" // its address would be taken twice
-	l, err := net.Listen("tcp", env.listenAddr)
+	env.limitsAddr = "" // two programs can't listen at the same address
+	listener, err := net.Listen("tcp", env.listenAddr)
 	if err != nil {
 		env.t.Fatal(err)
 	}
-	socket := inheritableFile(env.t, l.(*net.TCPListener))
-	l.Close() // the programs hold copies
+	socket := inheritableFile(env.t, listener.(*net.TCPListener))
+	listener.Close() // the programs inherit duplicates
 	env.t.Cleanup(func() { socket.Close() })
 	return func() *process {
 		cmd := env.command("serve")
@@ -94,21 +95,22 @@
 		cmd.ExtraFiles = []*os.File{socket}
 		p := env.startCommand(cmd)
 		if !eventually(func() bool { return adminCall(env.t, env.adminAddr, "readyz") == "YES" }) {
-			env.t.Fatalf("%s is not ready\n%s", env.adminAddr, p.log())
+			env.t.Fatalf("the program with operators' address %s is not ready\n%s", env.adminAddr, p.log())
 		}
 		return p
 	}
 }
 
-// TestReplacedProcess: a process that replaces another serves on the listening socket that both were handed, takes
-// over the servers that operators excluded there, and the old one ends on SIGTERM with nothing lost.
+// TestReplacedProcess guards against losses in the replacement of a process. The new process must serve on the listening socket
+// that both inherit and keep the servers excluded that operators excluded in the old one, which must end on SIGTERM without an
+// error.
 func TestReplacedProcess(t *testing.T) {
 	env := newEnvironment(t)
 	startProcess := env.shareListener()
 	old := startProcess()
 	oldAdmin := env.adminAddr
 	if got := sendQuery(t, env.listenAddr, "a1"); got != "a1" {
-		t.Fatalf("served %q", got)
+		t.Fatalf("the old process answered %q, expected a1", got)
 	}
 	if got := adminCall(t, oldAdmin, "exclude s-00000001"); got != "YES" {
 		t.Fatal(got)
@@ -118,25 +120,25 @@
 	if !eventually(func() bool {
 		return strings.Contains(adminCall(t, nextAdmin, "telemetry"), `"targets":1,"targets_disabled":1`)
 	}) {
-		t.Fatalf("the exclusion was not taken over\n%s", next.log())
+		t.Fatalf("the new process did not take over the exclusion\n%s", next.log())
 	}
 	old.cmd.Process.Signal(syscall.SIGTERM)
 	if err := old.wait(); err != nil {
-		t.Fatalf("the old process: %v\n%s", err, old.log())
+		t.Fatalf("the old process ended with %v\n%s", err, old.log())
 	}
 	if got := sendQuery(t, env.listenAddr, "a2"); !strings.HasPrefix(got, "-BUSY") {
-		t.Fatalf("an excluded server served: %q\n%s", got, next.log())
+		t.Fatalf("with its only server excluded, the new process answered %q, expected -BUSY\n%s", got, next.log())
 	}
 	if got := adminCall(t, nextAdmin, "include s-00000001"); got != "YES" {
 		t.Fatal(got)
 	}
 	if got := sendQuery(t, env.listenAddr, "a3"); got != "a3" {
-		t.Fatalf("served %q\n%s", got, next.log())
+		t.Fatalf("with the server included again, the new process answered %q, expected a3\n%s", got, next.log())
 	}
 }
 
-// TestWarmProcess: a customer that uses most of its quota is served by the process that replaces its gateway's. Without a warm
-// start it is rejected, as the process takes all that the counter holds for the use of others. A torn snapshot is not used.
+// TestWarmProcess guards against a replacement process that rejects a customer who has used most of its quota. Without a warm
+// start it does, as it attributes all use in the counter to other gateways. A torn snapshot must not be used.
 func TestWarmProcess(t *testing.T) {
 	served := map[string]int{}
 	for _, mode := range []string{"auto", "off"} {
@@ -144,15 +146,15 @@
 		env.extraOperations = "[warm_start]\nmode = \"" + mode + "\"\nevery_ms = 50\n"
 		startProcess := env.shareListener()
 		env.overrides = []string{`{"settings": {"Contracts": [{"Name": "steady", "QuotaRate": 3, "Depth": 12, "OverrunCost": 1, "Pays": 1}]}}`}
-		// The window of the customer, 8 s by its plan and its number, has just begun.
+		// The customer's number is chosen so that its window, which lasts 8 s on its plan, has just begun.
 		const window = 8e9
 		customer := fmt.Sprintf("%016x", window-uint64(time.Now().UnixNano())%window)
-		requests, last := 0, ""
+		sentCount, lastAnswer := 0, ""
 		send := func(count int) (servedCount int) {
 			for range count {
-				requests++
-				id := fmt.Sprint("w", requests)
-				if last = sendQueryWithArguments(t, env.listenAddr, customer, id, "c=lookup,t=steady,d=60000,units=1,spread=2,first=0"); last == id {
+				sentCount++
+				id := fmt.Sprint("w", sentCount)
+				if lastAnswer = sendQueryWithArguments(t, env.listenAddr, customer, id, "c=lookup,t=steady,d=60000,units=1,spread=2,first=0"); lastAnswer == id {
 					servedCount++
 				}
 				time.Sleep(150 * time.Millisecond)
@@ -161,7 +163,7 @@
 		}
 		old := startProcess()
 		if servedBefore := send(14); servedBefore < 11 { // by then little is left, and a few snapshots are written
-			t.Fatalf("served %d of 14, the last %q\n%s", servedBefore, last, old.log())
+			t.Fatalf("served %d of 14, the last %q\n%s", servedBefore, lastAnswer, old.log())
 		}
 		next := startProcess()
 		old.cmd.Process.Signal(syscall.SIGTERM)
@@ -170,7 +172,7 @@
 		}
 		served[mode] = send(8)
 		if text := adminCall(t, env.adminAddr, "telemetry"); strings.Contains(text, `"snapshot_loaded":1`) != (mode == "auto") {
-			t.Errorf("%s: %s\n%s", mode, text, next.log())
+			t.Errorf("warm start %s: got telemetry %s\n%s", mode, text, next.log())
 		}
 		if mode == "off" {
 			continue
@@ -179,13 +181,15 @@
 		next.wait()
 		checkTornSnapshot(t, env, customer, startProcess)
 	}
-	t.Logf("of 8 requests a warm process served %d, a cold one %d", served["auto"], served["off"])
+	t.Logf("of 8 requests, the process with a warm start served %d, the one without %d", served["auto"], served["off"])
 	if served["auto"] < served["off"]+3 {
-		t.Errorf("of 8 requests a warm process served %d, a cold one %d", served["auto"], served["off"])
+		t.Errorf("of 8 requests, the process with a warm start served %d, the one without %d; expected at least 3 more", served["auto"],
+			served["off"])
 	}
 }
 
-// checkTornSnapshot cuts the newest of two snapshots short: the commands tell so, and the process after it starts from the one before.
+// checkTornSnapshot truncates the newer of two snapshots. The snapshot commands must report that, and the next process must start
+// from the older one.
 func checkTornSnapshot(t *testing.T, env *environment, customer string, startProcess func() *process) {
 	t.Helper()
 	files, _ := filepath.Glob(filepath.Join(env.sharedTempDir, "*.snapshot"))
@@ -193,23 +197,23 @@
 		t.Fatal(files)
 	}
 	if out, err := exec.Command(program, "snapshot", "verify", files[0]).CombinedOutput(); err != nil {
-		t.Errorf("%v: %s", err, out)
+		t.Errorf("snapshot verify of a sound file: got %v, %s", err, out)
 	}
 	if out, err := exec.Command(program, "snapshot", "verify", files[1]).CombinedOutput(); err == nil || !strings.Contains(string(out), "torn") {
-		t.Errorf("%v: %s", err, out)
+		t.Errorf("snapshot verify of a truncated file: got %v, %s; expected an error with \"torn\"", err, out)
 	}
 	if out, err := exec.Command(program, "snapshot", "show", files[0]).CombinedOutput(); err != nil ||
 		!strings.Contains(string(out), customer+"  steady") || !strings.Contains(string(out), "s-00000001") {
-		t.Errorf("%v: %s", err, out)
+		t.Errorf("snapshot show: got %v, %s", err, out)
 	}
 	third := startProcess()
 	if text := adminCall(t, env.adminAddr, "telemetry"); !strings.Contains(text, `"snapshot_loaded":1,"snapshot_rejected":1`) {
-		t.Errorf("%s\n%s", text, third.log())
+		t.Errorf("got telemetry %s, expected one loaded and one rejected snapshot\n%s", text, third.log())
 	}
 }
 
-// Operators exclude a server while the folder for the next process can't be written: the call is answered, and the file is
-// there once it can be.
+// TestExclusionIsWrittenOnceItCanBe guards against exclusions that the next process does not learn of, because the folder was not
+// writable when an operator excluded the server. The call must be answered at once, and the file written once that is possible.
 func TestExclusionIsWrittenOnceItCanBe(t *testing.T) {
 	t.Parallel()
 	env := newEnvironment(t)
@@ -222,21 +226,21 @@
 		t.Fatal(err)
 	}
 	if !eventually(func() bool { return adminCall(t, env.adminAddr, "exclude s-00000001") == "YES" }) {
-		t.Fatalf("the call is not taken\n%s", p.log())
+		t.Fatalf("the call was not answered with YES\n%s", p.log())
 	}
 	if !eventually(func() bool { return strings.Contains(p.log(), "exclusions are not written") }) {
-		t.Fatalf("the failure is not logged\n%s", p.log())
+		t.Fatalf("the failed write was not logged\n%s", p.log())
 	}
 	if err := os.Mkdir(env.sharedTempDir, 0o700); err != nil {
 		t.Fatal(err)
 	}
 	if !eventually(func() bool {
-		s, err := handover.Load(handover.Path(env.sharedTempDir, "n0"))
-		return err == nil && slices.Equal(s.Excluded, []string{"s-00000001"})
+		state, err := handover.Load(handover.Path(env.sharedTempDir, "n0"))
+		return err == nil && slices.Equal(state.Excluded, []string{"s-00000001"})
 	}) {
-		t.Errorf("the exclusion was not kept\n%s", p.log())
+		t.Errorf("the exclusion was not written once the folder existed\n%s", p.log())
 	}
 	if n := strings.Count(p.log(), "exclusions are not written"); n != 1 {
-		t.Errorf("the failure was logged %d times", n)
+		t.Errorf("the failed write was logged %d times, expected once", n)
 	}
 }
--- a/cmd/dewhitch/large_list_test.go
+++ b/cmd/dewhitch/large_list_test.go
@@ -11,24 +11,24 @@
 	"dewhitch/internal/standin"
 )
 
-// The largest fleet that operators run.
+// maxServers is the size of the largest deployment that operators run.
 const maxServers = 3200
 
-// The places of the two groups of servers: those that drain are at one address, all others at another.
+// The groups of servers, as indexes of the backends' addresses: all servers that drain share one address, all others another.
 const (
 	stayingGroup = iota
 	drainingGroup
 	groupCount
 )
 
-// largeFleet is a gateway before many servers.
+// largeFleet is the environment of a gateway with many servers.
 type largeFleet struct {
 	*environment
 	servers     *standin.Backends
 	serverCount int
 }
 
-// newLargeFleet makes n servers, a quarter of which can be set to drain.
+// newLargeFleet creates an environment with serverCount servers, a quarter of which can be set to drain.
 func newLargeFleet(t *testing.T, serverCount int) *largeFleet {
 	servers, err := standin.NewBackends(groupCount, true, standin.Always(standin.Step{}))
 	f := &largeFleet{environment: newEnvironment(t), servers: closeAtCleanup(t, servers, err), serverCount: serverCount}
@@ -36,6 +36,7 @@
 	return f
 }
 
+// group returns the group of the server at index i.
 func (f *largeFleet) group(i int) int {
 	if i%4 == 0 {
 		return drainingGroup
@@ -43,7 +44,8 @@
 	return stayingGroup
 }
 
-// list is the list of all servers, indented as operators may, with the phase of those that can drain.
+// list returns the list of all servers, indented as operators may write it. The servers that can drain have the given phase, all
+// others are up.
 func (f *largeFleet) list(phase string) string {
 	members := make([]string, f.serverCount)
 	for i := range members {
@@ -56,7 +58,7 @@
 	return "[\n    " + strings.Join(members, ",\n    ") + "\n  ]"
 }
 
-// readFigure reads one of the operators' figures.
+// readFigure returns a figure of the operators' call telemetry, or 0 if it has none of that name.
 func readFigure(t *testing.T, env *environment, name string) int64 {
 	t.Helper()
 	line, _, _ := strings.Cut(adminCall(t, env.adminAddr, "telemetry"), "\n")
@@ -68,7 +70,7 @@
 	return int64(value)
 }
 
-// runClients has clients ask one request after another until the test is over.
+// runClients starts clients that send one request after another until stop is called, which waits for them.
 func (f *largeFleet) runClients(clients int) (stop func()) {
 	done := make(chan struct{})
 	var running sync.WaitGroup
@@ -101,7 +103,7 @@
 	}
 }
 
-// commandsSentTo counts the commands that came to a group of servers.
+// commandsSentTo returns the number of commands that a group of servers received.
 func (f *largeFleet) commandsSentTo(group int) (n int) {
 	for _, c := range f.servers.Commands() {
 		if c.Backend == group {
@@ -111,25 +113,25 @@
 	return n
 }
 
-// Servers start to drain, and the watch gets that as a full list, which is over 256 KiB: it is applied, and the servers
-// that drain get nothing more.
+// TestFullListOfALargeFleetIsApplied guards against a large list that is not applied, so that servers that drain still receive
+// requests. The change comes over the watch as a full list, which is longer than 256 KiB.
 func TestFullListOfALargeFleetIsApplied(t *testing.T) {
 	f := newLargeFleet(t, maxServers)
 	f.discovery.SetCompleteUpdates(true)
 	p := f.start("serve")
 	defer f.runClients(4)()
 	if !eventually(func() bool { return f.commandsSentTo(drainingGroup) > 0 }) {
-		t.Fatalf("no request reached a server\n%s", p.log())
+		t.Fatalf("no request reached a server that is to drain\n%s", p.log())
 	}
 	f.discovery.Set(f.list("draining"))
 	if !eventually(func() bool { return readFigure(t, f.environment, "list_version_applied") == 42 }) {
-		t.Fatalf("version %d is in force, 42 was sent\n%s", readFigure(t, f.environment, "list_version_applied"), p.log())
+		t.Fatalf("list version %d is applied, expected 42\n%s", readFigure(t, f.environment, "list_version_applied"), p.log())
 	}
 	before, others := f.commandsSentTo(drainingGroup), f.commandsSentTo(stayingGroup)
 	if !eventually(func() bool { return f.commandsSentTo(stayingGroup) > others+200 }) {
-		t.Fatalf("nothing is served any more\n%s", p.log())
+		t.Fatalf("the servers that stay up received fewer than 200 further requests\n%s", p.log())
 	}
 	if after := f.commandsSentTo(drainingGroup); after != before {
-		t.Errorf("%d requests went to servers that drain", after-before)
+		t.Errorf("%d requests were sent to draining servers after the list was applied", after-before)
 	}
 }
--- a/cmd/dewhitch/large_test.go
+++ b/cmd/dewhitch/large_test.go
@@ -19,9 +19,10 @@
 
 var errBusy = errors.New("refused")
 
+// largeValueSize is the least length of a value, in bytes.
 const largeValueSize = 3 << 20
 
-// largeValueOf is the value of a request: its bytes follow from its id.
+// largeValueOf returns the value of the request with that id, which determines its length and bytes.
 func largeValueOf(id string) []byte {
 	n, _ := strconv.Atoi(strings.TrimLeft(id, "v"))
 	b := make([]byte, largeValueSize+n)
@@ -36,12 +37,13 @@
 	return b
 }
 
-// serveLarge has the backends answer with large values, in pieces split anywhere; those whose id begins with x end within.
+// serveLarge has the backends answer with large values, in pieces of varying length with pauses between some of them. If the id
+// begins with x, the connection ends after half of the answer.
 func (b *manualBackends) serveLarge(pause time.Duration) {
-	for c := range b.conns {
+	for conn := range b.conns {
 		go func() {
-			defer c.Close()
-			for r := bufio.NewReader(c); ; {
+			defer conn.Close()
+			for r := bufio.NewReader(conn); ; {
 				command, err := readCommand(r)
 				if err != nil {
 					return
@@ -53,7 +55,7 @@
 					text = text[:len(text)/2]
 				}
 				for at, n := 0, 1; at < len(text); at, n = at+n, n*3%300007+1 {
-					if _, err := c.Write(text[at:min(at+n, len(text))]); err != nil {
+					if _, err := conn.Write(text[at:min(at+n, len(text))]); err != nil {
 						return
 					}
 					if n%7 == 0 {
@@ -68,6 +70,7 @@
 	}
 }
 
+// readCommand reads a command in the form of a RESP array and returns its words.
 func readCommand(r *bufio.Reader) ([]string, error) {
 	var n int
 	line, err := r.ReadString('\n')
@@ -91,7 +94,7 @@
 	return fields, nil
 }
 
-// peakResidentBytes is the most memory that a process has had resident, in bytes.
+// peakResidentBytes returns the peak resident memory of a process in bytes.
 func peakResidentBytes(t *testing.T, pid int) int {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -105,28 +108,29 @@
 	return kb << 10
 }
 
-// largeClient is a client connection of small buffers, so that a large value does not fit into them.
+// largeClient is a client connection with buffers that are too small for a large value.
 type largeClient struct {
 	net.Conn
 	r *bufio.Reader
 }
 
 func dialLarge(t *testing.T, env *environment) *largeClient {
-	c, err := net.Dial("tcp", env.listenAddr)
+	conn, err := net.Dial("tcp", env.listenAddr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { c.Close() })
-	c.(*net.TCPConn).SetReadBuffer(64 << 10)
-	c.SetDeadline(time.Now().Add(3 * waitLimit))
-	return &largeClient{c, bufio.NewReaderSize(c, 4<<10)}
+	t.Cleanup(func() { conn.Close() })
+	conn.(*net.TCPConn).SetReadBuffer(64 << 10)
+	conn.SetDeadline(time.Now().Add(3 * waitLimit))
+	return &largeClient{conn, bufio.NewReaderSize(conn, 4<<10)}
 }
 
 func largeQuery(id string) []byte {
 	return encode("SVC.QUERY 00000000b4d65521 " + id + " c=lookup,t=wide,d=60000,units=1,spread=2,first=0")
 }
 
-// readValue reads the answer to a query, which must be the value of the id to the byte, or errBusy. A slow client pauses between pieces.
+// readValue reads the answer to a query and checks that it is the id's value, byte by byte. It returns errBusy if the query was
+// refused. A slow client pauses between reads.
 func (c *largeClient) readValue(id string, slow bool) error {
 	line, err := c.r.ReadString('\n')
 	if strings.HasPrefix(line, "-BUSY") {
@@ -134,13 +138,13 @@
 	}
 	want := largeValueOf(id)
 	if err != nil || line != fmt.Sprintf("$%d\r\n", len(want)) {
-		return fmt.Errorf("%s: %q, %v", id, line, err)
+		return fmt.Errorf("%s: got the line %q, %v, expected the length of the value", id, line, err)
 	}
 	got := make([]byte, 0, len(want)+2)
 	for piece := make([]byte, 64<<10); len(got) < len(want)+2; {
 		n, err := c.r.Read(piece[:min(len(piece), len(want)+2-len(got))])
 		if err != nil {
-			return fmt.Errorf("%s after %d bytes: %w", id, len(got), err)
+			return fmt.Errorf("%s: reading failed after %d bytes: %w", id, len(got), err)
 		}
 		got = append(got, piece[:n]...)
 		if slow {
@@ -148,12 +152,13 @@
 		}
 	}
 	if !bytes.Equal(got[:len(want)], want) || string(got[len(want):]) != "\r\n" {
-		return fmt.Errorf("%s: not the value that was sent", id)
+		return fmt.Errorf("%s: the value differs from the one that the backend sent", id)
 	}
 	return nil
 }
 
-// queryTwo pipelines two queries and a PING, so that the second value waits behind the first, and returns how many were rejected.
+// queryTwo pipelines two queries and a PING, so that the second value waits behind the first, and returns the number of rejected
+// queries.
 func (c *largeClient) queryTwo(first, second string, slow bool) (rejected int64, err error) {
 	c.Write(append(append(largeQuery(first), largeQuery(second)...), encode("PING")...))
 	for _, id := range []string{first, second} {
@@ -164,20 +169,20 @@
 		}
 	}
 	if line, err := c.r.ReadString('\n'); line != "+PONG\r\n" {
-		return rejected, fmt.Errorf("behind the values: %q, %v", line, err)
+		return rejected, fmt.Errorf("after the values: got %q, %v, expected +PONG", line, err)
 	}
 	return rejected, nil
 }
 
-// TestLargeValues: 40 clients at once, some of them slow, get values of 3 MiB each, together well over the memory limit, to
-// the byte and in the order of their commands; the connection to the backend is used again; a value that breaks off, and a
-// client that leaves within one, end no more than that.
+// TestLargeValues guards against large values that are corrupted, reordered or held in memory as a whole. 40 clients at once,
+// some of them slow, read values of 3 MiB each, together well above the memory limit. Connections to the backend are reused, and
+// a value that breaks off, or a client that disconnects within one, affects no other request.
 func TestLargeValues(t *testing.T) {
 	env := newEnvironment(t)
 	env.overrides = []string{`{"limits": {"memory_mb": 64, "sockets": 512}}`}
 	go env.backends.serveLarge(200 * time.Microsecond)
 	p := env.start("serve")
-	c := dialLarge(t, env) // the module learns how quick the backend is
+	c := dialLarge(t, env) // its queries let the module learn the backend's latency
 	for i := range 20 {
 		c.Write(largeQuery(fmt.Sprint("v", i)))
 		if err := c.readValue(fmt.Sprint("v", i), false); err != nil && err != errBusy {
@@ -201,24 +206,24 @@
 		t.Fatal(p.log())
 	}
 	resident := peakResidentBytes(t, p.cmd.Process.Pid)
-	t.Logf("80 values of 3 MiB: %d MiB resident at most", resident>>20)
+	t.Logf("80 values of 3 MiB: peak of resident memory %d MiB", resident>>20)
 	if resident > 64<<20 {
-		t.Errorf("%d bytes resident", resident)
+		t.Errorf("peak of resident memory: got %d bytes, expected at most 64 MiB", resident)
 	}
 	if n := rejected.Load(); n > 40 {
-		t.Errorf("%d of 80 were refused", n)
+		t.Errorf("%d of 80 queries were refused, expected at most 40", n)
 	}
 	checkBrokenValues(t, env)
 }
 
-// checkBrokenValues: of a value that breaks off the client sees the end, and nothing else; a client that leaves within its value
-// takes nothing along, and the next is served.
+// checkBrokenValues checks that a client whose value breaks off sees the end of its connection and no other bytes, and that the
+// next query is served after a client has disconnected within its value.
 func checkBrokenValues(t *testing.T, env *environment) {
 	c := dialLarge(t, env)
 	c.Write(largeQuery("x1"))
 	line, _ := c.r.ReadString('\n')
 	if n, err := io.Copy(io.Discard, c.r); !strings.HasPrefix(line, "$3145") || n >= largeValueSize {
-		t.Errorf("%q and %d bytes, %v", line, n, err)
+		t.Errorf("a value that breaks off: got the line %q, %d bytes and %v; expected a part of the value", line, n, err)
 	}
 	c = dialLarge(t, env)
 	c.Write(largeQuery("v90"))
--- a/cmd/dewhitch/limits_test.go
+++ b/cmd/dewhitch/limits_test.go
@@ -17,7 +17,7 @@
 	"dewhitch/internal/standin/zookeeper"
 )
 
-// client is a customer's booking system on the front for limits.
+// client is the connection of a customer's booking system to a gateway or a forwarder.
 type client struct {
 	t *testing.T
 	net.Conn
@@ -34,6 +34,7 @@
 	return &client{t, conn, bufio.NewReader(conn)}
 }
 
+// write writes commands in the form that encode takes.
 func (c *client) write(commands ...string) {
 	var b []byte
 	for _, s := range commands {
@@ -44,7 +45,7 @@
 	}
 }
 
-// readAnswer reads one answer, with its parts on one line.
+// readAnswer reads one answer. The elements of an array are joined by spaces.
 func (c *client) readAnswer() string {
 	encoded, err := c.r.ReadString('\n')
 	if err != nil {
@@ -70,23 +71,26 @@
 	return encoded
 }
 
-// readRemaining reads the answer to a query.
+// readRemaining reads the answer to a LIMIT.GET: the units that remain, and the milliseconds until there are more, as ":" and a
+// number.
 func (c *client) readRemaining() (remaining float64, replenishedAfter string) {
 	a := c.readAnswer()
 	parts := strings.Fields(a)
 	if len(parts) != 3 || !strings.HasPrefix(parts[2], ":") {
-		c.t.Errorf("a query is answered %q", a)
+		c.t.Errorf("LIMIT.GET is answered %q, expected three values", a)
 		return math.NaN(), ""
 	}
 	remaining, _ = strconv.ParseFloat(parts[1], 64)
 	return remaining, parts[2]
 }
 
+// The depth of the quota on the plan forty, and the arguments of a command on that plan.
 const (
 	quotaDepth    = 40.0
 	fortyPlanArgs = "t=forty,d=100000,spread=3,first=0"
 )
 
+// bookingCommand returns a query for the backends, with an id of the customer and i.
 func bookingCommand(customer, i int) string {
 	return fmt.Sprintf("SVC.QUERY %016x a%d-%d c=lookup,%s", customer, customer, i, fortyPlanArgs)
 }
@@ -99,19 +103,21 @@
 	return fmt.Sprintf("LIMIT.ADJUST %016x %d %s", customer, units, fortyPlanArgs)
 }
 
-// countKeyPrefix is how the names of a customer's counts begin.
+// countKeyPrefix returns the prefix of the keys of a customer's counts in the shared counter.
 func countKeyPrefix(customer int) string { return strconv.FormatInt(int64(customer), 36) + "." }
 
-// checkRemaining checks an answer against the counter; 40 units come in so slowly that what comes in meanwhile does not count.
+// checkRemaining checks the remaining units of an answer against the counter. 40 units are replenished so slowly that the time
+// since the answer does not matter.
 func checkRemaining(t *testing.T, env *environment, customer int, remaining float64) {
 	t.Helper()
 	if want := quotaDepth - env.counter.Sum(countKeyPrefix(customer)); !(math.Abs(remaining-max(0, want)) <= 1) {
-		t.Errorf("customer %d: %v left, the counter has %v left", customer, remaining, want)
+		t.Errorf("customer %d: got %v units remaining, expected %v by the counter", customer, remaining, want)
 	}
 }
 
-// Each of 200 customers pipelines queries between bookings and adjustments of its own number. Every answer must be
-// within one request of the counter, which each query has read, and which nobody else adds to.
+// TestTwoHundredCustomers guards against answers to LIMIT.GET that are not exact. Each of 200 customers pipelines such queries
+// between bookings and adjustments of its own. Every answer must be within one request of the counter, which each query reads,
+// and to which no other client adds for that customer.
 func TestTwoHundredCustomers(t *testing.T) {
 	t.Parallel()
 	env := newEnvironment(t)
@@ -128,52 +134,53 @@
 			}
 			c.write(limitQuery(customer), adjustCommand(customer, units))
 			served := 0
-			for i := range bookings { // in such a rush some are refused for the backends' sake
+			for i := range bookings { // some are refused, as the backends are overloaded
 				if a := c.readAnswer(); a == fmt.Sprintf("a%d-%d", customer, i) {
 					served++
 				} else if !strings.HasPrefix(a, "-BUSY") {
-					t.Errorf("customer %d: a booking is answered %q", customer, a)
+					t.Errorf("customer %d: a booking is answered %q, expected its id or -BUSY", customer, a)
 				}
 			}
-			// The query has seen all that was written before it, and nothing of what was written behind it.
+			// The query counts all commands that were written before it, and none that were written after it.
 			if remaining, _ := c.readRemaining(); !(remaining <= quotaDepth-float64(served)+1 && remaining >= quotaDepth-float64(bookings)-1) {
-				t.Errorf("customer %d: %v left after %d to %d bookings", customer, remaining, served, bookings)
+				t.Errorf("customer %d: got %v units remaining after %d to %d bookings", customer, remaining, served, bookings)
 			}
 			if a := c.readAnswer(); a != strconv.Itoa(units) {
-				t.Errorf("customer %d: taking %d is answered %q", customer, units, a)
+				t.Errorf("customer %d: taking %d units is answered %q", customer, units, a)
 			}
 			c.write(limitQuery(customer))
 			remaining, _ := c.readRemaining()
 			checkRemaining(t, env, customer, remaining)
 			if remaining > quotaDepth-float64(served+units)+1 {
-				t.Errorf("customer %d: %v left after %d units", customer, remaining, served+units)
+				t.Errorf("customer %d: got %v units remaining after %d were taken", customer, remaining, served+units)
 			}
-			// Beyond the quota: refused, and the query still answered.
+			// An adjustment above the quota is refused, and the query after it is still answered.
 			c.write(adjustCommand(customer, 40), limitQuery(customer), adjustCommand(customer, int(remaining-0.5)), limitQuery(customer))
 			if a := c.readAnswer(); !strings.HasPrefix(a, "-BUSY ") {
-				t.Errorf("customer %d: over the quota, the answer is %q", customer, a)
+				t.Errorf("customer %d: an adjustment above the quota is answered %q, expected -BUSY", customer, a)
 			}
 			c.readRemaining()
 			if a := c.readAnswer(); a != strconv.Itoa(int(remaining-0.5)) {
-				t.Errorf("customer %d: taking the last %d is answered %q", customer, int(remaining-0.5), a)
+				t.Errorf("customer %d: taking the last %d units is answered %q", customer, int(remaining-0.5), a)
 			}
 			remaining, replenishedAfter := c.readRemaining()
 			checkRemaining(t, env, customer, remaining)
 			if remaining > 2.5 || replenishedAfter == ":0" {
-				t.Errorf("customer %d: %v left of nothing, more in %q", customer, remaining, replenishedAfter)
+				t.Errorf("customer %d: got %v units remaining, more after %q ms; expected at most 2.5, and a time above 0", customer, remaining,
+					replenishedAfter)
 			}
 		})
 	}
 	customers.Wait()
 	if env.counter.Lowest() < 0 {
-		t.Errorf("a count fell to %v", env.counter.Lowest())
+		t.Errorf("a count in the counter fell to %v, expected no negative ones", env.counter.Lowest())
 	}
 	if t.Failed() {
 		t.Log(p.log())
 	}
 }
 
-// forwarderTest is three gateways, a forwarder, and a client of it.
+// forwarderTest is three gateways, a forwarder before them and a client of the forwarder.
 type forwarderTest struct {
 	t         *testing.T
 	env       *environment
@@ -183,9 +190,10 @@
 	client    *client
 }
 
-// registryNode is the node of a gateway in the registry.
+// registryNode returns the path of a gateway's node in the registry.
 func registryNode(gateway int) string { return fmt.Sprintf("/dewhitch/planners/gateway-%d", gateway) }
 
+// newForwarderTest starts the processes, and waits until the forwarder knows all gateways.
 func newForwarderTest(t *testing.T) *forwarderTest {
 	f := &forwarderTest{t: t, env: newEnvironment(t), registry: newZookeeper(t)}
 	go f.env.backends.serveAll()
@@ -197,17 +205,17 @@
 			t.Fatal("a planner is not registered\n", f.gateways[i].log())
 		}
 	}
-	front := *f.env
-	front.listenAddr, front.registryAddr = standin.OwnAddr(), f.registry.Addr()
-	f.forwarder = front.start("forward")
+	forwarderEnv := *f.env
+	forwarderEnv.listenAddr, forwarderEnv.registryAddr = standin.OwnAddr(), f.registry.Addr()
+	f.forwarder = forwarderEnv.start("forward")
 	if !f.knowsGateways(3) {
-		t.Fatal("the forwarder does not know the planners\n", f.forwarder.log())
+		t.Fatal("the forwarder does not know all three planners\n", f.forwarder.log())
 	}
-	f.client = dial(t, front.listenAddr)
+	f.client = dial(t, forwarderEnv.listenAddr)
 	return f
 }
 
-// knowsGateways tells whether the forwarder's last log line on planners has so many gateways, or will soon.
+// knowsGateways returns true if the forwarder's last log line on planners has that number of gateways within waitLimit.
 func (f *forwarderTest) knowsGateways(count int) bool {
 	return eventually(func() bool {
 		last := ""
@@ -227,20 +235,21 @@
 	checkRemaining(f.t, f.env, 3, remaining)
 }
 
-// expireSession expires the registry's session of gateway 0, which must register again.
+// expireSession expires the registry session of gateway 0, and waits until it has registered again and the forwarder knows that.
 func (f *forwarderTest) expireSession() {
 	old := f.registry.Owner(registryNode(0))
 	f.registry.Expire(old)
 	if !eventually(func() bool { o := f.registry.Owner(registryNode(0)); return o != 0 && o != old }) {
-		f.t.Fatal("after the expiry of its session, the planner is not registered\n", f.gateways[0].log())
+		f.t.Fatal("the planner did not register again after its session expired\n", f.gateways[0].log())
 	}
 	if !f.knowsGateways(3) {
 		f.t.Fatal("the forwarder does not know the planner's new node\n", f.forwarder.log())
 	}
 }
 
-// Three gateways and a forwarder: a customer's commands keep to one gateway of its set; when that loses its session
-// it is registered again, and when it dies, what was written to it fails and what comes after goes to another.
+// TestForwarder guards against a forwarder that loses a customer's commands, sends one twice or spreads them over gateways. A
+// customer's commands go to one gateway of its set of three. That registers again when its session expires. When it is killed,
+// the commands in flight fail, and later ones go to another gateway of the set.
 func TestForwarder(t *testing.T) {
 	t.Parallel()
 	waitForFirstHalfOfWindow()
@@ -249,51 +258,52 @@
 	c.write("PING", bookingCommand(3, 0), adjustCommand(3, 4), limitQuery(3), "LIMIT.GET 3", "NOVEL")
 	for _, want := range []string{"+PONG", "a3-0", "4"} {
 		if a := c.readAnswer(); a != want {
-			t.Errorf("answered %q, not %q", a, want)
+			t.Errorf("got the answer %q, expected %q", a, want)
 		}
 	}
 	f.checkRemaining()
 	for range 2 {
 		if a := c.readAnswer(); !strings.HasPrefix(a, "-ERR ") {
-			t.Errorf("answered %q", a)
+			t.Errorf("an invalid command is answered %q, expected an error", a)
 		}
 	}
 
-	// Customer 3 (spread 3, first 0) is gateway 0's.
+	// The commands of customer 3 (spread 3, first 0) go to gateway 0.
 	f.expireSession()
 	c.write(adjustCommand(3, 1), limitQuery(3))
 	if a := c.readAnswer(); a != "1" {
-		t.Errorf("answered %q", a)
+		t.Errorf("after the planner registered again, an adjustment by 1 is answered %q", a)
 	}
 	f.checkRemaining()
 
-	// With its counter silent, gateway 0 owes an answer when it dies: that command is failed, not sent again.
+	// As the counter does not answer, a command is in flight on gateway 0 when that is killed: it fails and is not sent again.
 	f.env.counter.SetMode("silent")
 	c.write(limitQuery(3))
 	time.Sleep(50 * time.Millisecond)
 	f.gateways[0].cmd.Process.Kill()
 	if a := c.readAnswer(); !strings.HasPrefix(a, "-ERR the planner was lost") {
-		t.Errorf("answered %q", a)
+		t.Errorf("the command in flight at the kill is answered %q, expected that the planner was lost", a)
 	}
-	// Its node stands until its session expires, but it can't be reached once its process has ended: until then its listener takes
-	// connections, and what is written to them may have been applied. Another of the set takes what comes.
+	// The planner's node stays in the registry until its session expires, but its listener refuses connections once the process has
+	// ended. Until then the listener may accept connections, and commands written to those may have been applied. So the test waits
+	// for the end of the process. Further commands go to another gateway of the set.
 	if err := f.gateways[0].wait(); err == nil {
-		t.Error("the planner ended by itself, not by the kill")
+		t.Error("the planner ended without an error, expected its end by SIGKILL")
 	}
 	f.env.counter.SetMode("add")
 	c.write(adjustCommand(3, 2), limitQuery(3))
 	if a := c.readAnswer(); a != "2" {
-		t.Errorf("answered %q\n%s", a, f.forwarder.log())
+		t.Errorf("after the kill, an adjustment by 2 is answered %q\n%s", a, f.forwarder.log())
 	}
 	f.checkRemaining()
 	f.registry.Expire(f.registry.Owner(registryNode(0)))
 	if !f.knowsGateways(2) {
-		t.Fatal("the forwarder holds on to a planner that has gone\n", f.forwarder.log())
+		t.Fatal("the forwarder still lists a planner whose session has expired\n", f.forwarder.log())
 	}
 }
 
-// A client that pipelines large answers and reads them late gets them all; what waits for it is bounded, as no
-// further command is taken meanwhile.
+// TestLateReader guards against answers that are lost or buffered without bound for a client that pipelines commands with large
+// answers and reads them late. The gateway takes no further command meanwhile, and the client gets all answers in the end.
 func TestLateReader(t *testing.T) {
 	env := newEnvironment(t)
 	go env.backends.serveAll()
@@ -313,39 +323,40 @@
 		case len(a) == 60<<10:
 			served++
 		case !strings.HasPrefix(a, "-BUSY"):
-			t.Fatalf("answered %.40q", a)
+			t.Fatalf("got the answer %.40q, expected the request's body or -BUSY", a)
 		}
 	}
 	if served == 0 {
-		t.Error("nothing was served")
+		t.Error("none of the commands was served")
 	}
 }
 
-// A forwarder ends while a planner owes it an answer that takes longer than it is given: the command has failed, as it may have
-// been applied, and the connection ends before the earliest SIGKILL.
+// TestForwarderEndsBeforeTheEarliestKill guards against a forwarder that has open connections at the earliest SIGKILL. It
+// receives SIGTERM while a planner takes longer to answer than the forwarder has until then. The command must fail, as it may
+// have been applied, and the connection must end in time.
 func TestForwarderEndsBeforeTheEarliestKill(t *testing.T) {
 	t.Parallel()
-	z := newZookeeper(t)
-	planner := newEnvironment(t)
-	planner.registryAddr = z.Addr()
-	planner.start("serve")
-	front := *planner
-	front.listenAddr = standin.OwnAddr()
-	f := front.start("forward")
-	if !eventually(func() bool { return strings.Contains(f.log(), `"0":"127.`) }) {
-		t.Fatal("the forwarder does not know the planner\n", f.log())
+	registry := newZookeeper(t)
+	plannerEnv := newEnvironment(t)
+	plannerEnv.registryAddr = registry.Addr()
+	plannerEnv.start("serve")
+	forwarderEnv := *plannerEnv
+	forwarderEnv.listenAddr = standin.OwnAddr()
+	forwarder := forwarderEnv.start("forward")
+	if !eventually(func() bool { return strings.Contains(forwarder.log(), `"0":"127.`) }) {
+		t.Fatal("the forwarder does not know the planner\n", forwarder.log())
 	}
-	c := front.dial()
+	c := forwarderEnv.dial()
 	c.Write(queryWithLongDeadline("q1"))
-	planner.nextBackendCommand()
+	plannerEnv.nextBackendCommand()
 	signalledAt := time.Now()
-	f.cmd.Process.Signal(syscall.SIGTERM)
+	forwarder.cmd.Process.Signal(syscall.SIGTERM)
 	c.SetReadDeadline(signalledAt.Add(earliestKill))
 	answers, err := io.ReadAll(c.r)
 	if err != nil || !strings.HasPrefix(string(answers), "-ERR the planner was lost") {
-		t.Errorf("%q came, and %v\n%s", answers, err, f.log())
+		t.Errorf("got %q and %v, expected that the planner was lost\n%s", answers, err, forwarder.log())
 	}
-	if err := f.wait(); err != nil {
+	if err := forwarder.wait(); err != nil {
 		t.Error(err)
 	}
 }
--- a/cmd/dewhitch/player_test.go
+++ b/cmd/dewhitch/player_test.go
@@ -18,9 +18,11 @@
 	"dewhitch/internal/standin"
 )
 
-// waitLimit is how long the tests wait for what must come. Nothing fails for being slow before that.
+// waitLimit is how long the tests wait for an event that must happen. No test without a limit of its own fails because it is slow
+// before that.
 const waitLimit = 20 * time.Second
 
+// program is the path of the program under test, which TestMain builds.
 var program string
 
 func TestMain(m *testing.M) {
@@ -36,15 +38,17 @@
 	os.Exit(code)
 }
 
-// TestExchanges plays every recorded exchange against the program. A line of a recording is
+// TestExchanges guards against changes in what the program writes to clients, backends and operators. It plays every recorded
+// exchange of testdata against the program. A line of a recording is
 //
-//	PARTY > BYTES    the party writes
-//	PARTY < BYTES    the program must write exactly this to the party; {n} stands for any number
-//	PARTY VERB ...   something else happens, as play says
+//	PARTY > BYTES    the party writes BYTES
+//	PARTY < BYTES    the program must write exactly BYTES to the party; {n} stands for any number
+//	PARTY VERB ...   another event, described at the verb in playLine and the methods that it calls
 //
-// The parties are clients (c...), connections to backends (b..., in the order in which they come) and the program
-// itself (p). BYTES in quotes are taken as they are; a line that begins with a RESP type is sent with its CR LF;
-// anything else is a command, sent as an array of its words.
+// A party is a client (c...), a client at the address for limits (l...), a caller at the operators' address (a...), a connection
+// to a backend (b..., in the order in which the program opens them), or the program and its environment (p and w). BYTES in
+// quotes are a Go string. BYTES that begin with a RESP type are sent with CR LF after them. Other BYTES are a command, sent as an
+// array of its words.
 func TestExchanges(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
@@ -68,24 +72,28 @@
 	}
 }
 
+// exchangePlayer plays one recording.
 type exchangePlayer struct {
 	t       *testing.T
 	env     *environment
-	process *process
+	process *process // nil until the program is started
 	conns   map[string]*peerConn
-	step    string
+	step    string // file, number and text of the line that is played
 }
 
+// peerConn is the test's end of a connection to the program.
 type peerConn struct {
 	net.Conn
 	r *bufio.Reader
 }
 
+// fail ends the test with a message, the current line and the program's log.
 func (p *exchangePlayer) fail(format string, a ...any) {
 	p.t.Helper()
 	p.t.Fatalf("%s\n%s\n%s", p.step, fmt.Sprintf(format, a...), p.process.log())
 }
 
+// playLine plays a line of a recording. It starts the program before the first line of a client or a backend.
 func (p *exchangePlayer) playLine(line string) {
 	party, rest, _ := strings.Cut(line, " ")
 	verb, rest, _ := strings.Cut(rest, " ")
@@ -104,7 +112,7 @@
 	var sent []byte
 	switch {
 	case rest == "":
-	case party[0] == 'a' && !strings.HasPrefix(rest, `"`): // the operators' address speaks lines
+	case party[0] == 'a' && !strings.HasPrefix(rest, `"`): // calls and answers at the operators' address are lines
 		sent = []byte(rest + "\n")
 	default:
 		sent = encode(rest)
@@ -125,22 +133,22 @@
 		c.Conn.(*net.TCPConn).SetLinger(0)
 		c.Close()
 		delete(p.conns, party)
-	case "closed": // by the program
+	case "closed": // the program must have closed the connection, or close it within waitLimit
 		if b, err := c.r.ReadByte(); err == nil {
-			p.fail("%q came", b)
+			p.fail("got the byte %q, expected the end of the connection", b)
 		}
 		delete(p.conns, party)
-	case "silent": // nothing comes
+	case "silent": // the program must write nothing for 100 ms, and keep the connection open
 		c.SetReadDeadline(time.Now().Add(100 * time.Millisecond))
 		if b, err := c.r.ReadByte(); err == nil || err == io.EOF {
-			p.fail("%q came, %v", b, err)
+			p.fail("got the byte %q, %v; expected none", b, err)
 		}
 	default:
-		p.fail("no such verb")
+		p.fail("unknown verb")
 	}
 }
 
-// connection opens a client's session, or takes the next connection that the program opens to a backend.
+// connection opens a connection to the program for a party, or accepts the next one that the program opens to a backend.
 func (p *exchangePlayer) connection(party string) *peerConn {
 	var conn net.Conn
 	var err error
@@ -148,7 +156,7 @@
 		select {
 		case conn = <-p.env.backends.conns:
 		case <-time.After(waitLimit):
-			p.fail("no connection to a backend came")
+			p.fail("the program opened no connection to a backend within 20 s")
 		}
 	} else {
 		addr := p.env.listenAddr
@@ -168,27 +176,27 @@
 	return c
 }
 
-// playEvent carries out a VERB of the program or of its surroundings.
+// playEvent carries out a verb of the program or of its environment.
 func (p *exchangePlayer) playEvent(verb, rest string) {
 	if !p.configure(verb, rest) && !p.changeStandIns(verb, rest) && !p.controlProcess(verb, rest) {
-		p.fail("no such verb")
+		p.fail("unknown verb")
 	}
 }
 
-// configure carries out the verbs on the configuration; false: it is another verb.
+// configure carries out the verbs on the configuration. It returns false if the verb is not one of them.
 func (p *exchangePlayer) configure(verb, rest string) bool {
 	switch verb {
-	case "settings": // a JSON object that goes over the usual settings
+	case "settings": // the usual configuration is overridden by a JSON object
 		p.env.overrides = append(p.env.overrides, rest)
-	case "known": // the list that the configuration holds, as id=phase words
+	case "known": // the configuration holds an endpoint list, given as id=phase words
 		p.env.overrides = append(p.env.overrides, fmt.Sprintf(`{"known":{"revision":40,"complete":true,"members":%s}}`, p.env.members(rest)))
-	case "anew": // the configuration is replaced, with the JSON object laid over it, and the program notified of that
+	case "anew": // the configuration is replaced by one that a JSON object overrides, and the program reads it
 		usual := p.env.overrides
 		p.env.overrides = append(slices.Clone(usual), rest)
 		text := p.env.config()
 		p.env.overrides = usual
 		p.reloadConfig(text)
-	case "torn": // the configuration is half written when the program is told to read it
+	case "torn": // the program reads a configuration that is only half written
 		text := p.env.config()
 		p.reloadConfig(text[:len(text)/2])
 	default:
@@ -197,7 +205,7 @@
 	return true
 }
 
-// reloadConfig replaces the configuration and has the program read it.
+// reloadConfig replaces the configuration and sends SIGHUP to the program.
 func (p *exchangePlayer) reloadConfig(text []byte) {
 	if err := os.WriteFile(p.process.configPath, text, 0o600); err != nil {
 		p.fail("%v", err)
@@ -205,29 +213,30 @@
 	p.process.cmd.Process.Signal(syscall.SIGHUP)
 }
 
-// changeStandIns carries out the verbs on discovery, the counter, the backends and the clock; false: it is another verb.
+// changeStandIns carries out the verbs on discovery, the counter, the backends and the clock. It returns false if the verb is not
+// one of them.
 func (p *exchangePlayer) changeStandIns(verb, rest string) bool {
 	switch verb {
-	case "moves": // to a past of its own, and an older one: discovery and the counter are at other addresses, and the list there has these members
-		old := *p.env
+	case "moves": // discovery, with an older revision of the list and the given members, and an empty counter are at new addresses
+		previous := *p.env
 		p.env.counter, p.env.discovery = newCounter(p.t), newDiscovery(p.t, p.env.members(rest), 7)
 		p.playEvent("anew", "{}")
-		old.counter.StopAccepting()
-		old.discovery.StopAccepting()
-	case "members": // the list that discovery has from now on, as id=phase words
+		previous.counter.StopAccepting()
+		previous.discovery.StopAccepting()
+	case "members": // discovery has a new list, given as id=phase words
 		p.env.discovery.Set(p.env.members(rest))
-	case "away": // discovery refuses connections
+	case "away": // discovery refuses connections from now on
 		p.env.discovery.StopAccepting()
-	case "counter": // how it answers from now on: add, silent, full, late, reset, spoilt, interim, doubled
+	case "counter": // the counter's mode from now on: add, silent, full, late, reset, spoilt, interim, doubled
 		p.env.counter.SetMode(rest)
-	case "counted": // the sum of all totals
+	case "counted": // the sum of all totals in the counter must become this number
 		want, _ := strconv.ParseFloat(rest, 64)
 		if !eventually(func() bool { return p.env.counter.Sum("") == want }) {
-			p.fail("the counter holds %v", p.env.counter.Sum(""))
+			p.fail("the sum of the counter's totals is %v", p.env.counter.Sum(""))
 		}
-	case "backends": // closed: connections are refused
+	case "backends": // the backends refuse connections from now on
 		p.env.backends.StopAccepting()
-	case "window":
+	case "window": // the first half of the counter's window is awaited
 		waitForFirstHalfOfWindow()
 	case "sleep":
 		d, _ := time.ParseDuration(rest)
@@ -238,18 +247,18 @@
 	return true
 }
 
-// controlProcess carries out the verbs on the process; false: it is another verb.
+// controlProcess carries out the verbs on the process. It returns false if the verb is not one of them.
 func (p *exchangePlayer) controlProcess(verb, rest string) bool {
 	switch verb {
 	case "start":
 		p.process = p.env.start("serve")
-	case "fails": // to start, naming a key
+	case "fails": // the program must fail to start, with an error that names this key
 		if out := p.env.runToFailure("serve"); !strings.Contains(out, rest) {
-			p.fail("it says %s", out)
+			p.fail("the program failed with another error: %s", out)
 		}
-	case "logs": // the program has logged it by now, or will soon
+	case "logs": // the program must have logged this text, or log it within waitLimit
 		if !eventually(func() bool { return strings.Contains(p.process.log(), rest) }) {
-			p.fail("it does not")
+			p.fail("the program did not log the text")
 		}
 	case "signal":
 		p.process.cmd.Process.Signal(syscall.SIGTERM)
@@ -263,9 +272,9 @@
 	return true
 }
 
-// waitForFirstHalfOfWindow waits, if need be, for the first half of the counter's window, which lasts 30 s for the plans of the
-// tests: what follows must not be cut in two by its end. The customers' windows turn at most 4 s before the minute's
-// halves.
+// waitForFirstHalfOfWindow returns at a time in the first half of the counter's window, so that the window does not end during
+// the test that follows. It lasts 30 s on the plans of the tests, and a customer's window starts at most 4 s before the full or
+// half minute.
 func waitForFirstHalfOfWindow() {
 	const window = 30 * time.Second
 	if in := time.Duration(time.Now().UnixNano()) % window; in > window/2 {
@@ -273,6 +282,7 @@
 	}
 }
 
+// eventually returns true as soon as the condition holds, and false if it does not within waitLimit.
 func eventually(condition func() bool) bool {
 	for deadline := time.Now().Add(waitLimit); time.Now().Before(deadline); time.Sleep(5 * time.Millisecond) {
 		if condition() {
@@ -282,7 +292,7 @@
 	return false
 }
 
-// encode turns the BYTES of a line into bytes.
+// encode returns the bytes that the BYTES of a recording stand for, as described at TestExchanges.
 func encode(s string) []byte {
 	switch {
 	case strings.HasPrefix(s, `"`):
@@ -296,27 +306,28 @@
 	}
 	fields := strings.Fields(s)
 	b := fmt.Appendf(nil, "*%d\r\n", len(fields))
-	for _, w := range fields {
-		if strings.Contains(w, "{n}") {
-			b = fmt.Appendf(b, "${n}\r\n%s\r\n", w)
+	for _, word := range fields {
+		if strings.Contains(word, "{n}") {
+			b = fmt.Appendf(b, "${n}\r\n%s\r\n", word)
 		} else {
-			b = fmt.Appendf(b, "$%d\r\n%s\r\n", len(w), w)
+			b = fmt.Appendf(b, "$%d\r\n%s\r\n", len(word), word)
 		}
 	}
 	return b
 }
 
-// expect reads exactly what want says, and no more than that.
+// expect reads until it has read what want describes, in which {n} stands for any number, and fails at the first difference that
+// it can tell.
 func expect(r *bufio.Reader, want []byte) error {
 	pattern := regexp.MustCompile("^" + strings.ReplaceAll(regexp.QuoteMeta(string(want)), `\{n\}`, `[-0-9.]+`) + "$")
 	var got []byte
 	for !pattern.Match(got) {
 		b, err := r.ReadByte()
 		if err != nil {
-			return fmt.Errorf("want %q, got %q and %v", want, got, err)
+			return fmt.Errorf("expected %q, got %q and %v", want, got, err)
 		}
 		if got = append(got, b); len(got) > len(want)+64 {
-			return fmt.Errorf("want %q, got %q", want, got)
+			return fmt.Errorf("expected %q, got %q", want, got)
 		}
 	}
 	return nil
--- a/cmd/dewhitch/process_test.go
+++ b/cmd/dewhitch/process_test.go
@@ -17,21 +17,23 @@
 	"dewhitch/internal/standin"
 )
 
-// process is a running program.
+// process is a program under test. Its output is collected in memory, and mu guards that.
 type process struct {
 	cmd        *exec.Cmd
-	configPath string // where its configuration is
+	configPath string // path of the program's configuration
 	mu         sync.Mutex
 	output     bytes.Buffer
 	exited     chan error
 }
 
+// Write implements io.Writer for the program's output.
 func (p *process) Write(b []byte) (int, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.output.Write(b)
 }
 
+// log returns the program's output so far. It is empty if p is nil.
 func (p *process) log() string {
 	if p == nil {
 		return ""
@@ -41,22 +43,23 @@
 	return p.output.String()
 }
 
+// wait waits for the program's end and returns its error. It can be called several times.
 func (p *process) wait() error {
 	select {
 	case err := <-p.exited:
 		p.exited <- err
 		return err
 	case <-time.After(waitLimit):
-		return fmt.Errorf("the program goes on")
+		return fmt.Errorf("the program has not ended after 20 s")
 	}
 }
 
-// environment is one gateway's surroundings: stand-ins for everything that it speaks to.
+// environment is what a gateway needs to run: its addresses and settings, and stand-ins for all services that it connects to.
 type environment struct {
 	t                      *testing.T
 	listenAddr, limitsAddr string
-	adminAddr              string // the operators' address of the program started last
-	sharedTempDir          string // $TMPDIR that its programs share; empty: one each
+	adminAddr              string // the operators' address of the program that was started last
+	sharedTempDir          string // $TMPDIR that all programs share, or empty if each has its own
 	overrides              []string
 	instance               int
 	backends               *manualBackends
@@ -64,25 +67,27 @@
 	discovery              *standin.Discovery
 	registryAddr           string // address of a ZooKeeper stand-in, or empty
 	operatorAddr           string // address of the operators' listener, or empty
-	extraOperations        string // more of the operators' file
+	extraOperations        string // text appended to the operators' file
 }
 
+// newEnvironment returns an environment with one server, in which no program runs yet. Its stand-ins end with the test.
 func newEnvironment(t *testing.T) *environment {
-	w := &environment{t: t, listenAddr: standin.OwnAddr(), limitsAddr: standin.OwnAddr(), backends: newManualBackends(t), counter: newCounter(t)}
-	w.discovery = newDiscovery(t, w.members("s-00000001=up"), 41)
-	return w
+	env := &environment{t: t, listenAddr: standin.OwnAddr(), limitsAddr: standin.OwnAddr(), backends: newManualBackends(t), counter: newCounter(t)}
+	env.discovery = newDiscovery(t, env.members("s-00000001=up"), 41)
+	return env
 }
 
+// members returns an endpoint list of the servers given as id=phase words, all of them at the backends' address.
 func (env *environment) members(phases string) string {
 	var list []string
-	for m := range strings.FieldsSeq(phases) {
-		id, phase, _ := strings.Cut(m, "=")
+	for member := range strings.FieldsSeq(phases) {
+		id, phase, _ := strings.Cut(member, "=")
 		list = append(list, standin.Member(id, env.backends.Addr(), phase))
 	}
 	return standin.Members(list...)
 }
 
-// config is the node's configuration, with the overrides laid over it.
+// config returns the node's configuration, with the overrides merged into it.
 func (env *environment) config() []byte {
 	text, err := os.ReadFile("testdata/node.json")
 	if err != nil {
@@ -92,11 +97,11 @@
 	if err := json.Unmarshal(text, &c); err != nil {
 		env.t.Fatal(err)
 	}
-	for _, o := range append([]string{fmt.Sprintf(`{"listen":%q,"admin":%q,"discovery":%q,"counter":%q,"settings":{"MyNumber":%d}}`,
+	for _, overrideJSON := range append([]string{fmt.Sprintf(`{"listen":%q,"admin":%q,"discovery":%q,"counter":%q,"settings":{"MyNumber":%d}}`,
 		env.listenAddr, env.adminAddr, env.discovery.Addr(), env.counter.Addr(), env.instance)}, env.overrides...) {
 		var override map[string]any
-		if err := json.Unmarshal([]byte(o), &override); err != nil {
-			env.t.Fatal(o, err)
+		if err := json.Unmarshal([]byte(overrideJSON), &override); err != nil {
+			env.t.Fatal(overrideJSON, err)
 		}
 		mergeJSON(c, override)
 	}
@@ -104,6 +109,7 @@
 	return text
 }
 
+// mergeJSON merges overrides into target: objects member by member, and other values by replacing them.
 func mergeJSON(target, overrides map[string]any) {
 	for k, v := range overrides {
 		a, ok1 := target[k].(map[string]any)
@@ -115,6 +121,7 @@
 	}
 }
 
+// command writes the program's files to a new folder and returns a command that runs it with them.
 func (env *environment) command(args ...string) *exec.Cmd {
 	dir := env.t.TempDir()
 	tempDir := dir
@@ -128,14 +135,14 @@
 	limits := fmt.Sprintf("listen = %q\n[registry]\nservers = [%s]\nsession_ms = 1000\n[forward]\nlisten = %q\ngateways = 3\n",
 		env.limitsAddr, servers, env.listenAddr)
 	os.WriteFile(filepath.Join(dir, "limits.toml"), []byte(limits), 0o600)
-	env.adminAddr = standin.OwnAddr() // each program of a world has one of its own
+	env.adminAddr = standin.OwnAddr() // each program of an environment has its own
 	os.WriteFile(filepath.Join(dir, "config.json"), env.config(), 0o600)
 	operations := fmt.Sprintf("[ledger]\nenabled = true\naudit_ms = 50\nstatement_ms = 300\nsegment_mb = 1\ndir = %q\n"+
 		"[operator]\nlisten = %q\n%s", filepath.Join(dir, "ledger"), env.operatorAddr, env.extraOperations)
 	os.WriteFile(filepath.Join(dir, "operations.toml"), []byte(operations), 0o600)
 	cmd := exec.Command(program, append([]string{"--limits", filepath.Join(dir, "limits.toml"),
 		"--operations", filepath.Join(dir, "operations.toml")}, args...)...)
-	// As on the platform, each gateway has a folder of its own for what one process hands to the next.
+	// As on the platform, each gateway has its own folder for the state that a process passes to the next one.
 	cmd.Env = append(os.Environ(), "TMPDIR="+tempDir, "NODE_CONFIG="+filepath.Join(dir, "config.json"),
 		"NODE_DISCOVERY="+env.discovery.Addr())
 	return cmd
@@ -144,6 +151,7 @@
 // start starts the program and waits until it listens.
 func (env *environment) start(args ...string) *process { return env.startCommand(env.command(args...)) }
 
+// startCommand starts the command as start does. The process is killed at the end of the test.
 func (env *environment) startCommand(cmd *exec.Cmd) *process {
 	p := &process{cmd: cmd, exited: make(chan error, 1)}
 	p.configPath = strings.TrimPrefix(p.cmd.Env[len(p.cmd.Env)-2], "NODE_CONFIG=")
@@ -155,7 +163,7 @@
 	env.t.Cleanup(func() {
 		p.cmd.Process.Kill()
 		p.wait()
-		// Whatever a test does, the program's ledger must add up all the while.
+		// The program's ledger must add up at any time, whatever a test does.
 		if log := p.log(); strings.Contains(log, "the books do not add up") || strings.Contains(log, "could not be kept") {
 			env.t.Errorf("the ledger raised an alarm\n%s", log)
 		}
@@ -172,11 +180,11 @@
 	return p
 }
 
-// runToFailure runs the program to an end that must be a failure, and returns what it says.
+// runToFailure runs the program, which must end with an error, and returns its output.
 func (env *environment) runToFailure(args ...string) string {
 	out, err := env.command(args...).CombinedOutput()
 	if err == nil {
-		env.t.Fatalf("it ended well: %s", out)
+		env.t.Fatalf("the program ended without an error: %s", out)
 	}
 	return string(out)
 }
--- a/cmd/dewhitch/redis_test.go
+++ b/cmd/dewhitch/redis_test.go
@@ -12,16 +12,16 @@
 	"dewhitch/internal/standin"
 )
 
-// A client as the field has them, with a name set, gets in at a planner and through a forwarder, whichever version of
-// the protocol it would like.
+// TestRealClient guards against a Redis client library that can't work with a planner or a forwarder. The client sets a name and
+// asks for version 2 or 3 of the protocol.
 func TestRealClient(t *testing.T) {
 	t.Parallel()
-	z := newZookeeper(t)
+	registry := newZookeeper(t)
 	env := newEnvironment(t)
 	go env.backends.serveAll()
-	env.registryAddr = z.Addr()
+	env.registryAddr = registry.Addr()
 	p := env.start("serve")
-	if !eventually(func() bool { return z.Owner("/dewhitch/planners/gateway-0") != 0 }) {
+	if !eventually(func() bool { return registry.Owner("/dewhitch/planners/gateway-0") != 0 }) {
 		t.Fatal("the planner is not registered\n", p.log())
 	}
 	forwarderEnv := *env
@@ -39,7 +39,7 @@
 	}
 }
 
-// checkClient has a client work on one connection, through its commands on its own session, on limits and of the platform.
+// checkClient sends commands of all kinds with a client library: on the client's session, on limits, and the platform's.
 func checkClient(t *testing.T, addr string, protocol int, customer string) {
 	ctx, cancel := context.WithTimeout(t.Context(), 6*waitLimit)
 	defer cancel()
@@ -49,11 +49,12 @@
 	check := func(name string, got any, err error, want any) {
 		t.Helper()
 		if err != nil || fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Errorf("%s: %v, %v; want %v", name, got, err, want)
+			t.Errorf("%s: got %v, %v; expected %v", name, got, err, want)
 		}
 	}
 	checkSession(ctx, c, check)
-	// Far more commands of its own than a session has strikes, on one connection.
+	// Commands on the session must not count as faults: these are far more on one connection than the faults that a session may
+	// have.
 	pipe := c.Pipeline()
 	for range 30 {
 		pipe.Do(ctx, "CLIENT", "SETINFO", "LIB-NAME", "go-redis")
@@ -73,11 +74,11 @@
 	check("QUIT", answer, err, "OK")
 	time.Sleep(time.Millisecond)
 	if _, err := quit.Do(ctx, "PING").Result(); err == nil {
-		t.Error("a session goes on after QUIT")
+		t.Error("the session still answers after QUIT")
 	}
 }
 
-// checkSession has a client send the commands on its own session.
+// checkSession sends the commands on the client's session.
 func checkSession(ctx context.Context, c *redis.Client, check func(name string, got any, err error, want any)) {
 	name, err := c.ClientGetName(ctx).Result()
 	check("CLIENT GETNAME", name, err, "lorries")
--- a/cmd/dewhitch/repeat_window_test.go
+++ b/cmd/dewhitch/repeat_window_test.go
@@ -10,22 +10,21 @@
 	"time"
 )
 
-// repeatWindow is how long the servers of TestRepeatEndsWithItsWindow drop a repeat; shorter than the request's deadline, as
-// some customers have it.
+// repeatWindow is how long the servers of TestRepeatEndsWithItsWindow drop repeats of a request. It is shorter than the request's
+// deadline, as it is for some customers.
 const repeatWindow = time.Second
 
-// The slack of the rules on sockets, and how long a gateway may be held up between reading its clock and writing.
+// The tolerance of the rules on sockets, and how long a gateway may be stalled between reading its clock and writing.
 const (
 	ruleSlack       = 50 * time.Millisecond
 	maxProcessStall = 150 * time.Millisecond
 )
 
-// What happens: a server breaks the connection under a booking, which may have run; the gateway repeats it at another, which is
-// stuck and never answers. Servers forget the first one's key after a second, so a repeat that is still open then runs a second
-// time once that server comes to itself. Why: nothing ended a repeat with the window. What showed it: the second server saw its
-// connection close 2.0 s after the first attempt, in ten runs of ten, at half of the aim, which has nothing to do with the
-// window. In the drill of TestLeavers, seed 7, the same let a key come again after 3.13 s where servers forget after 3 s, as a way
-// that had been cut was healed. Mended in repeat_window.go.
+// TestRepeatEndsWithItsWindow guards against a booking that runs twice. A server resets the connection of a booking that may have
+// run, and the gateway repeats it at another server, which hangs. Servers forget the key of the first attempt after a second, so
+// a repeat that is still open then runs again once that server recovers; dedup_window.go ends it with the window. Before that,
+// the second connection closed 2.0 s after the first attempt, at half of the aim, in 10 of 10 runs. In the drill of TestLeavers,
+// seed 7, a key arrived again after 3.13 s, when a partition was healed, although servers forget keys after 3 s.
 func TestRepeatEndsWithItsWindow(t *testing.T) {
 	t.Parallel()
 	env := newEnvironment(t)
@@ -43,12 +42,12 @@
 	repeat := env.nextBackendCommand()
 	repeat.SetReadDeadline(firstAttemptAt.Add(repeatWindow + ruleSlack + maxProcessStall))
 	if _, err := repeat.r.ReadByte(); errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the repeat is open %v after the first attempt, and servers forget that after %v\n%s", time.Since(firstAttemptAt),
+		t.Errorf("the repeat is open %v after the first attempt, which servers forget after %v\n%s", time.Since(firstAttemptAt),
 			repeatWindow, p.log())
 	}
 	c.SetReadDeadline(firstAttemptAt.Add(4 * time.Second))
 	answer, err := bufio.NewReader(c).ReadString('\n')
 	if err != nil || !strings.HasPrefix(answer, "-") {
-		t.Errorf("the client was answered %q, %v", answer, err)
+		t.Errorf("the client got %q, %v, expected an error answer", answer, err)
 	}
 }
--- a/cmd/dewhitch/soak_test.go
+++ b/cmd/dewhitch/soak_test.go
@@ -16,40 +16,41 @@
 	"dewhitch/internal/standin"
 )
 
-// More seeds, by hand: go test ./cmd/dewhitch -run TestSoak -soak.seeds 60 -soak.from 1000 -timeout 40m
+// Flags for more seeds than a usual run has: go test ./cmd/dewhitch -run TestSoak -soak.seeds 60 -soak.from 1000 -timeout 40m
 var (
 	soakSeeds = flag.Int("soak.seeds", 9, "runs of TestSoak")
 	soakFrom  = flag.Uint64("soak.from", 42, "the first seed")
 )
 
-// The measures of a run of the soak.
+// The sizes and times of a run of the soak.
 const (
 	soakGateways        = 2
 	soakNodes           = 8
-	soakDuration        = 7 * time.Second // in which signals come and servers drain
-	soakClients         = 8               // of each gateway, that ask all the time
-	crowdSize           = 60              // idle connections, where there is a crowd
+	soakDuration        = 7 * time.Second // time in which signals are sent and servers start to drain
+	soakClients         = 8               // number of clients of each gateway that send one request after another
+	crowdSize           = 60              // number of idle connections to each gateway in runs with a crowd
 	drainGrace          = 550 * time.Millisecond
-	stallDuration       = 150 * time.Millisecond // that a process stands still between reading its clock and acting
-	answerRequiredAfter = 700 * time.Millisecond // SIGTERM: a request that comes later must have its answer at SIGKILL
-	soakSlack           = 250 * time.Millisecond // for the machine that the test runs on
+	stallDuration       = 150 * time.Millisecond // longest time that a process may be stopped between reading its clock and acting
+	answerRequiredAfter = 700 * time.Millisecond // a request sent later than this after SIGTERM must be answered by SIGKILL
+	soakSlack           = 250 * time.Millisecond // allowance for scheduling delays of the machine that runs the test
 )
 
-// soakRun is one run: gateways, servers that drain, and signals in series.
+// soakRun is one run of TestSoak: gateways that receive one signal after another, and servers that drain.
 type soakRun struct {
 	*drainTest
 	seed        uint64
-	rng         *rand.Rand // of the schedule
+	rng         *rand.Rand // source of the run's parameters
 	servers     int
 	idleCrowd   bool
-	throttled   bool          // the gateways have a part of a core
-	maxDeadline time.Duration // deadline
-	fullLists   bool          // changes come as full lists
+	throttled   bool          // true if the gateways run for only a part of the time
+	maxDeadline time.Duration // deadline of the requests' class, and the longest time that a client waits
+	fullLists   bool          // true if discovery sends changes as full lists
 
 	mu           sync.Mutex
-	drainedNodes map[int]time.Time // by node: when every gateway was notified
+	drainedNodes map[int]time.Time // by draining node: time by which every gateway was notified
 }
 
+// newSoakRun draws the parameters of a run from its seed, and starts its backends.
 func newSoakRun(t *testing.T, seed uint64) *soakRun {
 	s := &soakRun{seed: seed, rng: rand.New(rand.NewPCG(seed, 7)), servers: soakNodes, drainedNodes: map[int]time.Time{}}
 	s.idleCrowd = seed%2 == 1
@@ -63,12 +64,13 @@
 	return s
 }
 
+// String returns the parameters of the run, which name the subtest.
 func (s *soakRun) String() string {
 	return fmt.Sprintf("seed %d: %d servers, crowd %v, longest deadline %v, full lists %v, a part of a core %v", s.seed, s.servers,
 		s.idleCrowd, s.maxDeadline, s.fullLists, s.throttled)
 }
 
-// members is the list; the servers of the nodes that drain are in that phase.
+// members returns the endpoint list, in which the servers of the draining nodes are in the phase draining.
 func (s *soakRun) members() string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -83,7 +85,7 @@
 	return "[\n  " + strings.Join(members, ",\n  ") + "\n]"
 }
 
-// start starts a gateway, or one that replaces it.
+// start starts a gateway's process, or the one that replaces it.
 func (s *soakRun) start(g *gatewayRecord) *process {
 	p := g.env.start("serve")
 	if s.throttled {
@@ -92,13 +94,13 @@
 	return p
 }
 
-// The slices in which a process that has a part of a core runs, and does not.
+// The lengths of the slices in which a throttled process alternately runs and is stopped.
 const (
 	runSlice  = 8 * time.Millisecond
 	stopSlice = 12 * time.Millisecond
 )
 
-// throttle has a process run for a part of the time, until it ends or the run is over.
+// throttle stops and continues a process in turn until the process ends or the run is done.
 func (s *soakRun) throttle(p *process) {
 	for {
 		for _, step := range []struct {
@@ -118,6 +120,7 @@
 	}
 }
 
+// newGateway returns a gateway with its environment. It starts no process.
 func (s *soakRun) newGateway(number int) *gatewayRecord {
 	env := newEnvironment(s.t)
 	env.instance = number
@@ -127,13 +130,13 @@
 	return &gatewayRecord{env: env, instance: number, maxTimeout: s.maxDeadline, routedAfterDrain: 400 * time.Millisecond}
 }
 
-// settings lays a class with that deadline over the usual ones, as the only one.
+// settings returns overrides of the configuration, with a class of that deadline as the only one.
 func (s *soakRun) settings(deadline time.Duration) string {
 	return fmt.Sprintf(`{"limits":{"sockets":384},"settings":{"NInstances":%d,"Caps":{"ConnectTimeout":250000000},"RequestClasses":[
 		{"Name":"lookup","Aim":%d,"Deadline":%d,"Effect":"safe","Points":1}]}}`, soakGateways, deadline/2, deadline)
 }
 
-// drainNode has the servers of a node drain, and tells every gateway.
+// drainNode sets the servers of a node to drain in the lists of all gateways.
 func (s *soakRun) drainNode(node int) {
 	s.mu.Lock()
 	s.drainedNodes[node] = time.Now().Add(time.Hour) // not notified yet
@@ -147,7 +150,7 @@
 	s.mu.Unlock()
 }
 
-// drainNodes has some nodes drain, each at its moment.
+// drainNodes sets three nodes to drain, each at a random time in its part of the run.
 func (s *soakRun) drainNodes(startedAt time.Time, rng *rand.Rand) {
 	for n, node := range rng.Perm(soakNodes)[:3] {
 		waitUntil(startedAt.Add(time.Duration(n+1)*soakDuration/5 + time.Duration(rng.Int64N(int64(soakDuration/10)))))
@@ -155,8 +158,8 @@
 	}
 }
 
-// sendSignals sends a gateway one signal after the other: new configurations, standstills, drains, and at last the end, with the
-// kill at its earliest; a new process goes on.
+// sendSignals sends a gateway one signal after another: reloads, stops of stallDuration and drains, and at last SIGTERM, followed
+// by the earliest SIGKILL. Then it starts a new process in its place.
 func (s *soakRun) sendSignals(g *gatewayRecord, p *process, startedAt time.Time, rng *rand.Rand) {
 	send := func(signal syscall.Signal) { p.cmd.Process.Signal(signal) }
 	if rng.IntN(3) == 0 {
@@ -186,7 +189,7 @@
 	s.startClients(g, 1)
 }
 
-// drainForTerm drains a gateway for the whole of the operators' term, judges what it holds then, and takes it back.
+// drainForTerm drains a gateway, checks its connections at the end of the term, and puts it into service again.
 func (s *soakRun) drainForTerm(g *gatewayRecord) {
 	s.drain(g, time.Now().Add(drainTerm/20))
 	adminCall(s.t, g.env.adminAddr, "activate")
@@ -196,8 +199,8 @@
 	s.startClients(g, 2)
 }
 
-// terminate sends SIGTERM, with a standstill or a drain beside it, and SIGKILL as early as the platform may; what is open then
-// is judged.
+// terminate sends SIGTERM, in some runs with a drain before it or a stop after it, and SIGKILL as early as the platform may. It
+// reports the connections that are open then.
 func (s *soakRun) terminate(g *gatewayRecord, p *process, rng *rand.Rand) {
 	if rng.IntN(3) == 0 {
 		adminCall(s.t, g.env.adminAddr, "evacuate")
@@ -208,7 +211,7 @@
 	g.mu.Unlock()
 	p.cmd.Process.Signal(syscall.SIGTERM)
 	kill := signalledAt.Add(min(s.maxDeadline, maxCountedDeadline) + killMargin)
-	if rng.IntN(2) == 0 { // it is held up at some moment on its way
+	if rng.IntN(2) == 0 { // the process is stopped for a while at a random time before the kill
 		stallAt := time.Duration(rng.Int64N(int64(kill.Sub(signalledAt) - stallDuration)))
 		waitUntil(signalledAt.Add(stallAt))
 		p.cmd.Process.Signal(syscall.SIGSTOP)
@@ -229,7 +232,8 @@
 	}
 }
 
-// checkAtKill tells of what was lost with a connection that was open at SIGKILL.
+// checkAtKill reports a fault if the gateway had the connection open at SIGKILL, with the number of requests that were lost with
+// it.
 func (s *soakRun) checkAtKill(g *gatewayRecord, c *connection, signalledAt time.Time, open map[int]bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -247,7 +251,7 @@
 		len(c.unanswered), lost)
 }
 
-// openPorts are the clients' ports of the connections at an address that the gateway has not ended, as the system has them.
+// openPorts returns the clients' ports of the connections to an address that the gateway has not closed, by the kernel's table.
 func openPorts(addr string) map[int]bool {
 	const localField, remoteField, stateField = 1, 2, 3
 	const established, closeWait = "01", "08"
@@ -269,7 +273,7 @@
 	return open
 }
 
-// startClients starts the clients of a gateway in one of its lives.
+// startClients starts the clients of one incarnation of a gateway.
 func (s *soakRun) startClients(g *gatewayRecord, incarnation uint64) {
 	behaviours := []behaviour{pipelineRequests, pipelineRequests, sendNothing, requestOnce, trickleCommand, requestAndDisconnect}
 	for range soakClients {
@@ -285,7 +289,7 @@
 	}
 }
 
-// A client that asks again a moment after it was answered.
+// requestWithPauses sends the next request up to 8 ms after the previous one is answered.
 func requestWithPauses(_ *drainTest, g *gatewayRecord, c *connection, rng *rand.Rand) {
 	c.sendRequest(g, rng)
 	c.readAnswers(g, func() {
@@ -294,20 +298,21 @@
 	})
 }
 
-// checkDrainedNodes reports requests that came to a server too long after every gateway was notified that it drains.
+// checkDrainedNodes reports requests that reached a server too long after every gateway was notified that the server drains.
 func (s *soakRun) checkDrainedNodes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.backends.Commands() {
 		if notifiedAt, draining := s.drainedNodes[c.Backend]; draining && c.At.Sub(notifiedAt) > drainGrace+soakSlack {
-			s.gateways[0].addFault("request %s came to a server of node %d %v after the watch event that it drains", c.ID, c.Backend, c.At.Sub(notifiedAt))
+			s.gateways[0].addFault("request %s reached a server of node %d %v after the watch event that the server drains", c.ID, c.Backend,
+				c.At.Sub(notifiedAt))
 		}
 	}
 }
 
-// Gateways are drained, stalled, reloaded, ended and killed as early as the platform may, one signal after the
-// other, while clients use every connection that is open, servers hang, and some drain. No request may be lost or answered
-// late, and none may go to a server that drains.
+// TestSoak guards against requests that are lost, answered late or sent to a draining server. Gateways are drained, stopped,
+// reloaded, terminated and killed as early as the platform may, one signal after another, while clients use all of their
+// connections, some servers hang and some drain.
 func TestSoak(t *testing.T) {
 	for seed := range uint64(*soakSeeds) {
 		s := newSoakRun(t, *soakFrom+seed)
@@ -324,7 +329,7 @@
 	}
 }
 
-// execute plays the run.
+// execute carries out the run: it starts the gateways and clients, sends the signals, and checks the requests at the end.
 func (s *soakRun) execute() {
 	var running []*process
 	for i := range soakGateways {
--- a/cmd/dewhitch/standins_test.go
+++ b/cmd/dewhitch/standins_test.go
@@ -10,13 +10,13 @@
 	"dewhitch/internal/standin/zookeeper"
 )
 
-// manualBackends stands in for all backends: the recordings speak for them, one connection at a time.
+// manualBackends is a listener for all backends. The test, or serveAll, answers on each connection.
 type manualBackends struct {
 	*standin.Listener
-	conns chan net.Conn
+	conns chan net.Conn // connections that the program has opened, in their order
 }
 
-// closeAtCleanup ends what a test started when that is over.
+// closeAtCleanup fails the test if err is set, and otherwise closes standIn at the end of the test.
 func closeAtCleanup[T interface{ Close() }](t *testing.T, standIn T, err error) T {
 	t.Helper()
 	if err != nil {
@@ -28,19 +28,19 @@
 
 func newManualBackends(t *testing.T) *manualBackends {
 	b := &manualBackends{conns: make(chan net.Conn, 1024)}
-	l, err := standin.Listen("", func(c net.Conn) {
-		b.conns <- c
-		<-t.Context().Done() // whoever took it closes it
+	listener, err := standin.Listen("", func(conn net.Conn) {
+		b.conns <- conn
+		<-t.Context().Done() // the receiver of the connection closes it
 	})
-	b.Listener = closeAtCleanup(t, l, err)
+	b.Listener = closeAtCleanup(t, listener, err)
 	return b
 }
 
-// serveAll has them answer every command from now on, each with its body, or its own id if it has none.
+// serveAll answers every command on all connections, with its body, or with its id if it has no body.
 func (b *manualBackends) serveAll() {
-	for c := range b.conns {
+	for conn := range b.conns {
 		go func() {
-			for r := bufio.NewReader(c); ; {
+			for r := bufio.NewReader(conn); ; {
 				command, err := standin.ReadCommand(r)
 				if err != nil {
 					return
@@ -49,7 +49,7 @@
 				if len(command) > 4 {
 					value = command[4]
 				}
-				fmt.Fprintf(c, "*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
+				fmt.Fprintf(conn, "*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n", len(value), value)
 			}
 		}()
 	}
