--- a/cmd/dewhitch/handover_test.go
+++ b/cmd/dewhitch/handover_test.go
@@ -138,7 +138,7 @@
 }
 
 // TestWarmProcess guards against a replacement process that rejects a customer who has used most of its quota. Without a warm
-// start it does, as it attributes all use in the counter to other gateways. A torn snapshot must not be used.
+// start it does that, as it attributes all use in the counter to other gateways. A torn snapshot must not be used.
 func TestWarmProcess(t *testing.T) {
 	served := map[string]int{}
 	for _, mode := range []string{"auto", "off"} {
@@ -162,7 +162,7 @@
 			return servedCount
 		}
 		old := startProcess()
-		if servedBefore := send(14); servedBefore < 11 { // by then little is left, and a few snapshots are written
+		if servedBefore := send(14); servedBefore < 11 { // by then little of the quota remains, and a few snapshots are written
 			t.Fatalf("served %d of 14, the last %q\n%s", servedBefore, lastAnswer, old.log())
 		}
 		next := startProcess()
--- a/cmd/dewhitch/large_test.go
+++ b/cmd/dewhitch/large_test.go
@@ -216,7 +216,7 @@
 	checkBrokenValues(t, env)
 }
 
-// checkBrokenValues checks that a client whose value breaks off sees the end of its connection and no other bytes, and that the
+// checkBrokenValues checks that a client whose value breaks off gets a part of it and then the end of its connection, and that the
 // next query is served after a client has disconnected within its value.
 func checkBrokenValues(t *testing.T, env *environment) {
 	c := dialLarge(t, env)
--- a/cmd/dewhitch/player_test.go
+++ b/cmd/dewhitch/player_test.go
@@ -18,8 +18,8 @@
 	"dewhitch/internal/standin"
 )
 
-// waitLimit is how long the tests wait for an event that must happen. No test without a limit of its own fails because it is slow
-// before that.
+// waitLimit is how long the tests wait for an event that must happen. A test that states no other limit
+// does not fail for slowness before that.
 const waitLimit = 20 * time.Second
 
 // program is the path of the program under test, which TestMain builds.
--- a/cmd/dewhitch/soak_test.go
+++ b/cmd/dewhitch/soak_test.go
@@ -26,11 +26,11 @@
 const (
 	soakGateways        = 2
 	soakNodes           = 8
-	soakDuration        = 7 * time.Second // time in which signals are sent and servers start to drain
-	soakClients         = 8               // number of clients of each gateway that send one request after another
-	crowdSize           = 60              // number of idle connections to each gateway in runs with a crowd
-	drainGrace          = 550 * time.Millisecond
-	stallDuration       = 150 * time.Millisecond // longest time that a process may be stopped between reading its clock and acting
+	soakDuration        = 7 * time.Second        // time in which signals are sent and servers start to drain
+	soakClients         = 8                      // number of clients of each gateway that send one request after another
+	crowdSize           = 60                     // number of idle connections to each gateway in runs with a crowd
+	drainGrace          = 550 * time.Millisecond // time after the announcement in which a draining server may get requests
+	stallDuration       = 150 * time.Millisecond // length of a stop, also between reading the clock and acting
 	answerRequiredAfter = 700 * time.Millisecond // a request sent later than this after SIGTERM must be answered by SIGKILL
 	soakSlack           = 250 * time.Millisecond // allowance for scheduling delays of the machine that runs the test
 )
