--- a/internal/fleet/evacuation/selfmonitor_test.go
+++ b/internal/fleet/evacuation/selfmonitor_test.go
@@ -5,25 +5,29 @@
 	"time"
 )
 
-// runSelfMonitor plays one gateway's view of itself, five evaluations a second.
-func runSelfMonitor(o *SelfMonitor, now *time.Duration, d time.Duration, served, failed uint64, evacuated, fresh bool, turn int) (drained bool) {
+// runSelfMonitor runs a SelfMonitor for the duration d with five updates a second, each with the given numbers of served and failed
+// attempts, and returns the last result of Update. A drained gateway observes no attempts.
+func runSelfMonitor(monitor *SelfMonitor, now *time.Duration, d time.Duration, served, failed uint64, zoneEvacuated, viewFresh bool, returnIndex int) (drained bool) {
 	for end := *now + d; *now < end; {
 		*now += 200 * time.Millisecond
 		if !drained {
-			o.Observe(*now, served, failed)
+			monitor.Observe(*now, served, failed)
 		}
-		drained = o.Update(*now, evacuated, fresh, turn)
+		drained = monitor.Update(*now, zoneEvacuated, viewFresh, returnIndex)
 	}
 	return drained
 }
 
+// A gateway drains if it is isolated from the servers while its zone is evacuated or its view of the fleet is out of date, and otherwise
+// not. Drained gateways of a zone return selfReturnDelay apart. Without a quorum a gateway returns after selfMaxDrain, and does not stay
+// drained.
 func TestSelfMonitorDrains(t *testing.T) {
 	const s = time.Second
 	for _, c := range []struct {
-		what             string
-		served, failed   uint64
-		evacuated, fresh bool
-		want             bool
+		name                     string
+		served, failed           uint64
+		zoneEvacuated, viewFresh bool
+		want                     bool
 	}{
 		{"healthy, in an evacuated zone", 20, 1, true, true, false},
 		{"isolated, in an evacuated zone", 0, 3, true, true, true},
@@ -33,29 +37,29 @@
 		{"half of its attempts fail", 3, 3, true, true, false},
 		{"no attempts", 0, 0, true, true, false},
 	} {
-		o, now := &SelfMonitor{}, 10*s
-		if got := runSelfMonitor(o, &now, 4*s, c.served, c.failed, c.evacuated, c.fresh, 0); got != c.want {
-			t.Errorf("%s: drained %v", c.what, got)
+		monitor, now := &SelfMonitor{}, 10*s
+		if got := runSelfMonitor(monitor, &now, 4*s, c.served, c.failed, c.zoneEvacuated, c.viewFresh, 0); got != c.want {
+			t.Errorf("%s: drained is %v, expected the opposite", c.name, got)
 		}
 	}
-	// They come back one after the other, and not for a moment's view.
-	for turn := range 3 {
-		o, now := &SelfMonitor{}, 10*s
-		if !runSelfMonitor(o, &now, 4*s, 0, 3, true, true, turn) {
-			t.Fatal("not drained")
+	// Gateways return one after the other, in the order of their indexes, when their zone is back in service.
+	for returnIndex := range 3 {
+		monitor, now := &SelfMonitor{}, 10*s
+		if !runSelfMonitor(monitor, &now, 4*s, 0, 3, true, true, returnIndex) {
+			t.Fatal("not drained while isolated in an evacuated zone")
 		}
-		runSelfMonitor(o, &now, 4*s, 0, 0, true, true, turn)
-		began := now
-		for o.Update(now, false, true, turn) {
+		runSelfMonitor(monitor, &now, 4*s, 0, 0, true, true, returnIndex)
+		recoveredAt := now
+		for monitor.Update(now, false, true, returnIndex) {
 			now += 200 * time.Millisecond
 		}
-		if elapsed := now - began; elapsed < time.Duration(turn)*selfReturnDelay || elapsed > time.Duration(turn)*selfReturnDelay+2*s {
-			t.Errorf("the %d. came back after %v", turn, elapsed)
+		if elapsed := now - recoveredAt; elapsed < time.Duration(returnIndex)*selfReturnDelay || elapsed > time.Duration(returnIndex)*selfReturnDelay+2*s {
+			t.Errorf("return index %d: returned after %v, expected selfReturnDelay times the index, or up to 2 s more", returnIndex, elapsed)
 		}
 	}
-	o, now := &SelfMonitor{}, 10*s
-	runSelfMonitor(o, &now, 4*s, 0, 3, false, false, 0)
-	if runSelfMonitor(o, &now, selfMaxDrain, 0, 0, false, false, 0) {
-		t.Error("it stays away for good without a quorum")
+	monitor, now := &SelfMonitor{}, 10*s
+	runSelfMonitor(monitor, &now, 4*s, 0, 3, false, false, 0)
+	if runSelfMonitor(monitor, &now, selfMaxDrain, 0, 0, false, false, 0) {
+		t.Error("still drained after selfMaxDrain without a quorum")
 	}
 }
--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -52,10 +52,10 @@
 }
 
 // postEnd posts the front's end of a call.
-func (k *call) postEnd(f front.Fate) {
+func (k *call) postEnd(f front.Outcome) {
 	switch f {
-	case front.ClientLeft:
-		k.post(ledger.FrontClientLeft)
+	case front.ClientDeparted:
+		k.post(ledger.FrontClientDeparted)
 	case front.WriteFailed:
 		k.post(ledger.FrontWriteFailed)
 	default:
@@ -91,13 +91,13 @@
 func (k *call) settle(v resp.Value) {
 	attempt, decided := classify(v)
 	k.post(attempt)
-	k.post(ledger.PlanHeard)
+	k.post(ledger.PlanNotified)
 	k.answer(decided, resp.AppendValue(nil, v))
 }
 
 // classify gives the ledger's events for a planner's answer: the end of the attempt, and the decision.
 func classify(v resp.Value) (attempt, decided ledger.Event) {
-	if v.Kind != resp.Failure {
+	if v.Kind != resp.Error {
 		return ledger.AttemptOK, ledger.PlanServed
 	}
 	word, _, _ := strings.Cut(string(v.Text), " ")
@@ -113,7 +113,7 @@
 // fail answers a call that was written completely and whose planner was lost.
 func (k *call) fail() {
 	k.post(ledger.AttemptReset)
-	k.post(ledger.PlanHeard)
+	k.post(ledger.PlanNotified)
 	k.answer(ledger.PlanFailedExhausted,
-		resp.AppendFailure(nil, "ERR the planner was lost; the command may have been applied"))
+		resp.AppendError(nil, "ERR the planner was lost; the command may have been applied"))
 }
--- a/internal/front/limits/limits.go
+++ b/internal/front/limits/limits.go
@@ -1,5 +1,5 @@
-// Package limits is the front for RESP commands on limits, LIMIT.GET and LIMIT.ADJUST. It also carries out the platform's commands,
-// so that a session can mix them.
+// Package limits carries out the RESP commands on limits, LIMIT.GET and LIMIT.ADJUST. It passes other commands to package platform, so
+// that a session can mix them.
 package limits
 
 import (
@@ -15,7 +15,7 @@
 	"dewhitch/internal/resp"
 )
 
-// Commands carries out the commands of this front (front.Commands).
+// Commands implements front.Commands for commands on limits and for the commands of the platform.
 type Commands struct {
 	*platform.Commands
 }
@@ -32,18 +32,18 @@
 	}
 }
 
-// handleRequest parses a request and submits it to the planner.
+// handleRequest parses a request and submits it to the planner. It answers an invalid command with an error.
 func (c *Commands) handleRequest(readAt time.Time, cmd resp.Command, kind core.RequestKind, s *front.Slot) {
 	r, err := c.parse(cmd, kind)
 	if err != nil {
-		s.Reject(err.Error())
+		s.RejectInvalid(err.Error())
 		return
 	}
 	r.ReceivedAt = readAt
 	c.Submit(r, s, appendAnswer)
 }
 
-// parse reads LIMIT.GET CUSTOMER ARGUMENTS or LIMIT.ADJUST CUSTOMER UNITS ARGUMENTS. The texts of its errors are answered to the client.
+// parse reads LIMIT.GET CUSTOMER ARGUMENTS or LIMIT.ADJUST CUSTOMER UNITS ARGUMENTS. The texts of its errors are sent to the client.
 func (c *Commands) parse(cmd resp.Command, kind core.RequestKind) (*core.Request, error) {
 	length := 3
 	if kind == core.KindAdjustLimit {
@@ -54,10 +54,10 @@
 	}
 	r := &core.Request{Kind: kind}
 	var err error
-	if r.Customer, err = platform.Customer(cmd[1]); err != nil {
+	if r.Customer, err = platform.ParseCustomer(cmd[1]); err != nil {
 		return nil, err
 	}
-	if _, err = c.Arguments(cmd[length-1], r); err != nil {
+	if _, err = c.ParseArguments(cmd[length-1], r); err != nil {
 		return nil, err
 	}
 	plan := c.Settings.Plans[r.Plan]
@@ -73,7 +73,7 @@
 	return r, nil
 }
 
-// adjustment reads units to take, or below 0 to return: at most a burst at once.
+// adjustment parses the units to take, or to return if they are negative. The amount is at most the burst of the plan, and not 0.
 func adjustment(text []byte, burst float64) (float64, error) {
 	units, err := strconv.ParseFloat(string(text), 64)
 	if err != nil || units == 0 || !(units >= -burst && units <= burst) {
@@ -82,12 +82,12 @@
 	return units, nil
 }
 
-// appendAnswer appends an answer in the form of the wire: for a query, the limit, what is left, and the milliseconds until there is
-// more; for an adjustment, the units that were taken, below 0 for those returned.
+// appendAnswer appends an encoded answer. The answer to a query holds the limit, the remaining units, and the milliseconds until more
+// units are available. The answer to an adjustment holds the units that were taken, which are negative if units were returned.
 func appendAnswer(b []byte, a core.Answer) []byte {
 	switch {
 	case a.Result == core.ResultFailed:
-		return resp.AppendFailure(b, "ERR no exact answer in time")
+		return resp.AppendError(b, "ERR no exact answer in time")
 	case a.Result == core.ResultRejected:
 		return platform.AppendAnswer(b, a)
 	case a.Limit == nil:
@@ -95,5 +95,5 @@
 	}
 	b = resp.AppendNumber(resp.AppendArray(b, 3), a.Limit.Limit)
 	b = resp.AppendNumber(b, a.Limit.Remaining)
-	return resp.AppendInt(b, platform.Milliseconds(time.Duration(a.Limit.ReplenishedAfter)))
+	return resp.AppendInt(b, platform.CeilMilliseconds(time.Duration(a.Limit.ReplenishedAfter)))
 }
--- a/internal/ledger/cutoff.go
+++ b/internal/ledger/cutoff.go
@@ -5,41 +5,41 @@
 	"slices"
 )
 
-// CutOff closes what is open, as a process that has ended left it, and returns the postings that do so; they are booked.
-// After it the identities hold with nothing open.
+// CutOff closes all entries that a process left open when it ended. It posts the closing postings with the time at (Unix
+// nanoseconds) and returns them. Afterwards nothing is open and all checks of Audit hold.
 func (l *Ledger) CutOff(at int64) (ps []Posting) {
 	post := func(e Event, k Key, ref uint64, units int64) {
 		p := Posting{Event: e, Key: k, Ref: ref, Units: units, At: at}
 		ps = append(ps, p)
 		l.Post(p)
 	}
-	for _, ref := range slices.Sorted(maps.Keys(l.table)) {
-		e := l.table[ref]
+	for _, ref := range slices.Sorted(maps.Keys(l.entries)) {
+		e := l.entries[ref]
 		k := e.Key
-		if e.Call {
-			if e.Pushed && !e.CallBegan {
-				post(CallNeverBegan, k, ref, e.Units)
-			} else if !e.CallOver {
+		if e.IsCall {
+			if e.Pushed && !e.CallStarted {
+				post(CallNeverStarted, k, ref, e.Units)
+			} else if !e.CallEnded {
 				post(CallCutoff, k, ref, e.Units)
 			}
-			if e.Rejected && !e.Returned {
+			if e.CallRejected && !e.UnitsReturned {
 				post(UnitsNeverReturned, k, ref, e.Units)
 			}
 			continue
 		}
-		for range e.sending() {
+		for range e.orderedAttempts() {
 			post(AttemptNeverStarted, k, ref, 0)
 		}
-		for range e.fetching() {
+		for range e.openAttempts() {
 			post(AttemptCutoff, k, ref, 0)
 		}
-		for range e.hearing() {
-			post(PlanHeardCutoff, k, ref, 0)
+		for range e.unreportedAttempts() {
+			post(PlanNeverNotified, k, ref, 0)
 		}
-		if e.handed() {
+		if e.isSubmitted() {
 			post(FrontNeverTaken, k, ref, e.Units)
 		}
-		if e.PlanTaken && e.PlanEnded == undecided {
+		if e.PlanTaken && e.PlanVerdict == undecided {
 			post(PlanCutoff, k, ref, 0)
 		}
 		if e.FrontTaken && !e.FrontEnded {
@@ -51,11 +51,11 @@
 			post(UnitsCutoff, line.Key, 0, pending)
 		}
 	}
-	// What still stands in the table is what a fault left there.
-	l.Abandoned += uint64(len(l.table))
-	clear(l.table)
+	// Entries that are still open were left by a fault in the postings.
+	l.Abandoned += uint64(len(l.entries))
+	clear(l.entries)
 	for _, r := range l.rows {
-		r.open = 0
+		r.openEntries = 0
 	}
 	return ps
 }
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -6,19 +6,21 @@
 	"slices"
 )
 
-// The verdicts of a request, by the event that gave them.
+// verdict is the planner's decision on a request. Stored entries contain its number.
 type verdict uint8
 
+// The verdicts.
 const (
 	undecided verdict = iota
 	served
 	rejected
 	failed
-	other // gone or cut off: no answer was decided
+	other // the client departed or the process ended, without a decision on the answer
 	verdictCount
 )
 
-func decided(e Event) verdict {
+// verdictOf returns the verdict that an event of the planner's journal gives.
+func verdictOf(e Event) verdict {
 	switch {
 	case e == PlanServed:
 		return served
@@ -30,7 +32,7 @@
 	return other
 }
 
-// Entry is what is open under a Ref. It holds what the owners have said of this request or call, each in its own words.
+// Entry is an open request or counter call. It holds the state that the postings of each owner with its reference have reported.
 type Entry struct {
 	Key               Key     `json:"Key"`
 	Units             int64   `json:"Units"`
@@ -38,70 +40,71 @@
 	Wait              uint16  `json:"Wait"`
 	HasIdempotencyKey bool    `json:"Keyed"`
 	Hash              uint64  `json:"Hash"`
-	Call              bool    `json:"Call"`
+	IsCall            bool    `json:"Call"` // the entry is a counter call
 	FrontTaken        bool    `json:"FrontTaken"`
 	FrontEnded        bool    `json:"FrontEnded"`
-	NeverTaken        bool    `json:"NeverTaken"` // the planner will not take it
-	Lost              bool    `json:"Lost"`       // its answer did not reach the client
+	NeverTaken        bool    `json:"NeverTaken"` // the planner will not accept the request
+	AnswerLost        bool    `json:"Lost"`       // the answer did not reach the client
 	PlanTaken         bool    `json:"PlanTaken"`
-	PlanEnded         verdict `json:"PlanEnded"`
-	Sent              uint16  `json:"Sent"`
-	Heard             uint16  `json:"Heard"`
-	Began             uint16  `json:"Began"`
-	Ended             uint16  `json:"Ended"`
-	Pushed            bool    `json:"Told"`      // of a Call
-	CallBegan         bool    `json:"CallBegan"` // of a Call
-	CallOver          bool    `json:"CallOver"`  // of a Call
-	Rejected          bool    `json:"Rejected"`
-	Returned          bool    `json:"Returned"`
-	row               *row    // of Key
+	PlanVerdict       verdict `json:"PlanEnded"`
+	AttemptsOrdered   uint16  `json:"Sent"`
+	AttemptsNotified  uint16  `json:"Heard"` // attempts whose end the planner was notified of
+	AttemptsStarted   uint16  `json:"Began"`
+	AttemptsEnded     uint16  `json:"Ended"`
+	Pushed            bool    `json:"Told"` // the planner ordered the counter call
+	CallStarted       bool    `json:"CallBegan"`
+	CallEnded         bool    `json:"CallOver"`
+	CallRejected      bool    `json:"Rejected"`
+	UnitsReturned     bool    `json:"Returned"`
+	row               *row    // row of Key
 }
 
-// enter takes note of a posting on what is open.
-func (l *Ledger) enter(p Posting, e *Entry, r *row) {
+// applyToEntry applies a posting to its open entry e, opens one if e is nil and the posting can, and removes a complete entry.
+func (l *Ledger) applyToEntry(p Posting, e *Entry, r *row) {
 	if e == nil {
-		if e = l.openEntry(p, r); e == nil {
+		if e = l.createEntry(p, r); e == nil {
 			return
 		}
 	}
-	switch eventOwner := p.Event.Journal(); eventOwner {
+	switch journal := p.Event.Journal(); journal {
 	case JournalFront:
-		e.enterFront(p, r)
+		e.applyFront(p, r)
 	case JournalPlanner:
-		e.enterPlanner(p.Event, r)
+		e.applyPlanner(p.Event, r)
 	case JournalAttempts:
-		e.enterAttempt(p.Event)
+		e.applyAttempt(p.Event)
 	case JournalUnits, JournalCounter:
-		e.enterCall(p.Event)
+		e.applyCall(p.Event)
 	}
 	if e.HasIdempotencyKey && e.FrontEnded {
 		e.HasIdempotencyKey = false
 		l.recordIdempotentRequest(IdempotentRequest{Key: e.Key, Hash: e.Hash, Taken: e.Since, Ended: p.At, End: p.Event})
 	}
-	if e.done() {
-		delete(l.table, p.Ref)
-		e.row.open--
+	if e.isComplete() {
+		delete(l.entries, p.Ref)
+		e.row.openEntries--
 	}
 }
 
-// openEntry opens the entry of a posting that can open one. Any other posting speaks of an entry that is not open: Audit finds that.
-func (l *Ledger) openEntry(p Posting, r *row) *Entry {
+// createEntry opens an entry for a posting that can open one. For any other posting it returns nil: the posting refers to an
+// entry that is not open, which Audit finds.
+func (l *Ledger) createEntry(p Posting, r *row) *Entry {
 	switch p.Event {
-	case FrontTaken, PlanTaken, UnitsPushed, CallBegan:
+	case FrontTaken, PlanTaken, UnitsPushed, CallStarted:
 	default:
 		return nil
 	}
-	if len(l.table) >= l.limits.Open {
-		l.abandon()
+	if len(l.entries) >= l.limits.Open {
+		l.abandonEntries()
 	}
-	e := &Entry{Key: p.Key, Units: p.Units, Since: p.At, row: r, Call: p.Event == UnitsPushed || p.Event == CallBegan}
-	l.table[p.Ref] = e
-	r.open++
+	e := &Entry{Key: p.Key, Units: p.Units, Since: p.At, row: r, IsCall: p.Event == UnitsPushed || p.Event == CallStarted}
+	l.entries[p.Ref] = e
+	r.openEntries++
 	return e
 }
 
-// enterFront takes note of what the front says of a request.
-func (e *Entry) enterFront(p Posting, r *row) {
+// applyFront applies a posting of the front's journal.
+func (e *Entry) applyFront(p Posting, r *row) {
 	switch p.Event {
 	case FrontTaken:
 		e.FrontTaken, e.Wait = true, p.Wait
@@ -110,101 +113,110 @@
 	case FrontNotSubmitted, FrontNeverTaken:
 		e.NeverTaken = true
 		e.FrontEnded = e.FrontEnded || p.Event == FrontNotSubmitted
-	case FrontClientLeft, FrontWriteFailed, FrontCutoff:
-		e.Lost = !e.FrontEnded
+	case FrontClientDeparted, FrontWriteFailed, FrontCutoff:
+		e.AnswerLost = !e.FrontEnded
 		e.endFront(r)
 	case FrontServed, FrontRejected, FrontFailed:
 		e.endFront(r)
 	}
 }
 
-// enterPlanner takes note of what the planner says of a request.
-func (e *Entry) enterPlanner(event Event, r *row) {
+// applyPlanner applies a posting of the planner's journal.
+func (e *Entry) applyPlanner(event Event, r *row) {
 	switch event {
 	case PlanTaken:
 		e.PlanTaken = true
 	case PlanSent:
-		e.Sent++
-	case PlanHeard, PlanHeardCutoff:
-		e.Heard++
-	default: // its end; the first counts
-		if e.PlanEnded != undecided {
+		e.AttemptsOrdered++
+	case PlanNotified, PlanNeverNotified:
+		e.AttemptsNotified++
+	default: // the end of the request; only the first is applied
+		if e.PlanVerdict != undecided {
 			return
 		}
-		e.PlanEnded = decided(event)
-		if e.FrontEnded && e.Lost {
-			r.lost[e.PlanEnded]++
+		e.PlanVerdict = verdictOf(event)
+		if e.FrontEnded && e.AnswerLost {
+			r.lostAnswers[e.PlanVerdict]++
 		}
 	}
 }
 
-// enterAttempt takes note of what the pools say of an attempt.
-func (e *Entry) enterAttempt(event Event) {
+// applyAttempt applies a posting of the attempts' journal.
+func (e *Entry) applyAttempt(event Event) {
 	switch event {
 	case AttemptStarted:
-		e.Began++
+		e.AttemptsStarted++
 	case AttemptNeverStarted:
-		e.Began++
-		e.Ended++
+		e.AttemptsStarted++
+		e.AttemptsEnded++
 	default:
-		e.Ended++
+		e.AttemptsEnded++
 	}
 }
 
-// enterCall takes note of what the planner and the counter's client say of a call to the counter.
-func (e *Entry) enterCall(event Event) {
+// applyCall applies a posting on a counter call, of the units' or the counter's journal.
+func (e *Entry) applyCall(event Event) {
 	switch event {
 	case UnitsPushed:
 		e.Pushed = true
 	case UnitsReturned, UnitsNeverReturned:
-		e.Returned = true
-	case CallBegan, CallNeverBegan:
-		e.CallBegan = true
-		e.CallOver = e.CallOver || event == CallNeverBegan
+		e.UnitsReturned = true
+	case CallStarted, CallNeverStarted:
+		e.CallStarted = true
+		e.CallEnded = e.CallEnded || event == CallNeverStarted
 	case CallAdded, CallRejected, CallUnknown, CallCutoff:
-		e.CallOver = true
-		e.Rejected = event == CallRejected
+		e.CallEnded = true
+		e.CallRejected = event == CallRejected
 	}
 }
 
-// endFront takes note that the front has ended the request; the first end counts.
+// endFront marks the request as ended by the front; only the first end is applied.
 func (e *Entry) endFront(r *row) {
 	if e.FrontEnded {
 		return
 	}
 	e.FrontEnded = true
-	if e.Lost && e.PlanEnded != undecided {
-		r.lost[e.PlanEnded]++
+	if e.AnswerLost && e.PlanVerdict != undecided {
+		r.lostAnswers[e.PlanVerdict]++
 	}
 }
 
-// done says that nothing more is to come under the entry's Ref.
-func (e *Entry) done() bool {
-	if e.Call {
-		return e.CallOver && e.CallBegan && (!e.Rejected || e.Returned)
+// isComplete reports whether no more postings with the entry's reference are expected.
+func (e *Entry) isComplete() bool {
+	if e.IsCall {
+		return e.CallEnded && e.CallStarted && (!e.CallRejected || e.UnitsReturned)
 	}
-	return e.FrontEnded && (e.PlanEnded != undecided || e.NeverTaken) && e.Heard >= e.Sent && e.Ended <= e.Heard
+	return e.FrontEnded && (e.PlanVerdict != undecided || e.NeverTaken) && e.AttemptsNotified >= e.AttemptsOrdered && e.AttemptsEnded <= e.AttemptsNotified
 }
 
-// abandon gives up an eighth of the table: entries that the front has ended first, as only a fault leaves many of
-// those, then any. Their rows say what does not add up from then on.
-func (l *Ledger) abandon() {
-	refs := slices.Sorted(maps.Keys(l.table))
+// abandonEntries drops an eighth of the open entries: first those that the front has ended, as only a fault leaves many of
+// them, then any. Audit reports mismatches in their rows from then on.
+func (l *Ledger) abandonEntries() {
+	refs := slices.Sorted(maps.Keys(l.entries))
 	slices.SortStableFunc(refs, func(a, b uint64) int {
-		return cmp.Compare(count(l.table[b].FrontEnded), count(l.table[a].FrontEnded))
+		return cmp.Compare(countIf(l.entries[b].FrontEnded), countIf(l.entries[a].FrontEnded))
 	})
 	for _, ref := range refs[:max(1, len(refs)/8)] {
-		l.table[ref].row.open--
-		delete(l.table, ref)
+		l.entries[ref].row.openEntries--
+		delete(l.entries, ref)
 		l.Abandoned++
 	}
 }
 
-// handed: on its way from the front to the planner, which has said nothing of it yet.
-func (e *Entry) handed() bool {
-	return e.FrontTaken && !e.PlanTaken && e.PlanEnded == undecided && !e.NeverTaken
+// isSubmitted reports whether the front has submitted the request and the planner has not posted anything on it yet.
+func (e *Entry) isSubmitted() bool {
+	return e.FrontTaken && !e.PlanTaken && e.PlanVerdict == undecided && !e.NeverTaken
 }
 
-func (e *Entry) sending() int  { return max(0, int(e.Sent)-int(max(e.Began, e.Heard))) }
-func (e *Entry) fetching() int { return max(0, int(e.Began)-int(max(e.Ended, e.Heard))) }
-func (e *Entry) hearing() int  { return max(0, int(e.Ended)-int(e.Heard)) }
+// orderedAttempts returns the number of attempts that are ordered and not started.
+func (e *Entry) orderedAttempts() int {
+	return max(0, int(e.AttemptsOrdered)-int(max(e.AttemptsStarted, e.AttemptsNotified)))
+}
+
+// openAttempts returns the number of attempts that are started and not ended.
+func (e *Entry) openAttempts() int {
+	return max(0, int(e.AttemptsStarted)-int(max(e.AttemptsEnded, e.AttemptsNotified)))
+}
+
+// unreportedAttempts returns the number of attempts that have ended and whose end the planner was not notified of.
+func (e *Entry) unreportedAttempts() int { return max(0, int(e.AttemptsEnded)-int(e.AttemptsNotified)) }
--- a/internal/ledger/store/commit.go
+++ b/internal/ledger/store/commit.go
@@ -8,118 +8,120 @@
 	"dewhitch/internal/ledger/statement"
 )
 
-// uncommitted is what was cut and is not on the disk yet.
-type uncommitted struct {
+// stagedStatement merges the statements that were staged and are not committed yet.
+type stagedStatement struct {
 	rows               map[ledger.Key]ledger.StoredRow
-	open               []ledger.Open
+	open               []ledger.OpenEntry
 	deltas             map[ledger.Key]*ledger.Counts
 	idempotentRequests []ledger.IdempotentRequest
-	notes              []statement.Record // lives and gaps
-	segment            uint64
-	at                 int
-	to                 time.Time
+	notes              []statement.Record // records of starts and gaps
+	segment            uint64             // segment at which the log continues after the statement
+	position           int                // index of the first record in that segment that the statement does not contain
+	end                time.Time          // end of the period
 }
 
-func newUncommitted() *uncommitted {
-	return &uncommitted{rows: map[ledger.Key]ledger.StoredRow{}, deltas: map[ledger.Key]*ledger.Counts{}}
+func newStagedStatement() *stagedStatement {
+	return &stagedStatement{rows: map[ledger.Key]ledger.StoredRow{}, deltas: map[ledger.Key]*ledger.Counts{}}
 }
 
-// Mark implements recorder.Keeper.
-func (s *Store) Mark() {
-	if s.uncommitted == nil {
-		s.uncommitted = newUncommitted()
+// EndPeriod implements recorder.Store. If the log has broken off, it resumes the log in a new segment, as the statement of this
+// period contains all postings that the log lacks.
+func (s *Store) EndPeriod() {
+	if s.staged == nil {
+		s.staged = newStagedStatement()
 	}
-	p := s.uncommitted
-	p.to = time.Now()
-	if s.unlogged > 0 {
-		p.notes = append(p.notes, statement.Record{Kind: statement.Gap, From: p.to, To: p.to, Note: fmt.Sprintf(
-			"the log did not hold %d postings for a while; they are in the figures, as no crash came", s.unlogged)})
+	staged := s.staged
+	staged.end = time.Now()
+	if s.unloggedPostings > 0 {
+		staged.notes = append(staged.notes, statement.Record{Kind: statement.Gap, From: staged.end, To: staged.end, Note: fmt.Sprintf(
+			"the log did not hold %d postings for a while; they are in the figures, as no crash came", s.unloggedPostings)})
 	}
-	s.unlogged = 0
-	if !s.logIntact.Load() || s.behindGap.Load() { // this statement holds all that the log lacks: it can be taken up again behind it
-		s.resumed = s.rotate()
-		if s.resumed {
-			s.current.takeUp(s.meta.Statements + 1)
+	s.unloggedPostings = 0
+	if !s.logIntact.Load() || s.afterGap.Load() {
+		s.resumePending = s.rotate()
+		if s.resumePending {
+			s.current.putResume(s.meta.Statements + 1)
 		}
-		s.logIntact.Store(s.resumed)
-		s.behindGap.Store(false)
+		s.logIntact.Store(s.resumePending)
+		s.afterGap.Store(false)
 	}
 	switch {
 	case s.logIntact.Load():
-		p.segment, p.at = s.current.number, s.current.at
+		staged.segment, staged.position = s.current.number, s.current.written
 	case s.current != nil:
-		p.segment, p.at = s.current.number+1, 0
+		staged.segment, staged.position = s.current.number+1, 0
 	default:
-		p.segment, p.at = s.firstFree(), 0
+		staged.segment, staged.position = s.firstFreeNumber(), 0
 	}
 }
 
-// Cut implements recorder.Keeper.
-func (s *Store) Cut(st ledger.Statement) {
-	p := s.uncommitted
-	for _, k := range st.Rows {
-		p.rows[k.Key] = k
+// Stage implements recorder.Store. It merges the statement into those that are not committed yet.
+func (s *Store) Stage(st ledger.Statement) {
+	staged := s.staged
+	for _, row := range st.Rows {
+		staged.rows[row.Key] = row
 	}
 	for _, d := range st.Deltas {
-		if p.deltas[d.Key] == nil {
-			p.deltas[d.Key] = &ledger.Counts{}
+		if staged.deltas[d.Key] == nil {
+			staged.deltas[d.Key] = &ledger.Counts{}
 		}
-		p.deltas[d.Key].Add(&d.Counts)
+		staged.deltas[d.Key].Add(&d.Counts)
 	}
-	p.open = st.Open
-	p.idempotentRequests = append(p.idempotentRequests, st.IdempotentRequests...)
+	staged.open = st.Open
+	staged.idempotentRequests = append(staged.idempotentRequests, st.IdempotentRequests...)
 }
 
-// Commit implements recorder.Keeper.
+// Commit implements recorder.Store. It removes the segments that the statement covers.
 func (s *Store) Commit(names ledger.Names) error {
-	p := s.uncommitted
-	m, err := s.write(p, names)
+	staged := s.staged
+	m, err := s.write(staged, names)
 	if err != nil {
-		if s.resumed {
-			s.behindGap.Store(true) // the log goes on behind a gap that no statement on the disk bridges
+		if s.resumePending {
+			s.afterGap.Store(true) // the log resumed after a statement that is not committed, and would not be replayed
 		}
-		p.bound()
+		staged.limitMemory()
 		s.wantSegment()
 		return err
 	}
-	s.meta, s.uncommitted, s.resumed = m, nil, false
+	s.meta, s.staged, s.resumePending = m, nil, false
 	s.mu.Lock()
-	remaining := s.full[:0]
-	for _, seg := range s.full {
-		if seg.number >= p.segment || s.remove(seg) != nil {
+	remaining := s.fullSegments[:0]
+	for _, seg := range s.fullSegments {
+		if seg.number >= staged.segment || s.removeSegment(seg) != nil {
 			remaining = append(remaining, seg)
 		}
 	}
-	clear(s.full[len(remaining):])
-	s.full = remaining
+	clear(s.fullSegments[len(remaining):])
+	s.fullSegments = remaining
 	s.mu.Unlock()
 	s.wantSegment()
 	return nil
 }
 
-// bound keeps what waits for the disk from growing: requests with an idempotency key are dropped first, and then the names of customers.
-func (p *uncommitted) bound() {
-	const maxWaiting = 1 << 16
-	if n := len(p.idempotentRequests) - maxWaiting; n > 0 {
-		p.idempotentRequests = append([]ledger.IdempotentRequest(nil), p.idempotentRequests[n:]...)
-		p.notes = append(p.notes, statement.Record{Kind: statement.Gap, From: p.to, To: p.to,
+// limitMemory limits the size of a statement that can't be committed. It drops the oldest attempts with an idempotency key and the
+// oldest notes, and then merges the deltas of customers by plan and class.
+func (staged *stagedStatement) limitMemory() {
+	const maxPending = 1 << 16
+	if n := len(staged.idempotentRequests) - maxPending; n > 0 {
+		staged.idempotentRequests = append([]ledger.IdempotentRequest(nil), staged.idempotentRequests[n:]...)
+		staged.notes = append(staged.notes, statement.Record{Kind: statement.Gap, From: staged.end, To: staged.end,
 			Note: fmt.Sprintf("%d tries are in no record, as the disk took none", n)})
 	}
-	if len(p.notes) > 64 {
-		p.notes = p.notes[len(p.notes)-64:]
+	if len(staged.notes) > 64 {
+		staged.notes = staged.notes[len(staged.notes)-64:]
 	}
-	if len(p.deltas) <= maxWaiting {
+	if len(staged.deltas) <= maxPending {
 		return
 	}
-	for k, c := range p.deltas {
+	for k, c := range staged.deltas {
 		if k.Customer == ledger.Others {
 			continue
 		}
-		delete(p.deltas, k)
+		delete(staged.deltas, k)
 		k.Customer = ledger.Others
-		if p.deltas[k] == nil {
-			p.deltas[k] = &ledger.Counts{}
+		if staged.deltas[k] == nil {
+			staged.deltas[k] = &ledger.Counts{}
 		}
-		p.deltas[k].Add(c)
+		staged.deltas[k].Add(c)
 	}
 }
