--- a/internal/fleet/agent/leader.go
+++ b/internal/fleet/agent/leader.go
@@ -13,16 +13,16 @@
 	"dewhitch/internal/fleet/maintenance"
 )
 
-// zoneStatuses reads the zones' section of a plan; without one no zone is evacuated.
+// zoneStatuses decodes the zones' section of a plan. The result is empty if the plan has no such section.
 func zoneStatuses(p *fleet.Plan) (evacuation.Statuses, error) {
 	statuses := evacuation.Statuses{}
 	_, err := p.Section(evacuation.Section, &statuses)
 	return statuses, err
 }
 
-// leaderTick is one evaluation round of the leader: the zones' states, or if those stay, maintenance. One
-// change is proposed at a time, and none while operators froze the plan.
-func (a *Agent) leaderTick(now time.Duration, unix int64, n *fleet.Node) {
+// leaderTick runs one round of the leader's policies: it proposes a change of the zones' states or, if they stay
+// the same, of the maintenance schedule. It proposes nothing while operators have frozen the plan.
+func (a *Agent) leaderTick(now time.Duration, unixMS int64, n *fleet.Node) {
 	p := n.Plan()
 	if _, frozen := p.Frozen(); frozen {
 		return
@@ -31,69 +31,70 @@
 	if err != nil {
 		return
 	}
-	if !a.evaluateZones(now, unix, n, p.Epoch, statuses) {
-		a.stepMaintenance(now, unix, n, p, statuses)
+	if !a.evaluateZones(now, unixMS, n, p.Epoch, statuses) {
+		a.stepMaintenance(now, unixMS, n, p, statuses)
 	}
 }
 
-// evaluateZones proposes the detector's next states; false: they are as in the plan.
-func (a *Agent) evaluateZones(now time.Duration, unix int64, n *fleet.Node, on fleet.Epoch, statuses evacuation.Statuses) bool {
-	starts := map[string]int64{} // of the youngest server in each zone
+// evaluateZones proposes the next statuses of the zones. It returns true if they differ from the plan's.
+func (a *Agent) evaluateZones(now time.Duration, unixMS int64, n *fleet.Node, planEpoch fleet.Epoch, statuses evacuation.Statuses) bool {
+	lastStarts := map[string]int64{} // start time of the newest server in each zone, in Unix ms
 	for _, s := range a.listedServers() {
-		starts[s.Zone] = max(starts[s.Zone], s.Since)
+		lastStarts[s.Zone] = max(lastStarts[s.Zone], s.Since)
 	}
-	a.zones.SetServerStarts(starts)
-	next, changed := a.zones.Evaluate(now, unix, statuses, func(name string) bool {
+	a.zones.SetServerStarts(lastStarts)
+	next, changed := a.zones.Evaluate(now, unixMS, statuses, func(name string) bool {
 		p, ok := n.Peer(name)
 		return name == a.options.Gossip.Name || ok && now-p.LastStatusAt < a.options.Lease
 	})
 	if changed && n.Propose(evacuation.EncodeSection(next)) {
-		a.logZoneChanges(statuses, next, on)
+		a.logZoneChanges(statuses, next, planEpoch)
 	}
 	return changed
 }
 
-func (a *Agent) logZoneChanges(old, next evacuation.Statuses, on fleet.Epoch) {
+// logZoneChanges logs the zones and paths whose state differs between two versions of the statuses.
+func (a *Agent) logZoneChanges(old, next evacuation.Statuses, planEpoch fleet.Epoch) {
 	for key, status := range next {
-		was, ok := old[key]
-		if ok && was.State == status.State {
+		previous, ok := old[key]
+		if ok && previous.State == status.State {
 			continue
 		}
 		state := string(status.State)
-		if status.State == evacuation.Evacuated && was.State == evacuation.Probing {
-			state = "is not well yet"
+		if status.State == evacuation.Evacuated && previous.State == evacuation.Probing {
+			state = "failed its probes"
 		}
 		a.options.Log.Info("fleet: zone "+key+" "+state, zap.String("why", status.Reason), zap.Int("fails", status.FailedReturns),
-			zap.Strings("probers", status.Probers), zap.Stringer("on_epoch", on))
+			zap.Strings("probers", status.Probers), zap.Stringer("on_epoch", planEpoch))
 	}
 	for key := range old {
 		if _, ok := next[key]; !ok {
-			a.options.Log.Info("fleet: zone "+key+" in", zap.Stringer("on_epoch", on))
+			a.options.Log.Info("fleet: zone "+key+" in", zap.Stringer("on_epoch", planEpoch))
 		}
 	}
 }
 
-// stepMaintenance proposes the scheduler's next step.
-func (a *Agent) stepMaintenance(now time.Duration, unix int64, n *fleet.Node, p fleet.Plan, statuses evacuation.Statuses) {
+// stepMaintenance proposes the next maintenance schedule, if it differs from the plan's.
+func (a *Agent) stepMaintenance(now time.Duration, unixMS int64, n *fleet.Node, p fleet.Plan, statuses evacuation.Statuses) {
 	schedule, err := maintenance.Read(&p)
 	if err != nil {
 		return
 	}
-	next, changed := a.maintenance.Step(now, unix, schedule, maintenance.Observations{
+	next, changed := a.maintenance.Step(now, unixMS, schedule, maintenance.Observations{
 		Servers:           a.maintenanceServers(),
 		Members:           a.maintenanceMembers(now, n),
 		Saturated:         a.zones.Saturated(),
 		Rate:              a.slowStart.Demand(),
-		ZonesNotInService: evacuatedZones(statuses),
+		ZonesNotInService: zonesNotInService(statuses),
 	})
-	if changed && n.Propose(maintenance.Set(next)) {
+	if changed && n.Propose(maintenance.EncodeSection(next)) {
 		a.logMaintenanceChanges(schedule, next, p.Epoch)
 	}
 }
 
-// evacuatedZones are the zones, without paths between two, that are not fully in use, sorted; those that
-// operators hold are.
-func evacuatedZones(statuses evacuation.Statuses) (zones []string) {
+// zonesNotInService returns the zones that are evacuated, probed or returning, sorted. It omits paths between two
+// zones, and zones that operators keep in service.
+func zonesNotInService(statuses evacuation.Statuses) (zones []string) {
 	for key, status := range statuses {
 		if !strings.Contains(key, ">") && !status.KeepInService {
 			zones = append(zones, key)
@@ -103,25 +104,25 @@
 	return zones
 }
 
-// maintenanceServers are the listed servers by machine, as this process has the list.
+// maintenanceServers returns the servers of this process's endpoint list that are ready, by machine name.
 func (a *Agent) maintenanceServers() map[string]maintenance.Server {
 	all := map[string]maintenance.Server{}
 	for _, s := range a.listedServers() {
-		all[Machine(s.ID)] = maintenance.Server{Zone: s.Zone, Ready: true, Since: s.Since}
+		all[MachineName(s.ID)] = maintenance.Server{Zone: s.Zone, Ready: true, Since: s.Since}
 	}
 	return all
 }
 
-// maintenanceMembers are all members as the leader knows them, itself among them.
+// maintenanceMembers returns the leader's view of all members by name, itself included.
 func (a *Agent) maintenanceMembers(now time.Duration, n *fleet.Node) map[string]maintenance.Member {
-	left := map[string]bool{}
+	hasLeft := map[string]bool{}
 	for _, m := range a.gossip.Members() {
-		left[m.Name] = m.State == gossip.StateLeft
+		hasLeft[m.Name] = m.State == gossip.StateLeft
 	}
 	members := map[string]maintenance.Member{}
 	for _, p := range n.Peers() {
 		members[p.Name] = maintenance.Member{
-			Left:             left[p.Name],
+			HasLeft:          hasLeft[p.Name],
 			Reachable:        p.HasStatus && now-p.LastStatusAt < a.options.Lease,
 			Fresh:            p.Status.Fresh,
 			Withdrawn:        p.Status.Withdrawn,
@@ -134,7 +135,7 @@
 	members[own.Name] = maintenance.Member{
 		Reachable:        true,
 		Fresh:            true,
-		Withdrawn:        a.acknowledged(),
+		Withdrawn:        a.withdrawnMachines(),
 		Zone:             own.Metadata.Zone,
 		Voter:            slices.Contains(a.options.Voters, own.Name),
 		Leader:           true,
@@ -143,12 +144,13 @@
 	return members
 }
 
-// requestMachine is a machine within a maintenance request.
+// requestMachine identifies a machine within a maintenance request.
 type requestMachine struct {
 	request uint64
 	name    string
 }
 
+// machineStates returns the states of all machines of a schedule's requests.
 func machineStates(s maintenance.Schedule) map[requestMachine]maintenance.State {
 	states := map[requestMachine]maintenance.State{}
 	for _, r := range s.Requests {
@@ -159,13 +161,14 @@
 	return states
 }
 
-func (a *Agent) logMaintenanceChanges(old, next maintenance.Schedule, on fleet.Epoch) {
-	before := machineStates(old)
+// logMaintenanceChanges logs the machines whose state differs between two versions of the schedule.
+func (a *Agent) logMaintenanceChanges(old, next maintenance.Schedule, planEpoch fleet.Epoch) {
+	oldStates := machineStates(old)
 	for _, r := range next.Requests {
 		for _, m := range r.Machines {
-			if was, ok := before[requestMachine{r.ID, m.Name}]; ok && was != m.State {
+			if previous, ok := oldStates[requestMachine{r.ID, m.Name}]; ok && previous != m.State {
 				a.options.Log.Info("fleet: work "+m.Name+" "+m.State.String(), zap.Uint64("request", r.ID), zap.String("why", m.Note),
-					zap.Stringer("on_epoch", on))
+					zap.Stringer("on_epoch", planEpoch))
 			}
 		}
 	}
--- a/internal/fleet/maintenance/golden_test.go
+++ b/internal/fleet/maintenance/golden_test.go
@@ -14,49 +14,49 @@
 	"dewhitch/internal/golden"
 )
 
-// goldenSchedule has every field set, and each state and kind once at least; its second request has the fields that may be left out
-// left out.
-var goldenSchedule = Schedule{LastID: 9, LastTurn: 8, Requests: []Request{
+// goldenSchedule sets every field and has each state and kind at least once. Its second request omits all optional fields.
+var goldenSchedule = Schedule{LastID: 9, LastAnnouncementID: 8, Requests: []Request{
 	{ID: 1, Key: "k1", By: "alice", Reason: "kernel", Kind: Restart, ForMS: 300000, NotBefore: 1700000000011, After: 2, RequestedAt: 1700000000012,
 		State: OnHold, Note: "look", Overtaken: 3, Machines: []Machine{
-			{Name: "s-00000001", State: Announced, Since: 21, Until: 22, Turn: 23, Note: "n1", ProcessStartedAt: 24},
-			{Name: "s-00000002", State: Released, Since: 31, Until: 32, Turn: 33, Note: "n2", ProcessStartedAt: 34},
-			{Name: "s-00000003", State: Returned, Since: 41, Until: 42, Turn: 43, Note: "n3", ProcessStartedAt: 44},
-			{Name: "s-00000004", State: OnHold, Since: 51, Until: 52, Turn: 53, Note: "n4", ProcessStartedAt: 54},
-			{Name: "s-00000005", State: Done, Since: 61, Until: 62, Turn: 63, Note: "n5", ProcessStartedAt: 64},
-			{Name: "s-00000006", State: Cancelled, Since: 71, Until: 72, Turn: 73, Note: "n6", ProcessStartedAt: 74}}},
+			{Name: "s-00000001", State: Announced, Since: 21, Until: 22, AnnouncementID: 23, Note: "n1", ProcessStartedAt: 24},
+			{Name: "s-00000002", State: Released, Since: 31, Until: 32, AnnouncementID: 33, Note: "n2", ProcessStartedAt: 34},
+			{Name: "s-00000003", State: Returned, Since: 41, Until: 42, AnnouncementID: 43, Note: "n3", ProcessStartedAt: 44},
+			{Name: "s-00000004", State: OnHold, Since: 51, Until: 52, AnnouncementID: 53, Note: "n4", ProcessStartedAt: 54},
+			{Name: "s-00000005", State: Done, Since: 61, Until: 62, AnnouncementID: 63, Note: "n5", ProcessStartedAt: 64},
+			{Name: "s-00000006", State: Cancelled, Since: 71, Until: 72, AnnouncementID: 73, Note: "n6", ProcessStartedAt: 74}}},
 	{ID: 2, Key: "k2", By: "bob", Reason: "disk", Kind: Replace, ForMS: 1, RequestedAt: 2, Machines: []Machine{{Name: "s-00000007"}}},
 	{ID: 3, Key: "k3", By: "carol", Reason: "rack", Kind: Off, ForMS: 3, RequestedAt: 4, State: Done, Machines: []Machine{{Name: "g7", State: Done}}},
 	{ID: 4, Key: "k4", By: "dan", Reason: "none", Kind: Off, ForMS: 5, RequestedAt: 6, State: Cancelled, Machines: []Machine{{Name: "g8", State: Cancelled}}},
 }, Roster: map[string]int64{"g1": 81, "g2": 82, "gateway-3": 83}, Off: []string{"s-00000009", "s-00000008"}}
 
-// TestGoldenBook freezes the section of the plan that voters store and members read, and the page of it that operators read.
-func TestGoldenBook(t *testing.T) {
+// TestGoldenSchedule compares the encoding of the plan's section, which voters store and members read, and of the operators' page with
+// the golden files.
+func TestGoldenSchedule(t *testing.T) {
 	if Section != "work" {
 		t.Error("section:", Section)
 	}
 	first := goldenSchedule
 	first.Requests = first.Requests[:1]
 	golden.Filled(t, first)
-	for name, b := range map[string]Schedule{"book": goldenSchedule, "book-least": {}} {
-		golden.Compare(t, name+".cbor", Set(b)["work"])
+	for name, schedule := range map[string]Schedule{"book": goldenSchedule, "book-least": {}} {
+		golden.Compare(t, name+".cbor", EncodeSection(schedule)["work"])
 		p := fleet.Plan{Sections: map[string]cbor.RawMessage{"work": golden.Read(t, name+".cbor")}}
-		if got, err := Read(&p); err != nil || !reflect.DeepEqual(got, b) {
+		if got, err := Read(&p); err != nil || !reflect.DeepEqual(got, schedule) {
 			t.Errorf("%s: read as %+v, %v", name, got, err)
 		}
-		text, err := json.MarshalIndent(b, "", "  ")
+		text, err := json.MarshalIndent(schedule, "", "  ")
 		if err != nil {
 			t.Fatal(err)
 		}
 		golden.Compare(t, name+".json", text)
 		var got Schedule
-		if err := json.Unmarshal(golden.Read(t, name+".json"), &got); err != nil || !reflect.DeepEqual(got, b) {
+		if err := json.Unmarshal(golden.Read(t, name+".json"), &got); err != nil || !reflect.DeepEqual(got, schedule) {
 			t.Errorf("%s: read as %+v, %v", name, got, err)
 		}
 	}
 }
 
-// TestGoldenStates freezes the states and kinds as the plan, calls and operators have them.
+// TestGoldenStates compares the states and kinds with the values in plans, commands and operators' pages.
 func TestGoldenStates(t *testing.T) {
 	for state, want := range map[State]string{Waiting: "", Announced: "announced", Released: "free", Returned: "back", OnHold: "held", Done: "done",
 		Cancelled: "cancelled"} {
@@ -64,7 +64,7 @@
 			t.Errorf("%s, want %s", string(state), want)
 		}
 		if want == "" {
-			want = "waiting" // as it is shown
+			want = "waiting" // as operators read it
 		}
 		if got := state.String(); got != want {
 			t.Errorf("shown as %s, want %s", got, want)
@@ -77,8 +77,9 @@
 	}
 }
 
-// TestGoldenCalls freezes the arguments of operators' calls, which the leader reads, their names, and what a request becomes.
-func TestGoldenCalls(t *testing.T) {
+// TestGoldenCommands compares the encoding of the operators' commands, their names, and the section that results from a request with
+// the golden files.
+func TestGoldenCommands(t *testing.T) {
 	for name, c := range map[string]Command{
 		"call": {By: "alice", Reason: "kernel", Key: "k1", Kind: Restart, ForMS: 300000, NotBefore: 1700000000011, After: 12,
 			Machines: []string{"s-00000001", "s-00000002"}, ID: 13},
@@ -98,20 +99,20 @@
 		"work-request", "work-resume"}) {
 		t.Error("calls:", got)
 	}
-	set, err := Commands()["work-request"](&fleet.Plan{}, golden.Read(t, "call-request.cbor"), 1700000000021)
-	if err != nil || len(set) != 1 {
-		t.Fatal(set, err)
+	sections, err := Commands()["work-request"](&fleet.Plan{}, golden.Read(t, "call-request.cbor"), 1700000000021)
+	if err != nil || len(sections) != 1 {
+		t.Fatal(sections, err)
 	}
-	golden.Compare(t, "settled-request.cbor", set["work"])
+	golden.Compare(t, "settled-request.cbor", sections["work"])
 }
 
-// TestGoldenForecast freezes what work plan --json prints, and the page of the servers that it is made from, which the command reads.
+// TestGoldenForecast compares the output of "work plan --json", and the page of servers that the command reads, with the golden files.
 func TestGoldenForecast(t *testing.T) {
 	type page struct {
 		Ahead   Forecast          `json:"ahead"`
 		Servers map[string]Server `json:"servers"`
 	}
-	v := page{Forecast{Turns: []ForecastStep{{Name: "s-00000001", Free: time.Second, Done: 2 * time.Second}}, Elapsed: 3 * time.Second, Spare: 0.375,
+	v := page{Forecast{Steps: []ForecastStep{{Name: "s-00000001", Free: time.Second, Done: 2 * time.Second}}, Elapsed: 3 * time.Second, Spare: 0.375,
 		MaxOut: 4, Stuck: []string{"s-00000002: waits"}}, map[string]Server{"s-00000001": {Zone: "hall-a", Ready: true, Since: 1700000000031}}}
 	golden.Filled(t, v)
 	for name, v := range map[string]page{"ahead": v, "ahead-least": {}} {
