--- a/cmd/dewhitch/drain_calls_test.go
+++ b/cmd/dewhitch/drain_calls_test.go
@@ -29,7 +29,7 @@
 		t.Error("the planner is still registered while drained")
 	}
 	if answer := adminCall(t, env.adminAddr, "activate"); answer != "YES" {
-		t.Fatalf("activate: %q", answer)
+		t.Fatalf("activate is answered %q, expected YES", answer)
 	}
 	if !eventually(registered(true)) {
 		t.Errorf("the planner was not registered again after the drain\n%s", p.log())
@@ -88,7 +88,7 @@
 		"after its end": func(t *testing.T, env *environment, _ *process) time.Time {
 			evacuate(t, env)
 			if answer := adminCall(t, env.adminAddr, "activate"); answer != "YES" {
-				t.Errorf("activate: %q", answer)
+				t.Errorf("activate is answered %q, expected YES", answer)
 			}
 			return evacuate(t, env)
 		},
--- a/cmd/dewhitch/drain_fleet_test.go
+++ b/cmd/dewhitch/drain_fleet_test.go
@@ -277,7 +277,7 @@
 	drainedAt := g.endingSince
 	g.mu.Unlock()
 	if answer := adminCall(d.t, g.env.adminAddr, "evacuate"); answer != "YES" {
-		g.addFault("evacuate: %q", answer)
+		g.addFault("evacuate is answered %q, expected YES", answer)
 	}
 	end := drainedAt.Add(drainTerm)
 	waitUntil(end)
--- a/cmd/dewhitch/drain_test.go
+++ b/cmd/dewhitch/drain_test.go
@@ -24,7 +24,7 @@
 	t.Helper()
 	calledAt := time.Now()
 	if answer := adminCall(t, env.adminAddr, "evacuate"); answer != "YES" {
-		t.Fatalf("evacuate: %q", answer)
+		t.Fatalf("evacuate is answered %q, expected YES", answer)
 	}
 	return calledAt
 }
@@ -79,7 +79,7 @@
 	c.SetReadDeadline(deadline)
 	rest, err := io.ReadAll(c.r)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the connection is still held %v after the call", drainTerm)
+		t.Errorf("the connection is still open %v after the start of the drain", drainTerm)
 	} else if err != nil && !strings.Contains(err.Error(), "reset") || len(rest) > 0 {
 		t.Errorf("got %q and %v, expected the connection to end without data", rest, err)
 	}
@@ -124,7 +124,7 @@
 	drainedAt := evacuate(t, env)
 	c.SetReadDeadline(drainedAt.Add(drainTerm))
 	if _, err := io.Copy(io.Discard, c.r); errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the connection is still held %v after the call", drainTerm)
+		t.Errorf("the connection is still open %v after the start of the drain", drainTerm)
 	}
 }
 
@@ -171,7 +171,7 @@
 	c.SetReadDeadline(drainedAt.Add(drainTerm))
 	answers, err := io.ReadAll(c.r)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the connection is still held %v after the call", drainTerm)
+		t.Errorf("the connection is still open %v after the start of the drain", drainTerm)
 	}
 	if n := strings.Count(string(answers), "-ERR unknown command"); n != 14 {
 		t.Errorf("%d of the 14 commands were answered, expected all, as they had been read", n)
@@ -209,7 +209,7 @@
 		t.Errorf("telemetry: got %s, expected one overload and no dispatch", got)
 	}
 	if answer := adminCall(t, env.adminAddr, "activate"); answer != "YES" {
-		t.Fatalf("activate: %q", answer)
+		t.Fatalf("activate is answered %q, expected YES", answer)
 	}
 	again := env.dial()
 	again.Write(queryWithLongDeadline("q2"))
--- a/cmd/dewhitch/handover_test.go
+++ b/cmd/dewhitch/handover_test.go
@@ -163,12 +163,12 @@
 		}
 		old := startProcess()
 		if servedBefore := send(14); servedBefore < 11 { // by then little of the quota remains, and a few snapshots are written
-			t.Fatalf("served %d of 14, the last %q\n%s", servedBefore, lastAnswer, old.log())
+			t.Fatalf("the old process served %d of 14 requests, the last answer is %q\n%s", servedBefore, lastAnswer, old.log())
 		}
 		next := startProcess()
 		old.cmd.Process.Signal(syscall.SIGTERM)
 		if err := old.wait(); err != nil {
-			t.Fatalf("the old process: %v\n%s", err, old.log())
+			t.Fatalf("the old process ended with %v\n%s", err, old.log())
 		}
 		served[mode] = send(8)
 		if text := adminCall(t, env.adminAddr, "telemetry"); strings.Contains(text, `"snapshot_loaded":1`) != (mode == "auto") {
