--- a/cmd/dewhitch/drain_fleet_test.go
+++ b/cmd/dewhitch/drain_fleet_test.go
@@ -15,95 +15,97 @@
 	"dewhitch/internal/standin"
 )
 
-// The load of TestDrainsUnderLoad. The longest wait is above the recent past, so that requests are out through all of a
-// drain, and below what would let one that is taken in time be out for long after its term.
+// The load of TestDrainsUnderLoad. maxRequestTimeout is longer than recentRequestAge, so that requests are in flight throughout a
+// drain. It is short enough that a request taken before the drain is not in flight for long after drainTerm.
 const (
-	drainGateways = 4
-	drainSeeds    = 10
-	shortestWait  = 200 * time.Millisecond
-	longestWait   = 2500 * time.Millisecond
-	newFor        = 200 * time.Millisecond // after the call, in which the front still sends new connections
-	lateAnswer    = 500 * time.Millisecond // beyond a request's wait: a later answer is none
-	checkerSlack  = 300 * time.Millisecond // for the machine that the test runs on
+	drainGateways     = 4
+	drainSeeds        = 10
+	minRequestTimeout = 200 * time.Millisecond
+	maxRequestTimeout = 2500 * time.Millisecond
+	routedAfterDrain  = 200 * time.Millisecond // time after the start of a drain in which new connections are still routed to the gateway
+	answerTolerance   = 500 * time.Millisecond // time after a request's deadline until an answer counts as missing
+	schedulingSlack   = 300 * time.Millisecond // allowance for scheduling delays of the machine that runs the test
 )
 
-// connection is what a client knows of one connection to a gateway.
+// connection is a client's connection to a gateway, with its unanswered requests. mu guards all fields below it.
 type connection struct {
 	net.Conn
-	mu       sync.Mutex
-	waiting  []request // in the order written, not answered yet
-	until    time.Time // when the time of all of them is up
-	last     time.Time // when the last byte of the last request was written
-	answered time.Time
-	ended    bool // the gateway, or its client, has closed it
-	left     bool // by its client
+	mu             sync.Mutex
+	unanswered     []request // requests without an answer, in the order written
+	lastDeadline   time.Time // latest deadline of the requests sent so far
+	lastSentAt     time.Time // when the last byte of the last request was written
+	lastAnsweredAt time.Time
+	closed         bool // true once the gateway or the client has closed the connection
+	closedByClient bool // true if the client closed the connection
 }
 
-// request is one that a client has written whole.
+// request is a request that a client has written completely.
 type request struct {
-	id    string
-	sent  time.Time
-	until time.Time // when its client's time is up, and that of all before it, behind which its answer waits
+	id       string
+	sentAt   time.Time
+	deadline time.Time // latest deadline of this request and of those before it on the connection, whose answers precede its own
 }
 
-// gatewayRecord is a gateway of the test, with every connection that was made to it.
+// gatewayRecord is a gateway of the test, with every connection that was opened to it and the faults found. mu guards the fields
+// below it.
 type gatewayRecord struct {
-	world   *environment
-	number  int
-	longest time.Duration // that a client waits
-	mu      sync.Mutex
-	conns   []*connection
-	called  time.Time     // of the drain, or of SIGTERM; zero: none
-	newFor  time.Duration // from then on, in which the front still sends new connections
-	faults  []string
-	over    bool // no client connects any more
+	env              *environment
+	instance         int
+	maxTimeout       time.Duration // longest time that a client waits for an answer
+	mu               sync.Mutex
+	conns            []*connection
+	endingSince      time.Time     // start of the drain, or time of SIGTERM; zero while the gateway is in service
+	routedAfterDrain time.Duration // time after endingSince in which new connections are still routed to the gateway
+	faults           []string
+	clientsClosed    bool // true once no client may connect any more
 }
 
-// leave ends all of its clients' connections, for good.
-func (g *gatewayRecord) leave() {
+// closeClients closes all client connections to the gateway and prevents new ones.
+func (g *gatewayRecord) closeClients() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.over = true
+	g.clientsClosed = true
 	for _, c := range g.conns {
-		c.leave()
+		c.closeByClient()
 	}
 }
 
-// drainTest is one run.
+// drainTest is one run of TestDrainsUnderLoad or TestSoak: gateways before shared backends, and the clients' goroutines.
 type drainTest struct {
 	t        *testing.T
 	backends *standin.Backends
 	gateways []*gatewayRecord
-	over     chan struct{}
+	done     chan struct{} // closed when the clients must stop
 	clients  sync.WaitGroup
 }
 
-func (g *gatewayRecord) fault(format string, a ...any) {
+func (g *gatewayRecord) addFault(format string, a ...any) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.faults = append(g.faults, fmt.Sprintf(format, a...))
 }
 
-// accepts tells whether the front still sends new connections here.
-func (g *gatewayRecord) accepts() bool {
+// receivesNewConnections returns true while the platform still routes new connections to the gateway.
+func (g *gatewayRecord) receivesNewConnections() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.called.IsZero() || time.Since(g.called) < g.newFor
+	return g.endingSince.IsZero() || time.Since(g.endingSince) < g.routedAfterDrain
 }
 
-// connect opens a connection; nil: the front sends none.
+// connect opens a client connection. It returns nil if the platform routes no new connections to the gateway, or if dialling
+// fails.
 func (g *gatewayRecord) connect() *connection {
-	if !g.accepts() {
+	if !g.receivesNewConnections() {
 		return nil
 	}
-	conn, err := net.DialTimeout("tcp", g.world.listen, patience)
+	conn, err := net.DialTimeout("tcp", g.env.listenAddr, waitLimit)
 	if err != nil {
 		return nil
 	}
 	c := &connection{Conn: conn}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.over {
+	if g.clientsClosed {
 		conn.Close()
 		return nil
 	}
@@ -111,144 +113,149 @@
 	return c
 }
 
-// send writes a request.
-func (c *connection) send(g *gatewayRecord, rng *rand.Rand) error {
+// sendRequest writes a request with a random customer, id and deadline, and records it as unanswered.
+func (c *connection) sendRequest(g *gatewayRecord, rng *rand.Rand) error {
 	id := fmt.Sprintf("r%016x", rng.Uint64())
-	wait := shortestWait + time.Duration(rng.Int64N(int64(g.longest-shortestWait)))
-	words := fmt.Sprintf("SVC.QUERY %016x %s c=lookup,t=wide,d=%d,units=1,spread=1,first=%d", rng.Uint64N(1<<32), id,
-		wait.Milliseconds(), g.number)
+	timeout := minRequestTimeout + time.Duration(rng.Int64N(int64(g.maxTimeout-minRequestTimeout)))
+	command := fmt.Sprintf("SVC.QUERY %016x %s c=lookup,t=wide,d=%d,units=1,spread=1,first=%d", rng.Uint64N(1<<32), id,
+		timeout.Milliseconds(), g.instance)
 	c.mu.Lock()
 	now := time.Now()
-	if at := now.Add(wait); at.After(c.until) {
-		c.until = at
+	if deadline := now.Add(timeout); deadline.After(c.lastDeadline) {
+		c.lastDeadline = deadline
 	}
-	c.waiting, c.last = append(c.waiting, request{id, now, c.until}), now
+	c.unanswered, c.lastSentAt = append(c.unanswered, request{id, now, c.lastDeadline}), now
 	c.mu.Unlock()
-	_, err := c.Write(encode(words))
+	_, err := c.Write(encode(command))
 	return err
 }
 
-// receive reads answers until the connection ends, and holds each to the request that it answers.
-func (c *connection) receive(g *gatewayRecord, each func()) {
+// readAnswers reads answers until the connection ends, checks each against the oldest unanswered request, and then calls
+// onAnswer.
+func (c *connection) readAnswers(g *gatewayRecord, onAnswer func()) {
 	for r := bufio.NewReader(c.Conn); ; {
 		reply, err := standin.ReadReply(r)
 		c.mu.Lock()
 		if err != nil {
-			c.ended = true
-			if !c.left && !errors.Is(err, io.EOF) && len(c.waiting) == 0 {
-				g.fault("a connection that was owed nothing ended with %v", err)
+			c.closed = true
+			if !c.closedByClient && !errors.Is(err, io.EOF) && len(c.unanswered) == 0 {
+				g.addFault("a connection without unanswered requests ended with %v, expected EOF", err)
 			}
 			c.mu.Unlock()
 			return
 		}
-		if len(c.waiting) > 0 {
-			asked := c.waiting[0]
-			c.waiting, c.answered = c.waiting[1:], time.Now()
-			if late := time.Since(asked.until); late > lateAnswer+checkerSlack {
-				g.fault("request %s was answered %v after its time", asked.id, late)
+		if len(c.unanswered) > 0 {
+			answered := c.unanswered[0]
+			c.unanswered, c.lastAnsweredAt = c.unanswered[1:], time.Now()
+			if late := time.Since(answered.deadline); late > answerTolerance+schedulingSlack {
+				g.addFault("request %s was answered %v after its deadline", answered.id, late)
 			}
-			if reply.Kind == '$' && reply.Text != asked.id {
-				g.fault("request %s was served with %q", asked.id, reply.Text)
+			if reply.Kind == '$' && reply.Text != answered.id {
+				g.addFault("request %s was answered with the value %q", answered.id, reply.Text)
 			}
 		}
 		c.mu.Unlock()
-		each()
+		onAnswer()
 	}
 }
 
-// leave closes the connection for the client's own reasons.
-func (c *connection) leave() {
+// closeByClient closes the connection from the client's side.
+func (c *connection) closeByClient() {
 	c.mu.Lock()
-	c.left, c.ended = true, true
+	c.closedByClient, c.closed = true, true
 	c.mu.Unlock()
 	c.Close()
 }
 
-// held tells why the rule forbids that the connection is open at that time, if it does.
-func (c *connection) held(at time.Time) (why string, broken bool) {
+// checkTerm returns true, with the reason, if the connection is open at that time although the drain's term does not allow it:
+// it has been idle for longer than schedulingSlack, or it has an unanswered request that is younger than recentRequestAge.
+func (c *connection) checkTerm(at time.Time) (reason string, violated bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
-	case c.ended:
-	case len(c.waiting) == 0 && at.Sub(c.answered) > checkerSlack:
+	case c.closed:
+	case len(c.unanswered) == 0 && at.Sub(c.lastAnsweredAt) > schedulingSlack:
 		return "idle", true
-	case len(c.waiting) > 0 && at.Sub(c.last) < recentRequest:
-		return fmt.Sprintf("with a request of %v before", at.Sub(c.last).Round(time.Millisecond)), true
+	case len(c.unanswered) > 0 && at.Sub(c.lastSentAt) < recentRequestAge:
+		return fmt.Sprintf("with a request sent %v earlier", at.Sub(c.lastSentAt).Round(time.Millisecond)), true
 	}
 	return "", false
 }
 
-// behaviour is what one kind of client does with one connection, until that ends.
+// behaviour is what one kind of client does with a connection until the connection ends.
 type behaviour func(d *drainTest, g *gatewayRecord, c *connection, rng *rand.Rand)
 
-// A client that asks again the moment it is answered.
-func steady(_ *drainTest, g *gatewayRecord, c *connection, rng *rand.Rand) {
-	c.send(g, rng)
-	c.receive(g, func() { c.send(g, rng) })
+// requestContinuously sends the next request as soon as the previous one is answered.
+func requestContinuously(_ *drainTest, g *gatewayRecord, c *connection, rng *rand.Rand) {
+	c.sendRequest(g, rng)
+	c.readAnswers(g, func() { c.sendRequest(g, rng) })
 }
 
-// A client that writes many requests without waiting for answers, all the time.
-func pipelining(d *drainTest, g *gatewayRecord, c *connection, rng *rand.Rand) {
+// pipelineRequests sends a request every 50 ms without waiting for answers.
+func pipelineRequests(d *drainTest, g *gatewayRecord, c *connection, rng *rand.Rand) {
 	d.clients.Go(func() {
-		tick := time.NewTicker(50 * time.Millisecond) // fewer are out at once than the gateway takes of one client
+		tick := time.NewTicker(50 * time.Millisecond) // keeps fewer requests in flight than the gateway takes from one client
 		defer tick.Stop()
 		for {
 			select {
-			case <-d.over:
+			case <-d.done:
 				return
 			case <-tick.C:
 			}
-			if c.send(g, rng) != nil {
+			if c.sendRequest(g, rng) != nil {
 				return
 			}
 		}
 	})
-	c.receive(g, func() {})
+	c.readAnswers(g, func() {})
 }
 
-// A client that connects and says nothing.
-func silent(_ *drainTest, g *gatewayRecord, c *connection, _ *rand.Rand) { c.receive(g, func() {}) }
+// sendNothing keeps a connection open without writing to it.
+func sendNothing(_ *drainTest, g *gatewayRecord, c *connection, _ *rand.Rand) {
+	c.readAnswers(g, func() {})
+}
 
-// A client that asks once and keeps its connection.
-func resting(_ *drainTest, g *gatewayRecord, c *connection, rng *rand.Rand) {
-	c.send(g, rng)
-	c.receive(g, func() {})
+// requestOnce sends one request and keeps the connection open.
+func requestOnce(_ *drainTest, g *gatewayRecord, c *connection, rng *rand.Rand) {
+	c.sendRequest(g, rng)
+	c.readAnswers(g, func() {})
 }
 
-// A client that writes a command a byte at a time, and never all of it.
-func trickling(d *drainTest, g *gatewayRecord, c *connection, _ *rand.Rand) {
+// trickleCommand writes a command byte by byte and never completes it.
+func trickleCommand(d *drainTest, g *gatewayRecord, c *connection, _ *rand.Rand) {
 	d.clients.Go(func() {
 		tick := time.NewTicker(100 * time.Millisecond)
 		defer tick.Stop()
 		_, err := c.Write([]byte("*2\r\n$4\r\nPING\r\n$9000\r\n"))
 		for err == nil {
 			select {
-			case <-d.over:
+			case <-d.done:
 				return
 			case <-tick.C:
 				_, err = c.Write([]byte("x"))
 			}
 		}
 	})
-	// Its error is an answer to nothing that it wrote whole.
-	c.receive(g, func() {})
+	// The only possible answer is an error, as no complete command was written.
+	c.readAnswers(g, func() {})
 }
 
-// A client that asks and does not wait for the answer.
-func leaving(d *drainTest, g *gatewayRecord, c *connection, rng *rand.Rand) {
-	c.send(g, rng)
-	d.clients.Go(func() { c.receive(g, func() {}) })
-	time.Sleep(time.Duration(rng.Int64N(int64(100 * time.Millisecond)))) // its patience
-	c.leave()
+// requestAndDisconnect sends a request and closes the connection within 100 ms.
+func requestAndDisconnect(d *drainTest, g *gatewayRecord, c *connection, rng *rand.Rand) {
+	c.sendRequest(g, rng)
+	d.clients.Go(func() { c.readAnswers(g, func() {}) })
+	time.Sleep(time.Duration(rng.Int64N(int64(100 * time.Millisecond)))) // how long the client waits for the answer
+	c.closeByClient()
 }
 
-// run has a client behave so on one connection after another.
-func (d *drainTest) run(g *gatewayRecord, does behaviour, seed uint64) {
+// runClient starts a client that opens one connection after another and behaves as told on each. It stops at the end of the run,
+// or when connect returns nil.
+func (d *drainTest) runClient(g *gatewayRecord, behave behaviour, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 4))
 	d.clients.Go(func() {
 		for {
 			select {
-			case <-d.over:
+			case <-d.done:
 				return
 			default:
 			}
@@ -256,69 +263,70 @@
 			if c == nil {
 				return
 			}
-			does(d, g, c, rng)
+			behave(d, g, c, rng)
 			c.Close()
 		}
 	})
 }
 
-// drain drains a gateway at its moment, and judges it at the end of its term.
-func (d *drainTest) drain(g *gatewayRecord, at time.Time) {
-	waitUntil(at)
+// drain drains a gateway at a given time, and checks its connections drainTerm later.
+func (d *drainTest) drain(g *gatewayRecord, drainAt time.Time) {
+	waitUntil(drainAt)
 	g.mu.Lock()
-	g.called = time.Now()
-	called := g.called
+	g.endingSince = time.Now()
+	drainedAt := g.endingSince
 	g.mu.Unlock()
-	if answer := adminCall(d.t, g.world.admin, "evacuate"); answer != "YES" {
-		g.fault("evacuate: %q", answer)
+	if answer := adminCall(d.t, g.env.adminAddr, "evacuate"); answer != "YES" {
+		g.addFault("evacuate is answered %q, expected YES", answer)
 	}
-	end := called.Add(drainTerm)
+	end := drainedAt.Add(drainTerm)
 	waitUntil(end)
 	g.mu.Lock()
 	conns := g.conns
 	g.mu.Unlock()
-	suspects := map[*connection]string{}
+	suspected := map[*connection]string{}
 	for _, c := range conns {
-		if why, broken := c.held(end); broken {
-			suspects[c] = why
+		if reason, violated := c.checkTerm(end); violated {
+			suspected[c] = reason
 		}
 	}
-	// The test's own machine may be late to see an end that the gateway has made.
-	waitUntil(end.Add(checkerSlack))
-	for c, why := range suspects {
+	// The test may see the end of a connection later than the gateway closed it.
+	waitUntil(end.Add(schedulingSlack))
+	for c, reason := range suspected {
 		c.mu.Lock()
-		ended := c.ended
+		ended := c.closed
 		c.mu.Unlock()
 		if !ended {
-			g.fault("held %v after the call: %s", drainTerm, why)
+			g.addFault("a connection is open %v after the start of the drain: %s", drainTerm, reason)
 		}
 	}
 }
 
-// sent are the requests that have come to a server.
-func (d *drainTest) sent() map[string]bool {
-	sent := map[string]bool{}
+// deliveredRequests returns the ids of the requests that reached a server.
+func (d *drainTest) deliveredRequests() map[string]bool {
+	delivered := map[string]bool{}
 	for _, c := range d.backends.Commands() {
-		sent[c.ID] = true
+		delivered[c.ID] = true
 	}
-	return sent
+	return delivered
 }
 
-// lost tells of requests that a server has had and whose connection was ended without their answer.
-func (d *drainTest) lost() {
-	sent := d.sent()
+// checkLostRequests reports requests that reached a server and whose connection the gateway closed without an answer, and
+// requests that are unanswered after their deadline.
+func (d *drainTest) checkLostRequests() {
+	delivered := d.deliveredRequests()
 	for _, g := range d.gateways {
 		g.mu.Lock()
 		conns := g.conns
 		g.mu.Unlock()
 		for _, c := range conns {
 			c.mu.Lock()
-			for _, r := range c.waiting {
-				if c.ended && !c.left && sent[r.id] {
-					g.fault("request %s was sent on, and its connection ended without an answer", r.id)
+			for _, r := range c.unanswered {
+				if c.closed && !c.closedByClient && delivered[r.id] {
+					g.addFault("request %s reached a server, but its connection ended without an answer", r.id)
 				}
-				if !c.ended && time.Since(r.until) > lateAnswer+checkerSlack {
-					g.fault("request %s has no answer %v after its time", r.id, time.Since(r.until))
+				if !c.closed && time.Since(r.deadline) > answerTolerance+schedulingSlack {
+					g.addFault("request %s has no answer %v after its deadline", r.id, time.Since(r.deadline))
 				}
 			}
 			c.mu.Unlock()
@@ -326,33 +334,33 @@
 	}
 }
 
-// Several gateways under load, of which some are drained at random moments, while servers hang. No client connection may be
-// held beyond the term, and no request may be lost, by any of them.
+// TestDrainsUnderLoad guards against client connections that outlast the term of a drain, and against lost requests. Several
+// gateways are under load, servers hang, and some gateways are drained at random times.
 func TestDrainsUnderLoad(t *testing.T) {
 	for seed := range uint64(drainSeeds) {
 		seed += 370
 		t.Run(fmt.Sprint("seed ", seed), func(t *testing.T) {
 			t.Parallel()
 			rng := rand.New(rand.NewPCG(seed, 1))
-			backends, err := standin.NewBackends(6, true, hangingSome(seed))
-			d := &drainTest{t: t, backends: kept(t, backends, err), over: make(chan struct{})}
+			backends, err := standin.NewBackends(6, true, randomHangs(seed))
+			d := &drainTest{t: t, backends: closeAtCleanup(t, backends, err), done: make(chan struct{})}
 			d.start(seed)
 			var drains sync.WaitGroup
 			begin := time.Now()
-			for _, i := range rng.Perm(drainGateways)[:2+rng.IntN(2)] {
-				at := begin.Add(300*time.Millisecond + time.Duration(rng.Int64N(int64(time.Second))))
-				drains.Go(func() { d.drain(d.gateways[i], at) })
+			for _, instance := range rng.Perm(drainGateways)[:2+rng.IntN(2)] {
+				drainAt := begin.Add(300*time.Millisecond + time.Duration(rng.Int64N(int64(time.Second))))
+				drains.Go(func() { d.drain(d.gateways[instance], drainAt) })
 			}
 			drains.Wait()
-			d.lost()
-			close(d.over)
+			d.checkLostRequests()
+			close(d.done)
 			for _, g := range d.gateways {
-				g.leave()
+				g.closeClients()
 			}
 			d.clients.Wait()
 			for _, g := range d.gateways {
 				if len(g.faults) > 0 {
-					t.Errorf("gateway %d, drained: %v, %d connections: %d faults:\n%s", g.number, !g.called.IsZero(), len(g.conns),
+					t.Errorf("gateway %d (drained: %v), %d connections: %d faults:\n%s", g.instance, !g.endingSince.IsZero(), len(g.conns),
 						len(g.faults), strings.Join(g.faults[:min(len(g.faults), 8)], "\n"))
 				}
 			}
@@ -360,8 +368,9 @@
 	}
 }
 
-// hangingSome is a script by which some requests hang, and some are slow.
-func hangingSome(seed uint64) standin.Script {
+// randomHangs returns a script by which one request in 8 is answered after a delay of up to maxRequestTimeout. Of the others,
+// some hang, some fail and most are served within 40 ms.
+func randomHangs(seed uint64) standin.Script {
 	type step = struct {
 		Weight float64
 		Delay  time.Duration
@@ -371,30 +380,31 @@
 	rng := rand.New(rand.NewPCG(seed, 3))
 	return func(c *standin.Command) standin.Step {
 		if rng.IntN(8) == 0 {
-			return standin.Step{Behaviour: standin.Serve, Delay: time.Duration(rng.Int64N(int64(longestWait)))}
+			return standin.Step{Behaviour: standin.Serve, Delay: time.Duration(rng.Int64N(int64(maxRequestTimeout)))}
 		}
 		return fast(c)
 	}
 }
 
-// start starts the gateways, and the clients of each.
+// start starts the gateways and the clients of each.
 func (d *drainTest) start(seed uint64) {
-	for i := range drainGateways {
-		w := newEnvironment(d.t)
-		w.self = i
-		w.override = append(w.override, fmt.Sprintf(`{"settings":{"NInstances":%d}}`, drainGateways))
+	for instance := range drainGateways {
+		env := newEnvironment(d.t)
+		env.instance = instance
+		env.overrides = append(env.overrides, fmt.Sprintf(`{"settings":{"NInstances":%d}}`, drainGateways))
 		var members []string
-		for n, l := range d.backends.Nodes {
-			members = append(members, standin.Member(fmt.Sprintf("s-%08x", n+1), l.Addr(), "up"))
+		for n, listener := range d.backends.Nodes {
+			members = append(members, standin.Member(fmt.Sprintf("s-%08x", n+1), listener.Addr(), "up"))
 		}
-		w.discovery.Set(standin.Members(members...))
-		w.start("serve")
-		d.gateways = append(d.gateways, &gatewayRecord{world: w, number: i, longest: longestWait, newFor: newFor})
+		env.discovery.Set(standin.Members(members...))
+		env.start("serve")
+		d.gateways = append(d.gateways, &gatewayRecord{env: env, instance: instance, maxTimeout: maxRequestTimeout,
+			routedAfterDrain: routedAfterDrain})
 	}
 	for i, g := range d.gateways {
-		for k, does := range []behaviour{steady, steady, steady, steady, steady, steady, pipelining, silent, resting, trickling,
-			leaving} {
-			d.run(g, does, seed<<16+uint64(i<<8+k))
+		for k, behave := range []behaviour{requestContinuously, requestContinuously, requestContinuously, requestContinuously, requestContinuously,
+			requestContinuously, pipelineRequests, sendNothing, requestOnce, trickleCommand, requestAndDisconnect} {
+			d.runClient(g, behave, seed<<16+uint64(i<<8+k))
 		}
 	}
 }
--- a/cmd/dewhitch/golden_fleet_test.go
+++ b/cmd/dewhitch/golden_fleet_test.go
@@ -15,25 +15,26 @@
 	"dewhitch/internal/golden"
 )
 
-// goldenPages are the pages of a member by their paths: those that its own package has frozen.
-var goldenPages = map[string]string{
+// goldenPageFiles holds, by path, the file of each page that a member serves. Most of them are golden files of the packages that
+// write the pages.
+var goldenPageFiles = map[string]string{
 	"/fleet":         "../../../../internal/fleet/agent/testdata/golden/status.json",
 	"/fleet/zones":   "../../../../internal/fleet/evacuation/testdata/golden/verdicts.json",
 	"/fleet/work":    "../../../../internal/fleet/maintenance/testdata/golden/book.json",
 	"/fleet/servers": "servers.json",
 }
 
-// shape puts its type in place of each value of decoded JSON.
-func shape(v any) any {
+// replaceValuesByTypes replaces each scalar value of decoded JSON by the name of its Go type.
+func replaceValuesByTypes(v any) any {
 	switch v := v.(type) {
 	case []any:
 		for i := range v {
-			v[i] = shape(v[i])
+			v[i] = replaceValuesByTypes(v[i])
 		}
 		return v
 	case map[string]any:
 		for k := range v {
-			v[k] = shape(v[k])
+			v[k] = replaceValuesByTypes(v[k])
 		}
 		return v
 	default:
@@ -41,12 +42,12 @@
 	}
 }
 
-// TestGoldenCommands freezes what the commands of a fleet send to a member's operators' listener, which may be of another
-// version: method, path and form of each call with all of its flags. A page as JSON is printed as it came; the other
-// commands read it.
+// TestGoldenCommands guards against changes in what the fleet commands send to a member's operators' listener, which may run
+// another version: the method, path and form of each call with all of its flags. With --json, a command must print the page as
+// received; without it, the command must read the page.
 func TestGoldenCommands(t *testing.T) {
 	pages := map[string][]byte{}
-	for path, file := range goldenPages {
+	for path, file := range goldenPageFiles {
 		pages[path] = golden.Read(t, file)
 	}
 	var mu sync.Mutex
@@ -78,7 +79,7 @@
 		}
 		return out
 	}
-	said := []string{"--why", "so", "--by", "alice"}
+	whyAndBy := []string{"--why", "so", "--by", "alice"}
 	for _, line := range []string{"freeze", "thaw", "leave hall-b --for 30m", "leave hall-b", "return hall-b", "return hall-b --hold",
 		"work request --machines s-00000001,s-00000002 --kind restart --for 5m --not-before 2030-01-02T03:04:05Z --after 7 --key k1",
 		"work request --machines s-00000003 --kind replace --for 1m", "work request --machines s-00000004 --kind off --for 2m",
@@ -86,13 +87,13 @@
 		mu.Lock()
 		fmt.Fprintln(&calls, "$", line)
 		mu.Unlock()
-		if out := run(append(strings.Fields(line), said...)...); string(out) != "YES 12.13\n" {
-			t.Errorf("%s: %s", line, out)
+		if out := run(append(strings.Fields(line), whyAndBy...)...); string(out) != "YES 12.13\n" {
+			t.Errorf("%s: got %q, expected the member's answer", line, out)
 		}
 	}
 	for _, c := range []struct {
 		line, page string
-		shows      []string // without --json: values of the page
+		shows      []string // values of the page that the output without --json contains
 	}{
 		{"status", "/fleet", []string{"g1", "north-fleet", "g2", "11 ms", "12.13", "alice", "night", "2023-11-14T22:13:20Z", "g3", "g4", "alive",
 			"hall-a", "16.17", "19 ms", "true", "kept"}},
@@ -105,7 +106,7 @@
 		fmt.Fprintln(&calls, "$", c.line)
 		mu.Unlock()
 		if out, want := run(append(strings.Fields(c.line), "--json")...), pages[c.page]; string(out) != string(want) {
-			t.Errorf("%s: %s, want %s", c.line, out, want)
+			t.Errorf("%s --json: got %s, expected %s", c.line, out, want)
 		}
 		out := run(strings.Fields(c.line)...)
 		for _, s := range c.shows {
@@ -120,9 +121,9 @@
 	var plan any
 	if out := run("work", "plan", "--machines", "s-00000001,s-000000ff", "--for", "1m", "--load", "0.1", "--cold", "10s", "--start", "0.5",
 		"--json"); json.Unmarshal(out, &plan) != nil {
-		t.Errorf("work plan: %s", out)
+		t.Errorf("work plan: the output is not JSON: %s", out)
 	}
-	text, err := json.MarshalIndent(shape(plan), "", "  ")
+	text, err := json.MarshalIndent(replaceValuesByTypes(plan), "", "  ")
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/cmd/dewhitch/limits_test.go
+++ b/cmd/dewhitch/limits_test.go
@@ -17,7 +17,7 @@
 	"dewhitch/internal/standin/zookeeper"
 )
 
-// client is a customer's booking system on the front for limits.
+// client is the connection of a customer's booking system to a gateway or a forwarder.
 type client struct {
 	t *testing.T
 	net.Conn
@@ -30,10 +30,11 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(6 * patience))
+	conn.SetDeadline(time.Now().Add(6 * waitLimit))
 	return &client{t, conn, bufio.NewReader(conn)}
 }
 
+// write writes commands in the form that encode takes.
 func (c *client) write(commands ...string) {
 	var b []byte
 	for _, s := range commands {
@@ -44,16 +45,16 @@
 	}
 }
 
-// answer reads one answer, with its parts on one line.
-func (c *client) answer() string {
-	line, err := c.r.ReadString('\n')
+// readAnswer reads one answer. The elements of an array are joined by spaces.
+func (c *client) readAnswer() string {
+	encoded, err := c.r.ReadString('\n')
 	if err != nil {
 		c.t.Error(err)
 		return ""
 	}
-	line = strings.TrimSpace(line)
-	n, _ := strconv.Atoi(line[1:])
-	switch line[0] {
+	encoded = strings.TrimSpace(encoded)
+	n, _ := strconv.Atoi(encoded[1:])
+	switch encoded[0] {
 	case '$':
 		text := make([]byte, n+2)
 		for i := range text {
@@ -63,150 +64,159 @@
 	case '*':
 		var parts []string
 		for range n {
-			parts = append(parts, c.answer())
+			parts = append(parts, c.readAnswer())
 		}
 		return strings.Join(parts, " ")
 	}
-	return line
+	return encoded
 }
 
-// queryLeft reads the answer to a query.
-func (c *client) queryLeft() (left float64, more string) {
-	a := c.answer()
+// readRemaining reads the answer to a LIMIT.GET: the units that remain, and the milliseconds until there are more, as ":" and a
+// number.
+func (c *client) readRemaining() (remaining float64, replenishedAfter string) {
+	a := c.readAnswer()
 	parts := strings.Fields(a)
 	if len(parts) != 3 || !strings.HasPrefix(parts[2], ":") {
-		c.t.Errorf("a query is answered %q", a)
+		c.t.Errorf("LIMIT.GET is answered %q, expected three values", a)
 		return math.NaN(), ""
 	}
-	left, _ = strconv.ParseFloat(parts[1], 64)
-	return left, parts[2]
+	remaining, _ = strconv.ParseFloat(parts[1], 64)
+	return remaining, parts[2]
 }
 
+// The depth of the quota on the plan forty, and the arguments of a command on that plan.
 const (
-	forty    = 40.0
-	argsOf40 = "t=forty,d=100000,spread=3,first=0"
+	quotaDepth    = 40.0
+	fortyPlanArgs = "t=forty,d=100000,spread=3,first=0"
 )
 
-func booking(customer, i int) string {
-	return fmt.Sprintf("SVC.QUERY %016x a%d-%d c=lookup,%s", customer, customer, i, argsOf40)
+// bookingCommand returns a query for the backends, with an id of the customer and i.
+func bookingCommand(customer, i int) string {
+	return fmt.Sprintf("SVC.QUERY %016x a%d-%d c=lookup,%s", customer, customer, i, fortyPlanArgs)
 }
 
-func query(customer int) string { return fmt.Sprintf("LIMIT.GET %016x %s", customer, argsOf40) }
+func limitQuery(customer int) string {
+	return fmt.Sprintf("LIMIT.GET %016x %s", customer, fortyPlanArgs)
+}
 
-func adjust(customer, units int) string {
-	return fmt.Sprintf("LIMIT.ADJUST %016x %d %s", customer, units, argsOf40)
+func adjustCommand(customer, units int) string {
+	return fmt.Sprintf("LIMIT.ADJUST %016x %d %s", customer, units, fortyPlanArgs)
 }
 
-// prefix is how the names of a customer's counts begin.
-func prefix(customer int) string { return strconv.FormatInt(int64(customer), 36) + "." }
+// countKeyPrefix returns the prefix of the keys of a customer's counts in the shared counter.
+func countKeyPrefix(customer int) string { return strconv.FormatInt(int64(customer), 36) + "." }
 
-// near checks an answer against the counter; 40 units come in so slowly that what comes in meanwhile does not count.
-func near(t *testing.T, w *environment, customer int, left float64) {
+// checkRemaining checks the remaining units of an answer against the counter. 40 units are replenished so slowly that the time
+// since the answer does not matter.
+func checkRemaining(t *testing.T, env *environment, customer int, remaining float64) {
 	t.Helper()
-	if want := forty - w.counter.Sum(prefix(customer)); !(math.Abs(left-max(0, want)) <= 1) {
-		t.Errorf("customer %d: %v left, the counter has %v left", customer, left, want)
+	if want := quotaDepth - env.counter.Sum(countKeyPrefix(customer)); !(math.Abs(remaining-max(0, want)) <= 1) {
+		t.Errorf("customer %d: got %v units remaining, expected %v by the counter", customer, remaining, want)
 	}
 }
 
-// Each of 200 customers pipelines queries between bookings and adjustments of its own number. Every answer must be
-// within one request of the counter, which each query has read, and which nobody else adds to.
+// TestTwoHundredCustomers guards against answers to LIMIT.GET that are not exact. Each of 200 customers pipelines such queries
+// between bookings and adjustments of its own. Every answer must be within one request of the counter, which each query reads,
+// and to which no other client adds for that customer.
 func TestTwoHundredCustomers(t *testing.T) {
 	t.Parallel()
-	w := newEnvironment(t)
-	go w.backends.serveAll()
-	w.override = append(w.override, `{"limits": {"sockets": 1024}}`)
-	p := w.start("serve")
-	var all sync.WaitGroup
-	for h := 1; h <= 200; h++ {
-		all.Go(func() {
-			c := dial(t, w.limits)
-			bookings, units := h%7, 1+h%11
+	env := newEnvironment(t)
+	go env.backends.serveAll()
+	env.overrides = append(env.overrides, `{"limits": {"sockets": 1024}}`)
+	p := env.start("serve")
+	var customers sync.WaitGroup
+	for customer := 1; customer <= 200; customer++ {
+		customers.Go(func() {
+			c := dial(t, env.limitsAddr)
+			bookings, units := customer%7, 1+customer%11
 			for i := range bookings {
-				c.write(booking(h, i))
+				c.write(bookingCommand(customer, i))
 			}
-			c.write(query(h), adjust(h, units))
+			c.write(limitQuery(customer), adjustCommand(customer, units))
 			served := 0
-			for i := range bookings { // in such a rush some are refused for the backends' sake
-				if a := c.answer(); a == fmt.Sprintf("a%d-%d", h, i) {
+			for i := range bookings { // some are refused, as the backends are overloaded
+				if a := c.readAnswer(); a == fmt.Sprintf("a%d-%d", customer, i) {
 					served++
 				} else if !strings.HasPrefix(a, "-BUSY") {
-					t.Errorf("customer %d: a booking is answered %q", h, a)
+					t.Errorf("customer %d: a booking is answered %q, expected its id or -BUSY", customer, a)
 				}
 			}
-			// The query has seen all that was written before it, and nothing of what was written behind it.
-			if left, _ := c.queryLeft(); !(left <= forty-float64(served)+1 && left >= forty-float64(bookings)-1) {
-				t.Errorf("customer %d: %v left after %d to %d bookings", h, left, served, bookings)
+			// The query counts all commands that were written before it, and none that were written after it.
+			if remaining, _ := c.readRemaining(); !(remaining <= quotaDepth-float64(served)+1 && remaining >= quotaDepth-float64(bookings)-1) {
+				t.Errorf("customer %d: got %v units remaining after %d to %d bookings", customer, remaining, served, bookings)
 			}
-			if a := c.answer(); a != strconv.Itoa(units) {
-				t.Errorf("customer %d: taking %d is answered %q", h, units, a)
+			if a := c.readAnswer(); a != strconv.Itoa(units) {
+				t.Errorf("customer %d: taking %d units is answered %q", customer, units, a)
 			}
-			c.write(query(h))
-			left, _ := c.queryLeft()
-			near(t, w, h, left)
-			if left > forty-float64(served+units)+1 {
-				t.Errorf("customer %d: %v left after %d units", h, left, served+units)
+			c.write(limitQuery(customer))
+			remaining, _ := c.readRemaining()
+			checkRemaining(t, env, customer, remaining)
+			if remaining > quotaDepth-float64(served+units)+1 {
+				t.Errorf("customer %d: got %v units remaining after %d were taken", customer, remaining, served+units)
 			}
-			// Beyond the quota: refused, and the query still answered.
-			c.write(adjust(h, 40), query(h), adjust(h, int(left-0.5)), query(h))
-			if a := c.answer(); !strings.HasPrefix(a, "-BUSY ") {
-				t.Errorf("customer %d: over the quota, the answer is %q", h, a)
+			// An adjustment above the quota is refused, and the query after it is still answered.
+			c.write(adjustCommand(customer, 40), limitQuery(customer), adjustCommand(customer, int(remaining-0.5)), limitQuery(customer))
+			if a := c.readAnswer(); !strings.HasPrefix(a, "-BUSY ") {
+				t.Errorf("customer %d: an adjustment above the quota is answered %q, expected -BUSY", customer, a)
 			}
-			c.queryLeft()
-			if a := c.answer(); a != strconv.Itoa(int(left-0.5)) {
-				t.Errorf("customer %d: taking the last %d is answered %q", h, int(left-0.5), a)
+			c.readRemaining()
+			if a := c.readAnswer(); a != strconv.Itoa(int(remaining-0.5)) {
+				t.Errorf("customer %d: taking the last %d units is answered %q", customer, int(remaining-0.5), a)
 			}
-			left, more := c.queryLeft()
-			near(t, w, h, left)
-			if left > 2.5 || more == ":0" {
-				t.Errorf("customer %d: %v left of nothing, more in %q", h, left, more)
+			remaining, replenishedAfter := c.readRemaining()
+			checkRemaining(t, env, customer, remaining)
+			if remaining > 2.5 || replenishedAfter == ":0" {
+				t.Errorf("customer %d: got %v units remaining, more after %q ms; expected at most 2.5, and a time above 0", customer, remaining,
+					replenishedAfter)
 			}
 		})
 	}
-	all.Wait()
-	if w.counter.Lowest() < 0 {
-		t.Errorf("a count fell to %v", w.counter.Lowest())
+	customers.Wait()
+	if env.counter.Lowest() < 0 {
+		t.Errorf("a count in the counter fell to %v, expected no negative ones", env.counter.Lowest())
 	}
 	if t.Failed() {
 		t.Log(p.log())
 	}
 }
 
-// forwarderTest is three gateways, a forwarder, and a client of it.
+// forwarderTest is three gateways, a forwarder before them and a client of the forwarder.
 type forwarderTest struct {
 	t         *testing.T
-	world     *environment
+	env       *environment
 	registry  *zookeeper.Server
 	gateways  [3]*process
 	forwarder *process
 	client    *client
 }
 
-// registryNode is the node of a gateway in the registry.
+// registryNode returns the path of a gateway's node in the registry.
 func registryNode(gateway int) string { return fmt.Sprintf("/dewhitch/planners/gateway-%d", gateway) }
 
+// newForwarderTest starts the processes, and waits until the forwarder knows all gateways.
 func newForwarderTest(t *testing.T) *forwarderTest {
-	f := &forwarderTest{t: t, world: newEnvironment(t), registry: newZookeeper(t)}
-	go f.world.backends.serveAll()
+	f := &forwarderTest{t: t, env: newEnvironment(t), registry: newZookeeper(t)}
+	go f.env.backends.serveAll()
 	for i := range f.gateways {
-		w := *f.world
-		w.listen, w.limits, w.self, w.registry = standin.OwnAddr(), standin.OwnAddr(), i, f.registry.Addr()
-		f.gateways[i] = w.start("serve")
+		env := *f.env
+		env.listenAddr, env.limitsAddr, env.instance, env.registryAddr = standin.OwnAddr(), standin.OwnAddr(), i, f.registry.Addr()
+		f.gateways[i] = env.start("serve")
 		if !eventually(func() bool { return f.registry.Owner(registryNode(i)) != 0 }) {
 			t.Fatal("a planner is not registered\n", f.gateways[i].log())
 		}
 	}
-	front := *f.world
-	front.listen, front.registry = standin.OwnAddr(), f.registry.Addr()
-	f.forwarder = front.start("forward")
-	if !f.knows(3) {
-		t.Fatal("the forwarder does not know the planners\n", f.forwarder.log())
+	forwarderEnv := *f.env
+	forwarderEnv.listenAddr, forwarderEnv.registryAddr = standin.OwnAddr(), f.registry.Addr()
+	f.forwarder = forwarderEnv.start("forward")
+	if !f.knowsGateways(3) {
+		t.Fatal("the forwarder does not know all three planners\n", f.forwarder.log())
 	}
-	f.client = dial(t, front.listen)
+	f.client = dial(t, forwarderEnv.listenAddr)
 	return f
 }
 
-// knows tells whether the forwarder's last log line on planners has so many gateways, or will soon.
-func (f *forwarderTest) knows(gateways int) bool {
+// knowsGateways returns true if the forwarder's last log line on planners has that number of gateways within waitLimit.
+func (f *forwarderTest) knowsGateways(count int) bool {
 	return eventually(func() bool {
 		last := ""
 		for line := range strings.Lines(f.forwarder.log()) {
@@ -214,89 +224,91 @@
 				last = line
 			}
 		}
-		return strings.Count(last, `":"127.`) == gateways
+		return strings.Count(last, `":"127.`) == count
 	})
 }
 
-// checkLeft checks the answer to a query of customer 3 against the counter.
-func (f *forwarderTest) checkLeft() {
+// checkRemaining checks the answer to a query of customer 3 against the counter.
+func (f *forwarderTest) checkRemaining() {
 	f.t.Helper()
-	left, _ := f.client.queryLeft()
-	near(f.t, f.world, 3, left)
+	remaining, _ := f.client.readRemaining()
+	checkRemaining(f.t, f.env, 3, remaining)
 }
 
-// expireSession expires the registry's session of gateway 0, which must register again.
+// expireSession expires the registry session of gateway 0, and waits until it has registered again and the forwarder knows that.
 func (f *forwarderTest) expireSession() {
 	old := f.registry.Owner(registryNode(0))
 	f.registry.Expire(old)
 	if !eventually(func() bool { o := f.registry.Owner(registryNode(0)); return o != 0 && o != old }) {
-		f.t.Fatal("after the expiry of its session, the planner is not registered\n", f.gateways[0].log())
+		f.t.Fatal("the planner did not register again after its session expired\n", f.gateways[0].log())
 	}
-	if !f.knows(3) {
+	if !f.knowsGateways(3) {
 		f.t.Fatal("the forwarder does not know the planner's new node\n", f.forwarder.log())
 	}
 }
 
-// Three gateways and a forwarder: a customer's commands keep to one gateway of its set; when that loses its session
-// it is registered again, and when it dies, what was written to it fails and what comes after goes to another.
+// TestForwarder guards against a forwarder that loses a customer's commands, sends one twice or spreads them over gateways. A
+// customer's commands go to one gateway of its set of three. That registers again when its session expires. When it is killed,
+// the commands in flight fail, and later ones go to another gateway of the set.
 func TestForwarder(t *testing.T) {
 	t.Parallel()
-	earlyInWindow()
+	waitForFirstHalfOfWindow()
 	f := newForwarderTest(t)
 	c := f.client
-	c.write("PING", booking(3, 0), adjust(3, 4), query(3), "LIMIT.GET 3", "NOVEL")
+	c.write("PING", bookingCommand(3, 0), adjustCommand(3, 4), limitQuery(3), "LIMIT.GET 3", "NOVEL")
 	for _, want := range []string{"+PONG", "a3-0", "4"} {
-		if a := c.answer(); a != want {
-			t.Errorf("answered %q, not %q", a, want)
+		if a := c.readAnswer(); a != want {
+			t.Errorf("got the answer %q, expected %q", a, want)
 		}
 	}
-	f.checkLeft()
+	f.checkRemaining()
 	for range 2 {
-		if a := c.answer(); !strings.HasPrefix(a, "-ERR ") {
-			t.Errorf("answered %q", a)
+		if a := c.readAnswer(); !strings.HasPrefix(a, "-ERR ") {
+			t.Errorf("an invalid command is answered %q, expected an error", a)
 		}
 	}
 
-	// Customer 3 (spread 3, first 0) is gateway 0's.
+	// The commands of customer 3 (spread 3, first 0) go to gateway 0.
 	f.expireSession()
-	c.write(adjust(3, 1), query(3))
-	if a := c.answer(); a != "1" {
-		t.Errorf("answered %q", a)
+	c.write(adjustCommand(3, 1), limitQuery(3))
+	if a := c.readAnswer(); a != "1" {
+		t.Errorf("after the planner registered again, an adjustment by 1 is answered %q", a)
 	}
-	f.checkLeft()
+	f.checkRemaining()
 
-	// With its counter silent, gateway 0 owes an answer when it dies: that command is failed, not sent again.
-	f.world.counter.SetMode("silent")
-	c.write(query(3))
+	// As the counter does not answer, a command is in flight on gateway 0 when that is killed: it fails and is not sent again.
+	f.env.counter.SetMode("silent")
+	c.write(limitQuery(3))
 	time.Sleep(50 * time.Millisecond)
 	f.gateways[0].cmd.Process.Kill()
-	if a := c.answer(); !strings.HasPrefix(a, "-ERR the planner was lost") {
-		t.Errorf("answered %q", a)
+	if a := c.readAnswer(); !strings.HasPrefix(a, "-ERR the planner was lost") {
+		t.Errorf("the command in flight at the kill is answered %q, expected that the planner was lost", a)
 	}
-	// Its node stands until its session expires, but it can't be reached once its process has ended: until then its listener takes
-	// connections, and what is written to them may have been applied. Another of the set takes what comes.
+	// The planner's node stays in the registry until its session expires, but its listener refuses connections once the process has
+	// ended. Until then the listener may accept connections, and commands written to those may have been applied. So the test waits
+	// for the end of the process. Further commands go to another gateway of the set.
 	if err := f.gateways[0].wait(); err == nil {
-		t.Error("the planner ended by itself, not by the kill")
+		t.Error("the planner ended without an error, expected its end by SIGKILL")
 	}
-	f.world.counter.SetMode("add")
-	c.write(adjust(3, 2), query(3))
-	if a := c.answer(); a != "2" {
-		t.Errorf("answered %q\n%s", a, f.forwarder.log())
+	f.env.counter.SetMode("add")
+	c.write(adjustCommand(3, 2), limitQuery(3))
+	if a := c.readAnswer(); a != "2" {
+		t.Errorf("after the kill, an adjustment by 2 is answered %q\n%s", a, f.forwarder.log())
 	}
-	f.checkLeft()
+	f.checkRemaining()
 	f.registry.Expire(f.registry.Owner(registryNode(0)))
-	if !f.knows(2) {
-		t.Fatal("the forwarder holds on to a planner that has gone\n", f.forwarder.log())
+	if !f.knowsGateways(2) {
+		t.Fatal("the forwarder still lists a planner whose session has expired\n", f.forwarder.log())
 	}
 }
 
-// A client that pipelines large answers and reads them late gets them all; what waits for it is bounded, as no
-// further command is taken meanwhile.
+// TestLateReader guards against answers that are lost or buffered without bound for a client that pipelines commands with large
+// answers and reads them late. The gateway takes no further command meanwhile, and the client gets all answers in the end.
 func TestLateReader(t *testing.T) {
-	w := newEnvironment(t)
-	go w.backends.serveAll()
-	w.start("serve")
-	c := dial(t, w.listen)
+	env := newEnvironment(t)
+	go env.backends.serveAll()
+	env.start("serve")
+	c := dial(t, env.listenAddr)
 	body := strings.Repeat("x", 60<<10)
 	const commands = 200
 	go func() {
@@ -307,43 +319,44 @@
 	time.Sleep(200 * time.Millisecond)
 	served := 0
 	for range commands {
-		switch a := c.answer(); {
+		switch a := c.readAnswer(); {
 		case len(a) == 60<<10:
 			served++
 		case !strings.HasPrefix(a, "-BUSY"):
-			t.Fatalf("answered %.40q", a)
+			t.Fatalf("got the answer %.40q, expected the request's body or -BUSY", a)
 		}
 	}
 	if served == 0 {
-		t.Error("nothing was served")
+		t.Error("none of the commands was served")
 	}
 }
 
-// A forwarder ends while a planner owes it an answer that takes longer than it is given: the command has failed, as it may have
-// been applied, and the connection ends before the earliest SIGKILL.
+// TestForwarderEndsBeforeTheEarliestKill guards against a forwarder that has open connections at the earliest SIGKILL. It
+// receives SIGTERM while a planner takes longer to answer than the forwarder has until then. The command must fail, as it may
+// have been applied, and the connection must end in time.
 func TestForwarderEndsBeforeTheEarliestKill(t *testing.T) {
 	t.Parallel()
-	z := newZookeeper(t)
-	planner := newEnvironment(t)
-	planner.registry = z.Addr()
-	planner.start("serve")
-	front := *planner
-	front.listen = standin.OwnAddr()
-	f := front.start("forward")
-	if !eventually(func() bool { return strings.Contains(f.log(), `"0":"127.`) }) {
-		t.Fatal("the forwarder does not know the planner\n", f.log())
+	registry := newZookeeper(t)
+	plannerEnv := newEnvironment(t)
+	plannerEnv.registryAddr = registry.Addr()
+	plannerEnv.start("serve")
+	forwarderEnv := *plannerEnv
+	forwarderEnv.listenAddr = standin.OwnAddr()
+	forwarder := forwarderEnv.start("forward")
+	if !eventually(func() bool { return strings.Contains(forwarder.log(), `"0":"127.`) }) {
+		t.Fatal("the forwarder does not know the planner\n", forwarder.log())
 	}
-	c := front.dial()
-	c.Write(patientQuery("q1"))
-	planner.hangingServer()
-	signalled := time.Now()
-	f.cmd.Process.Signal(syscall.SIGTERM)
-	c.SetReadDeadline(signalled.Add(earliestKill))
+	c := forwarderEnv.dial()
+	c.Write(queryWithLongDeadline("q1"))
+	plannerEnv.nextBackendCommand()
+	signalledAt := time.Now()
+	forwarder.cmd.Process.Signal(syscall.SIGTERM)
+	c.SetReadDeadline(signalledAt.Add(earliestKill))
 	answers, err := io.ReadAll(c.r)
 	if err != nil || !strings.HasPrefix(string(answers), "-ERR the planner was lost") {
-		t.Errorf("%q came, and %v\n%s", answers, err, f.log())
+		t.Errorf("got %q and %v, expected that the planner was lost\n%s", answers, err, forwarder.log())
 	}
-	if err := f.wait(); err != nil {
+	if err := forwarder.wait(); err != nil {
 		t.Error(err)
 	}
 }
