--- a/cmd/dewhitch/admin_calls.go
+++ b/cmd/dewhitch/admin_calls.go
@@ -28,11 +28,11 @@
 }
 
 // Drain has client sessions sent away, or accepted again.
-func (c *adminCalls) Drain(on bool) {
-	if c.state.Drained() != on {
-		c.log.Info("operators' call", zap.Bool("drained", on))
+func (c *adminCalls) Drain(drained bool) {
+	if c.state.Drained() != drained {
+		c.log.Info("operators' call", zap.Bool("drained", drained))
 	}
-	c.state.Drain(on)
+	c.state.Drain(drained)
 }
 
 // Exclude stops new work to a server, by its id in discovery's form. It fails with core.ErrUnknownServer or core.ErrStopped.
--- a/cmd/dewhitch/exclusions.go
+++ b/cmd/dewhitch/exclusions.go
@@ -28,16 +28,16 @@
 	log     *zap.Logger
 	latest  chan []dw.ServerID // the newest exclusions only
 
-	unsaved *handover.State  // nil: all is saved
-	retry   <-chan time.Time // nil: the last write did not fail
+	unsaved    *handover.State  // nil: all is saved
+	retryTimer <-chan time.Time // nil: the last write did not fail
 }
 
 // newExclusionHandover has the planner pass on its exclusions; before the planner runs. The planner never blocks on the
 // channel, as it alone sends there, and takes an older value out first.
-func newExclusionHandover(n *config.Node, p *core.Planner, d *discovery.Decoder, log *zap.Logger) *exclusionHandover {
-	h := &exclusionHandover{path: handover.Path(n.Scratch, n.Name), planner: p, decoder: d, log: log,
+func newExclusionHandover(node *config.Node, planner *core.Planner, decoder *discovery.Decoder, log *zap.Logger) *exclusionHandover {
+	h := &exclusionHandover{path: handover.Path(node.Scratch, node.Name), planner: planner, decoder: decoder, log: log,
 		latest: make(chan []dw.ServerID, 1)}
-	p.OnExcluded(func(ids []dw.ServerID) {
+	planner.OnExcluded(func(ids []dw.ServerID) {
 		select {
 		case <-h.latest:
 		default:
@@ -55,9 +55,9 @@
 	for {
 		select {
 		case ids := <-h.latest:
-			h.unsaved = exclusionState(ids)
+			h.unsaved = newHandoverState(ids)
 			h.save()
-		case <-h.retry:
+		case <-h.retryTimer:
 			h.save()
 		case <-ctx.Done():
 			h.saveLast()
@@ -94,7 +94,7 @@
 func (h *exclusionHandover) saveLast() {
 	select {
 	case ids := <-h.latest:
-		h.unsaved = exclusionState(ids)
+		h.unsaved = newHandoverState(ids)
 	default:
 	}
 	if h.unsaved != nil {
@@ -104,26 +104,26 @@
 
 // save writes what is unsaved, and schedules a retry if that fails. Only the first failure and the end of it are logged.
 func (h *exclusionHandover) save() {
-	failedBefore := h.retry != nil
+	failedBefore := h.retryTimer != nil
 	if err := handover.Save(h.path, *h.unsaved); err != nil {
 		if !failedBefore {
 			h.log.Warn("exclusions are not written for the next process yet; tried again", zap.Error(err))
 		}
-		h.retry = time.After(exclusionsWriteRetry)
+		h.retryTimer = time.After(exclusionsWriteRetry)
 		return
 	}
 	if failedBefore {
 		h.log.Info("exclusions are written again")
 	}
-	h.retry = nil
+	h.retryTimer = nil
 	h.unsaved = nil
 }
 
-// exclusionState is the handover file's form of server ids, which is discovery's.
-func exclusionState(ids []dw.ServerID) *handover.State {
-	s := &handover.State{Excluded: make([]string, len(ids))}
+// newHandoverState is the handover file's form of server ids, which is discovery's.
+func newHandoverState(ids []dw.ServerID) *handover.State {
+	state := &handover.State{Excluded: make([]string, len(ids))}
 	for i, id := range ids {
-		s.Excluded[i] = fmt.Sprintf("s-%08x", uint32(id))
+		state.Excluded[i] = fmt.Sprintf("s-%08x", uint32(id))
 	}
-	return s
+	return state
 }
--- a/cmd/dewhitch/fleet.go
+++ b/cmd/dewhitch/fleet.go
@@ -23,26 +23,26 @@
 		return nil
 	}
 	g.decisions = make(chan agent.Decisions, 1)
-	g.planApplied = make(chan struct{})
-	a, err := agent.Open(g.fleetOptions())
+	g.firstPlanApplied = make(chan struct{})
+	fleetAgent, err := agent.Open(g.fleetOptions())
 	if err != nil {
 		return fmt.Errorf("fleet: %w", err)
 	}
-	g.fleetAgent = a
-	g.planner.SetWatcher(&fleetWatcher{agent: a, zones: g.node.Names.Zones})
+	g.fleetAgent = fleetAgent
+	g.planner.SetWatcher(&fleetWatcher{agent: fleetAgent, zones: g.node.Names.Zones})
 	return nil
 }
 
 // fleetOptions are the agent's options by the settings, the fleet's file and the defaults of the fleet's policies.
 func (g *gateway) fleetOptions() agent.Options {
-	zones := evacuation.Defaults
-	zones.MaxEvacuated = g.fleetConfig.MaxEvacuatedZones
+	evacuationConfig := evacuation.Defaults
+	evacuationConfig.MaxEvacuated = g.fleetConfig.MaxEvacuatedZones
 	return agent.Options{
 		Maintenance: maintenance.Defaults,
 		OnDecisions: g.replaceDecisions,
 		Drain:       g.state.DrainItself,
 		Quiesced:    g.quiesced,
-		Zones:       zones,
+		Zones:       evacuationConfig,
 		SlowStart: slowstart.Config{
 			Start: g.node.Settings.StartCapacity,
 			Span:  time.Duration(g.node.Settings.SlowStartSpan),
@@ -80,21 +80,21 @@
 
 // replaceDecisions hands decisions to followFleet in place of earlier ones that it has not received. Only the agent's goroutine calls it,
 // so that the send never blocks.
-func (g *gateway) replaceDecisions(d agent.Decisions) {
+func (g *gateway) replaceDecisions(decisions agent.Decisions) {
 	select {
 	case <-g.decisions:
 	default:
 	}
-	g.decisions <- d
+	g.decisions <- decisions
 }
 
 // findMembers discovers members through the registry, if the fleet's file names one. It runs until ctx ends.
 func (g *gateway) findMembers(ctx context.Context) error {
-	r := g.fleetConfig.Registry
+	registry := g.fleetConfig.Registry
 	return memberregistry.Run(ctx, memberregistry.Options{
-		Servers: r.Servers,
-		Path:    r.Path,
-		Session: r.Session,
+		Servers: registry.Servers,
+		Path:    registry.Path,
+		Session: registry.Session,
 		Name:    g.node.Name,
 		Address: g.fleetConfig.Listen,
 		Log:     g.log,
@@ -112,8 +112,8 @@
 		select {
 		case <-ctx.Done():
 			return nil
-		case d := <-g.decisions:
-			plan, err := g.fleetPlan(d)
+		case decisions := <-g.decisions:
+			plan, err := g.fleetPlan(decisions)
 			if err != nil {
 				g.log.Error("zone statuses of the fleet's plan can't be decoded, the last ones hold", zap.Error(err))
 				continue
@@ -121,8 +121,8 @@
 			if err := g.planner.ApplyFleetPlan(plan); err != nil {
 				return nil // the planner has ended
 			}
-			g.fleetAgent.Applied(d.Withdrawn)
-			firstPlan.Do(func() { close(g.planApplied) })
+			g.fleetAgent.Applied(decisions.Withdrawn)
+			firstPlan.Do(func() { close(g.firstPlanApplied) })
 		}
 	}
 }
--- a/cmd/dewhitch/fleet_command.go
+++ b/cmd/dewhitch/fleet_command.go
@@ -43,10 +43,10 @@
 type memberError struct {
 	address string
 	status  int    // of HTTP
-	text    string // for operators
+	message string // for operators
 }
 
-func (e *memberError) Error() string { return e.address + ": " + e.text }
+func (e *memberError) Error() string { return e.address + ": " + e.message }
 
 // address is the operators' listener to call: that of the flag, or that of the operators' file.
 func (c *fleetCmd) address() (string, error) {
@@ -70,36 +70,36 @@
 	if err != nil {
 		return nil, err
 	}
-	ctx, stop := context.WithTimeout(context.Background(), callTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, strings.NewReader(form.Encode()))
 	if err != nil {
 		return nil, err
 	}
 	request.Header.Set("Content-Type", "application/x-www-form-urlencoded")
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerSize))
-	if err == nil && answer.StatusCode != http.StatusOK {
-		err = &memberError{address: address, status: answer.StatusCode, text: strings.TrimSpace(string(text))}
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerSize))
+	if err == nil && response.StatusCode != http.StatusOK {
+		err = &memberError{address: address, status: response.StatusCode, message: strings.TrimSpace(string(body))}
 	}
-	return text, err
+	return body, err
 }
 
-// read decodes a page of a member into v, or prints it as it is if raw; done tells that it was printed.
-func (c *fleetCmd) read(page string, raw bool, v any) (done bool, err error) {
-	text, err := c.call(http.MethodGet, page, nil)
+// readPage decodes a page of a member into v, or prints it as it is if raw; done tells that it was printed.
+func (c *fleetCmd) readPage(path string, raw bool, target any) (printed bool, err error) {
+	body, err := c.call(http.MethodGet, path, nil)
 	if err != nil {
 		return false, err
 	}
 	if raw {
-		_, err = os.Stdout.Write(text)
+		_, err = os.Stdout.Write(body)
 		return true, err
 	}
-	return false, json.Unmarshal(text, v)
+	return false, json.Unmarshal(body, target)
 }
 
 // fleetStatus prints the fleet as a member sees it.
@@ -108,38 +108,38 @@
 }
 
 func (s fleetStatus) Run() error {
-	var v agent.Status
-	if done, err := cli.Members.read("/fleet", s.JSON, &v); done || err != nil {
+	var status agent.Status
+	if printed, err := cli.Members.readPage("/fleet", s.JSON, &status); printed || err != nil {
 		return err
 	}
 	quorum := "fresh: a leader with a quorum said so within the lease"
-	if !v.Quorum {
+	if !status.Quorum {
 		quorum = "OLD: nothing is settled, the last plan holds"
 	}
-	fmt.Printf("fleet %s, as %s sees it; plan %v, %s; leader %s, heard %d ms ago; folder: %s\n", v.Fleet, v.Name, v.Epoch, quorum, v.Leader,
-		v.LeaderAge, v.Folder)
-	if v.Frozen != nil {
-		fmt.Printf("frozen by %s since %s: %s\n", v.Frozen.By, time.UnixMilli(v.Frozen.At).Format(time.RFC3339), v.Frozen.Reason)
+	fmt.Printf("fleet %s, as %s sees it; plan %v, %s; leader %s, heard %d ms ago; folder: %s\n", status.Fleet, status.Name, status.Epoch, quorum, status.Leader,
+		status.LeaderAge, status.Folder)
+	if status.Frozen != nil {
+		fmt.Printf("frozen by %s since %s: %s\n", status.Frozen.By, time.UnixMilli(status.Frozen.At).Format(time.RFC3339), status.Frozen.Reason)
 	}
-	if len(v.Unacknowledged) > 0 {
-		fmt.Println("have not acknowledged the plan:", strings.Join(v.Unacknowledged, ", "))
+	if len(status.Unacknowledged) > 0 {
+		fmt.Println("have not acknowledged the plan:", strings.Join(status.Unacknowledged, ", "))
 	}
-	return printMembers(v)
+	return printMembers(status)
 }
 
 // printMembers prints a table of the members of a fleet.
 func printMembers(status agent.Status) error {
-	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "member\tzone\tstate\tvotes\tacts on\tfresh\tlast report\tbegan")
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "member\tzone\tstate\tvotes\tacts on\tfresh\tlast report\tbegan")
 	for _, m := range status.Members {
 		age, began := "none", ""
 		if m.Age >= 0 {
 			age = fmt.Sprint(m.Age, " ms ago")
 			began = time.Unix(0, m.ProcessStartedAt).Format(time.RFC3339)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%v\t%v\t%v\t%s\t%s\n", m.Name, m.Zone, m.State, m.Voter, m.Epoch, m.Fresh, age, began)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%v\t%v\t%v\t%s\t%s\n", m.Name, m.Zone, m.State, m.Voter, m.Epoch, m.Fresh, age, began)
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
 // operatorReason has the flags of every command that changes the plan.
@@ -159,9 +159,9 @@
 	}
 	form.Set("by", operator)
 	form.Set("why", s.Why)
-	text, err := cli.Members.call(http.MethodPost, "/fleet/"+verb, form)
+	answer, err := cli.Members.call(http.MethodPost, "/fleet/"+verb, form)
 	if err == nil {
-		os.Stdout.Write(text)
+		os.Stdout.Write(answer)
 	}
 	return err
 }
@@ -195,11 +195,11 @@
 
 func (z fleetZones) Run() error {
 	statuses := evacuation.Statuses{}
-	if done, err := cli.Members.read("/fleet/zones", z.JSON, &statuses); done || err != nil {
+	if printed, err := cli.Members.readPage("/fleet/zones", z.JSON, &statuses); printed || err != nil {
 		return err
 	}
-	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "zone\tstate\tsince\tfailed returns\tprobers\tby\twhy")
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "zone\tstate\tsince\tfailed returns\tprobers\tby\twhy")
 	for _, key := range slices.Sorted(maps.Keys(statuses)) {
 		status := statuses[key]
 		state := string(status.State)
@@ -210,10 +210,10 @@
 		if by == "" {
 			by = "the fleet"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%s\n", key, state, time.UnixMilli(status.Since).Format(time.RFC3339), status.FailedReturns,
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%s\t%s\n", key, state, time.UnixMilli(status.Since).Format(time.RFC3339), status.FailedReturns,
 			strings.Join(status.Probers, " "), by, status.Reason)
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
 // fleetLeave evacuates a zone.
--- a/cmd/dewhitch/fleet_plan.go
+++ b/cmd/dewhitch/fleet_plan.go
@@ -12,9 +12,9 @@
 
 // fleetPlan translates the fleet's decisions for the planner: names of zones and machines become indexes and server IDs. Machines that are
 // not listed are left out. The error is that of a section that can't be decoded.
-func (g *gateway) fleetPlan(d agent.Decisions) (core.FleetPlan, error) {
+func (g *gateway) fleetPlan(decisions agent.Decisions) (core.FleetPlan, error) {
 	statuses := evacuation.Statuses{}
-	if _, err := d.Plan.Section(evacuation.Section, &statuses); err != nil {
+	if _, err := decisions.Plan.Section(evacuation.Section, &statuses); err != nil {
 		return core.FleetPlan{}, err
 	}
 	now := g.planner.Instant(time.Now())
@@ -24,10 +24,10 @@
 		SlowStartRates: map[dw.ServerID]float64{},
 		InMaintenance:  map[dw.ServerID]bool{},
 	}
-	for id, rate := range d.SlowStart.Rates {
+	for id, rate := range decisions.SlowStart.Rates {
 		plan.SlowStartRates[dw.ServerID(id)] = rate
 	}
-	for name := range d.Withdrawn {
+	for name := range decisions.Withdrawn {
 		if id, ok := g.decoder.Lookup(name); ok {
 			plan.InMaintenance[id] = true
 		}
@@ -37,12 +37,12 @@
 
 // zoneUses returns how one gateway, by its name and the index of its zone, uses the zones that have a status. A start in its future, by
 // a leader whose clock is ahead, is taken for now.
-func zoneUses(statuses evacuation.Statuses, zones []string, own int, name string, now dw.Instant) map[int]core.ZoneUse {
-	from := zoneName(zones, own)
+func zoneUses(statuses evacuation.Statuses, zones []string, ownZone int, gateway string, now dw.Instant) map[int]core.ZoneUse {
+	ownZoneName := zoneName(zones, ownZone)
 	uses := map[int]core.ZoneUse{}
 	for i, zone := range zones {
-		if status, ok := statuses.For(from, zone); ok {
-			uses[i] = zoneUse(status, name, now)
+		if status, ok := statuses.For(ownZoneName, zone); ok {
+			uses[i] = zoneUse(status, gateway, now)
 		}
 	}
 	return uses
--- a/cmd/dewhitch/fleet_watcher.go
+++ b/cmd/dewhitch/fleet_watcher.go
@@ -34,17 +34,17 @@
 // AttemptStarted counts an attempt to a server in a zone with a name.
 func (w *fleetWatcher) AttemptStarted(id core.AttemptID, server dw.ServerID, zone int) {
 	if zone < len(w.zones) {
-		w.agent.AttemptCounter().AttemptStarted(fleetAttempt(id), w.zones[zone], uint32(server))
+		w.agent.AttemptCounter().AttemptStarted(fleetAttemptID(id), w.zones[zone], uint32(server))
 	}
 }
 
 // AttemptEnded counts the outcome of an attempt, with the server's load report.
 func (w *fleetWatcher) AttemptEnded(id core.AttemptID, result core.AttemptResult) {
 	outcome := fleetOutcomes[result.Outcome]
-	w.agent.AttemptCounter().AttemptEnded(fleetAttempt(id), outcome, uint32(result.Load.Queue), uint32(result.Load.Inflight))
+	w.agent.AttemptCounter().AttemptEnded(fleetAttemptID(id), outcome, uint32(result.Load.Queue), uint32(result.Load.Inflight))
 }
 
-func fleetAttempt(id core.AttemptID) agent.AttemptID {
+func fleetAttemptID(id core.AttemptID) agent.AttemptID {
 	return agent.AttemptID{Request: string(id.RequestID), Attempt: id.Number}
 }
 
--- a/cmd/dewhitch/forward.go
+++ b/cmd/dewhitch/forward.go
@@ -26,23 +26,23 @@
 type forwardCmd struct{}
 
 func (forwardCmd) Run() error {
-	l, err := config.LoadLimits(cli.Limits)
+	limits, err := config.LoadLimits(cli.Limits)
 	if err != nil {
 		return err
 	}
-	if err := l.CheckForward(); err != nil {
+	if err := limits.CheckForward(); err != nil {
 		return err
 	}
-	log, err := logger()
+	log, err := newLogger()
 	if err != nil {
 		return err
 	}
 	defer log.Sync()
-	o, err := config.LoadOperations(cli.Operations)
+	operations, err := config.LoadOperations(cli.Operations)
 	if err != nil {
 		return err
 	}
-	f, err := openForwarder(l, o, log)
+	f, err := openForwarder(limits, operations, log)
 	if err != nil {
 		return err
 	}
@@ -54,7 +54,7 @@
 type forwarder struct {
 	limits           *config.Limits
 	log              *zap.Logger
-	ledger           *ledgerProcess
+	ledger           *processLedger
 	operatorListener service // nil: none
 	registry         *registry.Registry
 	planners         *forward.Planners
@@ -62,22 +62,22 @@
 }
 
 // openForwarder opens all parts; nothing runs yet but the ledger.
-func openForwarder(l *config.Limits, o *config.Operations, log *zap.Logger) (*forwarder, error) {
-	f := &forwarder{limits: l, log: log, planners: &forward.Planners{}}
-	if err := f.open(o); err != nil {
+func openForwarder(limits *config.Limits, operations *config.Operations, log *zap.Logger) (*forwarder, error) {
+	f := &forwarder{limits: limits, log: log, planners: &forward.Planners{}}
+	if err := f.open(operations); err != nil {
 		f.close()
 		return nil, err
 	}
 	return f, nil
 }
 
-func (f *forwarder) open(o *config.Operations) (err error) {
-	f.ledger, err = startLedger(o, "forwarder at "+f.limits.Forward.Listen, statement.Forwarder, ledger.Names{}, f.log)
+func (f *forwarder) open(operations *config.Operations) (err error) {
+	f.ledger, err = startLedger(operations, "forwarder at "+f.limits.Forward.Listen, statement.Forwarder, ledger.Names{}, f.log)
 	if err != nil {
 		return err
 	}
 	metrics := telemetry.New()
-	f.operatorListener, err = operatorListener(o, append(f.ledger.operatorParts(), metrics), f.log)
+	f.operatorListener, err = openOperatorListener(operations, append(f.ledger.operatorParts(), metrics), f.log)
 	if err != nil {
 		return err
 	}
@@ -112,26 +112,26 @@
 // run runs all parts until a signal ends them: first new sessions are no longer accepted, and after the last session has
 // ended, all else ends.
 func (f *forwarder) run(terminate, hangUp <-chan os.Signal) error {
-	serving, stopServing := context.WithCancel(context.Background())
+	servingCtx, stopServing := context.WithCancel(context.Background())
 	defer stopServing()
-	group, serving := errgroup.WithContext(serving)
-	accepting, stopAccepting := context.WithCancel(serving)
+	group, servingCtx := errgroup.WithContext(servingCtx)
+	acceptingCtx, stopAccepting := context.WithCancel(servingCtx)
 
 	if f.operatorListener != nil {
-		group.Go(func() error { return f.operatorListener(serving) })
+		group.Go(func() error { return f.operatorListener(servingCtx) })
 	}
-	group.Go(func() error { return f.followRegistry(serving) })
+	group.Go(func() error { return f.followRegistry(servingCtx) })
 	group.Go(func() error {
 		defer stopServing()
-		return serveSessions(accepting, []*front.Server{f.server}, f.maxSessions(), 0)
+		return serveSessions(acceptingCtx, []*front.Server{f.server}, f.maxSessions(), 0)
 	})
 	group.Go(func() error {
 		defer stopAccepting()
-		awaitShutdown(serving, terminate, f.log, f.shutDown)
+		awaitShutdown(servingCtx, terminate, f.log, f.shutDown)
 		return nil
 	})
 	group.Go(func() error {
-		f.ignoreHangUps(serving, hangUp)
+		f.ignoreHangUps(servingCtx, hangUp)
 		return nil
 	})
 	f.log.Info("forwarding", zap.String("listen", f.limits.Forward.Listen))
--- a/cmd/dewhitch/gateway.go
+++ b/cmd/dewhitch/gateway.go
@@ -28,12 +28,12 @@
 
 // How the process's file descriptors are divided, and the time-outs of its parts.
 const (
-	reservedSockets      = 24  // descriptors for the log, the poller, listeners and what is being closed
-	attemptSocketsShare  = 0.4 // of the other descriptors, for attempts; client sessions have the rest
-	idleSessionsPart     = 6   // idle sessions beyond one in so many descriptors end early
-	counterTimeoutFactor = 3   // call time-outs after which the answer of the counter is given up: a late total is valid
-	firstListWait        = time.Second
-	firstPlanWait        = 10 * time.Second
+	reservedSockets           = 24  // descriptors for the log, the poller, listeners and what is being closed
+	attemptSocketShare        = 0.4 // of the other descriptors, for attempts; client sessions have the rest
+	descriptorsPerIdleSession = 6   // idle sessions beyond one in so many descriptors end early
+	counterTimeoutFactor      = 3   // call time-outs after which the answer of the counter is given up: a late total is valid
+	firstListTimeout          = time.Second
+	firstPlanTimeout          = 10 * time.Second
 )
 
 // gateway is a running gateway process. Its fields stand by concern, in the order in which openGateway opens them; run says
@@ -46,27 +46,27 @@
 	log         *zap.Logger
 
 	// Ledger and figures.
-	ledger  *ledgerProcess
+	ledger  *processLedger
 	state   *ops.State
 	figures *ops.Figures
 	metrics *telemetry.Metrics
 
 	// The planner, and what it calls.
-	attemptSockets int      // descriptors for attempts
-	sessionSockets int      // descriptors for client sessions
-	classes        []string // names of the classes, with the spare ones for reloads
-	pools          *backend.Pools
-	counter        *counter.Client
-	planner        *core.Planner
-	decoder        *discovery.Decoder
-	configuredList core.EndpointUpdate // the endpoint list of the configuration
-	discovery      *discovery.Client
-	firstListWait  time.Duration // at the start, for discovery's first list
+	attemptSockets   int      // descriptors for attempts
+	sessionSockets   int      // descriptors for client sessions
+	classes          []string // names of the classes, with the spare ones for reloads
+	pools            *backend.Pools
+	counter          *counter.Client
+	planner          *core.Planner
+	decoder          *discovery.Decoder
+	configuredList   core.EndpointUpdate // the endpoint list of the configuration
+	discovery        *discovery.Client
+	firstListTimeout time.Duration // at the start, for discovery's first list
 
 	// The fleet.
-	fleetAgent  *agent.Agent         // nil: none
-	decisions   chan agent.Decisions // the newest decisions, for followFleet
-	planApplied chan struct{}        // closed once a plan is applied; nil: there is no fleet
+	fleetAgent       *agent.Agent         // nil: none
+	decisions        chan agent.Decisions // the newest decisions, for followFleet
+	firstPlanApplied chan struct{}        // closed once a plan is applied; nil: there is no fleet
 
 	// Operators.
 	adminCalls       *adminCalls
@@ -85,8 +85,8 @@
 }
 
 // openGateway opens all parts, in an order in which each finds what it needs. Nothing runs yet but the ledger.
-func openGateway(n *config.Node, l *config.Limits, o *config.Operations, f *config.Fleet, log *zap.Logger) (*gateway, error) {
-	g := &gateway{node: n, limits: l, operations: o, fleetConfig: f, log: log}
+func openGateway(node *config.Node, limits *config.Limits, operations *config.Operations, fleetConfig *config.Fleet, log *zap.Logger) (*gateway, error) {
+	g := &gateway{node: node, limits: limits, operations: operations, fleetConfig: fleetConfig, log: log}
 	for _, open := range []func() error{
 		g.openLedger, g.openPlanner, g.openDiscovery, g.openFleet, g.openOperators, g.openFronts, g.openHandover,
 	} {
@@ -121,7 +121,7 @@
 func (g *gateway) openPlanner() (err error) {
 	recorder := g.ledger.recorder
 	sockets := g.node.Sockets - reservedSockets - counter.Sockets - discovery.Sockets
-	g.attemptSockets = int(attemptSocketsShare * float64(sockets))
+	g.attemptSockets = int(attemptSocketShare * float64(sockets))
 	g.sessionSockets = sockets - g.attemptSockets
 	connectTimeout := time.Duration(g.node.Settings.ConnectTimeout)
 
@@ -140,7 +140,7 @@
 	g.pools.Allowed = g.planner.ReadySet().Allows
 	g.planner.SetTargetsReporter(g.figures)
 	g.planner.SetMonitor(g.metrics)
-	g.ledger.readTallies(g.planner.ReadTallies)
+	g.ledger.setTalliesReader(g.planner.ReadTallies)
 	return nil
 }
 
@@ -152,12 +152,12 @@
 	}
 	g.discovery = discovery.New(g.node.Discovery, g.decoder, g.planner.UpdateEndpoints, g.node.Seed, g.log)
 	g.discovery.SetMonitor(g.metrics)
-	g.firstListWait = firstListWait
+	g.firstListTimeout = firstListTimeout
 	if g.node.Settings.ListOnRequest {
 		hasList := len(g.configuredList.List.Servers) > 0
 		g.discovery.ConfigureShared(hasList, g.configuredList.List.Version, g.node.Settings.Instances)
 		if hasList {
-			g.firstListWait = 0
+			g.firstListTimeout = 0
 		}
 	}
 	return nil
@@ -169,7 +169,7 @@
 	if g.fleetAgent != nil {
 		parts = append(parts, g.fleetAgent)
 	}
-	if g.operatorListener, err = operatorListener(g.operations, parts, g.log); err != nil {
+	if g.operatorListener, err = openOperatorListener(g.operations, parts, g.log); err != nil {
 		return err
 	}
 	g.adminCalls = &adminCalls{state: g.state, figures: g.figures, metrics: g.metrics, planner: g.planner,
--- a/cmd/dewhitch/ledger_commands.go
+++ b/cmd/dewhitch/ledger_commands.go
@@ -28,27 +28,27 @@
 }
 
 func (c ledgerShow) Run() error {
-	v, err := store.Read(c.Dir)
+	view, err := store.Read(c.Dir)
 	if err != nil {
 		return err
 	}
-	fmt.Printf("%s (%s), life %d: %d postings behind the last statement, %d open, records %d to %d\n", v.Node, v.Role, v.Incarnation,
-		v.Replayed, v.Ledger.Open(), v.First, v.Last)
-	for _, note := range v.Notes {
+	fmt.Printf("%s (%s), life %d: %d postings behind the last statement, %d open, records %d to %d\n", view.Node, view.Role, view.Incarnation,
+		view.Replayed, view.Ledger.Open(), view.First, view.Last)
+	for _, note := range view.Notes {
 		fmt.Println("note:", note)
 	}
-	_, lines := v.Ledger.Sums()
+	_, lines := view.Ledger.Sums()
 	if c.ByCustomer {
-		lines = v.Ledger.Lines()
+		lines = view.Ledger.Lines()
 	}
-	return statement.WriteTable(os.Stdout, statementSums(v, lines, c.ByCustomer))
+	return statement.WriteTable(os.Stdout, statementSums(view, lines, c.ByCustomer))
 }
 
 // statementSums is the form of a table's lines, with or without the customers' names.
-func statementSums(v *store.View, lines []ledger.Line, withCustomer bool) []statement.Sum {
+func statementSums(view *store.View, lines []ledger.Line, withCustomer bool) []statement.Sum {
 	var sums []statement.Sum
 	for _, line := range lines {
-		name := statement.RowName{Plan: v.Names.Plan(line.Key.Plan), Class: v.Names.Class(line.Key.Class)}
+		name := statement.RowName{Plan: view.Names.Plan(line.Key.Plan), Class: view.Names.Class(line.Key.Class)}
 		if withCustomer {
 			name.Customer = ledger.CustomerText(line.Key.Customer)
 		}
@@ -61,31 +61,31 @@
 	From []string `arg:"" help:"Folders, or files of JSON lines; - is the standard input."`
 }
 
-// errDoesNotAddUp says that figures don't add up; which, has been printed line by line.
-var errDoesNotAddUp = errors.New("the figures do not add up")
+// errInconsistent says that figures don't add up; which, has been printed line by line.
+var errInconsistent = errors.New("the figures do not add up")
 
 func (c ledgerVerify) Run() error {
 	merged := statement.NewMerged()
 	faults := 0
-	for _, from := range c.From {
-		if info, err := os.Stat(from); err != nil || !info.IsDir() {
-			if err := addFile(merged, from); err != nil {
+	for _, source := range c.From {
+		if info, err := os.Stat(source); err != nil || !info.IsDir() {
+			if err := addFile(merged, source); err != nil {
 				return err
 			}
 			continue
 		}
-		found, err := auditFolder(merged, from)
+		folderFaults, err := auditFolder(merged, source)
 		if err != nil {
 			return err
 		}
-		faults += found
+		faults += folderFaults
 	}
 	for _, err := range merged.Verify() {
 		fmt.Println(err)
 		faults++
 	}
 	if faults > 0 {
-		return errDoesNotAddUp
+		return errInconsistent
 	}
 	fmt.Printf("%d nodes add up\n", len(merged.Nodes))
 	return nil
@@ -93,16 +93,16 @@
 
 // auditFolder prints the faults of a ledger's folder and returns their number, and adds the folder's records to those merged.
 func auditFolder(merged *statement.Merged, dir string) (faults int, err error) {
-	v, err := store.Read(dir)
+	view, err := store.Read(dir)
 	if err != nil {
 		return 0, err
 	}
-	for _, note := range v.Notes {
-		fmt.Printf("%s: note: %s\n", v.Node, note)
+	for _, note := range view.Notes {
+		fmt.Printf("%s: note: %s\n", view.Node, note)
 	}
-	for _, f := range v.Ledger.Audit(true) {
-		fmt.Printf("%s: haulier %s, plan %s, class %s: %s\n", v.Node, ledger.CustomerText(f.Key.Customer),
-			v.Names.Plan(f.Key.Plan), v.Names.Class(f.Key.Class), f)
+	for _, fault := range view.Ledger.Audit(true) {
+		fmt.Printf("%s: haulier %s, plan %s, class %s: %s\n", view.Node, ledger.CustomerText(fault.Key.Customer),
+			view.Names.Plan(fault.Key.Plan), view.Names.Class(fault.Key.Class), fault)
 		faults++
 	}
 	return faults, store.Records(dir, 0, func(_ []byte, r statement.Record) error {
@@ -113,16 +113,16 @@
 
 // addFile adds the records of a file of JSON lines to those merged; - is the standard input.
 func addFile(merged *statement.Merged, path string) error {
-	from := os.Stdin
+	input := os.Stdin
 	if path != "-" {
-		f, err := os.Open(path)
+		file, err := os.Open(path)
 		if err != nil {
 			return err
 		}
-		defer f.Close()
-		from = f
+		defer file.Close()
+		input = file
 	}
-	if err := statement.Read(from, func(r statement.Record) error {
+	if err := statement.Read(input, func(r statement.Record) error {
 		merged.Add(r)
 		return nil
 	}); err != nil {
@@ -141,17 +141,17 @@
 func (c ledgerExport) Run() error { return c.write(os.Stdout) }
 
 // write exports the records after c.After, once, or in each c.Follow until an error.
-func (c ledgerExport) write(to io.Writer) error {
-	out := bufio.NewWriter(to)
-	var table *statement.CSV // nil: JSON lines
+func (c ledgerExport) write(w io.Writer) error {
+	out := bufio.NewWriter(w)
+	var csvWriter *statement.CSV // nil: JSON lines
 	if c.CSV {
 		var err error
-		if table, err = statement.NewCSV(out); err != nil {
+		if csvWriter, err = statement.NewCSV(out); err != nil {
 			return err
 		}
 	}
 	for {
-		if err := c.writeNew(out, table); err != nil || c.Follow <= 0 {
+		if err := c.writeNew(out, csvWriter); err != nil || c.Follow <= 0 {
 			return err
 		}
 		time.Sleep(c.Follow)
@@ -159,14 +159,14 @@
 }
 
 // writeNew exports the records after c.After, and moves that on. Records that the folder has dropped are reported.
-func (c *ledgerExport) writeNew(out *bufio.Writer, table *statement.CSV) error {
+func (c *ledgerExport) writeNew(out *bufio.Writer, csvWriter *statement.CSV) error {
 	err := store.Records(c.Dir, c.After, func(line []byte, r statement.Record) error {
 		if c.After > 0 && r.Seq != c.After+1 {
 			fmt.Fprintf(os.Stderr, "records %d to %d are no longer kept\n", c.After+1, r.Seq-1)
 		}
 		c.After = r.Seq
-		if table != nil {
-			return table.Write(r)
+		if csvWriter != nil {
+			return csvWriter.Write(r)
 		}
 		_, err := out.Write(append(append([]byte(nil), line...), '\n'))
 		return err
@@ -174,8 +174,8 @@
 	if err != nil {
 		return err
 	}
-	if table != nil {
-		if err := table.Flush(); err != nil {
+	if csvWriter != nil {
+		if err := csvWriter.Flush(); err != nil {
 			return err
 		}
 	}
@@ -198,35 +198,35 @@
 }
 
 // writeMerged prints the figures of merged records, by customer or not, and fails with errDoesNotAddUp if they don't add up.
-func writeMerged(to io.Writer, merged *statement.Merged, byCustomer bool) error {
-	writeNodes(to, merged)
-	if err := statement.WriteTable(to, merged.Sums(byCustomer)); err != nil {
+func writeMerged(w io.Writer, merged *statement.Merged, byCustomer bool) error {
+	writeNodes(w, merged)
+	if err := statement.WriteTable(w, merged.Sums(byCustomer)); err != nil {
 		return err
 	}
-	all, across, overlapping, servedTwice := merged.Bookings()
-	fmt.Fprintf(to, "bookings by key: %d; with tries through several nodes: %d, of these with two tries open at once: %d; "+
-		"served more than once: %d\n", all, across, overlapping, servedTwice)
+	all, acrossNodes, overlapping, servedTwice := merged.Bookings()
+	fmt.Fprintf(w, "bookings by key: %d; with tries through several nodes: %d, of these with two tries open at once: %d; "+
+		"served more than once: %d\n", all, acrossNodes, overlapping, servedTwice)
 	faults := merged.Verify()
 	for _, err := range faults {
-		fmt.Fprintln(to, err)
+		fmt.Fprintln(w, err)
 	}
 	if len(faults) > 0 {
-		return errDoesNotAddUp
+		return errInconsistent
 	}
 	return nil
 }
 
 // writeNodes prints the nodes of merged records on one line, after a line for each gap in their records.
-func writeNodes(to io.Writer, merged *statement.Merged) {
+func writeNodes(w io.Writer, merged *statement.Merged) {
 	var nodes []string
-	for name, n := range merged.Nodes {
-		nodes = append(nodes, fmt.Sprintf("%s (%s, %d lives)", name, n.Role, n.Incarnations))
-		if n.First > 1 {
-			fmt.Fprintf(to, "%s: its records before %d are missing\n", name, n.First)
+	for name, node := range merged.Nodes {
+		nodes = append(nodes, fmt.Sprintf("%s (%s, %d lives)", name, node.Role, node.Incarnations))
+		if node.First > 1 {
+			fmt.Fprintf(w, "%s: its records before %d are missing\n", name, node.First)
 		}
-		for _, note := range n.Gaps {
-			fmt.Fprintf(to, "%s: note: %s\n", name, note)
+		for _, note := range node.Gaps {
+			fmt.Fprintf(w, "%s: note: %s\n", name, note)
 		}
 	}
-	fmt.Fprintln(to, strings.Join(nodes, ", "))
+	fmt.Fprintln(w, strings.Join(nodes, ", "))
 }
--- a/cmd/dewhitch/ledger_process.go
+++ b/cmd/dewhitch/ledger_process.go
@@ -16,19 +16,19 @@
 	"dewhitch/internal/operator"
 )
 
-// overdueAlarm is how long beyond its own deadline a request, or a call to the counter, may be open before the ledger raises an
+// overdueAfter is how long beyond its own deadline a request, or a call to the counter, may be open before the ledger raises an
 // alarm.
-const overdueAlarm = 5 * time.Second
+const overdueAfter = 5 * time.Second
 
-// poster is what the parts of the process post to the ledger by. It is safe for any goroutine.
-type poster interface {
+// ledgerRecorder is what the parts of the process post to the ledger by. It is safe for any goroutine.
+type ledgerRecorder interface {
 	platform.Recorder
 	forward.Recorder
 }
 
-// ledgerProcess is the ledger of a running process, with its recorder and its store, either of which may be off.
-type ledgerProcess struct {
-	recorder poster             // discards what it gets if the ledger is off
+// processLedger is the ledger of a running process, with its recorder and its store, either of which may be off.
+type processLedger struct {
+	recorder ledgerRecorder     // discards what it gets if the ledger is off
 	active   *recorder.Recorder // the same recorder; nil: the ledger is off
 	store    *store.Store       // nil: the ledger is in memory only
 	stop     context.CancelFunc
@@ -37,17 +37,17 @@
 
 // startLedger opens the ledger that the operators' file describes, and starts its recorder. A folder that can't be used is no
 // reason not to serve: the ledger is in memory then.
-func startLedger(o *config.Operations, node, role string, names ledger.Names, log *zap.Logger) (*ledgerProcess, error) {
-	p := &ledgerProcess{recorder: recorder.Discard{}, stop: func() {}}
-	if !o.Ledger.Enabled {
+func startLedger(operations *config.Operations, node, role string, names ledger.Names, log *zap.Logger) (*processLedger, error) {
+	p := &processLedger{recorder: recorder.Discard{}, stop: func() {}}
+	if !operations.Ledger.Enabled {
 		return p, nil
 	}
-	limits := ledger.Limits{Rows: o.Ledger.Rows, Open: o.Ledger.Open, Flight: o.Ledger.Flight}
-	options := recorder.Options{Limits: limits, Names: names, OverdueAfter: overdueAlarm, AuditInterval: o.Ledger.Audit,
-		StatementInterval: o.Ledger.Statement, AlarmFile: o.Ledger.AlarmFile, Log: log}
-	stored, storedNames := p.openStore(o, node, role, limits, log)
+	limits := ledger.Limits{Rows: operations.Ledger.Rows, Open: operations.Ledger.Open, Flight: operations.Ledger.Flight}
+	options := recorder.Options{Limits: limits, Names: names, OverdueAfter: overdueAfter, AuditInterval: operations.Ledger.Audit,
+		StatementInterval: operations.Ledger.Statement, AlarmFile: operations.Ledger.AlarmFile, Log: log}
+	storedLedger, storedNames := p.openStore(operations, node, role, limits, log)
 	if p.store != nil {
-		p.active = recorder.New(stored, storedNames, p.store, options)
+		p.active = recorder.New(storedLedger, storedNames, p.store, options)
 		p.active.CloseStatement() // the repair is durable before anything new is posted
 	} else {
 		p.active = recorder.New(ledger.New(limits, false), storedNames, nil, options)
@@ -61,13 +61,13 @@
 
 // openStore opens the ledger's folder, if there is one, and returns what the folder holds. The store stays nil if the folder
 // can't be used.
-func (p *ledgerProcess) openStore(o *config.Operations, node, role string, limits ledger.Limits,
+func (p *processLedger) openStore(operations *config.Operations, node, role string, limits ledger.Limits,
 	log *zap.Logger) (*ledger.Ledger, ledger.Names) {
-	if o.Ledger.Dir == "" {
+	if operations.Ledger.Dir == "" {
 		return nil, ledger.Names{}
 	}
-	opened, stored, names, recovery, err := store.Open(store.Options{Dir: o.Ledger.Dir, Node: node, Role: role,
-		SegmentBytes: o.Ledger.SegmentBytes, Segments: o.Ledger.Segments, Records: o.Ledger.Records, Sync: o.Ledger.Sync,
+	opened, storedLedger, names, recovery, err := store.Open(store.Options{Dir: operations.Ledger.Dir, Node: node, Role: role,
+		SegmentBytes: operations.Ledger.SegmentBytes, Segments: operations.Ledger.Segments, Records: operations.Ledger.Records, Sync: operations.Ledger.Sync,
 		Limits: limits, Log: log})
 	if err != nil {
 		log.Error("the ledger's folder can't be used: it is in memory only", zap.Error(err))
@@ -79,18 +79,18 @@
 	for _, note := range recovery.Notes {
 		log.Error("the ledger could not keep everything", zap.String("note", note))
 	}
-	return stored, names
+	return storedLedger, names
 }
 
-// readTallies has the ledger's audit read the module's tallies by f.
-func (p *ledgerProcess) readTallies(f func(func(tally func(customer uint64) (units float64, known bool))) error) {
+// setTalliesReader has the ledger's audit read the module's tallies by f.
+func (p *processLedger) setTalliesReader(read func(func(tally func(customer uint64) (units float64, known bool))) error) {
 	if p.active != nil {
-		p.active.Tallies(f)
+		p.active.Tallies(read)
 	}
 }
 
 // operatorParts are the ledger's pages on the operators' listener, if there are any.
-func (p *ledgerProcess) operatorParts() []operator.Part {
+func (p *processLedger) operatorParts() []operator.Part {
 	if p.active == nil {
 		return nil
 	}
@@ -98,10 +98,10 @@
 }
 
 // isDurable reports whether the figures outlast the process.
-func (p *ledgerProcess) isDurable() bool { return p.store != nil && p.store.LogIntact() }
+func (p *processLedger) isDurable() bool { return p.store != nil && p.store.LogIntact() }
 
 // close ends the recorder and the store, after all that posts has ended.
-func (p *ledgerProcess) close() {
+func (p *processLedger) close() {
 	p.stop()
 	p.running.Wait()
 	if p.store != nil {
--- a/cmd/dewhitch/listeners.go
+++ b/cmd/dewhitch/listeners.go
@@ -14,41 +14,41 @@
 )
 
 // listenForClients opens the clients' address, or takes the socket that the platform handed down.
-func listenForClients(n *config.Node) (net.Listener, error) {
-	if n.Inherited == 0 {
-		l, err := net.Listen("tcp", n.Listen)
+func listenForClients(node *config.Node) (net.Listener, error) {
+	if node.Inherited == 0 {
+		l, err := net.Listen("tcp", node.Listen)
 		if err != nil {
 			return nil, fmt.Errorf("configuration: listen (NODE_LISTEN): %w", err)
 		}
 		return l, nil
 	}
-	f := os.NewFile(uintptr(n.Inherited), "clients")
-	defer f.Close() // the listener has a duplicate of the descriptor
-	l, err := net.FileListener(f)
+	file := os.NewFile(uintptr(node.Inherited), "clients")
+	defer file.Close() // the listener has a duplicate of the descriptor
+	l, err := net.FileListener(file)
 	if err != nil {
-		return nil, fmt.Errorf("configuration: NODE_FD: descriptor %d: %w", n.Inherited, err)
+		return nil, fmt.Errorf("configuration: NODE_FD: descriptor %d: %w", node.Inherited, err)
 	}
 	return l, nil
 }
 
 // openAdmin opens the operators' address; nil: there is none.
-func openAdmin(n *config.Node, calls *adminCalls) (*admin.Server, error) {
-	if n.Admin == "" {
+func openAdmin(node *config.Node, calls *adminCalls) (*admin.Server, error) {
+	if node.Admin == "" {
 		return nil, nil
 	}
-	l, err := net.Listen("tcp", n.Admin)
+	l, err := net.Listen("tcp", node.Admin)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: admin (NODE_ADMIN): %w", err)
 	}
 	return &admin.Server{Listener: l, Gateway: calls, Log: calls.log}, nil
 }
 
-// operatorListener opens the operators' HTTP listener; nil: there is none. A fault of it while it runs does not end the process.
-func operatorListener(o *config.Operations, parts []operator.Part, log *zap.Logger) (service, error) {
-	if o.Operator.Listen == "" {
+// openOperatorListener opens the operators' HTTP listener; nil: there is none. A fault of it while it runs does not end the process.
+func openOperatorListener(operations *config.Operations, parts []operator.Part, log *zap.Logger) (service, error) {
+	if operations.Operator.Listen == "" {
 		return nil, nil
 	}
-	l, err := net.Listen("tcp", o.Operator.Listen)
+	l, err := net.Listen("tcp", operations.Operator.Listen)
 	if err != nil {
 		return nil, fmt.Errorf("configuration: operator.listen: %w", err)
 	}
--- a/cmd/dewhitch/main.go
+++ b/cmd/dewhitch/main.go
@@ -54,7 +54,7 @@
 type checkCmd struct{}
 
 func (checkCmd) Run() error {
-	n, err := config.LoadNode(os.Getenv)
+	node, err := config.LoadNode(os.Getenv)
 	if err != nil {
 		return err
 	}
@@ -67,7 +67,7 @@
 	if _, err := config.LoadFleet(cli.Fleet); err != nil {
 		return err
 	}
-	fmt.Printf("configuration of %s is good\n", n.Name)
+	fmt.Printf("configuration of %s is good\n", node.Name)
 	return nil
 }
 
@@ -76,19 +76,19 @@
 	ctx.FatalIfErrorf(ctx.Run())
 }
 
-// logger makes a logger of cli.LogLevel, which writes one line a record to standard error. Repeated records are sampled, except at
+// newLogger makes a logger of cli.LogLevel, which writes one line a record to standard error. Repeated records are sampled, except at
 // the debug level, at which a trace must be complete.
-func logger() (*zap.Logger, error) {
+func newLogger() (*zap.Logger, error) {
 	level, err := zap.ParseAtomicLevel(cli.LogLevel)
 	if err != nil {
 		return nil, err
 	}
-	c := zap.NewProductionConfig()
-	c.Level = level
-	c.Sampling = &zap.SamplingConfig{Initial: 20, Thereafter: 200}
+	cfg := zap.NewProductionConfig()
+	cfg.Level = level
+	cfg.Sampling = &zap.SamplingConfig{Initial: 20, Thereafter: 200}
 	if level.Level() == zap.DebugLevel {
-		c.Sampling = nil
+		cfg.Sampling = nil
 	}
-	c.DisableStacktrace = true
-	return c.Build()
+	cfg.DisableStacktrace = true
+	return cfg.Build()
 }
--- a/cmd/dewhitch/maintenance_command.go
+++ b/cmd/dewhitch/maintenance_command.go
@@ -73,7 +73,7 @@
 
 func (p workPlan) Run() error {
 	servers := map[string]maintenance.Server{}
-	if _, err := cli.Members.read("/fleet/servers", false, &servers); err != nil {
+	if _, err := cli.Members.readPage("/fleet/servers", false, &servers); err != nil {
 		return err
 	}
 	if len(p.Machines) == 0 {
@@ -146,24 +146,24 @@
 
 func (l workList) Run() error {
 	var schedule maintenance.Schedule
-	if done, err := cli.Members.read("/fleet/work", l.JSON, &schedule); done || err != nil {
+	if printed, err := cli.Members.readPage("/fleet/work", l.JSON, &schedule); printed || err != nil {
 		return err
 	}
-	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "request\tmachine\tstate\tsince\tuntil\tby\tnote")
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "request\tmachine\tstate\tsince\tuntil\tby\tnote")
 	for _, r := range schedule.Requests {
-		fmt.Fprintf(t, "%d\t%s, %s\t%s\t%s\t\t%s\t%s\n", r.ID, r.Kind, r.Reason, r.State, formatTime(r.RequestedAt), r.By, r.Note)
+		fmt.Fprintf(table, "%d\t%s, %s\t%s\t%s\t\t%s\t%s\n", r.ID, r.Kind, r.Reason, r.State, formatTime(r.RequestedAt), r.By, r.Note)
 		for _, m := range r.Machines {
-			fmt.Fprintf(t, "\t%s\t%s\t%s\t%s\t\t%s\n", m.Name, m.State, formatTime(m.Since), formatTime(m.Until), m.Note)
+			fmt.Fprintf(table, "\t%s\t%s\t%s\t%s\t\t%s\n", m.Name, m.State, formatTime(m.Since), formatTime(m.Until), m.Note)
 		}
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
 // formatTime formats a time in Unix ms; 0 is empty.
-func formatTime(ms int64) string {
-	if ms == 0 {
+func formatTime(unixMS int64) string {
+	if unixMS == 0 {
 		return ""
 	}
-	return time.UnixMilli(ms).Format(time.RFC3339)
+	return time.UnixMilli(unixMS).Format(time.RFC3339)
 }
--- a/cmd/dewhitch/registration.go
+++ b/cmd/dewhitch/registration.go
@@ -12,43 +12,43 @@
 	if g.limits.Listen == "" || len(g.limits.Registry.Servers) == 0 {
 		return nil
 	}
-	changes := make(chan struct{}, 1) // holds one: what is read afterwards is the state after all changes so far
+	drainChanges := make(chan struct{}, 1) // holds one: what is read afterwards is the state after all changes so far
 	g.state.Watch(func(bool) {
 		select {
-		case changes <- struct{}{}:
+		case drainChanges <- struct{}{}:
 		default:
 		}
 	})
 	for ctx.Err() == nil {
 		if g.state.Drained() {
 			select {
-			case <-changes:
+			case <-drainChanges:
 			case <-ctx.Done():
 			}
 			continue
 		}
-		if err := g.registerUntil(ctx, changes); err != nil {
+		if err := g.registerUntilChange(ctx, drainChanges); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// registerUntil keeps this gateway in the registry until the context ends or a change of the drain is reported.
-func (g *gateway) registerUntil(ctx context.Context, changes <-chan struct{}) error {
-	r, err := registry.Open(g.limits.Registry.Servers, g.limits.Registry.Path, g.limits.Registry.Session, g.log)
+// registerUntilChange keeps this gateway in the registry until the context ends or a change of the drain is reported.
+func (g *gateway) registerUntilChange(ctx context.Context, drainChanges <-chan struct{}) error {
+	registration, err := registry.Open(g.limits.Registry.Servers, g.limits.Registry.Path, g.limits.Registry.Session, g.log)
 	if err != nil {
 		return err
 	}
-	defer r.Close() // forwarders turn to other gateways before this one ends
+	defer registration.Close() // forwarders turn to other gateways before this one ends
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
 		select {
-		case <-changes:
+		case <-drainChanges:
 			cancel()
 		case <-ctx.Done():
 		}
 	}()
-	return r.RegisterPlanner(ctx, registry.Planner{Address: g.limits.Listen, Gateway: g.node.Settings.Self})
+	return registration.RegisterPlanner(ctx, registry.Planner{Address: g.limits.Listen, Gateway: g.node.Settings.Self})
 }
--- a/cmd/dewhitch/run.go
+++ b/cmd/dewhitch/run.go
@@ -26,22 +26,22 @@
 // run runs all parts until a signal ends them, in two steps: first new sessions are no longer accepted, and after the last
 // session has ended, what served the sessions ends.
 func (g *gateway) run(terminate, reload <-chan os.Signal) error {
-	serving, stopServing := context.WithCancel(context.Background())
+	servingCtx, stopServing := context.WithCancel(context.Background())
 	defer stopServing()
-	group, serving := errgroup.WithContext(serving)
-	accepting, stopAccepting := context.WithCancel(serving)
+	group, servingCtx := errgroup.WithContext(servingCtx)
+	acceptingCtx, stopAccepting := context.WithCancel(servingCtx)
 
 	for _, s := range g.services(reload) {
-		group.Go(func() error { return s(serving) })
+		group.Go(func() error { return s(servingCtx) })
 	}
-	group.Go(func() error { return g.register(accepting) })
+	group.Go(func() error { return g.register(acceptingCtx) })
 	group.Go(func() error {
 		defer stopServing()
-		return g.serve(accepting)
+		return g.serve(acceptingCtx)
 	})
 	group.Go(func() error {
 		defer stopAccepting()
-		awaitShutdown(serving, terminate, g.log, g.shutDown)
+		awaitShutdown(servingCtx, terminate, g.log, g.shutDown)
 		return nil
 	})
 	g.log.Info("serving", zap.String("name", g.node.Name), zap.String("listen", g.node.Listen),
@@ -58,7 +58,7 @@
 		g.planner.Run, g.pools.Run, g.counter.Run, g.discovery.Run,
 		infallible(g.snapshots.run),
 		infallible(g.exclusions.run),
-		infallible(func(ctx context.Context) { g.reloadAtSignal(ctx, reload) }),
+		infallible(func(ctx context.Context) { g.reloadOnSignal(ctx, reload) }),
 	}
 	if g.adminServer != nil {
 		services = append(services, g.adminServer.Serve)
@@ -81,7 +81,7 @@
 		g.state.Start()
 		close(g.ready)
 	})
-	err := serveSessions(ctx, g.servers, g.sessionSockets, g.node.Sockets/idleSessionsPart)
+	err := serveSessions(ctx, g.servers, g.sessionSockets, g.node.Sockets/descriptorsPerIdleSession)
 	readiness.Wait()
 	g.snapshots.writeLast()
 	return err
@@ -94,15 +94,15 @@
 	select {
 	case <-g.discovery.Synced:
 	case <-ctx.Done():
-	case <-time.After(g.firstListWait):
+	case <-time.After(g.firstListTimeout):
 	}
-	if g.planApplied == nil {
+	if g.firstPlanApplied == nil {
 		return
 	}
 	select {
-	case <-g.planApplied:
+	case <-g.firstPlanApplied:
 	case <-ctx.Done():
-	case <-time.After(firstPlanWait):
+	case <-time.After(firstPlanTimeout):
 		g.log.Warn("no plan of the fleet was received in time: serving without one")
 	}
 }
--- a/cmd/dewhitch/serve.go
+++ b/cmd/dewhitch/serve.go
@@ -22,44 +22,44 @@
 
 func (serveCmd) Run() error {
 	reload := hangUpSignals() // before anything else: unhandled, the signal would end the process
-	n, err := config.LoadNode(os.Getenv)
+	node, err := config.LoadNode(os.Getenv)
 	if err != nil {
 		return err
 	}
-	l, err := config.LoadLimits(cli.Limits)
+	limits, err := config.LoadLimits(cli.Limits)
 	if err != nil {
 		return err
 	}
-	o, err := config.LoadOperations(cli.Operations)
+	operations, err := config.LoadOperations(cli.Operations)
 	if err != nil {
 		return err
 	}
-	f, err := config.LoadFleet(cli.Fleet)
+	fleetConfig, err := config.LoadFleet(cli.Fleet)
 	if err != nil {
 		return err
 	}
-	log, err := logger()
+	log, err := newLogger()
 	if err != nil {
 		return err
 	}
 	defer log.Sync()
-	setRuntimeLimits(n)
-	return serve(n, l, o, f, log, reload)
+	setRuntimeLimits(node)
+	return serve(node, limits, operations, fleetConfig, log, reload)
 }
 
 // setRuntimeLimits keeps the process within its share of the machine.
-func setRuntimeLimits(n *config.Node) {
-	runtime.GOMAXPROCS(max(1, int(math.Ceil(n.Cores))))
+func setRuntimeLimits(node *config.Node) {
+	runtime.GOMAXPROCS(max(1, int(math.Ceil(node.Cores))))
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(memoryLimitShare * float64(n.MemoryMB<<20)))
+	debug.SetMemoryLimit(int64(memoryLimitShare * float64(node.MemoryMB<<20)))
 }
 
 // serve runs one gateway until a signal ends it, by the graceful shutdown of run. At a signal on reload it reads its
 // configuration again.
-func serve(n *config.Node, l *config.Limits, o *config.Operations, f *config.Fleet, log *zap.Logger,
+func serve(node *config.Node, limits *config.Limits, operations *config.Operations, fleetConfig *config.Fleet, log *zap.Logger,
 	reload <-chan os.Signal) error {
 	terminate := terminationSignals()
-	g, err := openGateway(n, l, o, f, log)
+	g, err := openGateway(node, limits, operations, fleetConfig, log)
 	if err != nil {
 		return err
 	}
--- a/cmd/dewhitch/shutdown.go
+++ b/cmd/dewhitch/shutdown.go
@@ -29,14 +29,14 @@
 // awaitShutdown waits for a signal, calls start, which plans and starts the graceful shutdown, and returns when new connections
 // are no longer accepted by that plan, or when the context ends.
 func awaitShutdown(ctx context.Context, terminate <-chan os.Signal, log *zap.Logger,
-	start func(signalledAt time.Time) shutdown.Plan) {
+	startShutdown func(signalledAt time.Time) shutdown.Plan) {
 	select {
 	case <-ctx.Done():
 		return
-	case s := <-terminate:
+	case sig := <-terminate:
 		signalledAt := time.Now()
-		plan := start(signalledAt)
-		log.Info("ending", zap.Stringer("signal", s), zap.Duration("takes_for", plan.AcceptUntil.Sub(signalledAt)),
+		plan := startShutdown(signalledAt)
+		log.Info("ending", zap.Stringer("signal", sig), zap.Duration("takes_for", plan.AcceptUntil.Sub(signalledAt)),
 			zap.Duration("answers_within", plan.AnswerBy.Sub(signalledAt)),
 			zap.Duration("closes_within", plan.CloseBy.Sub(signalledAt)))
 		select {
--- a/cmd/dewhitch/snapshot_commands.go
+++ b/cmd/dewhitch/snapshot_commands.go
@@ -42,15 +42,15 @@
 
 // printSnapshot prints a table of servers and one of customers, those with the lowest level first. It sorts the image's
 // customers.
-func printSnapshot(g snapshot.Generation, m *snapshot.Image, now time.Time) error {
-	state := &m.State
-	fmt.Printf("%s, gateway %d of %d, life %d, write %d, %s old\n", m.Node, m.Self, m.Instances, g.Incarnation, g.Number,
+func printSnapshot(generation snapshot.Generation, image *snapshot.Image, now time.Time) error {
+	state := &image.State
+	fmt.Printf("%s, gateway %d of %d, life %d, write %d, %s old\n", image.Node, image.Self, image.Instances, generation.Incarnation, generation.Number,
 		now.Sub(time.Unix(0, int64(state.At))).Round(time.Millisecond))
 	fmt.Printf("latency %.1f ms, %d servers, %d customers, plans %v, classes %v\n", 1000*state.Latency, len(state.Servers),
-		len(state.Customers), m.Plans, m.Classes)
+		len(state.Customers), image.Plans, image.Classes)
 	w := tabwriter.NewWriter(os.Stdout, 0, 8, 2, ' ', 0)
 	printServers(w, state)
-	printCustomers(w, state, m.Plans)
+	printCustomers(w, state, image.Plans)
 	return w.Flush()
 }
 
--- a/cmd/dewhitch/snapshots.go
+++ b/cmd/dewhitch/snapshots.go
@@ -30,35 +30,35 @@
 
 // openSnapshots imports the newest snapshot of an earlier process, and claims the files of this one; before the planner runs.
 // It is nil where warm start is off or the folder can't be used.
-func openSnapshots(n *config.Node, w config.WarmStart, classes []string, p *core.Planner, f *ops.Figures,
+func openSnapshots(node *config.Node, warm config.WarmStart, classes []string, planner *core.Planner, figures *ops.Figures,
 	log *zap.Logger) *snapshotKeeper {
-	if !w.Enabled(n.Inherited != 0) {
+	if !warm.Enabled(node.Inherited != 0) {
 		return nil
 	}
 	k := &snapshotKeeper{
-		planner:  p,
-		image:    snapshot.Of(n.Name, &n.Settings, classes, n.Names.Plans),
-		interval: w.Every,
+		planner:  planner,
+		image:    snapshot.Of(node.Name, &node.Settings, classes, node.Names.Plans),
+		interval: warm.Every,
 		stop:     make(chan struct{}),
 		stopped:  make(chan struct{}),
 		log:      log,
 	}
-	dir := cmp.Or(w.Dir, n.Scratch)
-	found, err := snapshot.Latest(dir, n.Name)
+	dir := cmp.Or(warm.Dir, node.Scratch)
+	found, err := snapshot.Latest(dir, node.Name)
 	if err != nil {
 		log.Warn("no snapshots are kept, and the start is a cold one", zap.Error(err))
 		return nil
 	}
-	k.importFound(found, f)
-	if k.writer, err = snapshot.Claim(dir, n.Name, found.Generation); err != nil {
+	k.importSnapshot(found, figures)
+	if k.writer, err = snapshot.Claim(dir, node.Name, found.Generation); err != nil {
 		log.Warn("no snapshots are kept", zap.Error(err))
 		return nil
 	}
 	return k
 }
 
-// importFound imports a snapshot that was found, if there is one that may be used, and counts what was loaded and rejected.
-func (k *snapshotKeeper) importFound(found snapshot.Found, f *ops.Figures) {
+// importSnapshot imports a snapshot that was found, if there is one that may be used, and counts what was loaded and rejected.
+func (k *snapshotKeeper) importSnapshot(found snapshot.Found, figures *ops.Figures) {
 	for _, err := range found.Rejected {
 		k.log.Warn("a snapshot was not taken", zap.Error(err))
 	}
@@ -73,7 +73,7 @@
 			rejected++
 		}
 	}
-	f.SnapshotsFound(loaded, rejected, age)
+	figures.SnapshotsFound(loaded, rejected, age)
 }
 
 // importState fits a snapshot's state to this process's settings and imports it, unless it is too old to be trusted. Its age
@@ -100,15 +100,15 @@
 		return
 	}
 	defer close(k.stopped)
-	tick := time.NewTicker(k.interval)
-	defer tick.Stop()
+	ticker := time.NewTicker(k.interval)
+	defer ticker.Stop()
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-k.stop:
 			return
-		case <-tick.C:
+		case <-ticker.C:
 			k.write()
 		}
 	}
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -46,14 +46,14 @@
 }
 
 func apply(gateways map[string]*dw.Gateway, now dw.Instant, m wire.Message, buf []byte) ([]byte, error) {
-	bad := func(field, problem string) error {
+	fieldError := func(field, problem string) error {
 		return &wire.Error{Line: m.Line, Message: fmt.Sprintf("%T", m.Body), Field: field, Problem: problem}
 	}
 	switch body := m.Body.(type) {
 	case wire.Hello:
 		g, err := dw.New(body.Settings, body.Seed)
 		if err != nil {
-			return buf, bad("Config", err.Error())
+			return buf, fieldError("Config", err.Error())
 		}
 		gateways[m.Gateway] = g
 	case wire.Kill:
@@ -61,24 +61,24 @@
 	case dw.Event:
 		g := gateways[m.Gateway]
 		if g == nil {
-			return buf, bad("Gateway", "no such instance: "+m.Gateway)
+			return buf, fieldError("Gateway", "no such instance: "+m.Gateway)
 		}
-		acts, failure := handle(g, now, body)
-		if failure != "" {
-			return wire.AppendException(buf, m.Gateway, failure), nil
+		actions, panicText := handle(g, now, body)
+		if panicText != "" {
+			return wire.AppendException(buf, m.Gateway, panicText), nil
 		}
-		for _, a := range acts {
-			buf = wire.AppendAction(buf, m.Gateway, a)
+		for _, action := range actions {
+			buf = wire.AppendAction(buf, m.Gateway, action)
 		}
 	}
 	return buf, nil
 }
 
 // handle turns a panic of the module into a text for the report.
-func handle(g *dw.Gateway, now dw.Instant, e dw.Event) (acts []dw.Action, failure string) {
+func handle(g *dw.Gateway, now dw.Instant, e dw.Event) (actions []dw.Action, panicText string) {
 	defer func() {
 		if p := recover(); p != nil {
-			failure = fmt.Sprintf("panic: %v", p)
+			panicText = fmt.Sprintf("panic: %v", p)
 		}
 	}()
 	return g.Handle(now, e, nil), ""
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -35,16 +35,16 @@
 	if err := run(strings.NewReader(in), &out); err != nil {
 		t.Fatal(err)
 	}
-	by := map[string]string{}
+	linesByGateway := map[string]string{}
 	for line := range strings.Lines(out.String()) {
-		if f := strings.Fields(line); len(f) > 1 {
-			by[f[1]] += line
+		if fields := strings.Fields(line); len(fields) > 1 {
+			linesByGateway[fields[1]] += line
 		}
 	}
-	return by
+	return linesByGateway
 }
 
-func TestOneProcessAgainstSeveral(t *testing.T) {
+func TestInstancesShareNoState(t *testing.T) {
 	together := play(t, script(0, 1, 2))
 	for i := range 3 {
 		name := fmt.Sprintf("gateway_%d", i)
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -11,51 +11,51 @@
 	"dewhitch/internal/config/settings"
 )
 
-// messageForm is one kind of message: how many fields stand behind its name, and what its body is read by. The fields are taken
+// messageFormat is one kind of message: how many fields stand behind its name, and what its body is read by. The fields are taken
 // in the order of the line; the first that can't be read is the error of the line.
-type messageForm struct {
-	fields int
-	body   func(*Reader, *fields) (any, error)
+type messageFormat struct {
+	fieldCount int
+	decode     func(*Reader, *fieldReader) (any, error)
 }
 
-// bodyOf adapts the reader of a message of one line.
-func bodyOf[T any](read func(*fields) T) func(*Reader, *fields) (any, error) {
-	return func(_ *Reader, f *fields) (any, error) { return read(f), nil }
+// singleLine adapts the reader of a message of one line.
+func singleLine[T any](decode func(*fieldReader) T) func(*Reader, *fieldReader) (any, error) {
+	return func(_ *Reader, f *fieldReader) (any, error) { return decode(f), nil }
 }
 
-// messageForms are the messages that an instance may be sent, by the names on the wire.
-var messageForms = map[string]messageForm{
-	"hello":        {3, bodyOf((*fields).hello)},
-	"kill":         {1, bodyOf(func(*fields) Kill { return Kill{} })},
-	"peers_known":  {4, (*Reader).endpointList},
-	"submit":       {10, bodyOf((*fields).arrival)},
-	"established":  {5, bodyOf((*fields).answerStarted)},
-	"response":     {10, bodyOf((*fields).attemptEnded)},
-	"vanished":     {2, bodyOf(func(f *fields) dw.ClientDeparted { return dw.ClientDeparted{Request: f.request()} })},
-	"ring":         {2, bodyOf(func(f *fields) dw.TimerFired { return dw.TimerFired{ID: dw.TimerID(f.need("Ref"))} })},
-	"health":       {5, bodyOf((*fields).healthChecked)},
-	"peer":         {3, bodyOf((*fields).peerMessage)},
-	"ledger_reply": {5, bodyOf((*fields).counterAnswered)},
+// messageFormats are the messages that an instance may be sent, by the names on the wire.
+var messageFormats = map[string]messageFormat{
+	"hello":        {3, singleLine((*fieldReader).hello)},
+	"kill":         {1, singleLine(func(*fieldReader) Kill { return Kill{} })},
+	"peers_known":  {4, (*Reader).readEndpointList},
+	"submit":       {10, singleLine((*fieldReader).arrival)},
+	"established":  {5, singleLine((*fieldReader).answerStarted)},
+	"response":     {10, singleLine((*fieldReader).attemptEnded)},
+	"vanished":     {2, singleLine(func(f *fieldReader) dw.ClientDeparted { return dw.ClientDeparted{Request: f.requestID()} })},
+	"ring":         {2, singleLine(func(f *fieldReader) dw.TimerFired { return dw.TimerFired{ID: dw.TimerID(f.required("Ref"))} })},
+	"health":       {5, singleLine((*fieldReader).healthChecked)},
+	"peer":         {3, singleLine((*fieldReader).peerMessage)},
+	"ledger_reply": {5, singleLine((*fieldReader).counterAnswered)},
 }
 
-// message reads one line of a round, and the lines that belong to it.
-func (r *Reader) message(line string) (Message, error) {
+// readMessage reads one line of a round, and the lines that belong to it.
+func (r *Reader) readMessage(line string) (Message, error) {
 	name, rest, _ := strings.Cut(line, " ")
-	form, known := messageForms[name]
+	format, known := messageFormats[name]
 	if !known {
 		return Message{}, &Error{r.line, name, "-", "unknown message"}
 	}
-	config := ""
+	settingsText := ""
 	if name == "hello" { // the settings are text to the line's end
 		if parts := strings.SplitN(rest, " ", 3); len(parts) == 3 {
-			config = parts[2]
+			settingsText = parts[2]
 			line = "hello " + parts[0] + " " + parts[1] + " json"
 		}
 	}
-	f := r.fields(name, line, form.fields)
-	f.config = config
-	m := Message{Gateway: f.need("Gateway"), Line: r.line}
-	body, err := form.body(r, f)
+	f := r.newFieldReader(name, line, format.fieldCount)
+	f.settingsText = settingsText
+	m := Message{Gateway: f.required("Gateway"), Line: r.line}
+	body, err := format.decode(r, f)
 	if err != nil {
 		return m, err
 	}
@@ -63,8 +63,8 @@
 	return m, f.err
 }
 
-func (f *fields) hello() Hello {
-	text := f.need("Seed")
+func (f *fieldReader) hello() Hello {
+	text := f.required("Seed")
 	seed, err := strconv.ParseUint(text, 10, 64)
 	if signed, signedErr := strconv.ParseInt(text, 10, 64); err != nil && signedErr == nil {
 		seed, err = uint64(signed), nil
@@ -74,7 +74,7 @@
 	}
 	h := Hello{Seed: seed}
 	if f.err == nil {
-		if h.Settings, _, err = settings.Decode([]byte(f.config)); err != nil {
+		if h.Settings, _, err = settings.Decode([]byte(f.settingsText)); err != nil {
 			f.fail("Config", err.Error())
 		}
 	}
@@ -93,9 +93,9 @@
 var listKinds = [scopeCount]dw.ListKind{scopeCached: dw.ListCached, scopeFailed: dw.ListFailed, scopeDelta: dw.ListDelta,
 	scopeFull: dw.ListFull}
 
-// endpointList reads a list of servers: a line of its own, and one for each server.
-func (r *Reader) endpointList(f *fields) (any, error) {
-	scope := f.code("Scope", scopeCount)
+// readEndpointList reads a list of servers: a line of its own, and one for each server.
+func (r *Reader) readEndpointList(f *fieldReader) (any, error) {
+	scope := f.intBelow("Scope", scopeCount)
 	list := dw.EndpointList{Version: f.int64("Serial"), Kind: listKinds[scope]}
 	if scope == 0 {
 		f.fail("Scope", "0 is not one of 1 to 4")
@@ -105,36 +105,36 @@
 		f.fail("Members", "negative")
 	}
 	for i := int64(0); i < count && f.err == nil; i++ {
-		e, err := r.endpoint()
+		endpoint, err := r.readEndpoint()
 		if err != nil {
 			return nil, err
 		}
-		list.Servers = append(list.Servers, e)
+		list.Servers = append(list.Servers, endpoint)
 	}
 	return list, nil
 }
 
 var endpointStates = [...]dw.EndpointState{0: dw.Draining, 1: dw.Ready, 2: dw.Removed}
 
-func (r *Reader) endpoint() (dw.Endpoint, error) {
-	line, err := r.next()
+func (r *Reader) readEndpoint() (dw.Endpoint, error) {
+	line, err := r.readLine()
 	if err != nil {
 		return dw.Endpoint{}, &Error{r.line + 1, "m", "-", "the input ends inside a list"}
 	}
-	f := r.fields("m", line, 7)
+	f := r.newFieldReader("m", line, 7)
 	if !strings.HasPrefix(line, "m ") {
 		f.fail("-", "want a list entry")
 	}
-	e := dw.Endpoint{
+	endpoint := dw.Endpoint{
 		Cell:      int(f.int64("Pod")),
 		Zone:      int(f.int64("Site")),
 		Kind:      int(f.int64("GenerationHw")),
-		ID:        f.server("Server"),
+		ID:        f.serverID("Server"),
 		StartedAt: dw.Instant(f.int64("OnlineSince")),
 		Rating:    f.float("Rating"),
 	}
-	e.State = endpointStates[f.code("State", len(endpointStates))]
-	return e, f.err
+	endpoint.State = endpointStates[f.intBelow("State", len(endpointStates))]
+	return endpoint, f.err
 }
 
 // The bits of a request's options.
@@ -143,16 +143,16 @@
 	optionWrite  = 4
 )
 
-func (f *fields) arrival() dw.Arrival {
+func (f *fieldReader) arrival() dw.Arrival {
 	a := dw.Arrival{
-		ID:    f.request(),
-		Class: f.code("Priority", math.MaxInt32),
-		Plan:  f.code("Terms", math.MaxInt32),
+		ID:    f.requestID(),
+		Class: f.intBelow("Priority", math.MaxInt32),
+		Plan:  f.intBelow("Terms", math.MaxInt32),
 	}
-	key := f.need("Caller")
-	customer, err := strconv.ParseUint(key, 16, 64)
+	customerText := f.required("Caller")
+	customer, err := strconv.ParseUint(customerText, 16, 64)
 	if err != nil {
-		f.fail("Caller", fmt.Sprintf("bad customer %q", key))
+		f.fail("Caller", fmt.Sprintf("bad customer %q", customerText))
 	}
 	a.Customer = dw.CustomerID(customer)
 	a.Remaining = dw.Span(f.int64("Remaining"))
@@ -165,41 +165,41 @@
 	return a
 }
 
-func (f *fields) answerStarted() dw.AnswerStarted {
+func (f *fieldReader) answerStarted() dw.AnswerStarted {
 	return dw.AnswerStarted{
-		Request: f.request(),
-		Attempt: f.code("Hop", math.MaxInt32),
-		Server:  f.server("Server"),
+		Request: f.requestID(),
+		Attempt: f.intBelow("Hop", math.MaxInt32),
+		Server:  f.serverID("Server"),
 		Latency: dw.Span(f.int64("Spent")),
 	}
 }
 
-func (f *fields) attemptEnded() dw.AttemptEnded {
+func (f *fieldReader) attemptEnded() dw.AttemptEnded {
 	return dw.AttemptEnded{
-		Request:   f.request(),
+		Request:   f.requestID(),
 		Final:     f.bool("NoMore"),
 		Used:      int(f.int64("UsePct")),
-		Server:    f.server("Server"),
+		Server:    f.serverID("Server"),
 		Outcome:   f.outcome(),
 		Latency:   dw.Span(f.int64("Spent")),
-		Attempt:   f.code("Hop", math.MaxInt32),
+		Attempt:   f.intBelow("Hop", math.MaxInt32),
 		TrueUnits: f.float("TrueUnits"),
 		Load:      f.load(),
 	}
 }
 
-func (f *fields) healthChecked() dw.HealthChecked {
+func (f *fieldReader) healthChecked() dw.HealthChecked {
 	return dw.HealthChecked{
-		Server:  f.server("Server"),
+		Server:  f.serverID("Server"),
 		Outcome: f.outcome(),
 		Latency: dw.Span(f.int64("Spent")),
 		Load:    f.load(),
 	}
 }
 
-func (f *fields) peerMessage() dw.PeerMessage {
-	p := dw.PeerMessage{From: f.code("Src", math.MaxInt32)}
-	if raw := f.take("Raw"); raw != "-" {
+func (f *fieldReader) peerMessage() dw.PeerMessage {
+	p := dw.PeerMessage{From: f.intBelow("Src", math.MaxInt32)}
+	if raw := f.next("Raw"); raw != "-" {
 		var err error
 		if p.Data, err = hex.DecodeString(raw); err != nil {
 			f.fail("Raw", "bad hex")
@@ -208,9 +208,9 @@
 	return p
 }
 
-func (f *fields) counterAnswered() dw.CounterAnswered {
+func (f *fieldReader) counterAnswered() dw.CounterAnswered {
 	return dw.CounterAnswered{
-		Name:    f.need("Cname"),
+		Name:    f.required("Cname"),
 		Outcome: f.outcome(),
 		Latency: dw.Span(f.int64("Spent")),
 		Total:   f.float("Value"),
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -9,33 +9,33 @@
 	dw "dewhitch"
 )
 
-// fields hands out the values of a line in order and keeps the first error. A value of "-" is absent; where one may be absent, it
+// fieldReader hands out the values of a line in order and keeps the first error. A value of "-" is absent; where one may be absent, it
 // reads as the zero value.
-type fields struct {
-	line   int
-	name   string
-	values []string // that are left
-	config string   // of a hello: the settings object
-	err    error    // the first
+type fieldReader struct {
+	line         int
+	message      string
+	values       []string // that are left
+	settingsText string   // of a hello: the settings object
+	err          error    // the first
 }
 
-func (r *Reader) fields(name, s string, n int) *fields {
-	f := &fields{line: r.line, name: name}
-	f.values = strings.Split(s, " ")[1:]
-	if len(f.values) != n {
-		f.fail("-", fmt.Sprintf("has %d fields, want %d", len(f.values), n))
+func (r *Reader) newFieldReader(message, line string, fieldCount int) *fieldReader {
+	f := &fieldReader{line: r.line, message: message}
+	f.values = strings.Split(line, " ")[1:]
+	if len(f.values) != fieldCount {
+		f.fail("-", fmt.Sprintf("has %d fields, want %d", len(f.values), fieldCount))
 	}
 	return f
 }
 
-func (f *fields) fail(field, problem string) {
+func (f *fieldReader) fail(field, problem string) {
 	if f.err == nil {
-		f.err = &Error{f.line, f.name, field, problem}
+		f.err = &Error{f.line, f.message, field, problem}
 	}
 }
 
-// take returns the next value, as it stands.
-func (f *fields) take(field string) string {
+// next returns the next value, as it stands.
+func (f *fieldReader) next(field string) string {
 	if f.err != nil || len(f.values) == 0 {
 		f.fail(field, "missing")
 		return ""
@@ -48,17 +48,17 @@
 	return s
 }
 
-// need returns the next value, which may not be absent.
-func (f *fields) need(field string) string {
-	s := f.take(field)
+// required returns the next value, which may not be absent.
+func (f *fieldReader) required(field string) string {
+	s := f.next(field)
 	if s == "-" {
 		f.fail(field, "absent")
 	}
 	return s
 }
 
-func (f *fields) int64(field string) int64 {
-	s := f.take(field)
+func (f *fieldReader) int64(field string) int64 {
+	s := f.next(field)
 	if f.err != nil || s == "-" {
 		return 0
 	}
@@ -69,26 +69,26 @@
 	return v
 }
 
-// code reads an integer from 0 to n-1, which may not be absent.
-func (f *fields) code(field string, n int) int {
-	f.absent(field)
+// intBelow reads an integer from 0 to n-1, which may not be absent.
+func (f *fieldReader) intBelow(field string, limit int) int {
+	f.requirePresent(field)
 	v := f.int64(field)
-	if v < 0 || v >= int64(n) {
-		f.fail(field, fmt.Sprintf("%d is not one of 0 to %d", v, n-1))
+	if v < 0 || v >= int64(limit) {
+		f.fail(field, fmt.Sprintf("%d is not one of 0 to %d", v, limit-1))
 		return 0
 	}
 	return int(v)
 }
 
-// absent fails if the next value is absent.
-func (f *fields) absent(field string) {
+// requirePresent fails if the next value is absent.
+func (f *fieldReader) requirePresent(field string) {
 	if f.err == nil && len(f.values) > 0 && f.values[0] == "-" {
 		f.fail(field, "absent")
 	}
 }
 
-func (f *fields) float(field string) float64 {
-	s := f.take(field)
+func (f *fieldReader) float(field string) float64 {
+	s := f.next(field)
 	if f.err != nil || s == "-" {
 		return 0
 	}
@@ -100,10 +100,10 @@
 	return v
 }
 
-func (f *fields) bool(field string) bool { return f.code(field, 2) == 1 }
+func (f *fieldReader) bool(field string) bool { return f.intBelow(field, 2) == 1 }
 
-func (f *fields) server(field string) dw.ServerID {
-	f.absent(field)
+func (f *fieldReader) serverID(field string) dw.ServerID {
+	f.requirePresent(field)
 	v := f.int64(field)
 	if v < 0 || v > math.MaxUint32 {
 		f.fail(field, "out of range")
@@ -111,15 +111,15 @@
 	return dw.ServerID(v)
 }
 
-func (f *fields) request() dw.RequestID { return dw.RequestID(f.need("Req")) }
+func (f *fieldReader) requestID() dw.RequestID { return dw.RequestID(f.required("Req")) }
 
 var outcomes = [...]dw.Outcome{0: dw.OutcomeError, 1: dw.OutcomeOK, 2: dw.OutcomeRejected, 3: dw.OutcomeTimeout,
 	4: dw.OutcomeConnectFailed, 5: dw.OutcomeReset, 6: dw.OutcomeCancelled, 7: dw.OutcomeNotSent}
 
-func (f *fields) outcome() dw.Outcome { return outcomes[f.code("Reason", len(outcomes))] }
+func (f *fieldReader) outcome() dw.Outcome { return outcomes[f.intBelow("Reason", len(outcomes))] }
 
-func (f *fields) load() (l dw.Load) {
-	s := f.take("Metrics")
+func (f *fieldReader) load() (l dw.Load) {
+	s := f.next("Metrics")
 	if f.err != nil || s == "-" {
 		return l
 	}
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -109,7 +109,7 @@
 func TestGoldenErrors(t *testing.T) {
 	var b []byte
 	for _, c := range malformed {
-		_, err := NewReader(bytes.NewReader([]byte(c.in))).Read()
+		_, err := NewReader(bytes.NewReader([]byte(c.input))).Read()
 		b = append(append(b, err.Error()...), '\n')
 	}
 	golden.Compare(t, "errors.txt", b)
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -11,30 +11,30 @@
 
 // Reader reads rounds.
 type Reader struct {
-	r    *bufio.Reader
-	line int
+	input *bufio.Reader
+	line  int
 }
 
 // NewReader reads from r.
-func NewReader(r io.Reader) *Reader { return &Reader{r: bufio.NewReaderSize(r, 1<<16)} }
+func NewReader(r io.Reader) *Reader { return &Reader{input: bufio.NewReaderSize(r, 1<<16)} }
 
-func (r *Reader) next() (string, error) {
-	s, err := r.r.ReadString('\n')
-	if err != nil && (s == "" || !errors.Is(err, io.EOF)) {
+func (r *Reader) readLine() (string, error) {
+	line, err := r.input.ReadString('\n')
+	if err != nil && (line == "" || !errors.Is(err, io.EOF)) {
 		return "", err
 	}
 	r.line++
-	return strings.TrimSuffix(s, "\n"), nil
+	return strings.TrimSuffix(line, "\n"), nil
 }
 
 // Read returns the next round, or io.EOF if the input ends between rounds.
 func (r *Reader) Read() (Round, error) {
-	s, err := r.next()
+	line, err := r.readLine()
 	if err != nil {
 		return Round{}, err
 	}
-	f := r.fields("round", s, 1)
-	if name, _, _ := strings.Cut(s, " "); name != "round" {
+	f := r.newFieldReader("round", line, 1)
+	if name, _, _ := strings.Cut(line, " "); name != "round" {
 		f.fail("-", "want a round line")
 	}
 	round := Round{Now: dw.Instant(f.int64("clock"))}
@@ -42,14 +42,14 @@
 		return Round{}, f.err
 	}
 	for {
-		s, err := r.next()
+		line, err := r.readLine()
 		if err != nil {
 			return Round{}, &Error{r.line + 1, "commit", "-", "the input ends inside a round"}
 		}
-		if s == "commit" {
+		if line == "commit" {
 			return round, nil
 		}
-		m, err := r.message(s)
+		m, err := r.readMessage(line)
 		if err != nil {
 			return Round{}, err
 		}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -17,7 +17,7 @@
 	`"Fields":["inflight","novel"]},"FamilyInfo":{"Counter":true,"CountLimit":50000000,"UnitsTop":4},` +
 	`"Weights":"nominal","MembershipMode":"on_request"}`
 
-func read(t *testing.T, s string) Round {
+func readRound(t *testing.T, s string) Round {
 	t.Helper()
 	r, err := NewReader(strings.NewReader(s)).Read()
 	if err != nil {
@@ -52,7 +52,7 @@
 		{"peers_known gateway_3 2 41 0", dw.EndpointList{Kind: dw.ListFailed, Version: 41}},
 	}
 	for _, c := range cases {
-		r := read(t, "round 8412250000\n"+c.line+"\ncommit\n")
+		r := readRound(t, "round 8412250000\n"+c.line+"\ncommit\n")
 		if r.Now != 8412250000 || len(r.Messages) != 1 || r.Messages[0].Gateway != "gateway_3" {
 			t.Errorf("%s: got %+v", c.line, r)
 		} else if got := r.Messages[0].Body; !reflect.DeepEqual(got, c.want) {
@@ -62,7 +62,7 @@
 }
 
 func TestSettings(t *testing.T) {
-	h := read(t, "round 1\nhello gateway_1 77 "+settingsText+"\ncommit\n").Messages[0].Body.(Hello)
+	h := readRound(t, "round 1\nhello gateway_1 77 "+settingsText+"\ncommit\n").Messages[0].Body.(Hello)
 	want := Hello{Seed: 77, Settings: dw.Settings{Instances: 2, Self: 1, Zones: 2, Zone: 1, Tick: 4e6,
 		Classes: []dw.Class{{Objective: 400e6, Deadline: 800e6, Idempotency: dw.IdempotentByKey, DedupScope: dw.DedupCell, Weight: 3}},
 		Plans:   []dw.Plan{{Rate: 1.5, Burst: 6, MaxInFlight: 2, CeilingRate: 3, CeilingBurst: 9, Tolerance: 1}},
@@ -74,9 +74,9 @@
 }
 
 var malformed = []struct {
-	in          string
-	line        int
-	name, field string
+	input          string
+	line           int
+	message, field string
 }{
 	{"rond 1\ncommit\n", 1, "round", "-"},
 	{"round x\ncommit\n", 1, "round", "clock"},
@@ -105,18 +105,18 @@
 
 func TestMalformed(t *testing.T) {
 	for _, c := range malformed {
-		_, err := NewReader(strings.NewReader(c.in)).Read()
+		_, err := NewReader(strings.NewReader(c.input)).Read()
 		var e *Error
-		if !errors.As(err, &e) || e.Line != c.line || e.Message != c.name || e.Field != c.field {
-			t.Errorf("%q: got %v, want line %d, message %s, field %s", c.in, err, c.line, c.name, c.field)
+		if !errors.As(err, &e) || e.Line != c.line || e.Message != c.message || e.Field != c.field {
+			t.Errorf("%q: got %v, want line %d, message %s, field %s", c.input, err, c.line, c.message, c.field)
 		}
 	}
 }
 
 func TestActions(t *testing.T) {
 	cases := []struct {
-		a    dw.Action
-		want string
+		action dw.Action
+		want   string
 	}{
 		{dw.StartAttempt{Request: "r-a", Server: 51530247, Timeout: 80e6}, "deliver g r-a 51530247 80000000\n"},
 		{dw.CancelAttempt{Request: "r-a", Attempt: 1}, "undo_send g r-a 1\n"},
@@ -128,8 +128,8 @@
 		{dw.SubscribeEndpoints{}, "stream_changes g 1\n"},
 	}
 	for _, c := range cases {
-		if got := string(AppendAction(nil, "g", c.a)); got != c.want {
-			t.Errorf("%T: got %q, want %q", c.a, got, c.want)
+		if got := string(AppendAction(nil, "g", c.action)); got != c.want {
+			t.Errorf("%T: got %q, want %q", c.action, got, c.want)
 		}
 	}
 	if got := string(AppendException(nil, "g", "a\nb")); got != "exception g a b\n" {
@@ -140,7 +140,7 @@
 // FuzzRead asks that any input is read or refused with a wire error, never with a panic.
 func FuzzRead(f *testing.F) {
 	for _, c := range malformed {
-		f.Add(c.in)
+		f.Add(c.input)
 	}
 	f.Add("round 1\nhello gateway_1 77 " + settingsText + "\ncommit\n")
 	f.Add("round 1\nsubmit gateway_3 r 0 1 91f03b7c55d20a64 240000000 2.5 3 1 6\ncommit\n")
