--- a/cmd/simadapter/golden_test.go
+++ b/cmd/simadapter/golden_test.go
@@ -8,7 +8,8 @@
 	"dewhitch/internal/golden"
 )
 
-// All that the adapter writes for a fixed script of three instances. The simulator reads it.
+// TestGoldenAnswers guards against a changed output of the adapter, which the simulator reads. The input is a fixed script of
+// three gateways.
 func TestGoldenAnswers(t *testing.T) {
 	var out bytes.Buffer
 	if err := run(strings.NewReader(script(0, 1, 2)), &out); err != nil {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter hosts gateways of package dewhitch on the
-// simulator's wire. The instances share nothing, and it decides nothing.
+// Command simadapter connects gateways of package dewhitch to the simulator: it reads events from the standard input and writes
+// the gateways' actions to the standard output. The gateways share no state, and the adapter makes no decisions of its own.
 package main
 
 import (
@@ -20,6 +20,7 @@
 	}
 }
 
+// run processes rounds until the input ends between two of them. After the actions of each round it writes an acknowledgement.
 func run(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), bufio.NewWriter(out)
 	gateways := map[string]*dw.Gateway{}
@@ -45,6 +46,7 @@
 	}
 }
 
+// apply passes one message to its gateway, and appends the lines of the resulting actions to buf.
 func apply(gateways map[string]*dw.Gateway, now dw.Instant, m wire.Message, buf []byte) ([]byte, error) {
 	fieldError := func(field, problem string) error {
 		return &wire.Error{Line: m.Line, Message: fmt.Sprintf("%T", m.Body), Field: field, Problem: problem}
@@ -74,7 +76,7 @@
 	return buf, nil
 }
 
-// handle turns a panic of the module into a text for the report.
+// handle passes an event to the gateway. If the module panics, handle returns the text of the panic instead of actions.
 func handle(g *dw.Gateway, now dw.Instant, e dw.Event) (actions []dw.Action, panicText string) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -10,7 +10,7 @@
 	`"RequestClasses":[{"Aim":400000000,"Deadline":800000000,"Effect":"safe","Points":1}],` +
 	`"Contracts":[{"QuotaRate":5,"Depth":9}],"FamilyInfo":{"Counter":true,"CountLimit":50000000,"UnitsTop":1}}`
 
-// script plays the same events for the chosen instances only.
+// script returns input with the same events for each of the given gateways, identified by their numbers.
 func script(instances ...int) string {
 	var b strings.Builder
 	b.WriteString("round 1000000000\n")
@@ -29,6 +29,7 @@
 	return b.String()
 }
 
+// play runs the adapter on the input and returns the lines of its output by the gateway that they name.
 func play(t *testing.T, in string) map[string]string {
 	t.Helper()
 	var out strings.Builder
@@ -44,17 +45,20 @@
 	return linesByGateway
 }
 
+// TestInstancesShareNoState guards against state that gateways of one process share. A gateway then acts differently beside
+// others than in a process of its own.
 func TestInstancesShareNoState(t *testing.T) {
 	together := play(t, script(0, 1, 2))
 	for i := range 3 {
 		name := fmt.Sprintf("gateway_%d", i)
 		alone := play(t, script(i))[name]
 		if alone == "" || alone != together[name] {
-			t.Errorf("%s acts differently in a process of its own", name)
+			t.Errorf("%s: actions in a process of its own differ from those beside other gateways", name)
 		}
 	}
 }
 
+// TestBadInput guards against faulty input that is accepted, or whose error does not name the faulty line, gateway or setting.
 func TestBadInput(t *testing.T) {
 	for in, want := range map[string]string{
 		"round 1\nkill\ncommit\n":                                             `line 2: message "kill"`,
@@ -64,7 +68,7 @@
 	} {
 		err := run(strings.NewReader(in), &strings.Builder{})
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: got %v, want %q", in, err, want)
+			t.Errorf("input %q: got error %v, want one with %q", in, err, want)
 		}
 	}
 }
--- a/internal/wire/actions.go
+++ b/internal/wire/actions.go
@@ -8,7 +8,8 @@
 	dw "dewhitch"
 )
 
-// AppendAction appends the line of one action of gateway gw to b.
+// AppendAction appends the line for an action of a gateway to b. It appends nothing for an action that the simulator does not
+// read, and panics on a type of action that it does not know.
 func AppendAction(b []byte, gateway string, a dw.Action) []byte {
 	beginLine := func(name string) { b = append(append(append(b, name...), ' '), gateway...) }
 	appendText := func(s string) { b = append(append(b, ' '), s...) }
@@ -45,15 +46,15 @@
 	case dw.SubscribeEndpoints:
 		beginLine("stream_changes")
 		appendInt(1)
-	case dw.TallyChanged: // for bookkeeping alone
+	case dw.TallyChanged: // only for the ledger; the simulator does not read it
 		return b
 	default:
-		panic(fmt.Sprintf("wire: no line for %T", a))
+		panic(fmt.Sprintf("wire: action %T has no line", a))
 	}
 	return append(b, '\n')
 }
 
-// AppendException appends the line that reports a panic.
+// AppendException appends the line that reports a panic of a gateway to b. It writes the panic's text on one line.
 func AppendException(b []byte, gateway, text string) []byte {
 	text = strings.Join(strings.Fields(text), " ")
 	return append(b, "exception "+gateway+" "+text+"\n"...)
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -11,19 +11,19 @@
 	"dewhitch/internal/config/settings"
 )
 
-// messageFormat is one kind of message: how many fields stand behind its name, and what its body is read by. The fields are taken
-// in the order of the line; the first that can't be read is the error of the line.
+// messageFormat is the format of one kind of message. decode reads the fields in the order of the line. The first field that
+// can't be read determines the error of the line.
 type messageFormat struct {
-	fieldCount int
+	fieldCount int // number of fields behind the name
 	decode     func(*Reader, *fieldReader) (any, error)
 }
 
-// singleLine adapts the reader of a message of one line.
+// singleLine adapts the decoder of a message that consists of one line.
 func singleLine[T any](decode func(*fieldReader) T) func(*Reader, *fieldReader) (any, error) {
 	return func(_ *Reader, f *fieldReader) (any, error) { return decode(f), nil }
 }
 
-// messageFormats are the messages that an instance may be sent, by the names on the wire.
+// messageFormats holds the formats of all messages to a gateway by their names on the wire.
 var messageFormats = map[string]messageFormat{
 	"hello":        {3, singleLine((*fieldReader).hello)},
 	"kill":         {1, singleLine(func(*fieldReader) Kill { return Kill{} })},
@@ -38,7 +38,7 @@
 	"ledger_reply": {5, singleLine((*fieldReader).counterAnswered)},
 }
 
-// readMessage reads one line of a round, and the lines that belong to it.
+// readMessage decodes a line of a round. It reads further lines if the message has them.
 func (r *Reader) readMessage(line string) (Message, error) {
 	name, rest, _ := strings.Cut(line, " ")
 	format, known := messageFormats[name]
@@ -46,7 +46,7 @@
 		return Message{}, &Error{r.line, name, "-", "unknown message"}
 	}
 	settingsText := ""
-	if name == "hello" { // the settings are text to the line's end
+	if name == "hello" { // the settings extend to the end of the line and may contain spaces
 		if parts := strings.SplitN(rest, " ", 3); len(parts) == 3 {
 			settingsText = parts[2]
 			line = "hello " + parts[0] + " " + parts[1] + " json"
@@ -63,6 +63,7 @@
 	return m, f.err
 }
 
+// hello reads the seed and the settings. The seed may be written as a signed or an unsigned 64-bit integer.
 func (f *fieldReader) hello() Hello {
 	text := f.required("Seed")
 	seed, err := strconv.ParseUint(text, 10, 64)
@@ -81,7 +82,7 @@
 	return h
 }
 
-// The scopes of a list of servers, as the wire numbers them; 0 is none.
+// Scopes of an endpoint list, by their numbers on the wire. 0 is not a scope.
 const (
 	scopeCached = iota + 1
 	scopeFailed
@@ -90,10 +91,11 @@
 	scopeCount
 )
 
+// listKinds maps the scopes to the module's kinds of lists.
 var listKinds = [scopeCount]dw.ListKind{scopeCached: dw.ListCached, scopeFailed: dw.ListFailed, scopeDelta: dw.ListDelta,
 	scopeFull: dw.ListFull}
 
-// readEndpointList reads a list of servers: a line of its own, and one for each server.
+// readEndpointList reads an endpoint list: the fields of its own line, and one further line for each server.
 func (r *Reader) readEndpointList(f *fieldReader) (any, error) {
 	scope := f.intBelow("Scope", scopeCount)
 	list := dw.EndpointList{Version: f.int64("Serial"), Kind: listKinds[scope]}
@@ -114,8 +116,10 @@
 	return list, nil
 }
 
+// endpointStates are the states of an endpoint by their numbers on the wire.
 var endpointStates = [...]dw.EndpointState{0: dw.Draining, 1: dw.Ready, 2: dw.Removed}
 
+// readEndpoint reads the line of one server in an endpoint list.
 func (r *Reader) readEndpoint() (dw.Endpoint, error) {
 	line, err := r.readLine()
 	if err != nil {
@@ -137,10 +141,10 @@
 	return endpoint, f.err
 }
 
-// The bits of a request's options.
+// Bits of the options of a request; the others are ignored.
 const (
-	optionRepeat = 2
-	optionWrite  = 4
+	optionRepeat = 2 // the client marks the request as a retry
+	optionWrite  = 4 // the client marks the request as a write
 )
 
 func (f *fieldReader) arrival() dw.Arrival {
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -9,16 +9,18 @@
 	dw "dewhitch"
 )
 
-// fieldReader hands out the values of a line in order and keeps the first error. A value of "-" is absent; where one may be absent, it
-// reads as the zero value.
+// fieldReader returns the values of a line in order, and keeps the first error. The value "-" stands for an absent value; where a
+// value may be absent, it is read as the zero value.
 type fieldReader struct {
-	line         int
-	message      string
-	values       []string // that are left
-	settingsText string   // of a hello: the settings object
-	err          error    // the first
+	line         int      // number of the input line
+	message      string   // name of the message
+	values       []string // values that are not read yet
+	settingsText string   // settings object, a JSON text; set for a hello only
+	err          error    // first error, or nil
 }
 
+// newFieldReader returns a reader of the values behind the first word of the line. It records an error if there are not
+// fieldCount values.
 func (r *Reader) newFieldReader(message, line string, fieldCount int) *fieldReader {
 	f := &fieldReader{line: r.line, message: message}
 	f.values = strings.Split(line, " ")[1:]
@@ -28,13 +30,14 @@
 	return f
 }
 
+// fail records a problem with a field, unless an error is recorded already.
 func (f *fieldReader) fail(field, problem string) {
 	if f.err == nil {
 		f.err = &Error{f.line, f.message, field, problem}
 	}
 }
 
-// next returns the next value, as it stands.
+// next returns the next value unchanged. It returns "" after an error or if there are no more values.
 func (f *fieldReader) next(field string) string {
 	if f.err != nil || len(f.values) == 0 {
 		f.fail(field, "missing")
@@ -48,7 +51,7 @@
 	return s
 }
 
-// required returns the next value, which may not be absent.
+// required returns the next value, which must not be absent.
 func (f *fieldReader) required(field string) string {
 	s := f.next(field)
 	if s == "-" {
@@ -57,6 +60,7 @@
 	return s
 }
 
+// int64 reads an integer, which is 0 if absent.
 func (f *fieldReader) int64(field string) int64 {
 	s := f.next(field)
 	if f.err != nil || s == "-" {
@@ -69,7 +73,7 @@
 	return v
 }
 
-// intBelow reads an integer from 0 to n-1, which may not be absent.
+// intBelow reads an integer from 0 to limit-1, which must not be absent.
 func (f *fieldReader) intBelow(field string, limit int) int {
 	f.requirePresent(field)
 	v := f.int64(field)
@@ -80,13 +84,14 @@
 	return int(v)
 }
 
-// requirePresent fails if the next value is absent.
+// requirePresent records an error if the next value is absent.
 func (f *fieldReader) requirePresent(field string) {
 	if f.err == nil && len(f.values) > 0 && f.values[0] == "-" {
 		f.fail(field, "absent")
 	}
 }
 
+// float reads a finite number, which is 0 if absent.
 func (f *fieldReader) float(field string) float64 {
 	s := f.next(field)
 	if f.err != nil || s == "-" {
@@ -113,11 +118,14 @@
 
 func (f *fieldReader) requestID() dw.RequestID { return dw.RequestID(f.required("Req")) }
 
+// outcomes are the outcomes of attempts, health checks and counter calls by their numbers on the wire.
 var outcomes = [...]dw.Outcome{0: dw.OutcomeError, 1: dw.OutcomeOK, 2: dw.OutcomeRejected, 3: dw.OutcomeTimeout,
 	4: dw.OutcomeConnectFailed, 5: dw.OutcomeReset, 6: dw.OutcomeCancelled, 7: dw.OutcomeNotSent}
 
 func (f *fieldReader) outcome() dw.Outcome { return outcomes[f.intBelow("Reason", len(outcomes))] }
 
+// load reads a server's load report: pairs of a metric's name and its value, separated by commas. It ignores unknown names, and
+// an absent report is the zero Load.
 func (f *fieldReader) load() (l dw.Load) {
 	s := f.next("Metrics")
 	if f.err != nil || s == "-" {
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -18,7 +18,8 @@
 	return r
 }
 
-// The lines of a round that the simulator writes and the adapter reads: each message, with each of its fields.
+// TestGoldenEvents guards against a changed name, order or meaning of a field. The simulator writes the lines that the adapter
+// reads; the golden round has every message with all of its fields.
 func TestGoldenEvents(t *testing.T) {
 	load := dw.Load{Has: dw.HasInflight | dw.HasQueue | dw.HasUtil | dw.HasLatency | dw.HasRate | dw.HasErrors,
 		Inflight: 1.5, Queue: 2.5, Util: 0.5, LatencyMS: 3.25, Rate: 4.5, Errors: 0.25}
@@ -50,16 +51,17 @@
 	}
 	r := goldenRound(t, "events.txt")
 	if r.Now != 8412250001 || len(r.Messages) != len(want) {
-		t.Fatalf("%d, %d messages, want %d", r.Now, len(r.Messages), len(want))
+		t.Fatalf("round at %d with %d messages, want one at 8412250001 with %d", r.Now, len(r.Messages), len(want))
 	}
 	for i, m := range r.Messages {
 		if m.Gateway != "gateway_3" || !reflect.DeepEqual(m.Body, want[i]) {
-			t.Errorf("line %d of %q:\n got %+v\nwant %+v", m.Line, m.Gateway, m.Body, want[i])
+			t.Errorf("line %d, gateway %q:\n got %+v\nwant %+v", m.Line, m.Gateway, m.Body, want[i])
 		}
 	}
 }
 
-// The message that starts an instance, with each key of the settings object. The simulator writes it.
+// TestGoldenHello guards against a changed or lost key of the settings object. The simulator writes the message that starts a
+// gateway; the golden message has every key.
 func TestGoldenHello(t *testing.T) {
 	r := goldenRound(t, "hello.txt")
 	want := Hello{Seed: 77, Settings: dw.Settings{Instances: 6, Self: 5, Zones: 3, Zone: 1, Tick: 91,
@@ -77,14 +79,15 @@
 		AnswerSlack:  71, PollWithin: 72, SlowStartSpan: 73, OverloadSpan: 74, DrainGrace: 75, OverloadMultiple: 76.5, StartCapacity: 0.775,
 		CrossZonePrice: 81.5, LatePrice: 82.5, ProbePrice: 83.5, WastePrice: 84.5}}
 	if r.Now != 7 || len(r.Messages) != 1 || r.Messages[0].Gateway != "gateway_1" || r.Messages[0].Line != 2 {
-		t.Fatalf("%+v", r)
+		t.Fatalf("got round %+v, want one message at 7 for gateway_1 on line 2", r)
 	}
 	if got := r.Messages[0].Body; !reflect.DeepEqual(got, want) {
 		t.Errorf(" got %+v\nwant %+v", got, want)
 	}
 }
 
-// The lines that the simulator reads: each action with each of its fields, and the report of a panic.
+// TestGoldenActions guards against a changed line of an action, with each of its fields, or of the report of a panic. The
+// simulator reads these lines.
 func TestGoldenActions(t *testing.T) {
 	var b []byte
 	for _, a := range []dw.Action{
@@ -105,7 +108,7 @@
 	golden.Compare(t, "actions.txt", AppendException(b, "gateway_3", "panic:  of\n two\tlines"))
 }
 
-// The error lines that end the adapter, each with its line, message and field.
+// TestGoldenErrors guards against a changed text of the errors that end the adapter. Each names its line, message and field.
 func TestGoldenErrors(t *testing.T) {
 	var b []byte
 	for _, c := range malformed {
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -9,15 +9,16 @@
 	dw "dewhitch"
 )
 
-// Reader reads rounds.
+// Reader reads rounds from the simulator's text lines. It must not be used by several goroutines at a time.
 type Reader struct {
 	input *bufio.Reader
-	line  int
+	line  int // number of lines read so far
 }
 
-// NewReader reads from r.
+// NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader { return &Reader{input: bufio.NewReaderSize(r, 1<<16)} }
 
+// readLine returns the next line without its line end. A last line without a line end is a line as well.
 func (r *Reader) readLine() (string, error) {
 	line, err := r.input.ReadString('\n')
 	if err != nil && (line == "" || !errors.Is(err, io.EOF)) {
@@ -27,7 +28,8 @@
 	return strings.TrimSuffix(line, "\n"), nil
 }
 
-// Read returns the next round, or io.EOF if the input ends between rounds.
+// Read returns the next round. It returns io.EOF if the input ends between rounds, an *Error for malformed input or an input
+// that ends within a round, and otherwise the error of the underlying reader.
 func (r *Reader) Read() (Round, error) {
 	line, err := r.readLine()
 	if err != nil {
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -1,5 +1,5 @@
-// Package wire is the codec between the simulator's text lines and the events and actions of package dewhitch. It decides
-// nothing. The names on the wire are the simulator's; they are mapped to the module's terms here alone.
+// Package wire decodes the simulator's text lines to events of package dewhitch, and encodes actions of package dewhitch as text
+// lines. It makes no decisions. The names on the wire are the simulator's; only this package maps them to the module's terms.
 package wire
 
 import (
@@ -8,32 +8,32 @@
 	dw "dewhitch"
 )
 
-// Hello starts an instance.
+// Hello starts a gateway with the given seed and settings.
 type Hello struct {
 	Seed     uint64
 	Settings dw.Settings
 }
 
-// Kill ends an instance.
+// Kill ends a gateway.
 type Kill struct{}
 
-// Message is one line of a round: a Hello, a Kill or a dewhitch event.
+// Message is one message of a round to a gateway.
 type Message struct {
-	Gateway string
-	Line    int
-	Body    any
+	Gateway string // name of the gateway
+	Line    int    // number of the input line, from 1
+	Body    any    // a Hello, a Kill or a dewhitch event
 }
 
-// Round is one batch of events.
+// Round is a batch of messages that have the same time.
 type Round struct {
 	Now      dw.Instant
 	Messages []Message
 }
 
-// Error is a malformed line.
+// Error reports a malformed input line.
 type Error struct {
-	Line                    int
-	Message, Field, Problem string
+	Line                    int // number of the input line, from 1
+	Message, Field, Problem string // the field is "-" if the fault is in the line as a whole
 }
 
 // Error implements error.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -26,6 +26,8 @@
 	return r
 }
 
+// TestEvents guards against a value that is decoded into the wrong field of an event, and against an absent value (-) that is not
+// decoded as the zero value.
 func TestEvents(t *testing.T) {
 	cases := []struct {
 		line string
@@ -54,13 +56,15 @@
 	for _, c := range cases {
 		r := readRound(t, "round 8412250000\n"+c.line+"\ncommit\n")
 		if r.Now != 8412250000 || len(r.Messages) != 1 || r.Messages[0].Gateway != "gateway_3" {
-			t.Errorf("%s: got %+v", c.line, r)
+			t.Errorf("%s: got round %+v, want one message at 8412250000 for gateway_3", c.line, r)
 		} else if got := r.Messages[0].Body; !reflect.DeepEqual(got, c.want) {
 			t.Errorf("%s:\n got %+v\nwant %+v", c.line, got, c.want)
 		}
 	}
 }
 
+// TestSettings guards against settings that are lost or changed. Only unknown keys and unknown names of reported fields are
+// ignored.
 func TestSettings(t *testing.T) {
 	h := readRound(t, "round 1\nhello gateway_1 77 "+settingsText+"\ncommit\n").Messages[0].Body.(Hello)
 	want := Hello{Seed: 77, Settings: dw.Settings{Instances: 2, Self: 1, Zones: 2, Zone: 1, Tick: 4e6,
@@ -69,10 +73,11 @@
 		Counter: true, CounterTimeout: 50e6, MaxUnits: 4, MaxAttempts: 3, MaxRetryAfter: 500e6, ListOnRequest: true,
 		Reports: dw.ReportsInAnswers, ReportFields: dw.HasInflight, RatingsDiffer: true}}
 	if !reflect.DeepEqual(h, want) {
-		t.Errorf("got  %+v\nwant %+v", h, want)
+		t.Errorf("settings differ:\n got %+v\nwant %+v", h, want)
 	}
 }
 
+// malformed lists inputs with one fault each, and the line, message and field that the error must name.
 var malformed = []struct {
 	input          string
 	line           int
@@ -103,6 +108,7 @@
 	{"round 1\nhello gateway_1 1 {\"RequestClasses\":[{\"Effect\":\"odd\"}]}\ncommit\n", 2, "hello", "Config"},
 }
 
+// TestMalformed guards against malformed input that is accepted, or whose error names another line, message or field.
 func TestMalformed(t *testing.T) {
 	for _, c := range malformed {
 		_, err := NewReader(strings.NewReader(c.input)).Read()
@@ -113,6 +119,7 @@
 	}
 }
 
+// TestActions guards against a changed line of an action or of the report of a panic.
 func TestActions(t *testing.T) {
 	cases := []struct {
 		action dw.Action
@@ -133,11 +140,11 @@
 		}
 	}
 	if got := string(AppendException(nil, "g", "a\nb")); got != "exception g a b\n" {
-		t.Errorf("exception: got %q", got)
+		t.Errorf("line of a panic: got %q", got)
 	}
 }
 
-// FuzzRead asks that any input is read or refused with a wire error, never with a panic.
+// FuzzRead checks that any input is read or rejected with an *Error that has a line number, and that none causes a panic.
 func FuzzRead(f *testing.F) {
 	for _, c := range malformed {
 		f.Add(c.input)
@@ -154,7 +161,7 @@
 			if err != nil {
 				var e *Error
 				if !errors.As(err, &e) || e.Line < 1 {
-					t.Fatalf("unplaced error %v", err)
+					t.Fatalf("got error %v, want a wire error with a line number", err)
 				}
 				return
 			}
