--- a/internal/front/platform/parse.go
+++ b/internal/front/platform/parse.go
@@ -15,25 +15,25 @@
 	"dewhitch/internal/resp"
 )
 
-// Bounds of what a client may send.
+// Bounds on the arguments that a client may send.
 const (
-	maxTimeout    = time.Hour
-	customerCount = 1 << 33 // all customers are below
-	maxNameBytes  = 64
-	maxKeyBytes   = 64
-	maxNumber     = 1e6 // of units, spread and first
+	maxTimeout    = time.Hour // maximum timeout of a request
+	customerCount = 1 << 33   // all customer IDs are below this number
+	maxNameBytes  = 64        // bytes of the name of a request
+	maxKeyBytes   = 64        // bytes of an idempotency key
+	maxNumber     = 1e6       // maximum of the arguments units, spread and first
 )
 
 var errArgumentCount = errors.New("wrong number of arguments")
 
-// parse reads SVC.QUERY or SVC.SUBMIT CUSTOMER NAME ARGUMENTS [BODY]. The texts of its errors are answered to the client.
+// parse reads SVC.QUERY or SVC.SUBMIT CUSTOMER NAME ARGUMENTS [BODY]. The texts of its errors are sent to the client.
 func (c *Commands) parse(cmd resp.Command, query bool) (*core.Request, error) {
 	if len(cmd) != 4 && len(cmd) != 5 {
 		return nil, errArgumentCount
 	}
 	r := &core.Request{}
 	var err error
-	if r.Customer, err = Customer(cmd[1]); err != nil {
+	if r.Customer, err = ParseCustomer(cmd[1]); err != nil {
 		return nil, err
 	}
 	if len(cmd[2]) == 0 || len(cmd[2]) > maxNameBytes {
@@ -43,7 +43,7 @@
 	if len(cmd) == 5 {
 		r.Message.Body = cmd[4]
 	}
-	class, err := c.Arguments(cmd[3], r)
+	class, err := c.ParseArguments(cmd[3], r)
 	if err != nil {
 		return nil, err
 	}
@@ -53,8 +53,8 @@
 	return r, nil
 }
 
-// setClass sets the class of a request, by its name in the table in force. The class must be for the command that the request
-// came by, and the request must have an idempotency key if the class needs one.
+// setClass sets the class of a request by its name in the current class table. It returns an error if there is no such class, if the
+// class is for the other command, or if the class needs an idempotency key and the request has none.
 func (c *Commands) setClass(r *core.Request, name string, query bool) error {
 	entry, known := c.Classes().Find(name)
 	if !known || entry.Class < 0 {
@@ -72,8 +72,8 @@
 	return nil
 }
 
-// Customer reads a customer: 16 hex digits, in lower case.
-func Customer(text []byte) (dw.CustomerID, error) {
+// ParseCustomer parses a customer ID, which has 16 hex digits in lower case.
+func ParseCustomer(text []byte) (dw.CustomerID, error) {
 	id, err := strconv.ParseUint(string(text), 16, 64)
 	if err != nil || len(text) != 16 || bytes.ContainsAny(text, "ABCDEF") {
 		return 0, fmt.Errorf("customer: %.32q is not 16 hex digits", text)
@@ -84,9 +84,9 @@
 	return dw.CustomerID(id), nil
 }
 
-// Arguments reads the list of names and values into r, and returns the class's name, which may be empty. Units and gateways out of
-// range are refused here, as they would go into the customer's account, which its other requests share.
-func (c *Commands) Arguments(text []byte, r *core.Request) (class string, err error) {
+// ParseArguments parses the list of names and values into r, and returns the name of the class, which may be empty. It returns an error
+// for units and gateways out of range, because they would enter the customer's account, which the customer's other requests share.
+func (c *Commands) ParseArguments(text []byte, r *core.Request) (class string, err error) {
 	class, plan, err := parseArguments(text, r)
 	if err != nil {
 		return "", err
@@ -94,23 +94,24 @@
 	if r.Plan = slices.Index(c.Names.Plans, plan); r.Plan < 0 {
 		return "", fmt.Errorf("t: no plan %.32q", plan)
 	}
-	switch set := c.Settings; {
-	case r.Units <= 0 || set.MaxUnits > 0 && r.Units > set.MaxUnits:
-		return "", fmt.Errorf("units: not above 0 and up to %v", set.MaxUnits)
-	case r.Spread > set.Instances:
-		return "", fmt.Errorf("spread: over %d", set.Instances)
-	case r.FirstGateway >= set.Instances:
-		return "", fmt.Errorf("first: not below %d", set.Instances)
+	switch settings := c.Settings; {
+	case r.Units <= 0 || settings.MaxUnits > 0 && r.Units > settings.MaxUnits:
+		return "", fmt.Errorf("units: not above 0 and up to %v", settings.MaxUnits)
+	case r.Spread > settings.Instances:
+		return "", fmt.Errorf("spread: over %d", settings.Instances)
+	case r.FirstGateway >= settings.Instances:
+		return "", fmt.Errorf("first: not below %d", settings.Instances)
 	}
 	return class, nil
 }
 
-// Route reads from a list what a forwarder needs: the customer's gateways, the timeout, and the names for its ledger.
-func Route(text []byte, r *core.Request) (class, plan string, err error) {
+// ParseRoute parses from a list of names and values what a forwarder needs: the customer's gateways and the timeout, which it sets
+// in r, and the names of class and plan for its ledger.
+func ParseRoute(text []byte, r *core.Request) (class, plan string, err error) {
 	return parseArguments(text, r)
 }
 
-// parseArguments reads a list of names and values, NAME=VALUE[,NAME=VALUE]...; unknown names are ignored.
+// parseArguments parses a list of names and values, NAME=VALUE[,NAME=VALUE]..., into r. It ignores unknown names.
 func parseArguments(text []byte, r *core.Request) (class, plan string, err error) {
 	r.Units = 1
 	r.Spread = 0
@@ -139,7 +140,7 @@
 	return class, plan, nil
 }
 
-// setArgument sets the field of a request that an argument names.
+// setArgument parses the value of an argument into the field of r to which it belongs.
 func setArgument(r *core.Request, name, value string) (err error) {
 	switch name {
 	case "k":
@@ -150,11 +151,11 @@
 	case "r":
 		r.Repeat = value == "1"
 	case "d":
-		ms, err := number(name, value, 0, maxTimeout.Seconds()*1e3)
+		milliseconds, err := number(name, value, 0, maxTimeout.Seconds()*1e3)
 		if err != nil {
 			return err
 		}
-		r.Timeout = time.Duration(ms * 1e6)
+		r.Timeout = time.Duration(milliseconds * 1e6)
 	case "units":
 		r.Units, err = number(name, value, 0, maxNumber)
 	case "spread":
@@ -165,7 +166,7 @@
 	return err
 }
 
-// number reads a decimal number of digits and a point; other forms that a parser accepts are refused.
+// number parses a decimal number of digits and a point. It refuses other forms that strconv accepts, such as exponents.
 func number(name, text string, lowest, highest float64) (float64, error) {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || strings.Trim(text, "0123456789.") != "" || !(v >= lowest && v <= highest) {
@@ -174,7 +175,7 @@
 	return v, nil
 }
 
-// wholeNumber reads a number without a fraction, which would be lost on the way to the backend.
+// wholeNumber parses a number without a fraction, because a fraction would be lost on the way to the backend.
 func wholeNumber(name, text string, lowest, highest float64) (int, error) {
 	v, err := number(name, text, lowest, highest)
 	if err == nil && v != math.Trunc(v) {
