--- a/cmd/dewhitch/exclusions.go
+++ b/cmd/dewhitch/exclusions.go
@@ -27,7 +27,7 @@
 	planner *core.Planner
 	decoder *discovery.Decoder
 	log     *zap.Logger
-	latest  chan []dw.ServerID // holds the newest list of exclusions only
+	latest  chan []dw.ServerID // holds only the newest list of exclusions
 
 	// The fields below belong to run's goroutine.
 	unsaved    *handover.State  // exclusions that are not written yet, or nil if all are
@@ -105,8 +105,8 @@
 	}
 }
 
-// save writes the unsaved exclusions, and schedules a retry if that fails. Of consecutive failures only the first is logged, and
-// so is the write that ends them.
+// save writes the unsaved exclusions, and schedules a retry if that fails. It logs only the first of
+// consecutive failures, and the first successful write after them.
 func (h *exclusionHandover) save() {
 	failedBefore := h.retryTimer != nil
 	if err := handover.Save(h.path, *h.unsaved); err != nil {
--- a/cmd/dewhitch/fleet_command.go
+++ b/cmd/dewhitch/fleet_command.go
@@ -228,7 +228,8 @@
 	return l.post("leave", url.Values{"zone": {l.Zone}, "for_ms": {fmt.Sprint(l.For.Milliseconds())}})
 }
 
-// fleetReturn returns a zone to service. With Hold, the fleet also does not evacuate the zone by itself.
+// fleetReturn returns a zone to service. With Hold, the fleet does not evacuate the zone by itself until the zone is returned
+// without Hold.
 type fleetReturn struct {
 	Zone string `arg:"" help:"The zone, by its full name."`
 	operatorReason
--- a/cmd/dewhitch/fleet_watcher.go
+++ b/cmd/dewhitch/fleet_watcher.go
@@ -16,7 +16,7 @@
 // RequestReceived counts a request that the gateway received.
 func (w *fleetWatcher) RequestReceived() { w.agent.AttemptCounter().RequestReceived() }
 
-// EndpointsChanged passes the agent the servers that are ready and in a zone with a name.
+// EndpointsChanged passes the agent the servers that are ready and in a zone that has a name.
 func (w *fleetWatcher) EndpointsChanged(endpoints []dw.Endpoint) {
 	var servers []slowstart.Server
 	for _, e := range endpoints {
@@ -31,14 +31,14 @@
 	w.agent.EndpointsChanged(servers)
 }
 
-// AttemptStarted counts an attempt to a server in a zone with a name.
+// AttemptStarted counts an attempt to a server in a zone that has a name.
 func (w *fleetWatcher) AttemptStarted(id core.AttemptID, server dw.ServerID, zone int) {
 	if zone < len(w.zones) {
 		w.agent.AttemptCounter().AttemptStarted(fleetAttemptID(id), w.zones[zone], uint32(server))
 	}
 }
 
-// AttemptEnded counts the outcome of an attempt, with the server's load report.
+// AttemptEnded counts the outcome of an attempt and passes on the server's load report.
 func (w *fleetWatcher) AttemptEnded(id core.AttemptID, result core.AttemptResult) {
 	outcome := fleetOutcomes[result.Outcome]
 	w.agent.AttemptCounter().AttemptEnded(fleetAttemptID(id), outcome, uint32(result.Load.Queue), uint32(result.Load.Inflight))
--- a/cmd/dewhitch/snapshots.go
+++ b/cmd/dewhitch/snapshots.go
@@ -126,8 +126,8 @@
 	k.write()
 }
 
-// write writes one snapshot. It writes none before the module has handled an event. Of consecutive failures only the first is
-// logged, and so is the write that ends them.
+// write writes one snapshot. It writes none before the module has handled an event. It logs only the first of
+// consecutive failures, and the first successful write after them.
 func (k *snapshotKeeper) write() {
 	err := k.planner.ExportState(&k.image.State, snapshot.MaxCustomers)
 	if err == nil && k.image.State.At > 0 {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -20,7 +20,8 @@
 	}
 }
 
-// run processes rounds until the input ends between two of them. After the actions of each round it writes an acknowledgement.
+// run processes rounds until the input ends between two of them. For each round it writes the actions
+// and an acknowledgement.
 func run(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), bufio.NewWriter(out)
 	gateways := map[string]*dw.Gateway{}
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -32,7 +32,7 @@
 
 // Error reports a malformed input line.
 type Error struct {
-	Line                    int // number of the input line, from 1
+	Line                    int    // number of the input line, from 1
 	Message, Field, Problem string // the field is "-" if the fault is in the line as a whole
 }
 
