--- a/cmd/dewhitch/gateway.go
+++ b/cmd/dewhitch/gateway.go
@@ -141,7 +141,7 @@
 	g.pools.Allowed = g.planner.ReadySet().Allows
 	g.planner.SetTargetsReporter(g.figures)
 	g.planner.SetMonitor(g.metrics)
-	g.ledger.setTalliesReader(g.planner.ReadTallies)
+	g.ledger.setTallyReader(g.planner.ReadTallies)
 	return nil
 }
 
--- a/cmd/dewhitch/ledger_commands.go
+++ b/cmd/dewhitch/ledger_commands.go
@@ -33,7 +33,7 @@
 		return err
 	}
 	fmt.Printf("%s (%s), life %d: %d postings behind the last statement, %d open, records %d to %d\n", view.Node, view.Role,
-		view.Incarnation, view.Replayed, view.Ledger.Open(), view.First, view.Last)
+		view.Incarnation, view.Replayed, view.Ledger.OpenCount(), view.First, view.Last)
 	for _, note := range view.Notes {
 		fmt.Println("note:", note)
 	}
--- a/cmd/dewhitch/ledger_process.go
+++ b/cmd/dewhitch/ledger_process.go
@@ -42,7 +42,7 @@
 	if !operations.Ledger.Enabled {
 		return p, nil
 	}
-	limits := ledger.Limits{Rows: operations.Ledger.Rows, Open: operations.Ledger.Open, Flight: operations.Ledger.Flight}
+	limits := ledger.Limits{Rows: operations.Ledger.Rows, Open: operations.Ledger.Open, RecentPostings: operations.Ledger.Flight}
 	options := recorder.Options{Limits: limits, Names: names, OverdueAfter: overdueAfter, AuditInterval: operations.Ledger.Audit,
 		StatementInterval: operations.Ledger.Statement, AlarmFile: operations.Ledger.AlarmFile, Log: log}
 	storedLedger, storedNames := p.openStore(operations, node, role, limits, log)
@@ -75,17 +75,17 @@
 	}
 	p.store = opened
 	log.Info("the ledger is open", zap.Uint64("life", recovery.Incarnation), zap.Int("postings_replayed", recovery.Replayed),
-		zap.Uint64("reqs_cut_off_by_crash", recovery.Requests))
+		zap.Uint64("reqs_cut_off_by_crash", recovery.CutOffRequests))
 	for _, note := range recovery.Notes {
 		log.Error("the ledger could not keep everything", zap.String("note", note))
 	}
 	return storedLedger, names
 }
 
-// setTalliesReader sets the function by which the ledger's audit reads the module's tallies.
-func (p *processLedger) setTalliesReader(read func(func(tally func(customer uint64) (units float64, known bool))) error) {
+// setTallyReader sets the function by which the ledger's audit reads the module's tallies.
+func (p *processLedger) setTallyReader(read func(func(tally func(customer uint64) (units float64, known bool))) error) {
 	if p.active != nil {
-		p.active.Tallies(read)
+		p.active.SetTallyReader(read)
 	}
 }
 
@@ -105,7 +105,7 @@
 	p.stop()
 	p.running.Wait()
 	if p.store != nil {
-		p.active.Release()
+		p.active.DetachStore()
 		p.store.Close()
 	}
 }
--- a/internal/ledger/audit.go
+++ b/internal/ledger/audit.go
@@ -6,83 +6,85 @@
 	"time"
 )
 
-// Mismatch says that two figures that must be equal are not.
+// Mismatch is a pair of figures that must be equal and are not.
 type Mismatch struct {
 	Key         Key
-	All         bool // it is over all rows, and Key is of none
-	Check       string
+	AllRows     bool   // the figures are sums over all rows, and Key is empty
+	Check       string // text of the check that failed
 	Journals    [2]Journal
-	Left, Right uint64 // in the order of Books; units are in millionths
+	Left, Right uint64 // the two figures, in the order of Journals; units are in millionths
 }
 
-// String words it for a log.
+// String returns the check with both figures and their journals, for logs.
 func (m Mismatch) String() string {
 	return fmt.Sprintf("%s: %d in %s, %d in %s", m.Check, int64(m.Left), m.Journals[0], int64(m.Right), m.Journals[1])
 }
 
-// transit is what the table holds of a row.
-type transit struct {
-	front, planner, handed, sending, fetching, hearing uint64
-	answering                                          [verdictCount]uint64
-	handedUnits                                        uint64
-	calling, callOpen, returning                       uint64
-	callingUnits, callOpenUnits, returningUnits        uint64
+// inFlight counts the open requests and counter calls of one row, their attempts and units, by the next posting that is due.
+type inFlight struct {
+	openAtFront, openAtPlanner, submitted, orderedAttempts, openAttempts, unreportedAttempts uint64
+	pendingAnswers                                                                           [verdictCount]uint64
+	submittedUnits                                                                           uint64
+	orderedCalls, openCalls, pendingReturns                                                  uint64
+	orderedCallUnits, openCallUnits, pendingReturnUnits                                      uint64
 }
 
-func count(ok bool) uint64 {
-	if ok {
+// countIf returns 1 if the condition is true, and 0 otherwise.
+func countIf(condition bool) uint64 {
+	if condition {
 		return 1
 	}
 	return 0
 }
 
-func (t *transit) add(e *Entry) {
-	if e.Call {
-		calling, open, returning := e.Pushed && !e.CallBegan && !e.CallOver, e.CallBegan && !e.CallOver, e.Rejected && !e.Returned
-		t.calling += count(calling)
-		t.callOpen += count(open)
-		t.returning += count(returning)
-		t.callingUnits += count(calling) * uint64(e.Units)
-		t.callOpenUnits += count(open) * uint64(e.Units)
-		t.returningUnits += count(returning) * uint64(e.Units)
+// add counts one open entry.
+func (t *inFlight) add(e *Entry) {
+	if e.IsCall {
+		ordered, open, returning := e.Pushed && !e.CallStarted && !e.CallEnded, e.CallStarted && !e.CallEnded, e.CallRejected && !e.UnitsReturned
+		t.orderedCalls += countIf(ordered)
+		t.openCalls += countIf(open)
+		t.pendingReturns += countIf(returning)
+		t.orderedCallUnits += countIf(ordered) * uint64(e.Units)
+		t.openCallUnits += countIf(open) * uint64(e.Units)
+		t.pendingReturnUnits += countIf(returning) * uint64(e.Units)
 		return
 	}
-	t.front += count(e.FrontTaken && !e.FrontEnded)
-	t.planner += count(e.PlanTaken && e.PlanEnded == undecided)
-	t.handed += count(e.handed())
-	t.handedUnits += count(e.handed()) * uint64(e.Units)
-	t.sending += uint64(e.sending())
-	t.fetching += uint64(e.fetching())
-	t.hearing += uint64(e.hearing())
+	t.openAtFront += countIf(e.FrontTaken && !e.FrontEnded)
+	t.openAtPlanner += countIf(e.PlanTaken && e.PlanVerdict == undecided)
+	t.submitted += countIf(e.isSubmitted())
+	t.submittedUnits += countIf(e.isSubmitted()) * uint64(e.Units)
+	t.orderedAttempts += uint64(e.orderedAttempts())
+	t.openAttempts += uint64(e.openAttempts())
+	t.unreportedAttempts += uint64(e.unreportedAttempts())
 	if !e.FrontEnded {
-		t.answering[e.PlanEnded]++
+		t.pendingAnswers[e.PlanVerdict]++
 	}
 }
 
-// Audit checks the rows that were posted to since the last audit and those that are watched, or, with all, every row
-// and the sum over them. What does not add up is returned, in the order of the keys. A row that nothing was posted to
-// stands as it stood.
-func (l *Ledger) Audit(all bool, watched ...Key) (found []Mismatch) {
+// Audit checks the rows that were posted to since the last audit and the watched rows, or, if allRows is set, every row and the
+// sum over them. It returns the mismatches, sorted by key. The result for a row that was not posted to is the same as before,
+// so that it needs no check.
+func (l *Ledger) Audit(allRows bool, watched ...Key) (found []Mismatch) {
 	l.lastRow = nil
-	l.epoch++
-	found, l.found = l.found, nil
-	table := map[Key]*transit{}
-	for _, e := range l.table {
-		t := table[e.Key]
+	l.recencyEpoch++
+	found, l.evictedMismatches = l.evictedMismatches, nil
+	inFlightByKey := map[Key]*inFlight{}
+	for _, e := range l.entries {
+		t := inFlightByKey[e.Key]
 		if t == nil {
-			t = &transit{}
-			table[e.Key] = t
+			t = &inFlight{}
+			inFlightByKey[e.Key] = t
 		}
 		t.add(e)
 	}
 	check := func(r *row) {
-		t := table[r.key]
+		t := inFlightByKey[r.key]
 		if t == nil {
-			t = &transit{}
+			t = &inFlight{}
 		}
 		found = append(found, r.check(t)...)
 	}
-	if all {
+	if allRows {
 		var sum Counts
 		for _, r := range l.rows {
 			check(r)
@@ -91,7 +93,7 @@
 		}
 		for e := None + 1; e < EventCount; e++ {
 			if sum.N[e] != l.total.N[e] || sum.Units(e) != l.total.Units(e) {
-				found = append(found, Mismatch{All: true, Check: "sum of " + e.String(), Journals: [2]Journal{e.Journal(), e.Journal()},
+				found = append(found, Mismatch{AllRows: true, Check: "sum of " + e.String(), Journals: [2]Journal{e.Journal(), e.Journal()},
 					Left: sum.N[e], Right: l.total.N[e]})
 			}
 		}
@@ -113,11 +115,11 @@
 	return found
 }
 
-// Overdue names the rows with entries whose time was up before an instant, in Unix nanoseconds: an owner has not posted
-// what became of them. Audit alone takes them for open.
+// Overdue returns a mismatch for each row with entries whose clients' waiting time ended before the given time (Unix
+// nanoseconds): the posting that ends such an entry is missing. Audit alone would count these entries as open.
 func (l *Ledger) Overdue(before int64) (found []Mismatch) {
 	rows := map[Key]uint64{}
-	for _, e := range l.table {
+	for _, e := range l.entries {
 		if e.Since+int64(e.Wait)*int64(time.Second) < before {
 			rows[e.Key]++
 		}
@@ -133,58 +135,57 @@
 	return found
 }
 
-// check compares the books of one row, with what is on its way between their owners.
-func (r *row) check(t *transit) (found []Mismatch) {
+// check compares the journals of one row, with allowance for the entries that are in flight between their owners.
+func (r *row) check(t *inFlight) (found []Mismatch) {
 	c := &r.counts
 	n := &c.N
-	same := func(what string, a Journal, left uint64, b Journal, right uint64) {
+	expectEqual := func(what string, a Journal, left uint64, b Journal, right uint64) {
 		if left != right {
 			found = append(found, Mismatch{Key: r.key, Check: what, Journals: [2]Journal{a, b}, Left: left, Right: right})
 		}
 	}
 	units := func(e Event) uint64 { return uint64(c.Units(e)) }
 	if r.key.Class == ClassAccount {
-		same("calls ordered = begun", JournalUnits, n[UnitsPushed], JournalCounter, n[CallBegan]+n[CallNeverBegan]+t.calling)
-		same("calls begun = ended + open", JournalCounter, n[CallBegan], JournalCounter,
-			n[CallAdded]+n[CallRejected]+n[CallUnknown]+n[CallCutoff]+t.callOpen)
-		same("units ordered = in calls begun", JournalUnits, units(UnitsPushed), JournalCounter,
-			units(CallBegan)+units(CallNeverBegan)+t.callingUnits)
-		same("units of calls begun = ended + open", JournalCounter, units(CallBegan), JournalCounter,
-			units(CallAdded)+units(CallRejected)+units(CallUnknown)+units(CallCutoff)+t.callOpenUnits)
-		same("units not added = returned", JournalCounter, units(CallRejected), JournalUnits,
-			units(UnitsReturned)+units(UnitsNeverReturned)+t.returningUnits)
+		expectEqual("calls ordered = begun", JournalUnits, n[UnitsPushed], JournalCounter, n[CallStarted]+n[CallNeverStarted]+t.orderedCalls)
+		expectEqual("calls begun = ended + open", JournalCounter, n[CallStarted], JournalCounter,
+			n[CallAdded]+n[CallRejected]+n[CallUnknown]+n[CallCutoff]+t.openCalls)
+		expectEqual("units ordered = in calls begun", JournalUnits, units(UnitsPushed), JournalCounter,
+			units(CallStarted)+units(CallNeverStarted)+t.orderedCallUnits)
+		expectEqual("units of calls begun = ended + open", JournalCounter, units(CallStarted), JournalCounter,
+			units(CallAdded)+units(CallRejected)+units(CallUnknown)+units(CallCutoff)+t.openCallUnits)
+		expectEqual("units not added = returned", JournalCounter, units(CallRejected), JournalUnits,
+			units(UnitsReturned)+units(UnitsNeverReturned)+t.pendingReturnUnits)
 		return found
 	}
-	same("taken = served + refused + failed + open", JournalFront, n[FrontTaken], JournalFront, c.Ended()+t.front)
-	same("taken by the front = by the planner", JournalFront, n[FrontTaken]-n[FrontNotSubmitted]-n[FrontNeverTaken], JournalPlanner,
-		n[PlanTaken]+t.handed)
-	same("units taken by the front = by the planner", JournalFront,
-		units(FrontTaken)-units(FrontNotSubmitted)-units(FrontNeverTaken), JournalPlanner, units(PlanTaken)+t.handedUnits)
-	same("taken by the planner = decided + open", JournalPlanner, n[PlanTaken], JournalPlanner,
-		n[PlanServed]+c.Rejected()+c.Failed()+n[PlanClientLeft]+n[PlanCutoff]+t.planner)
-	same("served by the planner = written or lost", JournalPlanner, n[PlanServed], JournalFront,
-		n[FrontServed]+r.lost[served]+t.answering[served])
-	same("refused by the planner = written or lost", JournalPlanner, c.Rejected(), JournalFront,
-		n[FrontRejected]+r.lost[rejected]+t.answering[rejected])
-	same("failed by the planner = written or lost", JournalPlanner, c.Failed(), JournalFront,
-		n[FrontFailed]+r.lost[failed]+t.answering[failed])
-	same("fetches ordered = begun", JournalPlanner, n[PlanSent], JournalAttempts, n[AttemptStarted]+n[AttemptNeverStarted]+t.sending)
-	same("fetches begun = ended + open", JournalAttempts, n[AttemptStarted], JournalAttempts, c.AttemptsEnded()+t.fetching)
-	same("fetches ended = heard of", JournalAttempts, c.AttemptsEnded()+n[AttemptNeverStarted], JournalPlanner,
-		n[PlanHeard]+n[PlanHeardCutoff]+t.hearing)
+	expectEqual("taken = served + refused + failed + open", JournalFront, n[FrontTaken], JournalFront, c.Ended()+t.openAtFront)
+	expectEqual("taken by the front = by the planner", JournalFront, n[FrontTaken]-n[FrontNotSubmitted]-n[FrontNeverTaken], JournalPlanner,
+		n[PlanTaken]+t.submitted)
+	expectEqual("units taken by the front = by the planner", JournalFront,
+		units(FrontTaken)-units(FrontNotSubmitted)-units(FrontNeverTaken), JournalPlanner, units(PlanTaken)+t.submittedUnits)
+	expectEqual("taken by the planner = decided + open", JournalPlanner, n[PlanTaken], JournalPlanner,
+		n[PlanServed]+c.Rejected()+c.Failed()+n[PlanClientDeparted]+n[PlanCutoff]+t.openAtPlanner)
+	expectEqual("served by the planner = written or lost", JournalPlanner, n[PlanServed], JournalFront,
+		n[FrontServed]+r.lostAnswers[served]+t.pendingAnswers[served])
+	expectEqual("refused by the planner = written or lost", JournalPlanner, c.Rejected(), JournalFront,
+		n[FrontRejected]+r.lostAnswers[rejected]+t.pendingAnswers[rejected])
+	expectEqual("failed by the planner = written or lost", JournalPlanner, c.Failed(), JournalFront,
+		n[FrontFailed]+r.lostAnswers[failed]+t.pendingAnswers[failed])
+	expectEqual("fetches ordered = begun", JournalPlanner, n[PlanSent], JournalAttempts, n[AttemptStarted]+n[AttemptNeverStarted]+t.orderedAttempts)
+	expectEqual("fetches begun = ended + open", JournalAttempts, n[AttemptStarted], JournalAttempts, c.AttemptsEnded()+t.openAttempts)
+	expectEqual("fetches ended = heard of", JournalAttempts, c.AttemptsEnded()+n[AttemptNeverStarted], JournalPlanner,
+		n[PlanNotified]+n[PlanNeverNotified]+t.unreportedAttempts)
 	if r.key.Class >= 0 && int64(n[PlanServed]-n[AttemptOK]) > 0 {
-		same("served by a good fetch each", JournalPlanner, n[PlanServed], JournalAttempts, n[AttemptOK])
+		expectEqual("served by a good fetch each", JournalPlanner, n[PlanServed], JournalAttempts, n[AttemptOK])
 	}
 	return found
 }
 
-// CheckTally is the check of AuditAccounts.
+// CheckTally is the text of the check of AuditAccounts.
 const CheckTally = "units on the tally = drawn - told + returned"
 
-// AuditAccounts compares what the tallies of the decision module hold with the units' book, for the accounts that
-// Accounts named. tally tells what a customer's tally holds, in units; unknown: the module has dropped the account, with
-// whatever was on its tally, which the postings forgotten take note of; they are yet to be posted. It must be called
-// where nothing is drawn meanwhile.
+// AuditAccounts compares the tallies of the decision module with the units' journal, for the accounts that Accounts returned.
+// tally returns the units on a customer's tally, and false if the module has dropped the account with its tally; for those
+// units AuditAccounts returns postings in forgotten, which the caller must post. No units may be drawn during the call.
 func (l *Ledger) AuditAccounts(keys []Key, tally func(customer uint64) (units float64, known bool)) (found []Mismatch,
 	forgotten []Posting) {
 	for _, k := range keys {
@@ -200,7 +201,8 @@
 			}
 			continue
 		}
-		// Each posting was rounded to a millionth, and the module adds up unrounded.
+		// Each posting is rounded to a millionth, and the module sums unrounded units: the difference is up to half a millionth
+		// for each posting.
 		slack := int64(r.counts.N[UnitsDrawn]+r.counts.N[UnitsPushed]+r.counts.N[UnitsReturned])/2 + 1
 		if tallied := MicroUnits(units); tallied-pending > slack || pending-tallied > slack {
 			found = append(found, Mismatch{Key: k, Check: CheckTally, Journals: [2]Journal{JournalPlanner, JournalUnits},
@@ -210,20 +212,20 @@
 	return found, forgotten
 }
 
-// Accounts names the accounts of customers that were posted to since it last did, and those that hold units.
+// Accounts returns the keys of the customers' accounts that were posted to since the last call, and of those that hold units.
 func (l *Ledger) Accounts() (keys []Key) {
 	l.lastRow = nil
-	remaining := l.accounts[:0]
-	for _, r := range l.accounts {
+	remaining := l.pendingAccounts[:0]
+	for _, r := range l.pendingAccounts {
 		if l.rows[r.key] != r {
 			continue
 		}
 		keys = append(keys, r.key)
-		if r.unread = r.counts.Pending() != 0; r.unread {
+		if r.inPendingAccounts = r.counts.Pending() != 0; r.inPendingAccounts {
 			remaining = append(remaining, r)
 		}
 	}
-	clear(l.accounts[len(remaining):])
-	l.accounts = remaining
+	clear(l.pendingAccounts[len(remaining):])
+	l.pendingAccounts = remaining
 	return keys
 }
--- a/internal/ledger/rows.go
+++ b/internal/ledger/rows.go
@@ -7,157 +7,159 @@
 
 // row holds the figures of a key.
 type row struct {
-	key      Key
-	counts   Counts
-	stated   *Counts              // what statements hold of it; nil: nothing
-	lost     [verdictCount]uint64 // answers that were decided and did not reach the client; by pairs of the front's and the planner's ends
-	open     int                  // entries of the table under this key
-	dirty    bool                 // posted to since the last audit
-	unstored bool                 // and since the last statement
-	unread   bool                 // it is in the ledger's accounts
-	at       *list.Element
-	moved    uint64 // epoch in which it was moved to the front
+	key               Key
+	counts            Counts
+	statedCounts      *Counts              // figures that statements cover; nil if none do
+	lostAnswers       [verdictCount]uint64 // answers that the planner decided and that did not reach the client, by verdict
+	openEntries       int                  // number of open entries under this key
+	dirty             bool                 // the row was posted to since the last audit
+	unstored          bool                 // the row was posted to since the last statement
+	inPendingAccounts bool                 // the row is in Ledger.pendingAccounts
+	recencyElement    *list.Element        // position in Ledger.rowsByRecency; nil for a rolled-up row
+	movedInEpoch      uint64               // recency epoch in which the row was last moved to the front
 }
 
-// row finds or makes the row of a key, and takes note that it changes.
+// row finds or creates the row of a key, and marks it as changed.
 func (l *Ledger) row(k Key) *row {
-	if l.lastRow != nil && l.lastRow.key == k { // postings on one request come close together
+	if l.lastRow != nil && l.lastRow.key == k { // the postings of one request come close together
 		return l.lastRow
 	}
 	r := l.rows[k]
 	if r == nil {
-		if l.recent.Len() >= l.limits.Rows && k.Customer != Others {
+		if l.rowsByRecency.Len() >= l.limits.Rows && k.Customer != Others {
 			l.evict()
 		}
 		r = &row{key: k}
 		l.rows[k] = r
 		if k.Customer != Others {
-			r.at = l.recent.PushFront(r)
+			r.recencyElement = l.rowsByRecency.PushFront(r)
 		}
 	}
-	l.touchRecent(r)
+	l.markRecent(r)
 	return r
 }
 
-// touchRecent takes note that a row is posted to.
-func (l *Ledger) touchRecent(r *row) {
+// markRecent marks a row as posted to, for eviction, audits and statements.
+func (l *Ledger) markRecent(r *row) {
 	if l.lastRow == r {
 		return
 	}
-	if r.at != nil && r.moved != l.epoch { // once between two audits is order enough
-		l.recent.MoveToFront(r.at)
+	if r.recencyElement != nil && r.movedInEpoch != l.recencyEpoch { // one move between two audits keeps the order exact enough
+		l.rowsByRecency.MoveToFront(r.recencyElement)
 	}
-	r.moved, l.lastRow = l.epoch, r
-	l.touch(r)
+	r.movedInEpoch, l.lastRow = l.recencyEpoch, r
+	l.markChanged(r)
 }
 
-func (l *Ledger) touch(r *row) {
-	if !r.unread && r.key.Class == ClassAccount && r.key.Customer != Others {
-		r.unread = true
-		l.accounts = append(l.accounts, r)
+// markChanged adds a row to the lists that the next audit, statement and reading of accounts process.
+func (l *Ledger) markChanged(r *row) {
+	if !r.inPendingAccounts && r.key.Class == ClassAccount && r.key.Customer != Others {
+		r.inPendingAccounts = true
+		l.pendingAccounts = append(l.pendingAccounts, r)
 	}
 	if !r.dirty {
 		r.dirty = true
 		l.dirty = append(l.dirty, r)
 	}
-	if l.stating && !r.unstored {
+	if l.makesStatements && !r.unstored {
 		r.unstored = true
 		l.unstored = append(l.unstored, r)
 	}
 }
 
-// evictionCandidates bounds the rows that are examined for one that has nothing open.
+// evictionCandidates limits the rows that one eviction examines for a row with nothing open.
 const evictionCandidates = 64
 
-// evict rolls the row that was posted to longest ago up into the row of its plan and class. One with something open or
-// pending is passed over. If all candidates are so, the ledger grows, to twice its rows at most: then the bound on memory
-// goes before the name of a row.
+// evict rolls the least recently posted row up into the row of its plan and class. It skips rows with open entries or pending
+// units. If all candidates have some, the ledger grows, to at most twice its limit of rows; from there the memory limit takes
+// precedence, and a row with open entries or pending units is rolled up too.
 func (l *Ledger) evict() {
 	r := l.evictionVictim()
 	if r == nil {
 		return
 	}
-	if r.open == 0 && r.dirty { // it is the last time that its name is known
-		l.found = append(l.found, r.check(&transit{})...)
+	if r.openEntries == 0 && r.dirty { // the key is not known after the eviction
+		l.evictedMismatches = append(l.evictedMismatches, r.check(&inFlight{})...)
 	}
-	l.recent.Remove(r.at)
+	l.rowsByRecency.Remove(r.recencyElement)
 	delete(l.rows, r.key)
 	if l.lastRow == r {
 		l.lastRow = nil
 	}
 	l.Evictions++
 	rolledUp := l.rollUp(r)
-	r.dirty, r.unstored = false, false // lists that still hold it pass it over
-	if l.stating {
+	r.dirty, r.unstored = false, false // lists that still contain the row skip it
+	if l.makesStatements {
 		l.stateEvicted(r, rolledUp)
 	}
 }
 
-// evictionVictim chooses the row to evict; nil: the ledger may grow instead.
+// evictionVictim chooses the row to evict. It returns nil if the ledger may grow instead.
 func (l *Ledger) evictionVictim() *row {
-	at := l.recent.Back()
-	for i := 0; i < evictionCandidates && at != nil; i++ {
-		if r := at.Value.(*row); r.open == 0 && r.counts.Pending() == 0 {
+	element := l.rowsByRecency.Back()
+	for i := 0; i < evictionCandidates && element != nil; i++ {
+		if r := element.Value.(*row); r.openEntries == 0 && r.counts.Pending() == 0 {
 			return r
 		}
-		at = at.Prev()
+		element = element.Prev()
 	}
-	if l.recent.Len() < 2*l.limits.Rows {
+	if l.rowsByRecency.Len() < 2*l.limits.Rows {
 		return nil
 	}
-	r := l.recent.Back().Value.(*row)
-	l.Abandoned += count(r.counts.Pending() != 0)
+	r := l.rowsByRecency.Back().Value.(*row)
+	l.Abandoned += countIf(r.counts.Pending() != 0)
 	return r
 }
 
-// rollUp adds an evicted row to that of its plan and class, and has its open entries go along.
+// rollUp adds an evicted row to the row of its plan and class, moves its open entries there, and returns that row.
 func (l *Ledger) rollUp(r *row) *row {
 	key := r.key
 	key.Customer = Others
-	to := l.row(key)
-	to.counts.Add(&r.counts)
-	for v, n := range r.lost {
-		to.lost[v] += n
-	}
-	if r.open > 0 {
-		to.open += r.open
-		for _, e := range l.table {
+	target := l.row(key)
+	target.counts.Add(&r.counts)
+	for v, n := range r.lostAnswers {
+		target.lostAnswers[v] += n
+	}
+	if r.openEntries > 0 {
+		target.openEntries += r.openEntries
+		for _, e := range l.entries {
 			if e.row == r {
-				e.Key, e.row = key, to
+				e.Key, e.row = key, target
 			}
 		}
 	}
-	return to
+	return target
 }
 
-// stateEvicted has what no statement holds yet of an evicted row stated under its customer's name, and held of the rolled-up row
-// from then on. Where too many are evicted between two statements, the rest is stated of the rolled-up row.
+// stateEvicted keeps the figures of an evicted row that no statement covers yet, so that the next statement reports them under
+// the customer's key; the rolled-up row counts them as stated. If more rows than the limit are evicted between two statements,
+// the figures of the rest are reported under the rolled-up row.
 func (l *Ledger) stateEvicted(r, rolledUp *row) {
 	delta := r.counts
-	if r.stated != nil {
-		delta = r.counts.Minus(r.stated)
+	if r.statedCounts != nil {
+		delta = r.counts.Minus(r.statedCounts)
 		l.evictedKeys = append(l.evictedKeys, r.key)
 	}
-	if rolledUp.stated == nil {
-		rolledUp.stated = &Counts{}
+	if rolledUp.statedCounts == nil {
+		rolledUp.statedCounts = &Counts{}
 	}
-	if len(l.evicted) < l.limits.Rows {
-		if !delta.Zero() {
-			l.evicted = append(l.evicted, Line{r.key, delta})
+	if len(l.evictedDeltas) < l.limits.Rows {
+		if !delta.IsZero() {
+			l.evictedDeltas = append(l.evictedDeltas, Line{r.key, delta})
 		}
-		rolledUp.stated.Add(&r.counts)
-	} else if r.stated != nil {
-		rolledUp.stated.Add(r.stated)
+		rolledUp.statedCounts.Add(&r.counts)
+	} else if r.statedCounts != nil {
+		rolledUp.statedCounts.Add(r.statedCounts)
 	}
 }
 
-// Line is a row as readers have it.
+// Line is the key of a row and a copy of its figures.
 type Line struct {
 	Key    Key
 	Counts Counts
 }
 
-// Lines returns all rows, in the order of their keys.
+// Lines returns all rows, sorted by key.
 func (l *Ledger) Lines() []Line {
 	lines := make([]Line, 0, len(l.rows))
 	for k, r := range l.rows {
@@ -167,7 +169,7 @@
 	return lines
 }
 
-// Sums adds up the rows by plan and class, and says how many there are.
+// Sums returns the number of rows, and their sums by plan and class, sorted by key.
 func (l *Ledger) Sums() (rows int, lines []Line) {
 	sums := map[Key]*Counts{}
 	for k, r := range l.rows {
@@ -184,6 +186,8 @@
 	return len(l.rows), lines
 }
 
+// compare orders keys by customer, plan and class. It returns a negative number if k comes before o, 0 if they are equal, and a
+// positive number otherwise.
 func (k Key) compare(o Key) int {
 	switch {
 	case k.Customer != o.Customer && k.Customer < o.Customer:
--- a/internal/ledger/statement.go
+++ b/internal/ledger/statement.go
@@ -5,96 +5,99 @@
 	"slices"
 )
 
-// Statement is what has come since the one before: the deltas by row, in the order of their keys, and, for a store, the
-// figures of the rows that have changed.
+// Statement holds the changes since the previous statement: the deltas by row, sorted by key, and, for a store, the figures of
+// the changed rows.
 type Statement struct {
 	Deltas             []Line
 	Rows               []StoredRow
-	IdempotentRequests []IdempotentRequest // that have ended, in that order
-	Open               []Open              // what is open, in the order of the Refs
+	IdempotentRequests []IdempotentRequest // ended attempts with an idempotency key, in the order of their ends
+	Open               []OpenEntry         // all open entries, sorted by reference
 }
 
-// Open is an entry of the table, as a store keeps it.
-type Open struct {
+// OpenEntry is an open entry in the form that a store keeps.
+type OpenEntry struct {
 	Ref uint64 `json:"Ref"`
 	Entry
 }
 
-// StoredRow is a row as a store keeps it.
+// StoredRow is a row in the form that a store keeps.
 type StoredRow struct {
 	Key      Key
-	RolledUp bool // it was rolled up
+	RolledUp bool // the row was rolled up, and the store deletes it
 	Counts
-	Lost [4]uint64 // answers that were decided and did not reach the client: served, refused, failed, other
+	Lost [4]uint64 // answers that the planner decided and that did not reach the client: served, refused, failed, other
 }
 
-// Statement closes a period.
+// Statement ends a period and returns its statement.
 func (l *Ledger) Statement() Statement {
 	l.lastRow = nil
-	s := Statement{Deltas: l.evicted, IdempotentRequests: l.idempotentRequests}
-	for _, k := range l.evictedKeys { // one that has come again follows below
+	s := Statement{Deltas: l.evictedDeltas, IdempotentRequests: l.idempotentRequests}
+	for _, k := range l.evictedKeys { // a row that was created again follows below
 		s.Rows = append(s.Rows, StoredRow{Key: k, RolledUp: true})
 	}
-	l.evicted, l.evictedKeys, l.idempotentRequests = nil, nil, nil
+	l.evictedDeltas, l.evictedKeys, l.idempotentRequests = nil, nil, nil
 	for _, r := range l.unstored {
 		if !r.unstored || l.rows[r.key] != r {
 			continue
 		}
 		r.unstored = false
 		delta := r.counts
-		if r.stated == nil {
-			r.stated = &Counts{}
+		if r.statedCounts == nil {
+			r.statedCounts = &Counts{}
 		} else {
-			delta = r.counts.Minus(r.stated)
+			delta = r.counts.Minus(r.statedCounts)
 		}
-		*r.stated = r.counts
-		if !delta.Zero() {
+		*r.statedCounts = r.counts
+		if !delta.IsZero() {
 			s.Deltas = append(s.Deltas, Line{r.key, delta})
 		}
 		s.Rows = append(s.Rows, r.stored())
 	}
 	l.unstored = l.unstored[:0]
-	for ref, e := range l.table {
-		s.Open = append(s.Open, Open{ref, *e})
+	for ref, e := range l.entries {
+		s.Open = append(s.Open, OpenEntry{ref, *e})
 	}
-	slices.SortFunc(s.Open, func(a, b Open) int { return cmp.Compare(a.Ref, b.Ref) })
+	slices.SortFunc(s.Open, func(a, b OpenEntry) int { return cmp.Compare(a.Ref, b.Ref) })
 	slices.SortFunc(s.Deltas, func(a, b Line) int { return a.Key.compare(b.Key) })
 	return s
 }
 
+// stored returns the row in the form that a store keeps.
 func (r *row) stored() StoredRow {
-	k := StoredRow{Key: r.key, Counts: r.counts}
-	copy(k.Lost[:], r.lost[served:])
-	return k
+	stored := StoredRow{Key: r.key, Counts: r.counts}
+	copy(stored.Lost[:], r.lostAnswers[served:])
+	return stored
 }
 
-// Restore puts a row back that a store kept, all of it stated. It is for books that are still empty.
-func (l *Ledger) Restore(k StoredRow) {
-	r := l.row(k.Key)
-	r.counts = k.Counts
-	copy(r.lost[served:], k.Lost[:])
-	stated := k.Counts
-	r.stated = &stated
-	l.total.Add(&k.Counts)
+// Restore adds a stored row, whose figures statements cover already. It must be called before the first posting.
+func (l *Ledger) Restore(stored StoredRow) {
+	restored := l.row(stored.Key)
+	restored.counts = stored.Counts
+	copy(restored.lostAnswers[served:], stored.Lost[:])
+	stated := stored.Counts
+	restored.statedCounts = &stated
+	l.total.Add(&stored.Counts)
 }
 
-// RestoreOpen puts an entry back that a store kept; its row was restored before.
-func (l *Ledger) RestoreOpen(o Open) {
+// RestoreOpen adds a stored open entry. Its row must have been restored.
+func (l *Ledger) RestoreOpen(o OpenEntry) {
 	e := o.Entry
-	l.table[o.Ref] = &e
+	l.entries[o.Ref] = &e
 	e.row = l.row(e.Key)
-	e.row.open++
+	e.row.openEntries++
 }
 
-const maxIdempotentRequests = 1 << 16 // that are held between two statements
+// maxIdempotentRequests limits the attempts with an idempotency key that are kept between two statements.
+const maxIdempotentRequests = 1 << 16
 
-func (l *Ledger) recordIdempotentRequest(t IdempotentRequest) {
-	if !l.stating {
+// recordIdempotentRequest keeps an ended attempt for the next statement.
+func (l *Ledger) recordIdempotentRequest(r IdempotentRequest) {
+	if !l.makesStatements {
 		return
 	}
 	if len(l.idempotentRequests) >= maxIdempotentRequests {
 		l.IdempotentRequestsLost++
 		return
 	}
-	l.idempotentRequests = append(l.idempotentRequests, t)
+	l.idempotentRequests = append(l.idempotentRequests, r)
 }
--- a/internal/ledger/statement/record_test.go
+++ b/internal/ledger/statement/record_test.go
@@ -9,7 +9,7 @@
 	"dewhitch/internal/ledger"
 )
 
-// record returns a record of figures of one gateway, changed by f.
+// record returns a record of figures of a gateway, after changing it with f.
 func record(seq uint64, node string, f func(*Record)) Record {
 	at := time.Date(2026, 3, 1, 6, 0, int(seq), 0, time.UTC)
 	r := Record{Seq: seq, Node: node, Role: Gateway, Incarnation: 1, Kind: Figures, From: at, To: at.Add(time.Second),
@@ -21,16 +21,17 @@
 	return r
 }
 
-// counts sets pairs of an event and its count; units are a million times the count.
-func counts(r *Record, of ...any) {
-	for i := 0; i < len(of); i += 2 {
-		r.Figures.Set(of[i].(ledger.Event), uint64(of[i+1].(int)), int64(of[i+1].(int))*1e6)
+// setCounts sets counts, given as pairs of an event and its count. The units are a million times the count.
+func setCounts(r *Record, eventsAndCounts ...any) {
+	for i := 0; i < len(eventsAndCounts); i += 2 {
+		r.Figures.Set(eventsAndCounts[i].(ledger.Event), uint64(eventsAndCounts[i+1].(int)), int64(eventsAndCounts[i+1].(int))*1e6)
 	}
 }
 
-// Any record that parses is written in a form that parses to the same record, with the same chain.
+// Guards against records whose chain can't be verified after parsing: any record that parses must be written in a form that parses
+// again, with the same chain.
 func FuzzRecord(f *testing.F) {
-	for _, r := range []Record{record(1, "n0", func(r *Record) { counts(r, ledger.FrontTaken, 2, ledger.FrontServed, 2) }),
+	for _, r := range []Record{record(1, "n0", func(r *Record) { setCounts(r, ledger.FrontTaken, 2, ledger.FrontServed, 2) }),
 		record(9, "n\"0\n", func(r *Record) { r.Kind, r.Note = Gap, "späť <&> \\ \x00" })} {
 		f.Add(r.Seal(nil, "before"))
 	}
@@ -45,16 +46,16 @@
 		}
 		again, err := Parse(r.Seal(nil, "before"))
 		if err != nil {
-			t.Fatalf("%q is written in a form that does not parse: %v", line, err)
+			t.Fatalf("%q is written again in a form that does not parse: %v", line, err)
 		}
 		stated := again.Chain
 		if again.Seal(nil, "before"); again.Chain != stated || stated != r.Chain {
-			t.Fatalf("%q has another chain when it is written again", line)
+			t.Fatalf("%q has a different chain when it is written again", line)
 		}
 	})
 }
 
-// addSealed adds records, sealed in a chain by node, as they are read from an export.
+// addSealed seals records in a chain for each node, writes them and adds them as they are read.
 func addSealed(t *testing.T, m *Merged, records ...Record) {
 	t.Helper()
 	var b []byte
@@ -68,19 +69,20 @@
 	}
 }
 
-// Two gateways and a forwarder: a request that the forwarder took and a gateway took again counts as one attempt of a client.
+// Guards against requests that are counted twice: with two gateways and a forwarder, a request that the forwarder received and a
+// gateway received again must count as one attempt of a client.
 func TestMerge(t *testing.T) {
 	m := NewMerged()
 	served := func(n int) func(*Record) {
 		return func(r *Record) {
-			counts(r, ledger.FrontTaken, n, ledger.FrontServed, n, ledger.PlanTaken, n, ledger.PlanServed, n, ledger.PlanSent, n,
-				ledger.PlanHeard, n, ledger.AttemptStarted, n, ledger.AttemptOK, n)
+			setCounts(r, ledger.FrontTaken, n, ledger.FrontServed, n, ledger.PlanTaken, n, ledger.PlanServed, n, ledger.PlanSent, n,
+				ledger.PlanNotified, n, ledger.AttemptStarted, n, ledger.AttemptOK, n)
 		}
 	}
 	forwarder := record(1, "forwarder", func(r *Record) {
 		r.Role = Forwarder
-		counts(r, ledger.FrontTaken, 9, ledger.FrontServed, 6, ledger.FrontFailed, 2, ledger.FrontClientLeft, 1, ledger.PlanTaken, 9,
-			ledger.PlanServed, 6, ledger.PlanFailedExhausted, 3, ledger.PlanSent, 9, ledger.PlanHeard, 9, ledger.AttemptStarted, 9,
+		setCounts(r, ledger.FrontTaken, 9, ledger.FrontServed, 6, ledger.FrontFailed, 2, ledger.FrontClientDeparted, 1, ledger.PlanTaken, 9,
+			ledger.PlanServed, 6, ledger.PlanFailedExhausted, 3, ledger.PlanSent, 9, ledger.PlanNotified, 9, ledger.AttemptStarted, 9,
 			ledger.AttemptOK, 6, ledger.AttemptRejected, 1, ledger.AttemptNotSent, 2)
 	})
 	addSealed(t, m, record(1, "n0", served(4)), record(2, "n0", served(5)), record(1, "n1", served(3)), forwarder)
@@ -97,7 +99,7 @@
 	}
 }
 
-// Figures of a row that contradict each other are found.
+// Guards against contradictory figures of a row that Verify does not report.
 func TestVerify(t *testing.T) {
 	for i, c := range [][]any{
 		{ledger.FrontTaken, 1, ledger.FrontServed, 2, ledger.PlanTaken, 1},
@@ -107,23 +109,24 @@
 		{ledger.PlanSent, 1, ledger.AttemptStarted, 2, ledger.AttemptOK, 2},
 	} {
 		m := NewMerged()
-		addSealed(t, m, record(1, "n0", func(r *Record) { counts(r, c...) }))
+		addSealed(t, m, record(1, "n0", func(r *Record) { setCounts(r, c...) }))
 		if wrong := m.Verify(); len(wrong) == 0 {
-			t.Errorf("case %d is not found", i)
+			t.Errorf("case %d: Verify returned no error", i)
 		}
 	}
 	m := NewMerged()
 	addSealed(t, m, record(1, "n0", func(r *Record) {
 		r.Class = "account"
-		counts(r, ledger.UnitsPushed, 1, ledger.CallBegan, 1, ledger.CallAdded, 1)
+		setCounts(r, ledger.UnitsPushed, 1, ledger.CallStarted, 1, ledger.CallAdded, 1)
 		r.Figures.Set(ledger.CallAdded, 1, 3e6)
 	}))
 	if wrong := m.Verify(); len(wrong) != 1 {
-		t.Error("units of a call that differ:", wrong)
+		t.Error("a call with different units at its start and end, expected one error:", wrong)
 	}
 }
 
-// Attempts at three bookings: two through different gateways at the same time, two one after the other, and a single one.
+// Guards against attempts that are not linked to their booking. It has three bookings: one with overlapping attempts through two
+// gateways, one with attempts through two gateways one after the other, and one with a single attempt.
 func TestBookings(t *testing.T) {
 	m := NewMerged()
 	attempt := func(seq uint64, node, key string, from, to int, end ledger.Event) Record {
@@ -136,6 +139,6 @@
 		attempt(2, "n0", "k2", 10, 11, ledger.FrontRejected), attempt(2, "n1", "k2", 13, 15, ledger.FrontServed),
 		attempt(3, "n0", "k3", 10, 11, ledger.FrontServed))
 	if got := fmt.Sprint(m.Bookings()); got != "3 2 1 1" {
-		t.Errorf("bookings, across, overlapping, served twice: %s", got)
+		t.Errorf("bookings, those across nodes, overlapping, served twice: got %s, expected 3 2 1 1", got)
 	}
 }
--- a/internal/ledger/store/read.go
+++ b/internal/ledger/store/read.go
@@ -19,45 +19,46 @@
 	"dewhitch/internal/ledger/statement"
 )
 
-// rowKey is a row's key in the embedded store.
+// rowKey returns the key of a row in the embedded store.
 func rowKey(k ledger.Key) []byte {
 	b := binary.BigEndian.AppendUint64(nil, k.Customer)
 	return binary.BigEndian.AppendUint16(binary.BigEndian.AppendUint16(b, uint16(k.Plan)), uint16(k.Class))
 }
 
-// encodeRow writes the figures that are not 0, each behind the number of its event.
-func encodeRow(k ledger.StoredRow) (b []byte) {
+// encodeRow encodes a row: the counts and the units that are not 0, each preceded by the number of its event, and the lost answers.
+func encodeRow(row ledger.StoredRow) (b []byte) {
 	for e := ledger.None + 1; e < ledger.EventCount; e++ {
-		if n := k.N[e]; n != 0 {
+		if n := row.N[e]; n != 0 {
 			b = binary.AppendUvarint(append(b, byte(e)), n)
 		}
 	}
 	b = append(b, 0)
 	for e := ledger.None + 1; e < ledger.EventCount; e++ {
-		if u := k.Units(e); u != 0 {
+		if u := row.Units(e); u != 0 {
 			b = binary.AppendVarint(append(b, byte(e)), u)
 		}
 	}
 	b = append(b, 0)
-	for _, n := range k.Lost {
+	for _, n := range row.Lost {
 		b = binary.AppendUvarint(b, n)
 	}
 	return seal(b)
 }
 
-func decodeRow(key, value []byte) (k ledger.StoredRow, err error) {
+// decodeRow decodes the key and the value of a row. The only error is errCorrupt.
+func decodeRow(key, value []byte) (row ledger.StoredRow, err error) {
 	b, err := unseal(value)
 	if err != nil || len(key) != 12 {
-		return k, errCorrupt
+		return row, errCorrupt
 	}
-	k.Key = ledger.Key{Customer: binary.BigEndian.Uint64(key), Plan: int16(binary.BigEndian.Uint16(key[8:])),
+	row.Key = ledger.Key{Customer: binary.BigEndian.Uint64(key), Plan: int16(binary.BigEndian.Uint16(key[8:])),
 		Class: int16(binary.BigEndian.Uint16(key[10:]))}
 	r := bytes.NewReader(b)
 	for list := range 2 {
 		for {
 			e, err := r.ReadByte()
 			if err != nil || ledger.Event(e) >= ledger.EventCount {
-				return k, errCorrupt
+				return row, errCorrupt
 			}
 			if e == 0 {
 				break
@@ -65,56 +66,58 @@
 			if list == 0 {
 				n, err := binary.ReadUvarint(r)
 				if err != nil {
-					return k, errCorrupt
+					return row, errCorrupt
 				}
-				k.Set(ledger.Event(e), n, 0)
+				row.Set(ledger.Event(e), n, 0)
 			} else {
 				u, err := binary.ReadVarint(r)
 				if err != nil {
-					return k, errCorrupt
+					return row, errCorrupt
 				}
-				k.Set(ledger.Event(e), k.N[e], u)
+				row.Set(ledger.Event(e), row.N[e], u)
 			}
 		}
 	}
-	for i := range k.Lost {
-		if k.Lost[i], err = binary.ReadUvarint(r); err != nil {
-			return k, errCorrupt
+	for i := range row.Lost {
+		if row.Lost[i], err = binary.ReadUvarint(r); err != nil {
+			return row, errCorrupt
 		}
 	}
-	return k, nil
+	return row, nil
 }
 
+// sortedKeys returns the keys of m in the order of rowKey.
 func sortedKeys[T any](m map[ledger.Key]T) []ledger.Key {
 	return slices.SortedFunc(maps.Keys(m), func(a, b ledger.Key) int {
 		return cmp.Or(cmp.Compare(a.Customer, b.Customer), cmp.Compare(uint16(a.Plan), uint16(b.Plan)),
-			cmp.Compare(uint16(a.Class), uint16(b.Class))) // as the store has them
+			cmp.Compare(uint16(a.Class), uint16(b.Class)))
 	})
 }
 
-// content is what an embedded store holds of figures.
-type content struct {
+// storedLedger is the part of a ledger that the embedded store contains.
+type storedLedger struct {
 	rows []ledger.StoredRow
-	open []ledger.Open
+	open []ledger.OpenEntry
 }
 
-// load reads all that an embedded store holds of figures. A file that is not there holds nothing.
-func load(path string) (m meta, c content, err error) {
+// loadStore reads the ledger from the embedded store. A file that does not exist gives an empty ledger.
+func loadStore(path string) (m meta, stored storedLedger, err error) {
 	if _, err := os.Stat(path); errors.Is(err, fs.ErrNotExist) {
-		return m, c, nil
+		return m, stored, nil
 	}
-	db, err := open(path, &bbolt.Options{Timeout: openTime, ReadOnly: true})
+	db, err := open(path, &bbolt.Options{Timeout: defaultOpenTimeout, ReadOnly: true})
 	if err != nil {
-		return m, c, err
+		return m, stored, err
 	}
 	defer db.Close()
-	err = guard(func() error { return db.View(func(tx *bbolt.Tx) error { return loadTx(tx, &m, &c) }) })
-	return m, c, err
+	err = guard(func() error { return db.View(func(tx *bbolt.Tx) error { return loadTx(tx, &m, &stored) }) })
+	return m, stored, err
 }
 
-func loadTx(tx *bbolt.Tx, m *meta, c *content) error {
+// loadTx reads the meta and the ledger in a transaction. The only errors are errCorrupt and those of the transaction.
+func loadTx(tx *bbolt.Tx, m *meta, stored *storedLedger) error {
 	b := tx.Bucket(bucketMeta)
-	if b == nil { // it was made, and nothing was ever committed
+	if b == nil { // the file was created, and no statement was ever committed
 		return nil
 	}
 	text, err := unseal(b.Get(keyMeta))
@@ -122,44 +125,44 @@
 		err = json.Unmarshal(text, m)
 	}
 	if err != nil || m.Version != version {
-		return fmt.Errorf("%w: its head can't be read", errCorrupt)
+		return fmt.Errorf("%w: its meta can't be read", errCorrupt)
 	}
 	text, err = unseal(b.Get(keyOpen))
 	if err == nil {
-		err = json.Unmarshal(text, &c.open)
+		err = json.Unmarshal(text, &stored.open)
 	}
 	if err != nil {
-		return fmt.Errorf("%w: the table of what is open can't be read", errCorrupt)
+		return fmt.Errorf("%w: the open entries can't be read", errCorrupt)
 	}
 	return tx.Bucket(bucketRows).ForEach(func(k, v []byte) error {
 		row, err := decodeRow(k, v)
 		if err != nil {
 			return fmt.Errorf("%w: row %x", errCorrupt, k)
 		}
-		c.rows = append(c.rows, row)
+		stored.rows = append(stored.rows, row)
 		return nil
 	})
 }
 
-// View is what a folder holds, read beside a gateway that may be at work there.
+// View is the content of a folder, which a running gateway may use at the same time.
 type View struct {
 	Node, Role  string
 	Incarnation uint64
 	Names       ledger.Names
-	Ledger      *ledger.Ledger // what was open when it was read is still open in it
-	Replayed    int
-	Notes       []string
-	First       uint64 // record for export that is there
-	Last        uint64
+	Ledger      *ledger.Ledger // the restored ledger; entries that are open in the folder are open in it
+	Replayed    int            // number of postings in the log that the rows did not contain
+	Notes       []string       // messages on what was torn or lost
+	First       uint64         // number of the first record for export
+	Last        uint64         // number of the last record for export
 }
 
-// readings is how often Read looks again, where a gateway that writes on meanwhile makes its log look torn.
-const readings = 5
+// maxReadAttempts limits how often Read reads a folder. A running gateway that writes meanwhile can make its log look torn.
+const maxReadAttempts = 5
 
-// Read reads a folder's books as they stand, the log included. It changes nothing. What a gateway at work posts while it
-// is read is in it up to some moment.
+// Read restores the ledger of a folder, from the embedded store and the log, and changes nothing. Of the postings that a running
+// gateway appends meanwhile, the ledger contains those before some point in time.
 func Read(dir string) (v *View, err error) {
-	for range readings {
+	for range maxReadAttempts {
 		if v, err = readOnce(dir); err != nil || len(v.Notes) == 0 {
 			break
 		}
@@ -169,28 +172,28 @@
 
 func readOnce(dir string) (*View, error) {
 	path := filepath.Join(dir, dbName)
-	db, err := open(path, &bbolt.Options{Timeout: openTime, ReadOnly: true})
+	db, err := open(path, &bbolt.Options{Timeout: defaultOpenTimeout, ReadOnly: true})
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	defer db.Close() // while it is open, no statement goes in and no segment goes away
+	defer db.Close() // while it is open, no statement is committed and no segment is removed
 	var m meta
-	var c content
-	err = guard(func() error { return db.View(func(tx *bbolt.Tx) error { return loadTx(tx, &m, &c) }) })
+	var stored storedLedger
+	err = guard(func() error { return db.View(func(tx *bbolt.Tx) error { return loadTx(tx, &m, &stored) }) })
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", path, err)
 	}
-	l, log, err := replay(dir, ledger.Limits{Rows: 1 << 30, Open: 1 << 30, Flight: 1 << 12}, m, c, false)
+	l, log, err := replay(dir, ledger.Limits{Rows: 1 << 30, Open: 1 << 30, RecentPostings: 1 << 12}, m, stored, false)
 	if err != nil {
 		return nil, err
 	}
 	return &View{m.Node, m.Role, m.Incarnation, m.Names, l, log.postings, log.notes, m.First, m.Seq}, nil
 }
 
-// Records hands the records for export behind a number on, in their order.
+// Records calls f with the records for export whose numbers are greater than after, in order. It stops at an error of f.
 func Records(dir string, after uint64, f func(line []byte, r statement.Record) error) error {
 	path := filepath.Join(dir, dbName)
-	db, err := open(path, &bbolt.Options{Timeout: openTime, ReadOnly: true})
+	db, err := open(path, &bbolt.Options{Timeout: defaultOpenTimeout, ReadOnly: true})
 	if err != nil {
 		return fmt.Errorf("%s: %w", path, err)
 	}
--- a/internal/ledger/store/store_test.go
+++ b/internal/ledger/store/store_test.go
@@ -26,53 +26,57 @@
 
 func options(dir string) Options {
 	return Options{Dir: dir, Node: "n0", Role: statement.Gateway, SegmentBytes: 16 << 10, Segments: 8, Records: 1 << 20,
-		Limits: ledger.Limits{Rows: 1000, Open: 1000, Flight: 64}, Log: zap.NewNop(), Wait: 50 * time.Millisecond}
+		Limits: ledger.Limits{Rows: 1000, Open: 1000, RecentPostings: 64}, Log: zap.NewNop(), OpenTimeout: 50 * time.Millisecond}
 }
 
-// books are a ledger and its store, as a recorder holds them.
-type books struct {
+// testLedger is a ledger with its store, used as a recorder uses them.
+type testLedger struct {
 	t *testing.T
 	*Store
-	l *ledger.Ledger
+	ledger *ledger.Ledger
 }
 
-func opened(t *testing.T, o Options) (*books, *Recovered) {
+// openTestLedger opens the store of a folder and returns it with its ledger.
+func openTestLedger(t *testing.T, o Options) (*testLedger, *Recovered) {
 	t.Helper()
 	s, l, _, found, err := Open(o)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &books{t, s, l}, found
+	return &testLedger{t, s, l}, found
 }
 
-func (b *books) post(p ledger.Posting) {
+// post adds a posting to the ledger and appends it to the log.
+func (l *testLedger) post(p ledger.Posting) {
 	p.At = 1
-	b.l.Post(p)
-	b.Append(p)
+	l.ledger.Post(p)
+	l.Append(p)
 }
 
-func (b *books) cut() {
-	b.Mark()
-	b.Cut(b.l.Statement())
+// stageStatement ends a period and stages its statement.
+func (l *testLedger) stageStatement() {
+	l.EndPeriod()
+	l.Stage(l.ledger.Statement())
 }
 
-func (b *books) state() error {
-	b.cut()
-	return b.Commit(names)
+// commitStatement stages a statement and commits it.
+func (l *testLedger) commitStatement() error {
+	l.stageStatement()
+	return l.Commit(names)
 }
 
-// ready waits for the segment that is made ahead: with the disk well there is one before long.
-func (b *books) ready() {
+// waitForSpare waits up to 1 s for a spare segment, which a working disk soon provides.
+func (l *testLedger) waitForSpare() {
 	for range 1000 {
-		if len(b.spares) > 0 {
+		if len(l.spareSegments) > 0 {
 			return
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// killed copies a folder as a SIGKILL at this moment would leave it.
-func killed(t *testing.T, dir string) string {
+// copyFolder copies a folder in the state in which a SIGKILL of the process would leave it now.
+func copyFolder(t *testing.T, dir string) string {
 	t.Helper()
 	to := t.TempDir()
 	entries, _ := os.ReadDir(dir)
@@ -88,15 +92,16 @@
 	return to
 }
 
-// addUp checks that a ledger adds up with nothing open, and that its export adds up to it, each record once.
-func addUp(t *testing.T, dir string, l *ledger.Ledger) {
+// requireBalanced fails the test unless the ledger balances with nothing open, and the records of the folder form a chain and add
+// up to the ledger.
+func requireBalanced(t *testing.T, dir string, l *ledger.Ledger) {
 	t.Helper()
-	if found := l.Audit(true); len(found) > 0 || l.Open() > 0 {
-		t.Fatalf("%v, %d open", found, l.Open())
+	if found := l.Audit(true); len(found) > 0 || l.OpenCount() > 0 {
+		t.Fatalf("mismatches %v, %d entries open, expected none", found, l.OpenCount())
 	}
 	total := l.Total()
 	if total.N[ledger.FrontTaken] != total.Ended() {
-		t.Fatalf("%d taken, %d ended", total.N[ledger.FrontTaken], total.Ended())
+		t.Fatalf("%d requests taken, %d ended", total.N[ledger.FrontTaken], total.Ended())
 	}
 	var stated ledger.Counts
 	var chain statement.Chain
@@ -112,60 +117,61 @@
 		t.Fatal(err)
 	}
 	if stated != total {
-		t.Fatalf("exported %d taken, %d served; in the books %d, %d", stated.N[ledger.FrontTaken],
+		t.Fatalf("the records add up to %d requests taken and %d served, the ledger to %d and %d", stated.N[ledger.FrontTaken],
 			stated.N[ledger.FrontServed], total.N[ledger.FrontTaken], total.N[ledger.FrontServed])
 	}
 }
 
-// 200 kills: at any posting, in the middle of a record, and of a statement; then again during the repair. Nothing that
-// was posted is lost, what was open is closed, and no record comes twice.
-func TestKills(t *testing.T) {
+// Guards against postings that a kill of the process loses or repeats. Each of ten runs is killed 20 times, 200 in all: between
+// any two postings, during the write of a record, between staging and commit, and again during the repair. No posting may be
+// lost, all open entries are closed, and no record for export appears twice.
+func TestKillLosesNothing(t *testing.T) {
 	for seed := range uint64(10) {
 		r := rand.New(rand.NewPCG(seed, 9))
 		dir := t.TempDir()
-		b, _ := opened(t, options(dir))
-		if err := b.state(); err != nil {
+		l, _ := openTestLedger(t, options(dir))
+		if err := l.commitStatement(); err != nil {
 			t.Fatal(err)
 		}
 		var taken uint64
 		kill := func(torn bool) {
-			copied := killed(t, dir)
-			if torn { // the record that was being written is there in part
-				path := filepath.Join(copied, filepath.Base(b.current.path))
+			copied := copyFolder(t, dir)
+			if torn { // the record that was being written is incomplete
+				path := filepath.Join(copied, filepath.Base(l.current.path))
 				f, err := os.ReadFile(path)
 				if err != nil {
 					t.Fatal(err)
 				}
-				// Its fields are written one behind another, and the checksum last.
+				// The fields of a record are written in order, and the checksum last.
 				rec := make([]byte, recordSize)
-				encode(rec, b.current.number, uint32(b.current.at), ledger.Posting{Event: ledger.FrontTaken, Ref: 1 << 40, At: 1})
-				copy(f[headSize+b.current.at*recordSize+4:], rec[4:8+r.IntN(recordSize-8+1)])
+				encode(rec, l.current.number, uint32(l.current.written), ledger.Posting{Event: ledger.FrontTaken, Ref: 1 << 40, At: 1})
+				copy(f[headerSize+l.current.written*recordSize+4:], rec[4:8+r.IntN(recordSize-8+1)])
 				os.WriteFile(path, f, 0o600)
 			}
-			if r.IntN(2) == 0 { // killed again while it is repaired
-				again, _ := opened(t, options(copied))
-				again.cut()
-				copied = killed(t, copied)
+			if r.IntN(2) == 0 { // the process is killed again during the repair
+				again, _ := openTestLedger(t, options(copied))
+				again.stageStatement()
+				copied = copyFolder(t, copied)
 				again.Close()
 			}
-			after, found := opened(t, options(copied))
+			after, found := openTestLedger(t, options(copied))
 			defer after.Close()
 			if len(found.Notes) > 0 {
-				t.Fatalf("seed %d: %v", seed, found.Notes)
+				t.Fatalf("seed %d: the repair reported %v, expected nothing", seed, found.Notes)
 			}
-			total := after.l.Total()
+			total := after.ledger.Total()
 			if total.N[ledger.FrontTaken] != taken {
-				t.Fatalf("seed %d: %d taken are known after the kill, of %d", seed, total.N[ledger.FrontTaken], taken)
+				t.Fatalf("seed %d: the ledger has %d requests taken after the kill, expected %d", seed, total.N[ledger.FrontTaken], taken)
 			}
-			if err := after.state(); err != nil {
+			if err := after.commitStatement(); err != nil {
 				t.Fatal(err)
 			}
-			addUp(t, copied, after.l)
+			requireBalanced(t, copied, after.ledger)
 		}
 		n, kills := 0, 0
-		ledgertest.Storm(seed, 400, 30, func(p ledger.Posting) {
-			b.ready()
-			b.post(p)
+		ledgertest.RandomPostings(seed, 400, 30, func(p ledger.Posting) {
+			l.waitForSpare()
+			l.post(p)
 			if p.Event == ledger.FrontTaken {
 				taken++
 			}
@@ -174,13 +180,13 @@
 			case r.IntN(90) == 0 && kills < 18:
 				kills++
 				kill(r.IntN(2) == 0)
-			case r.IntN(200) == 0: // cut, and not yet committed; then committed
-				b.cut()
+			case r.IntN(200) == 0: // killed between staging and commit
+				l.stageStatement()
 				if kills < 19 {
 					kills++
 					kill(false)
 				}
-				if err := b.Commit(names); err != nil {
+				if err := l.Commit(names); err != nil {
 					t.Fatal(err)
 				}
 			}
@@ -188,119 +194,121 @@
 		for ; kills < 20; kills++ {
 			kill(kills%2 == 0)
 		}
-		if err := b.state(); err != nil {
+		if err := l.commitStatement(); err != nil {
 			t.Fatal(err)
 		}
-		addUp(t, dir, b.l)
-		b.Close()
+		requireBalanced(t, dir, l.ledger)
+		l.Close()
 	}
 }
 
-// failing is a disk that has no room while full is set.
-type failing struct {
-	disk
+// failingFiles can't create files while full is set, as on a full disk.
+type failingFiles struct {
+	diskFiles
 	full atomic.Bool
 }
 
-func (f *failing) Create(path string, size int) ([]byte, error) {
+func (f *failingFiles) Create(path string, size int) ([]byte, error) {
 	if f.full.Load() {
 		return nil, &os.PathError{Op: "create", Path: path, Err: syscall.ENOSPC}
 	}
-	return f.disk.Create(path, size)
+	return f.diskFiles.Create(path, size)
 }
 
-// A disk that is full, and a store that can't be written: the books go on in memory, the log breaks off with a mark and
-// is taken up again, a crash meanwhile leaves figures that add up and says what was not kept, and afterwards all is there.
+// Guards against lost or contradictory figures with a full disk and an embedded store that a reader has locked. The ledger must
+// go on in memory while the log breaks off; a crash in this state must give a ledger that balances and a note on what was lost;
+// and once there is room, the log must resume so that a crash loses nothing.
 func TestDiskFull(t *testing.T) {
 	dir := t.TempDir()
 	o := options(dir)
-	files := &failing{}
+	files := &failingFiles{}
 	o.Files = files
-	b, _ := opened(t, o)
-	defer b.Close()
-	if err := b.state(); err != nil {
+	l, _ := openTestLedger(t, o)
+	defer l.Close()
+	if err := l.commitStatement(); err != nil {
 		t.Fatal(err)
 	}
 	reader, err := bbolt.Open(filepath.Join(dir, dbName), 0o600, &bbolt.Options{ReadOnly: true})
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.ready()
+	l.waitForSpare()
 	files.full.Store(true)
 	var taken uint64
-	flood := func(seed uint64) {
-		ledgertest.Storm(seed, 400, 30, func(p ledger.Posting) {
+	postMany := func(seed uint64) {
+		ledgertest.RandomPostings(seed, 400, 30, func(p ledger.Posting) {
 			if !files.full.Load() {
-				b.ready()
+				l.waitForSpare()
 			}
 			p.Ref += seed << 32
-			b.post(p)
+			l.post(p)
 			if p.Event == ledger.FrontTaken {
 				taken++
 			}
 		})
 	}
-	flood(1)
-	if b.LogIntact() {
-		t.Fatal("more was kept than there is room for")
+	postMany(1)
+	if l.LogIntact() {
+		t.Fatal("the log is reported intact, with more postings than its segments hold")
 	}
-	if err := b.state(); !errors.Is(err, bbolterrors.ErrTimeout) {
-		t.Fatalf("a statement to a store that is held: %v", err)
+	if err := l.commitStatement(); !errors.Is(err, bbolterrors.ErrTimeout) {
+		t.Fatalf("a statement to a locked store: got error %v, expected a timeout", err)
 	}
-	flood(2)
-	copied := killed(t, dir)
-	after, found := opened(t, options(copied))
+	postMany(2)
+	copied := copyFolder(t, dir)
+	after, found := openTestLedger(t, options(copied))
 	if notes := strings.Join(found.Notes, "; "); !strings.Contains(notes, "was not kept") {
-		t.Errorf("after a crash with a full disk it says %q", notes)
+		t.Errorf("after a crash with a full disk the notes are %q", notes)
 	}
-	if err := after.state(); err != nil {
+	if err := after.commitStatement(); err != nil {
 		t.Fatal(err)
 	}
-	addUp(t, copied, after.l)
+	requireBalanced(t, copied, after.ledger)
 	after.Close()
 
 	files.full.Store(false)
 	reader.Close()
-	for range 2 { // the first makes room for the log, the second takes it up
-		if err := b.state(); err != nil {
+	for range 2 { // the first statement makes room for the log, the second resumes it
+		if err := l.commitStatement(); err != nil {
 			t.Fatal(err)
 		}
-		b.ready()
+		l.waitForSpare()
 	}
-	if !b.LogIntact() {
-		t.Fatal("with room on the disk, the log is not taken up")
+	if !l.LogIntact() {
+		t.Fatal("the log did not resume with room on the disk")
 	}
-	flood(3)
-	copied = killed(t, dir)
-	after, found = opened(t, options(copied))
+	postMany(3)
+	copied = copyFolder(t, dir)
+	after, found = openTestLedger(t, options(copied))
 	defer after.Close()
-	if total := after.l.Total(); total.N[ledger.FrontTaken] != taken || len(found.Notes) > 0 {
-		t.Errorf("%d taken are known, of %d; %v", total.N[ledger.FrontTaken], taken, found.Notes)
+	if total := after.ledger.Total(); total.N[ledger.FrontTaken] != taken || len(found.Notes) > 0 {
+		t.Errorf("the ledger has %d requests taken after the kill, expected %d; notes %v", total.N[ledger.FrontTaken], taken, found.Notes)
 	}
-	if err := after.state(); err != nil {
+	if err := after.commitStatement(); err != nil {
 		t.Fatal(err)
 	}
-	addUp(t, copied, after.l)
+	requireBalanced(t, copied, after.ledger)
 }
 
-// What is torn or corrupt is found, set aside and said, and the next books begin at nothing or at what can be trusted.
-func TestCorruption(t *testing.T) {
+// Guards against corrupt files that are read as figures. Damage to any file must be reported in a note, a corrupt embedded store
+// must be set aside, and the restored ledger must balance, from the start or from the last valid record.
+func TestCorruptFilesAreReported(t *testing.T) {
 	dir := t.TempDir()
-	b, _ := opened(t, options(dir))
-	if err := b.state(); err != nil {
+	l, _ := openTestLedger(t, options(dir))
+	if err := l.commitStatement(); err != nil {
 		t.Fatal(err)
 	}
 	post := func(p ledger.Posting) {
-		b.ready()
-		b.post(p)
+		l.waitForSpare()
+		l.post(p)
 	}
-	ledgertest.Storm(3, 300, 20, post)
-	if err := b.state(); err != nil {
+	ledgertest.RandomPostings(3, 300, 20, post)
+	if err := l.commitStatement(); err != nil {
 		t.Fatal(err)
 	}
-	ledgertest.Storm(4, 100, 20, post)
-	total := b.l.Total()
-	spoil := func(dir, name string, at func(size int) int, with string) {
+	ledgertest.RandomPostings(4, 100, 20, post)
+	total := l.ledger.Total()
+	corruptFile := func(dir, name string, at func(size int) int, with string) {
 		path := filepath.Join(dir, name)
 		f, err := os.ReadFile(path)
 		if err != nil {
@@ -313,80 +321,83 @@
 		}
 		os.WriteFile(path, f, 0o600)
 	}
-	row := func(dir string) func(int) int { // where some customer's row begins in the store
+	row := func(dir string) func(int) int { // offset in the value of a customer's row
 		f, _ := os.ReadFile(filepath.Join(dir, dbName))
-		i := bytes.LastIndex(f, rowKey(b.l.Lines()[9].Key))
+		i := bytes.LastIndex(f, rowKey(l.ledger.Lines()[9].Key))
 		return func(int) int { return i + 14 }
 	}
-	wal := filepath.Base(b.current.path)
+	wal := filepath.Base(l.current.path)
 	for what, c := range map[string]struct {
-		do    func(dir string)
-		aside bool
-		least uint64 // taken that are still known
+		do       func(dir string)
+		setAside bool
+		minTaken uint64 // minimum of requests taken that the restored ledger has
 	}{
-		"a row":                {func(dir string) { spoil(dir, dbName, row(dir), "~~~~") }, true, 0},
-		"both heads":           {func(dir string) { spoil(dir, dbName, func(int) int { return 0 }, strings.Repeat("~", 8192)) }, true, 0},
-		"a store cut short":    {func(dir string) { spoil(dir, dbName, func(int) int { return 9000 }, "") }, true, 0},
-		"the middle of a log":  {func(dir string) { spoil(dir, wal, func(int) int { return headSize + 50*recordSize + 17 }, "~~~") }, false, 200},
-		"the head of a log":    {func(dir string) { spoil(dir, wal, func(int) int { return 3 }, "~~~") }, false, 200},
-		"a log cut short":      {func(dir string) { spoil(dir, wal, func(int) int { return 20 }, "") }, false, 200},
-		"a store of no length": {func(dir string) { spoil(dir, dbName, func(int) int { return 100 }, "") }, true, 0},
+		"a row":             {func(dir string) { corruptFile(dir, dbName, row(dir), "~~~~") }, true, 0},
+		"both heads":        {func(dir string) { corruptFile(dir, dbName, func(int) int { return 0 }, strings.Repeat("~", 8192)) }, true, 0},
+		"a store cut short": {func(dir string) { corruptFile(dir, dbName, func(int) int { return 9000 }, "") }, true, 0},
+		"the middle of a log": {func(dir string) {
+			corruptFile(dir, wal, func(int) int { return headerSize + 50*recordSize + 17 }, "~~~")
+		}, false, 200},
+		"the head of a log":    {func(dir string) { corruptFile(dir, wal, func(int) int { return 3 }, "~~~") }, false, 200},
+		"a log cut short":      {func(dir string) { corruptFile(dir, wal, func(int) int { return 20 }, "") }, false, 200},
+		"a store of no length": {func(dir string) { corruptFile(dir, dbName, func(int) int { return 100 }, "") }, true, 0},
 	} {
 		t.Run(what, func(t *testing.T) {
-			copied := killed(t, dir)
+			copied := copyFolder(t, dir)
 			c.do(copied)
-			after, found := opened(t, options(copied))
+			after, found := openTestLedger(t, options(copied))
 			defer after.Close()
 			if len(found.Notes) == 0 {
-				t.Error("nothing is said")
+				t.Error("the damage is not reported in a note")
 			}
 			bad, _ := filepath.Glob(filepath.Join(copied, dbName+".bad-*"))
-			if c.aside != (len(bad) == 1) {
-				t.Errorf("set aside: %v", bad)
+			if c.setAside != (len(bad) == 1) {
+				t.Errorf("files set aside: %v", bad)
 			}
-			got := after.l.Total()
-			if n := got.N[ledger.FrontTaken]; n < c.least || n > total.N[ledger.FrontTaken] {
-				t.Errorf("%d taken are known", n)
+			got := after.ledger.Total()
+			if n := got.N[ledger.FrontTaken]; n < c.minTaken || n > total.N[ledger.FrontTaken] {
+				t.Errorf("the ledger has %d requests taken", n)
 			}
-			if err := after.state(); err != nil {
+			if err := after.commitStatement(); err != nil {
 				t.Fatal(err)
 			}
-			addUp(t, copied, after.l)
+			requireBalanced(t, copied, after.ledger)
 		})
 	}
 	if _, _, _, _, err := Open(options(dir)); !errors.Is(err, ErrInUse) {
 		t.Errorf("a second gateway on the same folder: %v", err)
 	}
-	b.Close()
+	l.Close()
 }
 
-// The end of a segment is lost, as a crash of the machine may lose it, or as a reader that came too early does not see
-// it, and the next segment is there: nothing of that is counted, and the figures add up.
+// Guards against replaying a segment after a hole. The end of a segment is missing and the next one is present, as after a crash
+// of the machine, or for a reader that read the segment before it was full. The next segment must not be replayed, and the ledger
+// must balance.
 func TestHoleBetweenSegments(t *testing.T) {
 	dir := t.TempDir()
-	b, _ := opened(t, options(dir))
-	defer b.Close()
-	if err := b.state(); err != nil {
+	l, _ := openTestLedger(t, options(dir))
+	defer l.Close()
+	if err := l.commitStatement(); err != nil {
 		t.Fatal(err)
 	}
-	first := filepath.Base(b.current.path)
+	first := filepath.Base(l.current.path)
 	n := 0
-	ledgertest.Storm(6, 300, 20, func(p ledger.Posting) {
-		b.ready()
-		b.post(p)
+	ledgertest.RandomPostings(6, 300, 20, func(p ledger.Posting) {
+		l.waitForSpare()
+		l.post(p)
 		n++
 	})
-	if filepath.Base(b.current.path) == first {
-		t.Fatalf("%d postings fill no segment", n)
+	if filepath.Base(l.current.path) == first {
+		t.Fatalf("%d postings did not fill a segment", n)
 	}
 	for _, lost := range []int{1, 7, 100} {
-		copied := killed(t, dir)
+		copied := copyFolder(t, dir)
 		path := filepath.Join(copied, first)
 		f, err := os.ReadFile(path)
 		if err != nil {
 			t.Fatal(err)
 		}
-		end := headSize + b.current.capacity*recordSize // the last place is for the mark of a gap
+		end := headerSize + l.current.capacity*recordSize // the last record is reserved for the mark of a gap
 		clear(f[end-lost*recordSize : end])
 		os.WriteFile(path, f, 0o600)
 		v, err := Read(copied)
@@ -394,57 +405,58 @@
 			t.Fatal(err)
 		}
 		if found := v.Ledger.Audit(true); len(found) > 0 {
-			t.Errorf("%d records are lost: %v", lost, found)
+			t.Errorf("with %d records lost, the ledger has mismatches: %v", lost, found)
 		}
-		after, found := opened(t, options(copied))
+		after, found := openTestLedger(t, options(copied))
 		if notes := strings.Join(found.Notes, "; "); !strings.Contains(notes, "behind the break were not trusted") {
-			t.Errorf("%d records are lost, and it says %q", lost, notes)
+			t.Errorf("with %d records lost, the notes are %q", lost, notes)
 		}
-		if err := after.state(); err != nil {
+		if err := after.commitStatement(); err != nil {
 			t.Fatal(err)
 		}
-		addUp(t, copied, after.l)
+		requireBalanced(t, copied, after.ledger)
 		after.Close()
 	}
 }
 
-// A reader beside a gateway at work sees what was posted up to then, and records beyond the bound are gone.
-func TestReadBeside(t *testing.T) {
+// Guards against readers that see a stale or torn state while a gateway writes: Read must return all postings so far. It also
+// checks that only the newest records, up to the limit, remain.
+func TestReadWhileWriting(t *testing.T) {
 	o := options(t.TempDir())
 	o.Records = 50
-	b, _ := opened(t, o)
-	defer b.Close()
-	if err := b.state(); err != nil {
+	l, _ := openTestLedger(t, o)
+	defer l.Close()
+	if err := l.commitStatement(); err != nil {
 		t.Fatal(err)
 	}
 	n := 0
-	ledgertest.Storm(5, 300, 20, func(p ledger.Posting) {
-		b.ready()
-		b.post(p)
+	ledgertest.RandomPostings(5, 300, 20, func(p ledger.Posting) {
+		l.waitForSpare()
+		l.post(p)
 		if n++; n%200 != 0 {
 			return
 		}
 		v, err := Read(o.Dir)
-		if err != nil || v.Ledger.Total() != b.l.Total() || v.Ledger.Open() != b.l.Open() {
-			t.Fatalf("after %d postings: %v", n, err)
+		if err != nil || v.Ledger.Total() != l.ledger.Total() || v.Ledger.OpenCount() != l.ledger.OpenCount() {
+			t.Fatalf("after %d postings, Read returned error %v or a different ledger", n, err)
 		}
 		if found := v.Ledger.Audit(true); len(found) > 0 {
 			t.Fatal(found)
 		}
-		if err := b.state(); err != nil {
+		if err := l.commitStatement(); err != nil {
 			t.Fatal(err)
 		}
 	})
 	v, err := Read(o.Dir)
 	if err != nil || v.Last-v.First != 49 {
-		t.Errorf("records %d to %d, %v", v.First, v.Last, err)
+		t.Errorf("the records are %d to %d, expected 50; error %v", v.First, v.Last, err)
 	}
 	if fmt.Sprint(v.Names) != fmt.Sprint(names) {
-		t.Errorf("names %v", v.Names)
+		t.Errorf("the names are %v", v.Names)
 	}
 }
 
-// Ways to make a posting last, as docs/design/ledger.md weighs them.
+// BenchmarkKeep compares ways to make a posting durable, which docs/design/ledger.md discusses.
 func BenchmarkKeep(b *testing.B) {
 	p := ledger.Posting{Event: ledger.FrontTaken, Key: ledger.Key{Customer: 7}, Ref: 1, Units: 1e6, At: 1}
 	b.Run("mapped log", func(b *testing.B) {
@@ -456,11 +468,11 @@
 		}
 		defer s.Close()
 		for i := 0; b.Loop(); i++ {
-			if i%80000 == 0 { // as a statement does in time
+			if i%80000 == 0 { // often enough that the log does not fill up
 				b.StopTimer()
 				time.Sleep(5 * time.Millisecond)
-				s.Mark()
-				s.Cut(ledger.Statement{})
+				s.EndPeriod()
+				s.Stage(ledger.Statement{})
 				if err := s.Commit(names); err != nil {
 					b.Fatal(err)
 				}
