--- a/cmd/dewhitch/fleet.go
+++ b/cmd/dewhitch/fleet.go
@@ -122,7 +122,7 @@
 			if err := g.planner.ApplyFleetPlan(plan); err != nil {
 				return nil // the planner has stopped
 			}
-			g.fleetAgent.Applied(decisions.Withdrawn)
+			g.fleetAgent.WithdrawalsApplied(decisions.Withdrawn)
 			firstPlan.Do(func() { close(g.firstPlanApplied) })
 		}
 	}
--- a/cmd/dewhitch/maintenance_command.go
+++ b/cmd/dewhitch/maintenance_command.go
@@ -102,8 +102,8 @@
 }
 
 func printForecast(f maintenance.Forecast) {
-	for _, turn := range f.Turns {
-		fmt.Printf("%s  free after %v, proven after %v\n", turn.Name, turn.Free, turn.Done)
+	for _, step := range f.Steps {
+		fmt.Printf("%s  free after %v, proven after %v\n", step.Name, step.Free, step.Done)
 	}
 	for _, machine := range f.Stuck {
 		fmt.Println("never:", machine)
@@ -132,7 +132,7 @@
 	return o.post("work-"+k.Selected().Name, url.Values{"id": {fmt.Sprint(o.ID)}})
 }
 
-// workGone reports gateways that will not return, so that no turn waits for them.
+// workGone reports gateways that will not return, so that the fleet does not wait for them.
 type workGone struct {
 	operatorReason
 	Names []string `arg:"" help:"Gateways by name."`
--- a/internal/fleet/maintenance/evidence.go
+++ b/internal/fleet/maintenance/evidence.go
@@ -2,81 +2,82 @@
 
 import "time"
 
-// Bounds of the evidence.
+// Limits on the evidence of health and load.
 const (
-	healthSpan = 4 * time.Second         // of samples that are kept of a server
-	lateAnswer = 1200 * time.Millisecond // that a server in slow start may take to answer
-	maxTracked = 1024                    // servers with samples
-	loadSpan   = time.Hour               // for which the highest load is remembered
-	loadBucket = time.Minute
+	healthSpan        = 4 * time.Second         // age up to which a server's samples are kept
+	lateAnswerDelay   = 1200 * time.Millisecond // time that a server in slow start may take to answer
+	maxTrackedServers = 1024                    // limit on the servers with samples
+	loadSpan          = time.Hour               // age up to which peak loads are kept
+	loadBucket        = time.Minute             // period for which one peak load is kept
 )
 
-// sample is what one load report says of a server, in attempts.
+// sample holds one gateway's attempts to a server, from one load report.
 type sample struct {
-	at     time.Duration
-	served uint64
-	failed uint64
-	silent uint64 // without an answer for longer than other attempts take
-	late   uint64 // silent in this report or an earlier one, and served after all
+	at           time.Duration // arrival time of the report
+	served       uint64
+	failed       uint64
+	timedOut     uint64 // number of attempts without an answer for much longer than usual
+	answeredLate uint64 // number of attempts served after they were counted in timedOut, by this report or an earlier one
 }
 
-// load is the highest rate of a server in use in one loadBucket in which no server rejected any request.
-type load struct {
+// peakLoad is the highest load of a server in use within one loadBucket, while no server rejected requests and all zones were in service.
+type peakLoad struct {
 	at   time.Duration // start of the bucket
 	rate float64       // attempts a second
 }
 
-// Observe adds the attempts of one gateway to a server since its last report: served, failed, silent (without an answer for longer than
-// others take) and late (served after they had been silent). now must not decrease.
-func (s *Scheduler) Observe(now time.Duration, server string, served, failed, silent, late uint64) {
-	if served+failed+silent+late == 0 {
+// Observe adds the attempts of one gateway to a server since the gateway's last report. timedOut counts attempts without an answer for
+// much longer than usual, answeredLate those served after they were counted in timedOut. now must not decrease.
+func (s *Scheduler) Observe(now time.Duration, server string, served, failed, timedOut, answeredLate uint64) {
+	if served+failed+timedOut+answeredLate == 0 {
 		return
 	}
-	list := append(s.health[server], sample{now, served, failed, silent, late})
-	for len(list) > 0 && now-list[0].at > healthSpan {
-		list = list[1:]
+	samples := append(s.samples[server], sample{now, served, failed, timedOut, answeredLate})
+	for len(samples) > 0 && now-samples[0].at > healthSpan {
+		samples = samples[1:]
 	}
-	s.health[server] = list
-	if len(s.health) > maxTracked {
-		clear(s.health) // servers get new names all day; those in use are observed again at once
+	s.samples[server] = samples
+	if len(s.samples) > maxTrackedServers {
+		clear(s.samples) // servers are continually replaced under new names; those in use are observed again at once
 	}
 }
 
-// healthSince adds up the attempts to a server since a time within healthSpan. A server in slow start answers later than others:
-// a silent attempt counts as failed only after lateAnswer, and not if it was served late.
+// healthSince returns the sums of the attempts to a server since a time within healthSpan. A server in slow start answers later than
+// others, so a timed-out attempt counts as failed only after lateAnswerDelay, and not if it was answered late.
 func (s *Scheduler) healthSince(server string, now, since time.Duration) (served, failed uint64) {
-	silent, late := uint64(0), uint64(0)
-	for _, v := range s.health[server] {
-		if v.at < since {
+	timedOut, answeredLate := uint64(0), uint64(0)
+	for _, report := range s.samples[server] {
+		if report.at < since {
 			continue
 		}
-		served += v.served + v.late
-		failed += v.failed
-		late += v.late
-		if now-v.at >= lateAnswer {
-			silent += v.silent
+		served += report.served + report.answeredLate
+		failed += report.failed
+		answeredLate += report.answeredLate
+		if now-report.at >= lateAnswerDelay {
+			timedOut += report.timedOut
 		}
 	}
-	return served, failed + silent - min(silent, late)
+	return served, failed + timedOut - min(timedOut, answeredLate)
 }
 
-// recordLoad remembers the load of a server in use, in attempts a second, while the fleet is faultless.
+// recordLoad updates the peak load with the current load of a server in use, in attempts a second, if the fleet is faultless. It drops
+// peak loads older than loadSpan.
 func (s *Scheduler) recordLoad(now time.Duration, rate float64, faultless bool) {
 	if faultless {
-		if n := len(s.loads); n == 0 || now-s.loads[n-1].at >= loadBucket {
-			s.loads = append(s.loads, load{at: now})
+		if n := len(s.peakLoads); n == 0 || now-s.peakLoads[n-1].at >= loadBucket {
+			s.peakLoads = append(s.peakLoads, peakLoad{at: now})
 		}
-		last := &s.loads[len(s.loads)-1]
+		last := &s.peakLoads[len(s.peakLoads)-1]
 		last.rate = max(last.rate, rate)
 	}
-	for len(s.loads) > 0 && now-s.loads[0].at > loadSpan {
-		s.loads = s.loads[1:]
+	for len(s.peakLoads) > 0 && now-s.peakLoads[0].at > loadSpan {
+		s.peakLoads = s.peakLoads[1:]
 	}
 }
 
-// maxLoad is the highest load that servers bore within loadSpan, in attempts a second of each.
+// maxLoad returns the highest load that servers have handled within loadSpan, in attempts a second per server.
 func (s *Scheduler) maxLoad() (rate float64) {
-	for _, l := range s.loads {
+	for _, l := range s.peakLoads {
 		rate = max(rate, l.rate)
 	}
 	return rate
