--- a/cmd/dewhitch/fleet_command.go
+++ b/cmd/dewhitch/fleet_command.go
@@ -20,7 +20,7 @@
 	"dewhitch/internal/fleet/evacuation"
 )
 
-// fleetCmd calls a member of a fleet through its operators' listener. The fields' names are those of the commands and flags.
+// fleetCmd calls a member of a fleet through its operators' listener. kong names the commands and flags by the fields.
 type fleetCmd struct {
 	At string `help:"The operators' listener of any member, host:port; operator.listen of the operators' file if none is named."`
 
@@ -33,22 +33,22 @@
 	Work   workCmd     `cmd:"" help:"Machines out for work, in an order that the fleet settles."`
 }
 
-// Bounds of a call to a member.
+// Limits of a call to a member.
 const (
 	callTimeout   = 15 * time.Second
-	maxAnswerSize = 16 << 20 // bytes
+	maxAnswerSize = 16 << 20 // maximum size of an answer, in bytes
 )
 
-// memberError is a call that a member answered with an error.
+// memberError reports that a member answered a call with an HTTP status other than OK.
 type memberError struct {
-	address string
-	status  int    // of HTTP
-	text    string // for operators
+	address string // operators' listener of the member
+	status  int    // HTTP status
+	message string // the answer's text, for operators
 }
 
-func (e *memberError) Error() string { return e.address + ": " + e.text }
+func (e *memberError) Error() string { return e.address + ": " + e.message }
 
-// address is the operators' listener to call: that of the flag, or that of the operators' file.
+// address returns the address of the operators' listener to call: that of the flag, or else that of the operators' file.
 func (c *fleetCmd) address() (string, error) {
 	if c.At != "" {
 		return c.At, nil
@@ -63,92 +63,93 @@
 	return o.Operator.Listen, nil
 }
 
-// call sends a form to a member and returns the body of its answer. The error is a *memberError if the member answered with another
-// status than OK; the body is returned as well.
+// call sends a form to a member and returns the body of its answer. If the member answers with a status other than OK, call
+// returns the body and a *memberError.
 func (c *fleetCmd) call(method, path string, form url.Values) ([]byte, error) {
 	address, err := c.address()
 	if err != nil {
 		return nil, err
 	}
-	ctx, stop := context.WithTimeout(context.Background(), callTimeout)
-	defer stop()
+	ctx, cancel := context.WithTimeout(context.Background(), callTimeout)
+	defer cancel()
 	request, err := http.NewRequestWithContext(ctx, method, "http://"+address+path, strings.NewReader(form.Encode()))
 	if err != nil {
 		return nil, err
 	}
 	request.Header.Set("Content-Type", "application/x-www-form-urlencoded")
-	answer, err := http.DefaultClient.Do(request)
+	response, err := http.DefaultClient.Do(request)
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(io.LimitReader(answer.Body, maxAnswerSize))
-	if err == nil && answer.StatusCode != http.StatusOK {
-		err = &memberError{address: address, status: answer.StatusCode, text: strings.TrimSpace(string(text))}
+	defer response.Body.Close()
+	body, err := io.ReadAll(io.LimitReader(response.Body, maxAnswerSize))
+	if err == nil && response.StatusCode != http.StatusOK {
+		err = &memberError{address: address, status: response.StatusCode, message: strings.TrimSpace(string(body))}
 	}
-	return text, err
+	return body, err
 }
 
-// read decodes a page of a member into v, or prints it as it is if raw; done tells that it was printed.
-func (c *fleetCmd) read(page string, raw bool, v any) (done bool, err error) {
-	text, err := c.call(http.MethodGet, page, nil)
+// readPage decodes a JSON page of a member into target or, if raw is true, prints it unchanged. printed is true if the page was
+// printed.
+func (c *fleetCmd) readPage(path string, raw bool, target any) (printed bool, err error) {
+	body, err := c.call(http.MethodGet, path, nil)
 	if err != nil {
 		return false, err
 	}
 	if raw {
-		_, err = os.Stdout.Write(text)
+		_, err = os.Stdout.Write(body)
 		return true, err
 	}
-	return false, json.Unmarshal(text, v)
+	return false, json.Unmarshal(body, target)
 }
 
-// fleetStatus prints the fleet as a member sees it.
+// fleetStatus prints the status of the fleet as known to one member.
 type fleetStatus struct {
 	JSON bool `help:"As JSON."`
 }
 
 func (s fleetStatus) Run() error {
-	var v agent.Status
-	if done, err := cli.Members.read("/fleet", s.JSON, &v); done || err != nil {
+	var status agent.Status
+	if printed, err := cli.Members.readPage("/fleet", s.JSON, &status); printed || err != nil {
 		return err
 	}
 	quorum := "fresh: a leader with a quorum said so within the lease"
-	if !v.Quorum {
+	if !status.Quorum {
 		quorum = "OLD: nothing is settled, the last plan holds"
 	}
-	fmt.Printf("fleet %s, as %s sees it; plan %v, %s; leader %s, heard %d ms ago; folder: %s\n", v.Fleet, v.Name, v.Epoch, quorum, v.Leader,
-		v.LeaderAge, v.Folder)
-	if v.Frozen != nil {
-		fmt.Printf("frozen by %s since %s: %s\n", v.Frozen.By, time.UnixMilli(v.Frozen.At).Format(time.RFC3339), v.Frozen.Reason)
+	fmt.Printf("fleet %s, as %s sees it; plan %v, %s; leader %s, heard %d ms ago; folder: %s\n", status.Fleet, status.Name, status.Epoch,
+		quorum, status.Leader, status.LeaderAge, status.Folder)
+	if status.Frozen != nil {
+		fmt.Printf("frozen by %s since %s: %s\n", status.Frozen.By, time.UnixMilli(status.Frozen.At).Format(time.RFC3339), status.Frozen.Reason)
 	}
-	if len(v.Unacknowledged) > 0 {
-		fmt.Println("have not acknowledged the plan:", strings.Join(v.Unacknowledged, ", "))
+	if len(status.Unacknowledged) > 0 {
+		fmt.Println("have not acknowledged the plan:", strings.Join(status.Unacknowledged, ", "))
 	}
-	return printMembers(v)
+	return printMembers(status)
 }
 
 // printMembers prints a table of the members of a fleet.
 func printMembers(status agent.Status) error {
-	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "member\tzone\tstate\tvotes\tacts on\tfresh\tlast report\tbegan")
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "member\tzone\tstate\tvotes\tacts on\tfresh\tlast report\tbegan")
 	for _, m := range status.Members {
 		age, began := "none", ""
 		if m.Age >= 0 {
 			age = fmt.Sprint(m.Age, " ms ago")
 			began = time.Unix(0, m.ProcessStartedAt).Format(time.RFC3339)
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%v\t%v\t%v\t%s\t%s\n", m.Name, m.Zone, m.State, m.Voter, m.Epoch, m.Fresh, age, began)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%v\t%v\t%v\t%s\t%s\n", m.Name, m.Zone, m.State, m.Voter, m.Epoch, m.Fresh, age, began)
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
-// operatorReason has the flags of every command that changes the plan.
+// operatorReason holds the flags that every command which changes the fleet's plan has: the operator and the reason.
 type operatorReason struct {
 	Why string `required:"" help:"Why; it goes into the plan and the logs."`
 	By  string `help:"Who asks (the user's name)."`
 }
 
-// post sends a command with the operator and the reason, and prints the answer.
+// post sends a command to a member with form, the operator and the reason, and prints the answer. form may be nil.
 func (s operatorReason) post(verb string, form url.Values) error {
 	operator, err := s.operator()
 	if err != nil {
@@ -159,14 +160,14 @@
 	}
 	form.Set("by", operator)
 	form.Set("why", s.Why)
-	text, err := cli.Members.call(http.MethodPost, "/fleet/"+verb, form)
+	answer, err := cli.Members.call(http.MethodPost, "/fleet/"+verb, form)
 	if err == nil {
-		os.Stdout.Write(text)
+		os.Stdout.Write(answer)
 	}
 	return err
 }
 
-// operator is the name by the flag, or the user's.
+// operator returns the operator's name: that of the flag, or else the name of the current user.
 func (s operatorReason) operator() (string, error) {
 	if s.By != "" {
 		return s.By, nil
@@ -178,28 +179,28 @@
 	return u.Username, nil
 }
 
-// fleetFreeze stops the fleet's own decisions.
+// fleetFreeze stops the decisions that the fleet makes without an operator.
 type fleetFreeze struct{ operatorReason }
 
 func (s fleetFreeze) Run() error { return s.post("freeze", nil) }
 
-// fleetThaw ends a freeze.
+// fleetThaw ends a freeze, so that the fleet decides by itself again.
 type fleetThaw struct{ operatorReason }
 
 func (s fleetThaw) Run() error { return s.post("thaw", nil) }
 
-// fleetZones prints the statuses of zones.
+// fleetZones prints the evacuation statuses of zones.
 type fleetZones struct {
 	JSON bool `help:"As JSON."`
 }
 
 func (z fleetZones) Run() error {
 	statuses := evacuation.Statuses{}
-	if done, err := cli.Members.read("/fleet/zones", z.JSON, &statuses); done || err != nil {
+	if printed, err := cli.Members.readPage("/fleet/zones", z.JSON, &statuses); printed || err != nil {
 		return err
 	}
-	t := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(t, "zone\tstate\tsince\tfailed returns\tprobers\tby\twhy")
+	table := tabwriter.NewWriter(os.Stdout, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "zone\tstate\tsince\tfailed returns\tprobers\tby\twhy")
 	for _, key := range slices.Sorted(maps.Keys(statuses)) {
 		status := statuses[key]
 		state := string(status.State)
@@ -210,10 +211,10 @@
 		if by == "" {
 			by = "the fleet"
 		}
-		fmt.Fprintf(t, "%s\t%s\t%s\t%d\t%s\t%s\t%s\n", key, state, time.UnixMilli(status.Since).Format(time.RFC3339), status.FailedReturns,
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%s\t%s\n", key, state, time.UnixMilli(status.Since).Format(time.RFC3339), status.FailedReturns,
 			strings.Join(status.Probers, " "), by, status.Reason)
 	}
-	return t.Flush()
+	return table.Flush()
 }
 
 // fleetLeave evacuates a zone.
@@ -227,7 +228,8 @@
 	return l.post("leave", url.Values{"zone": {l.Zone}, "for_ms": {fmt.Sprint(l.For.Milliseconds())}})
 }
 
-// fleetReturn returns a zone to service, or holds it there.
+// fleetReturn returns a zone to service. With Hold, the fleet does not evacuate the zone by itself until the zone is returned
+// without Hold.
 type fleetReturn struct {
 	Zone string `arg:"" help:"The zone, by its full name."`
 	operatorReason
--- a/cmd/dewhitch/fleet_watcher.go
+++ b/cmd/dewhitch/fleet_watcher.go
@@ -7,16 +7,16 @@
 	"dewhitch/internal/fleet/slowstart"
 )
 
-// fleetWatcher passes the planner's events to the fleet agent. The planner's goroutine calls it.
+// fleetWatcher passes the planner's events to the fleet agent. Its methods are called on the planner's goroutine.
 type fleetWatcher struct {
 	agent *agent.Agent
-	zones []string // names, by the planner's index
+	zones []string // zone names by the planner's zone index
 }
 
-// RequestReceived counts a request.
+// RequestReceived counts a request that the gateway received.
 func (w *fleetWatcher) RequestReceived() { w.agent.AttemptCounter().RequestReceived() }
 
-// EndpointsChanged passes the servers that are ready and in a zone with a name.
+// EndpointsChanged passes the agent the servers that are ready and in a zone that has a name.
 func (w *fleetWatcher) EndpointsChanged(endpoints []dw.Endpoint) {
 	var servers []slowstart.Server
 	for _, e := range endpoints {
@@ -31,25 +31,25 @@
 	w.agent.EndpointsChanged(servers)
 }
 
-// AttemptStarted counts an attempt to a server in a zone with a name.
+// AttemptStarted counts an attempt to a server in a zone that has a name.
 func (w *fleetWatcher) AttemptStarted(id core.AttemptID, server dw.ServerID, zone int) {
 	if zone < len(w.zones) {
-		w.agent.AttemptCounter().AttemptStarted(fleetAttempt(id), w.zones[zone], uint32(server))
+		w.agent.AttemptCounter().AttemptStarted(fleetAttemptID(id), w.zones[zone], uint32(server))
 	}
 }
 
-// AttemptEnded counts the outcome of an attempt, with the server's load report.
+// AttemptEnded counts the outcome of an attempt and passes on the server's load report.
 func (w *fleetWatcher) AttemptEnded(id core.AttemptID, result core.AttemptResult) {
 	outcome := fleetOutcomes[result.Outcome]
-	w.agent.AttemptCounter().AttemptEnded(fleetAttempt(id), outcome, uint32(result.Load.Queue), uint32(result.Load.Inflight))
+	w.agent.AttemptCounter().AttemptEnded(fleetAttemptID(id), outcome, uint32(result.Load.Queue), uint32(result.Load.Inflight))
 }
 
-func fleetAttempt(id core.AttemptID) agent.AttemptID {
+func fleetAttemptID(id core.AttemptID) agent.AttemptID {
 	return agent.AttemptID{Request: string(id.RequestID), Attempt: id.Number}
 }
 
-// fleetOutcomes are the planner's outcomes as the fleet counts them. An attempt that was cancelled or never sent is no evidence on a
-// server.
+// fleetOutcomes maps the planner's outcomes to those that the fleet counts. An attempt that was cancelled or never sent is not
+// counted, as it says nothing about the server.
 var fleetOutcomes = [dw.OutcomeCount]agent.Outcome{
 	dw.OutcomeOK:            agent.Served,
 	dw.OutcomeError:         agent.Failed,
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -9,33 +9,36 @@
 	dw "dewhitch"
 )
 
-// fields hands out the values of a line in order and keeps the first error. A value of "-" is absent; where one may be absent, it
-// reads as the zero value.
-type fields struct {
-	line   int
-	name   string
-	values []string // that are left
-	config string   // of a hello: the settings object
-	err    error    // the first
+// fieldReader returns the values of a line in order, and keeps the first error. The value "-" stands for an absent value; where a
+// value may be absent, it is read as the zero value.
+type fieldReader struct {
+	line         int      // number of the input line
+	message      string   // name of the message
+	values       []string // values that are not read yet
+	settingsText string   // settings object, a JSON text; set for a hello only
+	err          error    // first error, or nil
 }
 
-func (r *Reader) fields(name, s string, n int) *fields {
-	f := &fields{line: r.line, name: name}
-	f.values = strings.Split(s, " ")[1:]
-	if len(f.values) != n {
-		f.fail("-", fmt.Sprintf("has %d fields, want %d", len(f.values), n))
+// newFieldReader returns a reader of the values behind the first word of the line. It records an error if there are not
+// fieldCount values.
+func (r *Reader) newFieldReader(message, line string, fieldCount int) *fieldReader {
+	f := &fieldReader{line: r.line, message: message}
+	f.values = strings.Split(line, " ")[1:]
+	if len(f.values) != fieldCount {
+		f.fail("-", fmt.Sprintf("has %d fields, want %d", len(f.values), fieldCount))
 	}
 	return f
 }
 
-func (f *fields) fail(field, problem string) {
+// fail records a problem with a field, unless an error is recorded already.
+func (f *fieldReader) fail(field, problem string) {
 	if f.err == nil {
-		f.err = &Error{f.line, f.name, field, problem}
+		f.err = &Error{f.line, f.message, field, problem}
 	}
 }
 
-// take returns the next value, as it stands.
-func (f *fields) take(field string) string {
+// next returns the next value unchanged. It returns "" after an error or if there are no more values.
+func (f *fieldReader) next(field string) string {
 	if f.err != nil || len(f.values) == 0 {
 		f.fail(field, "missing")
 		return ""
@@ -48,17 +51,18 @@
 	return s
 }
 
-// need returns the next value, which may not be absent.
-func (f *fields) need(field string) string {
-	s := f.take(field)
+// required returns the next value, which must not be absent.
+func (f *fieldReader) required(field string) string {
+	s := f.next(field)
 	if s == "-" {
 		f.fail(field, "absent")
 	}
 	return s
 }
 
-func (f *fields) int64(field string) int64 {
-	s := f.take(field)
+// int64 reads an integer, which is 0 if absent.
+func (f *fieldReader) int64(field string) int64 {
+	s := f.next(field)
 	if f.err != nil || s == "-" {
 		return 0
 	}
@@ -69,26 +73,27 @@
 	return v
 }
 
-// code reads an integer from 0 to n-1, which may not be absent.
-func (f *fields) code(field string, n int) int {
-	f.absent(field)
+// intBelow reads an integer from 0 to limit-1, which must not be absent.
+func (f *fieldReader) intBelow(field string, limit int) int {
+	f.requirePresent(field)
 	v := f.int64(field)
-	if v < 0 || v >= int64(n) {
-		f.fail(field, fmt.Sprintf("%d is not one of 0 to %d", v, n-1))
+	if v < 0 || v >= int64(limit) {
+		f.fail(field, fmt.Sprintf("%d is not one of 0 to %d", v, limit-1))
 		return 0
 	}
 	return int(v)
 }
 
-// absent fails if the next value is absent.
-func (f *fields) absent(field string) {
+// requirePresent records an error if the next value is absent.
+func (f *fieldReader) requirePresent(field string) {
 	if f.err == nil && len(f.values) > 0 && f.values[0] == "-" {
 		f.fail(field, "absent")
 	}
 }
 
-func (f *fields) float(field string) float64 {
-	s := f.take(field)
+// float reads a finite number, which is 0 if absent.
+func (f *fieldReader) float(field string) float64 {
+	s := f.next(field)
 	if f.err != nil || s == "-" {
 		return 0
 	}
@@ -100,10 +105,10 @@
 	return v
 }
 
-func (f *fields) bool(field string) bool { return f.code(field, 2) == 1 }
+func (f *fieldReader) bool(field string) bool { return f.intBelow(field, 2) == 1 }
 
-func (f *fields) server(field string) dw.ServerID {
-	f.absent(field)
+func (f *fieldReader) serverID(field string) dw.ServerID {
+	f.requirePresent(field)
 	v := f.int64(field)
 	if v < 0 || v > math.MaxUint32 {
 		f.fail(field, "out of range")
@@ -111,15 +116,18 @@
 	return dw.ServerID(v)
 }
 
-func (f *fields) request() dw.RequestID { return dw.RequestID(f.need("Req")) }
+func (f *fieldReader) requestID() dw.RequestID { return dw.RequestID(f.required("Req")) }
 
+// outcomes are the outcomes of attempts, health checks and counter calls by their numbers on the wire.
 var outcomes = [...]dw.Outcome{0: dw.OutcomeError, 1: dw.OutcomeOK, 2: dw.OutcomeRejected, 3: dw.OutcomeTimeout,
 	4: dw.OutcomeConnectFailed, 5: dw.OutcomeReset, 6: dw.OutcomeCancelled, 7: dw.OutcomeNotSent}
 
-func (f *fields) outcome() dw.Outcome { return outcomes[f.code("Reason", len(outcomes))] }
+func (f *fieldReader) outcome() dw.Outcome { return outcomes[f.intBelow("Reason", len(outcomes))] }
 
-func (f *fields) load() (l dw.Load) {
-	s := f.take("Metrics")
+// load reads a server's load report: pairs of a metric's name and its value, separated by commas. It ignores unknown names, and
+// an absent report is the zero Load.
+func (f *fieldReader) load() (l dw.Load) {
+	s := f.next("Metrics")
 	if f.err != nil || s == "-" {
 		return l
 	}
