--- a/cmd/dewhitch/forward.go
+++ b/cmd/dewhitch/forward.go
@@ -26,23 +26,23 @@
 type forwardCmd struct{}
 
 func (forwardCmd) Run() error {
-	l, err := config.LoadLimits(cli.Limits)
+	limits, err := config.LoadLimits(cli.Limits)
 	if err != nil {
 		return err
 	}
-	if err := l.CheckForward(); err != nil {
+	if err := limits.CheckForward(); err != nil {
 		return err
 	}
-	log, err := logger()
+	log, err := newLogger()
 	if err != nil {
 		return err
 	}
 	defer log.Sync()
-	o, err := config.LoadOperations(cli.Operations)
+	operations, err := config.LoadOperations(cli.Operations)
 	if err != nil {
 		return err
 	}
-	f, err := openForwarder(l, o, log)
+	f, err := openForwarder(limits, operations, log)
 	if err != nil {
 		return err
 	}
@@ -54,30 +54,30 @@
 type forwarder struct {
 	limits           *config.Limits
 	log              *zap.Logger
-	ledger           *ledgerProcess
-	operatorListener service // nil: none
+	ledger           *processLedger
+	operatorListener service // serves operators over HTTP, or nil if it is not configured
 	registry         *registry.Registry
 	planners         *forward.Planners
 	server           *front.Server
 }
 
-// openForwarder opens all parts; nothing runs yet but the ledger.
-func openForwarder(l *config.Limits, o *config.Operations, log *zap.Logger) (*forwarder, error) {
-	f := &forwarder{limits: l, log: log, planners: &forward.Planners{}}
-	if err := f.open(o); err != nil {
+// openForwarder opens all parts of a forwarder. Only the ledger already runs when it returns.
+func openForwarder(limits *config.Limits, operations *config.Operations, log *zap.Logger) (*forwarder, error) {
+	f := &forwarder{limits: limits, log: log, planners: &forward.Planners{}}
+	if err := f.open(operations); err != nil {
 		f.close()
 		return nil, err
 	}
 	return f, nil
 }
 
-func (f *forwarder) open(o *config.Operations) (err error) {
-	f.ledger, err = startLedger(o, "forwarder at "+f.limits.Forward.Listen, statement.Forwarder, ledger.Names{}, f.log)
+func (f *forwarder) open(operations *config.Operations) (err error) {
+	f.ledger, err = startLedger(operations, "forwarder at "+f.limits.Forward.Listen, statement.Forwarder, ledger.Names{}, f.log)
 	if err != nil {
 		return err
 	}
 	metrics := telemetry.New()
-	f.operatorListener, err = operatorListener(o, append(f.ledger.operatorParts(), metrics), f.log)
+	f.operatorListener, err = openOperatorListener(operations, append(f.ledger.operatorParts(), metrics), f.log)
 	if err != nil {
 		return err
 	}
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// close closes the registry's session, and ends the ledger after all that posts to it has ended.
+// close closes the registry's session and the ledger. It must be called after every part that posts to the ledger has ended.
 func (f *forwarder) close() {
 	if f.registry != nil {
 		f.registry.Close()
@@ -104,41 +104,41 @@
 	}
 }
 
-// newSession is what serves the commands of one client session.
+// newSession returns the handler of the commands of one client session.
 func (f *forwarder) newSession() front.Commands {
 	return sessions.New(forward.New(f.planners, f.limits.Forward.Gateways, f.ledger.recorder, f.log), version)
 }
 
-// run runs all parts until a signal ends them: first new sessions are no longer accepted, and after the last session has
-// ended, all else ends.
+// run runs all parts until a signal ends the process. After the signal, new sessions are no longer accepted; after the last
+// session has ended, all other parts end.
 func (f *forwarder) run(terminate, hangUp <-chan os.Signal) error {
-	serving, stopServing := context.WithCancel(context.Background())
+	servingCtx, stopServing := context.WithCancel(context.Background())
 	defer stopServing()
-	group, serving := errgroup.WithContext(serving)
-	accepting, stopAccepting := context.WithCancel(serving)
+	group, servingCtx := errgroup.WithContext(servingCtx)
+	acceptingCtx, stopAccepting := context.WithCancel(servingCtx)
 
 	if f.operatorListener != nil {
-		group.Go(func() error { return f.operatorListener(serving) })
+		group.Go(func() error { return f.operatorListener(servingCtx) })
 	}
-	group.Go(func() error { return f.followRegistry(serving) })
+	group.Go(func() error { return f.followRegistry(servingCtx) })
 	group.Go(func() error {
 		defer stopServing()
-		return serveSessions(accepting, []*front.Server{f.server}, f.maxSessions(), 0)
+		return serveSessions(acceptingCtx, []*front.Server{f.server}, f.maxSessions(), 0)
 	})
 	group.Go(func() error {
 		defer stopAccepting()
-		awaitShutdown(serving, terminate, f.log, f.shutDown)
+		awaitShutdown(servingCtx, terminate, f.log, f.shutDown)
 		return nil
 	})
 	group.Go(func() error {
-		f.ignoreHangUps(serving, hangUp)
+		f.ignoreHangUps(servingCtx, hangUp)
 		return nil
 	})
 	f.log.Info("forwarding", zap.String("listen", f.limits.Forward.Listen))
 	return group.Wait()
 }
 
-// followRegistry takes the gateways' addresses from the registry until the context ends.
+// followRegistry updates the addresses of the gateways from the registry until the context ends.
 func (f *forwarder) followRegistry(ctx context.Context) error {
 	return f.registry.WatchPlanners(ctx, func(addresses map[int]string) {
 		f.planners.Set(addresses)
@@ -146,13 +146,14 @@
 	})
 }
 
-// maxSessions is how many client sessions the descriptors allow: each needs its own connection, and one to each gateway.
+// maxSessions returns the number of client sessions that the file descriptors allow. Each session needs one descriptor for the
+// client's connection and one for a connection to each gateway.
 func (f *forwarder) maxSessions() int {
 	return max(1, (f.limits.Forward.Sockets-reservedSockets)/(1+f.limits.Forward.Gateways))
 }
 
-// shutDown starts the graceful shutdown. The deadlines of the gateways' classes are not known here, so it is planned for the
-// longest that the platform allows.
+// shutDown starts the graceful shutdown. A forwarder does not know the deadlines of the gateways' classes, so the plan assumes
+// the longest deadline that the platform allows.
 func (f *forwarder) shutDown(signalledAt time.Time) shutdown.Plan {
 	plan := shutdown.New(signalledAt, math.MaxInt64)
 	f.server.CloseBy(plan.CloseBy)
@@ -160,14 +161,14 @@
 	return plan
 }
 
-// ignoreHangUps logs that a reload changes nothing here, until the context ends.
+// ignoreHangUps logs, for each SIGHUP until the context ends, that a forwarder has nothing to reload.
 func (f *forwarder) ignoreHangUps(ctx context.Context, hangUp <-chan os.Signal) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
 		case <-hangUp:
-			f.log.Info("a forwarder finds the planners in the registry; the limits file needs a restart")
+			f.log.Info("SIGHUP changes nothing: planners come from the registry, and a new limits file needs a restart")
 		}
 	}
 }
--- a/cmd/dewhitch/redis_test.go
+++ b/cmd/dewhitch/redis_test.go
@@ -12,25 +12,25 @@
 	"dewhitch/internal/standin"
 )
 
-// A client as the field has them, with a name set, gets in at a planner and through a forwarder, whichever version of
-// the protocol it would like.
+// TestRealClient guards against a Redis client library that can't work with a planner or a forwarder. The client sets a name and
+// asks for version 2 or 3 of the protocol.
 func TestRealClient(t *testing.T) {
 	t.Parallel()
-	z := newZookeeper(t)
-	w := newEnvironment(t)
-	go w.backends.serveAll()
-	w.registry = z.Addr()
-	p := w.start("serve")
-	if !eventually(func() bool { return z.Owner("/dewhitch/planners/gateway-0") != 0 }) {
+	registry := newZookeeper(t)
+	env := newEnvironment(t)
+	go env.backends.serveAll()
+	env.registryAddr = registry.Addr()
+	p := env.start("serve")
+	if !eventually(func() bool { return registry.Owner("/dewhitch/planners/gateway-0") != 0 }) {
 		t.Fatal("the planner is not registered\n", p.log())
 	}
-	f := *w
-	f.listen = standin.OwnAddr()
-	forwarder := f.start("forward")
-	if !eventually(func() bool { return strings.Contains(forwarder.log(), w.limits) }) {
+	forwarderEnv := *env
+	forwarderEnv.listenAddr = standin.OwnAddr()
+	forwarder := forwarderEnv.start("forward")
+	if !eventually(func() bool { return strings.Contains(forwarder.log(), env.limitsAddr) }) {
 		t.Fatal("the forwarder does not know the planner\n", forwarder.log())
 	}
-	for front, addr := range map[string]string{"planner": w.limits, "forwarder": f.listen} {
+	for front, addr := range map[string]string{"planner": env.limitsAddr, "forwarder": forwarderEnv.listenAddr} {
 		for _, protocol := range []int{2, 3} {
 			t.Run(fmt.Sprintf("%s resp%d", front, protocol), func(t *testing.T) {
 				checkClient(t, addr, protocol, fmt.Sprintf("%016x", 700+10*protocol+len(front)))
@@ -39,46 +39,47 @@
 	}
 }
 
-// checkClient has a client work on one connection, through its commands on its own session, on limits and of the platform.
+// checkClient sends commands of all kinds with a client library: on the client's session, on limits, and the platform's.
 func checkClient(t *testing.T, addr string, protocol int, customer string) {
-	ctx, cancel := context.WithTimeout(t.Context(), 6*patience)
+	ctx, cancel := context.WithTimeout(t.Context(), 6*waitLimit)
 	defer cancel()
 	c := redis.NewClient(&redis.Options{Addr: addr, ClientName: "lorries", Protocol: protocol,
-		ReadTimeout: patience, DialTimeout: patience, MaxRetries: -1})
+		ReadTimeout: waitLimit, DialTimeout: waitLimit, MaxRetries: -1})
 	defer c.Close()
-	check := func(what string, got any, err error, want any) {
+	check := func(name string, got any, err error, want any) {
 		t.Helper()
 		if err != nil || fmt.Sprint(got) != fmt.Sprint(want) {
-			t.Errorf("%s: %v, %v; want %v", what, got, err, want)
+			t.Errorf("%s: got %v, %v; expected %v", name, got, err, want)
 		}
 	}
 	checkSession(ctx, c, check)
-	// Far more commands of its own than a session has strikes, on one connection.
+	// Commands on the session must not count as faults: these are far more on one connection than the faults that a session may
+	// have.
 	pipe := c.Pipeline()
 	for range 30 {
 		pipe.Do(ctx, "CLIENT", "SETINFO", "LIB-NAME", "go-redis")
 		pipe.Do(ctx, "SELECT", 0)
 	}
-	adjust := pipe.Do(ctx, "LIMIT.ADJUST", customer, 4, argsOf40)
-	left := pipe.Do(ctx, "LIMIT.GET", customer, argsOf40)
+	adjust := pipe.Do(ctx, "LIMIT.ADJUST", customer, 4, fortyPlanArgs)
+	remaining := pipe.Do(ctx, "LIMIT.GET", customer, fortyPlanArgs)
 	_, err := pipe.Exec(ctx)
 	check("a pipeline", adjust.Val(), err, "4")
-	values, _ := left.Slice()
-	check("LIMIT.GET", len(values) == 3 && values[0] == "40", left.Err(), true)
-	taken, err := c.Do(ctx, "SVC.QUERY", customer, "r"+customer[8:], "c=lookup,"+argsOf40).Result()
-	check("SVC.QUERY", taken, err, "r"+customer[8:])
+	values, _ := remaining.Slice()
+	check("LIMIT.GET", len(values) == 3 && values[0] == "40", remaining.Err(), true)
+	served, err := c.Do(ctx, "SVC.QUERY", customer, "r"+customer[8:], "c=lookup,"+fortyPlanArgs).Result()
+	check("SVC.QUERY", served, err, "r"+customer[8:])
 	quit := c.Conn()
 	defer quit.Close()
 	answer, err := quit.Do(ctx, "QUIT").Result()
 	check("QUIT", answer, err, "OK")
 	time.Sleep(time.Millisecond)
 	if _, err := quit.Do(ctx, "PING").Result(); err == nil {
-		t.Error("a session goes on after QUIT")
+		t.Error("the session still answers after QUIT")
 	}
 }
 
-// checkSession has a client send the commands on its own session.
-func checkSession(ctx context.Context, c *redis.Client, check func(what string, got any, err error, want any)) {
+// checkSession sends the commands on the client's session.
+func checkSession(ctx context.Context, c *redis.Client, check func(name string, got any, err error, want any)) {
 	name, err := c.ClientGetName(ctx).Result()
 	check("CLIENT GETNAME", name, err, "lorries")
 	v, err := c.Ping(ctx).Result()
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,5 @@
-// Command simadapter hosts gateways of package dewhitch on the
-// simulator's wire. The instances share nothing, and it decides nothing.
+// Command simadapter connects gateways of package dewhitch to the simulator: it reads events from the standard input and writes
+// the gateways' actions to the standard output. The gateways share no state, and the adapter makes no decisions of its own.
 package main
 
 import (
@@ -20,6 +20,8 @@
 	}
 }
 
+// run processes rounds until the input ends between two of them. For each round it writes the actions
+// and an acknowledgement.
 func run(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), bufio.NewWriter(out)
 	gateways := map[string]*dw.Gateway{}
@@ -45,15 +47,16 @@
 	}
 }
 
+// apply passes one message to its gateway, and appends the lines of the resulting actions to buf.
 func apply(gateways map[string]*dw.Gateway, now dw.Instant, m wire.Message, buf []byte) ([]byte, error) {
-	bad := func(field, problem string) error {
+	fieldError := func(field, problem string) error {
 		return &wire.Error{Line: m.Line, Message: fmt.Sprintf("%T", m.Body), Field: field, Problem: problem}
 	}
 	switch body := m.Body.(type) {
 	case wire.Hello:
 		g, err := dw.New(body.Settings, body.Seed)
 		if err != nil {
-			return buf, bad("Config", err.Error())
+			return buf, fieldError("Config", err.Error())
 		}
 		gateways[m.Gateway] = g
 	case wire.Kill:
@@ -61,24 +64,24 @@
 	case dw.Event:
 		g := gateways[m.Gateway]
 		if g == nil {
-			return buf, bad("Gateway", "no such instance: "+m.Gateway)
+			return buf, fieldError("Gateway", "no such instance: "+m.Gateway)
 		}
-		acts, failure := handle(g, now, body)
-		if failure != "" {
-			return wire.AppendException(buf, m.Gateway, failure), nil
+		actions, panicText := handle(g, now, body)
+		if panicText != "" {
+			return wire.AppendException(buf, m.Gateway, panicText), nil
 		}
-		for _, a := range acts {
-			buf = wire.AppendAction(buf, m.Gateway, a)
+		for _, action := range actions {
+			buf = wire.AppendAction(buf, m.Gateway, action)
 		}
 	}
 	return buf, nil
 }
 
-// handle turns a panic of the module into a text for the report.
-func handle(g *dw.Gateway, now dw.Instant, e dw.Event) (acts []dw.Action, failure string) {
+// handle passes an event to the gateway. If the module panics, handle returns the text of the panic instead of actions.
+func handle(g *dw.Gateway, now dw.Instant, e dw.Event) (actions []dw.Action, panicText string) {
 	defer func() {
 		if p := recover(); p != nil {
-			failure = fmt.Sprintf("panic: %v", p)
+			panicText = fmt.Sprintf("panic: %v", p)
 		}
 	}()
 	return g.Handle(now, e, nil), ""
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -9,32 +9,34 @@
 	dw "dewhitch"
 )
 
-// Reader reads rounds.
+// Reader reads rounds from the simulator's text lines. It must not be used by several goroutines at a time.
 type Reader struct {
-	r    *bufio.Reader
-	line int
+	input *bufio.Reader
+	line  int // number of lines read so far
 }
 
-// NewReader reads from r.
-func NewReader(r io.Reader) *Reader { return &Reader{r: bufio.NewReaderSize(r, 1<<16)} }
+// NewReader returns a Reader that reads from r.
+func NewReader(r io.Reader) *Reader { return &Reader{input: bufio.NewReaderSize(r, 1<<16)} }
 
-func (r *Reader) next() (string, error) {
-	s, err := r.r.ReadString('\n')
-	if err != nil && (s == "" || !errors.Is(err, io.EOF)) {
+// readLine returns the next line without its line end. A last line without a line end is a line as well.
+func (r *Reader) readLine() (string, error) {
+	line, err := r.input.ReadString('\n')
+	if err != nil && (line == "" || !errors.Is(err, io.EOF)) {
 		return "", err
 	}
 	r.line++
-	return strings.TrimSuffix(s, "\n"), nil
+	return strings.TrimSuffix(line, "\n"), nil
 }
 
-// Read returns the next round, or io.EOF if the input ends between rounds.
+// Read returns the next round. It returns io.EOF if the input ends between rounds, an *Error for malformed input or an input
+// that ends within a round, and otherwise the error of the underlying reader.
 func (r *Reader) Read() (Round, error) {
-	s, err := r.next()
+	line, err := r.readLine()
 	if err != nil {
 		return Round{}, err
 	}
-	f := r.fields("round", s, 1)
-	if name, _, _ := strings.Cut(s, " "); name != "round" {
+	f := r.newFieldReader("round", line, 1)
+	if name, _, _ := strings.Cut(line, " "); name != "round" {
 		f.fail("-", "want a round line")
 	}
 	round := Round{Now: dw.Instant(f.int64("clock"))}
@@ -42,14 +44,14 @@
 		return Round{}, f.err
 	}
 	for {
-		s, err := r.next()
+		line, err := r.readLine()
 		if err != nil {
 			return Round{}, &Error{r.line + 1, "commit", "-", "the input ends inside a round"}
 		}
-		if s == "commit" {
+		if line == "commit" {
 			return round, nil
 		}
-		m, err := r.message(s)
+		m, err := r.readMessage(line)
 		if err != nil {
 			return Round{}, err
 		}
