--- a/cmd/drill/run.go
+++ b/cmd/drill/run.go
@@ -37,9 +37,9 @@
 	if err != nil {
 		return err
 	}
-	result, played := drill.Run(ctx, scenario, c.options(dir))
-	if played != nil && !errors.Is(played, drill.ErrCheckFailed) {
-		return fmt.Errorf("%w (the processes' files are in %s)", played, dir)
+	result, runErr := drill.Run(ctx, scenario, c.options(dir))
+	if runErr != nil && !errors.Is(runErr, drill.ErrCheckFailed) {
+		return fmt.Errorf("%w (the processes' files are in %s)", runErr, dir)
 	}
 	defer os.RemoveAll(dir)
 	if err := c.writeJSON(result); err != nil {
@@ -49,7 +49,7 @@
 		return err
 	}
 	printSummary(os.Stderr, result)
-	return played
+	return runErr
 }
 
 func (c runCmd) options(dir string) drill.Options {
--- a/cmd/drill/summary.go
+++ b/cmd/drill/summary.go
@@ -10,41 +10,41 @@
 
 // printSummary prints a result in readable form: one line for each part that the scenario had, and one for each failed check.
 func printSummary(w io.Writer, r *drill.Result) {
-	fmt.Fprintf(w, "%s, seed %d: served %.4f, %.4f in the worst 5 s, of %d reqs; lost %d; CPU a req %.0f µs\n",
+	fmt.Fprintf(w, "%s, seed %d: served %.4f, %.4f in the worst 5 s, of %d requests; lost %d; CPU per request %.0f µs\n",
 		r.Scenario, r.Seed, r.Served, r.WorstServed, r.Requests, r.Lost, r.CPUPerRequest)
-	if f := r.Fleet; f != nil {
-		fmt.Fprintf(w, "%d plans, each acted on by a gateway after %.3f s (median), %.3f s (worst); %.0f bytes a second a gateway\n",
-			f.Plans, f.ApplyMedian, f.ApplyWorst, r.FleetBytes)
+	if fleet := r.Fleet; fleet != nil {
+		fmt.Fprintf(w, "%d plans, each applied by a gateway after %.3f s (median), %.3f s (worst); %.0f bytes per second and gateway\n",
+			fleet.Plans, fleet.ApplyMedian, fleet.ApplyWorst, r.FleetBytes)
 	}
-	for _, t := range r.ServerFaults {
-		first, last := t.LastSendTimes()
-		fmt.Fprintf(w, "%s from %.1f to %.1f s: %d sent there, %d in the last 5 s; gateways' last reqs before any probe after %.2f to %.2f s\n",
-			t.Action, t.At, t.Until, t.Sent, t.SentAtEnd, first, last)
+	for _, fault := range r.ServerFaults {
+		first, last := fault.LastSendTimes()
+		fmt.Fprintf(w, "%s from %.1f to %.1f s: %d attempts sent there, %d in the last 5 s; last attempts of the gateways before any probe after %.2f to %.2f s\n",
+			fault.Action, fault.At, fault.Until, fault.Sent, fault.SentAtEnd, first, last)
 	}
-	if k := r.Work; k != nil {
-		fmt.Fprintf(w, "%d of %d machines were worked on within %.0f s, %d at once at most\n", len(k.Completed), k.Requested, k.Duration, k.MaxConcurrent)
+	if work := r.Work; work != nil {
+		fmt.Fprintf(w, "maintenance of %d of %d machines completed within %.0f s, at most %d at once\n", len(work.Completed), work.Requested, work.Duration, work.MaxConcurrent)
 	}
-	printReturns(w, r)
-	for _, b := range append(r.Violations, r.UnmetExpectations...) {
-		fmt.Fprintln(w, "FELL:", b)
+	printSlowStarts(w, r)
+	for _, failure := range append(r.Violations, r.UnmetExpectations...) {
+		fmt.Fprintln(w, "FELL:", failure)
 	}
 }
 
-// printReturns prints the worst figures of the servers that restarted in slow start. A server that never received its full rate
+// printSlowStarts prints the worst figures of the servers that restarted in slow start. A server that never received its full rate
 // counts with an infinite time.
-func printReturns(w io.Writer, r *drill.Result) {
+func printSlowStarts(w io.Writer, r *drill.Result) {
 	if len(r.SlowStarts) == 0 {
 		return
 	}
-	worst, slack, full := 0.0, 0.0, 0.0
-	for _, b := range r.SlowStarts {
-		worst = max(worst, b.MaxLoadRatio)
-		slack = max(slack, b.MaxExcessRatio)
-		full = max(full, b.FullRateAfter)
-		if b.FullRateAfter == 0 {
-			full = math.Inf(1)
+	maxLoadRatio, maxExcessRatio, fullRateAfter := 0.0, 0.0, 0.0
+	for _, slowStart := range r.SlowStarts {
+		maxLoadRatio = max(maxLoadRatio, slowStart.MaxLoadRatio)
+		maxExcessRatio = max(maxExcessRatio, slowStart.MaxExcessRatio)
+		fullRateAfter = max(fullRateAfter, slowStart.FullRateAfter)
+		if slowStart.FullRateAfter == 0 {
+			fullRateAfter = math.Inf(1)
 		}
 	}
-	fmt.Fprintf(w, "%d servers came back cold: sent %.2f of what one could do in its worst second (%.2f of that and three roots); full share after %.1f s\n",
-		len(r.SlowStarts), worst, slack, full)
+	fmt.Fprintf(w, "%d servers restarted in slow start: in a second one received up to %.2f of its capacity (%.2f with the allowance for chance); full rate after %.1f s\n",
+		len(r.SlowStarts), maxLoadRatio, maxExcessRatio, fullRateAfter)
 }
--- a/internal/drill/page.go
+++ b/internal/drill/page.go
@@ -15,11 +15,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
+// Size of a plot, and the maximum number of marks on it.
 const (
 	plotWidth, plotHeight = 26 * vg.Centimeter, 7 * vg.Centimeter
 	maxMarks              = 60
 )
 
+// Colors of a plot.
 var (
 	lineColors = []color.Color{
 		color.RGBA{0x1b, 0x6c, 0xa8, 0xff},
@@ -29,8 +31,8 @@
 		color.RGBA{0x9a, 0x7b, 0x1c, 0xff},
 		color.RGBA{0x4a, 0x4a, 0x4a, 0xff},
 	}
-	faultColor    = color.RGBA{0xb0, 0x10, 0x10, 0xff} // of the scenario's events
-	decisionColor = color.RGBA{0x10, 0x60, 0x10, 0xff} // of the fleet's decisions on zones
+	faultColor    = color.RGBA{0xb0, 0x10, 0x10, 0xff} // color of marks of the scenario's events
+	decisionColor = color.RGBA{0x10, 0x60, 0x10, 0xff} // color of marks of the fleet's decisions on zones
 )
 
 var page = template.Must(template.New("page").Parse(`<!doctype html>
@@ -39,13 +41,13 @@
 table{border-collapse:collapse}td,th{padding:.15em .8em;text-align:left;border-bottom:1px solid #ddd;vertical-align:top}
 svg{width:100%;height:auto}.fell{color:#b01010;font-weight:bold}.d{color:#106010}.t{color:#b01010}</style>
 <h1>{{.R.Scenario}}, seed {{.R.Seed}}{{if not .R.Coordinated}}, without the fleet view{{end}}</h1>
-<table><tr><th>processes<th>reqs<th>served<th>worst 5 s<th>lost<th>CPU a req<th>bytes a second a gateway
+<table><tr><th>processes<th>requests<th>served<th>worst 5 s<th>lost<th>CPU per request<th>bytes per second and gateway
 <tr><td>{{.R.Processes}}<td>{{.R.Requests}}<td>{{printf "%.4f" .R.Served}}<td>{{printf "%.4f" .R.WorstServed}}<td>{{.R.Lost}}<td>{{printf "%.0f µs" .R.CPUPerRequest}}<td>{{printf "%.0f" .R.FleetBytes}}</table>
 {{range .R.Violations}}<p class="fell">{{.}}</p>{{end}}{{range .R.UnmetExpectations}}<p class="fell">{{.}}</p>{{end}}
-{{if not (or .R.Violations .R.UnmetExpectations)}}<p>All held.</p>{{end}}
-<p>Lines across: <span class="t">what the script did</span>, <span class="d">what the fleet settled of zones</span>.</p>
+{{if not (or .R.Violations .R.UnmetExpectations)}}<p>All checks passed.</p>{{end}}
+<p>Vertical lines: <span class="t">events of the scenario</span>, <span class="d">decisions of the fleet on zones</span>.</p>
 {{range .Plots}}<h2>{{.Title}}</h2>{{.SVG}}{{end}}
-<h2>What happened</h2><table>{{range .R.Timeline}}<tr><td>{{printf "%.2f s" .At}}<td>{{.Text}}{{end}}</table></html>
+<h2>Timeline</h2><table>{{range .R.Timeline}}<tr><td>{{printf "%.2f s" .At}}<td>{{.Text}}{{end}}</table></html>
 `))
 
 // drawing is one plot of the page, with its title.
@@ -70,8 +72,8 @@
 		title, y string
 		lines    map[string]plotter.XYs
 		legend   bool
-	}{{"Served in time, of the worth asked", "share", servedLine, false}, {"Commands to zones", "a second", series(r.SentToZones), true},
-		{"Commands to servers", "a second", series(r.SentToServers), false}} {
+	}{{"Value served in time", "ratio of the offered value", servedLine, false}, {"Attempts sent to zones", "per second", series(r.SentToZones), true},
+		{"Attempts sent to servers", "per second", series(r.SentToServers), false}} {
 		svg, err := draw(d.y, d.lines, d.legend, r)
 		if err != nil {
 			return err
@@ -92,7 +94,7 @@
 	return lines
 }
 
-// draw returns one plot as SVG.
+// draw returns one plot as an SVG element.
 func draw(yLabel string, lines map[string]plotter.XYs, legend bool, r *Result) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text = "seconds"
--- a/internal/drill/scenarios/found.star
+++ b/internal/drill/scenarios/found.star
@@ -1,4 +1,4 @@
-# Members find one another in a registry alone; it is cut off, one process restarts meanwhile, then all its sessions lapse.
+# Members discover one another through a registry only. It is cut off, one process restarts meanwhile, and later all sessions expire.
 fleet(zones = ["a", "b", "c"], gateways = 2, servers = 4, hauliers = 40, load = 0.4, length = 24, found = "registry")
 at(2, freeze(gateway("a", 2)))
 at(4, cut(gateways(), registry()))
--- a/internal/drill/scenarios/hurt.star
+++ b/internal/drill/scenarios/hurt.star
@@ -1,4 +1,4 @@
-# One gateway is killed and comes back, one is stalled, one is restarted as planned.
+# One gateway is killed and restarted, one is stalled, and one is restarted gracefully.
 fleet(zones = ["a", "b", "c"], gateways = 2, servers = 4, hauliers = 40, load = 0.6, length = 30)
 at(5, kill(gateway("a", 1), back = 3))
 at(12, stall(gateway("b", 1), seconds = 3))
--- a/internal/drill/scenarios/illgateway.star
+++ b/internal/drill/scenarios/illgateway.star
@@ -1,4 +1,4 @@
-# One gateway's links to two zones are cut, another is stalled: their own trouble, and no reason for the fleet to leave.
+# One gateway's links to two zones are cut and another gateway is stalled. The faults are the gateways' own: the fleet must not evacuate.
 fleet(zones = ["a", "b", "c"], gateways = 2, servers = 4, hauliers = 40, load = 0.5, length = 24)
 at(5, cut(gateway("a", 2), servers("b")))
 at(5, cut(gateway("a", 2), servers("c")))
--- a/internal/drill/scenarios/leader.star
+++ b/internal/drill/scenarios/leader.star
@@ -1,4 +1,4 @@
-# The leader of the fleet is killed and comes back, then it is stalled for longer than its lease, then restarted as planned.
+# The fleet's leader is killed and restarted, then stalled for longer than its lease, then restarted gracefully.
 fleet(zones = ["a", "b", "c"], gateways = 2, servers = 4, hauliers = 40, load = 0.4, length = 26)
 at(2, freeze(gateway("a", 2)))
 at(4, kill(leader(), back = 3))
--- a/internal/drill/scenarios/leavers.star
+++ b/internal/drill/scenarios/leavers.star
@@ -1,4 +1,4 @@
-# Clients go while they wait: for a connection that comes up late or never, for the counter, behind servers that hang.
+# Clients close connections while their requests wait for slow or cut links, for the counter, or for silent servers.
 fleet(zones = ["a", "b", "c"], gateways = 2, servers = 4, hauliers = 40, load = 0.6, length = 30, leave = 0.5)
 at(3, delay(gateways(), servers("b"), ms = 250, jitter = 100))
 at(6, cut(gateways(), servers("c")))
--- a/internal/drill/scenarios/parted.star
+++ b/internal/drill/scenarios/parted.star
@@ -1,4 +1,4 @@
-# The fleet is parted 2|4, then 3|3, then one process hears and is not heard; something is settled in each.
+# The fleet is partitioned 2|4, then 3|3, then one process receives but cannot send. A plan is settled in each partition.
 fleet(zones = ["a", "b", "c"], gateways = 2, servers = 4, hauliers = 40, load = 0.4, length = 34)
 def part(t, one, other):
     for a in one:
--- a/internal/drill/scenarios/pressed.star
+++ b/internal/drill/scenarios/pressed.star
@@ -1,4 +1,4 @@
-# At nine tenths of what all servers can do a zone dies and comes back cold: the rest can't serve all, and none may be pushed over.
+# At nine tenths of the capacity a zone crashes and restarts in slow start. The rest cannot serve all load, and no server may be overloaded.
 fleet(zones = ["a", "b", "c"], gateways = 2, servers = 4, hauliers = 40, load = 0.9, length = 50)
 at(8, down(servers("b")))
 at(16, well(servers("b")))
--- a/internal/drill/scenarios/restarted.star
+++ b/internal/drill/scenarios/restarted.star
@@ -1,4 +1,4 @@
-# A third of the gateways stalls at once; then every process is killed within two seconds and comes back; one has lost its folder.
+# A third of the gateways stalls at once. Later every process is killed within two seconds and restarted, one of them without its files.
 fleet(zones = ["a", "b", "c"], gateways = 2, servers = 4, hauliers = 40, load = 0.3, length = 26)
 at(2, freeze(gateway("a", 1)))
 at(4, stall(gateway("a", 1), seconds = 3))
--- a/internal/drill/scenarios/return.star
+++ b/internal/drill/scenarios/return.star
@@ -1,4 +1,4 @@
-# A zone dies and comes back cold; the leader is killed and another gateway stalled in the midst of the return.
+# A zone crashes and restarts in slow start. Meanwhile the leader is killed and another gateway is stalled.
 fleet(zones = ["a", "b", "c"], gateways = 2, servers = 4, hauliers = 40, load = 0.6, length = 60)
 at(6, down(servers("b")))
 at(14, well(servers("b")))
--- a/internal/drill/scenarios/shared.star
+++ b/internal/drill/scenarios/shared.star
@@ -1,4 +1,4 @@
-# All servers are slow together for a while, by something that they share; then hauliers press twice as hard on one zone's half.
+# All servers are slow for a while, as if a dependency that they share were. Later the servers of one zone run at half speed.
 fleet(zones = ["a", "b", "c"], gateways = 2, servers = 4, hauliers = 40, load = 0.5, length = 26)
 at(5, slow(servers(), 3))
 at(10, well(servers()))
--- a/internal/drill/scenarios/troubled.star
+++ b/internal/drill/scenarios/troubled.star
@@ -1,4 +1,4 @@
-# Work on servers while the leader is killed, then stalled, a gateway stalls in its acknowledgement, the fleet is parted, a zone fails.
+# Maintenance of servers while the leader is killed, then stalled, a gateway stalls, the fleet is partitioned and a zone fails.
 fleet(zones = ["a", "b", "c"], gateways = 2, servers = 4, hauliers = 40, load = 0.4, length = 80)
 at(3, work(servers("a"), gateway("b", 2), seconds = 2))
 at(3, work(servers("c"), gateway("c", 2), seconds = 3))
