--- a/internal/drill/fleetlog.go
+++ b/internal/drill/fleetlog.go
@@ -25,10 +25,10 @@
 	leaderByGateway  map[string]string // leader that each gateway logged last
 	appliedByGateway map[string]epoch  // epoch that the current process of each gateway applied last
 	plans            map[epoch]*fleetPlan
-	epochs           []epoch // epochs of plans, in the order in which they were first logged
-	leaderChanges    []TimelineEvent
-	evacuations      int
-	closed           bool // the drill has ended; log lines of the shutdown are ignored
+	epochs           []epoch         // epochs of plans, in the order in which they were first logged
+	leaderChanges    []TimelineEvent // changes of the leader, as each gateway logged them
+	evacuations      int             // number of evacuations of zones that were logged
+	closed           bool            // the drill has ended; log lines of the shutdown are ignored
 }
 
 // close makes readLine ignore all further lines.
@@ -38,8 +38,8 @@
 	f.closed = true
 }
 
-// epoch identifies a plan by the founding of the fleet's log and the entry's number in it. Epochs are ordered by founding, then
-// by number.
+// epoch identifies a plan by the generation of the fleet's log (founding) and the number of its entry. Epochs are ordered by
+// founding, then by number.
 type epoch struct{ founding, number uint64 }
 
 func (e epoch) less(other epoch) bool {
@@ -48,23 +48,24 @@
 
 // fleetPlan records the application of one plan.
 type fleetPlan struct {
-	digest    string
+	digest    string               // digest of the plan, as the first gateway logged it
 	firstAt   time.Time            // time at which the first gateway applied it
 	appliedAt map[string]time.Time // time at which each gateway first applied this plan or a later one
 }
 
+// newFleetLog returns a fleetLog without any lines.
 func newFleetLog(cluster *cluster) *fleetLog {
 	return &fleetLog{cluster: cluster, leaderByGateway: map[string]string{}, appliedByGateway: map[string]epoch{}, plans: map[epoch]*fleetPlan{}}
 }
 
 // FleetResult summarizes the log lines of the processes about the fleet.
 type FleetResult struct {
-	Plans       int             `json:"plans"`
+	Plans       int             `json:"plans"`         // number of plans that gateways applied
 	Evacuations int             `json:"leaves"`        // number of evacuations of zones or paths that the fleet decided
-	ApplyMedian float64         `json:"seen_median_s"` // seconds from a plan's settlement, or the last event since, to a gateway's use
-	ApplyWorst  float64         `json:"seen_worst_s"`
-	Slowest     PlanApplication `json:"slowest"`
-	Leaders     []TimelineEvent `json:"leaders"` // changes of the leader, as each gateway logged them
+	ApplyMedian float64         `json:"seen_median_s"` // median of the seconds that a gateway took to apply a plan (see PlanApplication)
+	ApplyWorst  float64         `json:"seen_worst_s"`  // longest of these times
+	Slowest     PlanApplication `json:"slowest"`       // application with the longest time
+	Leaders     []TimelineEvent `json:"leaders"`       // changes of the leader, as each gateway logged them
 }
 
 // readLine processes one line of a gateway's log.
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -68,10 +68,10 @@
 // loadGenerator simulates the customers' clients as an open loop: the times of requests do not depend on the outcome of others.
 type loadGenerator struct {
 	cluster  *cluster
-	requests sync.WaitGroup
+	requests sync.WaitGroup // running requests
 
 	mu           sync.Mutex
-	seconds      []secondCounts
+	seconds      []secondCounts               // requests by the second in which they were sent
 	idle         map[string][]*standin.Client // idle connections by gateway
 	openRequests int                          // number of requests without an outcome yet
 }
--- a/internal/drill/rest.go
+++ b/internal/drill/rest.go
@@ -29,17 +29,17 @@
 // IdleFleetResult holds the cost per process, and the time until all processes applied a change.
 type IdleFleetResult struct {
 	Processes   int     `json:"processes"`
-	FormTime    float64 `json:"formed_s"`     // seconds until every process had a fresh view
-	CPU         float64 `json:"cpu_ms_per_s"` // mean over the processes
-	MaxCPU      float64 `json:"most_cpu_ms_per_s"`
-	Sent        float64 `json:"sent_bytes_per_s"` // mean over the processes
-	MaxSent     float64 `json:"most_sent_bytes_per_s"`
-	ApplyMedian float64 `json:"seen_median_s"` // seconds until a process applied a change, from its first application
-	ApplyWorst  float64 `json:"seen_worst_s"`
-	Memory      float64 `json:"resident_mb"` // mean over the processes
+	FormTime    float64 `json:"formed_s"`              // seconds until every process had a fresh view
+	CPU         float64 `json:"cpu_ms_per_s"`          // mean over the processes
+	MaxCPU      float64 `json:"most_cpu_ms_per_s"`     // highest of a process
+	Sent        float64 `json:"sent_bytes_per_s"`      // mean over the processes
+	MaxSent     float64 `json:"most_sent_bytes_per_s"` // highest of a process
+	ApplyMedian float64 `json:"seen_median_s"`         // median of the seconds from the first process's application of a change to another's
+	ApplyWorst  float64 `json:"seen_worst_s"`          // longest of these times
+	Memory      float64 `json:"resident_mb"`           // mean over the processes
 }
 
-// Bounds of a measurement.
+// Bounds of the measurement of an idle fleet.
 const (
 	maxRestProcesses = 200
 	maxRestVoters    = 3
--- a/internal/drill/result.go
+++ b/internal/drill/result.go
@@ -23,30 +23,30 @@
 	Coordinated       bool              `json:"coordinated"`
 	Processes         int               `json:"processes"`
 	Requests          int               `json:"reqs"`
-	Served            float64           `json:"served"`   // ratio that was served in time
-	WorstServed       float64           `json:"worst_5s"` // the same ratio in the worst five seconds
-	Outcomes          map[string]int    `json:"ends"`     // number of requests by outcome
-	Lost              int               `json:"lost"`     // number of requests without an answer
-	ViolationsByRule  map[string]int    `json:"rules"`    // number of violations by rule
-	DepartedClients   DepartedClients   `json:"left"`
-	CPUPerRequest     float64           `json:"cpu_us_per_req"`    // processor time in microseconds per request
-	FleetBytes        float64           `json:"fleet_bytes_per_s"` // bytes per second between gateways, per gateway
-	Fleet             *FleetResult      `json:"fleet,omitempty"`
-	Work              *WorkResult       `json:"work,omitempty"`
-	SlowStarts        []SlowStartResult `json:"returns,omitempty"`
-	ServerFaults      []ServerFault     `json:"troubles,omitempty"`
+	Served            float64           `json:"served"`                  // ratio that was served in time
+	WorstServed       float64           `json:"worst_5s"`                // the same ratio in the worst five seconds
+	Outcomes          map[string]int    `json:"ends"`                    // number of requests by outcome
+	Lost              int               `json:"lost"`                    // number of requests without an answer
+	ViolationsByRule  map[string]int    `json:"rules"`                   // number of violations by rule
+	DepartedClients   DepartedClients   `json:"left"`                    // requests whose client departed
+	CPUPerRequest     float64           `json:"cpu_us_per_req"`          // processor time in microseconds per request
+	FleetBytes        float64           `json:"fleet_bytes_per_s"`       // bytes per second between gateways, per gateway
+	Fleet             *FleetResult      `json:"fleet,omitempty"`         // nil without the fleet view
+	Work              *WorkResult       `json:"work,omitempty"`          // nil if no maintenance was requested
+	SlowStarts        []SlowStartResult `json:"returns,omitempty"`       // restarts of servers
+	ServerFaults      []ServerFault     `json:"troubles,omitempty"`      // faults of servers
 	ServedBySecond    []float64         `json:"served_by_second"`        // ratio that was served in time, by second
 	SentToZones       map[string][]int  `json:"sent_by_second_to_zones"` // number of attempts by zone and second
 	SentToServers     map[string][]int  `json:"-"`                       // number of attempts by server and second
 	Timeline          []TimelineEvent   `json:"timeline"`
-	Violations        []string          `json:"breaches,omitempty"`
-	UnmetExpectations []string          `json:"expectations_not_met,omitempty"`
+	Violations        []string          `json:"breaches,omitempty"`             // descriptions of the first violations
+	UnmetExpectations []string          `json:"expectations_not_met,omitempty"` // positions and descriptions
 }
 
 // ServerFault counts the attempts that were sent to servers with a fault of the scenario. Times are in seconds since the start of
 // the load.
 type ServerFault struct {
-	Action      string             `json:"what"`
+	Action      string             `json:"what"`            // action that caused the fault, as written in the file
 	At          float64            `json:"at"`              // start of the fault
 	Until       float64            `json:"until"`           // end of the fault, or of the drill
 	Sent        int                `json:"sent"`            // number of attempts during the fault
--- a/internal/drill/rules.go
+++ b/internal/drill/rules.go
@@ -35,8 +35,8 @@
 
 // violation is one observed violation of a rule.
 type violation struct {
-	rule      string
-	text      string
+	rule      string // name of the rule, a key of results
+	text      string // description of what was observed
 	requestID string // empty if the violation is not of one request
 	at        time.Time
 }
@@ -55,15 +55,15 @@
 	firstByKey        map[string]*arrival        // first attempt that may have run, by customer and idempotency key
 	departedWaitingAt map[string]time.Time       // time of the client's departure, by request ID, if no attempt had arrived by then
 	departedAt        map[string]time.Time       // time of the client's departure, by request ID
-	departed          DepartedClients
-	drainingSince     map[string]time.Time // time at which discovery listed a server as draining, by server
-	freeSince         map[string]time.Time // time at which a server became free for maintenance, by server
-	pendingPairs      []pairCheck
-	ceilings          map[string]*leakyBucket // by customer
-	firstViolations   []violation             // the first maxViolations of all violations
-	counts            map[string]int          // number of violations by rule
-	arrivalsByServer  map[string][]time.Time
-	arrivalsByPath    map[path][]time.Time
+	departed          DepartedClients            // counts of departures
+	drainingSince     map[string]time.Time       // time at which discovery listed a server as draining, by server
+	freeSince         map[string]time.Time       // time at which a server became free for maintenance, by server
+	pendingPairs      []pairCheck                // checks whose attempts may still be in flight
+	ceilings          map[string]*leakyBucket    // ceiling of each customer
+	firstViolations   []violation                // the first maxViolations of all violations
+	counts            map[string]int             // number of violations by rule
+	arrivalsByServer  map[string][]time.Time     // times of arrivals by server
+	arrivalsByPath    map[path][]time.Time       // times of arrivals by gateway and server
 }
 
 // DepartedClients counts the requests whose client closed the connection before an answer.
--- a/internal/drill/rules_test.go
+++ b/internal/drill/rules_test.go
@@ -14,8 +14,10 @@
 
 func (l closedLink) Left(string) time.Time { return time.Time(l) }
 
+// baseTime is the time that the tests' times are relative to.
 var baseTime = time.Unix(1_700_000_000, 0)
 
+// atMillis returns the time that is ms milliseconds after baseTime.
 func atMillis(ms int) time.Time { return baseTime.Add(time.Duration(ms) * time.Millisecond) }
 
 // findViolations passes arrivals of one request to a rule checker and returns the number of violations by rule.
@@ -49,10 +51,10 @@
 		rule        string // violated rule; empty if there is none
 	}{
 		{"one after the other", "space-query", []*arrival{{arrivedAt: atMillis(0), endedAt: atMillis(10), mayHaveRun: true}, {arrivedAt: atMillis(20), mayHaveRun: true}}, ""},
-		{"two out", "space-query", []*arrival{{arrivedAt: atMillis(0), endedAt: atMillis(500), mayHaveRun: true}, {arrivedAt: atMillis(20), mayHaveRun: true}}, ruleOverlap},
-		{"never over", "space-query", []*arrival{{arrivedAt: atMillis(0), mayHaveRun: true}, {arrivedAt: atMillis(20), mayHaveRun: true}}, ruleOverlap},
-		{"given up before", "space-query", []*arrival{{arrivedAt: atMillis(0), mayHaveRun: true, link: closedLink(atMillis(15))}, {arrivedAt: atMillis(20), mayHaveRun: true}}, ""},
-		{"given up too late", "space-query", []*arrival{{arrivedAt: atMillis(0), mayHaveRun: true, link: closedLink(atMillis(100))}, {arrivedAt: atMillis(20), mayHaveRun: true}}, ruleOverlap},
+		{"two in flight", "space-query", []*arrival{{arrivedAt: atMillis(0), endedAt: atMillis(500), mayHaveRun: true}, {arrivedAt: atMillis(20), mayHaveRun: true}}, ruleOverlap},
+		{"first never ends", "space-query", []*arrival{{arrivedAt: atMillis(0), mayHaveRun: true}, {arrivedAt: atMillis(20), mayHaveRun: true}}, ruleOverlap},
+		{"first closed before", "space-query", []*arrival{{arrivedAt: atMillis(0), mayHaveRun: true, link: closedLink(atMillis(15))}, {arrivedAt: atMillis(20), mayHaveRun: true}}, ""},
+		{"first closed too late", "space-query", []*arrival{{arrivedAt: atMillis(0), mayHaveRun: true, link: closedLink(atMillis(100))}, {arrivedAt: atMillis(20), mayHaveRun: true}}, ruleOverlap},
 		{"unsafe, rejected", "release", []*arrival{{arrivedAt: atMillis(0), endedAt: atMillis(1)}, {arrivedAt: atMillis(20), mayHaveRun: true}}, ""},
 		{"unsafe, twice", "release", []*arrival{{arrivedAt: atMillis(0), endedAt: atMillis(1), mayHaveRun: true}, {arrivedAt: atMillis(20), mayHaveRun: true}}, ruleRepeat},
 		{"keyed, in time", "booking", []*arrival{{arrivedAt: atMillis(0), endedAt: atMillis(1), mayHaveRun: true}, {arrivedAt: atMillis(2900), mayHaveRun: true}}, ""},
@@ -80,10 +82,10 @@
 		want                       DepartedClients
 		wantViolations             int
 	}{
-		{"left behind a first fetch", 100, 50, DepartedClients{}, 0},
-		{"never sent on", 100, -1, DepartedClients{Waiting: 1}, 0},
-		{"sent on at once", 100, 150, DepartedClients{Waiting: 1, Forwarded: 1}, 0},
-		{"sent on late", 100, 500, DepartedClients{Waiting: 1, Forwarded: 1, ForwardedLate: 1}, 1},
+		{"departed after the first attempt", 100, 50, DepartedClients{}, 0},
+		{"never forwarded", 100, -1, DepartedClients{Waiting: 1}, 0},
+		{"forwarded within the bound", 100, 150, DepartedClients{Waiting: 1, Forwarded: 1}, 0},
+		{"forwarded late", 100, 500, DepartedClients{Waiting: 1, Forwarded: 1, ForwardedLate: 1}, 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			checker := newRuleChecker(classesOf("mixed"), nil)
@@ -116,7 +118,7 @@
 		{"written before", 100, 90, 300, false, 0},
 		{"written before, after another", 100, 90, 490, true, 0},
 		{"written before, on a slow wire", 100, 96, 490, false, 0},
-		{"written within the term", 100, 240, 300, false, 0},
+		{"written within the bound", 100, 240, 300, false, 0},
 		{"written too late", 100, 260, 300, false, 1},
 		{"a further one written too late", 100, 260, 300, true, 1},
 	} {
