--- a/internal/front/ending_test.go
+++ b/internal/front/ending_test.go
@@ -20,180 +20,188 @@
 
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
 
-const patience = 20 * time.Second
+// testTimeout is the time after which a wait in a test fails.
+const testTimeout = 20 * time.Second
 
+// ping is an encoded command.
 const ping = "*1\r\n$4\r\nPING\r\n"
 
-// bufferedConn is the server's end of a connection on which what was read can be held back: it has left the machine's buffers, and
-// the session does not have it yet.
+// bufferedConn is the server's end of a connection, and holds back bytes that it has read: they have left the system's buffers, but the
+// session does not have them yet.
 type bufferedConn struct {
 	*net.TCPConn
-	received chan int      // bytes were read, and are held
-	release  chan struct{} // closed: nothing is held any more
+	holding chan int      // receives the number of bytes that were read and are held back
+	release chan struct{} // closed when bytes are no longer held back
 }
 
-func (h *bufferedConn) Read(b []byte) (int, error) {
-	n, err := h.TCPConn.Read(b)
+func (c *bufferedConn) Read(b []byte) (int, error) {
+	n, err := c.TCPConn.Read(b)
 	if n > 0 {
 		select {
-		case h.received <- n:
-		case <-h.release:
+		case c.holding <- n:
+		case <-c.release:
 		}
-		<-h.release
+		<-c.release
 	}
 	return n, err
 }
 
-// slow answers each command when the test says so, and counts them.
-type slow struct {
-	answer      chan struct{} // one answer each; closed: all at once
-	started     atomic.Int64
-	clientsLeft atomic.Int64
+// delayedCommands answers each command with OK after a message on answer, and counts started commands and departed clients.
+type delayedCommands struct {
+	answer          chan struct{} // each message permits one answer; closing it permits all
+	started         atomic.Int64
+	clientsDeparted atomic.Int64
 }
 
-func (c *slow) Do(_ time.Time, _ resp.Command, s *Slot) {
+func (c *delayedCommands) Do(_ time.Time, _ resp.Command, s *Slot) {
 	c.started.Add(1)
-	s.OnClientLeft(func() { c.clientsLeft.Add(1) })
+	s.OnClientDeparted(func() { c.clientsDeparted.Add(1) })
 	go func() {
 		<-c.answer
 		s.Fill(resp.AppendStatus(nil, "OK"))
 	}()
 }
 
-// connected is both ends of a connection; the client's is closed with the test.
-func connected(t *testing.T) (near, far *net.TCPConn) {
+// connectedPair returns both ends of a connection. The client's end is closed at the end of the test.
+func connectedPair(t *testing.T) (clientConn, serverConn *net.TCPConn) {
 	t.Helper()
-	l := listener(t)
+	l := listen(t)
 	defer l.Close()
-	near = client(t, l, "").(*net.TCPConn)
+	clientConn = dialClient(t, l, "").(*net.TCPConn)
 	conn, err := l.Accept()
 	if err != nil {
 		t.Fatal(err)
 	}
-	return near, conn.(*net.TCPConn)
+	return clientConn, conn.(*net.TCPConn)
 }
 
-// pair is a client's connection and the session at its other end.
-func pair(t *testing.T, c Commands, hold bool) (*net.TCPConn, *bufferedConn, *session) {
+// newSessionPair returns a client's connection, the server's end of it, and the running session. If hold is true, the server's end
+// holds back input until its release channel is closed.
+func newSessionPair(t *testing.T, c Commands, hold bool) (*net.TCPConn, *bufferedConn, *session) {
 	t.Helper()
-	client, far := connected(t)
-	h := &bufferedConn{far, make(chan int), make(chan struct{})}
+	client, serverConn := connectedPair(t)
+	buffered := &bufferedConn{serverConn, make(chan int), make(chan struct{})}
 	if !hold {
-		close(h.release)
+		close(buffered.release)
 	}
-	s := newSession(h, c, NewBounds(64<<20))
-	var over sync.WaitGroup
-	over.Go(s.run)
+	s := newSession(buffered, c, NewBounds(64<<20))
+	var running sync.WaitGroup
+	running.Go(s.run)
 	t.Cleanup(func() {
 		client.Close()
-		over.Wait()
+		running.Wait()
 	})
-	return client, h, s
+	return client, buffered, s
 }
 
-func eventually(t *testing.T, what string, ok func() bool) {
+// eventually waits until a condition holds, and fails the test with a message after testTimeout.
+func eventually(t *testing.T, failure string, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(patience); !ok(); time.Sleep(time.Millisecond) {
-		if time.Now().After(end) {
-			t.Fatal(what)
+	for deadline := time.Now().Add(testTimeout); !condition(); time.Sleep(time.Millisecond) {
+		if time.Now().After(deadline) {
+			t.Fatal(failure)
 		}
 	}
 }
 
-// answers reads all that comes until the session ends, which must be an end and no reset.
-func answers(t *testing.T, c net.Conn) string {
+// readUntilClosed returns everything that the server sends until it closes the connection. It fails the test if the connection is
+// reset.
+func readUntilClosed(t *testing.T, c net.Conn) string {
 	t.Helper()
 	text, err := io.ReadAll(c)
 	if err != nil {
-		t.Errorf("after %q: %v", text, err)
+		t.Errorf("read %q, then error %v", text, err)
 	}
 	return string(text)
 }
 
-func drainNow(s *session) { s.drain(newDrain(time.Now())) }
+func startDrain(s *session) { s.drain(newDrainTimes(time.Now())) }
 
-// A command that has been read as a session at rest is asked to end is served, whoever asks.
-func TestCommandThatCrossesTheEndIsServed(t *testing.T) {
-	for name, ask := range map[string]func(*session){"for room": (*session).evict, "at the end": (*session).stop,
-		"by a drain": drainNow} {
+// TestCommandReadBeforeTheEndIsServed guards against the loss of a command that has left the system's buffers when an idle session is
+// told to end.
+func TestCommandReadBeforeTheEndIsServed(t *testing.T) {
+	for name, end := range map[string]func(*session){"for room": (*session).evict, "at the end": (*session).stop,
+		"by a drain": startDrain} {
 		t.Run(name, func(t *testing.T) {
-			c, h, s := pair(t, echo{}, true)
+			c, buffered, s := newSessionPair(t, okCommands{}, true)
 			c.Write([]byte(ping))
-			<-h.received
-			ask(s)
-			close(h.release)
+			<-buffered.holding
+			end(s)
+			close(buffered.release)
 			r := bufio.NewReader(c)
 			if line, err := r.ReadString('\n'); line != "+OK\r\n" {
-				t.Errorf("%q, %v", line, err)
+				t.Errorf("got answer %q, error %v, expected OK", line, err)
 			}
 		})
 	}
 }
 
-// Once the gateway ends, a session takes no more than what has come, answers that, and ends: also if its client goes on
-// sending, and is owed answers all the while.
-func TestEndingSessionTakesNoMore(t *testing.T) {
-	d := &slow{answer: make(chan struct{})}
-	c, _, s := pair(t, d, false)
+// TestStoppedSessionReadsNoMoreCommands checks that a session of a gateway that shuts down answers the commands that have arrived
+// and then ends, even if its client goes on sending and always has pending answers.
+func TestStoppedSessionReadsNoMoreCommands(t *testing.T) {
+	commands := &delayedCommands{answer: make(chan struct{})}
+	c, _, s := newSessionPair(t, commands, false)
 	c.Write([]byte(ping + ping))
-	eventually(t, "the commands were not taken", func() bool { return d.started.Load() == 2 })
+	eventually(t, "the commands were not started", func() bool { return commands.started.Load() == 2 })
 	s.stop()
-	eventually(t, "the session goes on taking", func() bool {
+	eventually(t, "the session did not stop reading", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.lifecycle.state >= stateClosing
 	})
 	c.Write([]byte(ping + ping))
-	close(d.answer)
-	if got := answers(t, c); got != "+OK\r\n+OK\r\n" {
-		t.Errorf("%q", got)
+	close(commands.answer)
+	if got := readUntilClosed(t, c); got != "+OK\r\n+OK\r\n" {
+		t.Errorf("got unexpected answers: %q", got)
 	}
-	if n := d.started.Load(); n != 2 {
-		t.Errorf("%d commands were taken, want 2", n)
+	if n := commands.started.Load(); n != 2 {
+		t.Errorf("%d commands were started, expected 2", n)
 	}
 }
 
-// What has come by the end is taken, all of it, though the session is busy with what came before.
-func TestEndingSessionTakesWhatHasCome(t *testing.T) {
-	d := &slow{answer: make(chan struct{})}
-	close(d.answer)
-	c, h, s := pair(t, d, true)
+// TestStoppedSessionServesReceivedCommands checks that all commands that arrived before the stop are served, even if the session is
+// busy.
+func TestStoppedSessionServesReceivedCommands(t *testing.T) {
+	commands := &delayedCommands{answer: make(chan struct{})}
+	close(commands.answer)
+	c, buffered, s := newSessionPair(t, commands, true)
 	c.Write([]byte(ping + ping + ping))
-	<-h.received
+	<-buffered.holding
 	s.stop()
-	close(h.release)
-	if got := answers(t, c); got != "+OK\r\n+OK\r\n+OK\r\n" {
-		t.Errorf("%q", got)
+	close(buffered.release)
+	if got := readUntilClosed(t, c); got != "+OK\r\n+OK\r\n+OK\r\n" {
+		t.Errorf("got unexpected answers: %q", got)
 	}
 }
 
-// Half a command at the end was not taken: nothing is said to it, and what came before is answered.
-func TestHalfACommandAtTheEnd(t *testing.T) {
-	for name, ask := range map[string]func(*session){"for room": (*session).evict, "at the end": (*session).stop} {
+// TestIncompleteCommandAtTheEnd checks that an incomplete command gets no answer when the session ends, and that earlier commands do.
+func TestIncompleteCommandAtTheEnd(t *testing.T) {
+	for name, end := range map[string]func(*session){"for room": (*session).evict, "at the end": (*session).stop} {
 		t.Run(name, func(t *testing.T) {
-			c, _, s := pair(t, echo{}, false)
+			c, _, s := newSessionPair(t, okCommands{}, false)
 			c.Write([]byte(ping + ping[:9]))
 			r := bufio.NewReader(c)
 			if line, err := r.ReadString('\n'); line != "+OK\r\n" {
-				t.Fatalf("%q, %v", line, err)
+				t.Fatalf("got answer %q, error %v, expected OK", line, err)
 			}
-			// Before that it is busy with the first, and one that is asked to make room then goes on.
-			eventually(t, "the half command is not being read", func() bool {
+			// A session that is evicted while it is still busy with the first command does not end, so wait until it reads the second.
+			eventually(t, "the incomplete command was not read", func() bool {
 				s.mu.Lock()
 				defer s.mu.Unlock()
 				return s.commandsRead == 1 && !s.commandDeadline.IsZero()
 			})
-			ask(s)
+			end(s)
 			if rest, err := io.ReadAll(r); len(rest) > 0 || err != nil {
-				t.Errorf("%q, %v", rest, err)
+				t.Errorf("got %q, error %v, expected the end of the stream", rest, err)
 			}
 		})
 	}
 }
 
-// A session that ends over unread bytes does not take answers back that are on their way.
-func TestEndOverUnreadBytes(t *testing.T) {
-	c, _, s := pair(t, echo{}, false)
+// TestUnreadInputDoesNotLoseAnswers checks that input that arrives after the end of a session does not reset the connection, which
+// would lose answers that the client has not read yet.
+func TestUnreadInputDoesNotLoseAnswers(t *testing.T) {
+	c, _, s := newSessionPair(t, okCommands{}, false)
 	c.Write([]byte(ping))
 	eventually(t, "the command was not answered", func() bool {
 		s.mu.Lock()
@@ -201,92 +209,95 @@
 		return s.commandsRead == 1 && s.unsentBytes == 0 && s.awaitingCommand
 	})
 	s.evict()
-	eventually(t, "it does not end", func() bool {
+	eventually(t, "the session did not end", func() bool {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		return s.lifecycle.state == stateClosed
 	})
-	c.Write([]byte(ping)) // crosses the end
-	if got := answers(t, c); got != "+OK\r\n" {
-		t.Errorf("%q", got)
+	c.Write([]byte(ping)) // arrives after the end of the session
+	if got := readUntilClosed(t, c); got != "+OK\r\n" {
+		t.Errorf("got unexpected answers: %q", got)
 	}
 }
 
-// A client that sent more than is taken at once, and left, is known to have gone while what it sent is unread: what waits
-// is given up, and nothing more of it is taken.
-func TestClientLeftBehindAFullPipeline(t *testing.T) {
-	for name, leave := range map[string]func(*net.TCPConn) error{"closes": (*net.TCPConn).Close, "half-closes": (*net.TCPConn).CloseWrite} {
+// TestClientDepartsWithFullPipeline checks that the departure of a client is reported for its open commands even though the session
+// has not read all of its input, and that no more of its commands are started.
+func TestClientDepartsWithFullPipeline(t *testing.T) {
+	for name, closeConn := range map[string]func(*net.TCPConn) error{"closes": (*net.TCPConn).Close, "half-closes": (*net.TCPConn).CloseWrite} {
 		t.Run(name, func(t *testing.T) {
-			d := &slow{answer: make(chan struct{})}
-			defer close(d.answer)
-			c, _, _ := pair(t, d, false)
+			commands := &delayedCommands{answer: make(chan struct{})}
+			defer close(commands.answer)
+			c, _, _ := newSessionPair(t, commands, false)
 			for range 3 * maxPipelined {
 				c.Write([]byte(ping))
 			}
-			eventually(t, "the pipeline is not full", func() bool { return d.started.Load() == maxPipelined })
-			leave(c)
-			eventually(t, "nobody knows that the client has gone", func() bool { return d.clientsLeft.Load() == maxPipelined })
-			if n := d.started.Load(); n != maxPipelined {
-				t.Errorf("%d commands were taken, want %d", n, maxPipelined)
+			eventually(t, "the pipeline is not full", func() bool { return commands.started.Load() == maxPipelined })
+			closeConn(c)
+			eventually(t, "the departure of the client was not reported", func() bool { return commands.clientsDeparted.Load() == maxPipelined })
+			if n := commands.started.Load(); n != maxPipelined {
+				t.Errorf("%d commands were started, expected %d", n, maxPipelined)
 			}
 		})
 	}
 }
 
-// queue is a listener whose first connection stands in the machine's queue until the listener gets its last deadline.
-type queue struct {
+// queuedListener is a listener whose first connection waits in the queue of the system until the listener gets its deadline at
+// shutdown.
+type queuedListener struct {
 	*net.TCPListener
-	fault                 error // of the first try to take it, if any
-	deadlineSet, accepted chan struct{}
-	tell, once            sync.Once
+	acceptErr                     error // error of the first Accept; nil if there is none
+	deadlineSet, accepted         chan struct{}
+	onceDeadlineSet, onceAccepted sync.Once
 }
 
-func (q *queue) Accept() (net.Conn, error) {
-	<-q.deadlineSet
-	if err := q.fault; err != nil {
-		q.fault = nil
+func (ln *queuedListener) Accept() (net.Conn, error) {
+	<-ln.deadlineSet
+	if err := ln.acceptErr; err != nil {
+		ln.acceptErr = nil
 		return nil, err
 	}
-	c, err := q.TCPListener.Accept()
-	q.once.Do(func() { close(q.accepted) })
+	c, err := ln.TCPListener.Accept()
+	ln.onceAccepted.Do(func() { close(ln.accepted) })
 	return c, err
 }
 
-func (q *queue) SetDeadline(at time.Time) error {
-	q.tell.Do(func() { close(q.deadlineSet) })
-	<-q.accepted
-	return q.TCPListener.SetDeadline(at)
+func (ln *queuedListener) SetDeadline(at time.Time) error {
+	ln.onceDeadlineSet.Do(func() { close(ln.deadlineSet) })
+	<-ln.accepted
+	return ln.TCPListener.SetDeadline(at)
 }
 
-func (q *queue) Close() error {
-	err := q.TCPListener.Close()
-	q.tell.Do(func() { close(q.deadlineSet) })
-	q.once.Do(func() { close(q.accepted) })
+func (ln *queuedListener) Close() error {
+	err := ln.TCPListener.Close()
+	ln.onceDeadlineSet.Do(func() { close(ln.deadlineSet) })
+	ln.onceAccepted.Do(func() { close(ln.accepted) })
 	return err
 }
 
-// serving is a server at work, until stop.
-func serving(t *testing.T, f *Server) (stop func()) {
+// startServer starts a server that answers all commands with OK, until stop is called.
+func startServer(t *testing.T, srv *Server) (stop func()) {
 	t.Helper()
-	return servingCommands(t, f, func() Commands { return echo{} })
+	return startServerWith(t, srv, func() Commands { return okCommands{} })
 }
 
-func servingCommands(t *testing.T, f *Server, open func() Commands) (stop func()) {
+// startServerWith starts a server with the commands of newCommands, until stop is called.
+func startServerWith(t *testing.T, srv *Server, newCommands func() Commands) (stop func()) {
 	t.Helper()
-	f.Bounds, f.Log, f.Open = NewBounds(64<<20), zap.NewNop(), open
+	srv.Bounds, srv.Log, srv.NewCommands = NewBounds(64<<20), zap.NewNop(), newCommands
 	ctx, stop := context.WithCancel(t.Context())
-	over := make(chan error, 1)
-	go func() { over <- f.Serve(ctx) }()
+	served := make(chan error, 1)
+	go func() { served <- srv.Serve(ctx) }()
 	t.Cleanup(func() {
 		stop()
-		if err := <-over; err != nil && !errors.Is(err, net.ErrClosed) {
+		if err := <-served; err != nil && !errors.Is(err, net.ErrClosed) {
 			t.Error(err)
 		}
 	})
 	return stop
 }
 
-func listener(t *testing.T) *net.TCPListener {
+// listen returns a listener on a free port.
+func listen(t *testing.T) *net.TCPListener {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -295,91 +306,94 @@
 	return l.(*net.TCPListener)
 }
 
-func client(t *testing.T, l net.Listener, command string) net.Conn {
+// dialClient connects to a listener and sends a command.
+func dialClient(t *testing.T, l net.Listener, command string) net.Conn {
 	t.Helper()
 	c, err := net.Dial("tcp", l.Addr().String())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { c.Close() })
-	c.SetDeadline(time.Now().Add(patience))
+	c.SetDeadline(time.Now().Add(testTimeout))
 	c.Write([]byte(command))
 	return c
 }
 
-func served(t *testing.T, c net.Conn) {
+// expectOK fails the test unless the next answer is OK.
+func expectOK(t *testing.T, c net.Conn) {
 	t.Helper()
 	if line, err := bufio.NewReader(c).ReadString('\n'); line != "+OK\r\n" {
-		t.Errorf("%q, %v", line, err)
+		t.Errorf("got answer %q, error %v, expected OK", line, err)
 	}
 }
 
-// A connection that the machine has accepted before the end, with a command on it, is served, also if taking it in fails at
-// first, as it does while descriptors are short.
-func TestConnectionInTheQueueAtTheEnd(t *testing.T) {
-	for name, fault := range map[string]error{"at once": nil, "descriptors are short": syscall.EMFILE} {
+// TestQueuedConnectionAtTheEnd checks that a connection in the queue of the system is accepted at shutdown and its command is
+// served, even if the first attempt to accept it fails for lack of descriptors.
+func TestQueuedConnectionAtTheEnd(t *testing.T) {
+	for name, acceptErr := range map[string]error{"at once": nil, "descriptors are short": syscall.EMFILE} {
 		t.Run(name, func(t *testing.T) {
-			q := &queue{TCPListener: listener(t), fault: fault, deadlineSet: make(chan struct{}), accepted: make(chan struct{})}
-			stop := serving(t, &Server{Listener: q, Sessions: 4})
-			c := client(t, q, ping)
+			ln := &queuedListener{TCPListener: listen(t), acceptErr: acceptErr, deadlineSet: make(chan struct{}), accepted: make(chan struct{})}
+			stop := startServer(t, &Server{Listener: ln, MaxSessions: 4})
+			c := dialClient(t, ln, ping)
 			stop()
-			served(t, c)
+			expectOK(t, c)
 			c.Close()
 		})
 	}
 }
 
-// counting tells of each connection that it gives out.
-type counting struct {
+// notifyingListener sends a message on accepted for each connection that it accepts.
+type notifyingListener struct {
 	*net.TCPListener
-	given chan struct{}
+	accepted chan struct{}
 }
 
-func (l *counting) Accept() (net.Conn, error) {
+func (l *notifyingListener) Accept() (net.Conn, error) {
 	c, err := l.TCPListener.Accept()
 	if err == nil {
-		l.given <- struct{}{}
+		l.accepted <- struct{}{}
 	}
 	return c, err
 }
 
-// A connection that waits for a place when the end comes is served without one.
+// TestNoPlaceAtTheEnd checks that a connection that waits for a place when the gateway shuts down is served without one.
 func TestNoPlaceAtTheEnd(t *testing.T) {
-	l := &counting{listener(t), make(chan struct{}, 8)}
-	stop := serving(t, &Server{Listener: l, Sessions: 1})
-	first := client(t, l, "*1\r\n$4\r\nWAIT\r\n") // is never answered, and keeps the place
-	<-l.given
-	second := client(t, l, ping)
-	<-l.given
+	ln := &notifyingListener{listen(t), make(chan struct{}, 8)}
+	stop := startServer(t, &Server{Listener: ln, MaxSessions: 1})
+	first := dialClient(t, ln, "*1\r\n$4\r\nWAIT\r\n") // never answered, so that it keeps the only place
+	<-ln.accepted
+	second := dialClient(t, ln, ping)
+	<-ln.accepted
 	stop()
-	served(t, second)
+	expectOK(t, second)
 	second.Close()
 	first.Close()
 }
 
-// refusing rejects the commands BAD, and counts the others.
-type refusing struct{ slow }
+// rejectBadCommands rejects the command BAD as invalid, and passes the others on.
+type rejectBadCommands struct{ delayedCommands }
 
-func (c *refusing) Do(came time.Time, cmd resp.Command, s *Slot) {
+func (c *rejectBadCommands) Do(readAt time.Time, cmd resp.Command, s *Slot) {
 	if string(cmd[0]) == "BAD" {
-		s.Reject("bad")
+		s.RejectInvalid("bad")
 		return
 	}
-	c.slow.Do(came, cmd, s)
+	c.delayedCommands.Do(readAt, cmd, s)
 }
 
-// A client leaves while a command of its waits behind a pause: it is not taken any more.
-func TestClientLeftDuringAPause(t *testing.T) {
-	d := &refusing{slow{answer: make(chan struct{})}}
-	defer close(d.answer)
-	c, h, s := pair(t, d, true)
+// TestClientDepartsDuringPenalty checks that a command that waits behind the pause after an invalid one is not started if its client
+// disconnects meanwhile.
+func TestClientDepartsDuringPenalty(t *testing.T) {
+	commands := &rejectBadCommands{delayedCommands{answer: make(chan struct{})}}
+	defer close(commands.answer)
+	c, buffered, s := newSessionPair(t, commands, true)
 	c.Write([]byte("*1\r\n$3\r\nBAD\r\n" + ping))
-	<-h.received
+	<-buffered.holding
 	c.Close()
-	eventually(t, "the machine does not tell that the client has gone", func() bool { return hungUp(h) })
-	close(h.release)
-	eventually(t, "the session does not end", func() bool { return s.ctx.Err() != nil })
-	if n := d.started.Load(); n != 0 {
-		t.Errorf("%d commands were taken for nobody", n)
+	eventually(t, "the system did not report the hang-up", func() bool { return hungUp(buffered) })
+	close(buffered.release)
+	eventually(t, "the session did not end", func() bool { return s.ctx.Err() != nil })
+	if n := commands.started.Load(); n != 0 {
+		t.Errorf("%d commands of a departed client were started", n)
 	}
 }
--- a/internal/front/platform/golden_test.go
+++ b/internal/front/platform/golden_test.go
@@ -25,13 +25,14 @@
 	"dewhitch/internal/standin"
 )
 
+// goldenCommands returns commands without a planner, with one class for each kind of idempotency.
 func goldenCommands() *Commands {
 	return &Commands{Recorder: recorder.Discard{}, Names: settings.Names{Classes: []string{"quote", "order", "charge"}, Plans: []string{"wide", "slim"}},
 		Settings: dw.Settings{Instances: 9, MaxUnits: 40, Classes: []dw.Class{{Idempotency: dw.Idempotent, Objective: 1, Deadline: 1},
 			{Idempotency: dw.IdempotentByKey, Objective: 1, Deadline: 1}, {Idempotency: dw.NotIdempotent, Objective: 1, Deadline: 1}}}}
 }
 
-// The answers to SVC.QUERY and SVC.SUBMIT by verdict. Clients read them.
+// TestGoldenAnswers compares the answers to SVC.QUERY and SVC.SUBMIT for each result with a golden file. Clients read them.
 func TestGoldenAnswers(t *testing.T) {
 	var b []byte
 	for _, a := range []core.Answer{
@@ -47,8 +48,8 @@
 	golden.Compare(t, "answers.txt", b)
 }
 
-// The words of SVC.QUERY and SVC.SUBMIT, and each name of their list of names and values. Clients write them, and forwarders pass
-// them on.
+// TestGoldenRequest checks how the arguments of SVC.QUERY and SVC.SUBMIT are parsed, with each name in the list of names and values.
+// Clients write them, and forwarders pass them on.
 func TestGoldenRequest(t *testing.T) {
 	for _, c := range []struct {
 		words []string
@@ -72,14 +73,15 @@
 		}
 	}
 	var r core.Request
-	class, plan, err := Route([]byte("c=order,t=slim,d=1500.5,k=key-1,r=1,units=2.5,spread=3,first=4"), &r)
+	class, plan, err := ParseRoute([]byte("c=order,t=slim,d=1500.5,k=key-1,r=1,units=2.5,spread=3,first=4"), &r)
 	if want := (&core.Request{Timeout: 1500500 * time.Microsecond, Units: 2.5, Spread: 3, FirstGateway: 4, Repeat: true,
 		Message: core.Message{Key: "key-1"}}); err != nil || class != "order" || plan != "slim" || !reflect.DeepEqual(&r, want) {
 		t.Errorf("%q, %q, %v\n got %+v\nwant %+v", class, plan, err, &r, want)
 	}
 }
 
-// The errors for commands that can't be used, and the answers to PING. Clients read them, and forwarders pass them on.
+// TestGoldenErrors compares the errors for invalid commands and the answers to PING with a golden file. Clients read them, and
+// forwarders pass them on.
 func TestGoldenErrors(t *testing.T) {
 	const customer, order = "00000000b4d65521", "c=order,t=wide,d=50,k=a,units=1,spread=1,first=0"
 	var b []byte
@@ -123,19 +125,19 @@
 	golden.Compare(t, "errors.txt", append(b, exchange(t, drained, "PING")...))
 }
 
-// exchange is one command and what a client reads for it, over a session of its own.
+// exchange sends one command over a new session, and returns the command and the bytes of the answer as text.
 func exchange(t *testing.T, c front.Commands, words ...string) []byte {
 	t.Helper()
 	l, err := net.Listen("tcp", standin.OwnAddr())
 	if err != nil {
 		t.Fatal(err)
 	}
-	server := &front.Server{Listener: l, Log: zap.NewNop(), Bounds: front.NewBounds(64 << 20), Sessions: 1,
-		Open: func() front.Commands { return c }}
+	server := &front.Server{Listener: l, Log: zap.NewNop(), Bounds: front.NewBounds(64 << 20), MaxSessions: 1,
+		NewCommands: func() front.Commands { return c }}
 	ctx, stop := context.WithCancel(t.Context())
-	over := make(chan struct{})
+	served := make(chan struct{})
 	go func() {
-		defer close(over)
+		defer close(served)
 		server.Serve(ctx)
 	}()
 	client, err := standin.Dial(l.Addr().String(), 10*time.Second)
@@ -145,7 +147,7 @@
 	defer func() {
 		client.Close()
 		stop()
-		<-over
+		<-served
 	}()
 	client.SetDeadline(time.Now().Add(10 * time.Second))
 	if err := client.Send(words); err != nil {
--- a/internal/front/writer.go
+++ b/internal/front/writer.go
@@ -11,40 +11,40 @@
 	"dewhitch/internal/resp"
 )
 
-// How a session's answers are written.
+// Bounds on the writing of a session's answers.
 const (
-	maxReusedBuffer = 16 << 10        // bytes; a larger buffer of answers is not reused
-	sendTimeout     = 5 * time.Second // of a client that reads nothing
-	sendWaits       = 10              // writes, within sendTimeout, that may take nothing
-	valuePiece      = 16 << 10        // bytes of a large value in memory at once
+	maxReusedBuffer  = 16 << 10        // bytes of a buffer of answers, above which it is not reused
+	sendTimeout      = 5 * time.Second // time after which a client that reads nothing is disconnected
+	maxStalledWrites = 10              // consecutive writes without progress that make up sendTimeout
+	valueChunkSize   = 16 << 10        // bytes of a large value that are in memory at once
 )
 
-// pieces are buffers for large values.
-var pieces = sync.Pool{New: func() any { return new([valuePiece]byte) }}
+// chunkBuffers holds buffers for copying large values.
+var chunkBuffers = sync.Pool{New: func() any { return new([valueChunkSize]byte) }}
 
-// batch is what the writer writes at once: answers, and the value that follows them.
+// batch holds what the writer writes at once: encoded answers, and optionally a streamed value after them.
 type batch struct {
-	answers []byte
-	marks   []mark
-	value   *Slot // nil: none
+	answers    []byte      // encoded answers
+	answerEnds []answerEnd // ends of the answers that have an onSettled
+	streamed   *Slot       // slot whose value follows the answers; nil if there is none
 }
 
-// write writes answers in the order of their commands until the session ends. It is the session's writing goroutine.
+// write writes answers in the order of their commands until the session ends. It runs on the session's writing goroutine.
 func (s *session) write() {
 	defer s.cancel()
 	var b batch
 	for {
-		over := s.nextBatch(&b)
-		if over {
+		ended := s.nextBatch(&b)
+		if ended {
 			s.discardBatch(b)
 			return
 		}
-		if len(b.answers) == 0 && b.value == nil {
+		if len(b.answers) == 0 && b.streamed == nil {
 			<-s.wake
 			continue
 		}
 		if err := s.writeBatch(b); err != nil {
-			s.writeFailed(err)
+			s.abandonAfterWriteError(err)
 			return
 		}
 		s.batchWritten(b)
@@ -54,53 +54,55 @@
 	}
 }
 
-// nextBatch takes what is to be written, in exchange for the buffers of the last batch. Once all is written and nothing more is
-// read, it shuts the session, which is over then.
-func (s *session) nextBatch(b *batch) (over bool) {
+// nextBatch takes the next answers to write, in exchange for the buffers of the last batch. When everything is written and nothing more
+// is read, it closes the writing side of the lifecycle. It returns true if nothing more may be written.
+func (s *session) nextBatch(b *batch) (ended bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	b.answers, s.unwritten = s.unwritten, b.answers[:0]
-	b.marks, s.marks = s.marks, b.marks[:0]
-	b.value = s.streaming
-	if s.lifecycle.state == stateClosing && len(s.slots) == 0 && len(b.answers) == 0 && b.value == nil {
-		s.lifecycle.shut(time.Now())
+	b.answerEnds, s.answerEnds = s.answerEnds, b.answerEnds[:0]
+	b.streamed = s.streaming
+	if s.lifecycle.state == stateClosing && len(s.slots) == 0 && len(b.answers) == 0 && b.streamed == nil {
+		s.lifecycle.closeWrite(time.Now())
 		s.conn.SetReadDeadline(s.lifecycle.closeAt)
 	}
 	return s.lifecycle.state == stateClosed
 }
 
-// discardBatch reports answers as cut that can't be written any more, and ends the sending side of the connection.
+// discardBatch reports WriteFailed for the answers of a batch that can no longer be written, and closes the sending side of the
+// connection.
 func (s *session) discardBatch(b batch) {
-	settleMarks(b.marks, 0)
-	if b.value != nil {
-		b.value.end(WriteFailed)
+	settleAnswers(b.answerEnds, 0)
+	if b.streamed != nil {
+		b.streamed.settleValue(WriteFailed)
 	}
 	if tcp, ok := s.conn.(*net.TCPConn); ok {
 		tcp.CloseWrite()
 	}
 }
 
-// writeBatch writes a batch, and reports what became of its answers. A client can tell by its length that a value is incomplete.
+// writeBatch writes a batch, and reports the outcomes of its answers. If a value is cut off, the client recognizes that by the
+// announced length.
 func (s *session) writeBatch(b batch) error {
 	n, err := s.send(b.answers)
-	settleMarks(b.marks, n)
-	if b.value == nil {
+	settleAnswers(b.answerEnds, n)
+	if b.streamed == nil {
 		return err
 	}
 	if err == nil {
-		err = s.copyValue(b.value.value)
+		err = s.copyValue(b.streamed.value)
 	}
-	fate := Written
+	outcome := Written
 	if err != nil {
-		fate = WriteFailed
+		outcome = WriteFailed
 	}
-	b.value.end(fate)
+	b.streamed.settleValue(outcome)
 	return err
 }
 
-// writeFailed ends a session that nothing can be written to any more. It wakes the reader, which may wait for capacity that only
-// the writer releases.
-func (s *session) writeFailed(err error) {
+// abandonAfterWriteError ends a session to which nothing more can be written. It wakes the reading goroutine, which may wait for
+// capacity that only the writer releases.
+func (s *session) abandonAfterWriteError(err error) {
 	s.mu.Lock()
 	if errors.Is(err, os.ErrDeadlineExceeded) {
 		s.setCloseReason(ClosedUnread)
@@ -108,24 +110,24 @@
 	s.lifecycle.abandon(time.Now())
 	s.capacity.Broadcast()
 	s.mu.Unlock()
-	s.conn.Close() // the reader's Read returns
+	s.conn.Close() // unblocks a Read of the reading goroutine
 }
 
-// batchWritten releases the capacity of a batch, and gathers the answers behind its value.
+// batchWritten releases the capacity that a batch took, and gathers the answers that follow its value.
 func (s *session) batchWritten(b batch) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.releaseUnsent(len(b.answers))
-	if b.value != nil {
+	if b.streamed != nil {
 		s.releaseUnsent(streamingBytes)
 		s.streaming = nil
-		s.lastOwedAt = time.Now()
+		s.lastPendingAt = time.Now()
 		s.gatherAnswers()
 	}
 	s.capacity.Signal()
 }
 
-// wakeWriter has the writer look for a batch; it never blocks.
+// wakeWriter makes the writer check for a batch. It never blocks.
 func (s *session) wakeWriter() {
 	select {
 	case s.wake <- struct{}{}:
@@ -133,34 +135,34 @@
 	}
 }
 
-// send writes all of b. The client may read slowly, but must read something within sendTimeout. The wait is divided into
-// sendWaits, as the time of one write doesn't tell when it last made progress: one long wait could last twice the time-out.
+// send writes all of b. The client may read slowly, but must read something within sendTimeout. The timeout is divided into
+// maxStalledWrites writes, because a write does not tell when it last made progress: one long write could last twice the timeout.
 func (s *session) send(b []byte) (n int, err error) {
-	for waits := 0; n < len(b); {
-		s.conn.SetWriteDeadline(time.Now().Add(sendTimeout / sendWaits))
+	for stalledWrites := 0; n < len(b); {
+		s.conn.SetWriteDeadline(time.Now().Add(sendTimeout / maxStalledWrites))
 		m, err := s.conn.Write(b[n:])
 		n += m
 		if m > 0 {
-			waits = 0
+			stalledWrites = 0
 		} else {
-			waits++
+			stalledWrites++
 		}
-		if err != nil && (waits >= sendWaits || !errors.Is(err, os.ErrDeadlineExceeded)) {
+		if err != nil && (stalledWrites >= maxStalledWrites || !errors.Is(err, os.ErrDeadlineExceeded)) {
 			return n, err
 		}
 	}
 	return n, nil
 }
 
-// copyValue writes a value and the end of its bulk string, a piece at a time: no more is in memory, and no more is read from
-// the backend than the client reads.
+// copyValue writes a value and the end of its bulk string in chunks, so that only one chunk is in memory and the value is read from the
+// backend no faster than the client reads it.
 func (s *session) copyValue(v Value) error {
-	buf := pieces.Get().(*[valuePiece]byte)
-	defer pieces.Put(buf)
+	buf := chunkBuffers.Get().(*[valueChunkSize]byte)
+	defer chunkBuffers.Put(buf)
 	for {
 		n, err := v.Read(buf[:])
 		if errors.Is(err, io.EOF) {
-			_, err = s.send([]byte(resp.End))
+			_, err = s.send([]byte(resp.BulkEnd))
 			return err
 		}
 		if err == nil {
@@ -172,7 +174,8 @@
 	}
 }
 
-// releaseUnsent counts n bytes of answers as sent; the lock is held. An abandoned session has released all of its bytes before.
+// releaseUnsent counts n bytes of answers as sent. An abandoned session has already released all of its bytes. The caller holds the
+// lock.
 func (s *session) releaseUnsent(n int) {
 	n = min(n, s.unsentBytes)
 	s.unsentBytes -= n
