--- a/internal/drill/cluster.go
+++ b/internal/drill/cluster.go
@@ -16,8 +16,8 @@
 // processTimeout bounds the time that a process takes to start or to exit.
 const processTimeout = 30 * time.Second
 
-// cluster holds all parts of a running drill. The fields above the mutex are set before other goroutines use them, and are not
-// reassigned afterwards.
+// cluster holds all parts of a running drill. The fields above the mutex are set by open, before other goroutines use
+// them; Run sets startedAt again when the load starts.
 type cluster struct {
 	*Scenario
 	Options
--- a/internal/drill/commandrules.go
+++ b/internal/drill/commandrules.go
@@ -9,7 +9,7 @@
 // pairCheck is a pending check that two attempts of a request did not overlap. It is evaluated at readyAt, when the ends of both
 // are known.
 type pairCheck struct {
-	readyAt       time.Time
+	readyAt       time.Time // time of the evaluation
 	requestID     string
 	first, second *arrival
 }
--- a/internal/drill/front.go
+++ b/internal/drill/front.go
@@ -10,7 +10,7 @@
 
 // Parameters of the load balancer between clients and gateways, which the drill plays.
 const (
-	frontCheckInterval = 200 * time.Millisecond // between health checks of a gateway
+	frontCheckInterval = 200 * time.Millisecond // time between health checks of a gateway
 	frontCheckTimeout  = time.Second            // timeout of a health check
 	frontMaxFailures   = 2                      // consecutive failed checks that take a gateway out of rotation
 )
--- a/internal/drill/operator.go
+++ b/internal/drill/operator.go
@@ -13,10 +13,10 @@
 
 // Bounds of the commands that the drill sends as an operator.
 const (
-	commandTimeout = 10 * time.Second
+	commandTimeout = 10 * time.Second // timeout of other commands
 	freezeTimeout  = 15 * time.Second // timeout of freeze and thaw
-	adminTimeout   = time.Second
-	maxAnswerSize  = 4096 // bytes
+	adminTimeout   = time.Second      // timeout of admin commands
+	maxAnswerSize  = 4096             // bytes that are read of an answer
 )
 
 // command sends an operator's command to a gateway. If the gateway refuses it, the answer is added to the timeline and returned
--- a/internal/drill/rest.go
+++ b/internal/drill/rest.go
@@ -34,7 +34,7 @@
 	MaxCPU      float64 `json:"most_cpu_ms_per_s"`     // highest of a process
 	Sent        float64 `json:"sent_bytes_per_s"`      // mean over the processes
 	MaxSent     float64 `json:"most_sent_bytes_per_s"` // highest of a process
-	ApplyMedian float64 `json:"seen_median_s"`         // median of the seconds from the first process's application of a change to another's
+	ApplyMedian float64 `json:"seen_median_s"`         // median of the seconds from the first process that applied a change
 	ApplyWorst  float64 `json:"seen_worst_s"`          // longest of these times
 	Memory      float64 `json:"resident_mb"`           // mean over the processes
 }
