--- a/cmd/drill/run.go
+++ b/cmd/drill/run.go
@@ -12,7 +12,7 @@
 	"dewhitch/internal/drill"
 )
 
-// runCmd plays a scenario, writes its result as JSON and as a page where wanted, and prints a summary.
+// runCmd runs a scenario, writes its result as JSON and as an HTML page if requested, and prints a summary.
 type runCmd struct {
 	File           string `arg:"" help:"A name of the library, or a file."`
 	Program        string `default:"bin/dewhitch" help:"The program, built (${default})."`
@@ -25,8 +25,9 @@
 	Quiet          bool   `help:"Print no line a second."`
 }
 
-// Run returns drill.ErrFell if a check failed, after all results are written. Other errors mean that the scenario could not be played,
-// or a result not written; if it could not be played, the processes' files stay for diagnosis.
+// Run returns drill.ErrCheckFailed if a check failed, after all results are written. Any other error means that the scenario
+// could not be run or a result could not be written. If the scenario could not be run, the processes' files are kept for
+// diagnosis.
 func (c runCmd) Run(ctx context.Context) error {
 	scenario, err := drill.Find(c.File, drill.Size{Gateways: c.Gateways})
 	if err != nil {
@@ -36,9 +37,9 @@
 	if err != nil {
 		return err
 	}
-	result, played := drill.Run(ctx, scenario, c.options(dir))
-	if played != nil && !errors.Is(played, drill.ErrFell) {
-		return fmt.Errorf("%w (the processes' files are in %s)", played, dir)
+	result, runErr := drill.Run(ctx, scenario, c.options(dir))
+	if runErr != nil && !errors.Is(runErr, drill.ErrCheckFailed) {
+		return fmt.Errorf("%w (the processes' files are in %s)", runErr, dir)
 	}
 	defer os.RemoveAll(dir)
 	if err := c.writeJSON(result); err != nil {
@@ -48,7 +49,7 @@
 		return err
 	}
 	printSummary(os.Stderr, result)
-	return played
+	return runErr
 }
 
 func (c runCmd) options(dir string) drill.Options {
@@ -57,12 +58,12 @@
 		lines = nil
 	}
 	return drill.Options{
-		Program:       c.Program,
-		Dir:           dir,
-		Seed:          c.Seed,
-		Uncoordinated: c.Uncoordinated,
-		Told:          c.AnnounceFaults,
-		Lines:         lines,
+		Program:        c.Program,
+		Dir:            dir,
+		Seed:           c.Seed,
+		Uncoordinated:  c.Uncoordinated,
+		AnnounceFaults: c.AnnounceFaults,
+		Progress:       lines,
 	}
 }
 
--- a/internal/drill/cluster.go
+++ b/internal/drill/cluster.go
@@ -13,18 +13,19 @@
 	"dewhitch/internal/standin/zookeeper"
 )
 
-// processTimeout bounds the start and the end of a process.
+// processTimeout bounds the time that a process takes to start or to exit.
 const processTimeout = 30 * time.Second
 
-// cluster has all parts of a running drill. Fields above the mutex are set by open, before other goroutines run.
+// cluster holds all parts of a running drill. The fields above the mutex are set by open, before other goroutines use
+// them; Run sets startedAt again when the load starts.
 type cluster struct {
 	*Scenario
 	Options
-	startedAt      time.Time // of the load
+	startedAt      time.Time // start of the load
 	net            *link.Net
 	backends       *standin.Backends
 	counter        *standin.Counter
-	registry       *zookeeper.Server // nil: members find one another by seeds
+	registry       *zookeeper.Server // nil if members find one another by seeds
 	servers        []*server
 	serversByName  map[string]*server
 	gateways       []*gateway
@@ -35,59 +36,59 @@
 	generator      *loadGenerator
 	plans          []standin.Plan
 	classes        []class
-	rng            *rand.Rand // for the servers' models, under the backends' lock
+	rng            *rand.Rand // draws for the server models; guarded by the backends' lock
 	stop           context.CancelFunc
 	background     sync.WaitGroup
 
 	mu            sync.Mutex
-	draining      map[string]bool // servers, as discovery lists them
-	timeline      []Moment
-	turns         []Turn          // machines that had their maintenance
-	workRequested int             // machines that maintenance was requested for
-	restarts      []serverRestart // servers that restarted, and are in slow start
+	draining      map[string]bool // whether discovery lists a server as draining, by name
+	timeline      []TimelineEvent
+	maintained    []MachineMaintenance // machines whose maintenance is complete
+	workRequested int                  // number of machines that maintenance was requested for
+	restarts      []serverRestart      // restarts of servers, each followed by slow start
 }
 
-// Moment is one line of the timeline.
-type Moment struct {
-	At   float64 `json:"at"` // seconds since the load began
-	What string  `json:"what"`
+// TimelineEvent is one entry of a drill's timeline.
+type TimelineEvent struct {
+	At   float64 `json:"at"` // seconds since the start of the load
+	Text string  `json:"what"`
 }
 
-// record adds a line to the timeline.
-func (cl *cluster) record(format string, a ...any) {
-	cl.mu.Lock()
-	defer cl.mu.Unlock()
-	cl.timeline = append(cl.timeline, Moment{time.Since(cl.startedAt).Seconds(), fmt.Sprintf(format, a...)})
+// record adds an entry to the timeline.
+func (c *cluster) record(format string, a ...any) {
+	c.mu.Lock()
+	defer c.mu.Unlock()
+	c.timeline = append(c.timeline, TimelineEvent{time.Since(c.startedAt).Seconds(), fmt.Sprintf(format, a...)})
 }
 
-// rate is the load in requests a second.
-func (cl *cluster) rate() float64 {
-	if cl.Rate > 0 {
-		return cl.Rate
+// rate returns the load in requests per second.
+func (c *cluster) rate() float64 {
+	if c.Rate > 0 {
+		return c.Rate
 	}
-	return cl.Load * float64(len(cl.Zones)*cl.Servers*serverCores) / meanWork.Seconds()
+	return c.Load * float64(len(c.Zones)*c.Servers*serverCores) / meanWork.Seconds()
 }
 
-// coordinated tells whether the processes form a fleet.
-func (cl *cluster) coordinated() bool { return cl.Coordinated && !cl.Uncoordinated && !cl.Told }
+// coordinated reports whether the processes form a fleet.
+func (c *cluster) coordinated() bool { return c.Coordinated && !c.Uncoordinated && !c.AnnounceFaults }
 
-// lengthOver tells whether the drill's time is over.
-func (cl *cluster) lengthOver() bool { return time.Since(cl.startedAt) > cl.Length }
+// lengthOver reports whether the load has run for the scenario's length.
+func (c *cluster) lengthOver() bool { return time.Since(c.startedAt) > c.Length }
 
-// server returns a server by its name, or nil.
-func (cl *cluster) server(name string) *server { return cl.serversByName[name] }
+// server returns the server of a name, or nil if there is none.
+func (c *cluster) server(name string) *server { return c.serversByName[name] }
 
-// gateway returns a gateway by its name, or nil.
-func (cl *cluster) gateway(name string) *gateway { return cl.gatewaysByName[name] }
+// gateway returns the gateway of a name, or nil if there is none.
+func (c *cluster) gateway(name string) *gateway { return c.gatewaysByName[name] }
 
-// resolveNames returns the processes and servers of a target at this moment.
-func (cl *cluster) resolveNames(b *scenarioBuilder, t target) []string {
+// resolveNames returns the names of the processes and servers that a target refers to now; the leader may change over time.
+func (c *cluster) resolveNames(b *scenarioBuilder, t target) []string {
 	switch t.kind {
 	case "leader":
-		if l := cl.leader(); l != "" {
+		if l := c.leader(); l != "" {
 			return []string{l}
 		}
-		cl.record("there is no leader")
+		c.record("there is no leader")
 		return nil
 	case "counter", "registry":
 		return []string{t.kind}
@@ -96,9 +97,9 @@
 	return append(gateways, servers...)
 }
 
-// close ends all processes and stand-ins. It may be called after an open that failed.
-func (cl *cluster) close() {
-	for _, g := range cl.gateways {
+// close kills all processes and closes the stand-ins. It may be called after open has failed.
+func (c *cluster) close() {
+	for _, g := range c.gateways {
 		if p := g.Program(); p != nil {
 			p.Cmd.Process.Signal(syscall.SIGCONT)
 			g.Kill()
@@ -107,32 +108,32 @@
 			g.discovery.Close()
 		}
 	}
-	cl.background.Wait()
-	for _, g := range cl.gateways { // one may have restarted meanwhile
+	c.background.Wait()
+	for _, g := range c.gateways { // background goroutines may have restarted a process since
 		g.Kill()
 	}
-	if cl.net != nil {
-		cl.net.Close()
+	if c.net != nil {
+		c.net.Close()
 	}
-	if cl.backends != nil {
-		cl.backends.Close()
+	if c.backends != nil {
+		c.backends.Close()
 	}
-	if cl.counter != nil {
-		cl.counter.Close()
+	if c.counter != nil {
+		c.counter.Close()
 	}
-	if cl.registry != nil {
-		cl.registry.Close()
+	if c.registry != nil {
+		c.registry.Close()
 	}
 }
 
-// tail returns the end of a text.
+// tail returns the last 2000 bytes of a text.
 func tail(s string) string {
 	const size = 2000 // bytes
 	return s[max(0, len(s)-size):]
 }
 
-// wait sleeps until ctx ends at most.
-func wait(ctx context.Context, d time.Duration) {
+// sleep waits for a duration, or until ctx ends if that is earlier.
+func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
 	case <-time.After(d):
--- a/internal/drill/gateway.go
+++ b/internal/drill/gateway.go
@@ -10,38 +10,38 @@
 	"dewhitch/internal/standin/link"
 )
 
-// frontRemovalDelay is the time from a graceful shutdown to the gateway's removal from rotation.
+// frontRemovalDelay is the time between the start of a graceful shutdown and the gateway's removal from rotation.
 const frontRemovalDelay = 300 * time.Millisecond
 
-// gateway is one process of the program.
+// gateway is one gateway of the drill: a process of the program, which the scenario may restart.
 type gateway struct {
 	standin.Process
 	name            string
 	zone            string
 	number          int
-	fleetAddress    string // of the fleet's protocol
-	operatorAddress string // of the operators' listener
-	adminAddress    string // of the platform's admin commands
+	fleetAddress    string // address of the fleet's protocol
+	operatorAddress string // address of the operators' listener
+	adminAddress    string // address of the platform's admin commands
 	discovery       *standin.Discovery
-	serverLinks     []*link.Link // by server
-	inRotation      atomic.Bool  // the clients' front sends it requests
+	serverLinks     []*link.Link // link to each server, by the server's index
+	inRotation      atomic.Bool  // clients send it requests
 
 	mu             sync.Mutex
-	faults         []span // when the script had it ended, stopped or shutting down
-	stopExpected   bool   // the script ended it
-	restartPlanned bool   // and starts it again
-	cpu            time.Duration
+	faults         []interval    // times in which the scenario had killed, stalled or restarted the process
+	stopExpected   bool          // the scenario ended the process
+	restartPlanned bool          // the scenario starts the process again
+	cpu            time.Duration // processor time of the processes that have exited
 }
 
-// span is a stretch of time; a zero end: it goes on.
-type span struct{ from, to time.Time }
+// interval is a time interval. A zero end means that it is still open.
+type interval struct{ from, to time.Time }
 
-// beginFault records that the script disturbs the gateway from now on, until the returned function is called.
+// beginFault records the start of a fault that the scenario injects into the gateway. The returned function records its end.
 func (g *gateway) beginFault() (end func()) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	i := len(g.faults)
-	g.faults = append(g.faults, span{from: time.Now()})
+	g.faults = append(g.faults, interval{from: time.Now()})
 	return func() {
 		g.mu.Lock()
 		defer g.mu.Unlock()
@@ -49,7 +49,7 @@
 	}
 }
 
-// hadFault tells whether the script disturbed the gateway at some time between two.
+// hadFault reports whether the gateway had a fault of the scenario at some time between from and to.
 func (g *gateway) hadFault(from, to time.Time) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -61,26 +61,27 @@
 	return false
 }
 
-// recovering tells whether the script's last fault goes on, and the process is not meant to stay ended.
-func (g *gateway) recovering() bool {
+// isRecovering reports whether the gateway is due to serve again: a restart is planned, or a fault is open and the scenario did
+// not end the process.
+func (g *gateway) isRecovering() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.restartPlanned || len(g.faults) > 0 && g.faults[len(g.faults)-1].to.IsZero() && !g.stopExpected
 }
 
-// expectStop sets whether the script wants the process to be ended.
-func (g *gateway) expectStop(on bool) {
+// expectStop sets whether the scenario has ended the process, so that its exit is expected.
+func (g *gateway) expectStop(expected bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.stopExpected = on
+	g.stopExpected = expected
 }
 
-// planRestart sets whether the script starts the process again. Until it serves, the drill may not end: a process that is ended
-// before it handles signals counts as one that fell.
-func (g *gateway) planRestart(on bool) {
+// planRestart sets whether the scenario starts the process again. The drill does not end before the process serves, as a process
+// that is terminated before it handles signals would count as one that exited unexpectedly.
+func (g *gateway) planRestart(planned bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.restartPlanned = on
+	g.restartPlanned = planned
 }
 
 func (g *gateway) isStopExpected() bool {
@@ -89,41 +90,41 @@
 	return g.stopExpected
 }
 
-// addCPU adds the processor time of a process that has ended.
+// addCPU adds the processor time of the current process, which has exited.
 func (g *gateway) addCPU() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.cpu += g.Program().CPU()
 }
 
-// stallGateway stops a process for a time by a signal.
-func (cl *cluster) stallGateway(g *gateway, d time.Duration) {
+// stallGateway suspends a process for a time with SIGSTOP.
+func (c *cluster) stallGateway(g *gateway, d time.Duration) {
 	p := g.Program()
 	if p == nil || p.Ended() {
 		return
 	}
 	end := g.beginFault()
 	p.Cmd.Process.Signal(syscall.SIGSTOP)
-	cl.background.Go(func() {
+	c.background.Go(func() {
 		time.Sleep(d)
-		// Recorded first: what the process does once it runs again is counted from here.
-		cl.record("%s wakes", g.name)
+		// The entry precedes SIGCONT, so that the times of what the process does next are counted from it.
+		c.record("%s resumes", g.name)
 		p.Cmd.Process.Signal(syscall.SIGCONT)
 		end()
 	})
 }
 
-// killGateway ends a process without a shutdown, and starts it again after a time unless that is 0.
-func (cl *cluster) killGateway(g *gateway, delay time.Duration, fresh bool) {
+// killGateway kills a process, and starts it again after delay unless that is 0.
+func (c *cluster) killGateway(g *gateway, delay time.Duration, fresh bool) {
 	end := g.beginFault()
 	g.expectStop(true)
 	g.planRestart(delay > 0)
 	g.Kill()
-	cl.restartAfter(g, delay, fresh, end)
+	c.restartAfter(g, delay, fresh, end)
 }
 
-// terminateGateway shuts a process down gracefully, as a planned restart does, and starts it again after a time unless that is 0.
-func (cl *cluster) terminateGateway(g *gateway, delay time.Duration, fresh bool) {
+// terminateGateway shuts a process down gracefully, as in a planned restart, and starts it again after delay unless that is 0.
+func (c *cluster) terminateGateway(g *gateway, delay time.Duration, fresh bool) {
 	p := g.Program()
 	if p == nil || p.Ended() {
 		return
@@ -131,45 +132,46 @@
 	g.expectStop(true)
 	g.planRestart(delay > 0)
 	p.Cmd.Process.Signal(syscall.SIGTERM)
-	cl.background.Go(func() {
+	c.background.Go(func() {
 		time.Sleep(frontRemovalDelay)
 		g.inRotation.Store(false)
 		if err := g.Process.AwaitExit(processTimeout); err != nil {
 			g.planRestart(false)
-			cl.checker.report(time.Now(), ruleEnded, "%v", err)
+			c.checker.report(time.Now(), ruleUnexpectedExit, "%v", err)
 			return
 		}
 		end := g.beginFault()
-		cl.restartAfter(g, max(0, delay-frontRemovalDelay), fresh, end)
+		c.restartAfter(g, max(0, delay-frontRemovalDelay), fresh, end)
 	})
 }
 
-// restartAfter starts a process that has ended after a time; 0: not at all. fresh: without its files. end is called once it serves.
-func (cl *cluster) restartAfter(g *gateway, delay time.Duration, fresh bool, end func()) {
+// restartAfter starts a process that has exited again after delay, without its files if fresh is true, and calls end once it
+// serves. If delay is 0, the process is not started again and end is not called.
+func (c *cluster) restartAfter(g *gateway, delay time.Duration, fresh bool, end func()) {
 	g.addCPU()
 	if delay == 0 {
 		g.planRestart(false)
 		return
 	}
-	cl.background.Go(func() {
+	c.background.Go(func() {
 		defer g.planRestart(false)
 		time.Sleep(delay)
 		if fresh {
 			g.RemoveState()
 		}
 		if err := g.Start(processTimeout); err != nil {
-			cl.checker.report(time.Now(), ruleEnded, "%v", err)
+			c.checker.report(time.Now(), ruleUnexpectedExit, "%v", err)
 			return
 		}
 		g.expectStop(false)
-		cl.record("%s is back", g.name)
+		c.record("%s serves again", g.name)
 		end()
 	})
 }
 
-// expireSessions ends all sessions at the registry, and with them the members' entries.
-func (cl *cluster) expireSessions() {
-	for _, g := range cl.gateways {
-		cl.registry.Expire(cl.registry.Owner("/dewhitch/members/drill/" + g.name))
+// expireSessions expires the members' sessions at the registry, which removes their entries.
+func (c *cluster) expireSessions() {
+	for _, g := range c.gateways {
+		c.registry.Expire(c.registry.Owner("/dewhitch/members/drill/" + g.name))
 	}
 }
--- a/internal/drill/operator.go
+++ b/internal/drill/operator.go
@@ -11,44 +11,46 @@
 	"time"
 )
 
-// Bounds of operators' commands.
+// Bounds of the commands that the drill sends as an operator.
 const (
-	commandTimeout = 10 * time.Second
-	freezeTimeout  = 15 * time.Second // of freeze and thaw
-	adminTimeout   = time.Second
-	maxAnswerSize  = 4096 // bytes
+	commandTimeout = 10 * time.Second // timeout of other commands
+	freezeTimeout  = 15 * time.Second // timeout of freeze and thaw
+	adminTimeout   = time.Second      // timeout of admin commands
+	maxAnswerSize  = 4096             // bytes that are read of an answer
 )
 
-// command sends an operator's command to a gateway. A refused command is an error with the answer, which is added to the timeline.
-func (cl *cluster) command(g *gateway, verb string, form url.Values) error {
+// command sends an operator's command to a gateway. If the gateway refuses it, the answer is added to the timeline and returned
+// as an error.
+func (c *cluster) command(g *gateway, verb string, form url.Values) error {
 	text, ok, err := g.post(verb, form, commandTimeout)
 	if err != nil {
 		return err
 	}
 	if !ok {
-		cl.record("%s: %s: %s", g.name, verb, text)
+		c.record("%s: %s: %s", g.name, verb, text)
 		return errors.New(text)
 	}
 	return nil
 }
 
-// sendCommand sends freeze or thaw to a gateway in the background, and adds the answer to the timeline.
-func (cl *cluster) sendCommand(g *gateway, verb, why string) {
-	if g == nil || !cl.coordinated() {
+// sendCommand sends freeze or thaw to a gateway in the background, and adds the answer to the timeline. It does nothing without
+// the fleet view, or if g is nil.
+func (c *cluster) sendCommand(g *gateway, verb, why string) {
+	if g == nil || !c.coordinated() {
 		return
 	}
-	cl.background.Go(func() {
+	c.background.Go(func() {
 		sentAt := time.Now()
 		text, _, err := g.post(verb, url.Values{"by": {"drill"}, "why": {why}}, freezeTimeout)
 		if err != nil {
-			cl.record("%s: %s: %v", g.name, verb, err)
+			c.record("%s: %s: %v", g.name, verb, err)
 			return
 		}
-		cl.record("%s: %s: %s after %v", g.name, verb, text, time.Since(sentAt).Round(time.Millisecond))
+		c.record("%s: %s: %s after %v", g.name, verb, text, time.Since(sentAt).Round(time.Millisecond))
 	})
 }
 
-// post sends an operator's command to a gateway: ok tells whether it was accepted.
+// post sends an operator's command to a gateway. ok is true if the gateway accepted it.
 func (g *gateway) post(verb string, form url.Values, timeout time.Duration) (text string, ok bool, err error) {
 	client := http.Client{Timeout: timeout}
 	answer, err := client.PostForm("http://"+g.operatorAddress+"/fleet/"+verb, form)
@@ -60,7 +62,7 @@
 	return strings.TrimSpace(string(body)), answer.StatusCode == http.StatusOK, nil
 }
 
-// sendAdminLine sends a line to a gateway's admin address. An answer other than YES is an error.
+// sendAdminLine sends a line to a gateway's admin address. It returns an error unless the answer begins with YES.
 func sendAdminLine(address, line string) error {
 	c, err := net.DialTimeout("tcp", address, adminTimeout)
 	if err != nil {
--- a/internal/drill/target.go
+++ b/internal/drill/target.go
@@ -7,12 +7,12 @@
 	"go.starlark.net/starlark"
 )
 
-// target names gateways, servers or both in a scenario file.
+// target is a value of a scenario file that refers to gateways, servers, the leader, the counter or the registry.
 type target struct {
-	text  string
-	kind  string // the word: gateways, servers, zone, gateway, server, leader, counter or registry
-	zone  string // empty: all
-	index int    // from 1; 0: all
+	text  string // call, as written in the file
+	kind  string // function that made the target: gateways, servers, zone, gateway, server, leader, counter or registry
+	zone  string // letter of the zone; empty for all zones
+	index int    // number within the zone, from 1; 0 for all
 }
 
 func (t target) String() string        { return t.text }
@@ -23,20 +23,20 @@
 
 // Unpack implements starlark.Unpacker.
 func (t *target) Unpack(v starlark.Value) error {
-	o, ok := v.(target)
+	parsed, ok := v.(target)
 	if !ok {
 		return fmt.Errorf("got %s, expected gateways, servers or a zone", v.Type())
 	}
-	*t = o
+	*t = parsed
 	return nil
 }
 
-// target reads the call of servers("b"), zone("a"), gateway("a", 1) and the other words for targets.
+// target parses the call of servers("b"), zone("a"), gateway("a", 1) and the other functions that return targets.
 func (b *scenarioBuilder) target(c *builtinCall, kind string) (starlark.Value, error) {
-	zone, at := "", 0
+	zone, index := "", 0
 	var err error
 	if one := kind == "gateway" || kind == "server"; one {
-		err = c.unpack("zone", &zone, "number", &at)
+		err = c.unpack("zone", &zone, "number", &index)
 	} else {
 		err = c.unpack("zone?", &zone)
 	}
@@ -51,14 +51,14 @@
 	}
 	switch kind {
 	case "gateway":
-		err = checkRange("gateway", float64(at), 1, float64(b.scenario.Gateways))
+		err = checkRange("gateway", float64(index), 1, float64(b.scenario.Gateways))
 	case "server":
-		err = checkRange("server", float64(at), 1, float64(b.scenario.Servers))
+		err = checkRange("server", float64(index), 1, float64(b.scenario.Servers))
 	}
-	return target{text: c.text(), kind: kind, zone: zone, index: at}, err
+	return target{text: c.text(), kind: kind, zone: zone, index: index}, err
 }
 
-// resolve names the gateways and servers of a target.
+// resolve returns the names of the gateways and servers of a target.
 func (b *scenarioBuilder) resolve(t target) (gateways, servers []string) {
 	for _, z := range b.scenario.Zones {
 		if t.zone != "" && t.zone != z {
