--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -14,39 +14,39 @@
 	"dewhitch/internal/standin"
 )
 
-// Parameters of the clients.
+// Parameters of the simulated clients.
 const (
-	answerTolerance = 2 * time.Second // beyond the deadline, until a request is lost; no busy machine is so late
+	answerTolerance = 2 * time.Second // time after the deadline until a request is lost, more than a busy machine adds
 	dialTimeout     = time.Second
-	maxSpread       = 3 // gateways of a customer
+	maxSpread       = 3 // maximum number of gateways that a customer's requests are spread over
 )
 
-// outcome of a request, as its client saw it.
+// outcome is the outcome of a request as its client observed it.
 type outcome int
 
 const (
-	served      outcome = iota
-	late                // served after the latency objective
-	rejected            // answered as busy
-	failed              // answered with another error
-	unreachable         // no gateway accepted the connection
-	excused             // without an answer, at a gateway with a fault of the script
-	unanswered
-	clientGone // the client closed the connection while it waited
-	outcomes   // how many there are
+	served         outcome = iota
+	late                   // served, but after the latency objective
+	rejected               // answered with BUSY
+	failed                 // answered with another error
+	unreachable            // no gateway in rotation accepted a connection
+	excused                // no answer, at a gateway that had a fault of the scenario
+	unanswered             // no answer, at a gateway without a fault
+	clientDeparted         // the client closed the connection before an answer
+	outcomeCount           // number of outcomes
 )
 
-// outcomeNames are the names in results.
-var outcomeNames = [outcomes]string{"served", "late", "refused", "failed", "no_way", "excused", "lost", "left"}
+// outcomeNames are the names of outcomes in results.
+var outcomeNames = [outcomeCount]string{"served", "late", "refused", "failed", "no_way", "excused", "lost", "left"}
 
-// secondCounts adds up the requests that were sent in one second.
+// secondCounts totals the requests that were sent in one second, or in several.
 type secondCounts struct {
-	outcomes [outcomes]int
-	offered  float64 // value of the requests
-	earned   float64 // value of those that were served in time
+	outcomes [outcomeCount]int
+	offered  float64 // total value of the requests
+	earned   float64 // value of the requests that were served in time
 }
 
-// servedRatio is the value that was earned, as a ratio of the offered.
+// servedRatio returns the ratio of the earned to the offered value; 1 if there were no requests.
 func (s secondCounts) servedRatio() float64 {
 	if s.offered == 0 {
 		return 1
@@ -54,10 +54,10 @@
 	return s.earned / s.offered
 }
 
-// String lists the outcomes.
+// String lists the outcomes that occurred, with their counts.
 func (s secondCounts) String() string {
 	var counts []string
-	for o := range outcomes {
+	for o := range outcomeCount {
 		if s.outcomes[o] > 0 {
 			counts = append(counts, outcomeNames[o]+" "+strconv.Itoa(s.outcomes[o]))
 		}
@@ -65,19 +65,19 @@
 	return strings.Join(counts, ", ")
 }
 
-// loadGenerator plays the customers' clients as an open loop: requests are sent at their times, whatever the outcome of others.
+// loadGenerator simulates the customers' clients as an open loop: the times of requests do not depend on the outcome of others.
 type loadGenerator struct {
-	cluster *cluster
-	running sync.WaitGroup
+	cluster  *cluster
+	requests sync.WaitGroup // running requests
 
-	mu      sync.Mutex
-	seconds []secondCounts
-	idle    map[string][]*standin.Client // connections by gateway
-	open    int                          // requests without an outcome
+	mu           sync.Mutex
+	seconds      []secondCounts               // requests by the second in which they were sent
+	idle         map[string][]*standin.Client // idle connections by gateway
+	openRequests int                          // number of requests without an outcome yet
 }
 
-func newLoadGenerator(cl *cluster) *loadGenerator {
-	return &loadGenerator{cluster: cl, idle: map[string][]*standin.Client{}}
+func newLoadGenerator(cluster *cluster) *loadGenerator {
+	return &loadGenerator{cluster: cluster, idle: map[string][]*standin.Client{}}
 }
 
 // clientRequest is one request of a client.
@@ -86,13 +86,13 @@
 	id           string
 	class        class
 	plan         standin.Plan
-	key          string // idempotency key; empty: none
-	firstGateway int
-	spread       int           // gateways from the first on that the request may be sent to
-	leaveAfter   time.Duration // until the client closes the connection; 0: it waits
+	key          string        // idempotency key; empty if the class has none
+	firstGateway int           // index of the customer's first gateway
+	spread       int           // number of gateways, from the first on, that may receive the request
+	departAfter  time.Duration // time after which the client closes the connection; 0 if it waits for the answer
 }
 
-// command is the request on the wire.
+// command returns the arguments of the request's command on the wire.
 func (r *clientRequest) command() []string {
 	args := fmt.Sprintf("c=%s,t=%s,d=%d,", r.class.Name, r.plan.Name, r.class.Deadline.Milliseconds())
 	name := "SVC.QUERY"
@@ -106,83 +106,83 @@
 	return []string{name, fmt.Sprintf("%016x", r.customer), r.id, args}
 }
 
-// run sends requests as a Poisson process until ctx ends, and returns when all have an outcome.
+// run sends requests as a Poisson process until ctx ends, and returns once all have an outcome.
 func (l *loadGenerator) run(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(l.cluster.Seed, 77))
 	rate := l.cluster.rate()
 	startedAt := time.Now()
-	next := 0.0 // seconds since then
+	nextAt := 0.0 // seconds from startedAt to the next request
 	for n := 0; ctx.Err() == nil; n++ {
-		next += rng.ExpFloat64() / rate
-		wait(ctx, time.Until(startedAt.Add(time.Duration(next*1e9))))
+		nextAt += rng.ExpFloat64() / rate
+		sleep(ctx, time.Until(startedAt.Add(time.Duration(nextAt*1e9))))
 		if ctx.Err() != nil {
 			break
 		}
-		r := l.draw(rng, n)
-		offset := rng.IntN(r.spread)
-		l.running.Go(func() { l.send(r, offset) })
+		request := l.draw(rng, n)
+		offset := rng.IntN(request.spread)
+		l.requests.Go(func() { l.send(request, offset) })
 	}
-	l.running.Wait()
+	l.requests.Wait()
 }
 
-// draw makes the n-th request. The order of the draws is part of what a seed means.
+// draw generates the n-th request. The order of the draws must not change: it determines the load that a seed stands for.
 func (l *loadGenerator) draw(rng *rand.Rand, n int) *clientRequest {
-	cl := l.cluster
-	customer := rng.IntN(cl.Customers)
-	r := &clientRequest{
+	cluster := l.cluster
+	customer := rng.IntN(cluster.Customers)
+	request := &clientRequest{
 		customer:     uint64(customer + 1),
-		id:           fmt.Sprintf("%08x%08x", cl.Seed&0xffffffff, n),
-		class:        cl.classes[rng.IntN(len(cl.classes))],
-		plan:         cl.plans[customer%len(cl.plans)],
-		spread:       min(maxSpread, len(cl.gateways)),
-		firstGateway: customer % len(cl.gateways),
+		id:           fmt.Sprintf("%08x%08x", cluster.Seed&0xffffffff, n),
+		class:        cluster.classes[rng.IntN(len(cluster.classes))],
+		plan:         cluster.plans[customer%len(cluster.plans)],
+		spread:       min(maxSpread, len(cluster.gateways)),
+		firstGateway: customer % len(cluster.gateways),
 	}
-	if r.class.Effect == "keyed" {
-		r.key = fmt.Sprintf("%016x", n+1)
+	if request.class.Effect == "keyed" {
+		request.key = fmt.Sprintf("%016x", n+1)
 	}
-	if cl.LeaveRatio > 0 && rng.Float64() < cl.LeaveRatio {
-		r.leaveAfter = 1 + time.Duration(rng.Float64()*float64(r.class.Aim))
+	if cluster.DepartRatio > 0 && rng.Float64() < cluster.DepartRatio {
+		request.departAfter = 1 + time.Duration(rng.Float64()*float64(request.class.Aim))
 	}
-	return r
+	return request
 }
 
-// send sends one request through the front, and counts its outcome.
-func (l *loadGenerator) send(r *clientRequest, offset int) {
+// send sends one request to a gateway in rotation and counts its outcome. offset selects the gateway to try first.
+func (l *loadGenerator) send(request *clientRequest, offset int) {
 	sentAt := time.Now()
-	l.addOpen(1)
-	end := l.exchange(r, offset, sentAt)
-	l.addOpen(-1)
+	l.addOpenRequests(1)
+	result := l.exchange(request, offset, sentAt)
+	l.addOpenRequests(-1)
 	second := int(sentAt.Sub(l.cluster.startedAt).Seconds())
-	value := r.class.Points * r.plan.Pays
+	value := request.class.Points * request.plan.Pays
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for len(l.seconds) <= second {
 		l.seconds = append(l.seconds, secondCounts{})
 	}
 	s := &l.seconds[second]
-	s.outcomes[end]++
+	s.outcomes[result]++
 	s.offered += value
-	if end == served {
+	if result == served {
 		s.earned += value
 	}
 }
 
-func (l *loadGenerator) addOpen(by int) {
+func (l *loadGenerator) addOpenRequests(delta int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.open += by
+	l.openRequests += delta
 }
 
-// exchange sends a request to a gateway in rotation and reads its answer. A gateway may close an idle connection just as the request is
-// sent on it; the client then sends it once more, on a new connection.
-func (l *loadGenerator) exchange(r *clientRequest, offset int, sentAt time.Time) outcome {
-	g, c, reused := l.connect(r, offset)
+// exchange sends a request to a gateway in rotation and reads its answer. A gateway may close an idle connection while a request
+// is being sent on it; the client then sends the request once more, on a new connection.
+func (l *loadGenerator) exchange(request *clientRequest, offset int, sentAt time.Time) outcome {
+	g, c, reused := l.connect(request, offset)
 	if c == nil {
 		return unreachable
 	}
-	end, reusable, answered := l.attempt(r, g, c, sentAt)
-	if l.finish(g, c, reusable) || answered || !reused || end != unanswered {
-		return end
+	result, reusable, answered := l.attempt(request, g, c, sentAt)
+	if l.finish(g, c, reusable) || answered || !reused || result != unanswered {
+		return result
 	}
 	c, err := standin.Dial(g.Listen, dialTimeout)
 	if err != nil {
@@ -191,16 +191,17 @@
 		}
 		return unanswered
 	}
-	end, reusable, _ = l.attempt(r, g, c, sentAt)
+	result, reusable, _ = l.attempt(request, g, c, sentAt)
 	l.finish(g, c, reusable)
-	return end
+	return result
 }
 
-// connect returns a connection to the first gateway of the request's spread that is in rotation and accepts one; a nil connection: none.
-func (l *loadGenerator) connect(r *clientRequest, offset int) (g *gateway, c *standin.Client, reused bool) {
+// connect returns a connection to the first gateway of the request's spread that is in rotation and accepts one. The connection
+// is nil if there is no such gateway. reused is true for a connection that has served a request before.
+func (l *loadGenerator) connect(request *clientRequest, offset int) (g *gateway, c *standin.Client, reused bool) {
 	gateways := l.cluster.gateways
-	for i := range r.spread {
-		g = gateways[(r.firstGateway+(offset+i)%r.spread)%len(gateways)]
+	for i := range request.spread {
+		g = gateways[(request.firstGateway+(offset+i)%request.spread)%len(gateways)]
 		if !g.inRotation.Load() {
 			continue
 		}
@@ -211,7 +212,7 @@
 	return nil, nil, false
 }
 
-// finish returns a reusable connection to the idle ones, and closes another. It returns reusable.
+// finish adds a reusable connection to the idle ones, or closes it if it is not reusable. It returns reusable.
 func (l *loadGenerator) finish(g *gateway, c *standin.Client, reusable bool) bool {
 	if reusable {
 		l.release(g, c)
@@ -221,65 +222,66 @@
 	return reusable
 }
 
-// attempt sends a request on a connection and reads its answer. reusable: the connection can be used again; answered: something was
-// received, or the deadline is over. A client that leaves stops reading only: the request is always written whole.
-func (l *loadGenerator) attempt(r *clientRequest, g *gateway, c *standin.Client, sentAt time.Time) (end outcome, reusable, answered bool) {
-	c.SetDeadline(sentAt.Add(r.class.Deadline + answerTolerance))
-	if r.leaveAfter > 0 {
-		c.SetReadDeadline(sentAt.Add(r.leaveAfter))
+// attempt sends a request on a connection and reads its answer. reusable is true if the connection can serve another request;
+// answered is true if an answer was received, the deadline has expired, or the client closed the connection. A client that
+// departs only stops reading: the request is always written whole.
+func (l *loadGenerator) attempt(request *clientRequest, g *gateway, c *standin.Client, sentAt time.Time) (result outcome, reusable, answered bool) {
+	c.SetDeadline(sentAt.Add(request.class.Deadline + answerTolerance))
+	if request.departAfter > 0 {
+		c.SetReadDeadline(sentAt.Add(request.departAfter))
 	}
-	if c.Send(r.command()) != nil {
-		return l.disconnected(r, g, sentAt, false), false, false
+	if c.Send(request.command()) != nil {
+		return l.disconnected(request, g, sentAt, false), false, false
 	}
-	v, err := c.Reply()
+	reply, err := c.Reply()
 	elapsed := time.Since(sentAt)
 	switch {
-	case errors.Is(err, os.ErrDeadlineExceeded) && r.leaveAfter > 0:
+	case errors.Is(err, os.ErrDeadlineExceeded) && request.departAfter > 0:
 		c.Close()
-		l.cluster.checker.clientLeft(r.id, time.Now())
-		return clientGone, false, true
+		l.cluster.checker.clientDeparted(request.id, time.Now())
+		return clientDeparted, false, true
 	case err != nil:
-		expired := elapsed >= r.class.Deadline
-		return l.disconnected(r, g, sentAt, expired), false, expired
+		expired := elapsed >= request.class.Deadline
+		return l.disconnected(request, g, sentAt, expired), false, expired
 	case c.R.Buffered() > 0:
-		l.cluster.checker.report(time.Now(), ruleAnswers, "%s sent more than one answer to %s", g.name, r.id)
+		l.cluster.checker.report(time.Now(), ruleInvalidAnswer, "%s sent more than one answer to %s", g.name, request.id)
 		return failed, false, true
 	}
-	if end, ok := classify(r, v, elapsed); ok {
-		return end, true, true
+	if result, ok := classify(request, reply, elapsed); ok {
+		return result, true, true
 	}
-	l.cluster.checker.report(time.Now(), ruleAnswers, "%s answered %s with %q, which no server made for it", g.name, r.id, v.Text)
+	l.cluster.checker.report(time.Now(), ruleInvalidAnswer, "%s answered %s with %q, which no server sent for it", g.name, request.id, reply.Text)
 	return failed, false, true
 }
 
-// disconnected is the outcome of a connection that ended without an answer. It is a violation if the deadline had expired and the script
-// had not disturbed the gateway.
-func (l *loadGenerator) disconnected(r *clientRequest, g *gateway, sentAt time.Time, expired bool) outcome {
+// disconnected returns the outcome of a request without an answer. It reports a violation if the deadline had expired and the
+// gateway had no fault of the scenario.
+func (l *loadGenerator) disconnected(request *clientRequest, g *gateway, sentAt time.Time, expired bool) outcome {
 	if g.hadFault(sentAt, time.Now()) {
 		return excused
 	}
 	if expired {
-		l.cluster.checker.report(time.Now(), ruleLost, "%s (%s) at %s has no answer after %v", r.id, r.class.Name, g.name, time.Since(sentAt))
+		l.cluster.checker.report(time.Now(), ruleLost, "%s (%s) at %s has no answer after %v", request.id, request.class.Name, g.name, time.Since(sentAt))
 	}
 	return unanswered
 }
 
-// classify returns the outcome of an answer; ok is false for one that no server gives to the request.
-func classify(r *clientRequest, v standin.Reply, elapsed time.Duration) (end outcome, ok bool) {
+// classify returns the outcome of an answer. ok is false if no server can have sent the answer to this request.
+func classify(request *clientRequest, reply standin.Reply, elapsed time.Duration) (result outcome, ok bool) {
 	switch {
-	case v.Kind == '$' && v.Text == r.id && elapsed > r.class.Aim:
+	case reply.Kind == '$' && reply.Text == request.id && elapsed > request.class.Aim:
 		return late, true
-	case v.Kind == '$' && v.Text == r.id:
+	case reply.Kind == '$' && reply.Text == request.id:
 		return served, true
-	case v.Kind == '-' && (v.Text == "BUSY" || strings.HasPrefix(v.Text, "BUSY ")):
+	case reply.Kind == '-' && (reply.Text == "BUSY" || strings.HasPrefix(reply.Text, "BUSY ")):
 		return rejected, true
-	case v.Kind == '-':
+	case reply.Kind == '-':
 		return failed, true
 	}
 	return failed, false
 }
 
-// acquire returns a connection to a gateway: an idle one, or a new one; nil: it accepts none.
+// acquire returns an idle connection to a gateway, or opens one. It returns nil if the gateway accepts none.
 func (l *loadGenerator) acquire(g *gateway) (c *standin.Client, reused bool) {
 	if c := l.popIdle(g); c != nil {
 		return c, true
@@ -291,7 +293,7 @@
 	return c, false
 }
 
-// popIdle removes the last idle connection to a gateway, or returns nil.
+// popIdle removes and returns the idle connection to a gateway that was used last. It returns nil if there is none.
 func (l *loadGenerator) popIdle(g *gateway) *standin.Client {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -303,19 +305,19 @@
 	return idle[len(idle)-1]
 }
 
-// release adds a connection to the idle ones.
+// release adds a connection to the idle ones of a gateway.
 func (l *loadGenerator) release(g *gateway, c *standin.Client) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.idle[g.name] = append(l.idle[g.name], c)
 }
 
-// sum adds up the seconds from one to another.
+// sum totals the seconds in [from, to).
 func (l *loadGenerator) sum(from, to int) (s secondCounts) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for i := max(0, from); i < min(to, len(l.seconds)); i++ {
-		for o := range outcomes {
+		for o := range outcomeCount {
 			s.outcomes[o] += l.seconds[i].outcomes[o]
 		}
 		s.offered += l.seconds[i].offered
--- a/internal/drill/load_test.go
+++ b/internal/drill/load_test.go
@@ -10,9 +10,9 @@
 	"dewhitch/internal/standin"
 )
 
-// A client whose time to leave is over before its request is written, as its connection took long to open, still sends it and then
-// leaves: the gateway has not lost it.
-func TestLeaverAsksBeforeItLeaves(t *testing.T) {
+// A client whose connection opens slowly may reach its time of departure before its request is written. It must still write the
+// request before it departs: otherwise the gateway would seem to have lost a request that it never received.
+func TestDepartingClientSendsItsRequest(t *testing.T) {
 	received := make(chan string, 1)
 	l, err := standin.Listen("", func(c net.Conn) {
 		line, _ := bufio.NewReader(c).ReadString('\n')
@@ -22,21 +22,21 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(l.Close)
-	cl := &cluster{checker: newRuleChecker(classesOf("safe"), nil)}
+	cluster := &cluster{checker: newRuleChecker(classesOf("safe"), nil)}
 	c, err := standin.Dial(l.Addr(), 5*time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &clientRequest{id: "r", class: classesOf("safe")[0], leaveAfter: 1}
-	end, reusable, answered := newLoadGenerator(cl).attempt(r, &gateway{}, c, time.Now().Add(-time.Second/2))
-	if end != clientGone || reusable || !answered {
-		t.Errorf("its end is %s; reusable %v, answered %v", outcomeNames[end], reusable, answered)
+	request := &clientRequest{id: "r", class: classesOf("safe")[0], departAfter: 1}
+	result, reusable, answered := newLoadGenerator(cluster).attempt(request, &gateway{}, c, time.Now().Add(-time.Second/2))
+	if result != clientDeparted || reusable || !answered {
+		t.Errorf("outcome %s, reusable %v, answered %v; expected left, false, true", outcomeNames[result], reusable, answered)
 	}
 	c.Close()
 	if line := <-received; !strings.HasPrefix(line, "*") {
-		t.Errorf("received %q", line)
+		t.Errorf("the gateway received %q, expected a command", line)
 	}
-	if counts, _ := cl.checker.violations(); len(counts) > 0 || cl.checker.leftResult() != (ClientsLeft{Waiting: 1}) {
-		t.Errorf("%v, %+v", counts, cl.checker.leftResult())
+	if counts, _ := cluster.checker.violations(); len(counts) > 0 || cluster.checker.departedClients() != (DepartedClients{Waiting: 1}) {
+		t.Errorf("violations %v, departed clients %+v; expected none, and one that was waiting", counts, cluster.checker.departedClients())
 	}
 }
--- a/internal/drill/page.go
+++ b/internal/drill/page.go
@@ -15,11 +15,13 @@
 	"gonum.org/v1/plot/vg"
 )
 
+// Size of a plot, and the maximum number of marks on it.
 const (
 	plotWidth, plotHeight = 26 * vg.Centimeter, 7 * vg.Centimeter
 	maxMarks              = 60
 )
 
+// Colors of a plot.
 var (
 	lineColors = []color.Color{
 		color.RGBA{0x1b, 0x6c, 0xa8, 0xff},
@@ -29,8 +31,8 @@
 		color.RGBA{0x9a, 0x7b, 0x1c, 0xff},
 		color.RGBA{0x4a, 0x4a, 0x4a, 0xff},
 	}
-	faultColor    = color.RGBA{0xb0, 0x10, 0x10, 0xff} // of the script's events
-	decisionColor = color.RGBA{0x10, 0x60, 0x10, 0xff} // of the fleet's decisions on zones
+	faultColor    = color.RGBA{0xb0, 0x10, 0x10, 0xff} // color of marks of the scenario's events
+	decisionColor = color.RGBA{0x10, 0x60, 0x10, 0xff} // color of marks of the fleet's decisions on zones
 )
 
 var page = template.Must(template.New("page").Parse(`<!doctype html>
@@ -39,29 +41,29 @@
 table{border-collapse:collapse}td,th{padding:.15em .8em;text-align:left;border-bottom:1px solid #ddd;vertical-align:top}
 svg{width:100%;height:auto}.fell{color:#b01010;font-weight:bold}.d{color:#106010}.t{color:#b01010}</style>
 <h1>{{.R.Scenario}}, seed {{.R.Seed}}{{if not .R.Coordinated}}, without the fleet view{{end}}</h1>
-<table><tr><th>processes<th>reqs<th>served<th>worst 5 s<th>lost<th>CPU a req<th>bytes a second a gateway
-<tr><td>{{.R.Processes}}<td>{{.R.Reqs}}<td>{{printf "%.4f" .R.Served}}<td>{{printf "%.4f" .R.Worst}}<td>{{.R.Lost}}<td>{{printf "%.0f µs" .R.CPU}}<td>{{printf "%.0f" .R.FleetBytes}}</table>
-{{range .R.Breaches}}<p class="fell">{{.}}</p>{{end}}{{range .R.Fallen}}<p class="fell">{{.}}</p>{{end}}
-{{if not (or .R.Breaches .R.Fallen)}}<p>All held.</p>{{end}}
-<p>Lines across: <span class="t">what the script did</span>, <span class="d">what the fleet settled of zones</span>.</p>
+<table><tr><th>processes<th>requests<th>served<th>worst 5 s<th>lost<th>CPU per request<th>bytes per second and gateway
+<tr><td>{{.R.Processes}}<td>{{.R.Requests}}<td>{{printf "%.4f" .R.Served}}<td>{{printf "%.4f" .R.WorstServed}}<td>{{.R.Lost}}<td>{{printf "%.0f µs" .R.CPUPerRequest}}<td>{{printf "%.0f" .R.FleetBytes}}</table>
+{{range .R.Violations}}<p class="fell">{{.}}</p>{{end}}{{range .R.UnmetExpectations}}<p class="fell">{{.}}</p>{{end}}
+{{if not (or .R.Violations .R.UnmetExpectations)}}<p>All checks passed.</p>{{end}}
+<p>Vertical lines: <span class="t">events of the scenario</span>, <span class="d">decisions of the fleet on zones</span>.</p>
 {{range .Plots}}<h2>{{.Title}}</h2>{{.SVG}}{{end}}
-<h2>What happened</h2><table>{{range .R.Timeline}}<tr><td>{{printf "%.2f s" .At}}<td>{{.What}}{{end}}</table></html>
+<h2>Timeline</h2><table>{{range .R.Timeline}}<tr><td>{{printf "%.2f s" .At}}<td>{{.Text}}{{end}}</table></html>
 `))
 
-// drawing is one plot of the page.
+// drawing is one plot of the page, with its title.
 type drawing struct {
 	Title string
 	SVG   template.HTML
 }
 
-// Page writes one self-contained HTML page: plots of the served ratio and of the attempts to zones and servers, with the script's events
-// and the fleet's decisions marked on the time axis.
+// Page writes a result as one self-contained HTML page: plots of the served ratio and of the attempts sent to zones and servers,
+// with the scenario's events and the fleet's decisions marked on the time axis.
 func Page(w io.Writer, r *Result) error {
 	served := plotter.XYs{}
-	for i, v := range r.Seconds {
+	for i, v := range r.ServedBySecond {
 		served = append(served, plotter.XY{X: float64(i), Y: v})
 	}
-	shares := map[string]plotter.XYs{"served": served}
+	servedLine := map[string]plotter.XYs{"served": served}
 	data := struct {
 		R     *Result
 		Plots []drawing
@@ -70,8 +72,8 @@
 		title, y string
 		lines    map[string]plotter.XYs
 		legend   bool
-	}{{"Served in time, of the worth asked", "share", shares, false}, {"Commands to zones", "a second", series(r.ZoneSends), true},
-		{"Commands to servers", "a second", series(r.ServerSends), false}} {
+	}{{"Value served in time", "ratio of the offered value", servedLine, false}, {"Attempts sent to zones", "per second", series(r.SentToZones), true},
+		{"Attempts sent to servers", "per second", series(r.SentToServers), false}} {
 		svg, err := draw(d.y, d.lines, d.legend, r)
 		if err != nil {
 			return err
@@ -81,7 +83,7 @@
 	return page.Execute(w, data)
 }
 
-// series turns counts by second into lines.
+// series converts counts by second to lines of a plot.
 func series(sends map[string][]int) map[string]plotter.XYs {
 	lines := map[string]plotter.XYs{}
 	for name, counts := range sends {
@@ -92,30 +94,30 @@
 	return lines
 }
 
-// draw returns one plot as SVG.
-func draw(y string, lines map[string]plotter.XYs, legend bool, r *Result) (template.HTML, error) {
+// draw returns one plot as an SVG element.
+func draw(yLabel string, lines map[string]plotter.XYs, legend bool, r *Result) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text = "seconds"
-	p.Y.Label.Text = y
+	p.Y.Label.Text = yLabel
 	p.Y.Min = 0
 	p.Legend.Top = true
 	p.Add(plotter.NewGrid())
-	highest, err := addLines(p, lines, legend)
+	maxValue, err := addLines(p, lines, legend)
 	if err != nil {
 		return "", err
 	}
-	if err := addMarks(p, r.Timeline, highest); err != nil {
+	if err := addMarks(p, r.Timeline, maxValue); err != nil {
 		return "", err
 	}
 	p.X.Min = 0
-	p.X.Max = float64(max(1, len(r.Seconds)))
-	p.Y.Max = highest * 1.25
+	p.X.Max = float64(max(1, len(r.ServedBySecond)))
+	p.Y.Max = maxValue * 1.25
 	return render(p)
 }
 
 // addLines adds lines to a plot in the order of their names, and returns their highest value, at least 1.
-func addLines(p *plot.Plot, lines map[string]plotter.XYs, legend bool) (highest float64, err error) {
-	highest = 1
+func addLines(p *plot.Plot, lines map[string]plotter.XYs, legend bool) (maxValue float64, err error) {
+	maxValue = 1
 	for i, name := range slices.Sorted(maps.Keys(lines)) {
 		if len(lines[name]) == 0 {
 			continue
@@ -130,17 +132,17 @@
 			p.Legend.Add(name, l)
 		}
 		for _, xy := range lines[name] {
-			highest = max(highest, xy.Y)
+			maxValue = max(maxValue, xy.Y)
 		}
 	}
-	return highest, nil
+	return maxValue, nil
 }
 
-// addMarks marks the first maxMarks events of the script and decisions of the fleet on the time axis.
-func addMarks(p *plot.Plot, timeline []Moment, height float64) error {
+// addMarks marks the scenario's events and the fleet's decisions on the time axis, maxMarks of them at most.
+func addMarks(p *plot.Plot, timeline []TimelineEvent, height float64) error {
 	marks := 0
-	for _, m := range timeline {
-		ink, ok := markColor(m.What)
+	for _, event := range timeline {
+		lineColor, ok := markColor(event.Text)
 		if !ok {
 			continue
 		}
@@ -148,11 +150,11 @@
 		if marks > maxMarks {
 			break
 		}
-		l, err := plotter.NewLine(plotter.XYs{{X: m.At, Y: 0}, {X: m.At, Y: height}})
+		l, err := plotter.NewLine(plotter.XYs{{X: event.At, Y: 0}, {X: event.At, Y: height}})
 		if err != nil {
 			return err
 		}
-		l.Color = ink
+		l.Color = lineColor
 		l.Width = vg.Points(0.8)
 		l.Dashes = []vg.Length{vg.Points(4), vg.Points(3)}
 		p.Add(l)
@@ -160,8 +162,8 @@
 	return nil
 }
 
-// markColor returns the color of a line of the timeline; ok is false for lines that are not marked.
-func markColor(text string) (ink color.Color, ok bool) {
+// markColor returns the color of the mark for a timeline entry. ok is false for entries that get no mark.
+func markColor(text string) (lineColor color.Color, ok bool) {
 	switch {
 	case strings.Contains(text, ": zone "):
 		return decisionColor, true
@@ -173,17 +175,17 @@
 
 // render returns a plot as an SVG element.
 func render(p *plot.Plot) (template.HTML, error) {
-	wt, err := p.WriterTo(plotWidth, plotHeight, "svg")
+	writer, err := p.WriterTo(plotWidth, plotHeight, "svg")
 	if err != nil {
 		return "", err
 	}
 	var b bytes.Buffer
-	if _, err := wt.WriteTo(&b); err != nil {
+	if _, err := writer.WriteTo(&b); err != nil {
 		return "", err
 	}
 	_, svg, ok := strings.Cut(b.String(), "<svg")
 	if !ok {
-		return "", fmt.Errorf("drill: the plot is no SVG")
+		return "", fmt.Errorf("drill: the plotter's output has no <svg> element")
 	}
-	return template.HTML("<svg" + svg), nil // made of numbers and of names of this package
+	return template.HTML("<svg" + svg), nil // safe unescaped: it consists of numbers and names of this package
 }
--- a/internal/drill/rules.go
+++ b/internal/drill/rules.go
@@ -8,178 +8,180 @@
 	"dewhitch/internal/standin"
 )
 
-// The rules that every drill is held to, by what the stand-ins observe. The names are those of results.
+// Rules that every drill must keep. They are checked from what stand-ins, clients and processes do. The names are keys of
+// results.
 const (
-	ruleLost    = "lost"    // a request without its one final answer
-	ruleAnswers = "answers" // an answer to no request, or one that no server made
-	ruleTwoOut  = "two_out" // two attempts of a request in flight at once
-	ruleRepeat  = "repeat"  // an attempt that the class of the request does not allow
-	ruleDrain   = "drain"   // an attempt to a draining server
-	ruleCeiling = "ceiling" // attempts beyond a plan's hard ceiling, over all gateways
-	rulePushed  = "pushed"  // an overloaded server in slow start
-	ruleFree    = "free"    // an attempt to a server that is free for maintenance
-	ruleLeft    = "left"    // an attempt long after the client of the request left
-	ruleEnded   = "ended"   // a process that ended without the script
+	ruleLost           = "lost"    // a request has no final answer
+	ruleInvalidAnswer  = "answers" // a gateway sends an answer to no request, or one that no server sent
+	ruleOverlap        = "two_out" // two attempts of a request are in flight at once
+	ruleRepeat         = "repeat"  // a request is sent again although its class does not allow that
+	ruleDrain          = "drain"   // an attempt arrives at a server that drains
+	ruleCeiling        = "ceiling" // a customer's requests exceed the plan's hard ceiling, over all gateways
+	ruleOverload       = "pushed"  // a server in slow start fails under overload
+	ruleFree           = "free"    // an attempt arrives at a server that is free for maintenance
+	ruleDeparted       = "left"    // an attempt is sent long after the client closed the connection
+	ruleUnexpectedExit = "ended"   // a process exits, fails to restart or logs a panic, and the scenario did not cause it
 )
 
-// Bounds of the rules.
+// Bounds of the rules, and tolerances of their checks.
 const (
 	timingTolerance  = 50 * time.Millisecond
-	pairDelay        = 4 * timingTolerance    // until the ends of two attempts are known
-	ceilingTolerance = 150 * time.Millisecond // of the ceiling's rate
-	forwardBound     = 300 * time.Millisecond // after a client left, for the arrival of the first attempt
-	attemptBound     = 100 * time.Millisecond // after a client left, for the first byte of any attempt
-	maxViolations    = 50                     // with a text
+	pairDelay        = 4 * timingTolerance    // time after which the ends of two attempts are known
+	ceilingTolerance = 150 * time.Millisecond // time for which requests at the ceiling's rate are tolerated beyond the bound
+	forwardBound     = 300 * time.Millisecond // time after a client's departure in which a first attempt may still arrive
+	attemptBound     = 100 * time.Millisecond // time after a client's departure in which an attempt may still be sent
+	maxViolations    = 50                     // number of violations that are kept with their text
 )
 
-// violation is one violation of a rule.
+// violation is one observed violation of a rule.
 type violation struct {
-	rule string
-	text string
-	id   string // of the request; empty: of none
-	at   time.Time
+	rule      string // name of the rule, a key of results
+	text      string // description of what was observed
+	requestID string // empty if the violation is not of one request
+	at        time.Time
 }
 
-// path leads from a gateway to a server.
+// path identifies the path from a gateway to a server.
 type path struct{ gateway, server string }
 
-// ruleChecker records what arrives at servers and finds violations of the rules. Its methods may be called by any goroutine; those that
-// the backends call run under the backends' lock, which is taken first.
+// ruleChecker records what arrives at servers and finds violations of the rules. Its methods may be called by any goroutine. Some
+// are called with the backends' lock held: that lock is always taken before the checker's.
 type ruleChecker struct {
 	classes map[string]class
 	plans   map[string]standin.Plan
 
-	mu               sync.Mutex
-	histories        map[string]*commandHistory // by request
-	firstByKey       map[string]*arrival        // first attempt that may have run, by customer and idempotency key
-	leftWaitingAt    map[string]time.Time       // requests without an attempt when their client left
-	leftAt           map[string]time.Time       // requests whose client left
-	leftCounts       ClientsLeft
-	drainingSince    map[string]time.Time // by server
-	freeSince        map[string]time.Time // by server
-	checks           []pairCheck
-	ceilings         map[string]*leakyBucket // by customer
-	breaches         []violation             // the first maxViolations
-	counts           map[string]int          // violations by rule
-	arrivalsByServer map[string][]time.Time
-	arrivalsByPath   map[path][]time.Time
+	mu                sync.Mutex
+	histories         map[string]*commandHistory // by request ID
+	firstByKey        map[string]*arrival        // first attempt that may have run, by customer and idempotency key
+	departedWaitingAt map[string]time.Time       // time of the client's departure, by request ID, if no attempt had arrived by then
+	departedAt        map[string]time.Time       // time of the client's departure, by request ID
+	departed          DepartedClients            // counts of departures
+	drainingSince     map[string]time.Time       // time at which discovery listed a server as draining, by server
+	freeSince         map[string]time.Time       // time at which a server became free for maintenance, by server
+	pendingPairs      []pairCheck                // checks whose attempts may still be in flight
+	ceilings          map[string]*leakyBucket    // ceiling of each customer
+	firstViolations   []violation                // the first maxViolations of all violations
+	counts            map[string]int             // number of violations by rule
+	arrivalsByServer  map[string][]time.Time     // times of arrivals by server
+	arrivalsByPath    map[path][]time.Time       // times of arrivals by gateway and server
 }
 
-// ClientsLeft counts the requests whose client left before any attempt had arrived at a server.
-type ClientsLeft struct {
-	Waiting       int `json:"waiting"`
-	Forwarded     int `json:"sent_on"`
-	ForwardedLate int `json:"sent_on_late"` // beyond forwardBound
-	AttemptsLate  int `json:"begun_late"`   // attempts, retries as well, that were sent beyond attemptBound
+// DepartedClients counts the requests whose client closed the connection before an answer.
+type DepartedClients struct {
+	Waiting       int `json:"waiting"`      // requests without an attempt at a server by then
+	Forwarded     int `json:"sent_on"`      // those of Waiting that still arrived at a server
+	ForwardedLate int `json:"sent_on_late"` // those of Forwarded that were sent and arrived beyond forwardBound
+	AttemptsLate  int `json:"begun_late"`   // attempts, including retries, whose first byte was sent beyond attemptBound
 }
 
 func newRuleChecker(classes []class, plans []standin.Plan) *ruleChecker {
-	j := &ruleChecker{
-		classes:          map[string]class{},
-		plans:            map[string]standin.Plan{},
-		histories:        map[string]*commandHistory{},
-		firstByKey:       map[string]*arrival{},
-		leftWaitingAt:    map[string]time.Time{},
-		leftAt:           map[string]time.Time{},
-		drainingSince:    map[string]time.Time{},
-		freeSince:        map[string]time.Time{},
-		ceilings:         map[string]*leakyBucket{},
-		counts:           map[string]int{},
-		arrivalsByServer: map[string][]time.Time{},
-		arrivalsByPath:   map[path][]time.Time{},
+	r := &ruleChecker{
+		classes:           map[string]class{},
+		plans:             map[string]standin.Plan{},
+		histories:         map[string]*commandHistory{},
+		firstByKey:        map[string]*arrival{},
+		departedWaitingAt: map[string]time.Time{},
+		departedAt:        map[string]time.Time{},
+		drainingSince:     map[string]time.Time{},
+		freeSince:         map[string]time.Time{},
+		ceilings:          map[string]*leakyBucket{},
+		counts:            map[string]int{},
+		arrivalsByServer:  map[string][]time.Time{},
+		arrivalsByPath:    map[path][]time.Time{},
 	}
 	for _, c := range classes {
-		j.classes[c.Name] = c
+		r.classes[c.Name] = c
 	}
 	for _, p := range plans {
-		j.plans[p.Name] = p
+		r.plans[p.Name] = p
 	}
-	return j
+	return r
 }
 
-// addViolation records a violation, with the history of its request. The caller holds the lock.
-func (j *ruleChecker) addViolation(now time.Time, rule, id, format string, a ...any) {
-	j.counts[rule]++
-	if len(j.breaches) >= maxViolations {
+// addViolation records a violation with the history of its request, if it is of one. The caller holds the lock.
+func (r *ruleChecker) addViolation(now time.Time, rule, requestID, format string, a ...any) {
+	r.counts[rule]++
+	if len(r.firstViolations) >= maxViolations {
 		return
 	}
 	text := fmt.Sprintf(format, a...)
-	if h := j.histories[id]; h != nil {
-		text += "; " + id + ", " + h.String()
+	if h := r.histories[requestID]; h != nil {
+		text += "; " + requestID + ", " + h.String()
 	}
-	j.breaches = append(j.breaches, violation{rule, text, id, now})
+	r.firstViolations = append(r.firstViolations, violation{rule, text, requestID, now})
 }
 
-// report records a violation that another part of the drill found.
-func (j *ruleChecker) report(now time.Time, rule, format string, a ...any) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.addViolation(now, rule, "", format, a...)
+// report records a violation that another part of the drill has found.
+func (r *ruleChecker) report(now time.Time, rule, format string, a ...any) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.addViolation(now, rule, "", format, a...)
 }
 
-// clientLeft records that the client of a request left without an answer.
-func (j *ruleChecker) clientLeft(id string, at time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	j.leftAt[id] = at
-	if j.histories[id] == nil {
-		j.leftWaitingAt[id] = at
-		j.leftCounts.Waiting++
+// clientDeparted records that the client of a request closed the connection without an answer.
+func (r *ruleChecker) clientDeparted(requestID string, at time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.departedAt[requestID] = at
+	if r.histories[requestID] == nil {
+		r.departedWaitingAt[requestID] = at
+		r.departed.Waiting++
 	}
 }
 
-// leftResult returns the counts of requests whose client left.
-func (j *ruleChecker) leftResult() ClientsLeft {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	return j.leftCounts
+// departedClients returns the counts of requests whose client closed the connection.
+func (r *ruleChecker) departedClients() DepartedClients {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.departed
 }
 
-// setFree records that a server is free for maintenance, or has returned.
-func (j *ruleChecker) setFree(server string, at time.Time, on bool) {
-	j.setSince(j.freeSince, server, at, on)
+// setFree records that a server is free for maintenance, or that it has returned.
+func (r *ruleChecker) setFree(server string, at time.Time, free bool) {
+	r.setSince(r.freeSince, server, at, free)
 }
 
-// setSince records the start or the end of a state of a server.
-func (j *ruleChecker) setSince(since map[string]time.Time, server string, at time.Time, on bool) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
-	if on {
+// setSince records in since that a state of a server begins, or removes the server when the state ends.
+func (r *ruleChecker) setSince(since map[string]time.Time, server string, at time.Time, holds bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if holds {
 		since[server] = at
 	} else {
 		delete(since, server)
 	}
 }
 
-// commandEnded records that a server answered an attempt.
-func (j *ruleChecker) commandEnded(a *arrival, at time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// commandEnded records the time at which a server answered an attempt.
+func (r *ruleChecker) commandEnded(a *arrival, at time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	a.endedAt = at
 }
 
-// setDraining records that discovery lists a server as draining, or as up.
-func (j *ruleChecker) setDraining(server string, at time.Time, on bool) {
-	j.setSince(j.drainingSince, server, at, on)
+// setDraining records that discovery lists a server as draining, or as up again.
+func (r *ruleChecker) setDraining(server string, at time.Time, draining bool) {
+	r.setSince(r.drainingSince, server, at, draining)
 }
 
-// violations returns how often each rule was violated, and the first violations.
-func (j *ruleChecker) violations() (map[string]int, []violation) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// violations returns the number of violations by rule, and the first maxViolations of them with their texts.
+func (r *ruleChecker) violations() (map[string]int, []violation) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	counts := map[string]int{}
-	for rule, n := range j.counts {
+	for rule, n := range r.counts {
 		counts[rule] = n
 	}
-	return counts, append([]violation(nil), j.breaches...)
+	return counts, append([]violation(nil), r.firstViolations...)
 }
 
-// countArrivals counts the attempts that arrived at servers from one time to another, and returns the last one of each gateway.
-func (j *ruleChecker) countArrivals(servers map[string]bool, from, to time.Time) (n int, last map[string]time.Time) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// countArrivals counts the attempts that arrived at servers in [from, to), and returns the time of the last one from each
+// gateway.
+func (r *ruleChecker) countArrivals(servers map[string]bool, from, to time.Time) (n int, last map[string]time.Time) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	last = map[string]time.Time{}
-	for p, times := range j.arrivalsByPath {
+	for p, times := range r.arrivalsByPath {
 		if !servers[p.server] {
 			continue
 		}
@@ -196,12 +198,12 @@
 	return n, last
 }
 
-// countBySecond counts the attempts that arrived at zones and servers in each second of a time.
-func (j *ruleChecker) countBySecond(startedAt time.Time, seconds int) (zones, servers map[string][]int) {
-	j.mu.Lock()
-	defer j.mu.Unlock()
+// countBySecond counts the attempts that arrived at each zone and each server in each second since startedAt.
+func (r *ruleChecker) countBySecond(startedAt time.Time, seconds int) (zones, servers map[string][]int) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	zones, servers = map[string][]int{}, map[string][]int{}
-	for name, times := range j.arrivalsByServer {
+	for name, times := range r.arrivalsByServer {
 		zone := "zone " + (&server{name: name}).zone()
 		if zones[zone] == nil {
 			zones[zone] = make([]int, seconds)
--- a/internal/drill/statements.go
+++ b/internal/drill/statements.go
@@ -8,47 +8,47 @@
 	"go.starlark.net/starlark"
 )
 
-// setFleet reads the statement fleet(...). The names of its arguments are those of scenario files.
+// setFleet parses the statement fleet(...). Scenario files use the names of its arguments.
 func (b *scenarioBuilder) setFleet(c *builtinCall) (starlark.Value, error) {
 	if b.hasFleet {
 		return nil, fmt.Errorf("a second fleet; expected one")
 	}
 	b.hasFleet = true
-	s := &b.scenario
-	s.Gateways, s.Servers, s.Customers = 2, 4, 40
-	s.Coordinated = true
+	scenario := &b.scenario
+	scenario.Gateways, scenario.Servers, scenario.Customers = 2, 4, 40
+	scenario.Coordinated = true
 	zones := starlark.NewList([]starlark.Value{starlark.String("a"), starlark.String("b"), starlark.String("c")})
 	regions := starlark.NewDict(0)
 	load, length, rate, leave := number(0.6), number(60), number(0), number(0)
 	if err := c.unpack(
 		"zones?", &zones,
-		"gateways?", &s.Gateways,
-		"servers?", &s.Servers,
-		"hauliers?", &s.Customers,
+		"gateways?", &scenario.Gateways,
+		"servers?", &scenario.Servers,
+		"hauliers?", &scenario.Customers,
 		"Load?", &load,
 		"length?", &length,
-		"coordinated?", &s.Coordinated,
+		"coordinated?", &scenario.Coordinated,
 		"rate?", &rate,
-		"cls?", &s.Class,
-		"found?", &s.Discovery,
+		"cls?", &scenario.Class,
+		"found?", &scenario.Discovery,
 		"regions?", &regions,
 		"leave?", &leave,
 	); err != nil {
 		return nil, err
 	}
-	s.Load = float64(load)
-	s.Rate = float64(rate)
-	s.LeaveRatio = float64(leave)
-	s.Length = seconds(length)
+	scenario.Load = float64(load)
+	scenario.Rate = float64(rate)
+	scenario.DepartRatio = float64(leave)
+	scenario.Length = seconds(length)
 	if b.size.Gateways > 0 {
-		s.Gateways = b.size.Gateways
+		scenario.Gateways = b.size.Gateways
 	}
 	for _, check := range []func() error{
-		func() error { return s.setZones(zones) },
-		s.checkRanges,
-		s.checkClass,
-		func() error { return s.setRegions(regions) },
-		s.checkDiscovery,
+		func() error { return scenario.setZones(zones) },
+		scenario.checkRanges,
+		scenario.checkClass,
+		func() error { return scenario.setRegions(regions) },
+		scenario.checkDiscovery,
 	} {
 		if err := check(); err != nil {
 			return nil, err
@@ -57,7 +57,7 @@
 	return starlark.None, nil
 }
 
-// setZones sets the zones: letters from a to z, each once.
+// setZones sets the zones. It returns an error unless they are distinct letters from a to z.
 func (s *Scenario) setZones(zones *starlark.List) error {
 	for i := range zones.Len() {
 		zone, ok := starlark.AsString(zones.Index(i))
@@ -72,7 +72,7 @@
 	return nil
 }
 
-// checkRanges checks the numbers of a fleet against the bounds of a scenario.
+// checkRanges returns an error if a number of the fleet is outside its bounds.
 func (s *Scenario) checkRanges() error {
 	for _, v := range []struct {
 		what     string
@@ -84,7 +84,7 @@
 		{"hauliers", float64(s.Customers), 1, maxCustomers},
 		{"load", s.Load, 0.01, 1.5},
 		{"rate", s.Rate, 0, maxRate},
-		{"leave", s.LeaveRatio, 0, 1},
+		{"leave", s.DepartRatio, 0, 1},
 		{"length", s.Length.Seconds(), 1, maxLength.Seconds()},
 	} {
 		if err := checkRange(v.what, v.value, v.min, v.max); err != nil {
@@ -108,7 +108,7 @@
 	return nil
 }
 
-// setRegions sets the regions of zones, each zone in one region at most.
+// setRegions sets the regions of zones. It returns an error if a zone is not in the fleet or is in two regions.
 func (s *Scenario) setRegions(regions *starlark.Dict) error {
 	s.Regions = map[string]string{}
 	for _, pair := range regions.Items() {
@@ -128,7 +128,7 @@
 	return nil
 }
 
-// addEvent reads the statement at(...).
+// addEvent parses the statement at(...).
 func (b *scenarioBuilder) addEvent(c *builtinCall) (starlark.Value, error) {
 	var when number
 	var what starlark.Value
@@ -149,7 +149,7 @@
 	return starlark.None, nil
 }
 
-// addExpect reads the statement expect(...). The names of its arguments are those of scenario files.
+// addExpect parses the statement expect(...). Scenario files use the names of its arguments.
 func (b *scenarioBuilder) addExpect(c *builtinCall) (starlark.Value, error) {
 	e := Expect{Pos: c.position(), MaxLost: -1, MaxSent: -1, MaxExcused: -1, MaxEvacuations: -1}
 	var served, worst, from, to, applyTime, overload, fullTime number
@@ -173,7 +173,7 @@
 		return nil, err
 	}
 	e.MinServed = float64(served)
-	e.WorstServed = float64(worst)
+	e.MinWorstServed = float64(worst)
 	e.MaxApplyTime = float64(applyTime)
 	e.MaxOverload = float64(overload)
 	e.MaxFullTime = float64(fullTime)
@@ -188,9 +188,9 @@
 	return starlark.None, nil
 }
 
-// checkExpect checks the numbers of an expectation, and resolves its targets.
+// checkExpect checks the numbers of an expectation and resolves its targets. It returns an error if one is invalid.
 func (b *scenarioBuilder) checkExpect(e *Expect, targets starlark.Value) error {
-	for what, v := range map[string]float64{"served": e.MinServed, "worst_5s": e.WorstServed} {
+	for what, v := range map[string]float64{"served": e.MinServed, "worst_5s": e.MinWorstServed} {
 		if err := checkRange(what, v, 0, 1); err != nil {
 			return err
 		}
@@ -209,7 +209,7 @@
 	return nil
 }
 
-// finish checks the whole scenario and sorts its events; events of one time keep the order of the file.
+// finish checks the whole scenario and sorts its events by time. Events of the same time keep the order of the file.
 func (b *scenarioBuilder) finish(name string) (*Scenario, error) {
 	if !b.hasFleet {
 		return nil, fmt.Errorf("%s: no fleet(...)", name)
--- a/internal/drill/trace.go
+++ b/internal/drill/trace.go
@@ -8,39 +8,40 @@
 	"time"
 )
 
-// traces collects what gateways log of single requests at the debug level, so that a violation can be explained by its report alone.
+// traces collects the debug log lines of gateways about individual requests, so that the report of a violation contains them. It
+// may be used by several goroutines.
 type traces struct {
 	mu    sync.Mutex
-	lines map[string][]string // by the request's id
+	lines map[string][]string // log lines by request ID
 }
 
-// add takes a line of a gateway's log.
+// add keeps a line of a gateway's log if it is about a request.
 func (t *traces) add(gateway, line string) {
 	if !strings.Contains(line, `"request":`) {
 		return
 	}
-	var v struct {
+	var entry struct {
 		Msg, Request, Address string
 		TS                    float64
 	}
-	if json.Unmarshal([]byte(line), &v) != nil || v.Request == "" {
+	if json.Unmarshal([]byte(line), &entry) != nil || entry.Request == "" {
 		return
 	}
-	at := formatClock(time.Unix(0, int64(v.TS*1e9)))
+	at := formatClock(time.Unix(0, int64(entry.TS*1e9)))
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.lines == nil {
 		t.lines = map[string][]string{}
 	}
-	t.lines[v.Request] = append(t.lines[v.Request], strings.TrimSpace(fmt.Sprintf("%s %s: %s %s", at, gateway, v.Msg, v.Address)))
+	t.lines[entry.Request] = append(t.lines[entry.Request], strings.TrimSpace(fmt.Sprintf("%s %s: %s %s", at, gateway, entry.Msg, entry.Address)))
 }
 
-// of returns what was logged of a request, each line indented; empty: nothing.
-func (t *traces) of(id string) string {
+// forRequest returns the log lines about a request, each indented on a line of its own, or an empty string if there are none.
+func (t *traces) forRequest(requestID string) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var b strings.Builder
-	for _, line := range t.lines[id] {
+	for _, line := range t.lines[requestID] {
 		b.WriteString("\n    " + line)
 	}
 	return b.String()
