--- a/internal/fleet/maintenance/admission.go
+++ b/internal/fleet/maintenance/admission.go
@@ -116,7 +116,7 @@
 	case c.unavailable+1 > maxOut(e.cfg.MaxServerFraction, c.total):
 		return fmt.Sprintf("%d of %d servers are out, cold or not ready", c.unavailable, c.total)
 	case available < 2 || e.observed.Rate/float64(available-1) > e.cfg.MaxLoadGrowth*e.maxLoad():
-		return fmt.Sprintf("each remaining server would get %.0f attempts a second; the highest load handled so far is %.0f",
+		return fmt.Sprintf("the others would get %.0f fetches a second each, and were seen to bear %.0f",
 			e.observed.Rate/float64(max(1, available-1)), e.maxLoad())
 	}
 	return ""
@@ -130,11 +130,11 @@
 // and the quorum is never lost.
 func (e *evaluation) gatewayBlockReason(m *Machine, g Member) string {
 	if !g.Reachable || !g.Fresh {
-		return "does not report to the leader, or its view of the fleet is out of date"
+		return "is not in the fleet, or its view is old"
 	}
 	for name := range e.schedule.Roster {
 		if voter := e.observed.Members[name]; voter.Voter && !(voter.Reachable && voter.Fresh) {
-			return "voter " + name + " does not report to the leader, or its view of the fleet is out of date"
+			return "voter " + name + " is not there"
 		}
 	}
 	out, goFirst, reason := e.otherGateways(m, g)
@@ -148,7 +148,7 @@
 	case out+1 > maxOut(e.cfg.MaxGatewayFraction, total):
 		return fmt.Sprintf("%d of %d gateways are out", out, total)
 	case (g.Voter || g.Leader) && goFirst > 0:
-		return fmt.Sprintf("is a voter or the leader: %d other gateways go first", goFirst)
+		return fmt.Sprintf("votes, or leads: after %d others", goFirst)
 	}
 	return ""
 }
--- a/internal/fleet/maintenance/command.go
+++ b/internal/fleet/maintenance/command.go
@@ -157,7 +157,7 @@
 	case c.ForMS <= 0 || c.ForMS > maxDurationMS:
 		return reject(ErrInvalid, "for %d ms; more than none, and a day at most", c.ForMS)
 	case c.Key == "" || len(c.Key) > maxTextLength:
-		return reject(ErrInvalid, "a key of up to 512 bytes is required")
+		return reject(ErrInvalid, "a key, in up to 512 bytes")
 	}
 	return nil
 }
@@ -258,7 +258,7 @@
 		}
 		switch {
 		case m.State == Released || m.onHoldAfterAnnouncement():
-			s.endWork(r, m, unixMS, "completed by "+c.By)
+			s.endWork(r, m, unixMS, "done, says "+c.By)
 			completed = true
 		case named && m.State != Returned && m.State != Done:
 			return reject(ErrState, "%s of request %d is %s, not free", m.Name, r.ID, m.State)
--- a/internal/fleet/maintenance/health.go
+++ b/internal/fleet/maintenance/health.go
@@ -28,9 +28,9 @@
 	case g.Reachable && g.Fresh && g.ProcessStartedAt != m.ProcessStartedAt && age >= e.cfg.MinHealthyTime:
 		m.enter(Done, e.unixMS, "")
 	case age > e.cfg.ReturnTimeout:
-		m.enter(OnHold, e.unixMS, "no new process of this gateway is in the fleet: check it, then resume")
+		m.enter(OnHold, e.unixMS, "no new process of it is in the fleet: look at it, then resume")
 	default:
-		m.Note = "waits for a new process of this gateway in the fleet"
+		m.Note = "waits for a new process of it in the fleet"
 	}
 }
 
@@ -45,16 +45,16 @@
 	case !listed || !server.Ready:
 		m.Note = "is not listed as ready"
 		if age > e.cfg.ReturnTimeout {
-			m.enter(OnHold, e.unixMS, "is not listed as ready after its return: check it, then resume")
+			m.enter(OnHold, e.unixMS, "came back unlisted: look at it, then resume")
 		}
 	case failed >= proofMinFailed && float64(failed) >= proofFailedRatio*float64(served+failed):
-		m.enter(OnHold, e.unixMS, fmt.Sprintf("ill on its return: %d of %d attempts failed; check it, then resume", failed, served+failed))
+		m.enter(OnHold, e.unixMS, fmt.Sprintf("ill on its return: %d of %d fetches; look at it, then resume", failed, served+failed))
 	case warm && age >= e.cfg.MinHealthyTime && served >= proofMinServed, age > e.cfg.ReturnTimeout && warm && failed == 0:
 		m.enter(Done, e.unixMS, "")
 	case age > 2*e.cfg.ReturnTimeout:
-		m.enter(OnHold, e.unixMS, "is still in slow start long after its return: check it, then resume")
+		m.enter(OnHold, e.unixMS, "did not become warm: look at it, then resume")
 	default:
-		m.Note = "its health is not proved yet"
+		m.Note = "proves itself"
 	}
 }
 
--- a/internal/fleet/maintenance/scheduler.go
+++ b/internal/fleet/maintenance/scheduler.go
@@ -167,7 +167,7 @@
 	case len(e.observed.ZonesNotInService) > 0:
 		e.fault = "zone " + strings.Join(e.observed.ZonesNotInService, ", ") + " is out or returning"
 	case e.observed.Saturated:
-		e.fault = "servers reject requests"
+		e.fault = "servers turn reqs away"
 	}
 }
 
--- a/internal/fleet/maintenance/transition.go
+++ b/internal/fleet/maintenance/transition.go
@@ -28,7 +28,7 @@
 	onHold := slices.ContainsFunc(r.Machines, func(m Machine) bool { return m.State == OnHold })
 	if onHold && r.State != OnHold {
 		r.State = OnHold
-		r.Note = "a machine of this request is held"
+		r.Note = "a machine of it is held"
 	}
 	r.endWithMachines()
 }
@@ -54,7 +54,7 @@
 func (e *evaluation) missingAcknowledgements(m *Machine) (names []string) {
 	if g, ok := e.gateway(m.Name); ok {
 		if id, acknowledged := g.Withdrawn[m.Name]; (!acknowledged || id != m.AnnouncementID) && !g.HasLeft {
-			return []string{m.Name + " to drain its clients"}
+			return []string{m.Name + ", to have no clients"}
 		}
 		return nil
 	}
--- a/internal/ledger/store/read.go
+++ b/internal/ledger/store/read.go
@@ -125,14 +125,14 @@
 		err = json.Unmarshal(text, m)
 	}
 	if err != nil || m.Version != version {
-		return fmt.Errorf("%w: its meta can't be read", errCorrupt)
+		return fmt.Errorf("%w: its head can't be read", errCorrupt)
 	}
 	text, err = unseal(b.Get(keyOpen))
 	if err == nil {
 		err = json.Unmarshal(text, &stored.open)
 	}
 	if err != nil {
-		return fmt.Errorf("%w: the open entries can't be read", errCorrupt)
+		return fmt.Errorf("%w: the table of what is open can't be read", errCorrupt)
 	}
 	return tx.Bucket(bucketRows).ForEach(func(k, v []byte) error {
 		row, err := decodeRow(k, v)
--- a/internal/ledger/store/segment.go
+++ b/internal/ledger/store/segment.go
@@ -140,7 +140,7 @@
 }
 
 // errBadHeader is the error of a file that is not a segment, or not the one with the number in its name.
-var errBadHeader = errors.New("the header is not that of this segment")
+var errBadHeader = errors.New("its head is not a segment's")
 
 // readSegment calls f with the records of a file from an index on, up to the first invalid record. statements is the number of
 // the last committed statement: a log that resumes after a later one breaks off before that record.
