--- a/cmd/dewhitch/admin_calls.go
+++ b/cmd/dewhitch/admin_calls.go
@@ -36,7 +36,7 @@
 }
 
 // Exclude stops new attempts to the server with this id, which is in discovery's form. It fails with core.ErrUnknownServer if the
-// server was never listed, and with core.ErrStopped.
+// server was never listed, and with core.ErrStopped if the planner has stopped.
 func (c *adminCalls) Exclude(id string) error { return c.setExclusion(id, true) }
 
 // Include ends the exclusion of a server. It returns the same errors as Exclude.
--- a/cmd/dewhitch/drain_calls_test.go
+++ b/cmd/dewhitch/drain_calls_test.go
@@ -37,7 +37,7 @@
 }
 
 // TestDrainOfAProcessThatStandsStill guards against a request that is sent to a server too late in a drain. The process is
-// stopped while the time for taking requests ends, and a client writes a request meanwhile: that must be refused or left unread.
+// stopped when the time for taking requests ends, and a client writes a request meanwhile, which must be refused or left unread.
 func TestDrainOfAProcessThatStandsStill(t *testing.T) {
 	t.Parallel()
 	env := newEnvironment(t)
--- a/cmd/dewhitch/drain_fleet_test.go
+++ b/cmd/dewhitch/drain_fleet_test.go
@@ -22,7 +22,7 @@
 	drainSeeds        = 10
 	minRequestTimeout = 200 * time.Millisecond
 	maxRequestTimeout = 2500 * time.Millisecond
-	routedAfterDrain  = 200 * time.Millisecond // time after the start of a drain in which new connections are still routed to the gateway
+	routedAfterDrain  = 200 * time.Millisecond // time for which a drained gateway still gets new connections
 	answerTolerance   = 500 * time.Millisecond // time after a request's deadline until an answer counts as missing
 	schedulingSlack   = 300 * time.Millisecond // allowance for scheduling delays of the machine that runs the test
 )
@@ -248,7 +248,7 @@
 	c.closeByClient()
 }
 
-// runClient starts a client that opens one connection after another and behaves as told on each. It stops at the end of the run,
+// runClient starts a client that opens one connection after another and calls behave for each. It stops at the end of the run,
 // or when connect returns nil.
 func (d *drainTest) runClient(g *gatewayRecord, behave behaviour, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 4))
--- a/cmd/dewhitch/drain_test.go
+++ b/cmd/dewhitch/drain_test.go
@@ -29,8 +29,8 @@
 	return calledAt
 }
 
-// waitUntil sleeps until a time of the test's schedule. The term of a drain is real time, so a machine that wakes the test more
-// than a second late breaks it.
+// waitUntil sleeps until a time of the test's schedule. The term of a drain is real time, so tests fail on a machine that
+// wakes them more than a second late.
 func waitUntil(at time.Time) { time.Sleep(time.Until(at)) }
 
 // queryWithLongDeadline returns an encoded request with a deadline of a minute, which the settings allow.
@@ -38,7 +38,7 @@
 	return encode("SVC.QUERY 00000000b4d65521 " + id + " c=lookup,t=wide,d=60000,units=1,spread=2,first=0")
 }
 
-// dial opens a client connection to the gateway. The test closes it at its end.
+// dial opens a client connection to the gateway, which is closed at the end of the test.
 func (env *environment) dial() *peerConn {
 	env.t.Helper()
 	conn, err := net.DialTimeout("tcp", env.listenAddr, waitLimit)
@@ -113,7 +113,8 @@
 	env.start("serve")
 	c := env.dial()
 	go func() {
-		// The first command has an odd length and all others have 16 bytes, so that a full buffer never ends with a complete command.
+		// The first command has an odd length and all others have 16 bytes, so that a full buffer never ends with a complete
+		// command.
 		c.Write([]byte("*01\r\n$4\r\nPING\r\n"))
 		for pings := []byte(strings.Repeat("*01\r\n$04\r\nPING\r\n", 300)); ; {
 			if _, err := c.Write(pings); err != nil {
--- a/cmd/dewhitch/exclusions.go
+++ b/cmd/dewhitch/exclusions.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// save writes the unsaved exclusions, and schedules a retry if that fails. It logs only the first of
-// consecutive failures, and the first successful write after them.
+// save writes the unsaved exclusions, and schedules a retry if that fails. It logs only the first of consecutive failures, and the
+// first successful write after them.
 func (h *exclusionHandover) save() {
 	failedBefore := h.retryTimer != nil
 	if err := handover.Save(h.path, *h.unsaved); err != nil {
--- a/cmd/dewhitch/fleet_test.go
+++ b/cmd/dewhitch/fleet_test.go
@@ -25,16 +25,16 @@
 	return p, operatorAddr
 }
 
-// startSingleGatewayAt starts a gateway as startSingleGateway does, with the operators' listener at the given address. The
-// listener is off if that is empty; show is then an unused address.
-func startSingleGatewayAt(t *testing.T, fleet bool, operator string) (p *standin.Process, operatorAddr string) {
+// startSingleGatewayAt starts a gateway as startSingleGateway does, with the operators' listener at configuredAddr. The listener
+// is off if that is empty; operatorAddr is then an unused address.
+func startSingleGatewayAt(t *testing.T, fleet bool, configuredAddr string) (p *standin.Process, operatorAddr string) {
 	t.Helper()
 	backends, err := standin.NewBackends(1, false, standin.Always(standin.Step{}))
 	closeAtCleanup(t, backends, err)
 	counter := newCounter(t)
 	discovery := newDiscovery(t, standin.Members(standin.Member("s-00000001", backends.Nodes[0].Addr(), "up")), 1)
 	p = &standin.Process{Name: "n0", Dir: t.TempDir(), Listen: standin.OwnAddr(), Path: program}
-	if operatorAddr = operator; operatorAddr == "" {
+	if operatorAddr = configuredAddr; operatorAddr == "" {
 		operatorAddr = standin.OwnAddr()
 	}
 	config, err := standin.Config{Name: "n0", Listen: p.Listen, Discovery: discovery.Addr(), Counter: counter.Addr(), Instances: 1,
@@ -44,7 +44,7 @@
 		t.Fatal(err)
 	}
 	if err := p.Write(map[string]string{"config.json": config, "limits.toml": "listen = \"\"\n",
-		"operations.toml": fmt.Sprintf("[operator]\nlisten = %q\n", operator),
+		"operations.toml": fmt.Sprintf("[operator]\nlisten = %q\n", configuredAddr),
 		"fleet.toml": fmt.Sprintf("[fleet]\nname = \"test\"\nlisten = %q\nvoters = [\"n0\"]\ndir = %q\n", standin.OwnAddr(),
 			p.File("fleet"))}); err != nil {
 		t.Fatal(err)
@@ -142,7 +142,7 @@
 			}
 		}
 		if (found > 0) != fleet {
-			t.Errorf("with a fleet file: %v: got %d UDP sockets", fleet, found)
+			t.Errorf("with a fleet file: %v: got %d UDP sockets, expected some only with a fleet", fleet, found)
 		}
 		// The operators' listener serves the metrics of every gateway, and pages on the fleet only if there is one.
 		for path, want := range map[string]bool{"/metrics": true, "/fleet": fleet, "/ledger": false} {
@@ -179,7 +179,7 @@
 	return answer.StatusCode, string(body)
 }
 
-// TestNoOperatorsAddressNoListener guards against a listener that nobody configured: if the operators' file names no address, as
+// TestNoOperatorsAddressNoListener guards against a listener that is not configured: if the operators' file names no address, as
 // on the platform, the process listens at the clients' address only.
 func TestNoOperatorsAddressNoListener(t *testing.T) {
 	p, operatorAddr := startSingleGatewayAt(t, false, "")
--- a/cmd/dewhitch/gateway.go
+++ b/cmd/dewhitch/gateway.go
@@ -31,7 +31,7 @@
 	reservedSockets           = 24               // descriptors for the log, the poller, listeners and closing connections
 	attemptSocketShare        = 0.4              // share of the other descriptors for attempts; client sessions use the rest
 	descriptorsPerIdleSession = 6                // one idle session is kept per this many descriptors; further ones are ended early
-	counterTimeoutFactor      = 3                // call timeouts that a counter call may take, as a late total is still valid
+	counterTimeoutFactor      = 3                // multiple of CounterTimeout that a counter call may take, as a late total is valid
 	firstListTimeout          = time.Second      // maximum wait for the director's first list before the gateway serves
 	firstPlanTimeout          = 10 * time.Second // maximum wait for the fleet's first plan before the gateway serves
 )
--- a/cmd/dewhitch/golden_ledger_test.go
+++ b/cmd/dewhitch/golden_ledger_test.go
@@ -74,7 +74,7 @@
 		name   string
 		args   []string
 		fails  bool
-		sorted bool // true if nodes and mismatches are printed in any order; lines are then sorted, with each node on its own
+		sorted bool // true if the order of nodes and mismatches varies; the test then sorts the lines, with each node on its own line
 	}{
 		{"show", []string{"show", dir}, false, false},
 		{"show-hauliers", []string{"show", "--hauliers", dir}, false, false},
@@ -88,11 +88,11 @@
 		{"merge-two", []string{"merge", export, goldenExportFile}, true, true},
 	} {
 		cmd := exec.Command(program, append([]string{"ledger"}, c.args...)...)
-		var errors bytes.Buffer
-		cmd.Stderr = &errors
+		var stderr bytes.Buffer
+		cmd.Stderr = &stderr
 		out, err := cmd.Output()
 		if (err != nil) != c.fails {
-			t.Errorf("%s: unexpected result of the command: %v, with the standard error: %s", c.name, err, errors.Bytes())
+			t.Errorf("%s: unexpected result of the command: %v, with the standard error: %s", c.name, err, stderr.Bytes())
 		}
 		if c.name == "export.jsonl" {
 			if err := os.WriteFile(export, out, 0o600); err != nil {
@@ -104,8 +104,8 @@
 			slices.Sort(lines)
 			out = []byte(strings.Join(lines, "\n"))
 		}
-		if errors.Len() > 0 {
-			out = append(append(out, "on the standard error:\n"...), errors.Bytes()...)
+		if stderr.Len() > 0 {
+			out = append(append(out, "on the standard error:\n"...), stderr.Bytes()...)
 		}
 		golden.Compare(t, "ledger/"+c.name, out)
 	}
--- a/cmd/dewhitch/handover_test.go
+++ b/cmd/dewhitch/handover_test.go
@@ -17,7 +17,7 @@
 	"dewhitch/internal/handover"
 )
 
-// adminCall makes a call at an operators' address and returns the first line of the answer. It is empty if none came.
+// adminCall makes a call at an operators' address and returns the first line of the answer, which is empty if there is none.
 func adminCall(t *testing.T, addr, line string) string {
 	t.Helper()
 	conn, err := net.DialTimeout("tcp", addr, waitLimit)
@@ -31,7 +31,7 @@
 	return strings.TrimSuffix(answer, "\n")
 }
 
-// sendQuery sends a query of one customer with a long deadline as sendQueryWithArguments does.
+// sendQuery sends a query of a fixed customer with a long deadline, as sendQueryWithArguments does.
 func sendQuery(t *testing.T, addr, id string) string {
 	t.Helper()
 	return sendQueryWithArguments(t, addr, "00000000b4d65521", id, "c=lookup,t=wide,d=60000,units=1,spread=2,first=0")
@@ -50,7 +50,7 @@
 	r := bufio.NewReader(conn)
 	line, err := r.ReadString('\n')
 	if err != nil {
-		t.Fatalf("%q, %v", line, err)
+		t.Fatalf("reading the answer: got %q, %v; expected a line", line, err)
 	}
 	if strings.HasPrefix(line, "$") {
 		value, _ := r.ReadString('\n')
@@ -60,7 +60,7 @@
 }
 
 // inheritableFile returns the listener's socket as the platform passes it to a process. The listener's File method, and exec with
-// that file, would put the socket into blocking mode, which all holders of the socket share: a program that waits in accept would
+// that file, would put the socket into blocking mode for all holders of the socket: a program that waits in accept would
 // then wait in the kernel and could not close its listener until a client connects. A duplicated descriptor, in an os.File that
 // Go did not make non-blocking, is inherited as it is.
 func inheritableFile(t *testing.T, listener *net.TCPListener) *os.File {
@@ -172,7 +172,7 @@
 		}
 		served[mode] = send(8)
 		if text := adminCall(t, env.adminAddr, "telemetry"); strings.Contains(text, `"snapshot_loaded":1`) != (mode == "auto") {
-			t.Errorf("warm start %s: got telemetry %s\n%s", mode, text, next.log())
+			t.Errorf("warm start %s: got telemetry %s; expected snapshot_loaded 1 for auto only\n%s", mode, text, next.log())
 		}
 		if mode == "off" {
 			continue
@@ -204,7 +204,7 @@
 	}
 	if out, err := exec.Command(program, "snapshot", "show", files[0]).CombinedOutput(); err != nil ||
 		!strings.Contains(string(out), customer+"  steady") || !strings.Contains(string(out), "s-00000001") {
-		t.Errorf("snapshot show: got %v, %s", err, out)
+		t.Errorf("snapshot show: got %v, %s; expected the customer with its plan, and the server", err, out)
 	}
 	third := startProcess()
 	if text := adminCall(t, env.adminAddr, "telemetry"); !strings.Contains(text, `"snapshot_loaded":1,"snapshot_rejected":1`) {
--- a/cmd/dewhitch/large_test.go
+++ b/cmd/dewhitch/large_test.go
@@ -17,6 +17,7 @@
 	"time"
 )
 
+// errBusy is the error for a query that is answered with -BUSY.
 var errBusy = errors.New("refused")
 
 // largeValueSize is the least length of a value, in bytes.
@@ -108,7 +109,7 @@
 	return kb << 10
 }
 
-// largeClient is a client connection with buffers that are too small for a large value.
+// largeClient is a client connection whose buffers are too small for a large value.
 type largeClient struct {
 	net.Conn
 	r *bufio.Reader
@@ -182,7 +183,7 @@
 	env.overrides = []string{`{"limits": {"memory_mb": 64, "sockets": 512}}`}
 	go env.backends.serveLarge(200 * time.Microsecond)
 	p := env.start("serve")
-	c := dialLarge(t, env) // its queries let the module learn the backend's latency
+	c := dialLarge(t, env) // its queries let the decision module learn the backend's latency
 	for i := range 20 {
 		c.Write(largeQuery(fmt.Sprint("v", i)))
 		if err := c.readValue(fmt.Sprint("v", i), false); err != nil && err != errBusy {
--- a/cmd/dewhitch/ledger_commands.go
+++ b/cmd/dewhitch/ledger_commands.go
@@ -22,6 +22,7 @@
 	Merge  ledgerMerge  `cmd:"" help:"Add up the exports of several nodes."`
 }
 
+// ledgerShow prints the counts of a ledger's folder.
 type ledgerShow struct {
 	Dir        string `arg:"" help:"The folder (ledger.dir)."`
 	ByCustomer bool   `name:"hauliers" help:"A line for each haulier that is in memory."`
@@ -57,6 +58,7 @@
 	return sums
 }
 
+// ledgerVerify audits ledgers' folders and exports.
 type ledgerVerify struct {
 	From []string `arg:"" help:"Folders, or files of JSON lines; - is the standard input."`
 }
@@ -131,6 +133,7 @@
 	return nil
 }
 
+// ledgerExport prints the records of a ledger's folder.
 type ledgerExport struct {
 	Dir    string        `arg:"" help:"The folder (ledger.dir)."`
 	After  uint64        `help:"The number of the last record that the reader has."`
@@ -183,6 +186,7 @@
 	return out.Flush()
 }
 
+// ledgerMerge prints the sums of several exports.
 type ledgerMerge struct {
 	Files      []string `arg:"" help:"Exports as JSON lines; - is the standard input."`
 	ByCustomer bool     `name:"hauliers" help:"A line for each haulier."`
--- a/cmd/dewhitch/ledger_process.go
+++ b/cmd/dewhitch/ledger_process.go
@@ -82,7 +82,7 @@
 	return storedLedger, names
 }
 
-// setTallyReader sets the function by which the ledger's audit reads the module's tallies.
+// setTallyReader sets the function by which the ledger's audit reads the decision module's tallies.
 func (p *processLedger) setTallyReader(read func(func(tally func(customer uint64) (units float64, known bool))) error) {
 	if p.active != nil {
 		p.active.SetTallyReader(read)
--- a/cmd/dewhitch/ledger_test.go
+++ b/cmd/dewhitch/ledger_test.go
@@ -84,7 +84,7 @@
 // killGatewayWithOpenQuery kills the first gateway while a query is open.
 func (l *ledgerTest) killGatewayWithOpenQuery() {
 	l.env.counter.SetMode("silent")
-	// An unknown command at this address, which does not count as a request.
+	// LIMIT.GET is an unknown command at this address and does not count as a request.
 	l.clientA.write("LIMIT.GET 00000000000000bb t=forty,d=60000,spread=1,first=0")
 	l.clientA.readAnswer()
 	c := dial(l.t, l.env.limitsAddr)
@@ -150,16 +150,16 @@
 	lines := strings.SplitAfter(strings.TrimSuffix(string(text), "\n")+"\n", "\n")
 	lines = lines[:len(lines)-1]
 	for what, c := range map[string]struct{ text, want string }{
-		"a missing one":  {lines[0] + strings.Join(lines[2:], ""), "1 records are missing before it"},
-		"one twice":      {lines[0] + lines[0] + strings.Join(lines[1:], ""), "came before"},
-		"a changed one":  {strings.Replace(string(text), `"taken":1`, `"taken":2`, 1), "its chain does not follow"},
-		"no record":      {"{}\n", "line 1: no record of a ledger"},
-		"no known event": {strings.Replace(string(text), `"taken":1`, `"token":1`, 1), `no figure is called "token"`},
+		"a missing record":  {lines[0] + strings.Join(lines[2:], ""), "1 records are missing before it"},
+		"a repeated record": {lines[0] + lines[0] + strings.Join(lines[1:], ""), "came before"},
+		"a changed record":  {strings.Replace(string(text), `"taken":1`, `"taken":2`, 1), "its chain does not follow"},
+		"an invalid record": {"{}\n", "line 1: no record of a ledger"},
+		"an unknown event":  {strings.Replace(string(text), `"taken":1`, `"token":1`, 1), `no figure is called "token"`},
 	} {
 		bad := filepath.Join(l.t.TempDir(), "bad.jsonl")
 		os.WriteFile(bad, []byte(c.text), 0o600)
 		if out, err := ledgerCommand(l.t, "verify", bad); err == nil || !strings.Contains(out, c.want) {
-			l.t.Errorf("verify of an export with %s: got %v, %s", what, err, out)
+			l.t.Errorf("verify of an export with %s: got %v, %s; expected an error that describes it", what, err, out)
 		}
 	}
 }
@@ -177,7 +177,7 @@
 	out, err := ledgerCommand(t, append([]string{"merge"}, files...)...)
 	if flat := strings.Join(strings.Fields(out), " "); err != nil || !strings.Contains(flat, "wide order 2 2 0 0 0") ||
 		!strings.Contains(flat, "bookings by key: 1; with tries through several nodes: 1, of these with two tries open at once: 1") {
-		t.Errorf("merge: got %v, %s", err, out)
+		t.Errorf("merge: got %v, %s; expected two served orders, and one booking by key with two tries open at once", err, out)
 	}
 	l.checkDamagedExports(files[0])
 }
@@ -207,8 +207,8 @@
 	c.write(bookingCommand(7, 0), bookingCommand(8, 0))
 	c.readAnswer()
 	c.readAnswer()
-	// All figures must stand on the same page. That can take a while, as the push of the spent units stays open for as long as the
-	// counter takes, after both requests are served.
+	// All figures must be on the same page. That can take a while after both requests are served, as pushing the spent units lasts
+	// until the counter answers.
 	want := []string{`dewhitch_reqs_total{class="lookup",event="served",plan="forty"} 2`,
 		`dewhitch_fetches_total{class="lookup",event="fetch_ok",plan="forty"} 2`,
 		"dewhitch_ledger_alarms 0", "dewhitch_ledger_lasting 1", "dewhitch_ledger_open 0"}
--- a/cmd/dewhitch/limits_test.go
+++ b/cmd/dewhitch/limits_test.go
@@ -34,7 +34,7 @@
 	return &client{t, conn, bufio.NewReader(conn)}
 }
 
-// write writes commands in the form that encode takes.
+// write sends commands, each converted by encode.
 func (c *client) write(commands ...string) {
 	var b []byte
 	for _, s := range commands {
@@ -90,7 +90,7 @@
 	fortyPlanArgs = "t=forty,d=100000,spread=3,first=0"
 )
 
-// bookingCommand returns a query for the backends, with an id of the customer and i.
+// bookingCommand returns a query whose id is composed of the customer's number and i.
 func bookingCommand(customer, i int) string {
 	return fmt.Sprintf("SVC.QUERY %016x a%d-%d c=lookup,%s", customer, customer, i, fortyPlanArgs)
 }
@@ -166,7 +166,7 @@
 			remaining, replenishedAfter := c.readRemaining()
 			checkRemaining(t, env, customer, remaining)
 			if remaining > 2.5 || replenishedAfter == ":0" {
-				t.Errorf("customer %d: got %v units remaining, more after %q ms; expected at most 2.5, and a time above 0", customer, remaining,
+				t.Errorf("customer %d: got %v units remaining, more after %q ms; expected at most 2.5 units, and a time above 0", customer, remaining,
 					replenishedAfter)
 			}
 		})
@@ -248,7 +248,7 @@
 }
 
 // TestForwarder guards against a forwarder that loses a customer's commands, sends one twice or spreads them over gateways. A
-// customer's commands go to one gateway of its set of three. That registers again when its session expires. When it is killed,
+// customer's commands go to one gateway of its set of three. It registers again when its session expires. When it is killed,
 // the commands in flight fail, and later ones go to another gateway of the set.
 func TestForwarder(t *testing.T) {
 	t.Parallel()
@@ -276,7 +276,7 @@
 	}
 	f.checkRemaining()
 
-	// As the counter does not answer, a command is in flight on gateway 0 when that is killed: it fails and is not sent again.
+	// As the counter does not answer, a command is in flight when gateway 0 is killed. The command fails and is not sent again.
 	f.env.counter.SetMode("silent")
 	c.write(limitQuery(3))
 	time.Sleep(50 * time.Millisecond)
@@ -332,7 +332,7 @@
 }
 
 // TestForwarderEndsBeforeTheEarliestKill guards against a forwarder that has open connections at the earliest SIGKILL. It
-// receives SIGTERM while a planner takes longer to answer than the forwarder has until then. The command must fail, as it may
+// receives SIGTERM while a planner takes longer to answer than the time until then. The command must fail, as it may
 // have been applied, and the connection must end in time.
 func TestForwarderEndsBeforeTheEarliestKill(t *testing.T) {
 	t.Parallel()
--- a/cmd/dewhitch/player_test.go
+++ b/cmd/dewhitch/player_test.go
@@ -217,7 +217,7 @@
 // one of them.
 func (p *exchangePlayer) changeStandIns(verb, rest string) bool {
 	switch verb {
-	case "moves": // discovery, with an older revision of the list and the given members, and an empty counter are at new addresses
+	case "moves": // discovery and an empty counter are at new addresses; discovery has the given members in an older revision
 		previous := *p.env
 		p.env.counter, p.env.discovery = newCounter(p.t), newDiscovery(p.t, p.env.members(rest), 7)
 		p.playEvent("anew", "{}")
@@ -236,7 +236,7 @@
 		}
 	case "backends": // the backends refuse connections from now on
 		p.env.backends.StopAccepting()
-	case "window": // the first half of the counter's window is awaited
+	case "window": // waits for the first half of the counter's window
 		waitForFirstHalfOfWindow()
 	case "sleep":
 		d, _ := time.ParseDuration(rest)
@@ -273,8 +273,8 @@
 }
 
 // waitForFirstHalfOfWindow returns at a time in the first half of the counter's window, so that the window does not end during
-// the test that follows. It lasts 30 s on the plans of the tests, and a customer's window starts at most 4 s before the full or
-// half minute.
+// the test that follows. A window lasts 30 s on the plans of the tests, and a customer's window starts at most 4 s before the
+// full or half minute.
 func waitForFirstHalfOfWindow() {
 	const window = 30 * time.Second
 	if in := time.Duration(time.Now().UnixNano()) % window; in > window/2 {
@@ -316,8 +316,8 @@
 	return b
 }
 
-// expect reads until it has read what want describes, in which {n} stands for any number, and fails at the first difference that
-// it can tell.
+// expect reads until the bytes match want, in which {n} stands for any number. It returns an error if reading fails, or after 64
+// bytes more than want has.
 func expect(r *bufio.Reader, want []byte) error {
 	pattern := regexp.MustCompile("^" + strings.ReplaceAll(regexp.QuoteMeta(string(want)), `\{n\}`, `[-0-9.]+`) + "$")
 	var got []byte
--- a/cmd/dewhitch/process_test.go
+++ b/cmd/dewhitch/process_test.go
@@ -17,13 +17,13 @@
 	"dewhitch/internal/standin"
 )
 
-// process is a program under test. Its output is collected in memory, and mu guards that.
+// process is a program under test. mu guards its output, which is collected in memory.
 type process struct {
 	cmd        *exec.Cmd
 	configPath string // path of the program's configuration
 	mu         sync.Mutex
 	output     bytes.Buffer
-	exited     chan error
+	exited     chan error // holds the error of Wait once the program has ended
 }
 
 // Write implements io.Writer for the program's output.
@@ -58,10 +58,10 @@
 type environment struct {
 	t                      *testing.T
 	listenAddr, limitsAddr string
-	adminAddr              string // the operators' address of the program that was started last
-	sharedTempDir          string // $TMPDIR that all programs share, or empty if each has its own
-	overrides              []string
-	instance               int
+	adminAddr              string   // the operators' address of the program that was started last
+	sharedTempDir          string   // $TMPDIR that all programs share, or empty if each has its own
+	overrides              []string // JSON objects that are merged into the configuration
+	instance               int      // number of the gateway among its peers
 	backends               *manualBackends
 	counter                *standin.Counter
 	discovery              *standin.Discovery
--- a/cmd/dewhitch/redis_test.go
+++ b/cmd/dewhitch/redis_test.go
@@ -12,8 +12,8 @@
 	"dewhitch/internal/standin"
 )
 
-// TestRealClient guards against a Redis client library that can't work with a planner or a forwarder. The client sets a name and
-// asks for version 2 or 3 of the protocol.
+// TestRealClient guards against answers of a planner or a forwarder that a Redis client library does not accept. The client sets
+// a name and requests version 2 or 3 of the protocol.
 func TestRealClient(t *testing.T) {
 	t.Parallel()
 	registry := newZookeeper(t)
@@ -53,8 +53,8 @@
 		}
 	}
 	checkSession(ctx, c, check)
-	// Commands on the session must not count as faults: these are far more on one connection than the faults that a session may
-	// have.
+	// Commands on the session must not count as faults: the pipeline has far more of them than the faults after which a gateway
+	// closes a connection.
 	pipe := c.Pipeline()
 	for range 30 {
 		pipe.Do(ctx, "CLIENT", "SETINFO", "LIB-NAME", "go-redis")
--- a/cmd/dewhitch/snapshot_commands.go
+++ b/cmd/dewhitch/snapshot_commands.go
@@ -13,12 +13,13 @@
 	"dewhitch/internal/snapshot"
 )
 
-// snapshotCmd reads a snapshot of the module's state. The gateway that writes the snapshots may be running.
+// snapshotCmd reads a snapshot of the decision module's state. The gateway that writes the snapshots may be running.
 type snapshotCmd struct {
 	Show   snapshotShow   `cmd:"" help:"Print what a snapshot holds."`
 	Verify snapshotVerify `cmd:"" help:"Tell whether a snapshot is whole, and why not; end with 1 if it is not."`
 }
 
+// snapshotShow prints a snapshot as tables or, with JSON, as it is.
 type snapshotShow struct {
 	File string `arg:"" help:"The file (dewhitch-NAME.LIFE.snapshot)."`
 	JSON bool   `help:"All of it, as JSON."`
@@ -83,6 +84,7 @@
 	}
 }
 
+// snapshotVerify checks that a snapshot can be read and that its values are valid.
 type snapshotVerify struct {
 	File string `arg:"" help:"The file."`
 }
--- a/cmd/dewhitch/snapshots.go
+++ b/cmd/dewhitch/snapshots.go
@@ -15,8 +15,8 @@
 	"dewhitch/internal/warmstart"
 )
 
-// snapshotKeeper writes snapshots of the module's state for the next process. A nil snapshotKeeper writes none; the gateway
-// serves without snapshots if warm start is off or the folder can't be used.
+// snapshotKeeper writes snapshots of the decision module's state for the next process. A nil snapshotKeeper writes none; the
+// gateway serves without snapshots if warm start is off or the folder can't be used.
 type snapshotKeeper struct {
 	planner  *core.Planner
 	image    snapshot.Image // settings of this process; the state is copied into it for each write
@@ -126,8 +126,8 @@
 	k.write()
 }
 
-// write writes one snapshot. It writes none before the module has handled an event. It logs only the first of
-// consecutive failures, and the first successful write after them.
+// write writes one snapshot. It writes none before the decision module has handled an event. It logs only the first of consecutive
+// failures, and the first successful write after them.
 func (k *snapshotKeeper) write() {
 	err := k.planner.ExportState(&k.image.State, snapshot.MaxCustomers)
 	if err == nil && k.image.State.At > 0 {
--- a/cmd/dewhitch/soak_test.go
+++ b/cmd/dewhitch/soak_test.go
@@ -30,8 +30,8 @@
 	soakClients         = 8                      // number of clients of each gateway that send one request after another
 	crowdSize           = 60                     // number of idle connections to each gateway in runs with a crowd
 	drainGrace          = 550 * time.Millisecond // time after the announcement in which a draining server may get requests
-	stallDuration       = 150 * time.Millisecond // length of a stop, also between reading the clock and acting
-	answerRequiredAfter = 700 * time.Millisecond // a request sent later than this after SIGTERM must be answered by SIGKILL
+	stallDuration       = 150 * time.Millisecond // length of a stop, which may fall between reading the clock and acting
+	answerRequiredAfter = 700 * time.Millisecond // requests sent later than this after SIGTERM must be answered before SIGKILL
 	soakSlack           = 250 * time.Millisecond // allowance for scheduling delays of the machine that runs the test
 )
 
@@ -47,7 +47,7 @@
 	fullLists   bool          // true if discovery sends changes as full lists
 
 	mu           sync.Mutex
-	drainedNodes map[int]time.Time // by draining node: time by which every gateway was notified
+	drainedNodes map[int]time.Time // time at which all gateways had been notified, by draining node
 }
 
 // newSoakRun draws the parameters of a run from its seed, and starts its backends.
@@ -130,7 +130,7 @@
 	return &gatewayRecord{env: env, instance: number, maxTimeout: s.maxDeadline, routedAfterDrain: 400 * time.Millisecond}
 }
 
-// settings returns overrides of the configuration, with a class of that deadline as the only one.
+// settings returns overrides of the configuration, whose only class has the given deadline.
 func (s *soakRun) settings(deadline time.Duration) string {
 	return fmt.Sprintf(`{"limits":{"sockets":384},"settings":{"NInstances":%d,"Caps":{"ConnectTimeout":250000000},"RequestClasses":[
 		{"Name":"lookup","Aim":%d,"Deadline":%d,"Effect":"safe","Points":1}]}}`, soakGateways, deadline/2, deadline)
@@ -199,8 +199,8 @@
 	s.startClients(g, 2)
 }
 
-// terminate sends SIGTERM, in some runs with a drain before it or a stop after it, and SIGKILL as early as the platform may. It
-// reports the connections that are open then.
+// terminate sends SIGTERM, in some runs with a drain before it or a stop after it, and SIGKILL as early as the platform may send
+// it. It reports the connections that are open at SIGKILL.
 func (s *soakRun) terminate(g *gatewayRecord, p *process, rng *rand.Rand) {
 	if rng.IntN(3) == 0 {
 		adminCall(s.t, g.env.adminAddr, "evacuate")
@@ -251,7 +251,7 @@
 		len(c.unanswered), lost)
 }
 
-// openPorts returns the clients' ports of the connections to an address that the gateway has not closed, by the kernel's table.
+// openPorts returns the clients' ports of the connections to an address that the gateway has not closed, from /proc/net/tcp.
 func openPorts(addr string) map[int]bool {
 	const localField, remoteField, stateField = 1, 2, 3
 	const established, closeWait = "01", "08"
@@ -298,7 +298,7 @@
 	})
 }
 
-// checkDrainedNodes reports requests that reached a server too long after every gateway was notified that the server drains.
+// checkDrainedNodes reports requests that reached a server more than drainGrace after every gateway was notified that it drains.
 func (s *soakRun) checkDrainedNodes() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -311,8 +311,8 @@
 }
 
 // TestSoak guards against requests that are lost, answered late or sent to a draining server. Gateways are drained, stopped,
-// reloaded, terminated and killed as early as the platform may, one signal after another, while clients use all of their
-// connections, some servers hang and some drain.
+// reloaded, terminated and killed as early as the platform may do so, one signal after another. Clients of every behaviour are
+// connected meanwhile, some servers hang and some drain.
 func TestSoak(t *testing.T) {
 	for seed := range uint64(*soakSeeds) {
 		s := newSoakRun(t, *soakFrom+seed)
--- a/cmd/drill/golden_test.go
+++ b/cmd/drill/golden_test.go
@@ -9,8 +9,8 @@
 	"dewhitch/internal/golden"
 )
 
-// The test guards the command line that operators and their scripts rely on: the names of all commands, arguments and flags, with
-// their defaults and allowed values. The help texts are not included.
+// TestGoldenCommandLine guards against changed names of commands, arguments and flags, and changed defaults and enum values,
+// which operators' scripts rely on. Help texts are not compared.
 func TestGoldenCommandLine(t *testing.T) {
 	k, err := kong.New(&cli, kong.Name("drill"))
 	if err != nil {
@@ -19,6 +19,7 @@
 	golden.Compare(t, "commands.txt", appendNode(nil, k.Model.Node, k.Model.Name))
 }
 
+// appendNode appends a line for the command at path and for each of its arguments and flags, and then its subcommands.
 func appendNode(b []byte, n *kong.Node, path string) []byte {
 	b = append(append(b, path...), '\n')
 	for _, a := range n.Positional {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -77,7 +77,7 @@
 	return buf, nil
 }
 
-// handle passes an event to the gateway. If the module panics, handle returns the text of the panic instead of actions.
+// handle passes an event to the gateway. If the gateway panics, handle returns the text of the panic instead of actions.
 func handle(g *dw.Gateway, now dw.Instant, e dw.Event) (actions []dw.Action, panicText string) {
 	defer func() {
 		if p := recover(); p != nil {
--- a/cmd/simadapter/main_test.go
+++ b/cmd/simadapter/main_test.go
@@ -68,7 +68,7 @@
 	} {
 		err := run(strings.NewReader(in), &strings.Builder{})
 		if err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("input %q: got error %v, want one with %q", in, err, want)
+			t.Errorf("input %q: got error %v, expected one with %q", in, err, want)
 		}
 	}
 }
--- a/cmd/soak/golden_test.go
+++ b/cmd/soak/golden_test.go
@@ -9,8 +9,8 @@
 	"dewhitch/internal/golden"
 )
 
-// TestGoldenCommandLine compares the names of all commands, arguments and flags, with their defaults and the values that a flag accepts,
-// with the golden file: operators and their scripts use them. The help texts are not part of the comparison.
+// TestGoldenCommandLine guards against changed names of commands, arguments and flags, and changed defaults and enum values,
+// which operators' scripts rely on. Help texts are not compared.
 func TestGoldenCommandLine(t *testing.T) {
 	k, err := kong.New(&cli, kong.Name("soak"))
 	if err != nil {
@@ -19,7 +19,7 @@
 	golden.Compare(t, "commands.txt", appendNode(nil, k.Model.Node, k.Model.Name))
 }
 
-// appendNode appends the lines of a command and its subcommands to b.
+// appendNode appends a line for the command at path and for each of its arguments and flags, and then its subcommands.
 func appendNode(b []byte, n *kong.Node, path string) []byte {
 	b = append(append(b, path...), '\n')
 	for _, a := range n.Positional {
--- a/cmd/soak/main.go
+++ b/cmd/soak/main.go
@@ -1,6 +1,7 @@
-// Command soak runs gateways and a forwarder under load with stand-ins that inject faults, and kills one of the processes at intervals. It
-// prints the ledgers' counts beside those of the clients, and exits with status 1 if the ledgers do not agree with the clients, the backends
-// and the counter. It also measures the cost of the ledger and, during faults of the counter, the requests beyond the quota.
+// Command soak runs gateways and a forwarder under load with stand-ins that inject faults, and kills one of the processes at
+// intervals. It prints the ledgers' counts beside those of the clients, and exits with status 1 if the ledgers do not agree with
+// the clients, the backends and the counter. It also measures the cost of the ledger and, during faults of the counter, the
+// requests beyond the quota.
 package main
 
 import (
@@ -21,6 +22,7 @@
 	Counter counterCmd `cmd:"" help:"Measure what goes beyond the quota while the counter is silent, split and swapped."`
 }
 
+// runCmd runs gateways and a forwarder under load and faults, and audits their ledgers.
 type runCmd struct {
 	Length   time.Duration `default:"10m" help:"Of the load (${default})."`
 	Kill     time.Duration `default:"10s" help:"Between two kills (${default})."`
@@ -33,6 +35,7 @@
 		Customers: c.Hauliers, Out: os.Stdout})
 }
 
+// costCmd measures the cost of the ledger.
 type costCmd struct {
 	Rounds  int           `default:"7" help:"Of all three (${default})."`
 	Length  time.Duration `default:"5s" help:"Of each (${default})."`
@@ -45,6 +48,7 @@
 		Clients: c.Clients, Interval: c.Pace, Out: os.Stdout})
 }
 
+// counterCmd measures the requests beyond the quota during faults of the counter.
 type counterCmd struct {
 	Phase time.Duration `default:"10s" help:"Of each state of the counter (${default})."`
 	Seed  uint64        `default:"1" help:"Of all that is drawn (${default})."`
