--- a/internal/standin/backends.go
+++ b/internal/standin/backends.go
@@ -12,17 +12,17 @@
 // idleLoadReport is the load report in answers whose Step sets no Report.
 const idleLoadReport = "queue=0,inflight=1,qps=1"
 
-// Backends is a set of stand-in backends, each with its own address, that share one script and one record of commands. Its methods may
-// be called from any goroutine, except that Close must not run concurrently with Stop or Restart.
+// Backends is a set of stand-in backends, each with its own address, that share one script and one record of commands. Its
+// methods may be called from any goroutine, except that Close must not run concurrently with Stop or Restart.
 type Backends struct {
 	Nodes []*Listener // one listener per backend
-	// OnCommand is called for each command once its Behaviour is chosen; the function that it returns is called after the answer. It
-	// must be set before the first command arrives, and may be nil.
+	// OnCommand is called for each command once its Behaviour is chosen; the function that it returns is called after the answer.
+	// It must be set before the first command arrives, and may be nil.
 	OnCommand func(*Command) (answered func())
 
 	mu             sync.Mutex // held while the script and OnCommand run
 	script         Script
-	commands       []Command // received commands in the order of arrival; empty without recordCommands
+	commands       []Command // received commands in the order of arrival; empty unless recordCommands is true
 	recordCommands bool
 }
 
@@ -113,8 +113,8 @@
 	}
 }
 
-// arrive calls the script for a command, records the command and calls OnCommand. The caller waits for the delay, answers the command and
-// then calls answered.
+// arrive calls the script for a command, records the command and calls OnCommand. The caller waits for the delay, answers the
+// command and then calls answered.
 func (b *Backends) arrive(c *Command) (delay time.Duration, answered func()) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/standin/build.go
+++ b/internal/standin/build.go
@@ -12,8 +12,8 @@
 // raceDetector is true if this program was built with the race detector.
 var raceDetector bool
 
-// Build builds one of the project's commands, such as dewhitch, into a folder and returns the program's path. It builds with the race
-// detector if the caller was built with it. A build error contains the compiler's output.
+// Build builds one of the project's commands, such as dewhitch, into a folder and returns the program's path. It builds with the
+// race detector if the caller was built with it. A build error contains the compiler's output.
 func Build(dir, command string) (string, error) {
 	mod, err := exec.Command("go", "env", "GOMOD").Output()
 	if err != nil {
@@ -33,8 +33,8 @@
 	return program, nil
 }
 
-// openSources opens each source file, so that a cached test result depends on it: go test tracks the files that a test opens, but not
-// the sources of a program that the test builds and starts.
+// openSources opens each source file, so that a cached test result depends on it: go test tracks the files that a test opens, but
+// not the sources of a program that the test builds and starts.
 func openSources(root string) error {
 	return filepath.WalkDir(root, func(path string, d fs.DirEntry, err error) error {
 		if err != nil {
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -90,8 +90,8 @@
 // ownHosts is the number of addresses that OwnAddr has returned.
 var ownHosts atomic.Int32
 
-// OwnAddr returns a loopback address for a process whose listen address is configured in advance. The host differs by calling process
-// and by call, because a port that is free when it is chosen may be in use by the time that the process listens.
+// OwnAddr returns a loopback address for a process whose listen address is configured in advance. The host differs by calling
+// process and by call, because a port that is free when it is chosen may be in use by the time that the process listens.
 func OwnAddr() string {
 	const hostsPerPort = 250
 	pid := os.Getpid()
--- a/internal/standin/command.go
+++ b/internal/standin/command.go
@@ -77,8 +77,8 @@
 // Always returns a script with the same step for all commands.
 func Always(s Step) Script { return func(*Command) Step { return s } }
 
-// Weighted returns a script that draws a behaviour by weight, and a delay uniformly between 0 and the behaviour's Delay. The same seed
-// yields the same steps.
+// Weighted returns a script that draws a behaviour by weight, and a delay uniformly between 0 and the behaviour's Delay. The same
+// seed yields the same steps.
 func Weighted(seed uint64, steps map[Behaviour]struct {
 	Weight float64
 	Delay  time.Duration
--- a/internal/standin/counter.go
+++ b/internal/standin/counter.go
@@ -28,8 +28,9 @@
 	maxTotalTTL     = time.Minute // upper bound of a total's time to live, which replaces a longer expire_ms
 )
 
-// Counter is a stand-in for the quota counter. Each gateway can have its own listener, so that a script can inject faults for a single
-// gateway. The listeners share one store, or two while the store is partitioned. The methods may be called from any goroutine.
+// Counter is a stand-in for the quota counter. Each gateway can have its own listener, so that a script can inject faults for a
+// single gateway. The listeners share one store, or two while the store is partitioned. The methods may be called from any
+// goroutine.
 type Counter struct {
 	*Listener // the first listener
 
@@ -78,8 +79,8 @@
 	}
 }
 
-// SetMode sets the mode of the listeners with the given numbers, or of all if none is given: add, silent, full, late, reset, spoilt,
-// interim or doubled.
+// SetMode sets the mode of the listeners with the given numbers, or of all if none is given: add, silent, full, late, reset,
+// spoilt, interim or doubled.
 func (c *Counter) SetMode(mode string, listeners ...int) {
 	c.forListeners(listeners, func(l *counterListener) { l.mode = mode })
 }
--- a/internal/standin/counter_store.go
+++ b/internal/standin/counter_store.go
@@ -11,7 +11,7 @@
 	partitions     [2]totals          // the second one is used only while the store is partitioned
 	atSplit        totals             // totals at the time of the partition
 	snapshot       totals             // totals that Restore returns to; nil if there is no snapshot
-	lowest         float64            // lowest total so far, in units, or 0
+	lowest         float64            // lowest total so far, in units; 0 if no total was negative
 	calls          int                // number of calls that were added
 	addedByAccount map[string]float64 // units added so far; the account is the part of a total's name before the dot
 }
@@ -117,8 +117,8 @@
 	}
 }
 
-// Sum returns the sum, in units, of the totals whose names begin with a prefix. While the store is partitioned, it sums those of the
-// first partition.
+// Sum returns the sum, in units, of the totals whose names begin with a prefix. While the store is partitioned, it sums those of
+// the first partition.
 func (c *Counter) Sum(prefix string) (sum float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/counter_test.go
+++ b/internal/standin/counter_test.go
@@ -11,7 +11,8 @@
 	"time"
 )
 
-// addThroughListener adds to a total through a listener and returns the status and body of the answer, or "nothing" if no answer comes.
+// addThroughListener adds to a total through a listener and returns the status and body of the answer, or "nothing" if no answer
+// comes.
 func addThroughListener(t *testing.T, listener *Listener, name string, by float64) string {
 	t.Helper()
 	c, err := net.Dial("tcp", listener.Addr())
@@ -42,7 +43,8 @@
 	return strings.Fields(head)[1] + " " + string(body)
 }
 
-// Each fault that a script can inject acts on the counter's listeners and store as documented.
+// TestCounterFaults guards against faults that a script injects into the counter and that don't act on its listeners and store as
+// documented.
 func TestCounterFaults(t *testing.T) {
 	c, err := NewCounter()
 	if err != nil {
@@ -88,13 +90,13 @@
 	c.SetLatency(60*time.Millisecond, 0)
 	expect(first, 0, "200 10")
 	if elapsed := time.Since(start); elapsed < 60*time.Millisecond {
-		t.Errorf("an answer with a latency of 60ms came after %v", elapsed)
+		t.Errorf("an answer came after %v, expected a latency of at least 60ms", elapsed)
 	}
 	c.SetLatency(0)
 	c.Play(context.Background(), ScheduledFault{time.Millisecond, (*Counter).Forget}, ScheduledFault{2 * time.Millisecond,
 		func(c *Counter) { c.SetMode("spoilt") }})
 	expect(first, 2, "200 NaN")
 	if calls, units := c.Added(); calls != 13 || units["7"] != 5+1+10+100+3+3+1+2 {
-		t.Errorf("got %d calls that added %v units by account", calls, units)
+		t.Errorf("got %d calls that added %v units by account, expected 13 that added 125 for account 7", calls, units)
 	}
 }
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -15,8 +15,8 @@
 // client knows that the connection still works.
 const heartbeatInterval = time.Second
 
-// Discovery is a stand-in for the discovery agent. It answers polls with the endpoint list and streams changes of the list to watches.
-// Its methods may be called from any goroutine.
+// Discovery is a stand-in for the discovery agent. It answers polls with the endpoint list and streams changes of the list to
+// watches. Its methods may be called from any goroutine.
 type Discovery struct {
 	*Listener
 	mu              sync.Mutex
--- a/internal/standin/golden_test.go
+++ b/internal/standin/golden_test.go
@@ -6,7 +6,7 @@
 	"dewhitch/internal/golden"
 )
 
-// TestGoldenConfig compares the configuration that runs write for a gateway, with every value set, with its golden file. The golden tests
+// TestGoldenConfig guards against changes of the configuration that runs write for a gateway. Every value is set. The golden tests
 // of the packages that read the configuration fix its keys.
 func TestGoldenConfig(t *testing.T) {
 	text, err := Config{Name: "node-1", Listen: "10.0.0.1:1001", Discovery: "10.0.0.2:1002", Counter: "10.0.0.3:1003", Admin: "10.0.0.4:1004",
--- a/internal/standin/link/command_times.go
+++ b/internal/standin/link/command_times.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// commandTimes records when a command began to arrive over a connection that carries one command at a time: the first bytes after an
-// answer belong to the next command. Its methods may be called from any goroutine.
+// commandTimes records when a command began to arrive over a connection that carries one command at a time: the first bytes after
+// an answer belong to the next command. Its methods may be called from any goroutine.
 type commandTimes struct {
 	mu        sync.Mutex
 	startedAt time.Time // arrival of the first byte of the latest command; zero before any command
--- a/internal/standin/link/conn.go
+++ b/internal/standin/link/conn.go
@@ -1,7 +1,7 @@
 package link
 
-// This file relays one connection through a link. Data from each side is delivered in order, delayed by the state of its direction. Data
-// that an outage may have held up is not delivered if the process that opened the connection has closed it since.
+// This file relays one connection through a link. Data from each side is delivered in order, delayed by the state of its
+// direction. Data that an outage may have held up is not delivered if the process that opened the connection has closed it since.
 
 import (
 	"errors"
@@ -22,8 +22,8 @@
 	closeOnce    sync.Once
 }
 
-// relay relays an accepted connection until both sides have ended it. endedOutages is the count of ended outages of the outbound direction
-// when the connection was accepted.
+// relay relays an accepted connection until both sides have ended it. endedOutages is the count of ended outages of the outbound
+// direction when the connection was accepted.
 func (l *Link) relay(near *net.TCPConn, endedOutages int) {
 	c, err := l.dialTarget(near, endedOutages)
 	if err != nil { // the connection is accepted already, and a reset is the closest to a refusal
@@ -93,8 +93,8 @@
 	outagesBefore int       // number of the direction's outages that ended before the segment was sent
 }
 
-// forward delivers the data from one side to the other in order. When the sending side ends, it sets closedAt, if not nil, to the Unix
-// time in ns.
+// forward delivers the data from one side to the other in order. When the sending side ends, it sets closedAt, if not nil, to the
+// Unix time in ns.
 func (c *conn) forward(from, to *endpoint, closedAt *atomic.Int64) {
 	segments := make(chan segment, maxQueuedSegments)
 	go func() {
@@ -155,8 +155,8 @@
 	}
 }
 
-// awaitDelivery waits until a segment's delivery time has come and its direction is not silent. It returns false if the segment must not
-// be delivered because the connection is closed.
+// awaitDelivery waits until a segment's delivery time has come and its direction is not silent. It returns false if the segment
+// must not be delivered because the connection is closed.
 func (c *conn) awaitDelivery(d *direction, s segment) bool {
 	if wait := time.Until(s.deliverAt); wait > 0 {
 		select {
@@ -178,10 +178,10 @@
 	}
 }
 
-// deliverable returns true if a segment may be delivered. A segment that an outage may have held up is not delivered if the process that
-// opened the connection has closed it, as that process's kernel would have stopped retransmitting; then deliverable resets the connection.
-// It queries the kernel because the relay may read a segment, and the sender's close, long after they were sent: the time of the read
-// proves nothing.
+// deliverable returns true if a segment may be delivered. A segment that an outage may have held up is not delivered if the
+// process that opened the connection has closed it, as that process's kernel would have stopped retransmitting; then deliverable
+// resets the connection. It queries the kernel because the relay may read a segment, and the sender's close, long after they were
+// sent: the time of the read does not show which came first.
 func (c *conn) deliverable(d *direction, s segment) bool {
 	if s.outagesBefore == d.startedOutages() || !c.near.peerClosed() {
 		return true
--- a/internal/standin/link/datagrams.go
+++ b/internal/standin/link/datagrams.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// listenUDP starts to relay datagrams to the target, all from one socket: receivers identify the sender by the datagram's content, not by
-// its address, and no answers are relayed back.
+// listenUDP starts to relay datagrams to the target, all from one socket: receivers identify the sender by the datagram's
+// content, not by its address, and no answers are relayed back.
 func (l *Link) listenUDP() error {
 	local, err := net.ResolveUDPAddr("udp", l.addr)
 	if err != nil {
--- a/internal/standin/link/direction.go
+++ b/internal/standin/link/direction.go
@@ -16,8 +16,8 @@
 	Rate    int           // bytes per second of one connection; 0 for no limit
 }
 
-// direction is the traffic from one process to another. All links that carry this traffic share it. Its methods may be called from any
-// goroutine.
+// direction is the traffic from one process to another. All links that carry this traffic share it. Its methods may be called
+// from any goroutine.
 type direction struct {
 	from, to string // names of the processes
 
@@ -37,8 +37,8 @@
 // transition is the effect of a change of state on the links of a direction.
 type transition struct {
 	links      []*Link
-	resetConns bool // the direction refuses connections from now on, so that open ones are reset
-	healed     bool // the direction was silent until now
+	resetConns bool // true if the direction refuses connections from now on, so that open ones are reset
+	healed     bool // true if the direction was silent until now
 }
 
 // change applies f to the state. It returns false if the state did not change.
@@ -99,8 +99,8 @@
 	return d.outagesStarted
 }
 
-// deliveryTime returns when size bytes that are received now may be delivered: the present time plus the delay, a draw of jitter, and the
-// transmission time at the rate. It ignores Silent, whose end conn.awaitDelivery waits for.
+// deliveryTime returns when size bytes that are received now may be delivered: the present time plus the delay, a draw of jitter,
+// and the transmission time at the rate. It ignores Silent, whose end conn.awaitDelivery waits for.
 func (d *direction) deliveryTime(size int) time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -115,7 +115,7 @@
 	return time.Now().Add(wait)
 }
 
-// dropsDatagram returns true if a datagram is lost, which it draws by the state's Loss unless the direction delivers nothing.
+// dropsDatagram returns true if a datagram is lost: always if the direction is silent or refused, and else at random, by Loss.
 func (d *direction) dropsDatagram() bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
--- a/internal/standin/link/endpoint.go
+++ b/internal/standin/link/endpoint.go
@@ -10,8 +10,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// endpoint is one end of a relayed connection. It tracks which outages of its outgoing direction may have delayed the bytes that its peer
-// sends: those after the first outagesBefore outages.
+// endpoint is one end of a relayed connection. It tracks which outages of its outgoing direction may have delayed the bytes that
+// its peer sends: those after the first outagesBefore outages.
 type endpoint struct {
 	*net.TCPConn
 	raw      syscall.RawConn
@@ -27,8 +27,8 @@
 	return &endpoint{TCPConn: c, raw: raw, outgoing: outgoing, outagesBefore: endedOutages}, err
 }
 
-// receive reads the bytes that have arrived. It returns io.EOF if the peer has closed its sending side. outagesBefore is the number of
-// outages that ended before any of the bytes were sent; every later outage may have delayed them.
+// receive reads the bytes that have arrived. It returns io.EOF if the peer has closed its sending side. outagesBefore is the
+// number of outages that ended before any of the bytes were sent; every later outage may have delayed them.
 func (e *endpoint) receive(b []byte) (n, outagesBefore int, err error) {
 	rawErr := e.raw.Read(func(fd uintptr) bool {
 		e.mu.Lock()
@@ -54,8 +54,8 @@
 	return n, outagesBefore, nil
 }
 
-// onHealed is called when the direction delivers again. If the kernel's buffer is empty, none of the outages so far delayed the bytes that
-// come later.
+// onHealed is called when the direction delivers again. If the kernel's buffer is empty, none of the outages so far delayed the
+// bytes that come later.
 func (e *endpoint) onHealed() {
 	_ = e.raw.Control(func(fd uintptr) {
 		e.mu.Lock()
@@ -67,8 +67,8 @@
 	})
 }
 
-// peerClosed returns true if the kernel has received the peer's FIN or a reset, or if the socket has failed. Bytes that the peer sent
-// before may still be unread.
+// peerClosed returns true if the kernel has received the peer's FIN or a reset, or if the socket has failed. Bytes that the peer
+// sent before may still be unread.
 func (e *endpoint) peerClosed() bool {
 	closed := true
 	err := e.raw.Control(func(fd uintptr) {
--- a/internal/standin/link/link.go
+++ b/internal/standin/link/link.go
@@ -9,8 +9,8 @@
 
 const (
 	chunkBytes = 4 << 10 // maximum size of a segment
-	// maxQueuedSegments is the number of segments that wait in one direction of a connection while it is silent or slow. Beyond it, the
-	// relay stops reading and the sender's TCP window fills.
+	// maxQueuedSegments is the number of segments that wait in one direction of a connection while it is silent or slow. Beyond
+	// it, the relay stops reading and the sender's TCP window fills.
 	maxQueuedSegments = 64
 	maxDatagramBytes  = 64 << 10
 	dialTimeout       = 2 * time.Second
@@ -37,8 +37,9 @@
 	connsByFarAddr map[string]*conn // keyed by the remote address that the target sees; kept for knownAfterClose
 }
 
-// Open opens a link that listens at addr, a loopback address of its own, and relays from the process named from to the address target of
-// the process named to; it relays UDP too if datagrams is set. It returns an error if listening fails or an address is invalid.
+// Open opens a link that listens at addr, a loopback address of its own, and relays from the process named from to the address
+// target of the process named to; it relays UDP too if datagrams is set. It returns an error if listening fails or an address is
+// invalid.
 func (n *Net) Open(from, to, addr, target string, datagrams bool) (*Link, error) {
 	l := &Link{
 		outbound:       n.direction(from, to),
@@ -69,8 +70,8 @@
 // Addr returns the listen address.
 func (l *Link) Addr() string { return l.addr }
 
-// ClosedAt returns when the process that opened a connection closed it or its sending side; far is the remote address of the connection
-// that the target sees. It returns the zero time if that process has not closed it or the connection is unknown.
+// ClosedAt returns when the process that opened a connection closed it or its sending side; far is the remote address of the
+// connection that the target sees. It returns the zero time if that process has not closed it or the connection is unknown.
 func (l *Link) ClosedAt(far string) time.Time {
 	if c := l.connByFarAddr(far); c != nil && c.nearClosedAt.Load() != 0 {
 		return time.Unix(0, c.nearClosedAt.Load())
@@ -78,9 +79,9 @@
 	return time.Time{}
 }
 
-// CommandSentAt returns when the link received the first byte of the latest command from the process that opened a connection, before the
-// link delayed it; far is the remote address of the connection that the target sees. It returns the zero time if no command came or the
-// connection is unknown.
+// CommandSentAt returns when the link received the first byte of the latest command from the process that opened a connection,
+// before the link delayed it; far is the remote address of the connection that the target sees. It returns the zero time if no
+// command came or the connection is unknown.
 func (l *Link) CommandSentAt(far string) time.Time {
 	if c := l.connByFarAddr(far); c != nil {
 		return c.commands.latest()
--- a/internal/standin/link/link_test.go
+++ b/internal/standin/link/link_test.go
@@ -48,8 +48,8 @@
 	return err == nil
 }
 
-// A silent direction delivers nothing, new connections through it time out, and data that was written during the outage is delivered after
-// it.
+// TestSilentDirection guards against a silent direction that delivers data, establishes connections instead of letting them time
+// out, or loses data that was written during the outage instead of delivering it afterwards.
 func TestSilentDirection(t *testing.T) {
 	for _, direction := range [][2]string{{"a", "b"}, {"b", "a"}} {
 		t.Run(direction[0]+"-"+direction[1], func(t *testing.T) {
@@ -79,8 +79,8 @@
 	}
 }
 
-// No goroutine accepts from the listener of a silent direction, not even by an accept that was in progress when the outage began: such
-// an accept would free a place in the backlog, and a new connection would be established.
+// TestNothingAcceptsWhileSilent guards against a goroutine that accepts from the listener of a silent direction, also by an accept
+// that was in progress when the outage began: it would free a place in the backlog, and a new connection would be established.
 func TestNothingAcceptsWhileSilent(t *testing.T) {
 	n, l := openEchoLink(t)
 	n.Set("a", "b", func(s *State) { s.Silent = true })
@@ -94,7 +94,8 @@
 	}
 }
 
-// A refused direction resets open connections and refuses new ones, also those that are opened in the opposite direction.
+// TestRefusedDirection guards against a refused direction that keeps open connections, or accepts new ones, including those that
+// are opened in the opposite direction.
 func TestRefusedDirection(t *testing.T) {
 	n, l := openEchoLink(t)
 	c, err := net.Dial("tcp", l.Addr())
@@ -103,7 +104,7 @@
 	}
 	n.Set("b", "a", func(s *State) { s.Refused = true })
 	if echoes(c, 5*time.Second) {
-		t.Error("an open connection was not reset")
+		t.Error("an open connection still echoes after its direction is refused, expected a reset")
 	}
 	if _, err := net.DialTimeout("tcp", l.Addr(), 5*time.Second); err == nil || os.IsTimeout(err) {
 		t.Error("a new connection through a refused direction must be refused; got:", err)
@@ -114,7 +115,7 @@
 	}
 }
 
-// Each answer takes at least the delay of the direction in which the request is sent.
+// TestDelay guards against data that is delivered before the delay of its direction has passed.
 func TestDelay(t *testing.T) {
 	n, l := openEchoLink(t)
 	n.Set("a", "b", func(s *State) { s.Delay = 150 * time.Millisecond })
@@ -128,8 +129,8 @@
 	}
 }
 
-// Data that a gateway sends during an outage is not delivered after it if the gateway has closed the connection since: the kernel of a real
-// sender would have stopped retransmitting.
+// TestAbandonedDataIsNotDelivered guards against data that is delivered after an outage although the gateway that sent it during
+// the outage has closed the connection since: the kernel of a real sender would have stopped retransmitting.
 func TestAbandonedDataIsNotDelivered(t *testing.T) {
 	received := make(chan string, 1)
 	n, l := openLink(t, func(c net.Conn) {
@@ -153,10 +154,11 @@
 	}
 }
 
-// Data is not delivered over a connection that was in the listener's backlog when an outage began and that its sender closed there.
+// TestQueuedDoesNotArrive guards against data that is delivered over a connection that was in the listener's backlog when an outage
+// began, and that its sender closed during the outage.
 //
-// This test guards against a relay that detects the sender's close by its own reads: it could read the line during the outage, but the
-// close only after it had delivered the line. With that fault, the test failed in 14 of 20 runs under the race detector beside six busy
+// A relay that detects the sender's close by its own reads has this fault: it can read the line during the outage, but the close
+// only after it has delivered the line. With that fault, the test failed in 14 of 20 runs under the race detector beside six busy
 // processes. conn.deliverable queries the kernel instead.
 func TestQueuedDoesNotArrive(t *testing.T) {
 	received := make(chan string, 100)
@@ -196,7 +198,8 @@
 	}
 }
 
-// Data that is sent after an outage is delivered even if its sender closes the connection before the delivery, as over a slow network.
+// TestLeftBehindASlowWayArrives guards against the loss of data that is sent after an outage over a slow direction and whose sender
+// closes the connection before the delivery.
 func TestLeftBehindASlowWayArrives(t *testing.T) {
 	received := make(chan string, 2)
 	n, l := openLink(t, func(c net.Conn) {
@@ -214,7 +217,7 @@
 	}
 	fmt.Fprintln(c, "before")
 	if line := <-received; line != "before\n" {
-		t.Fatalf("got %q before the outage", line)
+		t.Fatalf("got %q before the outage, expected the line before", line)
 	}
 	n.Set("a", "b", func(s *State) { s.Silent = true })
 	n.Heal()
@@ -224,14 +227,14 @@
 	select {
 	case line := <-received:
 		if line != "after\n" {
-			t.Errorf("got %q after the outage", line)
+			t.Errorf("got %q after the outage, expected the line after", line)
 		}
 	case <-time.After(5 * time.Second):
 		t.Error("data that was sent after an outage is not delivered")
 	}
 }
 
-// ClosedAt returns the time of the gateway's close while the server's end of the connection is still open.
+// TestClosedAt guards against a ClosedAt that misses the gateway's close while the server's end of the connection is still open.
 func TestClosedAt(t *testing.T) {
 	remoteAddrs := make(chan string, 1)
 	release := make(chan struct{})
@@ -253,7 +256,7 @@
 	}
 }
 
-// Datagrams are relayed and counted, and dropped by the direction's loss.
+// TestDatagrams guards against datagrams that are lost, not counted, or relayed in spite of the direction's loss.
 func TestDatagrams(t *testing.T) {
 	receiver, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/standin/link/listener.go
+++ b/internal/standin/link/listener.go
@@ -11,8 +11,8 @@
 // backlogFillTimeout is the timeout of the connection that fills the backlog, which a busy machine may establish late.
 const backlogFillTimeout = 200 * time.Millisecond
 
-// applyState adapts the listener to the state of the two directions: the listener accepts, is closed so that connections are refused, or is
-// blackholed.
+// applyState adapts the listener to the state of the two directions: the listener accepts, is closed so that connections are
+// refused, or is blackholed.
 func (l *Link) applyState() {
 	if l.closed.Load() {
 		return
@@ -60,15 +60,15 @@
 		if err != nil {
 			return
 		}
-		// The outages are counted before the goroutine starts. In the goroutine, an outage that begins meanwhile could end before the
-		// count, and the connection would pass for one that was established after that outage.
+		// The outages are counted before the goroutine starts. In the goroutine, an outage that begins meanwhile could end before
+		// the count, and the connection would count as established after that outage.
 		go l.relay(c, l.outbound.endedOutages())
 	}
 }
 
-// blackhole makes new connections time out, as over a cut wire: no goroutine accepts, and the backlog of one connection is full, so that
-// the kernel drops further SYNs. It first ends an accept in progress, which would take the connection that fills the backlog. The listener
-// can't be used again. l.mu is held.
+// blackhole makes new connections time out, as over a cut wire: no goroutine accepts, and the backlog of one connection is full,
+// so that the kernel drops further SYNs. It first ends an accept in progress, which would take the connection that fills the
+// backlog. The listener can't be used again. l.mu is held.
 func (l *Link) blackhole() {
 	l.blackholed = true
 	l.listener.SetDeadline(time.Unix(1, 0))
--- a/internal/standin/link/network.go
+++ b/internal/standin/link/network.go
@@ -1,6 +1,6 @@
-// Package link injects network faults between processes. Each Link is a relay on loopback that drops, refuses, delays, throttles or resets
-// the traffic through it, for each direction separately. It owns the relays' sockets and does not interpret the relayed bytes, except that
-// it records when each command's first byte comes, for Link.CommandSentAt.
+// Package link injects network faults between processes. Each Link is a relay on loopback that drops, refuses, delays, throttles
+// or resets the traffic through it, for each direction separately. It owns the relays' sockets and does not interpret the relayed
+// bytes, except that it records when each command's first byte comes, for Link.CommandSentAt.
 package link
 
 import "sync"
@@ -16,8 +16,8 @@
 // NewNet returns a Net without links. The seed determines the draws of jitter and loss.
 func NewNet(seed uint64) *Net { return &Net{seed: seed, directions: map[[2]string]*direction{}} }
 
-// direction returns the direction between two processes, which it creates at the first call. The order of creation determines the random
-// source of each direction.
+// direction returns the direction between two processes, which it creates at the first call. The order of creation determines the
+// random source of each direction.
 func (n *Net) direction(from, to string) *direction {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/internal/standin/listener.go
+++ b/internal/standin/listener.go
@@ -5,8 +5,8 @@
 	"sync"
 )
 
-// Listener serves each connection in its own goroutine with the owner's function, and closes the connection when the function returns.
-// Its methods may be called from any goroutine.
+// Listener serves each connection in its own goroutine with the owner's function, and closes the connection when the function
+// returns. Its methods may be called from any goroutine.
 type Listener struct {
 	listener net.Listener
 	mu       sync.Mutex
--- a/internal/standin/non_reading_peer.go
+++ b/internal/standin/non_reading_peer.go
@@ -7,8 +7,9 @@
 	"syscall"
 )
 
-// NonReadingPeer is a stand-in for a process that accepts one connection and reads nothing from it. Its receive buffer is the smallest
-// that the kernel allows, so that most of a long command stays in the sender's kernel, as the whole command does while the network is cut.
+// NonReadingPeer is a stand-in for a process that accepts one connection and reads nothing from it. Its receive buffer is the
+// smallest that the kernel allows, so that most of a long command stays in the sender's kernel, as the whole command does while
+// the network is cut.
 type NonReadingPeer struct {
 	Conns    chan net.Conn // receives the accepted connection, which the receiver closes
 	listener net.Listener
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -14,8 +14,8 @@
 // listenPollInterval is the time between two attempts of Start to connect to the process.
 const listenPollInterval = 5 * time.Millisecond
 
-// Process is a gateway process that a run starts, ends and restarts: its folder, its files and its incarnations, of which at most one runs
-// at a time. Write and RemoveState must not run concurrently; the other methods may be called from any goroutine.
+// Process is a gateway process that a run starts, ends and restarts: its folder, its files and its incarnations, of which at most
+// one runs at a time. Write and RemoveState must not run concurrently; the other methods may be called from any goroutine.
 type Process struct {
 	Name      string
 	Dir       string
@@ -67,8 +67,8 @@
 	return program, nil
 }
 
-// Start starts an incarnation and waits until it listens. The error after the timeout, or after the incarnation's early exit, contains its
-// log.
+// Start starts an incarnation and waits until it listens. The error after the timeout, or after the incarnation's early exit,
+// contains its log.
 func (p *Process) Start(timeout time.Duration) error {
 	program, err := p.Spawn()
 	if err != nil {
@@ -112,8 +112,8 @@
 	return p.AwaitExit(timeout)
 }
 
-// AwaitExit waits until the incarnation exits by itself. It returns the error of the exit, or wraps ErrStillRunning after the timeout; the
-// error contains the log.
+// AwaitExit waits until the incarnation exits by itself. It returns the error of the exit, or wraps ErrStillRunning after the
+// timeout; the error contains the log.
 func (p *Process) AwaitExit(timeout time.Duration) error {
 	program := p.Program()
 	if err := program.Wait(timeout); err != nil {
@@ -149,7 +149,8 @@
 	return p.killCount
 }
 
-// FindInLogs returns the first line in the logs of ended incarnations that contains one of the texts. It returns false if there is none.
+// FindInLogs returns the first line in the logs of ended incarnations that contains one of the texts. It returns false if there
+// is none.
 func (p *Process) FindInLogs(texts ...string) (string, bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/internal/standin/program.go
+++ b/internal/standin/program.go
@@ -26,8 +26,8 @@
 // ErrStillRunning means that a program has not ended within the timeout of Wait.
 var ErrStillRunning = errors.New("standin: the program is still running")
 
-// Start starts a program, which the caller ends by Kill or awaits by Wait. onLine, if not nil, is called for each line of the output; it
-// must not call the Program's methods, as it runs under the Program's lock.
+// Start starts a program, which the caller ends by Kill or awaits by Wait. onLine, if not nil, is called for each line of the
+// output; it must not call the Program's methods, as it runs under the Program's lock.
 func Start(cmd *exec.Cmd, onLine func(string)) (*Program, error) {
 	p := &Program{Cmd: cmd, done: make(chan struct{}), onLine: onLine}
 	cmd.Stdout = p
--- a/internal/standin/zookeeper/frame.go
+++ b/internal/standin/zookeeper/frame.go
@@ -30,8 +30,8 @@
 	stateSyncConnected = 3  // session state in a watch event
 )
 
-// writeFrame writes a frame: the length of the encoded values, then the values. It ignores a write error, as the connection's reader fails
-// then too.
+// writeFrame writes a frame: the length of the encoded values, then the values. It ignores a write error, as the connection's
+// reader fails then too.
 func writeFrame(w io.Writer, values ...any) {
 	var b bytes.Buffer
 	for _, v := range values {
--- a/internal/standin/zookeeper/operations.go
+++ b/internal/standin/zookeeper/operations.go
@@ -84,8 +84,8 @@
 	return children
 }
 
-// stat returns the fields of a node's Stat record in wire order. All zxids are that of the node's creation, because data never changes and
-// no client reads pzxid.
+// stat returns the fields of a node's Stat record in wire order. All zxids are that of the node's creation, because data never
+// changes and no client reads pzxid.
 func stat(n *znode, children int) []any {
 	return []any{
 		n.createdZxid, n.createdZxid, // czxid, mzxid
--- a/internal/standin/zookeeper/zookeeper.go
+++ b/internal/standin/zookeeper/zookeeper.go
@@ -1,6 +1,6 @@
-// Package zookeeper implements a stand-in for a ZooKeeper server, with sessions, ephemeral nodes and watches, over ZooKeeper's published
-// wire format (jute: big-endian integers, and strings and buffers preceded by their length). It implements the operations that the client
-// library uses. Sessions do not expire by time, only by Server.Expire.
+// Package zookeeper implements a stand-in for a ZooKeeper server, with sessions, ephemeral nodes and watches, over ZooKeeper's
+// published wire format (jute: big-endian integers, and strings and buffers preceded by their length). It implements the
+// operations that the client library uses. Sessions do not expire by time, only by Server.Expire.
 package zookeeper
 
 import (
@@ -58,7 +58,8 @@
 	return z, err
 }
 
-// Expire expires a session: it deletes the session's ephemeral nodes and closes its connection. The client can't resume the session.
+// Expire expires a session: it deletes the session's ephemeral nodes and closes its connection. The client can't resume the
+// session.
 func (z *Server) Expire(id int64) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -127,7 +128,8 @@
 	}
 }
 
-// handshake reads the connect request, and opens or resumes a session. It returns nil if the session has expired or the connection failed.
+// handshake reads the connect request, and opens or resumes a session. It returns nil if the session has expired or the
+// connection failed.
 func (z *Server) handshake(conn net.Conn) *session {
 	f, err := readFrame(conn)
 	if err != nil {
--- a/internal/standin/zookeeper/zookeeper_test.go
+++ b/internal/standin/zookeeper/zookeeper_test.go
@@ -38,20 +38,21 @@
 	select {
 	case e := <-events:
 		if e.Type != want {
-			t.Errorf("event %v, want %v", e.Type, want)
+			t.Errorf("got event %v, expected %v", e.Type, want)
 		}
 	case <-time.After(testTimeout):
-		t.Fatalf("no event, want %v", want)
+		t.Fatalf("got no event within testTimeout, expected %v", want)
 	}
 }
 
-// Nodes can be created only once and only under existing parents, and are read back with data, children and owner.
+// TestNodes guards against nodes that are created twice or without a parent, or that are read back with wrong data, children or
+// owner.
 func TestNodes(t *testing.T) {
 	z := newServer(t)
 	c := connect(t, z)
 	acl := zk.WorldACL(zk.PermAll)
 	if _, err := c.Create("/a/b", nil, 0, acl); !errors.Is(err, zk.ErrNoNode) {
-		t.Errorf("a create without a parent returned %v", err)
+		t.Errorf("a create without a parent returned %v, expected ErrNoNode", err)
 	}
 	for _, name := range []string{"/a", "/a/c", "/a/b"} {
 		if _, err := c.Create(name, []byte("data of "+name), 0, acl); err != nil {
@@ -59,24 +60,25 @@
 		}
 	}
 	if _, err := c.Create("/a", nil, 0, acl); !errors.Is(err, zk.ErrNodeExists) {
-		t.Errorf("a second create of the same node returned %v", err)
+		t.Errorf("a second create of the same node returned %v, expected ErrNodeExists", err)
 	}
 	data, stat, err := c.Get("/a")
 	if err != nil || string(data) != "data of /a" || stat.NumChildren != 2 || int(stat.DataLength) != len(data) || stat.EphemeralOwner != 0 {
-		t.Errorf("/a is read as %q, %+v, %v", data, stat, err)
+		t.Errorf("/a is read as %q, %+v, %v; expected its data, 2 children and no owner", data, stat, err)
 	}
 	if children, _, err := c.Children("/a"); err != nil || !reflect.DeepEqual(children, []string{"b", "c"}) {
-		t.Errorf("got children %v of /a, %v", children, err)
+		t.Errorf("got children %v of /a, %v, expected b and c", children, err)
 	}
 	if err := c.Delete("/a/b", -1); err != nil {
 		t.Fatal(err)
 	}
 	if exists, _, err := c.Exists("/a/b"); err != nil || exists {
-		t.Errorf("after its deletion, exists of /a/b returned %v, %v", exists, err)
+		t.Errorf("after its deletion, exists of /a/b returned %v, %v, expected false", exists, err)
 	}
 }
 
-// The expiry of a session deletes its ephemeral nodes and notifies each watch once, and the client opens a new session.
+// TestExpire guards against an expired session whose ephemeral nodes remain, whose watches are not notified, or that the client
+// can't replace by a new one.
 func TestExpire(t *testing.T) {
 	z := newServer(t)
 	watcher := connect(t, z)
@@ -109,6 +111,6 @@
 		}
 	}
 	if _, err := owner.Create("/lease", nil, zk.FlagEphemeral, acl); err != nil || z.Owner("/lease") != owner.SessionID() {
-		t.Errorf("a create by the new session returned %v; the node is owned by session %d", err, z.Owner("/lease"))
+		t.Errorf("a create by the new session returned %v, expected no error and ownership; the node is owned by session %d", err, z.Owner("/lease"))
 	}
 }
