--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -17,7 +17,7 @@
 	"dewhitch/internal/standin"
 )
 
-// ledgerRow holds the counts of a row in the ledger of its node.
+// ledgerRow holds the counts of a row, as the ledger of its node has them.
 type ledgerRow struct {
 	ledger.Counts
 }
@@ -27,7 +27,8 @@
 	return r.N[ledger.FrontServed] + r.N[ledger.FrontRejected] + r.N[ledger.FrontFailed]
 }
 
-// unanswered returns the number of requests that were taken but not answered, because of a crash or because the client disconnected.
+// unanswered returns the number of requests that were taken but not answered, because of a crash or because the client
+// disconnected.
 func (r *ledgerRow) unanswered() uint64 { return r.N[ledger.FrontTaken] - r.answered() }
 
 // auditResult collects the ledgers of all nodes and the faults that the audit finds.
@@ -58,9 +59,10 @@
 	return errors.New("the figures do not agree:\n" + b.String())
 }
 
-// audit compares the ledgers, as read from the nodes' folders and from their exports, with the records of the clients, the backends and
-// the counter. The counts must be equal unless a session ended with requests unanswered; then they may differ by at most as many as the
-// other side can have missed. audit returns an error if they don't agree, or if the run had no kill or no booking through several gateways.
+// audit compares the ledgers, as read from the nodes' folders and from their exports, with the records of the clients, the
+// backends and the counter. The counts must be equal unless a session ended with requests unanswered; then they may differ by at
+// most as many as the other side can have missed. audit returns an error if they don't agree, or if the run had no kill or no
+// booking through several gateways.
 func (env *environment) audit() error {
 	r := &auditResult{rows: map[Row]*ledgerRow{}, accounts: map[uint64]*ledger.Counts{}, merged: statement.NewMerged()}
 	for _, n := range env.nodes {
@@ -158,37 +160,37 @@
 	env.tallies.mu.Lock()
 	defer env.tallies.mu.Unlock()
 	for row, tally := range env.tallies.rows {
-		booked := rows[row]
-		if booked == nil {
-			if booked = (&ledgerRow{}); tally.Sent > tally.Lost {
+		inLedger := rows[row]
+		if inLedger == nil {
+			if inLedger = (&ledgerRow{}); tally.Sent > tally.Lost {
 				fail("%v: the clients have %d answers, but the ledger has no row", row, tally.Sent-tally.Lost)
 			}
 		}
-		taken, unanswered := booked.N[ledger.FrontTaken], booked.unanswered()
+		taken, unanswered := inLedger.N[ledger.FrontTaken], inLedger.unanswered()
 		if taken > tally.Sent || taken+tally.Lost < tally.Sent {
 			fail("%v: the gateway took %d requests, the clients sent %d, of which %d have no answer", row, taken, tally.Sent, tally.Lost)
 		}
 		equal := true
-		for outcome, counts := range map[string][2]uint64{"served": {booked.N[ledger.FrontServed], tally.Served},
-			"refused": {booked.N[ledger.FrontRejected], tally.Rejected}, "failed": {booked.N[ledger.FrontFailed], tally.Failed}} {
-			// An answer may have been written and then lost with its session, or it arrived but the gateway was killed before it
+		for outcome, counts := range map[string][2]uint64{"served": {inLedger.N[ledger.FrontServed], tally.Served},
+			"refused": {inLedger.N[ledger.FrontRejected], tally.Rejected}, "failed": {inLedger.N[ledger.FrontFailed], tally.Failed}} {
+			// Either an answer was written and then lost with its session, or it arrived and the gateway was killed before it
 			// recorded the answer.
-			if counts[0] > counts[1]+tally.Lost || counts[1] > counts[0]+booked.N[ledger.FrontCutoff]+booked.N[ledger.FrontWriteFailed] {
+			if counts[0] > counts[1]+tally.Lost || counts[1] > counts[0]+inLedger.N[ledger.FrontCutoff]+inLedger.N[ledger.FrontWriteFailed] {
 				fail("%v: %d %s in the ledger, %d at the clients; %d answers lost at the clients, %d requests unanswered in the ledger",
 					row, counts[0], outcome, counts[1], tally.Lost, unanswered)
 			}
 			equal = equal && counts[0] == counts[1]
 		}
-		if tally.Lost == 0 && (!equal || taken != tally.Sent) && booked.N[ledger.FrontCutoff] == 0 {
+		if tally.Lost == 0 && (!equal || taken != tally.Sent) && inLedger.N[ledger.FrontCutoff] == 0 {
 			fail("%v: no answer was lost, but the ledger differs from the clients' tally: %d taken, %d sent", row, taken, tally.Sent)
 		}
 		if equal && taken == tally.Sent {
 			exact++
 		}
 	}
-	for row, booked := range rows {
-		if env.tallies.rows[row] == nil && booked.N[ledger.FrontTaken] > 0 && int(row.Customer) <= env.Customers {
-			fail("%v: the ledger has %d requests taken, but no client sent any", row, booked.N[ledger.FrontTaken])
+	for row, inLedger := range rows {
+		if env.tallies.rows[row] == nil && inLedger.N[ledger.FrontTaken] > 0 && int(row.Customer) <= env.Customers {
+			fail("%v: the ledger has %d requests taken, but no client sent any", row, inLedger.N[ledger.FrontTaken])
 		}
 	}
 	return exact
@@ -197,18 +199,18 @@
 // compareForwarder compares the forwarder's attempts with the requests that the gateways took for its customers.
 func (env *environment) compareForwarder(rows map[Row]*ledgerRow, fail func(string, ...any)) {
 	taken := map[Row]uint64{}
-	for row, booked := range rows {
+	for row, inLedger := range rows {
 		if row.Node != "forwarder" && int(row.Customer) > env.Customers {
 			row.Node = "forwarder"
-			taken[row] += booked.N[ledger.FrontTaken]
+			taken[row] += inLedger.N[ledger.FrontTaken]
 		}
 	}
-	for row, booked := range rows {
+	for row, inLedger := range rows {
 		if row.Node != "forwarder" {
 			continue
 		}
-		answered := booked.N[ledger.AttemptOK]
-		highest := booked.N[ledger.AttemptStarted] - booked.N[ledger.AttemptNotSent] - booked.N[ledger.AttemptRejected]
+		answered := inLedger.N[ledger.AttemptOK]
+		highest := inLedger.N[ledger.AttemptStarted] - inLedger.N[ledger.AttemptNotSent] - inLedger.N[ledger.AttemptRejected]
 		if forwarded := taken[row]; forwarded < answered || forwarded > highest {
 			fail("%v: the gateways took %d requests from the forwarder, expected %d (answered) to %d (possibly sent)", row, forwarded, answered,
 				highest)
@@ -244,14 +246,14 @@
 			sum.served++
 		}
 	}
-	for row, booked := range rows {
+	for row, inLedger := range rows {
 		if row.Node == "forwarder" {
 			continue
 		}
 		sum := sumFor(row.Customer, row.Class)
-		sum.started += booked.N[ledger.AttemptStarted] - booked.N[ledger.AttemptNotSent] - booked.N[ledger.AttemptConnectFailed]
-		sum.ok += booked.N[ledger.AttemptOK]
-		sum.replied += booked.N[ledger.AttemptOK] + booked.N[ledger.AttemptError] + booked.N[ledger.AttemptRejected]
+		sum.started += inLedger.N[ledger.AttemptStarted] - inLedger.N[ledger.AttemptNotSent] - inLedger.N[ledger.AttemptConnectFailed]
+		sum.ok += inLedger.N[ledger.AttemptOK]
+		sum.replied += inLedger.N[ledger.AttemptOK] + inLedger.N[ledger.AttemptError] + inLedger.N[ledger.AttemptRejected]
 	}
 	for k, sum := range sums {
 		if sum.received > sum.started || sum.replied > sum.received || sum.ok > sum.served {
@@ -261,8 +263,8 @@
 	}
 }
 
-// compareUnits compares the ledgers' counts of units with those that the counter added. It leaves out customers that return units, as
-// their calls with an unknown outcome may have either sign.
+// compareUnits compares the ledgers' counts of units with those that the counter added. It leaves out customers that return
+// units, as their calls with an unknown outcome may have either sign.
 func (env *environment) compareUnits(accounts map[uint64]*ledger.Counts, fail func(string, ...any)) {
 	_, added := env.counter.Added()
 	for customer, account := range accounts {
@@ -282,8 +284,8 @@
 // printTable prints the counts of the ledgers beside those of the clients, summed by node, plan and class.
 func (env *environment) printTable(rows map[Row]*ledgerRow) {
 	type rowSum struct {
-		booked ledger.Counts
-		tally  Tally
+		inLedger ledger.Counts
+		tally    Tally
 	}
 	sums := map[Row]*rowSum{}
 	sumFor := func(row Row) *rowSum {
@@ -293,11 +295,11 @@
 		}
 		return sums[row]
 	}
-	for row, booked := range rows {
+	for row, inLedger := range rows {
 		if row.Node != "forwarder" && int(row.Customer) > env.Customers {
 			continue // the forwarder is the client of this row and keeps no tally
 		}
-		sumFor(row).booked.Add(&booked.Counts)
+		sumFor(row).inLedger.Add(&inLedger.Counts)
 	}
 	for row, tally := range env.tallies.rows {
 		sumFor(row).tally.add(tally)
@@ -309,7 +311,7 @@
 	fmt.Fprintln(tw, "node\tplan\tclass\tsent\ttaken\tserved\tat clients\trefused\tat clients\tfailed\tat clients\tgone, cut\tby crash\tlost at clients\t")
 	for _, row := range keys {
 		sum := sums[row]
-		n := &sum.booked.N
+		n := &sum.inLedger.N
 		fmt.Fprintf(tw, "%s\t%s\t%s\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t%d\t\n", row.Node, row.Plan, row.Class, sum.tally.Sent,
 			n[ledger.FrontTaken], n[ledger.FrontServed], sum.tally.Served, n[ledger.FrontRejected], sum.tally.Rejected, n[ledger.FrontFailed],
 			sum.tally.Failed, n[ledger.FrontClientDeparted]+n[ledger.FrontWriteFailed], n[ledger.FrontCutoff], sum.tally.Lost)
--- a/internal/soak/cost.go
+++ b/internal/soak/cost.go
@@ -16,8 +16,8 @@
 	"dewhitch/internal/standin"
 )
 
-// CostConfig configures the measurement of the ledger's cost: one gateway under the same load with the ledger off, in memory and on disk.
-// The modes take turns within one run, so that a drift in the machine's speed affects all of them.
+// CostConfig configures the measurement of the ledger's cost: one gateway under the same load with the ledger off, in memory and
+// on disk. The modes take turns within one run, so that a drift in the machine's speed affects all of them.
 type CostConfig struct {
 	Program  string        // path of the dewhitch program
 	Dir      string        // folder for the gateways' files
@@ -37,8 +37,8 @@
 	p99 time.Duration // 99th percentile of the latency
 }
 
-// Cost runs the measurement and prints, for each mode, the medians over the rounds and the medians of each round's ratio to the mode off.
-// It also prints the memory of a ledger row.
+// Cost runs the measurement and prints, for each mode, the medians over the rounds and the medians of each round's ratio to the
+// mode off. It also prints the memory of a ledger row.
 func Cost(ctx context.Context, config CostConfig) error {
 	samples := map[string][]sample{}
 	for round := range config.Rounds {
@@ -75,8 +75,8 @@
 	return v[len(v)/2]
 }
 
-// round runs one gateway under load and returns its latency and its CPU time per request. The CPU time is that of the whole process as the
-// operating system accounts it.
+// round runs one gateway under load and returns its latency and its CPU time per request. The CPU time is that of the whole
+// process as the operating system accounts it.
 func (c CostConfig) round(ctx context.Context, mode, name string) (s sample, err error) {
 	env := &environment{Config: Config{Program: c.Program, Dir: filepath.Join(c.Dir, name), Seed: 1, Out: io.Discard}}
 	defer env.close()
@@ -174,8 +174,8 @@
 	return latencies, nil
 }
 
-// RowBytes returns the memory of one ledger row in bytes, including everything that it references, measured by the growth of the heap.
-// If statements is set, the ledger keeps statements.
+// RowBytes returns the memory of one ledger row in bytes, including everything that it references, measured by the growth of the
+// heap. If statements is set, the ledger keeps statements.
 func RowBytes(statements bool) int {
 	const rows = 20000
 	heap := func() int {
--- a/internal/soak/customers.go
+++ b/internal/soak/customers.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// batch makes the commands that a customer sends at once: one or, in one of five batches, 2 to 25. n is the number of the customer's latest
-// command.
+// batch makes the commands that a customer sends at once: one or, in one of five batches, 2 to 25. n is the number of the
+// customer's latest command. forwarded is true for a customer that sends through the forwarder.
 func (env *environment) batch(rng *rand.Rand, nodeIndex int, customer uint64, n *int, forwarded bool) (batch []command) {
 	count := 1
 	if rng.IntN(5) == 0 {
@@ -120,8 +120,8 @@
 	return batch
 }
 
-// retryElsewhere sends a command through another gateway while its first attempt is open. As a client's retry does, it uses another id and
-// the same idempotency key.
+// retryElsewhere sends a command through another gateway while its first attempt is open. As a client's retry does, it uses
+// another id and the same idempotency key.
 func (env *environment) retryElsewhere(retries *sync.WaitGroup, first command, nodeIndex int, id string) {
 	retry := first
 	otherNode := (nodeIndex + 1) % gatewayCount
@@ -139,8 +139,8 @@
 	})
 }
 
-// sendBatch sends a batch. In one of 60 batches, the client disconnects while all of it is open; in another one of 60, it reads the answers
-// late. sendBatch returns true if the session can be used again.
+// sendBatch sends a batch. In one of 60 batches, the client disconnects while all of it is open; in another one of 60, it reads
+// the answers late. sendBatch returns true if the session can be used again.
 func (env *environment) sendBatch(ctx context.Context, rng *rand.Rand, c *standin.Client, batch []command) bool {
 	switch rng.IntN(60) {
 	case 0:
@@ -160,7 +160,8 @@
 	}
 }
 
-// command makes a customer's n-th command. nodeIndex is the index of a gateway, or that of the forwarder, which follows the last gateway.
+// command makes a customer's n-th command. forwarded is as in batch. nodeIndex is the index of a gateway, or that of the
+// forwarder, which follows the last gateway.
 func (env *environment) command(rng *rand.Rand, nodeIndex int, customer uint64, n int, forwarded bool) command {
 	plan := plans[customer%uint64(len(plans))]
 	c := command{row: Row{env.nodes[nodeIndex].Name, customer, plan, classes[rng.IntN(2)]}}
--- a/internal/soak/quota.go
+++ b/internal/soak/quota.go
@@ -13,8 +13,9 @@
 	"dewhitch/internal/standin"
 )
 
-// QuotaConfig configures the measurement of the requests that gateways forward beyond the quota during faults of the counter. Customers of
-// the plan "fleet" demand four times their quota. Most of a customer's requests go to one gateway, which changes every few seconds.
+// QuotaConfig configures the measurement of the requests that gateways forward beyond the quota during faults of the counter.
+// Customers of the plan "fleet" demand four times their quota. Most of a customer's requests go to one gateway, which changes
+// every few seconds.
 type QuotaConfig struct {
 	Program string        // path of the dewhitch program
 	Dir     string        // folder for the gateways' files
@@ -42,8 +43,8 @@
 	apply func(*standin.Counter)
 }
 
-// Quota runs the measurement and prints a table with a line for each phase. Its shares are fractions of the units that the quotas of all
-// customers grant in a phase. Quota also returns an error if more units were forwarded than the hard ceiling allows.
+// Quota runs the measurement and prints a table with a line for each phase. Its shares are fractions of the units that the quotas
+// of all customers grant in a phase. Quota also returns an error if more units were forwarded than the hard ceiling allows.
 func Quota(ctx context.Context, config QuotaConfig) error {
 	env := &environment{Config: Config{Program: config.Program, Dir: config.Dir, Seed: config.Seed, Out: config.Out}}
 	defer env.close()
@@ -158,13 +159,13 @@
 	}
 }
 
-// bucket is a token bucket that is drawn from for each command that the backends received.
+// bucket is a token bucket from which each command that the backends received takes a unit.
 type bucket struct {
 	level, rate, burst float64   // in units, units per second and units
 	updatedAt          time.Time // time of the latest draw
 }
 
-// draw draws a unit and returns by how many units the level is below 0 after it, or 0.
+// draw takes a unit and returns how many units the level is below 0 afterwards; 0 if it is not.
 func (b *bucket) draw(at time.Time) float64 {
 	b.level = min(b.burst, b.level+b.rate*at.Sub(b.updatedAt).Seconds())
 	b.updatedAt = at
@@ -172,8 +173,9 @@
 	return max(0, -b.level)
 }
 
-// report prints, by the commands that the backends received, the requests that were forwarded in each phase and those of them beyond the
-// quota. A unit beyond the quota is not drawn from the quota's bucket, so that it does not count against later requests.
+// report prints, by the commands that the backends received, the requests that were forwarded in each phase and those of them
+// beyond the quota. A unit beyond the quota is not taken from the quota's bucket, so that it does not count against later
+// requests.
 func (env *environment) report(start time.Time, phaseLength time.Duration, phases []phase) error {
 	type phaseCounts struct{ forwarded, beyond, deepest float64 }
 	counts := make([]phaseCounts, len(phases))
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -1,6 +1,7 @@
-// Package soak runs gateways and a forwarder with stand-ins that inject resets, stalls and corrupt answers, and kills one of the processes at
-// intervals. Then it audits the ledgers against the records of the customers' clients, the backends and the counter, to the request. It
-// owns the processes and stand-ins of a run; it makes none of their decisions and shares no code with what it checks.
+// Package soak runs gateways and a forwarder with stand-ins that inject resets, stalls and corrupt answers, and kills one of the
+// processes at intervals. Then it audits each count of the ledgers against the records of the customers' clients, the backends
+// and the counter. It owns the processes and stand-ins of a run; it makes none of their decisions and shares no code with what it
+// checks.
 package soak
 
 import (
@@ -61,8 +62,8 @@
 	tallies          tallies
 }
 
-// Run runs the load and the faults, audits the ledgers and prints a report. It returns an error if a process fails or the audit finds a
-// fault.
+// Run runs the load and the faults, audits the ledgers and prints a report. It returns an error if a process fails or the audit
+// finds a fault.
 func Run(ctx context.Context, config Config) error {
 	env := &environment{Config: config, tallies: tallies{rows: map[Row]*Tally{}}}
 	defer env.close()
@@ -185,8 +186,8 @@
 	return n.Write(map[string]string{"config.json": config, "limits.toml": limits, "operations.toml": operations})
 }
 
-// killNodes kills a node by SIGKILL at each interval, every fourth time the forwarder, and restarts it. With a chance of one in three, it
-// also kills the new process while that repairs its ledger, and with one in four it repeats the kill and the restart.
+// killNodes kills a node by SIGKILL at each interval, every fourth time the forwarder, and restarts it. With a chance of one in
+// three, it also kills the new process while that repairs its ledger, and with one in four it repeats the kill and the restart.
 func (env *environment) killNodes(ctx context.Context) error {
 	rng := rand.New(rand.NewPCG(env.Seed, 11))
 	tick := time.NewTicker(env.KillInterval)
@@ -239,11 +240,11 @@
 	}
 }
 
-// auditRunningLedgers reads and audits the ledgers of all nodes while the nodes run, as an export does, until the context ends. It returns
-// an error if an audit finds a mismatch or the chain of records is broken.
+// auditRunningLedgers reads and audits the ledgers of all nodes while the nodes run, as an export does, until the context ends.
+// It returns an error if an audit finds a mismatch or the chain of records is broken.
 func (env *environment) auditRunningLedgers(ctx context.Context) error {
-	// Each pass reads only the records after those that earlier passes read: a reader that keeps a store open for long delays the store's
-	// statements.
+	// Each pass reads only the records after those that earlier passes read: a reader that keeps a store open for long delays the
+	// store's statements.
 	positions := map[*node]*struct {
 		seq   uint64
 		chain statement.Chain
@@ -279,8 +280,8 @@
 	}
 }
 
-// terminateNodes terminates all nodes, the forwarder first, as a planned restart does. It returns an error if one does not exit cleanly or if
-// a log contains a fault of the ledger, a panic or a data race.
+// terminateNodes terminates all nodes, the forwarder first, as a planned restart does. It returns an error if one does not exit
+// cleanly or if a log contains a fault of the ledger, a panic or a data race.
 func (env *environment) terminateNodes() error {
 	for i := len(env.nodes) - 1; i >= 0; i-- {
 		if err := env.nodes[i].Terminate(waitTimeout); err != nil {
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -8,7 +8,8 @@
 	"dewhitch/internal/standin"
 )
 
-// A run of 12 seconds, which uses the same code and the same audit as the default run of ten minutes.
+// TestShortRun guards against ledgers that don't agree with the clients, backends and counter after kills and faults. It uses
+// the code and the audit of the default run of ten minutes for a run of 12 seconds.
 func TestShortRun(t *testing.T) {
 	program, err := standin.Build(t.TempDir(), "dewhitch")
 	if err != nil {
