--- a/cmd/dewhitch/exclusions.go
+++ b/cmd/dewhitch/exclusions.go
@@ -37,7 +37,7 @@
 // newExclusionHandover subscribes to the planner's exclusions. It must be called before the planner runs. The planner never
 // blocks on the channel: it is the only sender, and removes an older value before it sends.
 func newExclusionHandover(node *config.Node, planner *core.Planner, decoder *discovery.Decoder, log *zap.Logger) *exclusionHandover {
-	h := &exclusionHandover{path: handover.Path(node.Scratch, node.Name), planner: planner, decoder: decoder, log: log,
+	h := &exclusionHandover{path: handover.Path(node.TempDir, node.Name), planner: planner, decoder: decoder, log: log,
 		latest: make(chan []dw.ServerID, 1)}
 	planner.OnExcluded(func(ids []dw.ServerID) {
 		select {
--- a/cmd/dewhitch/ledger_process.go
+++ b/cmd/dewhitch/ledger_process.go
@@ -42,9 +42,9 @@
 	if !operations.Ledger.Enabled {
 		return p, nil
 	}
-	limits := ledger.Limits{Rows: operations.Ledger.Rows, Open: operations.Ledger.Open, RecentPostings: operations.Ledger.Flight}
-	options := recorder.Options{Limits: limits, Names: names, OverdueAfter: overdueAfter, AuditInterval: operations.Ledger.Audit,
-		StatementInterval: operations.Ledger.Statement, AlarmFile: operations.Ledger.AlarmFile, Log: log}
+	limits := ledger.Limits{Rows: operations.Ledger.Rows, Open: operations.Ledger.Open, RecentPostings: operations.Ledger.RecentPostings}
+	options := recorder.Options{Limits: limits, Names: names, OverdueAfter: overdueAfter, AuditInterval: operations.Ledger.AuditInterval,
+		StatementInterval: operations.Ledger.StatementInterval, AlarmFile: operations.Ledger.AlarmFile, Log: log}
 	storedLedger, storedNames := p.openStore(operations, node, role, limits, log)
 	if p.store != nil {
 		p.active = recorder.New(storedLedger, storedNames, p.store, options)
@@ -90,11 +90,11 @@
 }
 
 // operatorParts returns the ledger's pages for the operators' listener. There are none if the ledger is off.
-func (p *processLedger) operatorParts() []operator.Part {
+func (p *processLedger) operatorParts() []operator.Component {
 	if p.active == nil {
 		return nil
 	}
-	return []operator.Part{operator.Ledger(p.active, p.isDurable)}
+	return []operator.Component{operator.Ledger(p.active, p.isDurable)}
 }
 
 // isDurable reports whether the ledger's figures survive the end of the process.
--- a/cmd/dewhitch/listeners.go
+++ b/cmd/dewhitch/listeners.go
@@ -15,18 +15,18 @@
 
 // listenForClients opens the clients' address, or uses the listening socket that the platform passed to the process.
 func listenForClients(node *config.Node) (net.Listener, error) {
-	if node.Inherited == 0 {
+	if node.InheritedFD == 0 {
 		l, err := net.Listen("tcp", node.Listen)
 		if err != nil {
 			return nil, fmt.Errorf("configuration: listen (NODE_LISTEN): %w", err)
 		}
 		return l, nil
 	}
-	file := os.NewFile(uintptr(node.Inherited), "clients")
+	file := os.NewFile(uintptr(node.InheritedFD), "clients")
 	defer file.Close() // FileListener duplicates the descriptor
 	l, err := net.FileListener(file)
 	if err != nil {
-		return nil, fmt.Errorf("configuration: NODE_FD: descriptor %d: %w", node.Inherited, err)
+		return nil, fmt.Errorf("configuration: NODE_FD: descriptor %d: %w", node.InheritedFD, err)
 	}
 	return l, nil
 }
@@ -45,7 +45,7 @@
 
 // openOperatorListener opens the operators' HTTP listener. It returns nil if none is configured. A fault of the running listener
 // is logged and does not end the process.
-func openOperatorListener(operations *config.Operations, parts []operator.Part, log *zap.Logger) (service, error) {
+func openOperatorListener(operations *config.Operations, parts []operator.Component, log *zap.Logger) (service, error) {
 	if operations.Operator.Listen == "" {
 		return nil, nil
 	}
--- a/cmd/dewhitch/registration.go
+++ b/cmd/dewhitch/registration.go
@@ -13,7 +13,7 @@
 		return nil
 	}
 	drainChanges := make(chan struct{}, 1) // one place is enough, as the receiver reads the current state
-	g.state.Watch(func(bool) {
+	g.state.OnDrainChange(func(bool) {
 		select {
 		case drainChanges <- struct{}{}:
 		default:
--- a/cmd/dewhitch/reload.go
+++ b/cmd/dewhitch/reload.go
@@ -19,7 +19,7 @@
 		case <-signals:
 		}
 		newNode, err := loadNewConfig()
-		g.figures.Reloaded(err == nil)
+		g.figures.CountReload(err == nil)
 		if err != nil {
 			g.log.Error("the new configuration is invalid; the one in force stays", zap.Error(err))
 			continue
@@ -55,7 +55,7 @@
 	}
 	g.applyClassesAndAttempts(newNode)
 	g.log.Info("new configuration", zap.String("discovery", newNode.Discovery), zap.String("counter", newNode.Counter),
-		zap.Strings("needs_a_restart", g.node.Fixed(newNode)))
+		zap.Strings("needs_a_restart", g.node.KeysNeedingRestart(newNode)))
 	g.node.Discovery = newNode.Discovery
 	g.node.Counter = newNode.Counter
 }
@@ -63,8 +63,8 @@
 // applyClassesAndAttempts applies the classes and the maximum number of attempts of the new settings to new requests.
 func (g *gateway) applyClassesAndAttempts(newNode *config.Node) {
 	table := g.commands.ReloadClasses(newNode.Names.Classes, newNode.Settings.Classes)
-	g.figures.Classes(table.Names())
-	g.longestDeadline.Store(int64(newNode.Longest()))
+	g.figures.AddClasses(table.Names())
+	g.longestDeadline.Store(int64(newNode.LongestDeadline()))
 	g.planner.SetMaxAttempts(newNode.Settings.MaxAttempts)
 	g.log.Info("retuned", zap.Any("classes", table), zap.Int("attempts", newNode.Settings.MaxAttempts))
 }
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -15,6 +15,7 @@
 	"go.uber.org/zap"
 )
 
+// TestParse checks the calls that lines are parsed to, and the texts of errors, which operators read.
 func TestParse(t *testing.T) {
 	for _, c := range []struct {
 		line string
@@ -40,18 +41,18 @@
 		got, err := Parse([]byte(c.line))
 		if c.err != "" {
 			if err == nil || err.Error() != c.err {
-				t.Errorf("%q: error %v, want %q", c.line, err, c.err)
+				t.Errorf("%q: got error %v, want %q", c.line, err, c.err)
 			}
 			continue
 		}
 		if err != nil || got != c.want {
-			t.Errorf("%q: %+v, %v; want %+v", c.line, got, err, c.want)
+			t.Errorf("%q: got %+v, error %v, want %+v", c.line, got, err, c.want)
 		}
 	}
 }
 
-// FuzzParse: whatever comes, a call that is taken is one of the verbs, with an id where it needs one, and words that
-// were in the line.
+// FuzzParse checks that a line of any content is either rejected, or parsed to a known verb with an id exactly if the verb takes
+// one, and that the id is part of the line.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{"readyz", "exclude s-1", "include  s-2\r", "telemetry", "\xff\xfe", "evacuate x"} {
 		f.Add([]byte(s))
@@ -62,37 +63,40 @@
 			return
 		}
 		if c.Verb < Readyz || c.Verb > Activate {
-			t.Fatalf("verb %d", c.Verb)
+			t.Fatalf("unknown verb %d", c.Verb)
 		}
-		needs := c.Verb == Exclude || c.Verb == Include
-		if needs != (c.ID != "") || len(c.ID) > MaxID || !strings.Contains(string(line), c.ID) {
-			t.Fatalf("%q: %+v", line, c)
+		needsID := c.Verb == Exclude || c.Verb == Include
+		if needsID != (c.ID != "") || len(c.ID) > MaxID || !strings.Contains(string(line), c.ID) {
+			t.Fatalf("%q: unexpected call %+v", line, c)
 		}
 	})
 }
 
-type fake struct {
+// fakeGateway lists the server s-1 only, and records drains and exclusions.
+type fakeGateway struct {
 	mu       sync.Mutex
 	drained  bool
 	excluded map[string]bool
 }
 
-func (f *fake) Ready() bool                     { f.mu.Lock(); defer f.mu.Unlock(); return !f.drained }
-func (f *fake) AppendTelemetry(b []byte) []byte { return append(b, `{"concurrent":0}`...) }
-func (f *fake) Drain(on bool)                   { f.mu.Lock(); defer f.mu.Unlock(); f.drained = on }
-func (f *fake) Exclude(id string) error         { return f.set(id, true) }
-func (f *fake) Include(id string) error         { return f.set(id, false) }
-func (f *fake) set(id string, out bool) error {
+func (f *fakeGateway) Ready() bool                     { f.mu.Lock(); defer f.mu.Unlock(); return !f.drained }
+func (f *fakeGateway) AppendTelemetry(b []byte) []byte { return append(b, `{"concurrent":0}`...) }
+func (f *fakeGateway) Drain(on bool)                   { f.mu.Lock(); defer f.mu.Unlock(); f.drained = on }
+func (f *fakeGateway) Exclude(id string) error         { return f.setExcluded(id, true) }
+func (f *fakeGateway) Include(id string) error         { return f.setExcluded(id, false) }
+func (f *fakeGateway) setExcluded(id string, excluded bool) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if id != "s-1" {
 		return errors.New("no server of this id was ever listed")
 	}
-	f.excluded[id] = out
+	f.excluded[id] = excluded
 	return nil
 }
 
-func serve(t *testing.T) string {
+// startServer starts a server with a fakeGateway and returns its address. At the test's end it stops the server and checks that
+// no goroutine is left.
+func startServer(t *testing.T) string {
 	before := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, before) }) // after the server has ended
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -100,7 +104,7 @@
 		t.Fatal(err)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	s := &Server{Listener: l, Gateway: &fake{excluded: map[string]bool{}}, Log: zap.NewNop()}
+	s := &Server{Listener: l, Gateway: &fakeGateway{excluded: map[string]bool{}}, Log: zap.NewNop()}
 	done := make(chan error)
 	go func() { done <- s.Serve(ctx) }()
 	t.Cleanup(func() {
@@ -112,6 +116,7 @@
 	return l.Addr().String()
 }
 
+// call sends a line over a new connection, closes its sending side, and returns all that is answered.
 func call(t *testing.T, addr, line string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -129,8 +134,9 @@
 	return string(out)
 }
 
+// TestCalls checks the answers to calls over TCP.
 func TestCalls(t *testing.T) {
-	addr := serve(t)
+	addr := startServer(t)
 	for _, c := range []struct{ line, want string }{
 		{"readyz\n", "YES\n"},
 		{"telemetry\n", "{\"concurrent\":0}\nEND\n"},
@@ -144,20 +150,20 @@
 		{"readyz\r\n", "YES\n"},
 		{"jump\n", "NO unknown call \"jump\"\n"},
 		{strings.Repeat("x", 1000) + "\n", "NO line too long\n"},
-		{"readyz\nreadyz\n", "YES\n"}, // one call a connection
-		{"readyz", ""},                // no whole line: nobody is answered when the caller ends its side
+		{"readyz\nreadyz\n", "YES\n"}, // only the first call of a connection is answered
+		{"readyz", ""},                // an incomplete line gets no answer
 	} {
 		if got := call(t, addr, c.line); got != c.want {
-			t.Errorf("%.20q: %q, want %q", c.line, got, c.want)
+			t.Errorf("%.20q: got answer %q, want %q", c.line, got, c.want)
 		}
 	}
 }
 
-// TestSilentCallersKeepNobodyOut: callers that hold connections with half a line, more of them than there are places, keep
-// nobody out; each call is still answered at once.
+// TestSilentCallersKeepNobodyOut guards against idle connections that keep operators from calling. With more connections than
+// MaxCallers open, each of which sent half a line, a call is still answered promptly.
 func TestSilentCallersKeepNobodyOut(t *testing.T) {
-	addr := serve(t)
-	var silent []net.Conn
+	addr := startServer(t)
+	var idle []net.Conn
 	for range 3 * MaxCallers {
 		c, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -165,20 +171,20 @@
 		}
 		defer c.Close()
 		io.WriteString(c, "read")
-		silent = append(silent, c)
+		idle = append(idle, c)
 	}
 	for range 5 {
-		began := time.Now()
+		start := time.Now()
 		if got := call(t, addr, "readyz\n"); got != "YES\n" {
-			t.Fatalf("%q", got)
+			t.Fatalf("got answer %q, want YES", got)
 		}
-		if waited := time.Since(began); waited > callTimeout/2 { // the bound is loose: this is no test of speed
-			t.Fatalf("answered after %v", waited)
+		if waited := time.Since(start); waited > callTimeout/2 { // a loose bound, as speed is not tested here
+			t.Fatalf("call answered after %v, which is over half of callTimeout", waited)
 		}
 	}
-	// The oldest were let go to make room.
-	silent[0].SetReadDeadline(time.Now().Add(10 * time.Second))
-	if _, err := bufio.NewReader(silent[0]).ReadByte(); err == nil {
-		t.Fatal("the oldest caller was kept")
+	// The oldest connections were closed.
+	idle[0].SetReadDeadline(time.Now().Add(10 * time.Second))
+	if _, err := bufio.NewReader(idle[0]).ReadByte(); err == nil {
+		t.Fatal("the connection of the oldest caller is still open")
 	}
 }
--- a/internal/config/operations_test.go
+++ b/internal/config/operations_test.go
@@ -6,21 +6,23 @@
 	"time"
 )
 
+// TestOperations guards against a shipped file that differs from the defaults, and checks that the error for each kind of faulty
+// file names the key and the line.
 func TestOperations(t *testing.T) {
 	o, err := LoadOperations("../../deploy/operations.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	bare, err := parseOperations("bare.toml", nil)
+	defaults, err := parseOperations("bare.toml", nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if *o != *bare {
-		t.Errorf("the file that ships says %+v, the defaults are %+v", o, bare)
+	if *o != *defaults {
+		t.Errorf("shipped file: got %+v, want the defaults %+v", o, defaults)
 	}
-	if o.Ledger.Enabled || o.Operator.Listen != "" || o.Ledger.Audit != time.Second ||
+	if o.Ledger.Enabled || o.Operator.Listen != "" || o.Ledger.AuditInterval != time.Second ||
 		o.Warm.Enabled(false) || !o.Warm.Enabled(true) {
-		t.Errorf("%+v", o)
+		t.Errorf("unexpected defaults: %+v", o)
 	}
 	for text, want := range map[string]string{
 		"[ledger]\n\nrows = 3":                    "f.toml:3: ledger.rows: ",
@@ -34,7 +36,7 @@
 		"[operator]\nlisten = \"here\"":           "operator.listen: \"here\" is not host:port",
 	} {
 		if _, err := parseOperations("f.toml", []byte(text)); err == nil || !strings.Contains(err.Error(), want) {
-			t.Errorf("%q: %v; want %s", text, err, want)
+			t.Errorf("%q: got error %v, want %s", text, err, want)
 		}
 	}
 }
