--- a/cmd/dewhitch/reload.go
+++ b/cmd/dewhitch/reload.go
@@ -21,7 +21,7 @@
 		newNode, err := loadNewConfig()
 		g.figures.CountReload(err == nil)
 		if err != nil {
-			g.log.Error("the new configuration is invalid; the one in force stays", zap.Error(err))
+			g.log.Error("the new configuration is faulty; the old one stays", zap.Error(err))
 			continue
 		}
 		g.applyReload(newNode)
--- a/internal/front/closing.go
+++ b/internal/front/closing.go
@@ -115,7 +115,7 @@
 	if srv.Monitor != nil {
 		srv.Monitor.ConnectionsOverdue(n)
 	}
-	srv.Log.Warn("client connections are open past their deadline", zap.String("by", cause), zap.Int("connections", n),
+	srv.Log.Warn("client connections are held past their time", zap.String("by", cause), zap.Int("connections", n),
 		zap.Any("some", logged))
 }
 
