--- a/internal/classtable/classtable.go
+++ b/internal/classtable/classtable.go
@@ -15,9 +15,10 @@
 
 // Entry maps a class name to a class of the module.
 type Entry struct {
-	Name        string
-	Class       int            // index of the module's class; below 0 if none is strict enough, so that requests are rejected
-	Idempotency dw.Idempotency // idempotency in the latest settings with the name; decides which commands may use the name
+	Name  string
+	Class int // index of the module's class; below 0 if none is strict enough, so that requests are rejected
+	// Idempotency is that of the latest settings with the name; it decides which commands may use the name.
+	Idempotency dw.Idempotency `json:"Effect"` // key in the log line of a reload
 }
 
 // Table lists the names that clients may use, those of the current settings first. A table is not modified after its creation.
