--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -9,10 +9,10 @@
 )
 
 const (
-	// maxCommands limits each of the commands queued at the leader, the results kept there and the submissions
-	// pending at a member.
+	// maxCommands is the limit on the commands queued at the leader, on the results that the leader keeps, and on the
+	// submissions pending at a member, each on its own.
 	maxCommands     = 256
-	proposalTimeout = commandTimeout // after which the leader considers a proposal lost
+	proposalTimeout = commandTimeout // time after which the leader considers a proposal lost
 )
 
 var errUnknownCommand = errors.New("fleet: no such verb")
--- a/internal/fleet/dissemination.go
+++ b/internal/fleet/dissemination.go
@@ -3,8 +3,8 @@
 import "time"
 
 const (
-	relayFanout        = 3                      // members to which a member relays a received plan
-	leaderFanout       = 32                     // members to which the leader sends a committed plan
+	relayFanout        = 3                      // number of members to which a member relays a received plan
+	leaderFanout       = 32                     // number of members to which the leader sends a committed plan
 	planResendInterval = 400 * time.Millisecond // minimum interval between sends of one plan to one peer
 )
 
--- a/internal/fleet/generation.go
+++ b/internal/fleet/generation.go
@@ -59,8 +59,8 @@
 // quorumLost determines from the statuses of all configured voters whether any log can still commit. lost is
 // true if all statuses are recent, every log that a voter holds has lost its quorum, and, if there is a log,
 // there was no leader for leaderLossTimeout. A log has lost its quorum if no majority of its voters (of either
-// voter set during a joint change) still has the identity under which it votes there. newest is the newest
-// generation that any configured voter holds, has promised or has a plan of.
+// voter set during a joint change) still has the identity under which it votes there. If lost is true, newest is
+// the newest generation that any configured voter holds, has promised or has a plan of.
 func (n *Node) quorumLost() (newest uint64, lost bool) {
 	statuses, ok := n.recentVoterStatuses()
 	if !ok {
--- a/internal/fleet/golden_test.go
+++ b/internal/fleet/golden_test.go
@@ -95,13 +95,13 @@
 func TestGoldenSections(t *testing.T) {
 	p := Plan{Epoch: Epoch{11, 12}, Sections: map[string]cbor.RawMessage{"voters": golden.Read(t, "voters.cbor"), "freeze": golden.Read(t, "mark.cbor")}}
 	if m, ok := p.Frozen(); !ok || m != goldenMark {
-		t.Errorf("got freeze mark %+v, ok %v", m, ok)
+		t.Errorf("got freeze mark %+v, ok %v, expected goldenMark", m, ok)
 	}
 	if v := p.voters(); !maps.Equal(v, map[string]uint64{"g3": 1<<63 + 9}) {
-		t.Errorf("got voters %v", v)
+		t.Errorf("got voters %v, expected g3 only", v)
 	}
 	if got := p.Digest(); got != goldenDigest {
-		t.Errorf("got digest %#x", got)
+		t.Errorf("got digest %#x, expected goldenDigest", got)
 	}
 	if got := slices.Sorted(maps.Keys(FreezeCommands())); !slices.Equal(got, []string{"freeze", "thaw"}) {
 		t.Error("commands:", got)
@@ -125,7 +125,7 @@
 		t.Errorf("restored plan %+v, error %v", v.plan, err)
 	}
 	if s.Identity != 21 || s.Generation != 22 || s.Promised != 22 || s.HardState.GetTerm() != 1 || s.HardState.GetCommit() != 1 {
-		t.Errorf("got state %+v", s)
+		t.Errorf("got state %+v, expected identity 21, generation 22, and term and commit 1", s)
 	}
 }
 
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	statusRingSize = 64 // statuses whose send times are kept; a grant for an older status is ignored
-	grantsPerLease = 5  // grants to one member within a lease, so that some may be lost
+	statusRingSize = 64 // number of last statuses whose send times are kept; a grant for an older one is ignored
+	grantsPerLease = 5  // number of grants to one member within a lease, so that some may be lost
 )
 
 // leaseHolder is a member's side of the leader's leases.
@@ -24,7 +24,7 @@
 	payload      []byte // payload of the last accepted grant
 	grantSeq     uint64 // sequence number of the status that the grant answers; 0 before the first grant
 	grantUntil   time.Duration
-	expired      bool // whether the grant was expired at the last check
+	expired      bool // true if the grant was expired at the last check
 }
 
 type sentStatus struct {
@@ -69,11 +69,11 @@
 }
 
 // Fresh returns true if this member leads, or if the leader has confirmed this member's plan as the newest
-// within the lease.
+// within the lease. A fenced process is never fresh.
 func (n *Node) Fresh() bool { return !n.fenced && (n.Leads() || n.now < n.lease.freshUntil) }
 
-// Grant returns the payload of the leader's grant to this member. It returns false if there is no grant or its
-// lease has expired.
+// Grant returns the payload of the leader's grant to this member. It returns false if there is no grant, if its
+// lease has expired, or if this process is fenced.
 func (n *Node) Grant() ([]byte, bool) {
 	return n.lease.payload, n.lease.grantSeq > 0 && n.now < n.lease.grantUntil && !n.fenced
 }
--- a/internal/fleet/log.go
+++ b/internal/fleet/log.go
@@ -19,7 +19,7 @@
 func (n *Node) replaceVoter(s *VoterState) {
 	v, err := newVoter(s, n.rng)
 	if err != nil {
-		panic("fleet: " + err.Error()) // only a state read from storage can be invalid, and this one was built here
+		panic("fleet: " + err.Error()) // unreachable: only a state read from storage can be invalid, and this one was built here
 	}
 	n.voterHeader = s.withoutLog()
 	n.voter = v
@@ -115,8 +115,9 @@
 	v.messages = nil
 }
 
-// updateLeader records the leader of the log if it has been in contact since the last call. The leader that raft
-// remembers does not count: a removed voter starts no election and may remember a leader that exited long ago.
+// updateLeader records the leader of the log if that leader has sent a message since the last call. The leader
+// that raft remembers is no evidence: a removed voter starts no election and may remember a leader that exited
+// long ago.
 func (n *Node) updateLeader() {
 	v := n.voter
 	if n.Leads() {
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -26,7 +26,7 @@
 	Seed                      uint64        // seed of all random draws, together with Incarnation
 	Tick                      time.Duration // duration of a tick of raft's clock
 	StatusInterval            time.Duration // minimum interval between two statuses
-	Lease                     time.Duration // validity of the leader's confirmations and grants, from the status they answer
+	Lease                     time.Duration // validity of the leader's confirmations and grants, from the time of the status that they answer
 	// Commands holds the handlers of operators' commands by name.
 	Commands map[string]CommandHandler
 
@@ -63,18 +63,18 @@
 // Times passed to methods are monotonic, with any fixed origin. Unix times are in milliseconds.
 type Node struct {
 	config Config
-	rng    *rand.Rand // seeded; seeded tests depend on the order of draws
+	rng    *rand.Rand // seeded by Config; tests depend on the order of draws
 
 	now              time.Duration
 	unixMS           int64
-	started          bool // whether the first time has been passed
+	started          bool // true once the owner has passed a time
 	lastLogTick      time.Duration
 	nextStatus       time.Duration
 	nextHousekeeping time.Duration
 
 	// State of the voter. These pointers are nil at a member that is not a voter.
 	voter            *voter
-	voterHeader      *VoterState // Identity, Generation and Promised only
+	voterHeader      *VoterState // stored state of the voter without its log
 	replacement      *VoterState // state that must be on stable storage before the voter does anything; nil if none
 	afterReplacement []func()    // callbacks that run once replacement is stored
 	generationStart  generationStart
@@ -83,15 +83,15 @@
 	leader            string
 	lastLeaderContact time.Duration
 	lease             leaseHolder
-	reportedFresh     bool
-	fenced            bool // a later process with this name exists, so this one neither sends nor handles anything
+	reportedFresh     bool // value of Fresh in the last FreshChanged event
+	fenced            bool // true if a later process with this name exists; this one then neither sends nor handles anything
 
 	seq         uint64 // sequence number of the last message; a status sent to several members has one number
 	statusCount uint64
 	peers       peerTable
 	reporter    func(full bool) *Report
 	withdrawn   func() map[string]uint64
-	ownReports  reportBaseline
+	ownReports  reportBaseline // counters that this member reported last
 
 	commands    commandQueue // commands queued at the leader
 	submissions submissions  // commands submitted at this member
@@ -102,7 +102,7 @@
 }
 
 // New returns a member. saved is the stored state of a voter. If it is nil, a voter draws a new identity and
-// starts without a log. The error is that of loading saved.
+// starts without a log. New returns an error if saved is invalid.
 func New(config Config, saved *VoterState) (*Node, error) {
 	n := &Node{
 		config:          config,
@@ -135,8 +135,8 @@
 // servers as well as zones. Call SetReporter before the first Tick.
 func (n *Node) SetReporter(f func(full bool) *Report) { n.reporter = f }
 
-// SetWithdrawnSource sets the function that returns the machines that each status lists as withdrawn. This member
-// has nothing in flight there and sends nothing new. Call SetWithdrawnSource before the first Tick.
+// SetWithdrawnSource sets the function that returns Status.Withdrawn for each status: the machines to which this
+// member sends nothing new and has nothing in flight. Call SetWithdrawnSource before the first Tick.
 func (n *Node) SetWithdrawnSource(f func() map[string]uint64) { n.withdrawn = f }
 
 // Dropped returns the number of messages and reports that were ignored because they were unreadable, invalid or
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -223,7 +223,7 @@
 func TestUnusableMessagesAreDropped(t *testing.T) {
 	s := convergedSim(t, 3, 3)
 	m := s.members[1].node
-	from := func(change func(*envelope)) []byte {
+	newMessage := func(change func(*envelope)) []byte {
 		e := envelope{Version: wireVersion, Fleet: "test", From: "m09", StartedAt: 9, Incarnation: 9, Seq: 1}
 		change(&e)
 		return encode(e)
@@ -232,10 +232,10 @@
 	for name, b := range map[string][]byte{
 		"garbled":        []byte("\xff\x00garbled"),
 		"empty":          {},
-		"another fleet":  from(func(e *envelope) { e.Fleet = "other" }),
-		"newer version":  from(func(e *envelope) { e.Version = 2 }),
-		"nobody":         from(func(e *envelope) { e.From = "" }),
-		"wrong counters": from(func(e *envelope) { e.Status = &Status{Report: &Report{Zones: inconsistent}} }),
+		"another fleet":  newMessage(func(e *envelope) { e.Fleet = "other" }),
+		"newer version":  newMessage(func(e *envelope) { e.Version = 2 }),
+		"nobody":         newMessage(func(e *envelope) { e.From = "" }),
+		"wrong counters": newMessage(func(e *envelope) { e.Status = &Status{Report: &Report{Zones: inconsistent}} }),
 		"endless":        make([]byte, MaxMessage+1),
 	} {
 		before := m.Dropped()
@@ -245,10 +245,10 @@
 		}
 		m.TakeOutput()
 	}
-	status := from(func(e *envelope) { e.Seq, e.Status = 5, &Status{Epoch: Epoch{1, 1}} })
+	status := newMessage(func(e *envelope) { e.Seq, e.Status = 5, &Status{Epoch: Epoch{1, 1}} })
 	m.Step(s.now, s.unixMS(), status)
-	m.Step(s.now, s.unixMS(), from(func(e *envelope) { e.Seq, e.Status = 5, &Status{Epoch: Epoch{1, 2}} })) // duplicate: same sequence number
-	m.Step(s.now, s.unixMS(), from(func(e *envelope) { e.StartedAt, e.Seq, e.Status = 8, 7, &Status{Epoch: Epoch{1, 3}} }))
+	m.Step(s.now, s.unixMS(), newMessage(func(e *envelope) { e.Seq, e.Status = 5, &Status{Epoch: Epoch{1, 2}} })) // duplicate: same sequence number
+	m.Step(s.now, s.unixMS(), newMessage(func(e *envelope) { e.StartedAt, e.Seq, e.Status = 8, 7, &Status{Epoch: Epoch{1, 3}} }))
 	if p := m.peers.byName["m09"]; p.Status.Epoch != (Epoch{1, 1}) {
 		t.Errorf("a duplicate status, or one from an earlier process, was accepted: epoch %v", p.Status.Epoch)
 	}
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -10,17 +10,17 @@
 // Peer is what this member knows of another member.
 type Peer struct {
 	Name         string
-	Alive        bool          // whether gossip considers it alive
+	Alive        bool          // true if gossip considers it alive
 	LastStatusAt time.Duration // arrival time of its last status; valid if HasStatus
 	HasStatus    bool
 	Status       Status
-	StartedAt    int64 // start time of its process in Unix ns
-	Incarnation  uint64
+	StartedAt    int64  // start time of its process in Unix ns
+	Incarnation  uint64 // random number of its process
 
 	statusSeq     uint64         // sequence number of Status; older and duplicate statuses are ignored
-	reports       reportBaseline // last reported counters
+	reports       reportBaseline // counters that it reported last
 	sentPlanAt    time.Duration
-	sentPlanEpoch Epoch // epoch of the plan last sent to it
+	sentPlanEpoch Epoch // epoch of the plan that was last sent to it
 	lastGrantAt   time.Duration
 }
 
@@ -70,9 +70,9 @@
 	return *p, true
 }
 
-// acceptIncarnation returns true if a message from a process of peer p may be handled. A process newer than the
-// known one starts without history. An older one is notified of its successor, because gossip keeps one address
-// per name and the two processes may never reach each other.
+// acceptIncarnation returns true if a message from a process of peer p may be handled. If the process is newer
+// than the known one, the state of the known one is discarded. An older process is notified of its successor,
+// because gossip keeps one address per name and the two processes may never reach each other.
 func (n *Node) acceptIncarnation(p *Peer, sender incarnation) bool {
 	known := incarnation{p.StartedAt, p.Incarnation}
 	if sender.before(known) {
@@ -85,7 +85,8 @@
 	return true
 }
 
-// fenceIfSuperseded fences this process if another process with its name started later.
+// fenceIfSuperseded fences this process, which then neither sends nor handles anything, if another process with
+// its name started later.
 func (n *Node) fenceIfSuperseded(other incarnation) {
 	own := incarnation{n.config.StartedAt, n.config.Incarnation}
 	if n.fenced || !own.before(other) {
--- a/internal/fleet/plan.go
+++ b/internal/fleet/plan.go
@@ -65,7 +65,7 @@
 	return len(p.Sections) <= maxSections && size <= maxPlanSize
 }
 
-// voters returns the voters' identities in the log by member name.
+// voters returns the voters' identities in the log by member name. It returns nil if the section can't be decoded.
 func (p *Plan) voters() map[string]uint64 {
 	v := map[string]uint64{}
 	if _, err := p.Section(sectionVoters, &v); err != nil {
@@ -81,8 +81,8 @@
 	ID   string                     `cbor:"3,keyasint"` // ID of the command, or an ID that the leader generated
 }
 
-// apply returns the plan after a change, with epoch e. If it returns an error, the plan is unchanged. It must
-// stay deterministic, because every voter applies each entry itself, whatever its version.
+// apply returns the plan after a change, with epoch e. If it returns an error, the plan is unchanged. It must be
+// deterministic and the same in all versions of the program, because each voter applies every entry itself.
 func (p Plan) apply(c change, e Epoch) (Plan, error) {
 	if c.Base != p.Epoch {
 		return p, errPlanChanged
--- a/internal/fleet/reconfigure.go
+++ b/internal/fleet/reconfigure.go
@@ -56,8 +56,7 @@
 	return owners
 }
 
-// canJoin returns true if a voter can be added: it holds no log or this one, and has promised no
-// newer generation.
+// canJoin returns true if a voter can be added: it holds no log or this one, and has promised no newer generation.
 func (n *Node) canJoin(s Status) bool {
 	return (s.Generation == 0 || s.Generation == n.voter.generation) && s.Promised <= n.voter.generation
 }
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -4,9 +4,9 @@
 
 // Bounds of a report, which must fit one datagram.
 const (
-	maxNameLength      = 64 // limit in bytes on the name of a member, zone or region
-	maxZones           = 64
-	MaxReportedServers = 24
+	maxNameLength      = 64      // limit in bytes on the name of a member, zone or region
+	maxZones           = 64      // limit on the zones in a report
+	MaxReportedServers = 24      // limit on the servers in a report
 	maxCounter         = 1 << 40 // limit on counted attempts; no process runs long enough to reach it
 )
 
@@ -37,7 +37,7 @@
 // not differences, so that late, duplicate and lost reports do not affect the totals.
 type Report struct {
 	Zones    map[string]AttemptCounts `cbor:"1,keyasint" json:"zones,omitempty"`
-	Servers  map[uint32]ServerReport  `cbor:"2,keyasint" json:"servers,omitempty"` // servers that changed, up to MaxReportedServers, in rotation
+	Servers  map[uint32]ServerReport  `cbor:"2,keyasint" json:"servers,omitempty"` // up to MaxReportedServers changed servers, in rotation
 	Requests uint64                   `cbor:"3,keyasint" json:"asked,omitempty"`   // requests received from clients, forwarded or not
 }
 
--- a/internal/fleet/sim_test.go
+++ b/internal/fleet/sim_test.go
@@ -26,18 +26,18 @@
 	events      events
 	members     []*member
 	voters      []string
-	lossRate    float64
-	delay       time.Duration
-	duplication float64
+	lossRate    float64         // probability that a message is lost
+	delay       time.Duration   // longest delay of a message
+	duplication float64         // probability that a message is sent twice
 	cut         map[[2]int]bool // blocked links, as indexes of sender and receiver
 
-	committedPlans   map[Epoch][]byte
-	committedAt      map[Epoch]time.Duration
-	newest           Epoch
-	newestGeneration uint64 // newest generation in which a plan was committed
-	reuseIdentity    bool   // planted fault: a voter that lost its storage keeps its identity
-	incarnations     int64
-	history          []porcupine.Operation
+	committedPlans   map[Epoch][]byte        // content of the plan of each epoch
+	committedAt      map[Epoch]time.Duration // time at which a member first applied the plan of each epoch
+	newest           Epoch                   // newest epoch that any member has applied
+	newestGeneration uint64                  // newest generation in which a plan was committed
+	reuseIdentity    bool                    // planted fault: a voter that lost its storage keeps its identity
+	incarnations     int64                   // number of processes started so far
+	history          []porcupine.Operation   // commands that took effect
 }
 
 // fataler is the part of a test that a simulation uses.
@@ -52,12 +52,12 @@
 	config       Config
 	node         *Node
 	disk         *VoterState
-	diskFull     bool // whether writes to the disk do not complete
+	diskFull     bool // true if writes to the disk do not complete
 	down         bool
 	stalledUntil time.Duration
 	inbox        [][]byte // messages that a stalled process has not read yet
-	epoch        Epoch
-	failures     []error
+	epoch        Epoch    // epoch of the plan that its current process applied last
+	failures     []error  // errors of its commands
 	sentBytes    int
 	epochs       []Epoch // epochs in which its commands took effect
 }
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -6,7 +6,7 @@
 )
 
 const (
-	statusIntervalPerPeer = time.Millisecond // added to the status interval per peer, to bound the statuses that a voter receives
+	statusIntervalPerPeer = time.Millisecond // minimum status interval per known peer, to bound the statuses that a voter receives
 	fullStatusPeriod      = 3                // every third status goes to all voters and includes servers
 )
 
@@ -44,7 +44,7 @@
 
 // sendStatuses sends this member's status to the leader. Every third status, and every status while the view is
 // not fresh, is full: it goes to all voters and one other member and includes servers. Servers make up most of
-// its bytes, and no decision based on them takes less than a second.
+// its bytes, and every decision based on them takes a second or more.
 func (n *Node) sendStatuses() {
 	status := n.SelfStatus()
 	if n.withdrawn != nil {
--- a/internal/fleet/voter.go
+++ b/internal/fleet/voter.go
@@ -12,15 +12,17 @@
 // Raft timeouts, in ticks of Config.Tick.
 const (
 	electionTicks  = 6 // minimum election timeout; the maximum is twice as long
-	heartbeatTicks = 2
+	heartbeatTicks = 2 // interval between two heartbeats of the leader
 )
 
 // Bounds of raft's messages and log.
 const (
-	maxRaftMessageSize   = 64 << 10 // limit in bytes on the entries of one message
-	maxInflightMessages  = 64       // limit on unacknowledged messages to one follower
-	maxUncommittedBytes  = 1 << 20  // limit in bytes on the leader's uncommitted entries
-	compactionReserve    = 256      // applied entries kept in the log for followers that lag
+	maxRaftMessageSize  = 64 << 10 // limit in bytes on the entries of one message
+	maxInflightMessages = 64       // limit on unacknowledged messages to one follower
+	maxUncommittedBytes = 1 << 20  // limit in bytes on the leader's uncommitted entries
+	compactionReserve   = 256      // number of applied entries kept in the log for followers that lag
+
+	// compactionHysteresis is the number of applied entries in the log from which it is compacted.
 	compactionHysteresis = 2 * compactionReserve
 )
 
@@ -35,7 +37,7 @@
 	raftNode        *raft.RawNode
 	storage         *raft.MemoryStorage
 	rng             *rand.Rand
-	ticksToElection int
+	ticksToElection int // ticks until this voter starts an election, unless a leader contacts it
 
 	// Applied state, which changes only with committed entries and snapshots.
 	plan      Plan
@@ -45,14 +47,14 @@
 	term            uint64 // persisted term
 	vote            uint64 // persisted vote
 	leader          uint64 // identity of the leader according to raft; 0 if none
-	leaderContacted bool   // whether a leader of the current term has sent a message since the Node last checked
+	leaderContacted bool   // true if a leader of the current term has sent a message since the Node last checked
 	leading         bool
-	leaderReady     bool // leading, and an entry of the current term is applied, and with it all committed before
+	leaderReady     bool // true if this voter leads and has applied an entry of its term, and with it all earlier entries
 
-	pendingReady *raft.Ready   // Ready that waits until unpersisted is on stable storage; nil if none
-	unpersisted  StorageUpdate // write that pendingReady requires, and snapshots stored along with it
-	messages     []*raftpb.Message
-	committed    []committedChange
+	pendingReady *raft.Ready       // Ready that waits until unpersisted is on stable storage; nil if none
+	unpersisted  StorageUpdate     // write that pendingReady requires, and snapshots stored along with it
+	messages     []*raftpb.Message // messages that may be sent
+	committed    []committedChange // applied changes that the Node has not taken yet
 }
 
 // committedChange is an applied entry that changed the plan or failed to.
@@ -180,7 +182,8 @@
 	return err
 }
 
-// discardLogger discards raft's log lines, because a Node reports what matters to operators as Events.
+// discardLogger discards raft's log lines, because a Node reports what matters to operators as Events. It panics on
+// fatal ones.
 type discardLogger struct{}
 
 func (discardLogger) Debug(...any)              {}
--- a/internal/fleet/voter_ready.go
+++ b/internal/fleet/voter_ready.go
@@ -57,7 +57,7 @@
 	if !raft.IsEmptySnap(rd.Snapshot) {
 		if err := v.storage.ApplySnapshot(rd.Snapshot); err == nil { // an error means that the snapshot is older than the stored one
 			if err := v.restoreSnapshot(rd.Snapshot); err != nil {
-				panic(err.Error()) // a quorum committed the snapshot
+				panic(err.Error()) // unreachable: a quorum committed the snapshot
 			}
 		}
 	}
@@ -70,7 +70,7 @@
 		v.vote = rd.HardState.GetVote()
 	}
 	if err := v.storage.Append(rd.Entries); err != nil {
-		panic("fleet: " + err.Error()) // raft returns entries in order
+		panic("fleet: " + err.Error()) // unreachable: raft returns entries in order
 	}
 }
 
@@ -126,7 +126,8 @@
 // createSnapshot creates a snapshot of the applied state, which raft sends to followers that lag far behind. It
 // is stored with the next write that the log needs. Until then stable storage holds the entries instead.
 func (v *voter) createSnapshot() {
-	if s, err := v.storage.CreateSnapshot(v.applied, v.confState, encode(v.plan)); err == nil { // an error means that this snapshot exists already
+	// An error means that this snapshot exists already.
+	if s, err := v.storage.CreateSnapshot(v.applied, v.confState, encode(v.plan)); err == nil {
 		v.unpersisted.Snapshot = s
 	}
 }
--- a/internal/fleet/voter_state.go
+++ b/internal/fleet/voter_state.go
@@ -10,7 +10,7 @@
 // VoterState is the state that a voter needs after a restart. All of it belongs to one identity and one
 // generation of the log.
 type VoterState struct {
-	Identity   uint64 // random, created with the storage: the log treats a voter that lost its storage as another voter
+	Identity   uint64 // random number drawn with new storage, so that a voter that lost its storage is another voter of the log
 	Generation uint64 // generation of the log; 0 if the voter has never been in one
 	Promised   uint64 // newest promised generation; older ones are ignored
 	HardState  *raftpb.HardState
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -29,7 +29,7 @@
 	Zone           string   `cbor:"1,keyasint"`
 	Region         string   `cbor:"2,keyasint,omitempty"`
 	Epoch          Epoch    `cbor:"3,keyasint"`           // epoch of the plan that the member applies
-	Fresh          bool     `cbor:"4,keyasint,omitempty"` // whether its view of the plan is fresh (Node.Fresh)
+	Fresh          bool     `cbor:"4,keyasint,omitempty"` // true if its view of the plan is fresh (Node.Fresh)
 	Leader         string   `cbor:"5,keyasint,omitempty"` // member that it considers the leader
 	Identity       uint64   `cbor:"6,keyasint,omitempty"` // identity in the log; 0 if it is not a voter or its state is being replaced
 	Generation     uint64   `cbor:"7,keyasint,omitempty"` // generation of the log that it holds; 0 if none
@@ -40,8 +40,8 @@
 	OutgoingVoters []uint64 `cbor:"12,keyasint,omitempty"` // identities of the voters before a joint change in progress
 	GrantSeq       uint64   `cbor:"13,keyasint,omitempty"` // sequence number of its status whose grant it applies
 
-	// Withdrawn lists the machines to which this member sends nothing and has nothing in flight, with the
-	// number of each machine's turn in maintenance.
+	// Withdrawn lists the machines to which this member sends nothing and has nothing in flight, with the ID of
+	// each machine's announcement in the maintenance schedule.
 	Withdrawn map[string]uint64 `cbor:"14,keyasint,omitempty"`
 }
 
@@ -121,7 +121,7 @@
 	return m
 }()
 
-// encode encodes a value of one of this package's types, for which encoding can't fail.
+// encode encodes a value of one of this package's types in CBOR. It panics on an error, which these types can't cause.
 func encode(v any) cbor.RawMessage {
 	b, err := cbor.Marshal(v)
 	if err != nil {
