--- a/internal/fleet/evacuation/command.go
+++ b/internal/fleet/evacuation/command.go
@@ -116,7 +116,7 @@
 }
 
 // returnByCommand returns an evacuated zone to service over the recovery ramp, or sets a hold, or ends a hold. It returns
-// ErrNotEvacuated if there is nothing to return from.
+// ErrNotEvacuated if the zone is in service and the command sets no hold.
 func returnByCommand(c Command, current *Status, unixMS int64) (*Status, error) {
 	switch {
 	case c.Hold && current != nil && current.KeepInService && current.orderedBy(c):
--- a/internal/fleet/evacuation/detector.go
+++ b/internal/fleet/evacuation/detector.go
@@ -25,12 +25,12 @@
 	lastReportAt  map[string]time.Duration // time of each gateway's last report
 	regionByZone  map[string]string        // region of each zone whose gateways report one
 	knownZones    map[string]bool          // zones of gateways and of servers in any report so far
-	samples       map[path][]sample        // from a gateway to a zone of servers; oldest first
+	samples       map[path][]sample        // samples of each path from a gateway to a zone of servers, oldest first
 
-	baselines         map[path]*baseline  // keyed by zone of gateways and zone of servers
+	baselines         map[path]*baseline  // latency baseline of each path from a zone of gateways to a zone of servers
 	lastStartByZone   map[string]int64    // last start of a server in each zone, Unix ms
 	gateways          []string            // gateways that reported within gatewayExpiry, sorted
-	gatewaysByZone    map[string][]string // these gateways by home zone
+	gatewaysByZone    map[string][]string // gateways that reported within gatewayExpiry, by home zone
 	warmingZones      map[string]bool     // zones with servers in slow start
 	now               time.Duration       // time of the last evaluation
 	statusesChangedAt time.Duration       // time of the last change of a status; evacuations use only later evidence
@@ -51,7 +51,7 @@
 	}
 }
 
-// SetServerStarts sets the time of the last start of a server in each zone, Unix ms. A zone with a server that started after the
+// SetServerStarts sets the time of the last start of a server in each zone, in Unix ms. A zone with a server that started after the
 // evacuation is probed without waiting for the backoff.
 func (d *Detector) SetServerStarts(starts map[string]int64) { d.lastStartByZone = starts }
 
--- a/internal/fleet/evacuation/large_test.go
+++ b/internal/fleet/evacuation/large_test.go
@@ -36,7 +36,8 @@
 	}
 }
 
-// The checks of TestNeverAllZonesEvacuated with 300 or 1000 gateways, only on demand: LARGE=1 go test ./internal/fleet/evacuation -run LargeRandomFaults -rapid.checks=100
+// Under random faults in fleets of 300 or 1000 gateways the limits of TestNeverAllZonesEvacuated hold. The test runs only on demand:
+// LARGE=1 go test ./internal/fleet/evacuation -run LargeRandomFaults -rapid.checks=100
 func TestLargeRandomFaults(t *testing.T) {
 	if os.Getenv("LARGE") == "" {
 		t.Skip("LARGE is not set")
--- a/internal/fleet/evacuation/selfmonitor.go
+++ b/internal/fleet/evacuation/selfmonitor.go
@@ -19,7 +19,7 @@
 	selfMinFailed   = 8                       // lowest number of failed attempts that shows isolation
 	selfFailedRatio = 0.8                     // lowest fraction of failed attempts that shows isolation
 	selfMinDrain    = 5 * time.Second         // shortest time in the drained state
-	selfMaxDrain    = 30 * time.Second        // longest time in the drained state: without clients there are no attempts that could show recovery
+	selfMaxDrain    = 30 * time.Second        // longest time in the drained state, as recovery does not show without clients
 	selfReturnDelay = 2 * time.Second         // time between the returns of two gateways of a zone
 )
 
--- a/internal/fleet/evacuation/selfmonitor_test.go
+++ b/internal/fleet/evacuation/selfmonitor_test.go
@@ -18,9 +18,8 @@
 	return drained
 }
 
-// A gateway drains if it is isolated from the servers while its zone is evacuated or its view of the fleet is out of date, and otherwise
-// not. Drained gateways of a zone return selfReturnDelay apart. Without a quorum a gateway returns after selfMaxDrain, and does not stay
-// drained.
+// A gateway drains only if it is isolated from the servers while its zone is evacuated or its view of the fleet is out of date. Drained
+// gateways of a zone return selfReturnDelay apart. Without a quorum a gateway does not stay drained, but returns after selfMaxDrain.
 func TestSelfMonitorDrains(t *testing.T) {
 	const s = time.Second
 	for _, c := range []struct {
--- a/internal/fleet/evacuation/status.go
+++ b/internal/fleet/evacuation/status.go
@@ -28,20 +28,20 @@
 	FailedReturns int      `cbor:"3,keyasint" json:"fails"`                        // number of consecutive failed returns
 	Reason        string   `cbor:"4,keyasint" json:"why"`                          // reason for this state, shown to operators
 	Probers       []string `cbor:"5,keyasint,omitempty" json:"probers,omitempty"`  // names of the gateways that probe
-	By            string   `cbor:"6,keyasint,omitempty" json:"by,omitempty"`       // operator who ordered this state; empty: the fleet decided it
+	By            string   `cbor:"6,keyasint,omitempty" json:"by,omitempty"`       // operator who ordered this state; empty: the fleet
 	Until         int64    `cbor:"7,keyasint,omitempty" json:"until,omitempty"`    // end of an operator's evacuation, Unix ms; 0: no fixed end
 	KeepInService bool     `cbor:"8,keyasint,omitempty" json:"hold,omitempty"`     // operator's hold: the fleet does not evacuate the zone
-	FailedProbes  int      `cbor:"9,keyasint,omitempty" json:"probes,omitempty"`   // number of failed probes since the evacuation or the last return
-	Partial       bool     `cbor:"11,keyasint,omitempty" json:"partial,omitempty"` // true if the zone still served some requests when it was evacuated
-	AnyRequest    bool     `cbor:"10,keyasint,omitempty" json:"any,omitempty"`     // true if probes use any request, because a prober received no idempotent ones
+	FailedProbes  int      `cbor:"9,keyasint,omitempty" json:"probes,omitempty"`   // failed probes since the evacuation or the last return
+	Partial       bool     `cbor:"11,keyasint,omitempty" json:"partial,omitempty"` // true if the zone served some requests when it was evacuated
+	AnyRequest    bool     `cbor:"10,keyasint,omitempty" json:"any,omitempty"`     // true if probes use any request, for lack of idempotent ones
 }
 
 // Statuses holds the statuses of all zones by key. The key is the zone of the servers, or "FROM>TO" for a status of the servers in zone
 // TO that applies only to the gateways in zone FROM.
 type Statuses map[string]Status
 
-// For returns the status that gateways in zone from apply to servers in zone to. A status for all gateways takes precedence. The bool is
-// false if the zone is in service or on an operator's hold.
+// For returns the status that gateways in zone from apply to servers in zone to. A status for all gateways takes precedence. It
+// returns false if the zone is in service or on an operator's hold.
 func (v Statuses) For(from, to string) (Status, bool) {
 	if status, ok := v[to]; ok {
 		return status, !status.KeepInService // an operator's hold also applies to the paths to the zone
