--- a/internal/fleet/maintenance/admission.go
+++ b/internal/fleet/maintenance/admission.go
@@ -103,7 +103,7 @@
 	return c
 }
 
-// capacityBlockReason returns the capacity limit that forbids to take another server of a zone out of service, or an empty string. The
+// capacityBlockReason returns the capacity limit that forbids taking another server of a zone out of service, or an empty string. The
 // limits are the fractions of the zone's and of all servers, and the load of the remaining servers: at most MaxLoadGrowth times the
 // highest load that servers have handled.
 func (e *evaluation) capacityBlockReason(zone string, c serverCounts) string {
--- a/internal/fleet/maintenance/command.go
+++ b/internal/fleet/maintenance/command.go
@@ -242,7 +242,7 @@
 	return nil
 }
 
-// completeWork ends the maintenance of the named machines of a request, or without names of all that are released, or on hold after
+// completeWork ends the maintenance of the named machines of a request or, if none is named, of all that are released or on hold after
 // their announcement.
 func completeWork(s *Schedule, c Command, unixMS int64) error {
 	r, err := s.findOpen(c.ID)
--- a/internal/fleet/maintenance/evidence.go
+++ b/internal/fleet/maintenance/evidence.go
@@ -27,7 +27,7 @@
 }
 
 // Observe adds the attempts of one gateway to a server since the gateway's last report. timedOut counts attempts without an answer for
-// much longer than usual, answeredLate those served after they were counted in timedOut. now must not decrease.
+// much longer than usual, and answeredLate those that were served after they were counted in timedOut. now must not decrease.
 func (s *Scheduler) Observe(now time.Duration, server string, served, failed, timedOut, answeredLate uint64) {
 	if served+failed+timedOut+answeredLate == 0 {
 		return
@@ -42,8 +42,8 @@
 	}
 }
 
-// healthSince returns the sums of the attempts to a server since a time within healthSpan. A server in slow start answers later than
-// others, so a timed-out attempt counts as failed only after lateAnswerDelay, and not if it was answered late.
+// healthSince returns the numbers of served and failed attempts to a server since a time, at most healthSpan ago. A server in slow start
+// answers later than others, so a timed-out attempt counts as failed only after lateAnswerDelay, and not if it was answered late.
 func (s *Scheduler) healthSince(server string, now, since time.Duration) (served, failed uint64) {
 	timedOut, answeredLate := uint64(0), uint64(0)
 	for _, report := range s.samples[server] {
--- a/internal/fleet/maintenance/schedule.go
+++ b/internal/fleet/maintenance/schedule.go
@@ -32,8 +32,8 @@
 	Released  State = "free"      // no gateway sends to the machine; maintenance may begin
 	Returned  State = "back"      // the machine is in service again, but its health is not proved yet
 	OnHold    State = "held"      // an operator has to resume, complete or cancel
-	Done      State = "done"
-	Cancelled State = "cancelled"
+	Done      State = "done"      // the maintenance has ended: the machine has proved its health, or is out of service for good
+	Cancelled State = "cancelled" // the maintenance of the machine, or of one of the request's machines, was cancelled before it began
 )
 
 // String returns the state as operators read it.
@@ -56,13 +56,16 @@
 
 // Machine is one machine of a request.
 type Machine struct {
-	Name             string `cbor:"1,keyasint" json:"name"`
-	State            State  `cbor:"2,keyasint,omitempty" json:"state,omitempty"`
-	Since            int64  `cbor:"3,keyasint,omitempty" json:"since,omitempty"` // start of the present state in Unix ms
-	Until            int64  `cbor:"4,keyasint,omitempty" json:"until,omitempty"` // latest end of the state Released in Unix ms
-	AnnouncementID   uint64 `cbor:"5,keyasint,omitempty" json:"turn,omitempty"`  // number of the machine's last announcement, which gateways acknowledge; 0: none
-	Note             string `cbor:"6,keyasint,omitempty" json:"note,omitempty"`  // reason of the present state, shown to operators
-	ProcessStartedAt int64  `cbor:"7,keyasint,omitempty" json:"life,omitempty"`  // start of a gateway's process when it was announced, in Unix ns; a later process has returned
+	Name           string `cbor:"1,keyasint" json:"name"`
+	State          State  `cbor:"2,keyasint,omitempty" json:"state,omitempty"`
+	Since          int64  `cbor:"3,keyasint,omitempty" json:"since,omitempty"` // start of the present state in Unix ms
+	Until          int64  `cbor:"4,keyasint,omitempty" json:"until,omitempty"` // latest end of the state Released in Unix ms
+	AnnouncementID uint64 `cbor:"5,keyasint,omitempty" json:"turn,omitempty"`  // ID of the last announcement, which gateways acknowledge; 0: none
+	Note           string `cbor:"6,keyasint,omitempty" json:"note,omitempty"`  // reason of the present state, shown to operators
+
+	// ProcessStartedAt is the start time, in Unix ns, of the process that a gateway had when it was announced. The gateway has returned
+	// once it has a process with another start time.
+	ProcessStartedAt int64 `cbor:"7,keyasint,omitempty" json:"life,omitempty"`
 }
 
 // enter changes the state of the machine.
@@ -86,8 +89,8 @@
 // ended returns true if the machine's state no longer changes.
 func (m *Machine) ended() bool { return m.State == Done || m.State == Cancelled }
 
-// Request is an operator's request for maintenance of machines. Its machines are announced one after the other, the first that may be
-// announced first.
+// Request is an operator's request for maintenance of machines. Its machines are announced one at a time. The next one is always
+// the first in the list that may be announced.
 type Request struct {
 	ID          uint64    `cbor:"1,keyasint" json:"id"`
 	Key         string    `cbor:"2,keyasint" json:"key"`                            // idempotency key
@@ -100,7 +103,7 @@
 	RequestedAt int64     `cbor:"9,keyasint" json:"asked"`                          // time of the request in Unix ms, by the leader's clock
 	State       State     `cbor:"10,keyasint,omitempty" json:"state,omitempty"`     // Waiting, OnHold, Done or Cancelled
 	Note        string    `cbor:"11,keyasint,omitempty" json:"note,omitempty"`      // reason of the present state, shown to operators
-	Overtaken   int       `cbor:"12,keyasint,omitempty" json:"passed,omitempty"`    // number of announcements for younger requests while this one had to wait
+	Overtaken   int       `cbor:"12,keyasint,omitempty" json:"passed,omitempty"`    // announcements for younger requests while this one had to wait
 	Machines    []Machine `cbor:"13,keyasint" json:"machines"`
 }
 
@@ -134,7 +137,7 @@
 	LastID             uint64           `cbor:"1,keyasint" json:"next"`     // ID of the newest request
 	LastAnnouncementID uint64           `cbor:"2,keyasint" json:"turns"`    // ID of the newest announcement
 	Requests           []Request        `cbor:"3,keyasint" json:"requests"` // open requests and the last ended ones, in order of their IDs
-	Roster             map[string]int64 `cbor:"4,keyasint" json:"roster"`   // gateways that may send to servers, with the time in Unix ms at which each was added
+	Roster             map[string]int64 `cbor:"4,keyasint" json:"roster"`   // gateways that may send to servers, with the Unix ms at which each was added
 	Off                []string         `cbor:"5,keyasint" json:"off"`      // machines that were taken out of service for good, oldest first
 }
 
@@ -187,7 +190,7 @@
 	return s
 }
 
-// withoutNotes returns a copy without notes. Notes contain figures that change often.
+// withoutNotes returns a copy without notes, which contain figures that change often.
 func (s Schedule) withoutNotes() Schedule {
 	s = s.clone()
 	for i := range s.Requests {
--- a/internal/fleet/maintenance/scheduler.go
+++ b/internal/fleet/maintenance/scheduler.go
@@ -22,7 +22,7 @@
 	Voter            bool
 	Leader           bool
 	ProcessStartedAt int64             // start time of its process in Unix ns
-	Withdrawn        map[string]uint64 // machines to which it sends nothing and has nothing in flight, with the announcement ID that it acknowledges
+	Withdrawn        map[string]uint64 // machines to which it sends nothing and has nothing in flight, with the acknowledged announcement ID
 }
 
 // Observations is the leader's view of the fleet.
@@ -43,7 +43,7 @@
 	SlowStart          time.Duration // time from the start of a server until it is warm
 	MinHealthyTime     time.Duration // shortest time from a machine's return to Done
 	ReturnTimeout      time.Duration // time after which a returned machine without proof of health is put on hold
-	MaxOvertakes       int           // number of announcements for younger requests after which these wait for an older one
+	MaxOvertakes       int           // number of times that younger requests overtake an older one before they wait for it
 	MaxLoadGrowth      float64       // highest load of the remaining servers, as a multiple of the highest load that servers have handled
 }
 
--- a/internal/fleet/maintenance/transition.go
+++ b/internal/fleet/maintenance/transition.go
@@ -102,7 +102,7 @@
 		if r.hasWaiting() {
 			overtaken = append(overtaken, r)
 			if r.Overtaken >= e.cfg.MaxOvertakes {
-				return // without machines of other requests out, the limits admit this request's machines sooner
+				return // younger requests wait, so that the limits admit this request's machines sooner
 			}
 		}
 	}
