--- a/internal/fleet/slowstart/allocator.go
+++ b/internal/fleet/slowstart/allocator.go
@@ -45,12 +45,12 @@
 const (
 	demandTimeConstant = 2.0              // time constant of the smoothing of a gateway's demand, in seconds
 	latencySmoothing   = 0.02             // weight of one zone in one report in the mean latency
-	grantPauseLeases   = 1.5              // pause of a new leader before its first grant, in leases, because earlier grants may still be in use
+	grantPauseLeases   = 1.5              // pause in leases before the first grant of a new leader, while earlier grants may be in use
 	memberExpiry       = 30 * time.Second // time without a report after which a gateway is removed
 	minDemand          = 1e-9             // divisor in place of a demand of 0, in attempts a second
 )
 
-// member holds what is known of a gateway.
+// member holds the demand of a gateway and the grants that it may still use.
 type member struct {
 	lastReportAt time.Duration // time of the last report
 	demand       float64       // attempts a second that the gateway has to send, smoothed
--- a/internal/fleet/slowstart/allocator_test.go
+++ b/internal/fleet/slowstart/allocator_test.go
@@ -36,7 +36,7 @@
 type message struct {
 	deliverAt, sentAt time.Duration
 	from, to          int
-	seq               uint64 // report that is sent or answered
+	seq               uint64 // sequence number of the report that is sent or answered
 	appliedSeq        uint64
 	grant             *Grant // nil in a report
 	totalAttempts     uint64
@@ -258,7 +258,7 @@
 	}
 }
 
-// The budget of a server is halved in each second with failures or high latency, and recovers within 10 s without.
+// The budget of a server is halved in each second with failures or high latency, and recovers within 10 s without them.
 func TestBudgetBackoffAndRecovery(t *testing.T) {
 	allocator := New(testConfig)
 	servers := []Server{{ID: 1, Zone: "a", Since: 1_000_000}, {ID: 2, Zone: "a"}}
--- a/internal/fleet/slowstart/budget.go
+++ b/internal/fleet/slowstart/budget.go
@@ -17,7 +17,7 @@
 	minServed       = 3           // lowest number of served attempts in an interval that shows a slow server
 	failedRatio     = 0.2         // lowest fraction of failed attempts in an interval that counts against a server
 	slowFactor      = 2.5         // multiple of the latency expected at the server's warmth above which it is slow
-	minProbedRate   = 1.0         // lowest even rate, in attempts a second, assumed for a probed server
+	minProbedRate   = 1.0         // lowest even share of the demand, in attempts a second, assumed for a probed server
 )
 
 // health holds the backoff of a server with a budget, and the evidence of the current interval.
@@ -29,7 +29,7 @@
 	intervalStart time.Duration // time of the last backoff step
 }
 
-// warmth returns the fraction of its capacity that a server has reached at least. It grows linearly from StartCapacity to 1 over Span.
+// warmth returns the lowest fraction of its full capacity that a server has reached. It grows linearly from StartCapacity to 1 over Span.
 func (a *Allocator) warmth(unixMS int64, s Server) float64 {
 	age := time.Duration(unixMS-s.Since) * time.Millisecond
 	if s.Since <= 0 || age >= a.cfg.Span {
