--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -62,7 +62,7 @@
 	calls         chan func()
 
 	stopped    chan struct{} // closed when Run returns
-	stopGossip func()        // set by Run
+	stopGossip func()        // stops gossip; set by Run
 
 	// Policies. Every member passes all reports that it receives to them, so that a new leader has evidence at
 	// once. Only the leader acts on their decisions.
@@ -85,7 +85,7 @@
 	alive bool
 }
 
-// Open reads the member's storage, listens, and returns the member. After a success Run must be called: it
+// Open reads the member's storage, listens, and returns the member. If it succeeds, the caller must call Run, which
 // closes what Open opened.
 func Open(o Options) (*Agent, error) {
 	o.SlowStart.Lease = o.Lease
@@ -111,7 +111,7 @@
 		a.storage.close()
 		return nil, err
 	}
-	for _, name := range o.Voters { // makes the voters known, so that statuses go to them before gossip finds them
+	for _, name := range o.Voters { // make the voters known, so that statuses go to them before gossip finds them
 		a.node.SetAlive(name, false)
 	}
 	return a, nil
--- a/internal/fleet/agent/golden_fleet_test.go
+++ b/internal/fleet/agent/golden_fleet_test.go
@@ -134,13 +134,13 @@
 	} {
 		code, text := readAnswer(http.PostForm(server.URL+"/fleet/"+c.verb, c.form))
 		if code != c.code || code == 200 && !acceptedAnswer.Match(text) || code != 200 && !strings.HasPrefix(string(text), "NO ") {
-			t.Errorf("%s %v: %d %s", c.verb, c.form, code, text)
+			t.Errorf("%s with the form %v: got unexpected answer %d %s", c.verb, c.form, code, text)
 		}
 	}
 	for page, file := range map[string]string{"zones": "page-zones.json", "work": "page-work.json", "servers": "page-servers.json"} {
 		code, text := readAnswer(http.Get(server.URL + "/fleet/" + page))
 		if code != 200 {
-			t.Fatalf("%s: %d %s", page, code, text)
+			t.Fatalf("page %s: got %d %s, expected 200", page, code, text)
 		}
 		golden.Compare(t, file, withoutTimes(t, text))
 	}
@@ -153,10 +153,10 @@
 		t.Fatal(err)
 	}
 	if a, b := slices.Sorted(maps.Keys(want)), slices.Sorted(maps.Keys(got)); !slices.Equal(a, b) {
-		t.Errorf("the status page has keys %v, want %v", b, a)
+		t.Errorf("the status page has keys %v, expected %v", b, a)
 	}
 	if got["folder"] != "none" || !reflect.DeepEqual(got["sections"], []any{"freeze", "voters", "work", "zones"}) {
-		t.Errorf("status page: %s", text)
+		t.Errorf("status page: got %s, expected no folder and the sections freeze, voters, work and zones", text)
 	}
 
 	r := prometheus.NewRegistry()
@@ -188,7 +188,7 @@
 	golden.Compare(t, "form-work.cbor", args)
 	for _, key := range []string{"for_ms", "not_before", "id", "after"} {
 		if _, err := parseMaintenanceCommand(url.Values{key: {"x"}}); err == nil || !strings.HasPrefix(err.Error(), key+": ") {
-			t.Errorf("invalid field %s: %v", key, err)
+			t.Errorf("invalid field %s: got error %v, expected one that begins with the field", key, err)
 		}
 	}
 }
--- a/internal/fleet/agent/slow_start.go
+++ b/internal/fleet/agent/slow_start.go
@@ -71,23 +71,24 @@
 	return servers
 }
 
-// maySend returns a function that returns true if a gateway may send to a server, by the status of the server's zone
-// for the gateway's zone.
+// maySend returns a function that returns true if a gateway may send to a server. The status of the server's zone for
+// the gateway's zone decides.
 func (a *Agent) maySend(servers []slowstart.Server, statuses evacuation.Statuses) func(gateway string, server uint32) bool {
 	zones := map[uint32]string{}
 	for _, s := range servers {
 		zones[s.ID] = s.Zone
 	}
 	type path struct{ from, to string }
-	rules := map[path]func(gateway string) bool{} // one per path, because the allocator asks for every pair of gateway and server
+	// There is one rule per path, because the allocator calls the returned function for every pair of gateway and server.
+	rules := map[path]func(gateway string) bool{}
 	return func(gateway string, server uint32) bool {
 		from, _ := a.zones.ZoneOf(gateway)
 		p := path{from, zones[server]}
 		rule := rules[p]
 		if rule == nil {
-			status, evacuated := statuses.For(p.from, p.to)
+			status, hasStatus := statuses.For(p.from, p.to)
 			rule = func(gateway string) bool {
-				return !evacuated || status.State == evacuation.Returning ||
+				return !hasStatus || status.State == evacuation.Returning ||
 					status.State == evacuation.Probing && slices.Contains(status.Probers, gateway)
 			}
 			rules[p] = rule
--- a/internal/fleet/agent/status.go
+++ b/internal/fleet/agent/status.go
@@ -30,8 +30,8 @@
 	Name           string              `json:"name"`
 	Fleet          string              `json:"fleet"`
 	Leader         string              `json:"leader"`
-	LeaderAge      int64               `json:"leader_ms"`        // time since the last sign of the leader in ms
-	Quorum         bool                `json:"quorum"`           // true if the view is fresh: a leader with a quorum confirmed it within the lease
+	LeaderAge      int64               `json:"leader_ms"`        // time since the last contact with the leader in ms
+	Quorum         bool                `json:"quorum"`           // true if a leader with a quorum confirmed the view within the lease
 	Epoch          fleet.Epoch         `json:"epoch"`            // epoch of the plan
 	Sections       []string            `json:"sections"`         // keys of the plan's sections, sorted
 	Frozen         *fleet.OperatorMark `json:"frozen,omitempty"` // operator's freeze of the plan; nil: none
--- a/internal/fleet/agent/storage_test.go
+++ b/internal/fleet/agent/storage_test.go
@@ -73,10 +73,10 @@
 	select {
 	case at := <-adopted:
 		if at.Less(epoch) {
-			t.Errorf("the voter with the stuck disk follows %v %v after %v was committed", at, time.Since(committedAt), epoch)
+			t.Errorf("the voter with the stuck disk follows epoch %v %v after epoch %v was committed", at, time.Since(committedAt), epoch)
 		}
 	case <-time.After(2 * maxAdoptionDelay):
-		t.Errorf("the voter with the stuck disk does not answer %v after %v was committed", time.Since(committedAt), epoch)
+		t.Errorf("the voter with the stuck disk does not answer %v after epoch %v was committed", time.Since(committedAt), epoch)
 		release()
 		<-adopted
 	}
