--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -28,12 +28,12 @@
 		}
 		(&delegate{g}).NotifyLeave(n)
 		if got := g.members["g3"].State; got != "gone" {
-			t.Errorf("state of a dead member: %s", got)
+			t.Errorf("state of a dead member is %s, expected gone", got)
 		}
 		n.State = memberlist.StateLeft
 		(&delegate{g}).NotifyLeave(n)
 		if got := g.members["g3"].State; got != "left" {
-			t.Errorf("state of a member that left: %s", got)
+			t.Errorf("state of a member that left is %s, expected left", got)
 		}
 	}
 }
--- a/internal/fleet/gossip/gossip.go
+++ b/internal/fleet/gossip/gossip.go
@@ -34,7 +34,7 @@
 	Keyring      string            // path of a file with a base64 key per line, of which the first encrypts; empty: only loopback is allowed
 	Metadata     Metadata
 	Receive      func([]byte)             // handles a message from a member; called from several goroutines, must not block or keep the bytes
-	StateChanged func(name, state string) // handles a change of a member to alive, dead or left; called from several goroutines, must not block
+	StateChanged func(name, state string) // handles a change to alive, dead or left; called from several goroutines, must not block
 	Log          *zap.Logger
 }
 
--- a/internal/fleet/gossip/join.go
+++ b/internal/fleet/gossip/join.go
@@ -7,7 +7,7 @@
 
 const (
 	maxCandidates  = 4096 // limit on the addresses of AddCandidates
-	aloneJoinCount = 5    // addresses per round that a member without any other member tries to join; with others it tries one
+	aloneJoinCount = 5    // number of addresses that a member joins per round while it knows no other member; otherwise it joins one
 )
 
 // AddCandidates replaces the addresses, by name, at which members may be found. They are hints: a missing address is
@@ -36,8 +36,8 @@
 	return addresses[:min(limit, len(addresses))]
 }
 
-// missingMembers returns NAME/HOST:PORT of the candidates and seeds that are not alive, and of the members that died.
-// Of the members that left, it returns only candidates and seeds.
+// missingMembers returns NAME/HOST:PORT of the candidates and seeds that are not alive, and of the dead members. It
+// omits a member that left, unless it is a candidate or a seed.
 func (g *Gossip) missingMembers() []string {
 	addresses := g.missingCandidates()
 	for _, seed := range g.options.Seeds {
--- a/internal/fleet/gossip/members.go
+++ b/internal/fleet/gossip/members.go
@@ -16,7 +16,7 @@
 	StateLeft    = "left"    // the member announced that it leaves
 )
 
-// Metadata describes a member to the others. It does not change during the life of a process.
+// Metadata describes a member to the others. It does not change while a process runs.
 type Metadata struct {
 	Zone    string `cbor:"1,keyasint" json:"zone"`
 	Region  string `cbor:"2,keyasint,omitempty" json:"region,omitempty"`
--- a/internal/fleet/gossip/transport.go
+++ b/internal/fleet/gossip/transport.go
@@ -12,7 +12,7 @@
 )
 
 const (
-	acceptQueueSize     = 256                   // limit on the queued packets, and on the queued streams, for the library; more are lost, as on the network
+	acceptQueueSize     = 256                   // limit on the packets, and on the streams, that wait for the library; more are lost, as on the network
 	maxPacket           = 64 << 10              // size in bytes of the buffer for a received packet
 	receiveBuffer       = 1 << 20               // size in bytes of the socket's receive buffer; the system may grant less
 	acceptRetryInterval = 10 * time.Millisecond // pause after a failed accept, such as while the process has no free descriptor
--- a/internal/fleet/voterstore/golden_test.go
+++ b/internal/fleet/voterstore/golden_test.go
@@ -36,12 +36,12 @@
 	t.Helper()
 	want := goldenState()
 	if err != nil || got == nil {
-		t.Fatalf("read %+v, error %v", got, err)
+		t.Fatalf("read %+v, error %v, expected a state", got, err)
 	}
 	if got.Identity != want.Identity || got.Generation != want.Generation || got.Promised != want.Promised ||
 		!proto.Equal(got.HardState, want.HardState) || !proto.Equal(got.Snapshot, want.Snapshot) ||
 		!slices.EqualFunc(got.Entries, want.Entries, func(a, b *raftpb.Entry) bool { return proto.Equal(a, b) }) {
-		t.Errorf("read %+v, want %+v", got, want)
+		t.Errorf("read %+v, expected %+v", got, want)
 	}
 }
 
@@ -73,7 +73,7 @@
 	s := goldenState()
 	blank := *s
 	blank.HardState, blank.Snapshot, blank.Entries = nil, nil, nil
-	for name, saves := range map[string][]fleet.StorageUpdate{
+	for name, updates := range map[string][]fleet.StorageUpdate{
 		"replacement": {{Replacement: s}},
 		"updates":     {{Replacement: &blank}, {Snapshot: s.Snapshot}, {HardState: s.HardState, Entries: s.Entries[:1]}, {Entries: s.Entries[1:]}},
 	} {
@@ -83,7 +83,7 @@
 			if err != nil || found != nil {
 				t.Fatal(found, err)
 			}
-			for _, update := range saves {
+			for _, update := range updates {
 				if err := store.Save(update); err != nil {
 					t.Fatal(err)
 				}
@@ -99,7 +99,7 @@
 	}
 }
 
-// TestGoldenStoreIsRead checks that Open reads the store in the golden file, which this package has not written.
+// TestGoldenStoreIsRead checks that Open reads a store with the content of the golden file, which the test writes without this package.
 func TestGoldenStoreIsRead(t *testing.T) {
 	dir := t.TempDir()
 	db, err := bbolt.Open(filepath.Join(dir, "fleet.db"), 0o640, nil)
--- a/internal/fleet/voterstore/voterstore.go
+++ b/internal/fleet/voterstore/voterstore.go
@@ -21,7 +21,7 @@
 
 const (
 	fileName    = "fleet.db"
-	lockTimeout = 2 * time.Second // time for a process that is being replaced to exit
+	lockTimeout = 2 * time.Second // time to wait for the lock, which a process that is being replaced may still hold
 )
 
 // Buckets and keys of the file. The keys of the log are the indexes of its entries. Numbers are big-endian.
