--- a/internal/fleet/agent/golden_fleet_test.go
+++ b/internal/fleet/agent/golden_fleet_test.go
@@ -40,7 +40,7 @@
 		golden.Compare(t, name, append(text, '\n'))
 		var got Status
 		if err := json.Unmarshal(golden.Read(t, name), &got); err != nil || !reflect.DeepEqual(got, s) {
-			t.Errorf("%s: read as %+v, %v", name, got, err)
+			t.Errorf("%s: read as %+v, error %v", name, got, err)
 		}
 	}
 }
--- a/internal/fleet/doc.go
+++ b/internal/fleet/doc.go
@@ -3,6 +3,6 @@
 // member applies.
 //
 // Like raft's own package it does no I/O, reads no clock and starts no goroutines. The owner of a Node passes
-// it the time and the received messages, stores and sends what it returns, and learns of changes from its
-// events. docs/design/fleet.md describes the guarantees of the fleet.
+// it the time and the received messages, stores and sends what it returns, and reacts to the events that
+// report changes. docs/design/fleet.md describes the guarantees of the fleet.
 package fleet
--- a/internal/fleet/evacuation/golden_test.go
+++ b/internal/fleet/evacuation/golden_test.go
@@ -31,7 +31,7 @@
 		p := fleet.Plan{Sections: map[string]cbor.RawMessage{"zones": golden.Read(t, name+".cbor")}}
 		got := Statuses{}
 		if _, err := p.Section(Section, &got); err != nil || !reflect.DeepEqual(got, v) {
-			t.Errorf("%s: read as %+v, %v", name, got, err)
+			t.Errorf("%s: read as %+v, error %v", name, got, err)
 		}
 		text, err := json.Marshal(v)
 		if err != nil {
@@ -40,7 +40,7 @@
 		golden.Compare(t, name+".json", text)
 		got = Statuses{}
 		if err := json.Unmarshal(golden.Read(t, name+".json"), &got); err != nil || !reflect.DeepEqual(got, v) {
-			t.Errorf("%s: read as %+v, %v", name, got, err)
+			t.Errorf("%s: read as %+v, error %v", name, got, err)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 		}
 		golden.Compare(t, name+".cbor", c.Encode())
 		if got, err := decode(golden.Read(t, name+".cbor")); err != nil || got != c {
-			t.Errorf("%s: read as %+v, %v", name, got, err)
+			t.Errorf("%s: read as %+v, error %v", name, got, err)
 		}
 	}
 	if got := slices.Sorted(maps.Keys(Commands())); !slices.Equal(got, []string{"leave", "return"}) {
--- a/internal/fleet/evacuation/probe.go
+++ b/internal/fleet/evacuation/probe.go
@@ -13,9 +13,9 @@
 // Backoff of probes. A failed probe costs two attempts and a failed return many, so the delay grows faster after failed returns.
 const (
 	returnBackoff    = 3.0 // factor on the delay for each failed return
-	maxReturnBackoff = 6   // number of failed returns beyond which the delay stays
+	maxReturnBackoff = 6   // number of failed returns beyond which the delay no longer grows
 	probeBackoff     = 1.5 // factor on the delay for each failed probe
-	maxProbeBackoff  = 12  // number of failed probes beyond which the delay stays
+	maxProbeBackoff  = 12  // number of failed probes beyond which the delay no longer grows
 	backoffJitter    = 0.2 // largest fraction of the delay that the jitter adds
 )
 
--- a/internal/fleet/gossip/golden_test.go
+++ b/internal/fleet/gossip/golden_test.go
@@ -49,6 +49,6 @@
 	golden.Compare(t, "member.json", text)
 	var got Member
 	if err := json.Unmarshal(golden.Read(t, "member.json"), &got); err != nil || got != m {
-		t.Errorf("read as %+v, %v", got, err)
+		t.Errorf("read as %+v, error %v", got, err)
 	}
 }
--- a/internal/fleet/gossip/members.go
+++ b/internal/fleet/gossip/members.go
@@ -20,7 +20,7 @@
 type Metadata struct {
 	Zone    string `cbor:"1,keyasint" json:"zone"`
 	Region  string `cbor:"2,keyasint,omitempty" json:"region,omitempty"`
-	Number  int    `cbor:"3,keyasint" json:"number"`
+	Number  int    `cbor:"3,keyasint" json:"number"` // number of the gateway (Settings.Self)
 	Version string `cbor:"4,keyasint" json:"version"`
 	Role    string `cbor:"5,keyasint" json:"role"`
 }
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -22,7 +22,7 @@
 	sentStatuses [statusRingSize]sentStatus // indexed by sequence number modulo statusRingSize
 	freshUntil   time.Duration
 	payload      []byte // payload of the last accepted grant
-	grantSeq     uint64 // sequence number of the status that the grant answers; 0 before the first grant
+	grantSeq     uint64 // sequence number of the status that the last accepted grant answers; 0 before the first
 	grantUntil   time.Duration
 	expired      bool // true if the grant was expired at the last check
 }
--- a/internal/fleet/maintenance/golden_test.go
+++ b/internal/fleet/maintenance/golden_test.go
@@ -42,7 +42,7 @@
 		golden.Compare(t, name+".cbor", EncodeSection(schedule)["work"])
 		p := fleet.Plan{Sections: map[string]cbor.RawMessage{"work": golden.Read(t, name+".cbor")}}
 		if got, err := Read(&p); err != nil || !reflect.DeepEqual(got, schedule) {
-			t.Errorf("%s: read as %+v, %v", name, got, err)
+			t.Errorf("%s: read as %+v, error %v", name, got, err)
 		}
 		text, err := json.MarshalIndent(schedule, "", "  ")
 		if err != nil {
@@ -51,7 +51,7 @@
 		golden.Compare(t, name+".json", text)
 		var got Schedule
 		if err := json.Unmarshal(golden.Read(t, name+".json"), &got); err != nil || !reflect.DeepEqual(got, schedule) {
-			t.Errorf("%s: read as %+v, %v", name, got, err)
+			t.Errorf("%s: read as %+v, error %v", name, got, err)
 		}
 	}
 }
@@ -61,18 +61,18 @@
 	for state, want := range map[State]string{Waiting: "", Announced: "announced", Released: "free", Returned: "back", OnHold: "held", Done: "done",
 		Cancelled: "cancelled"} {
 		if string(state) != want {
-			t.Errorf("%s, want %s", string(state), want)
+			t.Errorf("got state %s, expected %s", string(state), want)
 		}
 		if want == "" {
 			want = "waiting" // as operators read it
 		}
 		if got := state.String(); got != want {
-			t.Errorf("shown as %s, want %s", got, want)
+			t.Errorf("state shown as %s, expected %s", got, want)
 		}
 	}
 	for kind, want := range map[Kind]string{Restart: "restart", Replace: "replace", Off: "off"} {
 		if string(kind) != want {
-			t.Errorf("%s, want %s", kind, want)
+			t.Errorf("got kind %s, expected %s", kind, want)
 		}
 	}
 }
@@ -92,7 +92,7 @@
 		golden.Compare(t, name+".cbor", c.Encode())
 		var got Command
 		if err := cbor.Unmarshal(golden.Read(t, name+".cbor"), &got); err != nil || !reflect.DeepEqual(got, c) {
-			t.Errorf("%s: read as %+v, %v", name, got, err)
+			t.Errorf("%s: read as %+v, error %v", name, got, err)
 		}
 	}
 	if got := slices.Sorted(maps.Keys(Commands())); !slices.Equal(got, []string{"work-cancel", "work-done", "work-gone", "work-hold",
@@ -123,7 +123,7 @@
 		golden.Compare(t, name+".json", text)
 		var got page
 		if err := json.Unmarshal(golden.Read(t, name+".json"), &got); err != nil || !reflect.DeepEqual(got, v) {
-			t.Errorf("%s: read as %+v, %v", name, got, err)
+			t.Errorf("%s: read as %+v, error %v", name, got, err)
 		}
 	}
 }
--- a/internal/fleet/memberregistry/golden_test.go
+++ b/internal/fleet/memberregistry/golden_test.go
@@ -78,7 +78,7 @@
 	select {
 	case got := <-members:
 		if !maps.Equal(got, map[string]string{"hall a/g1": "127.0.0.1:7001", "g2": "127.0.0.1:7002"}) {
-			t.Errorf("read as %v", got)
+			t.Errorf("Run reported the members %v, expected hall a/g1 and g2", got)
 		}
 	case <-ctx.Done():
 		t.Fatal("Run did not report both nodes")
--- a/internal/fleet/peers.go
+++ b/internal/fleet/peers.go
@@ -7,7 +7,7 @@
 
 const maxPeers = 4096 // limit on known members; further names are ignored, to bound memory
 
-// Peer is what this member knows of another member.
+// Peer is this member's view of another member.
 type Peer struct {
 	Name         string
 	Alive        bool          // true if gossip considers it alive
--- a/internal/fleet/slowstart/allocator.go
+++ b/internal/fleet/slowstart/allocator.go
@@ -3,7 +3,7 @@
 // proportion to their demand, and grants each gateway its part for a lease.
 //
 // The package has no clock, no goroutines and no I/O. Its types are not safe for concurrent use. The owner (package agent) calls
-// Allocator.Observe for each load report of a gateway and SetLeaderTerm whenever it learns which process leads. On the leader it calls
+// Allocator.Observe for each load report of a gateway, and SetLeaderTerm whenever its leadership may have changed. On the leader it calls
 // Allocate several times a second, and Grant for each report that it answers.
 //
 // docs/design/return.md describes the rules and the rejected alternatives.
--- a/internal/fleet/slowstart/allocator_test.go
+++ b/internal/fleet/slowstart/allocator_test.go
@@ -49,7 +49,7 @@
 	gateways          []*gateway
 	allocators        []*Allocator
 	leader            int // index of the leading gateway
-	formerLeader      int // index of the previous leader, which believes that it leads until formerLeaderUntil; -1: none
+	formerLeader      int // index of the previous leader, which acts as the leader until formerLeaderUntil; -1: none
 	formerLeaderUntil time.Duration
 	term, formerTerm  uint64
 	messages          []message
@@ -87,7 +87,7 @@
 	sim.term++
 }
 
-// termOf returns the term in which a gateway believes that it leads, or 0.
+// termOf returns the term in which a gateway acts as the leader, or 0.
 func (sim *simulation) termOf(i int) uint64 {
 	switch {
 	case i == sim.leader:
@@ -151,7 +151,7 @@
 	}
 }
 
-// receive delivers a message. A gateway that believes that it leads answers a report with a grant.
+// receive delivers a message. A gateway that acts as the leader answers a report with a grant.
 func (sim *simulation) receive(m message) {
 	g := sim.gateways[m.to]
 	if m.grant != nil { // an answer
--- a/internal/fleet/slowstart/budget.go
+++ b/internal/fleet/slowstart/budget.go
@@ -29,7 +29,8 @@
 	intervalStart time.Duration // time of the last backoff step
 }
 
-// warmth returns the lowest fraction of its full capacity that a server has reached. It grows linearly from StartCapacity to 1 over Span.
+// warmth returns a lower bound of the fraction of its full capacity that a server has reached. It grows linearly from StartCapacity to 1
+// over Span.
 func (a *Allocator) warmth(unixMS int64, s Server) float64 {
 	age := time.Duration(unixMS-s.Since) * time.Millisecond
 	if s.Since <= 0 || age >= a.cfg.Span {
--- a/internal/fleet/slowstart/golden_test.go
+++ b/internal/fleet/slowstart/golden_test.go
@@ -15,7 +15,7 @@
 		}
 		golden.Compare(t, name+".cbor", grant.Encode())
 		if got, ok := Read(golden.Read(t, name+".cbor")); !ok || !reflect.DeepEqual(got, grant) {
-			t.Errorf("%s: read as %+v, %v", name, got, ok)
+			t.Errorf("%s: read as %+v, ok %v", name, got, ok)
 		}
 	}
 }
