--- a/internal/fleet/gossip/members.go
+++ b/internal/fleet/gossip/members.go
@@ -16,11 +16,11 @@
 	StateLeft    = "left"    // the member announced that it leaves
 )
 
-// Metadata describes a member to the others. It does not change during the life of a process.
+// Metadata describes a member to the others. It does not change while a process runs.
 type Metadata struct {
 	Zone    string `cbor:"1,keyasint" json:"zone"`
 	Region  string `cbor:"2,keyasint,omitempty" json:"region,omitempty"`
-	Number  int    `cbor:"3,keyasint" json:"number"`
+	Number  int    `cbor:"3,keyasint" json:"number"` // number of the gateway (Settings.Self)
 	Version string `cbor:"4,keyasint" json:"version"`
 	Role    string `cbor:"5,keyasint" json:"role"`
 }
