--- a/cmd/dewhitch/drain_calls_test.go
+++ b/cmd/dewhitch/drain_calls_test.go
@@ -26,7 +26,7 @@
 	}
 	evacuate(t, env)
 	if !eventually(registered(false)) {
-		t.Error("the planner is still registered while drained")
+		t.Error("the planner is still registered while drained, expected its removal from the registry")
 	}
 	if answer := adminCall(t, env.adminAddr, "activate"); answer != "YES" {
 		t.Fatalf("activate is answered %q, expected YES", answer)
--- a/cmd/dewhitch/fleet_test.go
+++ b/cmd/dewhitch/fleet_test.go
@@ -148,10 +148,10 @@
 		for path, want := range map[string]bool{"/metrics": true, "/fleet": fleet, "/ledger": false} {
 			status, text := getOperatorPage(t, operatorAddr, path)
 			if (status == http.StatusOK) != want {
-				t.Errorf("with a fleet file: %v: %s: wrong status %d", fleet, path, status)
+				t.Errorf("with a fleet file: %v: %s: got status %d, expected OK only for the pages that the gateway has", fleet, path, status)
 			}
 			if path == "/metrics" && strings.Contains(text, "dewhitch_fleet_") != fleet {
-				t.Errorf("with a fleet file: %v: wrong metrics of the fleet in %s", fleet, text)
+				t.Errorf("with a fleet file: %v: expected metrics of the fleet only with the file, got %s", fleet, text)
 			}
 		}
 		// The listener starts before the gateway has read the endpoint list.
@@ -169,7 +169,7 @@
 	t.Helper()
 	answer, err := http.Get("http://" + operatorAddr + path)
 	if err != nil {
-		t.Fatalf("the operators' listener: %v", err)
+		t.Fatalf("requesting a page of the operators' listener: %v", err)
 	}
 	defer answer.Body.Close()
 	body, err := io.ReadAll(answer.Body)
@@ -185,7 +185,7 @@
 	p, operatorAddr := startSingleGatewayAt(t, false, "")
 	if c, err := standin.Dial(operatorAddr, time.Second); err == nil {
 		c.Close()
-		t.Errorf("something listens at %s", operatorAddr)
+		t.Errorf("a connection to %s is accepted, expected no listener", operatorAddr)
 	}
 	listeners, err := os.ReadFile(fmt.Sprintf("/proc/%d/net/tcp", p.Program().Cmd.Process.Pid))
 	if err != nil {
--- a/cmd/dewhitch/fleet_watcher.go
+++ b/cmd/dewhitch/fleet_watcher.go
@@ -44,6 +44,7 @@
 	w.agent.AttemptCounter().AttemptEnded(fleetAttemptID(id), outcome, uint32(result.Load.Queue), uint32(result.Load.Inflight))
 }
 
+// fleetAttemptID converts the planner's id of an attempt to the agent's.
 func fleetAttemptID(id core.AttemptID) agent.AttemptID {
 	return agent.AttemptID{Request: string(id.RequestID), Attempt: id.Number}
 }
--- a/cmd/dewhitch/golden_fleet_test.go
+++ b/cmd/dewhitch/golden_fleet_test.go
@@ -75,7 +75,7 @@
 		c.Env = append(c.Environ(), "TZ=UTC")
 		out, err := c.Output()
 		if err != nil {
-			t.Errorf("%v: %v", args, err)
+			t.Errorf("fleet %v: got the error %v, expected none", args, err)
 		}
 		return out
 	}
@@ -111,7 +111,7 @@
 		out := run(strings.Fields(c.line)...)
 		for _, s := range c.shows {
 			if !strings.Contains(string(out), s) {
-				t.Errorf("%s: no %q in\n%s", c.line, s, out)
+				t.Errorf("%s: expected %q in the output, got\n%s", c.line, s, out)
 			}
 		}
 	}
--- a/cmd/dewhitch/golden_test.go
+++ b/cmd/dewhitch/golden_test.go
@@ -139,7 +139,7 @@
 	golden.Compare(t, "calls", answers.Bytes())
 	select {
 	case err := <-served:
-		t.Errorf("the admin server ended with %v", err)
+		t.Errorf("the admin server ended with %v before the test did", err)
 	default:
 	}
 }
--- a/cmd/dewhitch/handover_test.go
+++ b/cmd/dewhitch/handover_test.go
@@ -124,7 +124,7 @@
 	}
 	old.cmd.Process.Signal(syscall.SIGTERM)
 	if err := old.wait(); err != nil {
-		t.Fatalf("the old process ended with %v\n%s", err, old.log())
+		t.Fatalf("the old process ended with %v, expected no error\n%s", err, old.log())
 	}
 	if got := sendQuery(t, env.listenAddr, "a2"); !strings.HasPrefix(got, "-BUSY") {
 		t.Fatalf("with its only server excluded, the new process answered %q, expected -BUSY\n%s", got, next.log())
@@ -163,12 +163,12 @@
 		}
 		old := startProcess()
 		if servedBefore := send(14); servedBefore < 11 { // by then little of the quota remains, and a few snapshots are written
-			t.Fatalf("the old process served %d of 14 requests, the last answer is %q\n%s", servedBefore, lastAnswer, old.log())
+			t.Fatalf("the old process served %d of 14 requests, expected at least 11; the last answer is %q\n%s", servedBefore, lastAnswer, old.log())
 		}
 		next := startProcess()
 		old.cmd.Process.Signal(syscall.SIGTERM)
 		if err := old.wait(); err != nil {
-			t.Fatalf("the old process ended with %v\n%s", err, old.log())
+			t.Fatalf("the old process ended with %v, expected no error\n%s", err, old.log())
 		}
 		served[mode] = send(8)
 		if text := adminCall(t, env.adminAddr, "telemetry"); strings.Contains(text, `"snapshot_loaded":1`) != (mode == "auto") {
--- a/cmd/dewhitch/large_list_test.go
+++ b/cmd/dewhitch/large_list_test.go
@@ -64,7 +64,7 @@
 	line, _, _ := strings.Cut(adminCall(t, env.adminAddr, "telemetry"), "\n")
 	figures := map[string]any{}
 	if err := json.Unmarshal([]byte(line), &figures); err != nil {
-		t.Fatalf("%v: %s", err, line)
+		t.Fatalf("decoding the answer to telemetry: %v: %s", err, line)
 	}
 	value, _ := figures[name].(float64)
 	return int64(value)
@@ -132,6 +132,6 @@
 		t.Fatalf("the servers that stay up received fewer than 200 further requests\n%s", p.log())
 	}
 	if after := f.commandsSentTo(drainingGroup); after != before {
-		t.Errorf("%d requests were sent to draining servers after the list was applied", after-before)
+		t.Errorf("%d requests were sent to draining servers after the list was applied, expected none", after-before)
 	}
 }
--- a/cmd/dewhitch/large_test.go
+++ b/cmd/dewhitch/large_test.go
@@ -115,6 +115,7 @@
 	r *bufio.Reader
 }
 
+// dialLarge connects a largeClient, with small receive and read buffers.
 func dialLarge(t *testing.T, env *environment) *largeClient {
 	conn, err := net.Dial("tcp", env.listenAddr)
 	if err != nil {
@@ -126,6 +127,7 @@
 	return &largeClient{conn, bufio.NewReaderSize(conn, 4<<10)}
 }
 
+// largeQuery returns an encoded query that serveLarge answers with the id's large value.
 func largeQuery(id string) []byte {
 	return encode("SVC.QUERY 00000000b4d65521 " + id + " c=lookup,t=wide,d=60000,units=1,spread=2,first=0")
 }
--- a/cmd/dewhitch/ledger_test.go
+++ b/cmd/dewhitch/ledger_test.go
@@ -218,10 +218,10 @@
 		body = getPage(t, env.operatorAddr, "/metrics")
 		return !slices.ContainsFunc(want, missingFromBody)
 	}) {
-		t.Fatalf("no page has all of %q; the last is\n%s", want, body)
+		t.Fatalf("no page of /metrics has all of %q; the last one is\n%s", want, body)
 	}
 	if strings.Contains(body, "0000000000000007") {
-		t.Error("the metrics contain the number of a customer")
+		t.Error("the metrics contain the number of a customer, expected none")
 	}
 	if lines := getPage(t, env.operatorAddr, "/ledger"); !strings.Contains(lines, `{"plan":"forty","class":"lookup","counts":{"taken":2,"served":2`) {
 		t.Error(lines)
--- a/cmd/dewhitch/limits_test.go
+++ b/cmd/dewhitch/limits_test.go
@@ -17,13 +17,14 @@
 	"dewhitch/internal/standin/zookeeper"
 )
 
-// client is the connection of a customer's booking system to a gateway or a forwarder.
+// client is the connection of a customer's booking system to a gateway or a forwarder. Its faults are reported to t.
 type client struct {
 	t *testing.T
 	net.Conn
 	r *bufio.Reader
 }
 
+// dial connects a client to an address, with a deadline for all reads and writes. The connection is closed at the end of the test.
 func dial(t *testing.T, addr string) *client {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -95,10 +96,12 @@
 	return fmt.Sprintf("SVC.QUERY %016x a%d-%d c=lookup,%s", customer, customer, i, fortyPlanArgs)
 }
 
+// limitQuery returns a query of the units that remain to a customer.
 func limitQuery(customer int) string {
 	return fmt.Sprintf("LIMIT.GET %016x %s", customer, fortyPlanArgs)
 }
 
+// adjustCommand returns a command that takes units from a customer's quota.
 func adjustCommand(customer, units int) string {
 	return fmt.Sprintf("LIMIT.ADJUST %016x %d %s", customer, units, fortyPlanArgs)
 }
@@ -146,7 +149,7 @@
 				t.Errorf("customer %d: got %v units remaining after %d to %d bookings", customer, remaining, served, bookings)
 			}
 			if a := c.readAnswer(); a != strconv.Itoa(units) {
-				t.Errorf("customer %d: taking %d units is answered %q", customer, units, a)
+				t.Errorf("customer %d: taking %d units is answered %q, expected their number", customer, units, a)
 			}
 			c.write(limitQuery(customer))
 			remaining, _ := c.readRemaining()
@@ -161,7 +164,7 @@
 			}
 			c.readRemaining()
 			if a := c.readAnswer(); a != strconv.Itoa(int(remaining-0.5)) {
-				t.Errorf("customer %d: taking the last %d units is answered %q", customer, int(remaining-0.5), a)
+				t.Errorf("customer %d: taking the last %d units is answered %q, expected their number", customer, int(remaining-0.5), a)
 			}
 			remaining, replenishedAfter := c.readRemaining()
 			checkRemaining(t, env, customer, remaining)
@@ -272,7 +275,7 @@
 	f.expireSession()
 	c.write(adjustCommand(3, 1), limitQuery(3))
 	if a := c.readAnswer(); a != "1" {
-		t.Errorf("after the planner registered again, an adjustment by 1 is answered %q", a)
+		t.Errorf("after the planner registered again, an adjustment by 1 is answered %q, expected 1", a)
 	}
 	f.checkRemaining()
 
@@ -293,7 +296,7 @@
 	f.env.counter.SetMode("add")
 	c.write(adjustCommand(3, 2), limitQuery(3))
 	if a := c.readAnswer(); a != "2" {
-		t.Errorf("after the kill, an adjustment by 2 is answered %q\n%s", a, f.forwarder.log())
+		t.Errorf("after the kill, an adjustment by 2 is answered %q, expected 2\n%s", a, f.forwarder.log())
 	}
 	f.checkRemaining()
 	f.registry.Expire(f.registry.Owner(registryNode(0)))
@@ -327,7 +330,7 @@
 		}
 	}
 	if served == 0 {
-		t.Error("none of the commands was served")
+		t.Error("none of the commands was served, expected at least one")
 	}
 }
 
--- a/cmd/dewhitch/player_test.go
+++ b/cmd/dewhitch/player_test.go
@@ -52,7 +52,7 @@
 func TestExchanges(t *testing.T) {
 	files, err := filepath.Glob("testdata/*.txt")
 	if err != nil || len(files) == 0 {
-		t.Fatal("no recordings", err)
+		t.Fatal("testdata has no recordings", err)
 	}
 	for _, f := range files {
 		t.Run(strings.TrimSuffix(filepath.Base(f), ".txt"), func(t *testing.T) {
--- a/cmd/dewhitch/process_test.go
+++ b/cmd/dewhitch/process_test.go
@@ -184,7 +184,7 @@
 func (env *environment) runToFailure(args ...string) string {
 	out, err := env.command(args...).CombinedOutput()
 	if err == nil {
-		env.t.Fatalf("the program ended without an error: %s", out)
+		env.t.Fatalf("the program ended without an error, expected one: %s", out)
 	}
 	return string(out)
 }
--- a/cmd/dewhitch/redis_test.go
+++ b/cmd/dewhitch/redis_test.go
@@ -74,7 +74,7 @@
 	check("QUIT", answer, err, "OK")
 	time.Sleep(time.Millisecond)
 	if _, err := quit.Do(ctx, "PING").Result(); err == nil {
-		t.Error("the session still answers after QUIT")
+		t.Error("the session still answers after QUIT, expected its end")
 	}
 }
 
--- a/cmd/dewhitch/repeat_window_test.go
+++ b/cmd/dewhitch/repeat_window_test.go
@@ -42,7 +42,7 @@
 	repeat := env.nextBackendCommand()
 	repeat.SetReadDeadline(firstAttemptAt.Add(repeatWindow + ruleSlack + maxProcessStall))
 	if _, err := repeat.r.ReadByte(); errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the repeat is open %v after the first attempt, which servers forget after %v\n%s", time.Since(firstAttemptAt),
+		t.Errorf("the repeat is still open %v after the first attempt, expected its end when servers forget that, after %v\n%s", time.Since(firstAttemptAt),
 			repeatWindow, p.log())
 	}
 	c.SetReadDeadline(firstAttemptAt.Add(4 * time.Second))
--- a/cmd/dewhitch/snapshot_commands.go
+++ b/cmd/dewhitch/snapshot_commands.go
@@ -55,6 +55,7 @@
 	return w.Flush()
 }
 
+// printServers writes a row for each server, with the number of classes that have failures there.
 func printServers(w io.Writer, state *dw.State) {
 	fmt.Fprintln(w, "\nserver\tlatency\tmeasured before\tclasses that failed")
 	for _, s := range state.Servers {
@@ -71,6 +72,7 @@
 	}
 }
 
+// printCustomers writes a row for each customer, and sorts the customers by level. The last column is true for a blocked customer.
 func printCustomers(w io.Writer, state *dw.State, plans []snapshot.Plan) {
 	fmt.Fprintln(w, "\ncustomer\tplan\tlevel\town use/s\tothers' use/s\tcount\tlisted")
 	slices.SortFunc(state.Customers, func(a, b dw.AccountState) int { return int(min(1, max(-1, a.Level-b.Level))) })
--- a/internal/drill/expectation.go
+++ b/internal/drill/expectation.go
@@ -28,6 +28,7 @@
 	c.result.UnmetExpectations = append(c.result.UnmetExpectations, c.Pos+": "+fmt.Sprintf(format, a...))
 }
 
+// checkRequests checks the bounds on served, lost and excused requests.
 func (c *expectCheck) checkRequests() {
 	r := c.result
 	if r.Served < c.MinServed {
@@ -44,6 +45,7 @@
 	}
 }
 
+// checkWork checks the number of machines whose maintenance is complete.
 func (c *expectCheck) checkWork() {
 	completed := 0
 	if c.result.Work != nil {
@@ -54,6 +56,7 @@
 	}
 }
 
+// checkReturns checks the overload of restarted servers, and in a fleet the time until they have their full rate.
 func (c *expectCheck) checkReturns() {
 	for _, slowStart := range c.result.SlowStarts {
 		if c.MaxOverload > 0 && slowStart.MaxExcessRatio > c.MaxOverload {
@@ -65,6 +68,7 @@
 	}
 }
 
+// checkFleet checks the bounds on the fleet's decisions. Without the fleet view it checks nothing.
 func (c *expectCheck) checkFleet() {
 	f := c.result.Fleet
 	if f == nil {
@@ -81,6 +85,7 @@
 	}
 }
 
+// checkSent checks the number of attempts that arrived at the targets between From and To.
 func (c *expectCheck) checkSent(cluster *cluster) {
 	if c.MaxSent < 0 || len(c.Targets) == 0 {
 		return
--- a/internal/drill/fleetlog.go
+++ b/internal/drill/fleetlog.go
@@ -42,6 +42,7 @@
 // founding, then by number.
 type epoch struct{ founding, number uint64 }
 
+// less returns true if e is older than other.
 func (e epoch) less(other epoch) bool {
 	return e.founding < other.founding || e.founding == other.founding && e.number < other.number
 }
--- a/internal/drill/load.go
+++ b/internal/drill/load.go
@@ -76,6 +76,7 @@
 	openRequests int                          // number of requests without an outcome yet
 }
 
+// newLoadGenerator returns the load generator of a cluster. It has no connections yet.
 func newLoadGenerator(cluster *cluster) *loadGenerator {
 	return &loadGenerator{cluster: cluster, idle: map[string][]*standin.Client{}}
 }
@@ -167,6 +168,7 @@
 	}
 }
 
+// addOpenRequests adds delta to the number of requests without an outcome.
 func (l *loadGenerator) addOpenRequests(delta int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/drill/result.go
+++ b/internal/drill/result.go
@@ -164,6 +164,7 @@
 	return fault
 }
 
+// nameSet returns a set of the names.
 func nameSet(names []string) map[string]bool {
 	set := map[string]bool{}
 	for _, name := range names {
@@ -172,6 +173,7 @@
 	return set
 }
 
+// secondsSince converts times, by name, to seconds since from.
 func secondsSince(from time.Time, times map[string]time.Time) map[string]float64 {
 	since := map[string]float64{}
 	for name, at := range times {
--- a/internal/drill/returns_test.go
+++ b/internal/drill/returns_test.go
@@ -31,7 +31,7 @@
 		}
 		all := cluster.measureSlowStarts()
 		if len(all) != 1 {
-			t.Fatalf("%+v", all)
+			t.Fatalf("got the slow starts %+v, expected one", all)
 		}
 		return all[0]
 	}
--- a/internal/drill/rules.go
+++ b/internal/drill/rules.go
@@ -74,6 +74,7 @@
 	AttemptsLate  int `json:"begun_late"`   // attempts, including retries, whose first byte was sent beyond attemptBound
 }
 
+// newRuleChecker returns a checker of requests of these classes and plans. It has not observed anything yet.
 func newRuleChecker(classes []class, plans []standin.Plan) *ruleChecker {
 	r := &ruleChecker{
 		classes:           map[string]class{},
--- a/internal/drill/rules_test.go
+++ b/internal/drill/rules_test.go
@@ -9,7 +9,7 @@
 	"dewhitch/internal/standin"
 )
 
-// closedLink is a link on which the gateway closed the connection at a time, or has not closed it if the time is zero.
+// closedLink stands for a link: it holds the time at which the gateway closed the connection, or zero if it has not.
 type closedLink time.Time
 
 func (l closedLink) ClosedAt(string) time.Time { return time.Time(l) }
@@ -155,7 +155,7 @@
 		t.Errorf("%d violations at the ceiling's rate, expected none", n)
 	}
 	if countViolations(50*time.Millisecond) == 0 {
-		t.Error("no violation at twice the ceiling's rate")
+		t.Error("no violation at twice the ceiling's rate, expected at least one")
 	}
 }
 
@@ -178,7 +178,7 @@
 			end := now.Add(step.Delay)
 			jobs = append(jobs, job{end.Add(-time.Duration(m.workSeconds(id) * m.slowFactor * 1e9)), end})
 			if jobs[len(jobs)-1].from.Before(now.Add(-time.Microsecond)) {
-				t.Fatalf("a request starts before it arrives")
+				t.Fatalf("a request starts before it arrives, expected a start at its arrival or later")
 			}
 		}
 		for _, j := range jobs { // at the start of each request, at most as many are served as there are cores
@@ -209,7 +209,7 @@
 		return !m.failedAt.IsZero()
 	}
 	if failsAt(2) {
-		t.Error("a server in slow start failed at twice its capacity")
+		t.Error("a server in slow start failed at twice its capacity, expected failure at four times only")
 	}
 	if !failsAt(4) {
 		t.Error("a server in slow start did not fail at four times its capacity")
--- a/internal/drill/scenario_test.go
+++ b/internal/drill/scenario_test.go
@@ -18,7 +18,7 @@
 			t.Error(err)
 		}
 		if len(s.Description) < 10 || strings.HasPrefix(s.Description, "fleet") {
-			t.Errorf("scenario %s has no description in its first line", s.Name)
+			t.Errorf("scenario %s: expected a description of at least 10 bytes in its first line", s.Name)
 		}
 	}
 }
--- a/internal/standin/link/link_test.go
+++ b/internal/standin/link/link_test.go
@@ -60,7 +60,7 @@
 			}
 			n.Set(direction[0], direction[1], func(s *State) { s.Silent = true })
 			if echoes(c, 200*time.Millisecond) {
-				t.Error("an open connection delivers through a silent direction")
+				t.Error("an open connection delivers through a silent direction, expected nothing within 200ms")
 			}
 			if c, err := net.DialTimeout("tcp", l.Addr(), 300*time.Millisecond); err == nil {
 				t.Error("a new connection is established through a silent direction", c.LocalAddr())
@@ -192,7 +192,7 @@
 		time.Sleep(10 * time.Millisecond)
 		for len(received) > 0 {
 			if line := <-received; line != "" {
-				t.Fatalf("data of a closed connection was delivered after the outage: %q", line)
+				t.Fatalf("data of a closed connection was delivered after the outage: got %q, expected none", line)
 			}
 		}
 	}
@@ -246,7 +246,7 @@
 	}
 	far := <-remoteAddrs
 	if at := l.ClosedAt(far); !at.IsZero() {
-		t.Error("ClosedAt returns a time before the close:", at)
+		t.Error("ClosedAt returns a time before the close, expected zero; got:", at)
 	}
 	c.Close()
 	for deadline := time.Now().Add(5 * time.Second); l.ClosedAt(far).IsZero(); time.Sleep(time.Millisecond) {
@@ -284,13 +284,14 @@
 	}
 	n.Set("a", "b", func(s *State) { s.Loss = 1 })
 	if arrives(100 * time.Millisecond) {
-		t.Error("a datagram arrives through a direction with a loss of 1")
+		t.Error("a datagram arrives through a direction with a loss of 1, expected none")
 	}
 	if n.Bytes("a", "b") != 1 {
 		t.Errorf("%d bytes counted, expected 1", n.Bytes("a", "b"))
 	}
 }
 
+// connCount returns the number of open connections.
 func (l *Link) connCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/standin/listener.go
+++ b/internal/standin/listener.go
@@ -81,6 +81,7 @@
 // CloseWithReset stops listening and resets all connections, as a crash of the process does.
 func (l *Listener) CloseWithReset() { l.closeAll(resetConn) }
 
+// closeAll stops listening and closes each open connection with closeConn.
 func (l *Listener) closeAll(closeConn func(*net.TCPConn) error) {
 	l.listener.Close()
 	l.mu.Lock()
--- a/internal/standin/zookeeper/zookeeper_test.go
+++ b/internal/standin/zookeeper/zookeeper_test.go
@@ -11,8 +11,10 @@
 	"github.com/go-zookeeper/zk"
 )
 
+// testTimeout is the session timeout of the clients, and how long the tests wait for an event.
 const testTimeout = 10 * time.Second
 
+// connect opens a client session that ends with the test.
 func connect(t *testing.T, z *Server) *zk.Conn {
 	t.Helper()
 	c, _, err := zk.Connect([]string{z.Addr()}, testTimeout, zk.WithLogger(log.New(io.Discard, "", 0)))
@@ -33,6 +35,7 @@
 	return z
 }
 
+// expectEvent fails the test unless the next event, within testTimeout, has the wanted type.
 func expectEvent(t *testing.T, events <-chan zk.Event, want zk.EventType) {
 	t.Helper()
 	select {
@@ -107,7 +110,7 @@
 	}
 	for deadline := time.Now().Add(testTimeout); owner.State() != zk.StateHasSession || owner.SessionID() == session; time.Sleep(time.Millisecond) {
 		if time.Now().After(deadline) {
-			t.Fatal("the client has no new session within testTimeout")
+			t.Fatal("the client has no new session within testTimeout after the old one expired")
 		}
 	}
 	if _, err := owner.Create("/lease", nil, zk.FlagEphemeral, acl); err != nil || z.Owner("/lease") != owner.SessionID() {
