--- a/internal/drill/commandrules.go
+++ b/internal/drill/commandrules.go
@@ -16,7 +16,7 @@
 
 // leakyBucket counts a customer's requests against its ceiling. Its level falls at the ceiling's rate.
 type leakyBucket struct {
-	level     float64 // in requests, at updatedAt
+	level     float64 // number of requests in the bucket at updatedAt
 	updatedAt time.Time
 }
 
--- a/internal/drill/fleetlog.go
+++ b/internal/drill/fleetlog.go
@@ -64,7 +64,7 @@
 	Plans       int             `json:"plans"`         // number of plans that gateways applied
 	Evacuations int             `json:"leaves"`        // number of evacuations of zones or paths that the fleet decided
 	ApplyMedian float64         `json:"seen_median_s"` // median of the seconds that a gateway took to apply a plan (see PlanApplication)
-	ApplyWorst  float64         `json:"seen_worst_s"`  // longest of these times
+	ApplyWorst  float64         `json:"seen_worst_s"`  // longest time in seconds that a gateway took to apply a plan
 	Slowest     PlanApplication `json:"slowest"`       // application with the longest time
 	Leaders     []TimelineEvent `json:"leaders"`       // changes of the leader, as each gateway logged them
 }
--- a/internal/drill/rest.go
+++ b/internal/drill/rest.go
@@ -30,13 +30,13 @@
 type IdleFleetResult struct {
 	Processes   int     `json:"processes"`
 	FormTime    float64 `json:"formed_s"`              // seconds until every process had a fresh view
-	CPU         float64 `json:"cpu_ms_per_s"`          // mean over the processes
-	MaxCPU      float64 `json:"most_cpu_ms_per_s"`     // highest of a process
-	Sent        float64 `json:"sent_bytes_per_s"`      // mean over the processes
-	MaxSent     float64 `json:"most_sent_bytes_per_s"` // highest of a process
+	CPU         float64 `json:"cpu_ms_per_s"`          // mean processor time of a process, in ms per second
+	MaxCPU      float64 `json:"most_cpu_ms_per_s"`     // highest processor time of a process, in ms per second
+	Sent        float64 `json:"sent_bytes_per_s"`      // mean number of bytes that a process sent per second
+	MaxSent     float64 `json:"most_sent_bytes_per_s"` // highest number of bytes that a process sent per second
 	ApplyMedian float64 `json:"seen_median_s"`         // median of the seconds from the first process that applied a change
-	ApplyWorst  float64 `json:"seen_worst_s"`          // longest of these times
-	Memory      float64 `json:"resident_mb"`           // mean over the processes
+	ApplyWorst  float64 `json:"seen_worst_s"`          // longest time in seconds from the first to the last process that applied a change
+	Memory      float64 `json:"resident_mb"`           // mean resident memory of a process, in MB
 }
 
 // Bounds of the measurement of an idle fleet.
--- a/internal/drill/result.go
+++ b/internal/drill/result.go
@@ -24,7 +24,7 @@
 	Processes         int               `json:"processes"`
 	Requests          int               `json:"reqs"`
 	Served            float64           `json:"served"`                  // ratio of the value served in time
-	WorstServed       float64           `json:"worst_5s"`                // the same ratio in the worst five seconds
+	WorstServed       float64           `json:"worst_5s"`                // ratio of the value served in time in the worst five seconds
 	Outcomes          map[string]int    `json:"ends"`                    // number of requests by outcome
 	Lost              int               `json:"lost"`                    // number of requests without an answer
 	ViolationsByRule  map[string]int    `json:"rules"`                   // number of violations by rule
--- a/internal/drill/rules.go
+++ b/internal/drill/rules.go
@@ -14,7 +14,7 @@
 	ruleLost           = "lost"    // a request has no final answer
 	ruleInvalidAnswer  = "answers" // a gateway sends an answer to no request, or one that no server sent
 	ruleOverlap        = "two_out" // two attempts of a request are in flight at once
-	ruleRepeat         = "repeat"  // a request is sent again although its class does not allow that
+	ruleRepeat         = "repeat"  // a request is sent again although its class does not allow a repeat
 	ruleDrain          = "drain"   // an attempt arrives at a server that drains
 	ruleCeiling        = "ceiling" // a customer's requests exceed the plan's hard ceiling, over all gateways
 	ruleOverload       = "pushed"  // a server in slow start fails under overload
@@ -51,7 +51,7 @@
 	plans   map[string]standin.Plan
 
 	mu                sync.Mutex
-	histories         map[string]*commandHistory // by request ID
+	histories         map[string]*commandHistory // attempts and class of each request, by request ID
 	firstByKey        map[string]*arrival        // first attempt that may have run, by customer and idempotency key
 	departedWaitingAt map[string]time.Time       // time of the client's departure, by request ID, if no attempt had arrived by then
 	departedAt        map[string]time.Time       // time of the client's departure, by request ID
--- a/internal/drill/rules_test.go
+++ b/internal/drill/rules_test.go
@@ -112,7 +112,7 @@
 	for _, c := range []struct {
 		name                                      string
 		departedMillis, sentMillis, arrivedMillis int
-		earlier                                   bool // an attempt had arrived before the client departed
+		earlier                                   bool // true if an attempt had arrived before the client departed
 		wantViolations                            int
 	}{
 		{"written before", 100, 90, 300, false, 0},
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -15,8 +15,8 @@
 	Program        string // path of the built dewhitch binary
 	Dir            string // empty directory for the processes' files
 	Seed           uint64
-	Uncoordinated  bool      // run without the fleet view, whatever the scenario says
-	AnnounceFaults bool      // run without the fleet view; discovery lists servers with a fault as draining
+	Uncoordinated  bool      // true to run without the fleet view, whatever the scenario sets
+	AnnounceFaults bool      // true to run without the fleet view, and to list servers with a fault as draining
 	Progress       io.Writer // receives a progress line every second and the timeline; nil for none
 }
 
--- a/internal/soak/quota.go
+++ b/internal/soak/quota.go
@@ -161,7 +161,7 @@
 
 // bucket is a token bucket from which each command that the backends received takes a unit.
 type bucket struct {
-	level, rate, burst float64   // in units, units per second and units
+	level, rate, burst float64   // level and burst in units, rate in units per second
 	updatedAt          time.Time // time of the latest draw
 }
 
--- a/internal/standin/client.go
+++ b/internal/standin/client.go
@@ -43,7 +43,7 @@
 type Reply struct {
 	Kind  byte    // type byte: one of + - : $ *
 	Text  string  // content of any reply but an array
-	Null  bool    // set for a null bulk string or a null array
+	Null  bool    // true for a null bulk string or a null array
 	Items []Reply // elements of an array
 }
 
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -23,7 +23,7 @@
 	changed         *sync.Cond // signals a change of revision, or that a heartbeat is due
 	revision        int
 	members         string // endpoint list as a JSON array
-	completeUpdates bool   // updates to watches are marked as the complete list
+	completeUpdates bool   // true if updates to watches are marked as the complete list
 }
 
 // NewDiscovery starts a discovery agent whose endpoint list, a JSON array, has the given revision.
--- a/internal/standin/link/command_times.go
+++ b/internal/standin/link/command_times.go
@@ -10,7 +10,7 @@
 type commandTimes struct {
 	mu        sync.Mutex
 	startedAt time.Time // arrival of the first byte of the latest command; zero before any command
-	answered  bool      // set once bytes of the latest command's answer have arrived
+	answered  bool      // true once bytes of the latest command's answer have arrived
 }
 
 // observeBytes records the arrival of bytes, which belong to a command or, if command is false, to an answer.
--- a/internal/standin/link/conn.go
+++ b/internal/standin/link/conn.go
@@ -88,7 +88,7 @@
 // segment is the result of one read.
 type segment struct {
 	data          []byte    // empty if the sender has closed the connection or its sending side
-	reset         bool      // the sender closed the connection by a TCP reset
+	reset         bool      // true if the sender closed the connection by a TCP reset
 	deliverAt     time.Time // earliest time of delivery
 	outagesBefore int       // number of the direction's outages that ended before the segment was sent
 }
--- a/internal/standin/link/direction.go
+++ b/internal/standin/link/direction.go
@@ -8,8 +8,8 @@
 
 // State is the set of faults of one direction. In the zero State, everything is delivered at once.
 type State struct {
-	Silent  bool          // nothing is delivered; data that TCP would retransmit is delivered once the direction heals
-	Refused bool          // new connections are refused, and open ones are reset
+	Silent  bool          // true if nothing is delivered; data that TCP would retransmit is delivered once Silent is false
+	Refused bool          // true if new connections are refused and open ones are reset
 	Delay   time.Duration // delay of each segment and datagram
 	Jitter  time.Duration // upper bound of a further delay, which is drawn uniformly
 	Loss    float64       // fraction of the datagrams that are dropped, from 0 to 1
--- a/internal/standin/link/link.go
+++ b/internal/standin/link/link.go
@@ -31,7 +31,7 @@
 	mu             sync.Mutex
 	listener       *net.TCPListener // nil while connections are refused
 	acceptDone     chan struct{}    // closed once no goroutine accepts from listener
-	blackholed     bool             // set while new connections time out
+	blackholed     bool             // true while new connections time out
 	backlogFillers []net.Conn       // connections that keep the listener's backlog full while blackholed
 	conns          map[*conn]struct{}
 	connsByFarAddr map[string]*conn // keyed by the remote address that the target sees; kept for knownAfterClose
--- a/internal/standin/link/listener.go
+++ b/internal/standin/link/listener.go
@@ -66,7 +66,7 @@
 	}
 }
 
-// blackhole makes new connections time out, as over a cut wire: no goroutine accepts, and the backlog of one connection is full,
+// blackhole makes new connections time out, as over a cut cable: no goroutine accepts, and the backlog of one connection is full,
 // so that the kernel drops further SYNs. It first ends an accept in progress, which would take the connection that fills the
 // backlog. The listener can't be used again. l.mu is held.
 func (l *Link) blackhole() {
--- a/internal/standin/zookeeper/zookeeper.go
+++ b/internal/standin/zookeeper/zookeeper.go
@@ -145,7 +145,7 @@
 	defer z.mu.Unlock()
 	s := z.sessions[id]
 	if s == nil && id != 0 {
-		writeFrame(conn, int32(0), int32(0), int64(0), password) // session id 0 tells the client that its session has expired
+		writeFrame(conn, int32(0), int32(0), int64(0), password) // session id 0 means that the session has expired
 		return nil
 	}
 	if s == nil {
