--- a/internal/drill/rest.go
+++ b/internal/drill/rest.go
@@ -35,7 +35,7 @@
 	Sent        float64 `json:"sent_bytes_per_s"`      // mean number of bytes that a process sent per second
 	MaxSent     float64 `json:"most_sent_bytes_per_s"` // highest number of bytes that a process sent per second
 	ApplyMedian float64 `json:"seen_median_s"`         // median of the seconds from the first process that applied a change
-	ApplyWorst  float64 `json:"seen_worst_s"`          // longest time in seconds from the first to the last process that applied a change
+	ApplyWorst  float64 `json:"seen_worst_s"`          // longest time of a process to apply a change, counted as in ApplyMedian
 	Memory      float64 `json:"resident_mb"`           // mean resident memory of a process, in MB
 }
 
--- a/internal/drill/returns.go
+++ b/internal/drill/returns.go
@@ -10,11 +10,13 @@
 
 // SlowStartResult measures what all gateways together sent to a server after a restart.
 type SlowStartResult struct {
-	Server         string  `json:"server"`
-	At             float64 `json:"at"`    // time of the restart in seconds since the start of the load
-	MaxLoadRatio   float64 `json:"worst"` // highest ratio of the attempts in a second to the capacity, during slow start
-	MaxExcessRatio float64 `json:"slack"` // highest ratio of a second's attempts to the capacity plus three times its square root, which allows for chance
-	FullRateAfter  float64 `json:"full"`  // seconds until the server's rate reached fullRatio of the others'; 0 if it never did
+	Server       string  `json:"server"`
+	At           float64 `json:"at"`    // time of the restart in seconds since the start of the load
+	MaxLoadRatio float64 `json:"worst"` // highest ratio of the attempts in a second to the capacity, during slow start
+	// MaxExcessRatio is the highest ratio of the attempts in a second, during slow start, to the capacity plus three times its
+	// square root, which allows for chance.
+	MaxExcessRatio float64 `json:"slack"`
+	FullRateAfter  float64 `json:"full"` // seconds until the server's rate reached fullRatio of the others'; 0 if it never did
 }
 
 // serverRestart is one restart of a server.
--- a/internal/drill/run.go
+++ b/internal/drill/run.go
@@ -16,7 +16,7 @@
 	Dir            string // empty directory for the processes' files
 	Seed           uint64
 	Uncoordinated  bool      // true to run without the fleet view, whatever the scenario sets
-	AnnounceFaults bool      // true to run without the fleet view, and to list servers with a fault as draining
+	AnnounceFaults bool      // true to run without the fleet view, with discovery that lists servers with a fault as draining
 	Progress       io.Writer // receives a progress line every second and the timeline; nil for none
 }
 
