--- a/cmd/dewhitch/drain_calls_test.go
+++ b/cmd/dewhitch/drain_calls_test.go
@@ -53,7 +53,7 @@
 	p.cmd.Process.Signal(syscall.SIGCONT)
 	waitUntil(drainedAt.Add(recentRequestAge + 500*time.Millisecond))
 	server.serve("one")
-	c.SetReadDeadline(drainedAt.Add(drainTerm))
+	c.SetReadDeadline(drainedAt.Add(drainTimeLimit))
 	got, err := io.ReadAll(c.r)
 	if text := string(got); err != nil || text != "$3\r\none\r\n" && text != "$3\r\none\r\n-BUSY\r\n" {
 		t.Errorf("got %q, %v; expected the first value, and at most a refusal after it", got, err)
@@ -114,12 +114,12 @@
 				t.Fatal(err)
 			}
 			drainedAt := scenario(t, env, p)
-			idle.expectClosedBy(t, drainedAt.Add(drainTerm))
+			idle.expectClosedBy(t, drainedAt.Add(drainTimeLimit))
 			server.serve("one")
 			if err := expect(waiting.r, []byte("$3\r\none\r\n")); err != nil {
 				t.Errorf("the request in flight was not served: %v", err)
 			}
-			waiting.expectClosedBy(t, drainedAt.Add(drainTerm))
+			waiting.expectClosedBy(t, drainedAt.Add(drainTimeLimit))
 		})
 	}
 }
--- a/cmd/dewhitch/drain_fleet_test.go
+++ b/cmd/dewhitch/drain_fleet_test.go
@@ -16,7 +16,7 @@
 )
 
 // The load of TestDrainsUnderLoad. maxRequestTimeout is longer than recentRequestAge, so that requests are in flight throughout a
-// drain. It is short enough that a request taken before the drain is not in flight for long after drainTerm.
+// drain. It is short enough that a request taken before the drain is not in flight for long after drainTimeLimit.
 const (
 	drainGateways     = 4
 	drainSeeds        = 10
@@ -167,9 +167,9 @@
 	c.Close()
 }
 
-// checkTerm returns true, with the reason, if the connection is open at that time although the drain's term does not allow it:
+// violatesDrainLimits returns true, with the reason, if the connection is open at that time although the drain's term does not allow it:
 // it has been idle for longer than schedulingSlack, or it has an unanswered request that is younger than recentRequestAge.
-func (c *connection) checkTerm(at time.Time) (reason string, violated bool) {
+func (c *connection) violatesDrainLimits(at time.Time) (reason string, violated bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	switch {
@@ -269,7 +269,7 @@
 	})
 }
 
-// drain drains a gateway at a given time, and checks its connections drainTerm later.
+// drain drains a gateway at a given time, and checks its connections drainTimeLimit later.
 func (d *drainTest) drain(g *gatewayRecord, drainAt time.Time) {
 	waitUntil(drainAt)
 	g.mu.Lock()
@@ -279,14 +279,14 @@
 	if answer := adminCall(d.t, g.env.adminAddr, "evacuate"); answer != "YES" {
 		g.addFault("evacuate is answered %q, expected YES", answer)
 	}
-	end := drainedAt.Add(drainTerm)
+	end := drainedAt.Add(drainTimeLimit)
 	waitUntil(end)
 	g.mu.Lock()
 	conns := g.conns
 	g.mu.Unlock()
 	suspected := map[*connection]string{}
 	for _, c := range conns {
-		if reason, violated := c.checkTerm(end); violated {
+		if reason, violated := c.violatesDrainLimits(end); violated {
 			suspected[c] = reason
 		}
 	}
@@ -297,7 +297,7 @@
 		ended := c.closed
 		c.mu.Unlock()
 		if !ended {
-			g.addFault("a connection is open %v after the start of the drain: %s", drainTerm, reason)
+			g.addFault("a connection is open %v after the start of the drain: %s", drainTimeLimit, reason)
 		}
 	}
 }
--- a/cmd/dewhitch/drain_test.go
+++ b/cmd/dewhitch/drain_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// The term of a drain, as operators state it: drainTerm after the call no client connection may be open that is idle or whose
+// The term of a drain, as operators state it: drainTimeLimit after the call no client connection may be open that is idle or whose
 // last request is younger than recentRequestAge.
 const (
-	drainTerm        = 4 * time.Second
+	drainTimeLimit   = 4 * time.Second
 	recentRequestAge = 2 * time.Second
 )
 
@@ -79,7 +79,7 @@
 	c.SetReadDeadline(deadline)
 	rest, err := io.ReadAll(c.r)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the connection is still open %v after the start of the drain", drainTerm)
+		t.Errorf("the connection is still open %v after the start of the drain", drainTimeLimit)
 	} else if err != nil && !strings.Contains(err.Error(), "reset") || len(rest) > 0 {
 		t.Errorf("got %q and %v, expected the connection to end without data", rest, err)
 	}
@@ -102,7 +102,7 @@
 		t.Fatalf("the request that was taken before the drain was not served: %v\n%s", err, p.log())
 	}
 	c.Write(queryWithLongDeadline("q2"))
-	c.expectClosedBy(t, drainedAt.Add(drainTerm))
+	c.expectClosedBy(t, drainedAt.Add(drainTimeLimit))
 }
 
 // TestDrainEndsUnderAPipeline guards against a drain that never ends because the gateway always has commands in its read buffer:
@@ -122,9 +122,9 @@
 		}
 	}()
 	drainedAt := evacuate(t, env)
-	c.SetReadDeadline(drainedAt.Add(drainTerm))
+	c.SetReadDeadline(drainedAt.Add(drainTimeLimit))
 	if _, err := io.Copy(io.Discard, c.r); errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the connection is still open %v after the start of the drain", drainTerm)
+		t.Errorf("the connection is still open %v after the start of the drain", drainTimeLimit)
 	}
 }
 
@@ -154,7 +154,7 @@
 					}
 				}
 			}()
-			c.expectClosedBy(t, drainedAt.Add(drainTerm))
+			c.expectClosedBy(t, drainedAt.Add(drainTimeLimit))
 		})
 	}
 }
@@ -168,10 +168,10 @@
 	c := env.dial()
 	c.Write([]byte(strings.Repeat("*1\r\n$3\r\nBAD\r\n", 14)))
 	drainedAt := evacuate(t, env)
-	c.SetReadDeadline(drainedAt.Add(drainTerm))
+	c.SetReadDeadline(drainedAt.Add(drainTimeLimit))
 	answers, err := io.ReadAll(c.r)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the connection is still open %v after the start of the drain", drainTerm)
+		t.Errorf("the connection is still open %v after the start of the drain", drainTimeLimit)
 	}
 	if n := strings.Count(string(answers), "-ERR unknown command"); n != 14 {
 		t.Errorf("%d of the 14 commands were answered, expected all, as they had been read", n)
@@ -187,8 +187,8 @@
 	drainedAt := evacuate(t, env)
 	silent, half := env.dial(), env.dial()
 	half.Write([]byte("*1\r\n$4\r\nPI"))
-	silent.expectClosedBy(t, drainedAt.Add(drainTerm))
-	half.expectClosedBy(t, drainedAt.Add(drainTerm))
+	silent.expectClosedBy(t, drainedAt.Add(drainTimeLimit))
+	half.expectClosedBy(t, drainedAt.Add(drainTimeLimit))
 }
 
 // TestDrainRejectsLateRequests guards against requests on new connections that are sent to a server late in a drain. After the
@@ -201,7 +201,7 @@
 	waitUntil(drainedAt.Add(recentRequestAge))
 	late := env.dial()
 	late.Write(queryWithLongDeadline("q1"))
-	late.SetReadDeadline(drainedAt.Add(drainTerm))
+	late.SetReadDeadline(drainedAt.Add(drainTimeLimit))
 	if answer, err := io.ReadAll(late.r); err != nil || string(answer) != "-BUSY\r\n" {
 		t.Errorf("got %q, %v; expected -BUSY and the end of the connection", answer, err)
 	}
@@ -235,15 +235,15 @@
 	drainedAt := evacuate(t, env)
 	waitUntil(drainedAt.Add(recentRequestAge + 500*time.Millisecond))
 	writing.Write(queryWithLongDeadline("q3"))
-	writing.SetReadDeadline(drainedAt.Add(drainTerm))
+	writing.SetReadDeadline(drainedAt.Add(drainTimeLimit))
 	answers, err := io.ReadAll(writing.r)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("the connection is open %v after the start of the drain, with a request sent 1.5 s earlier\n%s", drainTerm, p.log())
+		t.Fatalf("the connection is open %v after the start of the drain, with a request sent 1.5 s earlier\n%s", drainTimeLimit, p.log())
 	}
 	if got := string(answers); strings.Count(got, "\r\n") != 1 || got[0] != '-' {
 		t.Errorf("got %q and %v, expected one error answer", got, err)
 	}
-	waitUntil(drainedAt.Add(drainTerm + 500*time.Millisecond))
+	waitUntil(drainedAt.Add(drainTimeLimit + 500*time.Millisecond))
 	server.serve("two")
 	if err := expect(waitingOnly.r, []byte("$3\r\ntwo\r\n")); err != nil {
 		t.Errorf("the request of the client that only waits was not served: %v", err)
--- a/cmd/dewhitch/ledger_test.go
+++ b/cmd/dewhitch/ledger_test.go
@@ -204,7 +204,7 @@
 	env.operatorAddr = standin.OwnAddr()
 	env.start("serve")
 	c := dial(t, env.listenAddr)
-	c.write(bookingCommand(7, 0), bookingCommand(8, 0))
+	c.write(queryCommand(7, 0), queryCommand(8, 0))
 	c.readAnswer()
 	c.readAnswer()
 	// All figures must stand on the same page. That can take a while, as the push of the spent units stays open for as long as the
--- a/cmd/dewhitch/limits_test.go
+++ b/cmd/dewhitch/limits_test.go
@@ -87,20 +87,20 @@
 // The depth of the quota on the plan forty, and the arguments of a command on that plan.
 const (
 	quotaDepth    = 40.0
-	fortyPlanArgs = "t=forty,d=100000,spread=3,first=0"
+	quotaPlanArgs = "t=forty,d=100000,spread=3,first=0"
 )
 
-// bookingCommand returns a query for the backends, with an id of the customer and i.
-func bookingCommand(customer, i int) string {
-	return fmt.Sprintf("SVC.QUERY %016x a%d-%d c=lookup,%s", customer, customer, i, fortyPlanArgs)
+// queryCommand returns a query for the backends, with an id of the customer and i.
+func queryCommand(customer, i int) string {
+	return fmt.Sprintf("SVC.QUERY %016x a%d-%d c=lookup,%s", customer, customer, i, quotaPlanArgs)
 }
 
 func limitQuery(customer int) string {
-	return fmt.Sprintf("LIMIT.GET %016x %s", customer, fortyPlanArgs)
+	return fmt.Sprintf("LIMIT.GET %016x %s", customer, quotaPlanArgs)
 }
 
 func adjustCommand(customer, units int) string {
-	return fmt.Sprintf("LIMIT.ADJUST %016x %d %s", customer, units, fortyPlanArgs)
+	return fmt.Sprintf("LIMIT.ADJUST %016x %d %s", customer, units, quotaPlanArgs)
 }
 
 // countKeyPrefix returns the prefix of the keys of a customer's counts in the shared counter.
@@ -130,7 +130,7 @@
 			c := dial(t, env.limitsAddr)
 			bookings, units := customer%7, 1+customer%11
 			for i := range bookings {
-				c.write(bookingCommand(customer, i))
+				c.write(queryCommand(customer, i))
 			}
 			c.write(limitQuery(customer), adjustCommand(customer, units))
 			served := 0
@@ -255,7 +255,7 @@
 	waitForFirstHalfOfWindow()
 	f := newForwarderTest(t)
 	c := f.client
-	c.write("PING", bookingCommand(3, 0), adjustCommand(3, 4), limitQuery(3), "LIMIT.GET 3", "NOVEL")
+	c.write("PING", queryCommand(3, 0), adjustCommand(3, 4), limitQuery(3), "LIMIT.GET 3", "NOVEL")
 	for _, want := range []string{"+PONG", "a3-0", "4"} {
 		if a := c.readAnswer(); a != want {
 			t.Errorf("got the answer %q, expected %q", a, want)
--- a/cmd/dewhitch/soak_test.go
+++ b/cmd/dewhitch/soak_test.go
@@ -163,7 +163,7 @@
 func (s *soakRun) sendSignals(g *gatewayRecord, p *process, startedAt time.Time, rng *rand.Rand) {
 	send := func(signal syscall.Signal) { p.cmd.Process.Signal(signal) }
 	if rng.IntN(3) == 0 {
-		s.drainForTerm(g)
+		s.drainUntilTimeLimit(g)
 	}
 	for range 2 + rng.IntN(4) {
 		time.Sleep(time.Duration(rng.Int64N(int64(soakDuration / 8))))
@@ -189,9 +189,9 @@
 	s.startClients(g, 1)
 }
 
-// drainForTerm drains a gateway, checks its connections at the end of the term, and puts it into service again.
-func (s *soakRun) drainForTerm(g *gatewayRecord) {
-	s.drain(g, time.Now().Add(drainTerm/20))
+// drainUntilTimeLimit drains a gateway, checks its connections at the end of the term, and puts it into service again.
+func (s *soakRun) drainUntilTimeLimit(g *gatewayRecord) {
+	s.drain(g, time.Now().Add(drainTimeLimit/20))
 	adminCall(s.t, g.env.adminAddr, "activate")
 	g.mu.Lock()
 	g.endingSince = time.Time{}
--- a/counter_sync_test.go
+++ b/counter_sync_test.go
@@ -18,20 +18,20 @@
 	for name, answer := range map[string]func(dw.CounterAdd) *dw.CounterAnswered{"silent": timeout, "rejecting": reject,
 		"forgetting": forget} {
 		for _, aboveRate := range []bool{false, true} {
-			b := newHarness(t, settings(), dw.Endpoint{ID: 7})
-			b.counter = answer
+			h := newHarness(t, settings(), dw.Endpoint{ID: 7})
+			h.counter = answer
 			interval, n := 1500*millisecond, 20 // a third of the rate
 			if aboveRate {
 				interval, n = 100*millisecond, 300 // five times the rate
 			}
-			admitted := b.serve(n, interval, dw.Arrival{Customer: 1, Spread: 2})
+			admitted := h.serve(n, interval, dw.Arrival{Customer: 1, Spread: 2})
 			if !aboveRate && admitted < n {
 				t.Errorf("%s: customer below its rate: got %d of %d requests admitted, expected all", name, admitted, n)
 			}
 			if aboveRate && (admitted < 30 || admitted > 68) { // from half the rate for 30 s to the full rate plus a burst
 				t.Errorf("%s: customer above its rate: got %d requests admitted, expected 30 to 68", name, admitted)
 			}
-			if calls := float64(len(b.counterCalls)); calls > 1.2*float64(n)+20 {
+			if calls := float64(len(h.counterCalls)); calls > 1.2*float64(n)+20 {
 				t.Errorf("%s: got %v counter calls for %d requests, expected at most a fifth more and 20", name, calls, n)
 			}
 		}
@@ -42,15 +42,15 @@
 // gateways would admit a customer's first request.
 func TestCustomerOfSmallBurstIsCountedFirst(t *testing.T) {
 	for total, want := range map[float64]bool{1: true, 9: true, 10: false, 500: false} { // admitted up to a burst and a half
-		b := newHarness(t, manyGateways(), dw.Endpoint{ID: 7})
-		b.counter = func(c dw.CounterAdd) *dw.CounterAnswered { return &dw.CounterAnswered{Name: c.Name, Total: total} }
-		id, _ := b.request(dw.Arrival{Customer: 1, Spread: 50})
-		if len(b.attempts) > 0 || len(b.counterCalls) != 1 || b.counterCalls[0].Add != 1 {
-			t.Fatalf("total %v: got attempts %v and counter calls %v, expected one call for 1 unit", total, b.attempts, b.counterCalls)
+		h := newHarness(t, manyGateways(), dw.Endpoint{ID: 7})
+		h.counter = func(c dw.CounterAdd) *dw.CounterAnswered { return &dw.CounterAnswered{Name: c.Name, Total: total} }
+		id, _ := h.request(dw.Arrival{Customer: 1, Spread: 50})
+		if len(h.attempts) > 0 || len(h.counterCalls) != 1 || h.counterCalls[0].Add != 1 {
+			t.Fatalf("total %v: got attempts %v and counter calls %v, expected one call for 1 unit", total, h.attempts, h.counterCalls)
 		}
-		b.advance(3 * millisecond)
-		if admitted := len(b.attempts) == 1; admitted != want || admitted == (b.answers[id] != nil) {
-			t.Errorf("total %v: got forwarded %v, expected %v; answer %v", total, admitted, want, b.answers[id])
+		h.advance(3 * millisecond)
+		if admitted := len(h.attempts) == 1; admitted != want || admitted == (h.answers[id] != nil) {
+			t.Errorf("total %v: got forwarded %v, expected %v; answer %v", total, admitted, want, h.answers[id])
 		}
 	}
 }
@@ -59,29 +59,29 @@
 // earlier.
 func TestUncountedRequestIsAnswered(t *testing.T) {
 	for remaining, sent := range map[dw.Span]int{800 * millisecond: 1, 20 * millisecond: 0} {
-		b := newHarness(t, manyGateways(), dw.Endpoint{ID: 7})
-		b.counter = func(dw.CounterAdd) *dw.CounterAnswered { return nil }
-		id, _ := b.request(dw.Arrival{Customer: 1, Spread: 50, Remaining: remaining})
-		b.advance(min(remaining, 60*millisecond))
-		if len(b.attempts) != sent || sent == 0 && b.answers[id] == nil {
-			t.Errorf("remaining time %v: got %d attempts and answer %v", remaining, len(b.attempts), b.answers[id])
+		h := newHarness(t, manyGateways(), dw.Endpoint{ID: 7})
+		h.counter = func(dw.CounterAdd) *dw.CounterAnswered { return nil }
+		id, _ := h.request(dw.Arrival{Customer: 1, Spread: 50, Remaining: remaining})
+		h.advance(min(remaining, 60*millisecond))
+		if len(h.attempts) != sent || sent == 0 && h.answers[id] == nil {
+			t.Errorf("remaining time %v: got %d attempts and answer %v", remaining, len(h.attempts), h.answers[id])
 		}
 	}
 }
 
 // The latency of a distant counter is no sign of overload: while it stays constant, the call rate must not fall.
 func TestCounterDistanceIsNoOverload(t *testing.T) {
-	b := newHarness(t, settings(), dw.Endpoint{ID: 1})
-	add := b.counter
-	b.counter = func(c dw.CounterAdd) *dw.CounterAnswered {
+	h := newHarness(t, settings(), dw.Endpoint{ID: 1})
+	add := h.counter
+	h.counter = func(c dw.CounterAdd) *dw.CounterAnswered {
 		e := add(c)
 		e.Latency = 20 * millisecond // a call times out after 50 millisecond
 		return e
 	}
 	for i := range 200 {
-		b.serve(1, 50*millisecond, dw.Arrival{Customer: dw.CustomerID(i % 20)})
+		h.serve(1, 50*millisecond, dw.Arrival{Customer: dw.CustomerID(i % 20)})
 	}
-	if n := len(b.counterCalls); n < 60 {
+	if n := len(h.counterCalls); n < 60 {
 		t.Errorf("got %d counter calls in 10 s for 20 customers, expected at least 60", n)
 	}
 }
@@ -90,34 +90,34 @@
 func TestScarceCallsGoToCustomersNearTheirQuota(t *testing.T) {
 	s := settings()
 	s.Plans = append(s.Plans, dw.Plan{Rate: 20, Burst: 100, WeightFactor: 1, OverQuotaCost: 1})
-	b := newHarness(t, s, dw.Endpoint{ID: 1})
-	add := b.counter
-	b.counter = func(c dw.CounterAdd) *dw.CounterAnswered {
+	h := newHarness(t, s, dw.Endpoint{ID: 1})
+	add := h.counter
+	h.counter = func(c dw.CounterAdd) *dw.CounterAnswered {
 		e := add(c)
-		e.Latency = 45 * millisecond * dw.Span(len(b.counterCalls)%2)
+		e.Latency = 45 * millisecond * dw.Span(len(h.counterCalls)%2)
 		return e
 	}
 	for i := range 400 {
-		b.serve(1, 10*millisecond, dw.Arrival{Customer: dw.CustomerID(2 + i%100), Plan: 1})
-		b.serve(1, 10*millisecond, dw.Arrival{Customer: 1})
+		h.serve(1, 10*millisecond, dw.Arrival{Customer: dw.CustomerID(2 + i%100), Plan: 1})
+		h.serve(1, 10*millisecond, dw.Arrival{Customer: 1})
 	}
 	customerCalls := 0
-	for _, c := range b.counterCalls {
+	for _, c := range h.counterCalls {
 		if strings.HasPrefix(c.Name, "1.") {
 			customerCalls++
 		}
 	}
 	if customerCalls < 25 {
-		t.Errorf("got %d of %d counter calls for the customer above its quota, expected at least 25", customerCalls, len(b.counterCalls))
+		t.Errorf("got %d of %d counter calls for the customer above its quota, expected at least 25", customerCalls, len(h.counterCalls))
 	}
 }
 
 // A blocked customer waits for its window's end, so a window must not last longer than two bursts.
 func TestWindowsOfTwoBursts(t *testing.T) {
-	b := newHarness(t, settings(), dw.Endpoint{ID: 1})
-	b.serve(240, 100*millisecond, dw.Arrival{Customer: 1})
+	h := newHarness(t, settings(), dw.Endpoint{ID: 1})
+	h.serve(240, 100*millisecond, dw.Arrival{Customer: 1})
 	windows := map[string]bool{}
-	for _, c := range b.counterCalls {
+	for _, c := range h.counterCalls {
 		windows[c.Name] = true
 	}
 	if len(windows) < 4 { // each lasts 6 s, because the burst is 6 and the rate 2 per second
--- a/gateway_test.go
+++ b/gateway_test.go
@@ -15,16 +15,16 @@
 		dw.EndpointList{Kind: dw.ListFull}, dw.EndpointList{Kind: dw.ListFailed},
 		dw.EndpointList{Kind: dw.ListDelta, Servers: []dw.Endpoint{{ID: 7}, {ID: 7}}},
 	}
-	b := newHarness(t, settings(), dw.Endpoint{ID: 7})
+	h := newHarness(t, settings(), dw.Endpoint{ID: 7})
 	for _, e := range events {
-		b.handle(e)
+		h.handle(e)
 	}
-	if _, ok := b.request(dw.Arrival{Spread: 9, FirstGateway: 5}); !ok {
+	if _, ok := h.request(dw.Arrival{Spread: 9, FirstGateway: 5}); !ok {
 		t.Error("request rejected after unknown and empty events")
 	}
 	for name, a := range map[string]dw.Arrival{"no time left": {Remaining: -1}, "no such class": {Class: 9},
 		"no such plan": {Plan: -1}} {
-		if id, _ := b.request(a); b.answers[id] == nil {
+		if id, _ := h.request(a); h.answers[id] == nil {
 			t.Errorf("%s: request not rejected", name)
 		}
 	}
@@ -40,11 +40,11 @@
 
 func TestSameEventsSameActions(t *testing.T) {
 	run := func() []dw.StartAttempt {
-		b := newHarness(t, settings(), dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8}, dw.Endpoint{ID: 9})
+		h := newHarness(t, settings(), dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8}, dw.Endpoint{ID: 9})
 		for c := range dw.CustomerID(5) {
-			b.serve(20, 30*millisecond, dw.Arrival{Customer: c, Spread: 2})
+			h.serve(20, 30*millisecond, dw.Arrival{Customer: c, Spread: 2})
 		}
-		return b.attempts
+		return h.attempts
 	}
 	if a, b := run(), run(); !reflect.DeepEqual(a, b) {
 		t.Error("two runs with the same events started different attempts")
--- a/harness_test.go
+++ b/harness_test.go
@@ -59,68 +59,68 @@
 	return h
 }
 
-func (b *harness) handle(e dw.Event) {
-	for _, a := range b.gateway.Handle(b.now, e, nil) {
+func (h *harness) handle(e dw.Event) {
+	for _, a := range h.gateway.Handle(h.now, e, nil) {
 		switch a := a.(type) {
 		case dw.SetTimer:
-			b.timers = append(b.timers, a)
+			h.timers = append(h.timers, a)
 		case dw.StartAttempt:
-			b.attempts = append(b.attempts, a)
+			h.attempts = append(h.attempts, a)
 		case dw.Reject:
-			b.answers[a.Request] = a
+			h.answers[a.Request] = a
 		case dw.Fail:
-			b.answers[a.Request] = a
+			h.answers[a.Request] = a
 		case dw.LimitAnswer:
-			b.answers[a.Request] = a
+			h.answers[a.Request] = a
 		case dw.AdjustAnswer:
-			b.answers[a.Request] = a
+			h.answers[a.Request] = a
 		case dw.CancelAttempt:
-			b.cancels = append(b.cancels, a)
+			h.cancels = append(h.cancels, a)
 		case dw.CounterAdd:
-			b.counterCalls = append(b.counterCalls, a)
-			r := counterReply{b.now + dw.Instant(50*millisecond), dw.CounterAnswered{Name: a.Name, Outcome: dw.OutcomeTimeout}}
-			if e := b.counter(a); e != nil {
-				r = counterReply{b.now + dw.Instant(2*millisecond), *e}
+			h.counterCalls = append(h.counterCalls, a)
+			r := counterReply{h.now + dw.Instant(50*millisecond), dw.CounterAnswered{Name: a.Name, Outcome: dw.OutcomeTimeout}}
+			if e := h.counter(a); e != nil {
+				r = counterReply{h.now + dw.Instant(2*millisecond), *e}
 			}
-			b.counterReplies = append(b.counterReplies, r)
+			h.counterReplies = append(h.counterReplies, r)
 		}
 	}
 }
 
 // fireTimers fires the timers that are due.
-func (b *harness) fireTimers() {
-	due := b.timers
-	b.timers = nil
+func (h *harness) fireTimers() {
+	due := h.timers
+	h.timers = nil
 	for _, t := range due {
-		if t.At <= b.now {
-			b.handle(dw.TimerFired{ID: t.ID})
+		if t.At <= h.now {
+			h.handle(dw.TimerFired{ID: t.ID})
 		} else {
-			b.timers = append(b.timers, t)
+			h.timers = append(h.timers, t)
 		}
 	}
 }
 
 // advance moves the clock on, and fires timers and delivers counter answers when they are due.
-func (b *harness) advance(d dw.Span) {
-	for end := b.now + dw.Instant(d); b.now < end; {
-		b.now += dw.Instant(millisecond)
-		b.fireTimers()
-		pending := b.counterReplies
-		b.counterReplies = nil
+func (h *harness) advance(d dw.Span) {
+	for end := h.now + dw.Instant(d); h.now < end; {
+		h.now += dw.Instant(millisecond)
+		h.fireTimers()
+		pending := h.counterReplies
+		h.counterReplies = nil
 		for _, r := range pending {
-			if r.at <= b.now {
-				b.handle(r.e)
+			if r.at <= h.now {
+				h.handle(r.e)
 			} else {
-				b.counterReplies = append(b.counterReplies, r)
+				h.counterReplies = append(h.counterReplies, r)
 			}
 		}
 	}
 }
 
 // request submits a request. It returns its identifier, and true if an attempt started.
-func (b *harness) request(a dw.Arrival) (dw.RequestID, bool) {
-	b.lastID++
-	a.ID = dw.RequestID(fmt.Sprint("q", b.lastID))
+func (h *harness) request(a dw.Arrival) (dw.RequestID, bool) {
+	h.lastID++
+	a.ID = dw.RequestID(fmt.Sprint("q", h.lastID))
 	if a.Remaining == 0 {
 		a.Remaining = 800 * millisecond
 	}
@@ -130,21 +130,21 @@
 	if a.Spread == 0 {
 		a.Spread = 1
 	}
-	n := len(b.attempts)
-	b.handle(a)
-	return a.ID, len(b.attempts) > n
+	n := len(h.attempts)
+	h.handle(a)
+	return a.ID, len(h.attempts) > n
 }
 
 // serve submits n requests at intervals of d, answers each at once, and returns the number of admitted requests.
-func (b *harness) serve(n int, interval dw.Span, a dw.Arrival) (admitted int) {
+func (h *harness) serve(n int, interval dw.Span, a dw.Arrival) (admitted int) {
 	for range n {
-		id, sent := b.request(a)
+		id, sent := h.request(a)
 		if sent {
 			admitted++
-			s := b.attempts[len(b.attempts)-1]
-			b.handle(dw.AttemptEnded{Request: id, Server: s.Server, Final: true, Latency: 10 * millisecond})
+			s := h.attempts[len(h.attempts)-1]
+			h.handle(dw.AttemptEnded{Request: id, Server: s.Server, Final: true, Latency: 10 * millisecond})
 		}
-		b.advance(interval)
+		h.advance(interval)
 	}
 	return admitted
 }
--- a/internal/core/inbox_test.go
+++ b/internal/core/inbox_test.go
@@ -20,28 +20,28 @@
 	events []string
 }
 
-func (w *fakeEnvironment) record(format string, a ...any) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.events = append(w.events, fmt.Sprintf(format, a...))
+func (e *fakeEnvironment) record(format string, a ...any) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.events = append(e.events, fmt.Sprintf(format, a...))
 }
 
-func (w *fakeEnvironment) Start(a Attempt, _ func(Stream), _ func(AttemptResult)) {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	w.starts = append(w.starts, a.Backend)
+func (e *fakeEnvironment) Start(a Attempt, _ func(Stream), _ func(AttemptResult)) {
+	e.mu.Lock()
+	defer e.mu.Unlock()
+	e.starts = append(e.starts, a.Backend)
 }
-func (w *fakeEnvironment) Cancel(dw.RequestID, int)                   {}
-func (w *fakeEnvironment) Retract(dw.RequestID, int)                  {}
-func (w *fakeEnvironment) RetractAll(Backend)                         {}
-func (w *fakeEnvironment) Forget(Backend)                             {}
-func (w *fakeEnvironment) Add(CounterCall, func(dw.Outcome, float64)) {}
-func (w *fakeEnvironment) Ref() uint64                                { return 0 }
-func (w *fakeEnvironment) Post(ledger.Posting)                        {}
-func (w *fakeEnvironment) Waited(q Queue, _ time.Duration)            { w.record("%v", q) }
-func (w *fakeEnvironment) ListApplied(v int64, _ time.Duration)       { w.record("list %d", v) }
-func (w *fakeEnvironment) Answered(ledger.Event)                      {}
-func (w *fakeEnvironment) Retried(dw.Outcome)                         {}
+func (e *fakeEnvironment) Cancel(dw.RequestID, int)                   {}
+func (e *fakeEnvironment) Retract(dw.RequestID, int)                  {}
+func (e *fakeEnvironment) RetractAll(Backend)                         {}
+func (e *fakeEnvironment) Forget(Backend)                             {}
+func (e *fakeEnvironment) Add(CounterCall, func(dw.Outcome, float64)) {}
+func (e *fakeEnvironment) Ref() uint64                                { return 0 }
+func (e *fakeEnvironment) Post(ledger.Posting)                        {}
+func (e *fakeEnvironment) Waited(q Queue, _ time.Duration)            { e.record("%v", q) }
+func (e *fakeEnvironment) ListApplied(v int64, _ time.Duration)       { e.record("list %d", v) }
+func (e *fakeEnvironment) Answered(ledger.Event)                      {}
+func (e *fakeEnvironment) Retried(dw.Outcome)                         {}
 
 // busyPlanner is a planner whose goroutine is blocked in the answer to a first request until release is called.
 type busyPlanner struct {
--- a/internal/counter/answers.go
+++ b/internal/counter/answers.go
@@ -15,8 +15,8 @@
 
 // readAnswers reads answers and settles the calls in flight with them, in order, until no further answer can be read from the
 // connection. It returns the call whose answer was outstanding at that time, or nil. If a call gets no answer within
-// silenceLimit, readAnswers gives the connection up: this detects a peer that has vanished.
-func readAnswers(conn net.Conn, inFlight <-chan *call, silenceLimit time.Duration) (unanswered *call) {
+// unansweredTimeout, readAnswers gives the connection up: this detects a peer that has vanished.
+func readAnswers(conn net.Conn, inFlight <-chan *call, unansweredTimeout time.Duration) (unanswered *call) {
 	r := bufio.NewReaderSize(conn, http1.MaxLine+2)
 	deadline := time.Now()
 	var oldest *call // oldest call in flight; nil if none is known
@@ -45,14 +45,14 @@
 				return nil
 			}
 			oldest = nil
-		case oldest != nil && time.Since(oldest.writtenAt) >= silenceLimit:
+		case oldest != nil && time.Since(oldest.writtenAt) >= unansweredTimeout:
 			return oldest
 		}
 		// The limit counts from the time when the oldest call was written, so a call that was written just before a read
 		// deadline is not overdue at that deadline.
-		deadline = time.Now().Add(silenceLimit)
+		deadline = time.Now().Add(unansweredTimeout)
 		if oldest != nil {
-			deadline = oldest.writtenAt.Add(silenceLimit)
+			deadline = oldest.writtenAt.Add(unansweredTimeout)
 		}
 	}
 }
--- a/internal/counter/client.go
+++ b/internal/counter/client.go
@@ -25,8 +25,8 @@
 	redialInterval = 100 * time.Millisecond // time between two attempts to connect
 	writeTimeout   = time.Second            // maximum duration of one write
 	answerTimeout  = 100 * time.Millisecond // maximum time from the first byte of an answer to its last
-	// silenceFactor is the number of call timeouts after which a connection is given up if the oldest call got no answer.
-	silenceFactor = 7
+	// unansweredTimeoutFactor is the number of call timeouts after which a connection is given up if the oldest call got no answer.
+	unansweredTimeoutFactor = 7
 )
 
 // Sockets is the maximum number of descriptors that a client holds: for each pipeline its connection, and one connection to the
--- a/internal/counter/connection.go
+++ b/internal/counter/connection.go
@@ -119,7 +119,7 @@
 // completely written call may have been added. The writer settles a partly written call as not added; if this goroutine settles
 // it first, the outcome unknown is correct for it as well.
 func (c *connection) readUntilClosed() {
-	unanswered := readAnswers(c.Conn, c.inFlight, silenceFactor*c.pipeline.client.timeout)
+	unanswered := readAnswers(c.Conn, c.inFlight, unansweredTimeoutFactor*c.pipeline.client.timeout)
 	c.cancel()
 	for pending := range c.inFlight {
 		pending.settle(callWritten, dw.OutcomeTimeout, 0)
--- a/internal/discovery/sync_test.go
+++ b/internal/discovery/sync_test.go
@@ -270,13 +270,13 @@
 	next := newTestBed(t, completeAnswer(messageJSON(3, true, "draining")))
 	b := newTestBed(t, completeAnswer(messageJSON(41, true, "up")), func(c *net.TCPConn) bool { return stall(c) })
 	b.watchTimeout, b.pollTimeout = testTimeout, testTimeout
-	passOn := b.update
+	originalUpdate := b.update
 	b.update = func(l core.EndpointUpdate) error {
 		if l.List.Version == 41 {
 			addr, _ := next.addr.Current()
 			b.Move(addr)
 		}
-		return passOn(l)
+		return originalUpdate(l)
 	}
 	b.expectUpdates(t, "41 up", "3 draining")
 }
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -75,8 +75,8 @@
 	drain drainState
 
 	// Written by other goroutines.
-	withdrawn atomic.Pointer[map[string]uint64]  // machines to which this gateway sends nothing new, with their announcement IDs
-	endpoints atomic.Pointer[[]slowstart.Server] // servers that this process's endpoint list has as ready
+	appliedWithdrawals atomic.Pointer[map[string]uint64]  // machines to which this gateway sends nothing new, with their announcement IDs
+	readyServers       atomic.Pointer[[]slowstart.Server] // servers that this process's endpoint list has as ready
 }
 
 // memberChange is a change of a member's state in gossip.
--- a/internal/fleet/agent/slow_start.go
+++ b/internal/fleet/agent/slow_start.go
@@ -13,10 +13,10 @@
 
 // EndpointsChanged replaces the servers that are listed and ready. It does not block. The caller must not modify the
 // slice afterwards.
-func (a *Agent) EndpointsChanged(servers []slowstart.Server) { a.endpoints.Store(&servers) }
+func (a *Agent) EndpointsChanged(servers []slowstart.Server) { a.readyServers.Store(&servers) }
 
 func (a *Agent) listedServers() []slowstart.Server {
-	if p := a.endpoints.Load(); p != nil {
+	if p := a.readyServers.Load(); p != nil {
 		return *p
 	}
 	return nil
--- a/internal/fleet/agent/withdrawal.go
+++ b/internal/fleet/agent/withdrawal.go
@@ -18,12 +18,14 @@
 
 // WithdrawalsApplied records that this gateway sends nothing new to the withdrawn machines of its last Decisions. The
 // caller must not modify the map afterwards.
-func (a *Agent) WithdrawalsApplied(withdrawn map[string]uint64) { a.withdrawn.Store(&withdrawn) }
+func (a *Agent) WithdrawalsApplied(withdrawn map[string]uint64) {
+	a.appliedWithdrawals.Store(&withdrawn)
+}
 
 // withdrawnMachines returns the withdrawn machines to which this gateway sends nothing and has nothing in flight, with
 // their announcement IDs.
 func (a *Agent) withdrawnMachines() map[string]uint64 {
-	withdrawn := a.withdrawn.Load()
+	withdrawn := a.appliedWithdrawals.Load()
 	if withdrawn == nil || len(*withdrawn) == 0 {
 		return nil
 	}
--- a/internal/fleet/evacuation/command.go
+++ b/internal/fleet/evacuation/command.go
@@ -61,8 +61,8 @@
 // Commands returns the handlers of the operators' commands by name. The leader runs them.
 func Commands() map[string]fleet.CommandHandler {
 	return map[string]fleet.CommandHandler{
-		"leave":  handler(evacuateByCommand),
-		"return": handler(returnByCommand),
+		"leave":  zoneCommandHandler(evacuateByCommand),
+		"return": zoneCommandHandler(returnByCommand),
 	}
 }
 
@@ -70,9 +70,9 @@
 // service.
 type decision func(c Command, current *Status, unixMS int64) (*Status, error)
 
-// handler returns a command handler that applies a decision to the zones' section of the plan. The handler returns nil if the command
-// does not change the section.
-func handler(decide decision) fleet.CommandHandler {
+// zoneCommandHandler returns a command handler that applies a decision to the zones' section of the plan. The handler returns nil if
+// the command does not change the section.
+func zoneCommandHandler(decide decision) fleet.CommandHandler {
 	return func(p *fleet.Plan, args []byte, unixMS int64) (map[string]cbor.RawMessage, error) {
 		c, err := decode(args)
 		if err != nil {
--- a/internal/fleet/evacuation/evidence.go
+++ b/internal/fleet/evacuation/evidence.go
@@ -96,12 +96,12 @@
 
 // zoneEvidence sums up the evidence of several gateways on a zone.
 type zoneEvidence struct {
-	served      uint64 // number of served attempts
-	failed      uint64 // number of failed attempts
-	rejected    uint64 // number of rejected attempts
-	unhealthyBy int    // number of gateways that saw more failed than served attempts
-	healthyBy   int    // number of other gateways with served attempts
-	slowBy      int    // number of gateways whose attempts all count as failed because of their latency
+	served            uint64 // number of served attempts
+	failed            uint64 // number of failed attempts
+	rejected          uint64 // number of rejected attempts
+	unhealthyGateways int    // number of gateways that saw more failed than served attempts
+	healthyGateways   int    // number of other gateways with served attempts
+	slowGateways      int    // number of gateways whose attempts all count as failed because of their latency
 }
 
 // sumEvidence adds up the evidence of gateways on a zone since a time. If the mean latency that a gateway saw is above factor times the
@@ -118,15 +118,15 @@
 		case d.isSlow(evidence, path{d.zoneByGateway[gateway], zone}, factor):
 			evidence.failed += evidence.served
 			evidence.served = 0
-			sum.slowBy++
+			sum.slowGateways++
 		}
 		sum.served += evidence.served
 		sum.failed += evidence.failed
 		switch {
 		case evidence.failed > evidence.served:
-			sum.unhealthyBy++
+			sum.unhealthyGateways++
 		case evidence.served > 0:
-			sum.healthyBy++
+			sum.healthyGateways++
 		}
 	}
 	return sum
@@ -153,9 +153,9 @@
 
 // String returns the text of the evidence for Status.Reason.
 func (z zoneEvidence) String() string {
-	text := fmt.Sprintf("%d of %d fetches ill, by %d of %d gateways", z.failed, z.failed+z.served, z.unhealthyBy, z.unhealthyBy+z.healthyBy)
-	if z.slowBy > 0 {
-		text += fmt.Sprintf(", slow for %d", z.slowBy)
+	text := fmt.Sprintf("%d of %d fetches ill, by %d of %d gateways", z.failed, z.failed+z.served, z.unhealthyGateways, z.unhealthyGateways+z.healthyGateways)
+	if z.slowGateways > 0 {
+		text += fmt.Sprintf(", slow for %d", z.slowGateways)
 	}
 	return text
 }
--- a/internal/fleet/evacuation/verdict.go
+++ b/internal/fleet/evacuation/verdict.go
@@ -26,17 +26,17 @@
 // all attempts failed, and a quorum of the gateways with evidence agrees. The quorum prevents an evacuation for the fault of one
 // gateway or of its path.
 func (z zoneEvidence) unhealthy(gateways int) bool {
-	if z.slowBy > 0 && z.failed < minSlowFailed {
+	if z.slowGateways > 0 && z.failed < minSlowFailed {
 		return false // a few slow answers are noise
 	}
 	return z.failed >= minFailed &&
 		float64(z.failed) >= unhealthyRatio*float64(z.failed+z.served) &&
-		z.unhealthyBy >= min(quorumMin, gateways) &&
-		float64(z.unhealthyBy) >= quorumRatio*float64(z.unhealthyBy+z.healthyBy)
+		z.unhealthyGateways >= min(quorumMin, gateways) &&
+		float64(z.unhealthyGateways) >= quorumRatio*float64(z.unhealthyGateways+z.healthyGateways)
 }
 
 // partial returns true if an unhealthy zone still serves some requests: it is slow, or a third or more of its attempts are served.
-func (z zoneEvidence) partial() bool { return z.slowBy > 0 || 2*z.served >= z.failed }
+func (z zoneEvidence) partial() bool { return z.slowGateways > 0 || 2*z.served >= z.failed }
 
 // saturated returns true if the zones that the gateways of a scope send to reject too many requests in the longest window. others has the
 // served and rejected attempts in these zones.
@@ -62,7 +62,7 @@
 // like the only slow one. For sharedSlownessHold no zone is evacuated by its latency.
 func (e *evaluation) othersHealthy(s scope, v verdict, excluded func(zone string) bool) bool {
 	factor := othersSlowFactor
-	if v.slowBy == 0 {
+	if v.slowGateways == 0 {
 		factor = neverSlow // the load of a zone that does not answer moves to the others and makes them slow
 	}
 	var others zoneEvidence
@@ -75,7 +75,7 @@
 		others.failed += evidence.failed
 	}
 	if float64(others.failed) > othersFailedRatio*float64(others.served+others.failed) {
-		if v.slowBy > 0 {
+		if v.slowGateways > 0 {
 			e.sharedSlownessAt = e.now
 		}
 		return false
@@ -83,5 +83,5 @@
 	if others.served == 0 {
 		return false
 	}
-	return v.slowBy == 0 || e.sharedSlownessAt == 0 || e.now-e.sharedSlownessAt > sharedSlownessHold
+	return v.slowGateways == 0 || e.sharedSlownessAt == 0 || e.now-e.sharedSlownessAt > sharedSlownessHold
 }
--- a/internal/fleet/log.go
+++ b/internal/fleet/log.go
@@ -11,8 +11,8 @@
 
 // resetVoter replaces the voter by one without a log, under a new identity, that ignores generations older
 // than promised.
-func (n *Node) resetVoter(promised uint64) {
-	n.replaceVoter(&VoterState{Identity: n.rng.Uint64()>>1 | 1, Promised: promised})
+func (n *Node) resetVoter(promisedGeneration uint64) {
+	n.replaceVoter(&VoterState{Identity: n.rng.Uint64()>>1 | 1, Promised: promisedGeneration})
 }
 
 // replaceVoter restarts the voter from a state. The voter stays inactive until that state is on stable storage.
--- a/internal/fleet/maintenance/command.go
+++ b/internal/fleet/maintenance/command.go
@@ -86,18 +86,18 @@
 // *CommandError.
 func Commands() map[string]fleet.CommandHandler {
 	return map[string]fleet.CommandHandler{
-		"work-request": handler(submitRequest),
-		"work-cancel":  handler(cancelRequest),
-		"work-done":    handler(completeWork),
-		"work-hold":    handler(holdRequest),
-		"work-resume":  handler(resumeRequest),
-		"work-gone":    handler(removeGateways),
+		"work-request": scheduleCommandHandler(submitRequest),
+		"work-cancel":  scheduleCommandHandler(cancelRequest),
+		"work-done":    scheduleCommandHandler(completeWork),
+		"work-hold":    scheduleCommandHandler(holdRequest),
+		"work-resume":  scheduleCommandHandler(resumeRequest),
+		"work-gone":    scheduleCommandHandler(removeGateways),
 	}
 }
 
-// handler returns a command handler that applies a command to the schedule of the plan. The handler returns nil if the command does not
-// change the schedule.
-func handler(apply func(s *Schedule, c Command, unixMS int64) error) fleet.CommandHandler {
+// scheduleCommandHandler returns a command handler that applies a command to the schedule of the plan. The handler returns nil if the
+// command does not change the schedule.
+func scheduleCommandHandler(apply func(s *Schedule, c Command, unixMS int64) error) fleet.CommandHandler {
 	return func(p *fleet.Plan, args []byte, unixMS int64) (map[string]cbor.RawMessage, error) {
 		var c Command
 		if err := cbor.Unmarshal(args, &c); err != nil {
--- a/internal/fleet/maintenance/forecast.go
+++ b/internal/fleet/maintenance/forecast.go
@@ -41,7 +41,7 @@
 	servers      map[string]Server
 	acknowledged map[string]uint64        // acknowledged announcement IDs by machine
 	releasedAt   map[string]time.Duration // release times of machines that are not Done, by name
-	workTime     time.Duration            // time that each machine stays released
+	releasedTime time.Duration            // time that each machine stays released
 	load         float64                  // load as a fraction of the capacity of all servers
 	startedAt    int64                    // start of the simulation in Unix ms
 	now          time.Duration            // simulated time since startedAt
@@ -91,7 +91,7 @@
 		servers:      maps.Clone(servers),
 		acknowledged: map[string]uint64{},
 		releasedAt:   map[string]time.Duration{},
-		workTime:     time.Duration(c.ForMS) * time.Millisecond,
+		releasedTime: time.Duration(c.ForMS) * time.Millisecond,
 		load:         load,
 		startedAt:    startedAt + cfg.SlowStart.Milliseconds(),
 		result:       Forecast{Spare: 1},
@@ -112,7 +112,7 @@
 				f.acknowledged[m.Name] = m.AnnouncementID
 			}
 		case Released:
-			f.workOn(r, m, age)
+			f.simulateReleasedMachine(r, m, age)
 		case Returned:
 			if f.now%forecastObservationInterval == 0 {
 				f.scheduler.Observe(f.now, m.Name, forecastServedPerObservation, 0, 0, 0)
@@ -126,12 +126,12 @@
 	}
 }
 
-// workOn records the release of a machine, and restarts the machine at the end of its maintenance.
-func (f *forecastRun) workOn(r *Request, m *Machine, age time.Duration) {
+// simulateReleasedMachine records the release of a machine, and restarts the machine at the end of its maintenance.
+func (f *forecastRun) simulateReleasedMachine(r *Request, m *Machine, age time.Duration) {
 	if _, ok := f.releasedAt[m.Name]; !ok {
 		f.releasedAt[m.Name] = f.now
 	}
-	if age < f.workTime-forecastTick {
+	if age < f.releasedTime-forecastTick {
 		return
 	}
 	server := f.servers[m.Name]
--- a/internal/front/drain_test.go
+++ b/internal/front/drain_test.go
@@ -177,9 +177,9 @@
 		}
 	})
 	s.drain(drainReadingEndsSoon())
-	c.SetReadDeadline(time.Now().Add(drainTerm))
+	c.SetReadDeadline(time.Now().Add(drainTimeLimit))
 	if _, err := io.Copy(io.Discard, c); errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the connection was still open after %v", drainTerm)
+		t.Errorf("the connection was still open after %v", drainTimeLimit)
 	}
 	c.Close()
 	running.Wait()
@@ -277,11 +277,11 @@
 	junk := make([]byte, 64<<10)
 	var err error
 	for err == nil { // ends when the close resets the connection
-		c.SetWriteDeadline(time.Now().Add(drainTerm))
+		c.SetWriteDeadline(time.Now().Add(drainTimeLimit))
 		_, err = c.Write(junk)
 	}
 	if strings.Contains(err.Error(), "timeout") {
-		t.Errorf("the connection was still open after %v", drainTerm)
+		t.Errorf("the connection was still open after %v", drainTimeLimit)
 	}
 }
 
--- a/internal/front/eviction.go
+++ b/internal/front/eviction.go
@@ -40,8 +40,8 @@
 	used := 0
 	srv.mu.Lock()
 	for s := range srv.sessions {
-		since, useful, waiting := s.idleBetweenCommands()
-		if !useful {
+		since, sentValidCommand, waiting := s.idleBetweenCommands()
+		if !sentValidCommand {
 			continue
 		}
 		used++
@@ -60,20 +60,20 @@
 
 // evictLongestIdle evicts the session that has been idle longest, if there is one, so that a new session gets its place. Sessions that
 // have sent no valid command go first: connections that send nothing must not displace clients that are served. A session that has been
-// idle for less than firstCommandTime has had no time for a command, and counts as useful.
+// idle for less than firstCommandTime has had no time for a command, and is protected like one that has sent a valid command.
 func (srv *Server) evictLongestIdle() {
 	srv.mu.Lock()
 	defer srv.mu.Unlock()
 	var longest *session
 	var longestSince time.Time
-	longestUseful := false
+	longestProtected := false
 	for s := range srv.sessions {
-		since, useful, idle := s.idle()
-		useful = useful || time.Since(since) < firstCommandTime
-		if idle && (longest == nil || longestUseful && !useful || longestUseful == useful && since.Before(longestSince)) {
+		since, protected, idle := s.idle()
+		protected = protected || time.Since(since) < firstCommandTime
+		if idle && (longest == nil || longestProtected && !protected || longestProtected == protected && since.Before(longestSince)) {
 			longest = s
 			longestSince = since
-			longestUseful = useful
+			longestProtected = protected
 		}
 	}
 	if longest != nil {
--- a/internal/front/eviction_test.go
+++ b/internal/front/eviction_test.go
@@ -25,10 +25,10 @@
 
 // evictionTest holds the state of a test with a server whose MaxIdleSessions is 10.
 type evictionTest struct {
-	t     *testing.T
-	l     net.Listener
-	ctx   context.Context // context of the server
-	ended chan int        // receives each client of idleClients whose connection has ended
+	t       *testing.T
+	l       net.Listener
+	ctx     context.Context // context of the server
+	evicted chan int        // receives each client of idleClients whose connection has ended
 }
 
 // dial connects a client that sends command, unless it is empty. It waits for the answer to an ECHO.
@@ -57,18 +57,18 @@
 		c, _ := e.dial("ECHO")
 		go func() {
 			if n, err := c.Read(make([]byte, 1)); n == 0 && err != nil && e.ctx.Err() == nil {
-				e.ended <- i
+				e.evicted <- i
 			}
 		}()
 	}
 }
 
-// sendUntilEnded makes a client send commands until want idle clients were evicted, and fails the test if the sending client is
+// sendUntilEvicted makes a client send commands until want idle clients were evicted, and fails the test if the sending client is
 // evicted. If the machine stalls, the sending client counts as idle and may be evicted; it then reconnects.
-func (e *evictionTest) sendUntilEnded(busy net.Conn, answers *bufio.Reader, want int) {
-	endedCount := 0
+func (e *evictionTest) sendUntilEvicted(busy net.Conn, answers *bufio.Reader, want int) {
+	evictedCount := 0
 	lastSentAt := time.Now()
-	for begin := lastSentAt; time.Since(begin) < 10*time.Second && endedCount < want; {
+	for begin := lastSentAt; time.Since(begin) < 10*time.Second && evictedCount < want; {
 		busy.Write([]byte("*1\r\n$4\r\nECHO\r\n"))
 		line, err := answers.ReadString('\n')
 		if gap := time.Since(lastSentAt); err != nil && gap < evictableAfter {
@@ -78,13 +78,13 @@
 		}
 		lastSentAt = time.Now()
 		select {
-		case <-e.ended:
-			endedCount++
+		case <-e.evicted:
+			evictedCount++
 		case <-time.After(5 * time.Millisecond):
 		}
 	}
-	if endedCount < want {
-		e.t.Fatalf("%d of 40 idle clients were evicted", endedCount)
+	if evictedCount < want {
+		e.t.Fatalf("%d of 40 idle clients were evicted", evictedCount)
 	}
 }
 
@@ -101,7 +101,7 @@
 		Log: zap.NewNop()}
 	served := make(chan error, 1)
 	go func() { served <- srv.Serve(ctx) }()
-	e := &evictionTest{t: t, l: l, ctx: ctx, ended: make(chan int, 40)}
+	e := &evictionTest{t: t, l: l, ctx: ctx, evicted: make(chan int, 40)}
 	pending, _ := e.dial("WAIT")
 	silent, _ := e.dial("")
 	slow, _ := e.dial("ECHO")
@@ -109,9 +109,9 @@
 	busy, answers := e.dial("ECHO")
 	e.idleClients(40)
 	// The three clients that send, send slowly or have a pending answer stay, and seven more: 33 of 40 are evicted, and no more.
-	e.sendUntilEnded(busy, answers, 33)
-	if len(e.ended) > 0 {
-		t.Errorf("%d more than 33 clients were evicted", len(e.ended))
+	e.sendUntilEvicted(busy, answers, 33)
+	if len(e.evicted) > 0 {
+		t.Errorf("%d more than 33 clients were evicted", len(e.evicted))
 	}
 	for name, c := range map[string]net.Conn{"with a pending answer": pending, "that never sent a command": silent, "that sends slowly": slow} {
 		c.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
--- a/internal/front/hangup_test.go
+++ b/internal/front/hangup_test.go
@@ -11,8 +11,8 @@
 // The operators' term after a client has closed its connection. Later than this, and the slack of the rules on sockets, no attempt
 // for the client may start.
 const (
-	hangUpTerm  = 100 * time.Millisecond
-	hangUpSlack = 50 * time.Millisecond
+	hangUpTimeLimit = 100 * time.Millisecond
+	hangUpSlack     = 50 * time.Millisecond
 )
 
 // TestHangUpIsDetectedWhileNothingIsRead guards against requests that are forwarded after their client has hung up. A session reads
@@ -54,8 +54,8 @@
 			for commands.clientsDeparted.Load() == 0 && time.Since(closed) < time.Second {
 				time.Sleep(time.Millisecond)
 			}
-			if elapsed := time.Since(closed); elapsed > hangUpTerm+hangUpSlack {
-				t.Errorf("the hang-up was reported after %v, and the term is %v", elapsed, hangUpTerm)
+			if elapsed := time.Since(closed); elapsed > hangUpTimeLimit+hangUpSlack {
+				t.Errorf("the hang-up was reported after %v, and the term is %v", elapsed, hangUpTimeLimit)
 			}
 		})
 	}
--- a/internal/front/lifecycle.go
+++ b/internal/front/lifecycle.go
@@ -4,30 +4,30 @@
 
 // Terms that operators set for a drained gateway. They start with the call that drains it.
 const (
-	drainTerm    = 4 * time.Second        // time after which no client connection may be idle or have a recent request
-	recentWindow = 2 * time.Second        // maximum age of a recent request
-	stallMargin  = 150 * time.Millisecond // allowance for a stall of the gateway between reading its clock and acting
+	drainTimeLimit = 4 * time.Second        // time after which no client connection may be idle or have a recent request
+	recentWindow   = 2 * time.Second        // maximum age of a recent request
+	stallMargin    = 150 * time.Millisecond // allowance for a stall of the gateway between reading its clock and acting
 )
 
 // Times by which the gateway acts in order to meet these terms.
 const (
-	// drainReadTime is how long requests are accepted. The last one is older than recentWindow at drainTerm, even if the gateway stalls
+	// drainReadTime is how long requests are accepted. The last one is older than recentWindow at drainTimeLimit, even if the gateway stalls
 	// for stallMargin and the machine is late by as much again.
-	drainReadTime = drainTerm - recentWindow - 500*time.Millisecond
+	drainReadTime = drainTimeLimit - recentWindow - 500*time.Millisecond
 	// drainCloseTime is the time by which a connection without pending answers is closed.
-	drainCloseTime = drainTerm - stallMargin - 100*time.Millisecond
+	drainCloseTime = drainTimeLimit - stallMargin - 100*time.Millisecond
 	// firstCommandTime is the time for the first command of a connection that is accepted during the drain.
 	firstCommandTime = 200 * time.Millisecond
 	// drainExpediteTime is when the answers of connections with unread input are expedited, because such a connection must not be
-	// open at drainTerm.
-	drainExpediteTime = drainTerm - time.Second
+	// open at drainTimeLimit.
+	drainExpediteTime = drainTimeLimit - time.Second
 	// expediteInterval is the time between two checks for such connections.
 	expediteInterval = 50 * time.Millisecond
 )
 
 // Times for which input is discarded after the sending side of a connection is closed.
 const (
-	discardTime    = 300 * time.Millisecond // maximum time; closeAt may be earlier
+	maxDiscardTime = 300 * time.Millisecond // maximum time; closeAt may be earlier
 	minDiscardTime = 50 * time.Millisecond  // minimum time, even if closeAt is earlier
 )
 
@@ -127,7 +127,7 @@
 		return
 	}
 	l.state = stateClosed
-	until := now.Add(discardTime)
+	until := now.Add(maxDiscardTime)
 	if !l.closeAt.IsZero() {
 		until = later(earlier(until, l.closeAt), now.Add(minDiscardTime))
 	}
--- a/internal/front/lifecycle_test.go
+++ b/internal/front/lifecycle_test.go
@@ -7,16 +7,16 @@
 	"time"
 )
 
-// TestDrainTimesMeetTheTerm checks that the times of a drain meet the operators' term with the required margins.
-func TestDrainTimesMeetTheTerm(t *testing.T) {
+// TestDrainTimesMeetTheTimeLimit checks that the times of a drain meet the operators' term with the required margins.
+func TestDrainTimesMeetTheTimeLimit(t *testing.T) {
 	calledAt := time.Now()
 	d := newDrainTimes(calledAt)
 	// The rule allows 50 ms for sockets. The gateway may stall between reading its clock and reading the request, and again before
 	// that.
-	if latest := d.readUntil.Add(2 * stallMargin); drainTerm-latest.Sub(calledAt) < recentWindow {
+	if latest := d.readUntil.Add(2 * stallMargin); drainTimeLimit-latest.Sub(calledAt) < recentWindow {
 		t.Errorf("a request that is read %v after the call is still recent at the end of the term", latest.Sub(calledAt))
 	}
-	if latest := d.closeAt.Add(stallMargin); latest.Sub(calledAt) >= drainTerm {
+	if latest := d.closeAt.Add(stallMargin); latest.Sub(calledAt) >= drainTimeLimit {
 		t.Errorf("a connection may stay open for %v", latest.Sub(calledAt))
 	}
 	// Steps of the wall clock must not move these times, so both need a reading of the monotonic clock.
@@ -101,7 +101,7 @@
 	if readAt := calledAt.Add(drainReadTime); l.state == stateDraining && !l.mustReject(readAt) {
 		t.Errorf("run %d: a request that is read %v after the call is not rejected", run, drainReadTime)
 	}
-	if l.state == stateClosed && !l.closeAt.Before(calledAt.Add(drainTerm)) && now.Before(calledAt.Add(drainTerm-discardTime)) {
+	if l.state == stateClosed && !l.closeAt.Before(calledAt.Add(drainTimeLimit)) && now.Before(calledAt.Add(drainTimeLimit-maxDiscardTime)) {
 		t.Errorf("run %d: in stateClosed %v after the call, but open until %v after it", run, now.Sub(calledAt), l.closeAt.Sub(calledAt))
 	}
 }
@@ -128,7 +128,7 @@
 		t.Errorf("after closeWrite just before closeAt: closed at %v, expected %v", l.closeAt.Sub(start), want.Sub(start))
 	}
 	l.closeWrite(start.Add(time.Hour))
-	if l.closeAt.After(start.Add(drainTerm)) {
+	if l.closeAt.After(start.Add(drainTimeLimit)) {
 		t.Errorf("after a second closeWrite: got %+v", l)
 	}
 }
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -144,7 +144,7 @@
 	}
 	srv.drain = &times
 	time.AfterFunc(drainExpediteTime, func() { srv.expediteDrained(&times) })
-	time.AfterFunc(drainTerm, func() { srv.checkDrained(&times) })
+	time.AfterFunc(drainTimeLimit, func() { srv.checkDrained(&times) })
 	for s := range srv.sessions {
 		s.drain(times)
 	}
--- a/internal/front/session.go
+++ b/internal/front/session.go
@@ -165,9 +165,8 @@
 	s.mu.Unlock()
 }
 
-// idle reports whether an open session has no pending answers, since when, and whether its client has sent a valid command, which makes
-// the session useful.
-func (s *session) idle() (since time.Time, useful, idle bool) {
+// idle reports whether an open session has no pending answers, since when, and whether its client has sent a valid command.
+func (s *session) idle() (since time.Time, sentValidCommand, idle bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.lastPendingAt, s.commandsRead > s.faultyCommands, s.hasNoPendingAnswers() && s.isOpen()
@@ -182,8 +181,8 @@
 }
 
 // idleBetweenCommands is like idle, but reports true only for a session that waits for the next command. A client in the middle of a
-// command may send slowly and is not idle. A session that is ending is neither useful nor idle.
-func (s *session) idleBetweenCommands() (since time.Time, useful, idle bool) {
+// command may send slowly and is not idle. For a session that is ending, both booleans are false.
+func (s *session) idleBetweenCommands() (since time.Time, sentValidCommand, idle bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	open := s.isOpen()
--- a/internal/ledger/recorder/audit.go
+++ b/internal/ledger/recorder/audit.go
@@ -33,7 +33,7 @@
 // rows if allRows is set, and otherwise those that have changed or have an alarm.
 func (rec *Recorder) Audit(allRows bool) {
 	rec.mu.Lock()
-	found := rec.mismatches(allRows)
+	found := rec.findMismatches(allRows)
 	raised, cleared := rec.updateAlarms(found, allRows)
 	rec.mu.Unlock()
 	for _, a := range raised {
@@ -53,9 +53,9 @@
 	}
 }
 
-// mismatches drains the queue and audits the ledger: all rows, or those that have changed and those with an alarm. The lock mu is
+// findMismatches drains the queue and audits the ledger: all rows, or those that have changed and those with an alarm. The lock mu is
 // held.
-func (rec *Recorder) mismatches(allRows bool) []ledger.Mismatch {
+func (rec *Recorder) findMismatches(allRows bool) []ledger.Mismatch {
 	rec.drainQueue(nil)
 	watched := make([]ledger.Key, 0, len(rec.alarms))
 	for a := range rec.alarms {
--- a/internal/ledger/store/golden_test.go
+++ b/internal/ledger/store/golden_test.go
@@ -40,9 +40,9 @@
 	}
 )
 
-// TestSegmentForm compares a segment of the log with golden files: its header, the record of the statement after which it
+// TestSegmentFormat compares a segment of the log with golden files: its header, the record of the statement after which it
 // resumes, postings, and the mark of a gap. Other versions of the program read it, after a restart or with the ledger command.
-func TestSegmentForm(t *testing.T) {
+func TestSegmentFormat(t *testing.T) {
 	for _, c := range []struct {
 		name string
 		gap  bool
--- a/internal/ledger/store/store_test.go
+++ b/internal/ledger/store/store_test.go
@@ -456,8 +456,8 @@
 	}
 }
 
-// BenchmarkKeep compares ways to make a posting durable, which docs/design/ledger.md discusses.
-func BenchmarkKeep(b *testing.B) {
+// BenchmarkDurablePosting compares ways to make a posting durable, which docs/design/ledger.md discusses.
+func BenchmarkDurablePosting(b *testing.B) {
 	p := ledger.Posting{Event: ledger.FrontTaken, Key: ledger.Key{Customer: 7}, Ref: 1, Units: 1e6, At: 1}
 	b.Run("mapped log", func(b *testing.B) {
 		o := options(b.TempDir())
--- a/limit_answers_test.go
+++ b/limit_answers_test.go
@@ -8,21 +8,21 @@
 )
 
 // adjust sends a limit query (0 units) or a limit adjustment, advances the time by wait and returns the answer.
-func (b *harness) adjust(units float64, spread int, wait dw.Span) any {
-	b.lastID++
-	q := dw.LimitQuery{ID: dw.RequestID("limit" + string(rune('a'+b.lastID))), Customer: 1, Remaining: 800 * millisecond, Spread: spread}
+func (h *harness) adjust(units float64, spread int, wait dw.Span) any {
+	h.lastID++
+	q := dw.LimitQuery{ID: dw.RequestID("limit" + string(rune('a'+h.lastID))), Customer: 1, Remaining: 800 * millisecond, Spread: spread}
 	if units == 0 {
-		b.handle(q)
+		h.handle(q)
 	} else {
-		b.handle(dw.LimitAdjust{LimitQuery: q, Units: units})
+		h.handle(dw.LimitAdjust{LimitQuery: q, Units: units})
 	}
-	b.advance(wait)
-	return b.answers[q.ID]
+	h.advance(wait)
+	return h.answers[q.ID]
 }
 
-func (b *harness) expectRemaining(t *testing.T, want float64) {
+func (h *harness) expectRemaining(t *testing.T, want float64) {
 	t.Helper()
-	if l, ok := b.adjust(0, 1, 300*millisecond).(dw.LimitAnswer); !ok || math.Abs(l.Remaining-want) > 1 {
+	if l, ok := h.adjust(0, 1, 300*millisecond).(dw.LimitAnswer); !ok || math.Abs(l.Remaining-want) > 1 {
 		t.Errorf("got %+v, expected %v remaining units", l, want)
 	}
 }
@@ -35,46 +35,46 @@
 }
 
 func TestLimitQuery(t *testing.T) {
-	b := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
-	b.expectRemaining(t, 6)
-	b.serve(3, millisecond, dw.Arrival{Customer: 1})
-	b.expectRemaining(t, 3)
-	b.serve(9, millisecond, dw.Arrival{Customer: 1})
-	l, ok := b.adjust(0, 1, 300*millisecond).(dw.LimitAnswer)
+	h := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
+	h.expectRemaining(t, 6)
+	h.serve(3, millisecond, dw.Arrival{Customer: 1})
+	h.expectRemaining(t, 3)
+	h.serve(9, millisecond, dw.Arrival{Customer: 1})
+	l, ok := h.adjust(0, 1, 300*millisecond).(dw.LimitAnswer)
 	if !ok || l.Remaining >= 1 || l.Limit != 6 || l.ReplenishedAfter <= 0 || l.ReplenishedAfter > 10*second {
 		t.Errorf("quota used up: got %+v, expected less than 1 of 6 units and up to 10 s to wait", l)
 	}
 	// The advice is exact: one more request is admitted at that time, and none before.
-	if admitted := b.serve(1, millisecond, dw.Arrival{Customer: 1}); admitted != 0 {
+	if admitted := h.serve(1, millisecond, dw.Arrival{Customer: 1}); admitted != 0 {
 		t.Error("request admitted before ReplenishedAfter has passed")
 	}
-	b.advance(l.ReplenishedAfter + 200*millisecond)
-	if admitted := b.serve(1, millisecond, dw.Arrival{Customer: 1}); admitted != 1 {
+	h.advance(l.ReplenishedAfter + 200*millisecond)
+	if admitted := h.serve(1, millisecond, dw.Arrival{Customer: 1}); admitted != 1 {
 		t.Error("request rejected after ReplenishedAfter has passed")
 	}
 }
 
 // Units that are taken after a query arrived must not show in its answer, although the same call may push them.
 func TestLimitQueryExcludesLaterUse(t *testing.T) {
-	b := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
-	b.serve(1, millisecond, dw.Arrival{Customer: 1})
-	b.handle(dw.LimitQuery{ID: "early", Customer: 1, Remaining: 800 * millisecond, Spread: 1})
-	b.serve(3, millisecond, dw.Arrival{Customer: 1})
-	b.advance(300 * millisecond)
-	if l, ok := b.answers["early"].(dw.LimitAnswer); !ok || math.Abs(l.Remaining-5) > 0.5 {
+	h := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
+	h.serve(1, millisecond, dw.Arrival{Customer: 1})
+	h.handle(dw.LimitQuery{ID: "early", Customer: 1, Remaining: 800 * millisecond, Spread: 1})
+	h.serve(3, millisecond, dw.Arrival{Customer: 1})
+	h.advance(300 * millisecond)
+	if l, ok := h.answers["early"].(dw.LimitAnswer); !ok || math.Abs(l.Remaining-5) > 0.5 {
 		t.Errorf("got %+v, expected 5 remaining units", l)
 	}
 }
 
 func TestLimitAdjust(t *testing.T) {
-	b := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
+	h := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
 	steps := []struct {
 		units float64
 		want  any
 	}{{-2, dw.AdjustAnswer{Units: 0}}, {5, dw.AdjustAnswer{Units: 5}}, {2, nil}, {-2, dw.AdjustAnswer{Units: -2}},
 		{-9, dw.AdjustAnswer{Units: -3}}, {-1, dw.AdjustAnswer{Units: 0}}}
 	for i, step := range steps {
-		got := b.adjust(step.units, 1, 300*millisecond)
+		got := h.adjust(step.units, 1, 300*millisecond)
 		switch got := got.(type) {
 		case dw.AdjustAnswer:
 			if want, ok := step.want.(dw.AdjustAnswer); !ok || math.Abs(got.Units-want.Units) > 1e-9 {
@@ -88,14 +88,14 @@
 			t.Errorf("step %d, adjustment by %v: unexpected answer %+v", i, step.units, got)
 		}
 	}
-	b.advance(second)
+	h.advance(second)
 	sum := 0.0
-	for _, c := range b.counterCalls {
+	for _, c := range h.counterCalls {
 		if sum += c.Add; sum < 0 {
 			t.Errorf("sum of the counter calls fell to %v, expected at least 0", sum)
 		}
 	}
-	if len(b.attempts) > 0 {
+	if len(h.attempts) > 0 {
 		t.Error("a limit adjustment was forwarded to a server")
 	}
 }
@@ -103,12 +103,12 @@
 // Without an answer from the counter, a query must fail before its time is up.
 func TestLimitQueryWithoutCounter(t *testing.T) {
 	for _, o := range []dw.Outcome{dw.OutcomeTimeout, dw.OutcomeRejected, dw.OutcomeConnectFailed} {
-		b := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
-		b.counter = func(c dw.CounterAdd) *dw.CounterAnswered { return &dw.CounterAnswered{Name: c.Name, Outcome: o} }
-		if a, ok := b.adjust(0, 1, 790*millisecond).(dw.Fail); !ok {
+		h := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
+		h.counter = func(c dw.CounterAdd) *dw.CounterAnswered { return &dw.CounterAnswered{Name: c.Name, Outcome: o} }
+		if a, ok := h.adjust(0, 1, 790*millisecond).(dw.Fail); !ok {
 			t.Errorf("outcome %v: got %+v, expected Fail", o, a)
 		}
-		if calls := len(b.counterCalls); calls > 20 {
+		if calls := len(h.counterCalls); calls > 20 {
 			t.Errorf("outcome %v: got %d counter calls for one query, expected at most 20", o, calls)
 		}
 	}
@@ -116,32 +116,32 @@
 
 // A call whose answer is lost has counted its units: the next total must not show them again as use by others.
 func TestLostCounterAnswer(t *testing.T) {
-	b := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
-	add := b.counter
-	b.expectRemaining(t, 6)
-	b.serve(2, millisecond, dw.Arrival{Customer: 1})
-	b.counter = func(c dw.CounterAdd) *dw.CounterAnswered { add(c); return nil }
-	b.adjust(0, 1, 100*millisecond)
-	b.counter = add
-	b.advance(second)
-	b.expectRemaining(t, 4)
+	h := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
+	add := h.counter
+	h.expectRemaining(t, 6)
+	h.serve(2, millisecond, dw.Arrival{Customer: 1})
+	h.counter = func(c dw.CounterAdd) *dw.CounterAnswered { add(c); return nil }
+	h.adjust(0, 1, 100*millisecond)
+	h.counter = add
+	h.advance(second)
+	h.expectRemaining(t, 4)
 }
 
 // When a total falls, the gateway must distinguish units returned at other gateways from a counter that has lost its state.
 func TestCounterTotalThatFalls(t *testing.T) {
 	total := 0.0
-	b := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
-	b.counter = func(c dw.CounterAdd) *dw.CounterAnswered {
+	h := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
+	h.counter = func(c dw.CounterAdd) *dw.CounterAnswered {
 		total += c.Add
 		return &dw.CounterAnswered{Name: c.Name, Total: total}
 	}
-	b.serve(2, millisecond, dw.Arrival{Customer: 1, Spread: 2})
+	h.serve(2, millisecond, dw.Arrival{Customer: 1, Spread: 2})
 	total += 3 // used at the other gateway
-	b.expectRemaining(t, 1)
+	h.expectRemaining(t, 1)
 	total -= 3 // returned at the other gateway
-	b.expectRemaining(t, 4)
+	h.expectRemaining(t, 4)
 	total = 0 // counter state lost: units that this gateway used stay used
-	b.expectRemaining(t, 4)
+	h.expectRemaining(t, 4)
 }
 
 // A request that waits for its count must not be forwarded after its client has departed: nothing would end that attempt.
@@ -149,14 +149,14 @@
 	s := settings()
 	// The burst is below one request per gateway, so units are counted first.
 	s.Plans[0] = dw.Plan{Rate: 1, Burst: 1, WeightFactor: 1, OverQuotaCost: 1}
-	b := newHarness(t, s, dw.Endpoint{ID: 7})
-	id, sent := b.request(dw.Arrival{Customer: 1, Spread: 2})
-	if sent || len(b.counterCalls) == 0 {
+	h := newHarness(t, s, dw.Endpoint{ID: 7})
+	id, sent := h.request(dw.Arrival{Customer: 1, Spread: 2})
+	if sent || len(h.counterCalls) == 0 {
 		t.Fatal("the request did not wait for its count")
 	}
-	b.handle(dw.ClientDeparted{Request: id})
-	b.advance(100 * millisecond)
-	if len(b.attempts) > 0 {
+	h.handle(dw.ClientDeparted{Request: id})
+	h.advance(100 * millisecond)
+	if len(h.attempts) > 0 {
 		t.Error("request forwarded after its client had departed")
 	}
 }
@@ -166,16 +166,16 @@
 	s := settings()
 	s.MaxRetryAfter = 60 * second
 	s.Plans[0].CeilingRate, s.Plans[0].CeilingBurst, s.Plans[0].Tolerance = 0.5, 6, 1
-	b := newHarness(t, s, dw.Endpoint{ID: 7})
-	r, ok := b.adjust(1, 2, millisecond).(dw.Reject)
+	h := newHarness(t, s, dw.Endpoint{ID: 7})
+	r, ok := h.adjust(1, 2, millisecond).(dw.Reject)
 	if !ok || r.RetryAfter < second || r.RetryAfter > 8*second {
 		t.Fatalf("got %+v, expected a rejection with a RetryAfter of 1 to 8 s", r)
 	}
-	if _, ok := b.adjust(1, 2, millisecond).(dw.Reject); !ok {
+	if _, ok := h.adjust(1, 2, millisecond).(dw.Reject); !ok {
 		t.Error("units taken before RetryAfter has passed")
 	}
-	b.advance(r.RetryAfter)
-	if a, ok := b.adjust(1, 2, millisecond).(dw.AdjustAnswer); !ok {
+	h.advance(r.RetryAfter)
+	if a, ok := h.adjust(1, 2, millisecond).(dw.AdjustAnswer); !ok {
 		t.Errorf("units not taken after RetryAfter has passed: got %+v", a)
 	}
 }
@@ -186,13 +186,13 @@
 	s := settings()
 	s.Plans[0] = dw.Plan{Rate: 50, Burst: 100, MaxInFlight: 6, WeightFactor: 1, OverQuotaCost: 1}
 	inFlight := 0
-	b := newHarness(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8}, dw.Endpoint{ID: 9})
-	b.serve(100, 20*millisecond, dw.Arrival{Customer: 1, Spread: 2}) // servers are fast, and totals show no use by others
+	h := newHarness(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8}, dw.Endpoint{ID: 9})
+	h.serve(100, 20*millisecond, dw.Arrival{Customer: 1, Spread: 2}) // servers are fast, and totals show no use by others
 	for range 12 {
-		if _, sent := b.request(dw.Arrival{Customer: 1, Spread: 2}); sent { // no server answers these
+		if _, sent := h.request(dw.Arrival{Customer: 1, Spread: 2}); sent { // no server answers these
 			inFlight++
 		}
-		b.advance(10 * millisecond)
+		h.advance(10 * millisecond)
 	}
 	if inFlight != 3 {
 		t.Errorf("got %d attempts in flight, expected half of 6", inFlight)
--- a/load_shedding_test.go
+++ b/load_shedding_test.go
@@ -11,18 +11,18 @@
 func TestRecoveryFromSheddingAll(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
-	b := newHarness(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8})
+	h := newHarness(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8})
 	for range 100 {
-		if id, ok := b.request(dw.Arrival{}); ok {
-			b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[len(b.attempts)-1].Server, Final: true, Latency: 390 * millisecond})
+		if id, ok := h.request(dw.Arrival{}); ok {
+			h.handle(dw.AttemptEnded{Request: id, Server: h.attempts[len(h.attempts)-1].Server, Final: true, Latency: 390 * millisecond})
 		}
-		b.advance(millisecond)
+		h.advance(millisecond)
 	}
-	if _, ok := b.request(dw.Arrival{}); ok {
+	if _, ok := h.request(dw.Arrival{}); ok {
 		t.Fatal("request admitted although all servers are slow")
 	}
-	b.advance(4 * second)
-	if _, ok := b.request(dw.Arrival{}); !ok {
+	h.advance(4 * second)
+	if _, ok := h.request(dw.Arrival{}); !ok {
 		t.Error("request rejected although the servers have had time to recover")
 	}
 }
@@ -32,20 +32,20 @@
 func TestThrottlingEndsCollapse(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
-	b := newHarness(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8}, dw.Endpoint{ID: 9})
+	h := newHarness(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8}, dw.Endpoint{ID: 9})
 	runRequests := func(outcome dw.Outcome) int {
-		before, handled := len(b.attempts), len(b.attempts)
+		before, handled := len(h.attempts), len(h.attempts)
 		for range 500 {
-			id, ok := b.request(dw.Arrival{})
-			for attempt := 0; ok && handled < len(b.attempts); attempt++ {
-				e := dw.AttemptEnded{Request: id, Attempt: attempt, Server: b.attempts[handled].Server, Outcome: outcome, Latency: 5 * millisecond}
+			id, ok := h.request(dw.Arrival{})
+			for attempt := 0; ok && handled < len(h.attempts); attempt++ {
+				e := dw.AttemptEnded{Request: id, Attempt: attempt, Server: h.attempts[handled].Server, Outcome: outcome, Latency: 5 * millisecond}
 				e.Final = outcome == dw.OutcomeOK
 				handled++
-				b.handle(e)
+				h.handle(e)
 			}
-			b.advance(20 * millisecond)
+			h.advance(20 * millisecond)
 		}
-		return len(b.attempts) - before
+		return len(h.attempts) - before
 	}
 	if n := runRequests(dw.OutcomeOK); n < 450 {
 		t.Fatalf("got %d attempts for 500 requests while servers are healthy, expected at least 450", n)
@@ -67,21 +67,21 @@
 	for i := range 100 {
 		servers = append(servers, dw.Endpoint{ID: dw.ServerID(i)})
 	}
-	b := newHarness(t, s, servers...)
+	h := newHarness(t, s, servers...)
 	forwarded := 0
 	for i := range 300 {
 		latency := 10 * millisecond
 		if i >= 200 {
 			latency = 300 * millisecond
 		}
-		if id, ok := b.request(dw.Arrival{}); ok {
-			b.advance(latency)
-			b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[len(b.attempts)-1].Server, Final: true, Latency: latency})
+		if id, ok := h.request(dw.Arrival{}); ok {
+			h.advance(latency)
+			h.handle(dw.AttemptEnded{Request: id, Server: h.attempts[len(h.attempts)-1].Server, Final: true, Latency: latency})
 			if i >= 230 && i < 300 {
 				forwarded++
 			}
 		}
-		b.advance(100 * millisecond)
+		h.advance(100 * millisecond)
 	}
 	if forwarded > 20 || forwarded == 0 {
 		t.Errorf("got %d of 70 requests forwarded to servers that all take 3/4 of the objective, expected 1 to 20", forwarded)
@@ -93,17 +93,17 @@
 func TestRetryAfterIsSpread(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
-	b := newHarness(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8})
+	h := newHarness(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8})
 	least, most := second, dw.Span(0)
 	for range 200 {
-		id, ok := b.request(dw.Arrival{})
+		id, ok := h.request(dw.Arrival{})
 		if ok {
-			b.advance(220 * millisecond)
-			b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[len(b.attempts)-1].Server, Final: true, Latency: 220 * millisecond})
-		} else if r, rejected := b.answers[id].(dw.Reject); rejected {
+			h.advance(220 * millisecond)
+			h.handle(dw.AttemptEnded{Request: id, Server: h.attempts[len(h.attempts)-1].Server, Final: true, Latency: 220 * millisecond})
+		} else if r, rejected := h.answers[id].(dw.Reject); rejected {
 			least, most = min(least, r.RetryAfter), max(most, r.RetryAfter)
 		}
-		b.advance(millisecond)
+		h.advance(millisecond)
 	}
 	if least <= 0 || most < 2*least || most > 400*millisecond {
 		t.Errorf("got a RetryAfter of %v to %v, expected a positive range, spread twofold within 400 millisecond", least, most)
@@ -114,21 +114,21 @@
 func TestLongWorkIsNotShed(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
-	b := newHarness(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8})
+	h := newHarness(t, s, dw.Endpoint{ID: 7}, dw.Endpoint{ID: 8})
 	for _, c := range []struct {
 		latency  dw.Span
 		min, max int
 	}{{70 * millisecond, 95, 100}, {130 * millisecond, 95, 100}, {300 * millisecond, 1, 60}} {
 		forwarded := 0
 		for i := range 200 {
-			if id, ok := b.request(dw.Arrival{}); ok {
-				b.advance(c.latency)
-				b.handle(dw.AttemptEnded{Request: id, Server: b.attempts[len(b.attempts)-1].Server, Final: true, Latency: c.latency})
+			if id, ok := h.request(dw.Arrival{}); ok {
+				h.advance(c.latency)
+				h.handle(dw.AttemptEnded{Request: id, Server: h.attempts[len(h.attempts)-1].Server, Final: true, Latency: c.latency})
 				if i >= 100 {
 					forwarded++
 				}
 			}
-			b.advance(10 * millisecond)
+			h.advance(10 * millisecond)
 		}
 		if forwarded < c.min || forwarded > c.max {
 			t.Errorf("latency %v: got %d of 100 requests forwarded, expected %d to %d", c.latency, forwarded, c.min, c.max)
--- a/quota_test.go
+++ b/quota_test.go
@@ -27,12 +27,12 @@
 
 // Units that other gateways have used show in the counter's total and must not be admitted again.
 func TestUseByOtherGateways(t *testing.T) {
-	b := newHarness(t, settings(), dw.Endpoint{ID: 7})
-	b.counter = func(c dw.CounterAdd) *dw.CounterAnswered { return &dw.CounterAnswered{Name: c.Name, Total: c.Add + 6} }
-	if in := b.serve(1, 500*millisecond, dw.Arrival{Customer: 1, Spread: 2}); in != 1 {
+	h := newHarness(t, settings(), dw.Endpoint{ID: 7})
+	h.counter = func(c dw.CounterAdd) *dw.CounterAnswered { return &dw.CounterAnswered{Name: c.Name, Total: c.Add + 6} }
+	if in := h.serve(1, 500*millisecond, dw.Arrival{Customer: 1, Spread: 2}); in != 1 {
 		t.Fatal("the first request was rejected")
 	}
-	if admitted := b.serve(20, millisecond, dw.Arrival{Customer: 1, Spread: 2}); admitted > 1 {
+	if admitted := h.serve(20, millisecond, dw.Arrival{Customer: 1, Spread: 2}); admitted > 1 {
 		t.Errorf("got %d requests admitted although other gateways have used the burst, expected at most 1", admitted)
 	}
 }
@@ -42,27 +42,27 @@
 func TestStreamingAttemptsCountOnce(t *testing.T) {
 	s := settings()
 	s.Instances, s.Plans[0] = 4, dw.Plan{MaxInFlight: 4, WeightFactor: 1, OverQuotaCost: 1}
-	b := newHarness(t, s, dw.Endpoint{ID: 7})
+	h := newHarness(t, s, dw.Endpoint{ID: 7})
 	var streaming []dw.RequestID
 	for i := range 6 {
-		id, ok := b.request(dw.Arrival{Spread: 4})
+		id, ok := h.request(dw.Arrival{Spread: 4})
 		if ok != (i < 4) {
 			t.Fatalf("with %d streaming answers: got admitted %v", i, ok)
 		}
 		if ok {
 			streaming = append(streaming, id)
-			b.handle(dw.AnswerStarted{Request: id, Server: 7})
-			b.handle(dw.AnswerStarted{Request: id, Server: 7})
+			h.handle(dw.AnswerStarted{Request: id, Server: 7})
+			h.handle(dw.AnswerStarted{Request: id, Server: 7})
 		}
 	}
 	for _, id := range streaming {
-		b.handle(dw.AttemptEnded{Request: id, Server: 7, Final: true, Latency: 10 * millisecond})
+		h.handle(dw.AttemptEnded{Request: id, Server: 7, Final: true, Latency: 10 * millisecond})
 	}
 	// None of them remains in the count. An attempt whose answer has not begun counts as four, one for each gateway.
-	if _, ok := b.request(dw.Arrival{Spread: 4}); !ok {
+	if _, ok := h.request(dw.Arrival{Spread: 4}); !ok {
 		t.Fatal("request rejected with no attempt in flight")
 	}
-	if _, ok := b.request(dw.Arrival{Spread: 4}); ok {
+	if _, ok := h.request(dw.Arrival{Spread: 4}); ok {
 		t.Fatal("request admitted although one attempt at each gateway reaches the limit")
 	}
 }
@@ -71,12 +71,12 @@
 func TestCeilingStartsEmpty(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{Rate: 10, Burst: 20, CeilingRate: 20, CeilingBurst: 40, Tolerance: 4, WeightFactor: 1}
-	b := newHarness(t, s, dw.Endpoint{ID: 7})
-	if admitted := b.serve(10, millisecond, dw.Arrival{Customer: 1, Spread: 2}); admitted > 0 {
+	h := newHarness(t, s, dw.Endpoint{ID: 7})
+	if admitted := h.serve(10, millisecond, dw.Arrival{Customer: 1, Spread: 2}); admitted > 0 {
 		t.Errorf("got %d requests admitted at once, expected 0", admitted)
 	}
-	b.advance(second)
-	if admitted := b.serve(5, millisecond, dw.Arrival{Customer: 1, Spread: 2}); admitted != 5 {
+	h.advance(second)
+	if admitted := h.serve(5, millisecond, dw.Arrival{Customer: 1, Spread: 2}); admitted != 5 {
 		t.Errorf("got %d of 5 requests admitted after a second, expected all", admitted)
 	}
 }
@@ -87,22 +87,22 @@
 	for total, want := range map[float64]bool{3: true, 150: false} {
 		s := manyGateways()
 		s.Plans[0].MaxInFlight = 2
-		b := newHarness(t, s, dw.Endpoint{ID: 7})
-		b.counter = func(c dw.CounterAdd) *dw.CounterAnswered {
+		h := newHarness(t, s, dw.Endpoint{ID: 7})
+		h.counter = func(c dw.CounterAdd) *dw.CounterAnswered {
 			reported := total
 			total = 1 // total of the next window, which has just begun
 			return &dw.CounterAnswered{Name: c.Name, Total: reported}
 		}
 		lastTotal := total
-		first, _ := b.request(dw.Arrival{Customer: 1, Spread: 50})
-		b.advance(10 * millisecond)
-		if len(b.attempts) == 1 {
-			b.handle(dw.AttemptEnded{Request: first, Server: 7, Final: true, Latency: 10 * millisecond})
+		first, _ := h.request(dw.Arrival{Customer: 1, Spread: 50})
+		h.advance(10 * millisecond)
+		if len(h.attempts) == 1 {
+			h.handle(dw.AttemptEnded{Request: first, Server: 7, Final: true, Latency: 10 * millisecond})
 		}
-		b.advance(2100 * millisecond) // into the next window
-		id, _ := b.request(dw.Arrival{Customer: 1, Spread: 50})
-		b.advance(3 * millisecond)
-		if admitted := b.answers[id] == nil; admitted != want {
+		h.advance(2100 * millisecond) // into the next window
+		id, _ := h.request(dw.Arrival{Customer: 1, Spread: 50})
+		h.advance(3 * millisecond)
+		if admitted := h.answers[id] == nil; admitted != want {
 			t.Errorf("total %v in the last window: got admitted %v, expected %v", lastTotal, admitted, want)
 		}
 	}
--- a/scale_test.go
+++ b/scale_test.go
@@ -33,27 +33,27 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := &scaleHarness{harness: &harness{gateway: g, now: dw.Instant(100 * second), answers: map[dw.RequestID]dw.Action{}}, interval: second / dw.Span(rate),
+	h := &scaleHarness{harness: &harness{gateway: g, now: dw.Instant(100 * second), answers: map[dw.RequestID]dw.Action{}}, interval: second / dw.Span(rate),
 		used: map[dw.ServerID]int{}}
 	l := dw.EndpointList{Kind: dw.ListFull}
 	for i := range servers {
 		l.Servers = append(l.Servers, dw.Endpoint{ID: dw.ServerID(i + 1), Rating: 1})
 	}
-	f.handle(l)
-	return f
+	h.handle(l)
+	return h
 }
 
 // serve submits requests one after the other and answers each.
-func (f *scaleHarness) serve(requests int) {
+func (h *scaleHarness) serve(requests int) {
 	for range requests {
-		f.now += dw.Instant(f.interval)
-		f.fireTimers()
-		f.requests++
-		f.attempts = f.attempts[:0]
-		f.handle(dw.Arrival{ID: dw.RequestID(fmt.Sprint(f.requests)), Customer: 1, Remaining: 100 * millisecond, Units: 1, Spread: 1})
-		for _, s := range f.attempts {
-			f.used[s.Server]++
-			f.handle(dw.AttemptEnded{Request: s.Request, Server: s.Server, Latency: 20 * millisecond, Final: true})
+		h.now += dw.Instant(h.interval)
+		h.fireTimers()
+		h.requests++
+		h.attempts = h.attempts[:0]
+		h.handle(dw.Arrival{ID: dw.RequestID(fmt.Sprint(h.requests)), Customer: 1, Remaining: 100 * millisecond, Units: 1, Spread: 1})
+		for _, s := range h.attempts {
+			h.used[s.Server]++
+			h.handle(dw.AttemptEnded{Request: s.Request, Server: s.Server, Latency: 20 * millisecond, Final: true})
 		}
 	}
 }
@@ -103,11 +103,11 @@
 // A gateway with much traffic must use all of very many servers about evenly, although each selection compares only a few of them.
 func TestManyServersAreAllUsed(t *testing.T) {
 	const each = 20
-	f := newScaleHarness(t, maxServers, 2600)
-	f.serve(each * maxServers)
+	h := newScaleHarness(t, maxServers, 2600)
+	h.serve(each * maxServers)
 	fewest, most := math.MaxInt, 0
 	for id := range maxServers {
-		n := f.used[dw.ServerID(id+1)]
+		n := h.used[dw.ServerID(id+1)]
 		fewest, most = min(fewest, n), max(most, n)
 	}
 	if fewest == 0 || most > 4*each {
@@ -118,32 +118,32 @@
 
 // If a quarter of very many servers fail and a quarter drain, requests must find the others, and none may go to a draining server.
 func TestRequestsAvoidManyFailedServers(t *testing.T) {
-	f := newScaleHarness(t, maxServers, 2600)
+	h := newScaleHarness(t, maxServers, 2600)
 	draining := dw.EndpointList{Kind: dw.ListDelta, Version: 2}
 	for i := 0; i < maxServers; i += 4 {
 		draining.Servers = append(draining.Servers, dw.Endpoint{ID: dw.ServerID(i + 1), Rating: 1, State: dw.Draining})
 	}
-	f.serve(5000)
-	f.handle(draining)
-	clear(f.used)
+	h.serve(5000)
+	h.handle(draining)
+	clear(h.used)
 	failing := func(id dw.ServerID) bool { return id%4 == 2 }
 	lateFailures := 0
 	for n := range 20_000 {
-		f.now += dw.Instant(f.interval)
-		f.attempts = f.attempts[:0]
-		f.handle(dw.Arrival{ID: dw.RequestID(fmt.Sprint("f", n)), Customer: 1, Remaining: 100 * millisecond, Units: 1, Spread: 1})
-		for _, s := range f.attempts {
-			f.used[s.Server]++
+		h.now += dw.Instant(h.interval)
+		h.attempts = h.attempts[:0]
+		h.handle(dw.Arrival{ID: dw.RequestID(fmt.Sprint("f", n)), Customer: 1, Remaining: 100 * millisecond, Units: 1, Spread: 1})
+		for _, s := range h.attempts {
+			h.used[s.Server]++
 			outcome := dw.OutcomeOK
 			if failing(s.Server) {
 				if outcome = dw.OutcomeConnectFailed; n >= 10_000 {
 					lateFailures++
 				}
 			}
-			f.handle(dw.AttemptEnded{Request: s.Request, Server: s.Server, Outcome: outcome, Latency: 20 * millisecond, Final: true})
+			h.handle(dw.AttemptEnded{Request: s.Request, Server: s.Server, Outcome: outcome, Latency: 20 * millisecond, Final: true})
 		}
 	}
-	for id, n := range f.used {
+	for id, n := range h.used {
 		if id%4 == 1 {
 			t.Fatalf("draining server %d got %d attempts, want 0", id, n)
 		}
@@ -151,7 +151,7 @@
 	if lateFailures > 10_000/20 {
 		t.Errorf("%d of the last 10,000 requests went to failed servers, want at most 500", lateFailures)
 	}
-	if out := f.gateway.EjectedServers(f.now); out == 0 {
+	if out := h.gateway.EjectedServers(h.now); out == 0 {
 		t.Error("no server is ejected")
 	}
 }
--- a/state_test.go
+++ b/state_test.go
@@ -8,20 +8,20 @@
 
 // restart returns a harness for a new process of the same gateway: a warm one imports the state of the old process. Both processes
 // use the same counter, and the new one gets the endpoint list again.
-func (b *harness) restart(s dw.Settings, warm bool, servers ...dw.Endpoint) *harness {
-	b.t.Helper()
+func (h *harness) restart(s dw.Settings, warm bool, servers ...dw.Endpoint) *harness {
+	h.t.Helper()
 	g, err := dw.New(s, 2)
 	if err != nil {
-		b.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	if warm {
 		var state dw.State
-		b.gateway.Export(&state, 1000)
-		if n, m := g.Import(b.now, &state); n == 0 || m == 0 {
-			b.t.Fatalf("restored %d servers and %d customers, want more than 0 of each", n, m)
+		h.gateway.Export(&state, 1000)
+		if n, m := g.Import(h.now, &state); n == 0 || m == 0 {
+			h.t.Fatalf("restored %d servers and %d customers, want more than 0 of each", n, m)
 		}
 	}
-	next := &harness{t: b.t, gateway: g, now: b.now, answers: map[dw.RequestID]dw.Action{}, counter: b.counter, lastID: b.lastID}
+	next := &harness{t: h.t, gateway: g, now: h.now, answers: map[dw.RequestID]dw.Action{}, counter: h.counter, lastID: h.lastID}
 	next.handle(dw.EndpointList{Kind: dw.ListFull, Servers: servers})
 	return next
 }
