--- a/cmd/dewhitch/drain_calls_test.go
+++ b/cmd/dewhitch/drain_calls_test.go
@@ -64,7 +64,7 @@
 }
 
 // TestDrainWithConcurrentCalls guards against drains that other calls and signals cancel or delay: a second drain, a reload, an
-// invalid configuration, an earlier drain that has ended, and SIGTERM. Each time an idle connection must end within the term, and
+// invalid configuration, an earlier drain that has ended, and SIGTERM. Each time an idle connection must end within the time limit, and
 // a connection with a request in flight must get its answer and then end.
 func TestDrainWithConcurrentCalls(t *testing.T) {
 	t.Parallel()
--- a/cmd/dewhitch/drain_fleet_test.go
+++ b/cmd/dewhitch/drain_fleet_test.go
@@ -167,8 +167,8 @@
 	c.Close()
 }
 
-// violatesDrainLimits returns true, with the reason, if the connection is open at that time although the drain's term does not allow it:
-// it has been idle for longer than schedulingSlack, or it has an unanswered request that is younger than recentRequestAge.
+// violatesDrainLimits returns true, with the reason, if the connection is open at that time although the limits of a drain do not allow
+// it: it has been idle for longer than schedulingSlack, or it has an unanswered request that is younger than recentRequestAge.
 func (c *connection) violatesDrainLimits(at time.Time) (reason string, violated bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -334,7 +334,7 @@
 	}
 }
 
-// TestDrainsUnderLoad guards against client connections that outlast the term of a drain, and against lost requests. Several
+// TestDrainsUnderLoad guards against client connections that outlast the time limit of a drain, and against lost requests. Several
 // gateways are under load, servers hang, and some gateways are drained at random times.
 func TestDrainsUnderLoad(t *testing.T) {
 	for seed := range uint64(drainSeeds) {
--- a/cmd/dewhitch/drain_test.go
+++ b/cmd/dewhitch/drain_test.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// The term of a drain, as operators state it: drainTimeLimit after the call no client connection may be open that is idle or whose
-// last request is younger than recentRequestAge.
+// Operators' limits on a drain: drainTimeLimit after the call, no client connection may be open that is idle or whose last request is
+// younger than recentRequestAge.
 const (
 	drainTimeLimit   = 4 * time.Second
 	recentRequestAge = 2 * time.Second
@@ -29,7 +29,7 @@
 	return calledAt
 }
 
-// waitUntil sleeps until a time of the test's schedule. The term of a drain is real time, so a machine that wakes the test more
+// waitUntil sleeps until a time of the test's schedule. The time limit of a drain is real time, so a machine that wakes the test more
 // than a second late breaks it.
 func waitUntil(at time.Time) { time.Sleep(time.Until(at)) }
 
@@ -87,7 +87,7 @@
 
 // TestDrainEndsBehindAHangingServer guards against a request that is taken too late in a drain. A request waits for a hanging
 // server when the gateway is drained, and is answered more than 2 s into the drain. The client then writes the next request: the
-// gateway must not take it, as it would still be in flight, and recent, at the end of the term.
+// gateway must not take it, as it would still be in flight, and recent, at the time limit.
 func TestDrainEndsBehindAHangingServer(t *testing.T) {
 	t.Parallel()
 	env := newEnvironment(t)
@@ -128,7 +128,7 @@
 	}
 }
 
-// TestDrainEndsWithinACommand guards against connections that stay open beyond the term because a command is incomplete: the
+// TestDrainEndsWithinACommand guards against connections that stay open beyond the time limit because a command is incomplete: the
 // client stops in the middle of it, or goes on byte by byte.
 func TestDrainEndsWithinACommand(t *testing.T) {
 	t.Parallel()
@@ -159,7 +159,7 @@
 	}
 }
 
-// TestDrainEndsWithinAPenalty guards against connections that stay open beyond the term because of the delay between the answers
+// TestDrainEndsWithinAPenalty guards against connections that stay open beyond the time limit because of the delay between the answers
 // to invalid commands.
 func TestDrainEndsWithinAPenalty(t *testing.T) {
 	t.Parallel()
@@ -178,7 +178,7 @@
 	}
 }
 
-// TestDrainEndsNewConnections guards against connections that stay open beyond the term because they were opened after the start
+// TestDrainEndsNewConnections guards against connections that stay open beyond the time limit because they were opened after the start
 // of the drain: one sends nothing, the other half a command.
 func TestDrainEndsNewConnections(t *testing.T) {
 	t.Parallel()
@@ -219,9 +219,9 @@
 	}
 }
 
-// TestDrainEndsUnderAClientThatWritesBehindAHangingServer guards against connections that are open at the end of the term with a
+// TestDrainEndsUnderAClientThatWritesBehindAHangingServer guards against connections that are open at the time limit with a
 // request of the last 2 s, whether the gateway has read it or not. A request that was taken before the drain waits for a hanging
-// server for longer than the term, and its client writes another. A client that writes nothing more keeps its connection until
+// server for longer than the time limit, and its client writes another. A client that writes nothing more keeps its connection until
 // its request is answered.
 func TestDrainEndsUnderAClientThatWritesBehindAHangingServer(t *testing.T) {
 	t.Parallel()
--- a/cmd/dewhitch/repeat_window_test.go
+++ b/cmd/dewhitch/repeat_window_test.go
@@ -14,7 +14,7 @@
 // deadline, as it is for some customers.
 const repeatWindow = time.Second
 
-// The tolerance of the rules on sockets, and how long a gateway may be stalled between reading its clock and writing.
+// The tolerance of the time limits on connections, and how long a gateway may be stalled between reading its clock and writing.
 const (
 	ruleSlack       = 50 * time.Millisecond
 	maxProcessStall = 150 * time.Millisecond
--- a/cmd/dewhitch/soak_test.go
+++ b/cmd/dewhitch/soak_test.go
@@ -189,7 +189,7 @@
 	s.startClients(g, 1)
 }
 
-// drainUntilTimeLimit drains a gateway, checks its connections at the end of the term, and puts it into service again.
+// drainUntilTimeLimit drains a gateway, checks its connections at the time limit, and puts it into service again.
 func (s *soakRun) drainUntilTimeLimit(g *gatewayRecord) {
 	s.drain(g, time.Now().Add(drainTimeLimit/20))
 	adminCall(s.t, g.env.adminAddr, "activate")
@@ -251,7 +251,7 @@
 		len(c.unanswered), lost)
 }
 
-// openPorts returns the clients' ports of the connections to an address that the gateway has not closed, by the kernel's table.
+// openPorts returns the client-side ports of the connections to addr that the gateway has not closed, read from /proc/net/tcp.
 func openPorts(addr string) map[int]bool {
 	const localField, remoteField, stateField = 1, 2, 3
 	const established, closeWait = "01", "08"
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -14,7 +14,8 @@
 	"dewhitch/internal/http1"
 )
 
-// TestGoldenInterruptionReasons freezes the reasons for interruptions of the list, which are values of a metric's label.
+// TestGoldenInterruptionReasons guards against changes of the reasons for interruptions of the list, which operators see as
+// values of a metric label.
 func TestGoldenInterruptionReasons(t *testing.T) {
 	var reasons strings.Builder
 	for _, err := range []error{statusError(503), context.Canceled, net.ErrClosed, &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded},
--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -76,7 +76,7 @@
 
 	// Written by other goroutines.
 	appliedWithdrawals atomic.Pointer[map[string]uint64]  // machines to which this gateway sends nothing new, with their announcement IDs
-	readyServers       atomic.Pointer[[]slowstart.Server] // servers that this process's endpoint list has as ready
+	readyServers       atomic.Pointer[[]slowstart.Server] // servers that the endpoint list of this process has as ready, in zones that have a name
 }
 
 // memberChange is a change of a member's state in gossip.
--- a/internal/fleet/agent/slow_start.go
+++ b/internal/fleet/agent/slow_start.go
@@ -11,7 +11,7 @@
 
 const allocationInterval = 200 * time.Millisecond // shortest time between two allocations of slow-start rates by the leader
 
-// EndpointsChanged replaces the servers that are listed and ready. It does not block. The caller must not modify the
+// EndpointsChanged replaces the servers that are listed as ready, in zones that have a name. It does not block. The caller must not modify the
 // slice afterwards.
 func (a *Agent) EndpointsChanged(servers []slowstart.Server) { a.readyServers.Store(&servers) }
 
--- a/internal/fleet/maintenance/forecast.go
+++ b/internal/fleet/maintenance/forecast.go
@@ -126,7 +126,8 @@
 	}
 }
 
-// simulateReleasedMachine records the release of a machine, and restarts the machine at the end of its maintenance.
+// simulateReleasedMachine records the release of a machine, and restarts its server at the end of the maintenance, whatever the
+// kind. age is the time since the release.
 func (f *forecastRun) simulateReleasedMachine(r *Request, m *Machine, age time.Duration) {
 	if _, ok := f.releasedAt[m.Name]; !ok {
 		f.releasedAt[m.Name] = f.now
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -40,8 +40,8 @@
 	OutgoingVoters []uint64 `cbor:"12,keyasint,omitempty"` // identities of the voters before a joint change in progress
 	GrantSeq       uint64   `cbor:"13,keyasint,omitempty"` // sequence number of its status whose grant it applies
 
-	// Withdrawn lists the machines to which this member sends nothing and has nothing in flight, with the
-	// number of each machine's turn in maintenance.
+	// Withdrawn contains the machines to which this member sends nothing and has nothing in flight, with the ID of
+	// each machine's announcement.
 	Withdrawn map[string]uint64 `cbor:"14,keyasint,omitempty"`
 }
 
--- a/internal/front/closing.go
+++ b/internal/front/closing.go
@@ -37,7 +37,7 @@
 type Monitor interface {
 	// ConnectionClosed reports that a connection was closed; reason is the name of a CloseReason.
 	ConnectionClosed(reason string)
-	// ConnectionsOverdue reports that n connections are open after the term of a drain or after the time by which a gateway that shuts
+	// ConnectionsOverdue reports that n connections are open after the time limit of a drain or after the time by which a gateway that shuts
 	// down closes them.
 	ConnectionsOverdue(n int)
 }
@@ -119,7 +119,8 @@
 		zap.Any("some", logged))
 }
 
-// checkDrained reports the sessions without pending answers that are still open at the term of drain d. It does nothing if d has ended.
+// checkDrained reports the sessions without pending answers that are still open at the time limit of drain d. It does nothing if d has
+// ended.
 func (srv *Server) checkDrained(d *drainTimes) {
 	srv.mu.Lock()
 	inForce := srv.drain == d
@@ -134,7 +135,7 @@
 }
 
 // expediteDrained expedites the answers of sessions with unread input. It repeats this after each expediteInterval until drain d ends
-// or no session is left. Without it, a request at a server that hangs keeps its connection open past the term of the drain, and the
+// or no session is left. Without it, a request at a server that hangs keeps its connection open past the time limit of the drain, and the
 // input that the client has written since is lost.
 func (srv *Server) expediteDrained(d *drainTimes) {
 	var sessions []*session
--- a/internal/front/hangup_test.go
+++ b/internal/front/hangup_test.go
@@ -8,7 +8,7 @@
 	"dewhitch/internal/resp"
 )
 
-// The operators' term after a client has closed its connection. Later than this, and the slack of the rules on sockets, no attempt
+// The operators' time limit after a client has closed its connection, and their tolerance on it. Later than both together, no attempt
 // for the client may start.
 const (
 	hangUpTimeLimit = 100 * time.Millisecond
@@ -17,7 +17,7 @@
 
 // TestHangUpIsDetectedWhileNothingIsRead guards against requests that are forwarded after their client has hung up. A session reads
 // nothing in the pause after an invalid command, and while a large command waits for memory that others hold. In both cases,
-// session.watchForHangUp must report the hang-up within the term. Detection by reads alone reported it after the pause of 750 ms in
+// session.watchForHangUp must report the hang-up within hangUpTimeLimit. Detection by reads alone reported it after the pause of 750 ms in
 // the first case, and not within the observed second in the other.
 func TestHangUpIsDetectedWhileNothingIsRead(t *testing.T) {
 	for name, block := range map[string]func(t *testing.T, s *session) (next string){
@@ -55,7 +55,7 @@
 				time.Sleep(time.Millisecond)
 			}
 			if elapsed := time.Since(closed); elapsed > hangUpTimeLimit+hangUpSlack {
-				t.Errorf("the hang-up was reported after %v, and the term is %v", elapsed, hangUpTimeLimit)
+				t.Errorf("the hang-up was reported after %v, and the time limit is %v", elapsed, hangUpTimeLimit)
 			}
 		})
 	}
--- a/internal/front/lifecycle.go
+++ b/internal/front/lifecycle.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Terms that operators set for a drained gateway. They start with the call that drains it.
+// Limits that operators set for a drained gateway. Times are since the call that drains it.
 const (
 	drainTimeLimit = 4 * time.Second        // time after which no client connection may be idle or have a recent request
 	recentWindow   = 2 * time.Second        // maximum age of a recent request
 	stallMargin    = 150 * time.Millisecond // allowance for a stall of the gateway between reading its clock and acting
 )
 
-// Times by which the gateway acts in order to meet these terms.
+// Times by which the gateway acts in order to meet drainTimeLimit.
 const (
 	// drainReadTime is how long requests are accepted. The last one is older than recentWindow at drainTimeLimit, even if the gateway stalls
 	// for stallMargin and the machine is late by as much again.
--- a/internal/front/lifecycle_test.go
+++ b/internal/front/lifecycle_test.go
@@ -7,14 +7,14 @@
 	"time"
 )
 
-// TestDrainTimesMeetTheTimeLimit checks that the times of a drain meet the operators' term with the required margins.
+// TestDrainTimesMeetTheTimeLimit checks that the times of a drain meet the operators' time limit, even if the gateway stalls.
 func TestDrainTimesMeetTheTimeLimit(t *testing.T) {
 	calledAt := time.Now()
 	d := newDrainTimes(calledAt)
-	// The rule allows 50 ms for sockets. The gateway may stall between reading its clock and reading the request, and again before
-	// that.
+	// Operators allow a tolerance of 50 ms on the time limit of a drain; this test does not use it. 2 * stallMargin is allowed because
+	// the gateway may stall twice: between reading its clock and reading the request, and once before that.
 	if latest := d.readUntil.Add(2 * stallMargin); drainTimeLimit-latest.Sub(calledAt) < recentWindow {
-		t.Errorf("a request that is read %v after the call is still recent at the end of the term", latest.Sub(calledAt))
+		t.Errorf("a request that is read %v after the call is still recent at the time limit", latest.Sub(calledAt))
 	}
 	if latest := d.closeAt.Add(stallMargin); latest.Sub(calledAt) >= drainTimeLimit {
 		t.Errorf("a connection may stay open for %v", latest.Sub(calledAt))
@@ -92,7 +92,7 @@
 	}
 }
 
-// checkDrained checks that a connection meets the term of a drain that was called at calledAt.
+// checkDrained checks that a connection meets the time limit of a drain that was called at calledAt.
 func checkDrained(t *testing.T, run int, l lifecycle, calledAt, now time.Time) {
 	t.Helper()
 	if now.Sub(calledAt) >= drainReadTime+firstCommandTime && l.mayRead(now) {
--- a/internal/ledger/recorder/audit.go
+++ b/internal/ledger/recorder/audit.go
@@ -53,8 +53,8 @@
 	}
 }
 
-// findMismatches drains the queue and audits the ledger: all rows, or those that have changed and those with an alarm. The lock mu is
-// held.
+// findMismatches drains the queue and audits the ledger: all rows, or those that have changed and those with an alarm. The result also
+// contains the mismatches found in accounts since the last audit, and overdue entries. The lock mu is held.
 func (rec *Recorder) findMismatches(allRows bool) []ledger.Mismatch {
 	rec.drainQueue(nil)
 	watched := make([]ledger.Key, 0, len(rec.alarms))
--- a/internal/ledger/recorder/recorder.go
+++ b/internal/ledger/recorder/recorder.go
@@ -31,7 +31,7 @@
 // Options configure a Recorder.
 type Options struct {
 	Limits            ledger.Limits
-	Names             ledger.Names  // plans and classes of the settings; owners refer to them by their indexes here
+	Names             ledger.Names  // names of the plans and classes in the settings; callers of Row pass their indexes
 	OverdueAfter      time.Duration // time after a request's deadline at which none of its entries can still be open
 	AuditInterval     time.Duration // time between two audits
 	StatementInterval time.Duration // time between two statements, if there is a store
--- a/internal/ledger/store/golden_test.go
+++ b/internal/ledger/store/golden_test.go
@@ -40,8 +40,9 @@
 	}
 )
 
-// TestSegmentFormat compares a segment of the log with golden files: its header, the record of the statement after which it
-// resumes, postings, and the mark of a gap. Other versions of the program read it, after a restart or with the ledger command.
+// TestSegmentFormat guards against changes of the segment format, because other versions of the program read segments after a restart
+// or with the ledger command. It compares two segments with golden files. Both hold a header, the record that the log resumes after
+// a statement, and postings; one also ends with the record that marks a gap in the log.
 func TestSegmentFormat(t *testing.T) {
 	for _, c := range []struct {
 		name string
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -122,7 +122,7 @@
 	return env.startAll()
 }
 
-// node makes a node that runs the program's given command; it does not start it.
+// node returns a node that runs the program with the given command. It does not start the node.
 func (env *environment) node(name, role, command string) *node {
 	n := &node{role: role, limits: standin.OwnAddr()}
 	n.Name, n.Dir, n.Listen, n.Path = name, filepath.Join(env.Dir, name), standin.OwnAddr(), env.Program
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -11,8 +11,8 @@
 	"dewhitch/internal/config/settings"
 )
 
-// messageFormat is the format of one kind of message. decode reads the fields in the order of the line. The first field that
-// can't be read determines the error of the line.
+// messageFormat is the format of one kind of message. decode reads the fields in the order in which they appear in the line.
+// The first field that can't be read determines the error of the line.
 type messageFormat struct {
 	fieldCount int // number of fields behind the name
 	decode     func(*Reader, *fieldReader) (any, error)
--- a/limit_answers_test.go
+++ b/limit_answers_test.go
@@ -7,7 +7,8 @@
 	dw "dewhitch"
 )
 
-// adjust sends a limit query (0 units) or a limit adjustment, advances the time by wait and returns the answer.
+// adjust sends a limit query (0 units) or a limit adjustment, and advances the time by wait. It returns the answer, or nil if there is
+// none by then.
 func (h *harness) adjust(units float64, spread int, wait dw.Span) any {
 	h.lastID++
 	q := dw.LimitQuery{ID: dw.RequestID("limit" + string(rune('a'+h.lastID))), Customer: 1, Remaining: 800 * millisecond, Spread: spread}
--- a/priority.go
+++ b/priority.go
@@ -6,14 +6,14 @@
 	reservedFraction   = 0.7   // fraction of the burst that a request of priority 0 leaves to others
 )
 
-// priorities ranks requests by the weight that they earn per unit of their work.
+// priorities ranks requests by their weight relative to the latency of their class.
 type priorities struct {
 	latency *latencyEstimator
 	mean    float64 // exponential moving average over the requests that reached load shedding
 }
 
-// priorityOf returns the priority of a request: the weight of its class divided by the relative size of that
-// class's work.
+// priorityOf returns the priority of a request: the weight of its class divided by the latency of that class as
+// a multiple of the mean latency.
 func (p *priorities) priorityOf(r *request) float64 {
 	return max(r.class.Weight, minPriority) / p.latency.classLatencyRatio[r.classIndex]
 }
