--- a/counter_sync_test.go
+++ b/counter_sync_test.go
@@ -64,18 +64,19 @@
 		id, _ := h.request(dw.Arrival{Customer: 1, Spread: 50, Remaining: remaining})
 		h.advance(min(remaining, 60*millisecond))
 		if len(h.attempts) != sent || sent == 0 && h.answers[id] == nil {
-			t.Errorf("remaining time %v: got %d attempts and answer %v", remaining, len(h.attempts), h.answers[id])
+			t.Errorf("remaining time %v: got %d attempts and answer %v, expected one attempt, or with little time an answer and no attempt",
+				remaining, len(h.attempts), h.answers[id])
 		}
 	}
 }
 
-// The latency of a distant counter is no sign of overload: while it stays constant, the call rate must not fall.
+// Guards against a call rate that falls because the counter is distant. A constant latency must not count as overload.
 func TestCounterDistanceIsNoOverload(t *testing.T) {
 	h := newHarness(t, settings(), dw.Endpoint{ID: 1})
 	add := h.counter
 	h.counter = func(c dw.CounterAdd) *dw.CounterAnswered {
 		e := add(c)
-		e.Latency = 20 * millisecond // a call times out after 50 millisecond
+		e.Latency = 20 * millisecond // a call times out after 50 ms
 		return e
 	}
 	for i := range 200 {
@@ -112,7 +113,7 @@
 	}
 }
 
-// A blocked customer waits for its window's end, so a window must not last longer than two bursts.
+// A blocked customer waits for the end of its window, so a window must not be longer than the time in which two bursts refill.
 func TestWindowsOfTwoBursts(t *testing.T) {
 	h := newHarness(t, settings(), dw.Endpoint{ID: 1})
 	h.serve(240, 100*millisecond, dw.Arrival{Customer: 1})
--- a/dedup_window_test.go
+++ b/dedup_window_test.go
@@ -9,10 +9,9 @@
 )
 
 // Guards against attempts of a keyed request that stay in flight beyond the deduplication window of another attempt that may have
-// run. The window used to limit only when a repeat started, and only the request's deadline, which may be later, ended it. On each
-// of these 12 random schedules an attempt outlasted the window of another ("attempt 1 of r189 is out 153 ms after attempt 0 began,
-// and servers forget that after 150 ms"), including first attempts overtaken by a hedged one. dedup_window.go now bounds both the
-// repeat and the attempt that is repeated.
+// run, so that the request runs twice. If the window limits only the start of a repeat, and the request's deadline its end, this
+// happens on each of these 12 random schedules, also to first attempts overtaken by a hedged one: attempt 1 of request r189 was in
+// flight 153 ms after the start of attempt 0, which servers forget after 150 ms. dedup_window.go bounds both attempts.
 func TestNoAttemptOutlastsTheWindowOfAnother(t *testing.T) {
 	const window = 150 * millisecond
 	for seed := range uint64(12) {
--- a/internal/backend/client_left_test.go
+++ b/internal/backend/client_left_test.go
@@ -95,9 +95,8 @@
 }
 
 // Guards against a command that is sent because the planner has not handled its client's disconnection yet. The cancellation waits
-// in the planner's inbox like any other message; while only the planner withdrew attempts, a connection that was established
-// meanwhile was used. With a planner that does not run, this test then failed with 1 command sent. Pools.begin now checks the
-// request itself.
+// in the planner's inbox like any other message. If only the planner withdraws attempts, a connection that is established meanwhile
+// is used: with a planner that does not run, 1 command was sent. Pools.begin therefore checks the request itself.
 func TestCancelBeforePlannerHandlesIt(t *testing.T) {
 	b := newBed(t, standin.Always(standin.Step{}))
 	p, err := core.NewPlanner(settings(true, dw.Idempotent), 1, core.NewClock(), b.Pools, noCounter{}, noRefs{}, zap.NewNop())
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -142,11 +142,11 @@
 	for _, a := range members {
 		s, err := a.Status()
 		if err != nil || !s.Quorum || len(s.Members) != len(members) {
-			t.Errorf("%s after the registry's sessions expired: %+v %v", s.Name, s, err)
+			t.Errorf("%s after the registry's sessions expired: got %+v, error %v, expected a quorum and all members", s.Name, s, err)
 		}
 		for _, m := range s.Members {
 			if m.State != "alive" {
-				t.Errorf("%s has %s as %s", s.Name, m.Name, m.State)
+				t.Errorf("%s has member %s in state %q, expected alive", s.Name, m.Name, m.State)
 			}
 		}
 	}
@@ -180,17 +180,17 @@
 	}
 	for _, form := range []url.Values{{}, {"by": {"me"}}, {"why": {"so"}}, {"by": {strings.Repeat("x", 600)}, "why": {"so"}}} {
 		if code, text := post("freeze", form); code != http.StatusConflict || !strings.HasPrefix(text, "NO ") {
-			t.Errorf("%v: %d %s", form, code, text)
+			t.Errorf("freeze with %v: got status %d and answer %q, expected 409 and NO", form, code, text)
 		}
 	}
 	if code, _ := post("melt", url.Values{"by": {"me"}, "why": {"so"}}); code != http.StatusNotFound {
-		t.Errorf("an unknown command: status %d", code)
+		t.Errorf("unknown command: got status %d, expected 404", code)
 	}
 	if s, _ := members[3].Status(); s.Epoch != statusBefore.Epoch {
-		t.Errorf("rejected commands changed the plan: %v, %v", statusBefore.Epoch, s.Epoch)
+		t.Errorf("rejected commands changed the epoch of the plan from %v to %v", statusBefore.Epoch, s.Epoch)
 	}
 	if code, text := post("freeze", url.Values{"by": {"me"}, "why": {"so"}}); code != http.StatusOK || !strings.HasPrefix(text, "YES ") {
-		t.Fatalf("freeze: %d %s", code, text)
+		t.Fatalf("freeze: got status %d and answer %q, expected 200 and YES", code, text)
 	}
 	for _, a := range members {
 		eventually(t, "the freeze", func() bool {
@@ -209,7 +209,7 @@
 	defer r.Body.Close()
 	var s Status
 	if err := json.NewDecoder(r.Body).Decode(&s); err != nil || len(s.Members) != 4 || s.Leader == "" || s.Folder != "none" {
-		t.Errorf("status page: %+v, %v", s, err)
+		t.Errorf("status page: got %+v, error %v, expected 4 members, a leader and no folder", s, err)
 	}
 }
 
@@ -224,7 +224,7 @@
 	}
 	options := members[0].options
 	if _, err := Open(options); err == nil || !strings.Contains(err.Error(), "another process has the folder") {
-		t.Errorf("storage that another process has open: %v", err)
+		t.Errorf("storage that another process has open: got error %v, expected that it has the folder", err)
 	}
 	stop() // the test may read the node once its goroutine has ended
 	identity := members[0].node.SelfStatus().Identity
@@ -233,7 +233,7 @@
 		t.Fatal(err)
 	}
 	if s := restarted.node.SelfStatus(); s.Identity != identity {
-		t.Errorf("identity %x after the restart, %x before", s.Identity, identity)
+		t.Errorf("got identity %x after the restart, expected %x as before", s.Identity, identity)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	var running sync.WaitGroup
@@ -251,7 +251,7 @@
 		t.Error("corrupt storage is accepted")
 	}
 	if _, err := restarted.Submit(t.Context(), "thaw", nil); !errors.Is(err, ErrEnded) {
-		t.Errorf("Submit after the end of Run: %v", err)
+		t.Errorf("Submit after the end of Run: got error %v, expected ErrEnded", err)
 	}
 }
 
@@ -275,10 +275,10 @@
 		return err
 	}
 	if err := open("0.0.0.0:7946", ""); err == nil || !strings.Contains(err.Error(), "keyring") {
-		t.Errorf("listening beyond loopback without a keyring: %v", err)
+		t.Errorf("listening beyond loopback without a keyring: got error %v, expected one about the keyring", err)
 	}
 	if err := open(standin.OwnAddr(), "not a key\n"); err == nil || !strings.Contains(err.Error(), ":1 is not base64") {
-		t.Errorf("invalid keyring: %v", err)
+		t.Errorf("invalid keyring: got error %v, expected one about line 1", err)
 	}
 	if err := open(standin.OwnAddr(), "MDEyMzQ1Njc4OWFiY2RlZg==\n"); err != nil {
 		t.Error(err)
--- a/internal/fleet/agent/tally_test.go
+++ b/internal/fleet/agent/tally_test.go
@@ -22,17 +22,17 @@
 	counter.AttemptStarted(AttemptID{"cancelled", 0}, "b", 2)
 	counter.AttemptEnded(AttemptID{"cancelled", 0}, NoOutcome, 0, 0)
 	if r := counter.report(true); r.Zones["b"].Attempts != 0 || r.Zones["a"].Served != 10 || r.Servers[1].Queue != 3 {
-		t.Errorf("ten served attempts, one in flight, one cancelled: %+v", r)
+		t.Errorf("ten served attempts in zone a, one in flight and one cancelled in zone b: got report %+v", r)
 	}
 	now = now.Add(minLateAfter + time.Millisecond)
 	if r := counter.report(true); r.Zones["b"] != (fleet.AttemptCounts{Attempts: 1, TimedOut: 1}) || len(r.Servers) != 1 {
-		t.Errorf("after an attempt became late: %+v", r)
+		t.Errorf("after an attempt became late: got report %+v, expected it as timed out", r)
 	}
 	counter.AttemptEnded(AttemptID{"late", 0}, Served, 0, 0)
 	counter.AttemptEnded(AttemptID{"late", 0}, Served, 0, 0)
 	latency := uint64((minLateAfter + time.Millisecond).Microseconds())
 	if r := counter.report(true); r.Zones["b"] != (fleet.AttemptCounts{Attempts: 1, TimedOut: 1, AnsweredLate: 1, LatencyMicros: latency}) {
-		t.Errorf("after the late answer: %+v", r)
+		t.Errorf("after the late answer: got report %+v, expected the attempt as answered late once", r)
 	}
 }
 
@@ -48,13 +48,13 @@
 	for range 4 {
 		r := counter.report(true)
 		if len(r.Servers) > fleet.MaxReportedServers {
-			t.Fatalf("a report has %d servers", len(r.Servers))
+			t.Fatalf("a report has %d servers, expected MaxReportedServers at most", len(r.Servers))
 		}
 		for id := range r.Servers {
 			reported[id] = true
 		}
 	}
 	if len(reported) != servers {
-		t.Errorf("%d of %d servers were reported", len(reported), servers)
+		t.Errorf("%d of %d servers were reported, expected all", len(reported), servers)
 	}
 }
--- a/internal/fleet/evacuation/detector_test.go
+++ b/internal/fleet/evacuation/detector_test.go
@@ -293,7 +293,7 @@
 			sim.runFor(time.Second)
 		}
 		if v := sim.statuses["b"]; v.State != c.want {
-			t.Errorf("case %+v: got status %+v of zone b", c, v)
+			t.Errorf("case %+v: got status %+v of zone b, expected the state of the case", c, v)
 		}
 	}
 }
--- a/internal/fleet/maintenance/forecast_test.go
+++ b/internal/fleet/maintenance/forecast_test.go
@@ -25,12 +25,12 @@
 	c := Command{By: "ann", Reason: "release", Key: "k", Kind: Restart, ForMS: 60_000, Machines: sortedNames(servers)}
 	forecast, err := Simulate(cfg, servers, c, 0.7, 0.22)
 	if err != nil || len(forecast.Steps) != 12 || forecast.MaxOut > 2 || len(forecast.Stuck) > 0 || forecast.Spare > 0.3 || forecast.Spare < 0 {
-		t.Errorf("%+v %v", forecast, err)
+		t.Errorf("restart of 12 servers: got %+v, error %v, expected 12 steps, at most 2 out, and a spare capacity of 0 to 0.3", forecast, err)
 	}
 	t.Logf("12 servers, a minute each, load 0.7: %v, at most %d out at once, spare capacity %.2f", forecast.Elapsed, forecast.MaxOut, forecast.Spare)
 	if forecast, err = Simulate(cfg, serversIn(1, 1), Command{By: "ann", Reason: "x", Key: "k", Kind: Restart, ForMS: 60_000, Machines: []string{"s-a0"}}, 0.2, 0.22); err != nil ||
 		len(forecast.Steps) != 0 || len(forecast.Stuck) != 1 {
-		t.Errorf("the last server: %+v %v", forecast, err)
+		t.Errorf("restart of the only server: got %+v, error %v, expected no step and one stuck machine", forecast, err)
 	}
 	if _, err = Simulate(cfg, servers, Command{By: "ann", Reason: "x", Key: "k", Kind: Restart, Machines: []string{"s-a0"}}, 0.2, 0.22); err == nil {
 		t.Error("Simulate accepts an invalid request")
@@ -45,13 +45,13 @@
 	startedAt := time.Now()
 	forecast, err := Simulate(Defaults, servers, c, 0.7, 0.22)
 	if err != nil || len(forecast.Steps) != 82 || forecast.Elapsed > time.Hour {
-		t.Fatalf("%d machines within %v, stuck %v, %v", len(forecast.Steps), forecast.Elapsed, forecast.Stuck, err)
+		t.Fatalf("maintenance of %d machines ended within %v, stuck %v, error %v, expected 82 within an hour", len(forecast.Steps), forecast.Elapsed, forecast.Stuck, err)
 	}
 	t.Logf("82 of 204 servers, two minutes each, load 0.7: %v, at most %d out at once, spare capacity %.3f; computed in %v", forecast.Elapsed, forecast.MaxOut, forecast.Spare,
 		time.Since(startedAt).Round(time.Millisecond))
 }
 
-// A hundred requests of mixed size all end, and the longest wait for a first announcement is not far from the mean.
+// A hundred requests of mixed size all end, and the longest wait for a first announcement is at most six times the mean plus a minute.
 func TestFairness(t *testing.T) {
 	sim := newSimulation(t, 21, 30, 3, 20)
 	all := sortedNames(sim.servers)
@@ -87,11 +87,11 @@
 	mean := sum / time.Duration(max(1, len(firstAnnouncedAfter)))
 	for _, r := range sim.schedule.Requests {
 		if r.State != Done {
-			t.Errorf("request not done: %+v", r)
+			t.Errorf("the request is not done: %+v", r)
 		}
 	}
 	if longest > 6*mean+time.Minute {
-		t.Errorf("longest wait %v, mean %v", longest, mean)
+		t.Errorf("the longest wait is %v and the mean %v, expected at most six times the mean plus a minute", longest, mean)
 	}
 	t.Logf("100 requests with 30 gateways: ended after %v; mean time to the first announcement %v, longest %v", sim.now, mean, longest)
 }
--- a/internal/fleet/maintenance/scheduler_test.go
+++ b/internal/fleet/maintenance/scheduler_test.go
@@ -16,10 +16,11 @@
 	sim := newSimulation(t, 1, 6, 3, 4)
 	sim.submit("evening", Restart, sortedNames(sim.servers)...)
 	if !sim.runUntilEnded(20 * time.Minute) {
-		t.Fatalf("not ended after %v: %+v", sim.now, sim.schedule.Requests)
+		t.Fatalf("the request has not ended after %v: %+v", sim.now, sim.schedule.Requests)
 	}
 	if r := sim.schedule.Requests[0]; r.State != Done || sim.released != 12 || sim.maxOut > 2 {
-		t.Errorf("request %s %q, %d machines released, %d out at once", r.State, r.Note, sim.released, sim.maxOut)
+		t.Errorf("got request %s %q, %d machines released, %d out at once, expected it done, 12 released, 2 out at most", r.State, r.Note,
+			sim.released, sim.maxOut)
 	}
 	t.Logf("12 servers in %v, at most %d out at once", sim.now, sim.maxOut)
 }
@@ -63,11 +64,11 @@
 			observed.Members[m.Name] = g
 		}
 		if out > 1 {
-			t.Fatalf("%d gateways are out: %+v", out, schedule.Requests[0])
+			t.Fatalf("%d gateways are out at once, expected 1 at most: %+v", out, schedule.Requests[0])
 		}
 	}
 	if got := strings.Join(releaseOrder, " "); got != "g3 g4 g5 g0 g2 g1" || schedule.Requests[0].State != Done {
-		t.Errorf("got order %s; %+v", got, schedule.Requests[0])
+		t.Errorf("gateways were released in the order %s, expected g3 g4 g5 g0 g2 g1 and a request that is done: %+v", got, schedule.Requests[0])
 	}
 }
 
@@ -79,11 +80,11 @@
 	sim.submit("one", Restart, "s-a1")
 	sim.run(9 * time.Second)
 	if m := sim.schedule.Requests[0].Machines[0]; m.State != Announced || m.Note != "waits for g3" {
-		t.Fatalf("with a stalled gateway: %+v", m)
+		t.Fatalf("with a stalled gateway: got %+v, expected an announced machine that waits for g3", m)
 	}
 	sim.run(5 * time.Second)
 	if sim.released != 1 {
-		t.Errorf("not released after the gateway resumed: %+v", sim.schedule.Requests[0])
+		t.Errorf("the machine was not released after the gateway resumed: %+v", sim.schedule.Requests[0])
 	}
 	// A gateway whose process ended without leaving blocks the release until an operator removes it.
 	sim.runUntilEnded(time.Minute)
@@ -91,7 +92,7 @@
 	sim.submit("two", Restart, "s-b1")
 	sim.run(time.Minute)
 	if m := sim.schedule.Requests[1].Machines[0]; m.State != Announced {
-		t.Fatalf("with a gateway that does not return: %+v", m)
+		t.Fatalf("with a gateway that does not return: got %+v, expected an announced machine", m)
 	}
 	if err := sim.apply(removeGateways, Command{Machines: []string{"g2"}}); err != nil {
 		t.Fatal(err)
@@ -99,7 +100,7 @@
 	delete(sim.gateways, "g2")
 	sim.run(2 * time.Second)
 	if m := sim.schedule.Requests[1].Machines[0]; m.State != Released {
-		t.Errorf("after the removal of the gateway: %+v", m)
+		t.Errorf("after the removal of the gateway: got %+v, expected a released machine", m)
 	}
 }
 
@@ -112,20 +113,20 @@
 	sim.zonesOut = []string{"c"}
 	sim.run(time.Second)
 	if m := sim.schedule.Requests[0].Machines[0]; m.State != Waiting || !strings.Contains(m.Note, "taken back") {
-		t.Fatalf("with a zone out: %+v", m)
+		t.Fatalf("with a zone out: got %+v, expected a waiting machine whose announcement was taken back", m)
 	}
 	sim.run(10 * time.Second)
 	if sim.released != 0 {
-		t.Errorf("a machine was released while a zone is out")
+		t.Errorf("a machine was released while a zone was out")
 	}
 	sim.zonesOut = nil
 	if !sim.runUntilEnded(5*time.Minute) || sim.released != 2 {
-		t.Errorf("after the fault: %+v", sim.schedule.Requests[0])
+		t.Errorf("after the fault: got %+v, expected two released machines and the end of the request", sim.schedule.Requests[0])
 	}
 }
 
 // A machine that fails after its return is put on hold and withdrawn, together with its request, until an operator resumes the request. A
-// machine whose work the operator never completes returns when its time is up.
+// machine whose work the operator never completes returns at the end of the time that was requested for it.
 func TestUnhealthyMachineIsPutOnHold(t *testing.T) {
 	sim := newSimulation(t, 4, 4, 3, 4)
 	sim.submit("one", Restart, "s-a1", "s-b1")
@@ -133,7 +134,7 @@
 	sim.runUntilEnded(5 * time.Minute)
 	r := sim.schedule.Requests[0]
 	if r.State != OnHold || r.Machines[0].State != OnHold || !strings.Contains(r.Machines[0].Note, "ill on its return") {
-		t.Fatalf("with an unhealthy machine: %+v", r)
+		t.Fatalf("with an unhealthy machine: got %+v, expected the request and the machine on hold", r)
 	}
 	withdrawnMachines := sim.schedule.Withdrawn()
 	if _, withdrawn := withdrawnMachines["s-a1"]; !withdrawn {
@@ -144,12 +145,12 @@
 		t.Fatal(err)
 	}
 	if !sim.runUntilEnded(5*time.Minute) || sim.schedule.Requests[0].State != Done {
-		t.Errorf("after resuming: %+v", sim.schedule.Requests[0])
+		t.Errorf("after resuming: got %+v, expected a request that is done", sim.schedule.Requests[0])
 	}
 	sim.neverDone = true
 	sim.submit("two", Restart, "s-c1")
 	if !sim.runUntilEnded(5*time.Minute) || sim.schedule.Requests[1].State != Done {
-		t.Errorf("without completion by the operator: %+v", sim.schedule.Requests[1])
+		t.Errorf("without completion by the operator: got %+v, expected a request that is done", sim.schedule.Requests[1])
 	}
 }
 
@@ -162,7 +163,7 @@
 	planChangesBefore := sim.planChanges
 	sim.run(30 * time.Second)
 	if n := sim.planChanges - planChangesBefore; n > 11 {
-		t.Errorf("%d plans in 30 s in which only notes changed", n)
+		t.Errorf("%d plans in 30 s in which only notes changed, expected 11 at most", n)
 	}
 }
 
@@ -178,7 +179,8 @@
 			scheduler.Observe(now, "s", 0, 0, 1, late)
 		}
 		if served, failed := scheduler.healthSince("s", 4*time.Second, 0); neverAnswers != (failed >= 3) || neverAnswers != (served == 0) {
-			t.Errorf("never answers: %v: %d served, %d failed", neverAnswers, served, failed)
+			t.Errorf("server never answers: %v: got %d served and %d failed attempts; expected none served and 3 or more failed if it is true, else the opposite",
+				neverAnswers, served, failed)
 		}
 	}
 }
@@ -189,7 +191,7 @@
 	sim.submit("k", Restart, "s-a1")
 	sim.submit("k", Restart, "s-a1") // the same request through another gateway
 	if len(sim.schedule.Requests) != 1 {
-		t.Fatalf("a repeated request is added: %+v", sim.schedule.Requests)
+		t.Fatalf("a repeated request was added: %+v", sim.schedule.Requests)
 	}
 	for name, c := range map[string]struct {
 		Command
@@ -203,7 +205,7 @@
 		"after an unknown request":   {Command{Key: "x", Kind: Off, ForMS: 1, After: 77, Machines: []string{"s-a2"}}, ErrUnknown},
 	} {
 		if err := sim.apply(submitRequest, c.Command); !errors.Is(err, c.want) {
-			t.Errorf("%s: got error %v", name, err)
+			t.Errorf("%s: got error %v, expected the error of the case", name, err)
 		}
 	}
 	if err := sim.apply(completeWork, Command{ID: 1, Machines: []string{"s-a1"}}); !errors.Is(err, ErrState) {
@@ -211,15 +213,15 @@
 	}
 	sim.run(3 * time.Second)
 	if sim.schedule.Requests[0].Machines[0].State != Released {
-		t.Fatalf("not released: %+v", sim.schedule.Requests[0])
+		t.Fatalf("the machine is not released: %+v", sim.schedule.Requests[0])
 	}
 	if err := sim.apply(cancelRequest, Command{ID: 1}); err != nil || sim.schedule.Requests[0].Machines[0].State != Released {
-		t.Errorf("a released machine is cancelled: %+v %v", sim.schedule.Requests[0], err)
+		t.Errorf("cancelling a request: got %+v, error %v, expected that its released machine stays released", sim.schedule.Requests[0], err)
 	}
 	sim.submit("gone", Off, "s-b1")
 	sim.runUntilEnded(2 * time.Minute)
 	if _, withdrawn := sim.schedule.Withdrawn()["s-b1"]; !withdrawn || sim.schedule.Requests[1].State != Done {
-		t.Errorf("a machine that is out for good is not withdrawn: %+v", sim.schedule.Requests[1])
+		t.Errorf("a machine that does not return is not withdrawn, or its request is not done: %+v", sim.schedule.Requests[1])
 	}
 	if err := sim.apply(cancelRequest, Command{ID: 9}); !errors.Is(err, ErrUnknown) {
 		t.Error("cancelling an unknown request does not fail with ErrUnknown")
@@ -275,7 +277,7 @@
 			}
 		}
 		if !sim.runUntilEnded(4 * time.Hour) {
-			t.Fatalf("requests do not end: %+v", sim.schedule.Requests)
+			t.Fatalf("requests have not ended 4 h after the last fault: %+v", sim.schedule.Requests)
 		}
 	})
 }
--- a/invariants_test.go
+++ b/invariants_test.go
@@ -9,7 +9,10 @@
 	dw "dewhitch"
 )
 
-// simulation feeds several gateways random legal events from a seed and checks the invariants from outside, by its own records.
+// simulation feeds several gateways random legal events from a seed and checks the invariants from outside, by its own records. Failure
+// messages give the number of the violated rule. Rule 1: each request gets exactly one final answer, by its deadline, and is not sent
+// after it. Rule 2: a request that must not run twice is not repeated or rejected while an attempt may have run. Rule 3: no attempt
+// starts on a server that has drained for longer than DrainGrace. Rule 5: attempts stay within a hard ceiling and its tolerance.
 type simulation struct {
 	t        *testing.T
 	rng      *rand.Rand
--- a/limit_answers_test.go
+++ b/limit_answers_test.go
@@ -45,7 +45,7 @@
 	if !ok || l.Remaining >= 1 || l.Limit != 6 || l.ReplenishedAfter <= 0 || l.ReplenishedAfter > 10*second {
 		t.Errorf("quota used up: got %+v, expected less than 1 of 6 units and up to 10 s to wait", l)
 	}
-	// The advice is exact: one more request is admitted at that time, and none before.
+	// ReplenishedAfter is exact: one more request is admitted at that time, and none before.
 	if admitted := h.serve(1, millisecond, dw.Arrival{Customer: 1}); admitted != 0 {
 		t.Error("request admitted before ReplenishedAfter has passed")
 	}
@@ -101,7 +101,7 @@
 	}
 }
 
-// Without an answer from the counter, a query must fail before its time is up.
+// Without an answer from the counter, a query must fail before its deadline.
 func TestLimitQueryWithoutCounter(t *testing.T) {
 	for _, o := range []dw.Outcome{dw.OutcomeTimeout, dw.OutcomeRejected, dw.OutcomeConnectFailed} {
 		h := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
@@ -115,7 +115,8 @@
 	}
 }
 
-// A call whose answer is lost has counted its units: the next total must not show them again as use by others.
+// Guards against units that count twice after a lost answer: the call has counted them, so the gateway must not take them in the next
+// total for use by others.
 func TestLostCounterAnswer(t *testing.T) {
 	h := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
 	add := h.counter
@@ -162,7 +163,7 @@
 	}
 }
 
-// A request that the ceiling rejects is told when the ceiling has room again, and must be admitted then.
+// The Retry-After of a request that the ceiling rejects must be the time at which the ceiling admits it.
 func TestCeilingRetryAfter(t *testing.T) {
 	s := settings()
 	s.MaxRetryAfter = 60 * second
--- a/priority.go
+++ b/priority.go
@@ -12,8 +12,8 @@
 	mean    float64 // exponential moving average over the requests that reached load shedding
 }
 
-// priorityOf returns the priority of a request: the weight of its class divided by the latency of that class as
-// a multiple of the mean latency.
+// priorityOf returns the priority of a request: the weight of its class divided by the latency of that class,
+// which is expressed as a multiple of the mean latency.
 func (p *priorities) priorityOf(r *request) float64 {
 	return max(r.class.Weight, minPriority) / p.latency.classLatencyRatio[r.classIndex]
 }
--- a/shutdown_test.go
+++ b/shutdown_test.go
@@ -6,8 +6,8 @@
 	dw "dewhitch"
 )
 
-// A gateway that shuts down must answer each request by the given time and according to rule 2: a request that may still run
-// and must not run twice fails, and any other request is rejected, so that the client may send it again.
+// A gateway that shuts down must answer each request by the given time. A request that may still run and must not run twice fails
+// (rule 2), and any other request is rejected, so that the client may send it again.
 func TestShutdownAnswersAll(t *testing.T) {
 	const idempotentClass, nonIdempotentClass = 0, 1
 	h := newHarness(t, settings(), dw.Endpoint{ID: 1, Rating: 1})
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -12,9 +12,9 @@
 	h := newHarness(t, s, dw.Endpoint{ID: 7})
 	h.serve(500, 10*millisecond, dw.Arrival{})
 	h.handle(dw.EndpointList{Kind: dw.ListDelta, Servers: []dw.Endpoint{{ID: 7, State: dw.Removed}, {ID: 8, StartedAt: h.now}}})
-	// 2 s at 100 requests a second, all of which the removed server served: the new one may get a fifth, rising to a third.
+	// The removed server served all of the 100 requests a second. Within these 2 s the new one may get a fifth of them, rising to a third.
 	if admitted := h.serve(200, 10*millisecond, dw.Arrival{}); admitted > 60 || admitted == 0 {
-		t.Errorf("%d of 200 requests went to the warming server", admitted)
+		t.Errorf("%d of 200 requests went to the warming server, want 1 to 60", admitted)
 	}
 }
 
@@ -30,7 +30,7 @@
 	// From 8 to 10 s its capacity is at least 0.63 to 0.73 of a warm server's, which took 100 requests a second. It gets 28 if only
 	// attempts count.
 	if admitted := h.serve(200, 10*millisecond, dw.Arrival{}); admitted < 45 || admitted > 140 {
-		t.Errorf("%d of 200 requests went to the warming server", admitted)
+		t.Errorf("%d of 200 requests went to the warming server, want 45 to 140", admitted)
 	}
 }
 
