--- a/cmd/dewhitch/fleet.go
+++ b/cmd/dewhitch/fleet.go
@@ -41,7 +41,7 @@
 	return agent.Options{
 		Maintenance: maintenance.Defaults,
 		OnDecisions: g.replaceDecisions,
-		Drain:       g.state.DrainItself,
+		Drain:       g.state.DrainByFleet,
 		Quiesced:    g.quiesced,
 		Zones:       evacuationConfig,
 		SlowStart: slowstart.Config{
@@ -51,7 +51,7 @@
 		Voters:         g.fleetConfig.Voters,
 		Dir:            g.fleetConfig.Dir,
 		Lease:          g.fleetConfig.Lease,
-		StatusInterval: g.fleetConfig.Status,
+		StatusInterval: g.fleetConfig.StatusInterval,
 		Log:            g.log,
 		Gossip: gossip.Options{
 			Fleet:   g.fleetConfig.Name,
--- a/cmd/dewhitch/snapshots.go
+++ b/cmd/dewhitch/snapshots.go
@@ -32,18 +32,18 @@
 // called before the planner runs. It returns nil if warm start is off or the folder can't be used.
 func openSnapshots(node *config.Node, warm config.WarmStart, classes []string, planner *core.Planner, figures *ops.Figures,
 	log *zap.Logger) *snapshotKeeper {
-	if !warm.Enabled(node.Inherited != 0) {
+	if !warm.Enabled(node.InheritedFD != 0) {
 		return nil
 	}
 	k := &snapshotKeeper{
 		planner:  planner,
-		image:    snapshot.Of(node.Name, &node.Settings, classes, node.Names.Plans),
-		interval: warm.Every,
+		image:    snapshot.NewImage(node.Name, &node.Settings, classes, node.Names.Plans),
+		interval: warm.Interval,
 		stop:     make(chan struct{}),
 		stopped:  make(chan struct{}),
 		log:      log,
 	}
-	dir := cmp.Or(warm.Dir, node.Scratch)
+	dir := cmp.Or(warm.Dir, node.TempDir)
 	found, err := snapshot.Latest(dir, node.Name)
 	if err != nil {
 		log.Warn("the snapshots' folder can't be read: this process starts cold and keeps no snapshots", zap.Error(err))
@@ -74,7 +74,7 @@
 			rejected++
 		}
 	}
-	figures.SnapshotsFound(loaded, rejected, age)
+	figures.SetSnapshots(loaded, rejected, age)
 }
 
 // importState converts a snapshot's state to the settings of this process and imports it. It fails if the state can't be
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -12,7 +12,7 @@
 	"dewhitch/internal/golden"
 )
 
-// goldenGateway takes every call but those about the server s-2; it is ready until it is drained.
+// goldenGateway accepts every call except those with the server s-2. It is ready until it is drained.
 type goldenGateway struct{ drained bool }
 
 func (g *goldenGateway) Ready() bool                     { return !g.drained }
@@ -27,11 +27,11 @@
 	return nil
 }
 
-// TestGoldenCalls keeps the operators' calls and the bytes of their answers, faults among them, which operators' scripts
-// and the platform's readiness check read.
+// TestGoldenCalls compares the answers to operators' calls, valid and invalid, with the golden file. Operators' scripts and the
+// platform's readiness check read them.
 func TestGoldenCalls(t *testing.T) {
 	s := &Server{Gateway: &goldenGateway{}}
-	var seen bytes.Buffer
+	var exchanges bytes.Buffer
 	for _, line := range []string{"readyz", "telemetry", "exclude s-1", "exclude s-2", "include s-1", "include s-2", "evacuate",
 		"readyz", "activate", "readyz", " READYZ \r", "", "exclude", "include s-1 s-2", "telemetry now", "reboot", "readyz\x01",
 		"exclude " + strings.Repeat("x", 65), strings.Repeat("y", 255), strings.Repeat("z", 300)} {
@@ -39,18 +39,18 @@
 		if err != nil {
 			t.Fatalf("%q: %v", line, err)
 		}
-		fmt.Fprintf(&seen, "> %q\n< %q\n", line+"\n", answer)
+		fmt.Fprintf(&exchanges, "> %q\n< %q\n", line+"\n", answer)
 	}
-	golden.Compare(t, "calls", seen.Bytes())
+	golden.Compare(t, "calls", exchanges.Bytes())
 }
 
-// callOverPipe sends one line over a connection of its own, and reads to the end.
+// callOverPipe sends one line over a new connection and returns all that is answered.
 func callOverPipe(s *Server, line string) ([]byte, error) {
 	client, server := net.Pipe()
 	go func() {
 		defer server.Close()
 		s.answer(server)
 	}()
-	go io.WriteString(client, line+"\n") // of a line that is too long, not all is read
+	go io.WriteString(client, line+"\n") // blocks if the line is too long, as the server does not read all of it
 	return io.ReadAll(client)
 }
--- a/internal/classtable/classtable_test.go
+++ b/internal/classtable/classtable_test.go
@@ -10,6 +10,7 @@
 	dw "dewhitch"
 )
 
+// class draws a class.
 func class(t *rapid.T, label string) dw.Class {
 	return dw.Class{
 		Objective:   dw.Span(rapid.IntRange(1, 5).Draw(t, label+".aim")) * 1e8,
@@ -22,6 +23,7 @@
 	}
 }
 
+// classes draws 1 to 6 classes and their names, which may be repeated.
 func classes(t *rapid.T, label string) ([]string, []dw.Class) {
 	n := rapid.IntRange(1, 6).Draw(t, label)
 	names := make([]string, n)
@@ -33,13 +35,13 @@
 	return names, cs
 }
 
-// TestReloadedTable: after any number of retunings, every name of the settings in force goes under a class of the
-// module whose rules are at least as strict, or none; an equal class goes under itself; the names of earlier settings
-// stay, with what they meant; the table is bounded.
+// TestReloadedTable guards against reloaded settings whose requests are handled by less strict rules than their own. After any
+// number of reloads every name is mapped to a module class that is at least as strict, or to none if there is none. An equal
+// class is preferred, names of earlier settings keep their entries, and the table is bounded.
 func TestReloadedTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names, module := classes(t, "module")
-		table := Start(names, module)
+		table := New(names, module)
 		for round := range rapid.IntRange(1, 5).Draw(t, "rounds") {
 			newNames, cs := classes(t, fmt.Sprintf("round%d", round))
 			before := table
@@ -51,63 +53,65 @@
 				}
 				seen[n] = true
 				e, ok := table.Find(n)
-				if !ok || e.Effect != cs[i].Idempotency {
-					t.Fatalf("%s: %+v, %v", n, e, ok)
+				if !ok || e.Idempotency != cs[i].Idempotency {
+					t.Fatalf("%s: got entry %+v, found %v", n, e, ok)
 				}
-				if e.Class >= 0 && !Stricter(module[e.Class], cs[i]) {
-					t.Fatalf("%s: %+v goes under %+v", n, cs[i], module[e.Class])
+				if e.Class >= 0 && !AtLeastAsStrict(module[e.Class], cs[i]) {
+					t.Fatalf("%s: class %+v is mapped to the less strict %+v", n, cs[i], module[e.Class])
 				}
 				if e.Class < 0 {
 					for _, m := range module {
-						if Stricter(m, cs[i]) {
-							t.Fatalf("%s: refused, though %+v would do", n, m)
+						if AtLeastAsStrict(m, cs[i]) {
+							t.Fatalf("%s: mapped to no class, though %+v is strict enough", n, m)
 						}
 					}
 				}
 				for j, m := range module {
 					if m == cs[i] && module[e.Class] != m {
-						t.Fatalf("%s: equal to class %d, goes under %d", n, j, e.Class)
+						t.Fatalf("%s: equal to class %d, but mapped to %d", n, j, e.Class)
 					}
 				}
 			}
 			for _, e := range before {
 				if got, ok := table.Find(e.Name); !ok || !seen[e.Name] && got != e {
-					t.Fatalf("%s: was %+v, is %+v", e.Name, e, got)
+					t.Fatalf("%s: the entry changed from %+v to %+v", e.Name, e, got)
 				}
 			}
 			if len(table) > MaxNames {
-				t.Fatalf("%d names", len(table))
+				t.Fatalf("got %d names, over MaxNames", len(table))
 			}
 		}
 	})
 }
 
-// With spares, a class of any effect has one to go under, whatever the settings of the start named, but for streaming; and
-// the names of the start mean what they meant.
-func TestSparesLeaveNoClassOut(t *testing.T) {
+// TestSpareClassesCoverEveryIdempotency guards against a reload that rejects all requests of a class because its idempotency
+// changed. With spare classes, a class of any idempotency is mapped to one that is strict enough if streaming is the same, and
+// the names of the initial settings keep their classes.
+func TestSpareClassesCoverEveryIdempotency(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		names, module := classes(t, "module")
-		spareNames, spared := WithSpareClasses(names, module)
-		if len(spareNames) != len(spared) {
-			t.Fatalf("%d names of %d classes", len(spareNames), len(spared))
+		extendedNames, extended := WithSpareClasses(names, module)
+		if len(extendedNames) != len(extended) {
+			t.Fatalf("got %d names for %d classes", len(extendedNames), len(extended))
 		}
 		for i, m := range module {
-			if spared[i] != m || spareNames[i] != names[i] {
-				t.Fatalf("class %d is %+v, was %+v", i, spared[i], m)
+			if extended[i] != m || extendedNames[i] != names[i] {
+				t.Fatalf("class %d: got %+v, want %+v", i, extended[i], m)
 			}
 		}
-		if got, want := Start(names, spared), Start(names, module); !reflect.DeepEqual(got, want) {
-			t.Fatalf("%+v, not %+v", got, want)
+		if got, want := New(names, extended), New(names, module); !reflect.DeepEqual(got, want) {
+			t.Fatalf("got table %+v, want %+v", got, want)
 		}
 		c := class(t, "new")
 		c.Streaming = module[0].Streaming
-		if k := Choose(spared, c); k < 0 || !Stricter(spared[k], c) {
-			t.Fatalf("%+v goes under %d", c, k)
+		if k := NearestClass(extended, c); k < 0 || !AtLeastAsStrict(extended[k], c) {
+			t.Fatalf("%+v is mapped to class %d, which is missing or not strict enough", c, k)
 		}
 	})
 }
 
-func TestStricter(t *testing.T) {
+// TestAtLeastAsStrict checks combinations of idempotency, scope, window and streaming.
+func TestAtLeastAsStrict(t *testing.T) {
 	safe := dw.Class{Idempotency: dw.Idempotent}
 	byKeyAll := dw.Class{Idempotency: dw.IdempotentByKey, DedupScope: dw.DedupAll, DedupWindow: 3e9}
 	byKeyZone := dw.Class{Idempotency: dw.IdempotentByKey, DedupScope: dw.DedupZone, DedupWindow: 3e9}
@@ -121,8 +125,8 @@
 		{byKeyAll, unsafe, false}, {dw.Class{Idempotency: dw.IdempotentByKey, DedupWindow: 4e9}, byKeyAll, false},
 		{dw.Class{Idempotency: dw.Idempotent, Streaming: true}, safe, false},
 	} {
-		if got := Stricter(c.m, c.c); got != c.want {
-			t.Errorf("%+v for %+v: %v", c.m, c.c, got)
+		if got := AtLeastAsStrict(c.m, c.c); got != c.want {
+			t.Errorf("rules %+v for class %+v: got %v", c.m, c.c, got)
 		}
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,5 +1,6 @@
-// Package config is the one place where configuration is read, checked and given defaults: the environment,
-// the node's JSON and the limits file. Every message names the key at fault; unknown keys are skipped.
+// Package config reads and checks all configuration and sets its defaults: the environment, the node's JSON, and the limits,
+// operations and fleet files. Every error names the faulty key. Unknown keys are ignored, except in the operations and fleet
+// files.
 package config
 
 import (
@@ -16,21 +17,25 @@
 	"dewhitch/internal/config/settings"
 )
 
-// Node is what one gateway is told at its start.
+// Node is the configuration of one gateway. Addresses have the form host:port.
 type Node struct {
-	Name, Listen, Discovery, Counter string
-	Admin                            string // the operators' address; empty: none
-	Inherited                        int    // the descriptor of the clients' listening socket, handed down; 0: none
-	Scratch                          string // $TMPDIR: shared with the process that replaces this one
-	Seed                             uint64
-	Cores                            float64
-	MemoryMB, Sockets                int
-	Known                            json.RawMessage // the list as last held, in discovery's form; may be nil
-	Settings                         dw.Settings
-	Names                            settings.Names
+	Name        string          // name of the gateway's node
+	Listen      string          // address of the clients' listener
+	Discovery   string          // address of the discovery service
+	Counter     string          // address of the shared counter; required if Settings.Counter is true
+	Admin       string          // address of the operators' calls; empty if there is none
+	InheritedFD int             // descriptor of the clients' listening socket, inherited from the parent; 0 if there is none
+	TempDir     string          // $TMPDIR, shared with the process that replaces this one
+	Seed        uint64          // seed of the random numbers of the decision module and of discovery
+	Cores       float64         // number of CPU cores that the process may use; default 1
+	MemoryMB    int             // memory that the process may use, in MiB; default 192, at least 32
+	Sockets     int             // number of sockets that the process may open; default 1024, at least 64
+	KnownList   json.RawMessage // last known endpoint list, in discovery's format; may be nil
+	Settings    dw.Settings     // settings of the decision module
+	Names       settings.Names  // names that the settings refer to by index
 }
 
-// The defaults, where the configuration leaves a limit out.
+// Defaults and least values of the limits.
 const (
 	defaultCores    = 1.0
 	defaultMemoryMB = 192
@@ -38,11 +43,11 @@
 	minMemoryMB     = 32
 	minSockets      = 64
 
-	firstDescriptor = 3 // behind the standard streams
+	minInheritedFD = 3 // first descriptor after the standard streams
 )
 
-// file mirrors the node's JSON.
-type file struct {
+// nodeFile mirrors the node's JSON file.
+type nodeFile struct {
 	Name      string `json:"name"`
 	Listen    string `json:"listen"`
 	Discovery string `json:"discovery"`
@@ -58,7 +63,7 @@
 	Settings json.RawMessage `json:"settings"`
 }
 
-// Error is a fault of the configuration. Key is where it stands: a key, an environment variable, or a file and its line.
+// Error is a fault of the configuration. Key is its place: a key, an environment variable, or a file with the line.
 type Error struct {
 	Key, Problem string
 }
@@ -66,16 +71,19 @@
 // Error implements error.
 func (e *Error) Error() string { return "configuration: " + e.Key + ": " + e.Problem }
 
-// fault makes the error of a key.
-func fault(key, format string, a ...any) error { return &Error{key, fmt.Sprintf(format, a...)} }
+// newError returns an Error for a key.
+func newError(key, format string, args ...any) error {
+	return &Error{key, fmt.Sprintf(format, args...)}
+}
 
-// LoadNode reads the environment through getenv, and the file that it names.
+// LoadNode reads the environment through getenv, and the file that NODE_CONFIG names. Environment variables take precedence over
+// the file. All errors are of type *Error.
 func LoadNode(getenv func(string) string) (*Node, error) {
 	return loadNode(getenv, false)
 }
 
-// ReloadNode reads the same anew, all of it. It guards against a change that goes unheard: the environment keeps the
-// discovery's address of the start, and the file's, which is newer, must not lose to it.
+// ReloadNode reads the environment and the file again, as LoadNode does, but the file's address of discovery takes precedence.
+// The environment still has the address of the process's start, which would hide a change in the file.
 func ReloadNode(getenv func(string) string) (*Node, error) {
 	return loadNode(getenv, true)
 }
@@ -83,50 +91,50 @@
 func loadNode(getenv func(string) string, reload bool) (*Node, error) {
 	path := getenv("NODE_CONFIG")
 	if path == "" {
-		return nil, fault("NODE_CONFIG", "not set")
+		return nil, newError("NODE_CONFIG", "not set")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fault("NODE_CONFIG", "%v", err)
+		return nil, newError("NODE_CONFIG", "%v", err)
 	}
 	return parseNode(text, getenv, reload)
 }
 
 func parseNode(text []byte, getenv func(string) string, reload bool) (*Node, error) {
-	var f file
+	var f nodeFile
 	if err := json.Unmarshal(text, &f); err != nil {
-		var wrong *json.UnmarshalTypeError
-		if errors.As(err, &wrong) && wrong.Field != "" {
-			return nil, fault(wrong.Field, "a %s does not belong here", wrong.Value)
+		var typeErr *json.UnmarshalTypeError
+		if errors.As(err, &typeErr) && typeErr.Field != "" {
+			return nil, newError(typeErr.Field, "a %s does not belong here", typeErr.Value)
 		}
-		return nil, fault("NODE_CONFIG", "not JSON: %v", err)
+		return nil, newError("NODE_CONFIG", "not JSON: %v", err)
 	}
 	n := &Node{Name: f.Name, Listen: f.Listen, Discovery: f.Discovery, Counter: f.Counter, Admin: f.Admin, Cores: f.Limits.Cores,
-		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, Known: f.Known}
+		MemoryMB: f.Limits.MemoryMB, Sockets: f.Limits.Sockets, KnownList: f.Known}
 	if err := n.readEnvironment(getenv, reload); err != nil {
 		return nil, err
 	}
 	var err error
 	if n.Seed, err = strconv.ParseUint(f.Seed, 16, 64); err != nil {
-		return nil, fault("seed", "%q is not a number of up to 16 hex digits", f.Seed)
+		return nil, newError("seed", "%q is not a number of up to 16 hex digits", f.Seed)
 	}
 	if len(f.Settings) == 0 {
-		return nil, fault("settings", "missing")
+		return nil, newError("settings", "missing")
 	}
 	if n.Settings, n.Names, err = settings.Decode(f.Settings); err != nil {
-		return nil, fault("settings", "%v", err)
+		return nil, newError("settings", "%v", err)
 	}
 	if err = n.Settings.Check(); err != nil {
-		return nil, fault("settings", "%v", err)
+		return nil, newError("settings", "%v", err)
 	}
 	if err := n.check(); err != nil {
-		return nil, err // nothing of a file with a fault is taken
+		return nil, err // a file with any error is rejected as a whole
 	}
 	return n, nil
 }
 
-// readEnvironment takes what the environment says, which goes before the file. At a reload the file's discovery address goes
-// before the environment's, which is still that of the start.
+// readEnvironment applies the environment, which takes precedence over the file. At a reload the file's address of discovery
+// takes precedence, because the environment still has the address of the process's start.
 func (n *Node) readEnvironment(getenv func(string) string, reload bool) (err error) {
 	for _, v := range []struct {
 		to       *string
@@ -138,82 +146,84 @@
 		}
 	}
 	if fd := getenv("NODE_FD"); fd != "" {
-		// Descriptors 0 to 2 are the standard streams; taking one for a listener would end the log.
-		if n.Inherited, err = strconv.Atoi(fd); err != nil || n.Inherited < firstDescriptor {
-			return fault("NODE_FD", "%q is not a descriptor above 2", fd)
+		// Descriptors 0 to 2 are the standard streams. Using one of them as a listener would break the log.
+		if n.InheritedFD, err = strconv.Atoi(fd); err != nil || n.InheritedFD < minInheritedFD {
+			return newError("NODE_FD", "%q is not a descriptor above 2", fd)
 		}
 	}
-	if n.Scratch = getenv("TMPDIR"); n.Scratch == "" {
-		n.Scratch = os.TempDir()
+	if n.TempDir = getenv("TMPDIR"); n.TempDir == "" {
+		n.TempDir = os.TempDir()
 	}
 	return nil
 }
 
+// check returns an error for the first invalid value, and sets the defaults of the limits.
 func (n *Node) check() error {
 	if n.Name == "" {
-		return fault("name (NODE_NAME)", "missing")
+		return newError("name (NODE_NAME)", "missing")
 	}
 	for _, v := range []struct{ key, addr string }{{"listen (NODE_LISTEN)", n.Listen},
 		{"discovery (NODE_DISCOVERY)", n.Discovery}} {
-		if err := address(v.key, v.addr); err != nil {
+		if err := checkAddress(v.key, v.addr); err != nil {
 			return err
 		}
 	}
 	if n.Admin != "" {
-		if err := address("admin (NODE_ADMIN)", n.Admin); err != nil {
+		if err := checkAddress("admin (NODE_ADMIN)", n.Admin); err != nil {
 			return err
 		}
 	}
 	if n.Counter != "" || n.Settings.Counter {
-		if err := address("counter", n.Counter); err != nil {
+		if err := checkAddress("counter", n.Counter); err != nil {
 			return err
 		}
 	}
-	n.Cores, n.MemoryMB, n.Sockets = or(n.Cores, defaultCores), or(n.MemoryMB, defaultMemoryMB), or(n.Sockets, defaultSockets)
+	n.Cores, n.MemoryMB, n.Sockets = orDefault(n.Cores, defaultCores), orDefault(n.MemoryMB, defaultMemoryMB), orDefault(n.Sockets, defaultSockets)
 	switch {
 	case n.Cores < 0:
-		return fault("limits.cores", "%v is below 0", n.Cores)
+		return newError("limits.cores", "%v is below 0", n.Cores)
 	case n.MemoryMB < minMemoryMB:
-		return fault("limits.memory_mb", "%d; it needs %d at least", n.MemoryMB, minMemoryMB)
+		return newError("limits.memory_mb", "%d; it needs %d at least", n.MemoryMB, minMemoryMB)
 	case n.Sockets < minSockets:
-		return fault("limits.sockets", "%d; it needs %d at least", n.Sockets, minSockets)
+		return newError("limits.sockets", "%d; it needs %d at least", n.Sockets, minSockets)
 	}
 	return nil
 }
 
-// or returns v, or the default where it is left out.
-func or[T int | float64](v, standard T) T {
+// orDefault returns v, or defaultValue if v is 0.
+func orDefault[T int | float64](v, defaultValue T) T {
 	if v == 0 {
-		return standard
+		return defaultValue
 	}
 	return v
 }
 
-func address(key, s string) error {
-	if s == "" {
-		return fault(key, "missing")
+// checkAddress returns an error unless addr has the form host:port with a port from 1 to 65535.
+func checkAddress(key, addr string) error {
+	if addr == "" {
+		return newError(key, "missing")
 	}
-	_, port, err := net.SplitHostPort(s)
+	_, port, err := net.SplitHostPort(addr)
 	if err != nil {
-		return fault(key, "%q is not host:port", s)
+		return newError(key, "%q is not host:port", addr)
 	}
 	if p, err := strconv.ParseUint(port, 10, 16); err != nil || p == 0 {
-		return fault(key, "%q has no port from 1 to 65535", s)
+		return newError(key, "%q has no port from 1 to 65535", addr)
 	}
 	return nil
 }
 
-// Fixed names the keys in which m differs from n and which are read at the start only. Of the settings, classes and
-// attempts are retuned while the program runs.
-func (n *Node) Fixed(m *Node) (keys []string) {
-	a, b, aw, bw := n.Settings, m.Settings, n.Names, m.Names
-	a.Classes, a.MaxAttempts, aw.Classes = b.Classes, b.MaxAttempts, bw.Classes
+// KeysNeedingRestart returns the keys that differ between n and other and that are only read at the start of the process. Of the
+// settings, Classes and MaxAttempts take effect at a reload.
+func (n *Node) KeysNeedingRestart(other *Node) (keys []string) {
+	oldSettings, newSettings, oldNames, newNames := n.Settings, other.Settings, n.Names, other.Names
+	oldSettings.Classes, oldSettings.MaxAttempts, oldNames.Classes = newSettings.Classes, newSettings.MaxAttempts, newNames.Classes
 	for _, v := range []struct {
 		key  string
 		same bool
-	}{{"name", n.Name == m.Name}, {"listen", n.Listen == m.Listen}, {"limits.cores", n.Cores == m.Cores},
-		{"limits.memory_mb", n.MemoryMB == m.MemoryMB}, {"limits.sockets", n.Sockets == m.Sockets},
-		{"settings", reflect.DeepEqual(a, b) && reflect.DeepEqual(aw, bw)}} {
+	}{{"name", n.Name == other.Name}, {"listen", n.Listen == other.Listen}, {"limits.cores", n.Cores == other.Cores},
+		{"limits.memory_mb", n.MemoryMB == other.MemoryMB}, {"limits.sockets", n.Sockets == other.Sockets},
+		{"settings", reflect.DeepEqual(oldSettings, newSettings) && reflect.DeepEqual(oldNames, newNames)}} {
 		if !v.same {
 			keys = append(keys, v.key)
 		}
@@ -221,8 +231,8 @@
 	return keys
 }
 
-// Longest is the longest deadline of a class.
-func (n *Node) Longest() (longest time.Duration) {
+// LongestDeadline returns the longest deadline of all classes.
+func (n *Node) LongestDeadline() (longest time.Duration) {
 	for _, c := range n.Settings.Classes {
 		longest = max(longest, time.Duration(c.Deadline))
 	}
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -8,56 +8,56 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Limits is the limits file: the front for limit commands, the registry, and the forwarder.
+// Limits is the limits file: the front for limit commands, the registry of planners, and the forwarder.
 type Limits struct {
-	Listen   string // of a planner's limits front; empty: the front is off
-	Registry Registry
-	Forward  Forward
+	Listen   string   // host:port of a planner's front for limit commands; off if empty
+	Registry Registry // registry of the planners
+	Forward  Forward  // settings of a forwarder
 }
 
-// Registry says where planners, or members of a fleet, are registered.
+// Registry configures the ZooKeeper registry of planners, or of the members of a fleet.
 type Registry struct {
-	Servers []string // none: nobody is registered
-	Path    string
-	Session time.Duration
+	Servers []string      // ZooKeeper servers, as host:port; nothing is registered if empty
+	Path    string        // parent of the ephemeral nodes; default /dewhitch/planners, or /dewhitch/members/FLEET
+	Session time.Duration // timeout of the ZooKeeper session; default 4 s, at least 100 ms
 }
 
-// Forward is what a forwarder is told.
+// Forward configures a forwarder.
 type Forward struct {
-	Listen   string
-	Gateways int // how many there are, as a customer's set is counted round
-	Sockets  int
-	MemoryMB int
+	Listen   string // host:port of the clients' listener
+	Gateways int    // number of gateways of the deployment, modulo which a customer's set is computed
+	Sockets  int    // number of sockets that the process may open; default 1024, at least 64
+	MemoryMB int    // memory that the process may use, in MiB; default 192, at least 32
 }
 
-// The defaults, where the limits file leaves a key out.
+// Defaults and least values of the keys of a registry; the session is in milliseconds.
 const (
-	defaultPath      = "/dewhitch/planners"
-	defaultMembers   = "/dewhitch/members"
-	defaultSessionMS = 4000
-	leastSessionMS   = 100
+	defaultPlannersPath = "/dewhitch/planners"
+	defaultMembersPath  = "/dewhitch/members"
+	defaultSessionMS    = 4000
+	minSessionMS        = 100
 )
 
-// registryFile is a registry as files have it.
+// registryFile mirrors the table of a registry in the limits and fleet files.
 type registryFile struct {
 	Servers   []string
 	Path      string
 	SessionMS int `toml:"session_ms"`
 }
 
-// read checks it; key is where it stands.
-func (f registryFile) read(key string) (Registry, error) {
-	r := Registry{f.Servers, f.Path, time.Duration(or(f.SessionMS, defaultSessionMS)) * time.Millisecond}
+// parse checks the table and applies the session's default. key is the table's key, which errors name.
+func (f registryFile) parse(key string) (Registry, error) {
+	r := Registry{f.Servers, f.Path, time.Duration(orDefault(f.SessionMS, defaultSessionMS)) * time.Millisecond}
 	for _, s := range r.Servers {
-		if err := address(key+".servers", s); err != nil {
+		if err := checkAddress(key+".servers", s); err != nil {
 			return r, err
 		}
 	}
 	switch {
 	case !strings.HasPrefix(r.Path, "/") || strings.HasSuffix(r.Path, "/"):
-		return r, fault(key+".path", "%q is not a path such as %s", r.Path, defaultPath)
-	case r.Session < leastSessionMS*time.Millisecond:
-		return r, fault(key+".session_ms", "%d; it needs %d at least", f.SessionMS, leastSessionMS)
+		return r, newError(key+".path", "%q is not a path such as %s", r.Path, defaultPlannersPath)
+	case r.Session < minSessionMS*time.Millisecond:
+		return r, newError(key+".session_ms", "%d; it needs %d at least", f.SessionMS, minSessionMS)
 	}
 	return r, nil
 }
@@ -74,44 +74,44 @@
 		}
 	}
 	if _, err := toml.DecodeFile(path, &f); err != nil {
-		var wrong toml.ParseError
-		if errors.As(err, &wrong) && wrong.LastKey != "" {
-			return nil, fault(path, "%s: %s", wrong.LastKey, wrong.Message)
+		var parseErr toml.ParseError
+		if errors.As(err, &parseErr) && parseErr.LastKey != "" {
+			return nil, newError(path, "%s: %s", parseErr.LastKey, parseErr.Message)
 		}
-		return nil, fault(path, "%v", err)
+		return nil, newError(path, "%v", err)
 	}
 	if f.Registry.Path == "" {
-		f.Registry.Path = defaultPath
+		f.Registry.Path = defaultPlannersPath
 	}
-	l := &Limits{Listen: f.Listen, Forward: Forward{f.Forward.Listen, f.Forward.Gateways, or(f.Forward.Sockets, defaultSockets),
-		or(f.Forward.MemoryMB, defaultMemoryMB)}}
+	l := &Limits{Listen: f.Listen, Forward: Forward{f.Forward.Listen, f.Forward.Gateways, orDefault(f.Forward.Sockets, defaultSockets),
+		orDefault(f.Forward.MemoryMB, defaultMemoryMB)}}
 	if l.Listen != "" {
-		if err := address("listen", l.Listen); err != nil {
+		if err := checkAddress("listen", l.Listen); err != nil {
 			return nil, err
 		}
 	}
 	var err error
-	l.Registry, err = f.Registry.read("registry")
+	l.Registry, err = f.Registry.parse("registry")
 	if err != nil {
 		return nil, err
 	}
 	return l, nil
 }
 
-// CheckForward checks what only a forwarder needs.
+// CheckForward checks the keys that only a forwarder needs.
 func (l *Limits) CheckForward() error {
-	if err := address("forward.listen", l.Forward.Listen); err != nil {
+	if err := checkAddress("forward.listen", l.Forward.Listen); err != nil {
 		return err
 	}
 	switch {
 	case len(l.Registry.Servers) == 0:
-		return fault("registry.servers", "missing; a forwarder finds the planners there")
+		return newError("registry.servers", "missing; a forwarder finds the planners there")
 	case l.Forward.Gateways < 1:
-		return fault("forward.gateways", "%d; it needs 1 at least", l.Forward.Gateways)
+		return newError("forward.gateways", "%d; it needs 1 at least", l.Forward.Gateways)
 	case l.Forward.MemoryMB < minMemoryMB:
-		return fault("forward.memory_mb", "%d; it needs %d at least", l.Forward.MemoryMB, minMemoryMB)
+		return newError("forward.memory_mb", "%d; it needs %d at least", l.Forward.MemoryMB, minMemoryMB)
 	case l.Forward.Sockets < minSockets:
-		return fault("forward.sockets", "%d; it needs %d at least", l.Forward.Sockets, minSockets)
+		return newError("forward.sockets", "%d; it needs %d at least", l.Forward.Sockets, minSockets)
 	}
 	return nil
 }
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -7,21 +7,22 @@
 	"testing"
 )
 
+// TestFigures checks the counts, and guards against a reload of the settings that loses or mixes up the counts of classes.
 func TestFigures(t *testing.T) {
 	var f Figures
-	f.Classes([]string{"lookup", "order"})
+	f.AddClasses([]string{"lookup", "order"})
 	f.RequestEnded("lookup", Success)
 	f.RequestEnded("order", Overload)
 	f.RequestEnded("order", Error)
-	f.RequestEnded("nothing", Success) // no such class: passed over
+	f.RequestEnded("nothing", Success) // an unknown class is ignored
 	f.Dispatched("order")
 	f.AddOpen(1)
 	f.Targets(5, 2)
-	f.Reloaded(true)
-	f.Reloaded(false)
-	f.Reloaded(false)
-	// Settings read anew drop a class, add one and reorder: counts go on under their names.
-	f.Classes([]string{"bulk", "lookup"})
+	f.CountReload(true)
+	f.CountReload(false)
+	f.CountReload(false)
+	// Reloaded settings drop a class, add one and reorder them. The counts continue under the classes' names.
+	f.AddClasses([]string{"bulk", "lookup"})
 	f.RequestEnded("lookup", Success)
 	f.RequestEnded("bulk", Error)
 	var got struct {
@@ -33,25 +34,25 @@
 	}
 	text := f.AppendJSON(nil)
 	if err := json.Unmarshal(text, &got); err != nil {
-		t.Fatalf("%s: %v", text, err)
+		t.Fatalf("invalid JSON %s: %v", text, err)
 	}
 	r := got.Replies
 	if r["lookup"].Success != 2 || r["order"].Overload != 1 || r["order"].Error != 1 || r["order"].Dispatches != 1 ||
 		r["bulk"].Error != 1 || len(r) != 3 {
-		t.Fatalf("%s", text)
+		t.Fatalf("wrong counts of a class: %s", text)
 	}
 	if got.Dispatches != 1 || got.Concurrent != 1 || got.Targets != 5 || got.Disabled != 2 || got.ReloadSuccess != 1 || got.ReloadFailure != 2 {
-		t.Fatalf("%s", text)
+		t.Fatalf("wrong totals: %s", text)
 	}
 }
 
-// TestFiguresAtOnce: counts from many goroutines, while the classes change and the figures are read, all add up.
-func TestFiguresAtOnce(t *testing.T) {
+// TestFiguresConcurrently guards against lost counts when goroutines count while classes are added and the figures are read.
+func TestFiguresConcurrently(t *testing.T) {
 	var f Figures
-	f.Classes([]string{"a"})
-	var all sync.WaitGroup
+	f.AddClasses([]string{"a"})
+	var workers sync.WaitGroup
 	for range 8 {
-		all.Go(func() {
+		workers.Go(func() {
 			for range 1000 {
 				f.RequestEnded("a", Success)
 				f.AddOpen(1)
@@ -59,26 +60,27 @@
 			}
 		})
 	}
-	all.Go(func() {
+	workers.Go(func() {
 		for range 100 {
-			f.Classes([]string{"a", "b"})
+			f.AddClasses([]string{"a", "b"})
 			f.AppendJSON(nil)
 		}
 	})
-	all.Wait()
+	workers.Wait()
 	var got struct {
 		Replies map[string]struct{ Success int }
 	}
 	json.Unmarshal(f.AppendJSON(nil), &got)
 	if got.Replies["a"].Success != 8000 {
-		t.Fatalf("%+v", got)
+		t.Fatalf("got %+v, want 8000 successes", got)
 	}
 }
 
+// TestState checks readiness and the notifications through a start, a repeated drain, its end, and a shutdown.
 func TestState(t *testing.T) {
 	var s State
 	var notified []bool
-	s.Watch(func(on bool) { notified = append(notified, on) })
+	s.OnDrainChange(func(on bool) { notified = append(notified, on) })
 	if s.Ready() {
 		t.Fatal("ready before the start")
 	}
@@ -94,16 +96,16 @@
 	}
 	s.End()
 	if s.Ready() || len(notified) != 2 || !notified[0] || notified[1] {
-		t.Fatalf("%v %v", s.Ready(), notified)
+		t.Fatalf("after the end: ready %v, notifications %v", s.Ready(), notified)
 	}
 }
 
-// Operators and the gateway itself may drain it, in any order: it is drained as long as either does, and those that watch
-// are notified of each change once.
+// TestDrainsOfTwo guards against a drain by operators that ends a drain by the fleet, or the reverse. The gateway is
+// drained as long as either drains it, and watchers are notified of each change once.
 func TestDrainsOfTwo(t *testing.T) {
 	steps := map[string]func(*State){
 		"operators drain": func(s *State) { s.Drain(true) }, "operators end": func(s *State) { s.Drain(false) },
-		"it drains itself": func(s *State) { s.DrainItself(true) }, "it ends": func(s *State) { s.DrainItself(false) },
+		"it drains itself": func(s *State) { s.DrainByFleet(true) }, "it ends": func(s *State) { s.DrainByFleet(false) },
 	}
 	for _, c := range []struct {
 		order []string
@@ -117,12 +119,12 @@
 	} {
 		var s State
 		var notified []bool
-		s.Watch(func(on bool) { notified = append(notified, on) })
+		s.OnDrainChange(func(on bool) { notified = append(notified, on) })
 		for _, step := range c.order {
 			steps[step](&s)
 		}
 		if !slices.Equal(notified, c.want) || s.Drained() != (len(c.want)%2 == 1) {
-			t.Errorf("%q: notified %v, drained %v, not %v", c.order, notified, s.Drained(), c.want)
+			t.Errorf("%q: got notifications %v, drained %v, want notifications %v", c.order, notified, s.Drained(), c.want)
 		}
 	}
 }
