--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -31,7 +31,7 @@
 	return startMembersWithRegistry(t, n, withStorage, nil)
 }
 
-// startMembersWithRegistry starts n members that find one another through a registry only, if reg is not nil.
+// startMembersWithRegistry starts n members. If reg is not nil, they find one another only through this registry.
 func startMembersWithRegistry(t *testing.T, n int, withStorage bool, reg *zookeeper.Server) (members []*Agent, stop func()) {
 	t.Helper()
 	return startConfiguredMembers(t, n, withStorage, reg, func(*Agent) {})
@@ -79,7 +79,7 @@
 	return members, func() { cancel(); running.Wait() }
 }
 
-// eventually waits until f returns true, and fails the test after 30 seconds.
+// eventually waits until f returns true, and fails the test with the event's name after 30 seconds.
 func eventually(t *testing.T, event string, f func() bool) {
 	t.Helper()
 	for end := time.Now().Add(30 * time.Second); !f(); time.Sleep(10 * time.Millisecond) {
@@ -142,11 +142,11 @@
 	for _, a := range members {
 		s, err := a.Status()
 		if err != nil || !s.Quorum || len(s.Members) != len(members) {
-			t.Errorf("%s after the registry's sessions expired: got %+v, error %v, expected a quorum and all members", s.Name, s, err)
+			t.Errorf("%s after the registry's sessions expired: got status %+v, error %v, expected a quorum and all members", s.Name, s, err)
 		}
 		for _, m := range s.Members {
 			if m.State != "alive" {
-				t.Errorf("%s has member %s in state %q, expected alive", s.Name, m.Name, m.State)
+				t.Errorf("%s has member %s as %s, expected alive", s.Name, m.Name, m.State)
 			}
 		}
 	}
@@ -180,17 +180,17 @@
 	}
 	for _, form := range []url.Values{{}, {"by": {"me"}}, {"why": {"so"}}, {"by": {strings.Repeat("x", 600)}, "why": {"so"}}} {
 		if code, text := post("freeze", form); code != http.StatusConflict || !strings.HasPrefix(text, "NO ") {
-			t.Errorf("freeze with %v: got status %d and answer %q, expected 409 and NO", form, code, text)
+			t.Errorf("freeze with the form %v: got %d %s, expected 409 NO", form, code, text)
 		}
 	}
 	if code, _ := post("melt", url.Values{"by": {"me"}, "why": {"so"}}); code != http.StatusNotFound {
 		t.Errorf("unknown command: got status %d, expected 404", code)
 	}
 	if s, _ := members[3].Status(); s.Epoch != statusBefore.Epoch {
-		t.Errorf("rejected commands changed the epoch of the plan from %v to %v", statusBefore.Epoch, s.Epoch)
+		t.Errorf("rejected commands changed the plan from epoch %v to %v", statusBefore.Epoch, s.Epoch)
 	}
 	if code, text := post("freeze", url.Values{"by": {"me"}, "why": {"so"}}); code != http.StatusOK || !strings.HasPrefix(text, "YES ") {
-		t.Fatalf("freeze: got status %d and answer %q, expected 200 and YES", code, text)
+		t.Fatalf("freeze: got %d %s, expected 200 YES", code, text)
 	}
 	for _, a := range members {
 		eventually(t, "the freeze", func() bool {
@@ -224,7 +224,7 @@
 	}
 	options := members[0].options
 	if _, err := Open(options); err == nil || !strings.Contains(err.Error(), "another process has the folder") {
-		t.Errorf("storage that another process has open: got error %v, expected that it has the folder", err)
+		t.Errorf("storage that another process has open: got error %v, expected ErrLocked", err)
 	}
 	stop() // the test may read the node once its goroutine has ended
 	identity := members[0].node.SelfStatus().Identity
@@ -278,7 +278,7 @@
 		t.Errorf("listening beyond loopback without a keyring: got error %v, expected one about the keyring", err)
 	}
 	if err := open(standin.OwnAddr(), "not a key\n"); err == nil || !strings.Contains(err.Error(), ":1 is not base64") {
-		t.Errorf("invalid keyring: got error %v, expected one about line 1", err)
+		t.Errorf("invalid keyring: got error %v, expected one that names line 1", err)
 	}
 	if err := open(standin.OwnAddr(), "MDEyMzQ1Njc4OWFiY2RlZg==\n"); err != nil {
 		t.Error(err)
--- a/internal/fleet/agent/tally_test.go
+++ b/internal/fleet/agent/tally_test.go
@@ -22,17 +22,17 @@
 	counter.AttemptStarted(AttemptID{"cancelled", 0}, "b", 2)
 	counter.AttemptEnded(AttemptID{"cancelled", 0}, NoOutcome, 0, 0)
 	if r := counter.report(true); r.Zones["b"].Attempts != 0 || r.Zones["a"].Served != 10 || r.Servers[1].Queue != 3 {
-		t.Errorf("ten served attempts in zone a, one in flight and one cancelled in zone b: got report %+v", r)
+		t.Errorf("ten served attempts, one in flight, one cancelled: got report %+v, expected ten served attempts only", r)
 	}
 	now = now.Add(minLateAfter + time.Millisecond)
 	if r := counter.report(true); r.Zones["b"] != (fleet.AttemptCounts{Attempts: 1, TimedOut: 1}) || len(r.Servers) != 1 {
-		t.Errorf("after an attempt became late: got report %+v, expected it as timed out", r)
+		t.Errorf("after an attempt became late: got report %+v, expected one timed-out attempt in zone b", r)
 	}
 	counter.AttemptEnded(AttemptID{"late", 0}, Served, 0, 0)
 	counter.AttemptEnded(AttemptID{"late", 0}, Served, 0, 0)
 	latency := uint64((minLateAfter + time.Millisecond).Microseconds())
 	if r := counter.report(true); r.Zones["b"] != (fleet.AttemptCounts{Attempts: 1, TimedOut: 1, AnsweredLate: 1, LatencyMicros: latency}) {
-		t.Errorf("after the late answer: got report %+v, expected the attempt as answered late once", r)
+		t.Errorf("after the late answer: got report %+v, expected one attempt answered late in zone b", r)
 	}
 }
 
--- a/internal/fleet/slowstart/allocator_test.go
+++ b/internal/fleet/slowstart/allocator_test.go
@@ -36,7 +36,7 @@
 type message struct {
 	deliverAt, sentAt time.Duration
 	from, to          int
-	seq               uint64 // report that is sent or answered
+	seq               uint64 // sequence number of the report that is sent or answered
 	appliedSeq        uint64
 	grant             *Grant // nil in a report
 	totalAttempts     uint64
@@ -49,7 +49,7 @@
 	gateways          []*gateway
 	allocators        []*Allocator
 	leader            int // index of the leading gateway
-	formerLeader      int // index of the previous leader, which believes that it leads until formerLeaderUntil; -1: none
+	formerLeader      int // index of the previous leader, which acts as the leader until formerLeaderUntil; -1: none
 	formerLeaderUntil time.Duration
 	term, formerTerm  uint64
 	messages          []message
@@ -87,7 +87,7 @@
 	sim.term++
 }
 
-// termOf returns the term in which a gateway believes that it leads, or 0.
+// termOf returns the term in which a gateway acts as the leader, or 0.
 func (sim *simulation) termOf(i int) uint64 {
 	switch {
 	case i == sim.leader:
@@ -151,7 +151,7 @@
 	}
 }
 
-// receive delivers a message. A gateway that believes that it leads answers a report with a grant.
+// receive delivers a message. A gateway that acts as the leader answers a report with a grant.
 func (sim *simulation) receive(m message) {
 	g := sim.gateways[m.to]
 	if m.grant != nil { // an answer
@@ -258,7 +258,7 @@
 	}
 }
 
-// The budget of a server is halved in each second with failures or high latency, and recovers within 10 s without.
+// The budget of a server is halved in each second with failures or high latency, and recovers within 10 s without them.
 func TestBudgetBackoffAndRecovery(t *testing.T) {
 	allocator := New(testConfig)
 	servers := []Server{{ID: 1, Zone: "a", Since: 1_000_000}, {ID: 2, Zone: "a"}}
