--- a/cmd/dewhitch/limits_test.go
+++ b/cmd/dewhitch/limits_test.go
@@ -88,22 +88,22 @@
 // The depth of the quota on the plan forty, and the arguments of a command on that plan.
 const (
 	quotaDepth    = 40.0
-	fortyPlanArgs = "t=forty,d=100000,spread=3,first=0"
+	quotaPlanArgs = "t=forty,d=100000,spread=3,first=0"
 )
 
-// bookingCommand returns a query whose id is composed of the customer's number and i.
-func bookingCommand(customer, i int) string {
-	return fmt.Sprintf("SVC.QUERY %016x a%d-%d c=lookup,%s", customer, customer, i, fortyPlanArgs)
+// queryCommand returns a query whose id is composed of the customer's number and i.
+func queryCommand(customer, i int) string {
+	return fmt.Sprintf("SVC.QUERY %016x a%d-%d c=lookup,%s", customer, customer, i, quotaPlanArgs)
 }
 
 // limitQuery returns a query of the units that remain to a customer.
 func limitQuery(customer int) string {
-	return fmt.Sprintf("LIMIT.GET %016x %s", customer, fortyPlanArgs)
+	return fmt.Sprintf("LIMIT.GET %016x %s", customer, quotaPlanArgs)
 }
 
 // adjustCommand returns a command that takes units from a customer's quota.
 func adjustCommand(customer, units int) string {
-	return fmt.Sprintf("LIMIT.ADJUST %016x %d %s", customer, units, fortyPlanArgs)
+	return fmt.Sprintf("LIMIT.ADJUST %016x %d %s", customer, units, quotaPlanArgs)
 }
 
 // countKeyPrefix returns the prefix of the keys of a customer's counts in the shared counter.
@@ -133,7 +133,7 @@
 			c := dial(t, env.limitsAddr)
 			bookings, units := customer%7, 1+customer%11
 			for i := range bookings {
-				c.write(bookingCommand(customer, i))
+				c.write(queryCommand(customer, i))
 			}
 			c.write(limitQuery(customer), adjustCommand(customer, units))
 			served := 0
@@ -258,7 +258,7 @@
 	waitForFirstHalfOfWindow()
 	f := newForwarderTest(t)
 	c := f.client
-	c.write("PING", bookingCommand(3, 0), adjustCommand(3, 4), limitQuery(3), "LIMIT.GET 3", "NOVEL")
+	c.write("PING", queryCommand(3, 0), adjustCommand(3, 4), limitQuery(3), "LIMIT.GET 3", "NOVEL")
 	for _, want := range []string{"+PONG", "a3-0", "4"} {
 		if a := c.readAnswer(); a != want {
 			t.Errorf("got the answer %q, expected %q", a, want)
--- a/internal/fleet/maintenance/scheduler_test.go
+++ b/internal/fleet/maintenance/scheduler_test.go
@@ -125,7 +125,7 @@
 }
 
 // A machine that fails after its return is put on hold and withdrawn, together with its request, until an operator resumes the request. A
-// machine whose work the operator never completes returns when its time is up.
+// machine whose work the operator never completes returns at the end of the time that was requested for it.
 func TestUnhealthyMachineIsPutOnHold(t *testing.T) {
 	sim := newSimulation(t, 4, 4, 3, 4)
 	sim.submit("one", Restart, "s-a1", "s-b1")
