--- a/internal/front/bounds.go
+++ b/internal/front/bounds.go
@@ -10,8 +10,8 @@
 
 // Bounds limits the memory that all client sessions of a gateway use together. It is safe for concurrent use.
 type Bounds struct {
-	maxUnsent      int64               // bytes of unsent answers of a session, above which no more of its commands are read
-	maxUnsentTotal int64               // bytes of unsent answers of all sessions, above which a session over maxUnsent is closed
+	maxUnsent      int64               // limit in bytes of a session's unsent answers; above it, no more of its commands are read
+	maxUnsentTotal int64               // limit in bytes of all unsent answers; above it, a session over maxUnsent is closed
 	unsentTotal    atomic.Int64        // current bytes of unsent answers of all sessions
 	largeCommands  *semaphore.Weighted // bytes of large commands that are not answered yet
 }
@@ -23,8 +23,8 @@
 	sessionUnsentDivisor = 8         // each session gets the memory for unsent answers divided by this
 	maxSessionUnsent     = 512 << 10 // bytes of unsent answers of a session on a machine of any size
 	largeMemoryDivisor   = 8         // large commands get the memory divided by this
-	maxPipelined         = 64        // commands of a session that may be unanswered; further ones stay unread
-	minLargeCommand      = 2 << 10   // bytes of a command, above which it counts as large
+	maxPipelined         = 64        // maximum number of unanswered commands of a session; further ones stay unread
+	minLargeCommand      = 2 << 10   // size in bytes above which a command counts as large
 )
 
 // NewBounds returns the bounds for a gateway that may use memoryBytes bytes. One command of maximum size fits in any case.
--- a/internal/front/closing.go
+++ b/internal/front/closing.go
@@ -16,7 +16,7 @@
 const (
 	ClosedByClient  CloseReason = iota // the client closed or half-closed the connection, or the connection broke
 	ClosedIdle                         // the client sent no command for too long
-	ClosedEvicted                      // the place was needed for another client
+	ClosedEvicted                      // the session's place was needed for another client
 	ClosedDrained                      // the gateway was drained
 	ClosedEnding                       // the gateway shuts down
 	ClosedSlow                         // a command did not arrive completely in time
@@ -93,8 +93,8 @@
 // maxOverdueLogged is the maximum number of sessions that one log line describes.
 const maxOverdueLogged = 8
 
-// reportOverdue logs the sessions for which overdue returns true, and reports their number to the monitor, if there are any. cause
-// names what should have ended them.
+// reportOverdue logs the sessions for which overdue returns true, and reports their number to the monitor, if there are any.
+// cause names the event by which they should have ended: a drain, or the end of the gateway.
 func (srv *Server) reportOverdue(cause string, overdue func(*session) bool) {
 	var logged []status
 	n := 0
@@ -133,9 +133,9 @@
 	}
 }
 
-// expediteDrained expedites the answers of sessions with unread input. It repeats this after each expediteInterval until drain d ends
-// or no session is left. Without it, a request at a server that hangs keeps its connection open past the term of the drain, and the
-// input that the client has written since is lost.
+// expediteDrained expedites the answers of sessions with unread input. It repeats this after each expediteInterval until drain d
+// ends or no session remains. Without it, a request at a server that hangs keeps its connection open past the term of the drain,
+// and the input that the client has written since is lost.
 func (srv *Server) expediteDrained(d *drainTimes) {
 	var sessions []*session
 	srv.mu.Lock()
--- a/internal/front/drain_test.go
+++ b/internal/front/drain_test.go
@@ -18,12 +18,12 @@
 	"dewhitch/internal/resp"
 )
 
-// drainReadingEndsSoon returns the times of a drain whose time to accept requests ends in 100 ms.
+// drainReadingEndsSoon returns the times of a drain in which the time to accept requests ends in 100 ms.
 func drainReadingEndsSoon() drainTimes {
 	return newDrainTimes(time.Now().Add(100*time.Millisecond - drainReadTime))
 }
 
-// drainPastReading returns the times of a drain whose time to accept requests has just ended.
+// drainPastReading returns the times of a drain in which the time to accept requests has just ended.
 func drainPastReading() drainTimes { return newDrainTimes(time.Now().Add(-drainReadTime)) }
 
 // reached reports whether the session is in the given state or a later one.
@@ -51,7 +51,8 @@
 	return n, err
 }
 
-// newCheckedPair returns a client's connection, the readChecker at its other end, and the session of that. run starts the session.
+// newCheckedPair returns a client's connection, the readChecker at its other end, and the session that serves it. run starts the
+// session.
 func newCheckedPair(t *testing.T, c Commands) (conn *net.TCPConn, checker *readChecker, s *session, run func()) {
 	t.Helper()
 	conn, serverConn := connectedPair(t)
@@ -135,13 +136,13 @@
 	close(commands.answer)
 	got, err := io.ReadAll(c)
 	if n := int64(bytes.Count(got, []byte("+OK\r\n"))); n != commands.started.Load() || err != nil && !strings.Contains(err.Error(), "reset") {
-		t.Errorf("got %d answers to %d commands, error %v", n, commands.started.Load(), err)
+		t.Errorf("got %d answers to %d started commands, error %v", n, commands.started.Load(), err)
 	}
 	if n := commands.started.Load(); n < maxPipelined || n > maxPipelined+readBufferSize/int64(len(ping))+1 {
 		t.Errorf("%d commands were started, expected those that had been read", n)
 	}
 	if n := checker.bytesWhileClosing.Load(); n > 0 {
-		t.Errorf("%d bytes were read while closing", n)
+		t.Errorf("%d bytes were read while closing, expected none", n)
 	}
 	c.Close()
 	<-sent
--- a/internal/front/ending_test.go
+++ b/internal/front/ending_test.go
@@ -26,8 +26,8 @@
 // ping is an encoded command.
 const ping = "*1\r\n$4\r\nPING\r\n"
 
-// bufferedConn is the server's end of a connection, and holds back bytes that it has read: they have left the system's buffers, but the
-// session does not have them yet.
+// bufferedConn is the server's end of a connection, and holds back bytes that it has read: these bytes are no longer in the
+// system's buffers, and have not reached the session.
 type bufferedConn struct {
 	*net.TCPConn
 	holding chan int      // receives the number of bytes that were read and are held back
@@ -117,8 +117,8 @@
 
 func startDrain(s *session) { s.drain(newDrainTimes(time.Now())) }
 
-// TestCommandReadBeforeTheEndIsServed guards against the loss of a command that has left the system's buffers when an idle session is
-// told to end.
+// TestCommandReadBeforeTheEndIsServed guards against the loss of a command that was read from the system's buffers, but has not
+// reached the session, when an idle session must end.
 func TestCommandReadBeforeTheEndIsServed(t *testing.T) {
 	for name, end := range map[string]func(*session){"for room": (*session).evict, "at the end": (*session).stop,
 		"by a drain": startDrain} {
--- a/internal/front/eviction.go
+++ b/internal/front/eviction.go
@@ -8,7 +8,7 @@
 
 const (
 	evictionInterval = 50 * time.Millisecond  // time between two evictions of idle sessions
-	evictableAfter   = 250 * time.Millisecond // minimum idle time: an active client sends its next command by then, or can reconnect
+	evictableAfter   = 250 * time.Millisecond // minimum idle time before an eviction; an active client sends its next command sooner, or reconnects
 )
 
 // evictable is an idle session with the time since which it has been idle.
@@ -30,13 +30,13 @@
 			return
 		case <-tick.C:
 		}
-		idle = srv.evictBeyondKept(idle[:0])
+		idle = srv.evictSurplus(idle[:0])
 	}
 }
 
-// evictBeyondKept evicts idle sessions while the number of sessions exceeds MaxIdleSessions, the longest idle first. It ignores
+// evictSurplus evicts idle sessions while the number of sessions exceeds MaxIdleSessions, the longest idle first. It ignores
 // sessions that have sent no valid command, because they time out soon. It returns the buffer that it was given, for reuse.
-func (srv *Server) evictBeyondKept(idle []evictable) []evictable {
+func (srv *Server) evictSurplus(idle []evictable) []evictable {
 	used := 0
 	srv.mu.Lock()
 	for s := range srv.sessions {
--- a/internal/front/eviction_test.go
+++ b/internal/front/eviction_test.go
@@ -45,7 +45,7 @@
 	}
 	if command == "ECHO" {
 		if line, err := r.ReadString('\n'); line != "+OK\r\n" {
-			e.t.Fatalf("%q, %v", line, err)
+			e.t.Fatalf("got answer %q, error %v, expected OK", line, err)
 		}
 	}
 	return c, r
--- a/internal/front/limits/golden_test.go
+++ b/internal/front/limits/golden_test.go
@@ -65,7 +65,7 @@
 		}
 		got, err := goldenCommands().parse(cmd, c.kind)
 		if err != nil || !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%q: %v\n got %+v\nwant %+v", c.words, err, got, c.want)
+			t.Errorf("%q: error %v\n got %+v\nwant %+v", c.words, err, got, c.want)
 		}
 	}
 }
@@ -124,7 +124,7 @@
 	}
 	var text bytes.Buffer
 	if _, err := standin.ReadReply(bufio.NewReader(io.TeeReader(client, &text))); err != nil {
-		t.Fatalf("%q: %v", words, err)
+		t.Fatalf("%q: no answer: %v", words, err)
 	}
 	return fmt.Appendf(nil, "%q\n\t%q\n", words, text.Bytes())
 }
--- a/internal/front/platform/golden_test.go
+++ b/internal/front/platform/golden_test.go
@@ -69,14 +69,14 @@
 		}
 		got, err := goldenCommands().parse(cmd, c.query)
 		if err != nil || !reflect.DeepEqual(got, c.want) {
-			t.Errorf("%q: %v\n got %+v\nwant %+v", c.words, err, got, c.want)
+			t.Errorf("%q: error %v\n got %+v\nwant %+v", c.words, err, got, c.want)
 		}
 	}
 	var r core.Request
 	class, plan, err := ParseRoute([]byte("c=order,t=slim,d=1500.5,k=key-1,r=1,units=2.5,spread=3,first=4"), &r)
 	if want := (&core.Request{Timeout: 1500500 * time.Microsecond, Units: 2.5, Spread: 3, FirstGateway: 4, Repeat: true,
 		Message: core.Message{Key: "key-1"}}); err != nil || class != "order" || plan != "slim" || !reflect.DeepEqual(&r, want) {
-		t.Errorf("%q, %q, %v\n got %+v\nwant %+v", class, plan, err, &r, want)
+		t.Errorf("class %q, plan %q, error %v\n got %+v\nwant %+v", class, plan, err, &r, want)
 	}
 }
 
@@ -155,7 +155,7 @@
 	}
 	var text bytes.Buffer
 	if _, err := standin.ReadReply(bufio.NewReader(io.TeeReader(client, &text))); err != nil {
-		t.Fatalf("%q: %v", words, err)
+		t.Fatalf("%q: no answer: %v", words, err)
 	}
 	return fmt.Appendf(nil, "%q\n\t%q\n", words, text.Bytes())
 }
--- a/internal/front/platform/parse.go
+++ b/internal/front/platform/parse.go
@@ -21,7 +21,7 @@
 	customerCount = 1 << 33   // all customer IDs are below this number
 	maxNameBytes  = 64        // bytes of the name of a request
 	maxKeyBytes   = 64        // bytes of an idempotency key
-	maxNumber     = 1e6       // maximum of the arguments units, spread and first
+	maxNumber     = 1e6       // maximum value of the arguments units, spread and first
 )
 
 var errArgumentCount = errors.New("wrong number of arguments")
@@ -53,8 +53,9 @@
 	return r, nil
 }
 
-// setClass sets the class of a request by its name in the current class table. It returns an error if there is no such class, if the
-// class is for the other command, or if the class needs an idempotency key and the request has none.
+// setClass sets the class of a request by its name in the current class table. It returns an error if there is no such class, if
+// the class belongs to the other one of SVC.QUERY and SVC.SUBMIT, or if the class needs an idempotency key and the request has
+// none.
 func (c *Commands) setClass(r *core.Request, name string, query bool) error {
 	entry, known := c.Classes().Find(name)
 	if !known || entry.Class < 0 {
@@ -105,8 +106,8 @@
 	return class, nil
 }
 
-// ParseRoute parses from a list of names and values what a forwarder needs: the customer's gateways and the timeout, which it sets
-// in r, and the names of class and plan for its ledger.
+// ParseRoute parses the part of a list of names and values that a forwarder needs. It sets the customer's gateways and the
+// timeout in r, and returns the names of class and plan for the forwarder's ledger.
 func ParseRoute(text []byte, r *core.Request) (class, plan string, err error) {
 	return parseArguments(text, r)
 }
@@ -166,7 +167,8 @@
 	return err
 }
 
-// number parses a decimal number of digits and a point. It refuses other forms that strconv accepts, such as exponents.
+// number parses a decimal number from lowest to highest that consists of digits and a point. It rejects other forms that strconv
+// accepts, such as exponents.
 func number(name, text string, lowest, highest float64) (float64, error) {
 	v, err := strconv.ParseFloat(text, 64)
 	if err != nil || strings.Trim(text, "0123456789.") != "" || !(v >= lowest && v <= highest) {
@@ -175,7 +177,7 @@
 	return v, nil
 }
 
-// wholeNumber parses a number without a fraction, because a fraction would be lost on the way to the backend.
+// wholeNumber parses a number without a fraction. A fraction is an error, because it would be lost on the way to the backend.
 func wholeNumber(name, text string, lowest, highest float64) (int, error) {
 	v, err := number(name, text, lowest, highest)
 	if err == nil && v != math.Trunc(v) {
--- a/internal/front/platform/platform.go
+++ b/internal/front/platform/platform.go
@@ -28,7 +28,7 @@
 	Figures  *ops.Figures // may be nil
 	State    *ops.State   // drain state of the gateway; nil if it is never drained
 
-	classes atomic.Pointer[classtable.Table] // class table for new requests; nil until first used, then starts with the classes of Settings
+	classes atomic.Pointer[classtable.Table] // class table for new requests; nil until it is first used
 }
 
 // Recorder is the part of the ledger to which the commands post. It must be safe for concurrent use.
@@ -39,7 +39,7 @@
 	Row(customer uint64, plan, class int) ledger.Key
 }
 
-// Classes returns the class table for new requests.
+// Classes returns the class table for new requests, which initially holds the classes of Settings.
 func (c *Commands) Classes() classtable.Table {
 	if t := c.classes.Load(); t != nil {
 		return *t
--- a/internal/front/platform/submit.go
+++ b/internal/front/platform/submit.go
@@ -15,10 +15,10 @@
 	"dewhitch/internal/resp"
 )
 
-// Results of requests, as the figures (opsVerdicts) and the ledger (endEvents) count them.
+// Results of requests as the operators' figures count them (figureResults), and as the ledger does (endEvents).
 var (
-	opsVerdicts = [...]ops.Result{core.ResultServed: ops.Success, core.ResultRejected: ops.Overload, core.ResultFailed: ops.Error}
-	endEvents   = [...]ledger.Event{core.ResultServed: ledger.FrontServed, core.ResultRejected: ledger.FrontRejected,
+	figureResults = [...]ops.Result{core.ResultServed: ops.Success, core.ResultRejected: ops.Overload, core.ResultFailed: ops.Error}
+	endEvents     = [...]ledger.Event{core.ResultServed: ledger.FrontServed, core.ResultRejected: ledger.FrontRejected,
 		core.ResultFailed: ledger.FrontFailed}
 )
 
@@ -132,7 +132,7 @@
 // countAnswered counts a request as answered, unless its client has already disconnected.
 func (s *submission) countAnswered(result core.Result) {
 	if s.closeOnce() && s.request.Kind == core.KindForward {
-		s.commands.Figures.RequestEnded(s.request.ClassName, opsVerdicts[result])
+		s.commands.Figures.RequestEnded(s.request.ClassName, figureResults[result])
 	}
 }
 
--- a/internal/front/reader.go
+++ b/internal/front/reader.go
@@ -20,10 +20,10 @@
 	finalReadTime       = time.Millisecond        // last wait for input before a session ends
 	stopReadTime        = 100 * time.Millisecond  // wait for a command that is arriving when the gateway shuts down
 	hangUpCheckInterval = 50 * time.Millisecond   // time between two checks whether the client has hung up while nothing is read
-	maxDiscardBytes     = 256 << 10               // bytes of input to discard at the end; a client that writes more is blocked until the close
+	maxDiscardBytes     = 256 << 10               // maximum input to discard at the end, in bytes; a client that writes more blocks
 )
 
-// Bounds of the pause after an invalid command, before the next one is read.
+// Limit on invalid commands, and the pause after each of them before the next command is read.
 const (
 	maxFaults       = 16                    // number of invalid commands at which the session ends
 	penaltyPerFault = 50 * time.Millisecond // pause for each invalid command so far
@@ -81,8 +81,8 @@
 	}
 }
 
-// finishCommandRead records that no command is being read any more. If err is an exceeded deadline, it returns errCommandTimeout, or
-// errNoMoreCommands if the session ends.
+// finishCommandRead records that no command is being read any more. It returns err, except for an exceeded deadline: that becomes
+// errNoMoreCommands if the session ends, and otherwise errCommandTimeout.
 func (s *session) finishCommandRead(err error) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -218,8 +218,8 @@
 	return err != nil
 }
 
-// mayEnd reports whether a session that waits for a command ends. It ends only if no answer is pending, and if it was evicted, it
-// drains and has had time for its first command, or it has been idle for timeout.
+// mayEnd reports whether a session that waits for a command ends. It ends only if no answer is pending and one of these holds: it
+// was evicted; it drains, and its client has had time for a first command; or it has been idle for timeout.
 func (s *session) mayEnd(timeout time.Duration) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -242,7 +242,7 @@
 }
 
 // penalize pauses after an invalid command, in proportion to the number of invalid commands so far, because a client that repeats
-// them at full speed would take the CPU time of all others. It returns false if there were too many and the session ends. A
+// them at full speed would take the CPU time of all others. It returns false if there were too many, which ends the session. A
 // draining session does not pause: its time is short, and it reads little.
 func (s *session) penalize(faults int) bool {
 	if faults >= maxFaults {
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -31,7 +31,7 @@
 
 	mu              sync.Mutex
 	sessions        map[*session]struct{}
-	running         sync.WaitGroup // running sessions
+	running         sync.WaitGroup // counts the sessions that are running
 	drain           *drainTimes    // times of the current drain; nil if the gateway is not drained
 	drainChanged    chan struct{}  // closed at the next change of drain; nil if no goroutine waits for it
 	sessionsCloseBy time.Time      // time to close sessions as the gateway shuts down; zero if not set
@@ -183,9 +183,9 @@
 	}
 }
 
-// acquirePlace waits for a place for a new session, and returns true if it got one. Meanwhile, the connection uses a reserved
-// descriptor. It returns false if the gateway shuts down, or drains and has no place. The session is then served without a place:
-// its client may have sent a command, which would be lost if the connection was closed.
+// acquirePlace waits for a place for a new session, and returns true if it got one. While it waits, the connection uses a
+// descriptor that is reserved for this. It returns false if the gateway shuts down, or drains and has no place. The session is
+// then served without a place: its client may have sent a command, which would be lost if the connection was closed.
 func (srv *Server) acquirePlace(ctx context.Context, places chan<- struct{}) bool {
 	for {
 		select {
--- a/internal/front/server_drain_test.go
+++ b/internal/front/server_drain_test.go
@@ -18,7 +18,7 @@
 	waiting := dialClient(t, ln, ping)
 	srv.Drain(true)
 	if got := readUntilClosed(t, waiting); got != "-BUSY\r\n" {
-		t.Errorf("before readiness: got %q", got)
+		t.Errorf("before readiness: got unexpected answers %q", got)
 	}
 	<-ln.accepted
 	srv.Drain(false)
@@ -68,7 +68,7 @@
 	eventually(t, "the command was not started", func() bool { return commands.started.Load() == 2 })
 	close(commands.answer)
 	if got := readUntilClosed(t, pending); got != "+OK\r\n" {
-		t.Errorf("first drain: got %q", got)
+		t.Errorf("first drain: got unexpected answers %q", got)
 	}
 	r := bufio.NewReader(next)
 	for i := range 3 {
@@ -144,7 +144,7 @@
 	srv.Drain(true)
 	for i, c := range conns {
 		if got := readUntilClosed(t, c); i%3 == 1 && got != "+taken\r\n" || i%3 != 1 && got != "" {
-			t.Errorf("connection %d: got %q", i, got)
+			t.Errorf("connection %d: got unexpected answers %q", i, got)
 		}
 	}
 	eventually(t, "some sessions did not end", func() bool {
--- a/internal/front/session.go
+++ b/internal/front/session.go
@@ -45,7 +45,7 @@
 
 	// State of the answers.
 	slots         []*Slot     // commands whose answers are not in unwritten yet, in the order of the commands
-	capacity      *sync.Cond  // signalled when slots or unsentBytes shrink, or the session ends
+	capacity      *sync.Cond  // signalled when slots or unsentBytes shrink, and when the session ends
 	unwritten     []byte      // encoded answers that the writer takes next
 	streaming     *Slot       // slot whose value is written after unwritten; nil if none is
 	answerEnds    []answerEnd // ends of the answers in unwritten that have an onSettled
--- a/internal/front/sessions/golden_test.go
+++ b/internal/front/sessions/golden_test.go
@@ -103,7 +103,7 @@
 	}
 	var text bytes.Buffer
 	if _, err := standin.ReadReply(bufio.NewReader(io.TeeReader(client, &text))); err != nil {
-		t.Fatalf("%q: %v", words, err)
+		t.Fatalf("%q: no answer: %v", words, err)
 	}
 	return fmt.Appendf(nil, "%q\n\t%q\n", words, text.Bytes())
 }
--- a/internal/front/sessions/sessions.go
+++ b/internal/front/sessions/sessions.go
@@ -55,7 +55,7 @@
 	case !known || entry.handle == nil:
 		c.Commands.Do(readAt, cmd, s)
 	case len(cmd) < entry.minLength || len(cmd) > entry.maxLength:
-		s.RejectInvalid(wrongNumber(name))
+		s.RejectInvalid(argumentCountError(name))
 	default:
 		entry.handle(c, cmd[1:], s)
 	}
@@ -89,17 +89,19 @@
 	}
 }
 
-func wrongNumber(name string) string {
+// argumentCountError returns the text of the error for a command with a wrong number of arguments.
+func argumentCountError(name string) string {
 	return fmt.Sprintf("wrong number of arguments for '%s' command", strings.ToLower(name))
 }
 
+// replyOK answers with the status OK.
 func replyOK(s *front.Slot) { s.Fill(resp.AppendStatus(nil, "OK")) }
 
 // replyError answers with an error that does not count as an invalid command, because clients find out by such errors what a server
 // supports.
 func replyError(s *front.Slot, text string) { s.Fill(resp.AppendError(nil, text)) }
 
-// drainer is implemented by front.Commands of a gateway that can be drained. PING then reports the drain.
+// drainer is implemented by the commands of a gateway that can be drained. PING then reports a drain.
 type drainer interface{ Drained() bool }
 
 func (c *Commands) ping(args [][]byte, s *front.Slot) {
@@ -205,7 +207,7 @@
 	case length == 0:
 		replyError(s, fmt.Sprintf("ERR unknown subcommand '%.32s'. Try CLIENT HELP.", args[0]))
 	case length != len(args):
-		replyError(s, "ERR "+wrongNumber("client|"+subcommand))
+		replyError(s, "ERR "+argumentCountError("client|"+subcommand))
 	case subcommand == "ID":
 		s.Fill(resp.AppendInt(nil, int64(c.id)))
 	case subcommand == "GETNAME":
@@ -247,7 +249,7 @@
 		}
 		s.Fill(b)
 	case "DOCS":
-		s.Fill(resp.AppendArray(nil, 0)) // a list of names and texts, which is empty as there are no texts
+		s.Fill(resp.AppendArray(nil, 0)) // the list of commands with documentation is empty
 	case "INFO":
 		if len(args) > 1 {
 			names = names[:0]
@@ -279,7 +281,7 @@
 		for _, flag := range entry.flags {
 			b = resp.AppendStatus(b, flag)
 		}
-		for _, at := range []int{entry.key, entry.key, min(entry.key, 1)} { // positions of the first and the last key, and the step between keys
+		for _, at := range []int{entry.key, entry.key, min(entry.key, 1)} { // first key, last key, and step
 			b = resp.AppendInt(b, int64(at))
 		}
 	}
--- a/internal/front/slot.go
+++ b/internal/front/slot.go
@@ -7,7 +7,7 @@
 	"dewhitch/internal/resp"
 )
 
-// streamingBytes is the number of unsent bytes for which an answer counts while its value is streamed.
+// streamingBytes is the number of unsent bytes that an answer counts as while its value is streamed.
 const streamingBytes = 1
 
 // Slot holds the place of one answer in the order of a session's commands. Its methods are safe for concurrent use. A slot is filled
@@ -102,7 +102,8 @@
 // value to the client when all earlier answers are written. It closes the value in any case.
 func (slot *Slot) FillFrom(head []byte, value Value) { slot.fill(head, value) }
 
-// fill gives the slot its answer, and hands all answers that are complete in the order of the commands to the writer.
+// fill gives the slot its answer. If no earlier command is unanswered, it passes this answer and the filled ones that follow it
+// to the writer.
 func (slot *Slot) fill(answer []byte, value Value) {
 	s := slot.session
 	s.mu.Lock()
