--- a/internal/ledger/audit.go
+++ b/internal/ledger/audit.go
@@ -62,8 +62,8 @@
 }
 
 // Audit checks the rows that were posted to since the last audit and the watched rows, or, if allRows is set, every row and the
-// sum over them. It returns the mismatches, sorted by key. The result for a row that was not posted to is the same as before,
-// so that it needs no check.
+// sum over them. It returns the mismatches, sorted by key. A row that was not posted to needs no check, because its result is the
+// same as before.
 func (l *Ledger) Audit(allRows bool, watched ...Key) (found []Mismatch) {
 	l.lastRow = nil
 	l.recencyEpoch++
@@ -115,8 +115,8 @@
 	return found
 }
 
-// Overdue returns a mismatch for each row with entries whose clients' waiting time ended before the given time (Unix
-// nanoseconds): the posting that ends such an entry is missing. Audit alone would count these entries as open.
+// Overdue returns a mismatch for each row with open entries whose clients stopped waiting before the given time (Unix
+// nanoseconds). The posting that ends such an entry is missing. Audit alone would count these entries as open.
 func (l *Ledger) Overdue(before int64) (found []Mismatch) {
 	rows := map[Key]uint64{}
 	for _, e := range l.entries {
@@ -184,8 +184,9 @@
 const CheckTally = "units on the tally = drawn - told + returned"
 
 // AuditAccounts compares the tallies of the decision module with the units' journal, for the accounts that Accounts returned.
-// tally returns the units on a customer's tally, and false if the module has dropped the account with its tally; for those
-// units AuditAccounts returns postings in forgotten, which the caller must post. No units may be drawn during the call.
+// tally returns the units on a customer's tally, and false if the module has dropped the account with its tally. For the units of
+// a dropped account, AuditAccounts returns a posting in forgotten, which the caller must post. No units may be drawn during the
+// call.
 func (l *Ledger) AuditAccounts(keys []Key, tally func(customer uint64) (units float64, known bool)) (found []Mismatch,
 	forgotten []Posting) {
 	for _, k := range keys {
@@ -201,7 +202,7 @@
 			}
 			continue
 		}
-		// Each posting is rounded to a millionth, and the module sums unrounded units: the difference is up to half a millionth
+		// Each posting is rounded to a millionth, while the module sums unrounded units. They differ by up to half a millionth
 		// for each posting.
 		slack := int64(r.counts.N[UnitsDrawn]+r.counts.N[UnitsPushed]+r.counts.N[UnitsReturned])/2 + 1
 		if tallied := MicroUnits(units); tallied-pending > slack || pending-tallied > slack {
--- a/internal/ledger/counts.go
+++ b/internal/ledger/counts.go
@@ -85,7 +85,7 @@
 	return c.N[FrontFailed] + c.N[FrontClientDeparted] + c.N[FrontWriteFailed] + c.N[FrontNotSubmitted] + c.N[FrontCutoff]
 }
 
-// Pending returns the units, in millionths, that the tally of an account must hold by the units' journal.
+// Pending returns the units, in millionths, that the tally of an account must hold according to the units' journal.
 func (c *Counts) Pending() int64 {
 	return c.Units(UnitsDrawn) - c.Units(UnitsPushed) + c.Units(UnitsReturned) - c.Units(UnitsForgotten) -
 		c.Units(UnitsCutoff)
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -9,7 +9,7 @@
 // verdict is the planner's decision on a request. Stored entries contain its number.
 type verdict uint8
 
-// The verdicts.
+// The verdicts on a request.
 const (
 	undecided verdict = iota
 	served
@@ -35,11 +35,11 @@
 // Entry is an open request or counter call. It holds the state that the postings of each owner with its reference have reported.
 type Entry struct {
 	Key               Key     `json:"Key"`
-	Units             int64   `json:"Units"`
-	Since             int64   `json:"Since"` // Unix time in nanoseconds
-	Wait              uint16  `json:"Wait"`
+	Units             int64   `json:"Units"` // units in millionths
+	Since             int64   `json:"Since"` // time of the first posting, as Unix time in nanoseconds
+	Wait              uint16  `json:"Wait"`  // time that the client waits, in seconds
 	HasIdempotencyKey bool    `json:"Keyed"`
-	Hash              uint64  `json:"Hash"`
+	Hash              uint64  `json:"Hash"` // hash of the idempotency key
 	IsCall            bool    `json:"Call"` // the entry is a counter call
 	FrontTaken        bool    `json:"FrontTaken"`
 	FrontEnded        bool    `json:"FrontEnded"`
@@ -47,11 +47,11 @@
 	AnswerLost        bool    `json:"Lost"`       // the answer did not reach the client
 	PlanTaken         bool    `json:"PlanTaken"`
 	PlanVerdict       verdict `json:"PlanEnded"`
-	AttemptsOrdered   uint16  `json:"Sent"`
-	AttemptsNotified  uint16  `json:"Heard"` // attempts whose end the planner was notified of
-	AttemptsStarted   uint16  `json:"Began"`
-	AttemptsEnded     uint16  `json:"Ended"`
-	Pushed            bool    `json:"Told"` // the planner ordered the counter call
+	AttemptsOrdered   uint16  `json:"Sent"`  // attempts that the planner ordered
+	AttemptsNotified  uint16  `json:"Heard"` // attempts of whose end the planner was notified
+	AttemptsStarted   uint16  `json:"Began"` // attempts that were started
+	AttemptsEnded     uint16  `json:"Ended"` // attempts that have ended
+	Pushed            bool    `json:"Told"`  // the planner ordered the counter call
 	CallStarted       bool    `json:"CallBegan"`
 	CallEnded         bool    `json:"CallOver"`
 	CallRejected      bool    `json:"Rejected"`
@@ -59,7 +59,8 @@
 	row               *row    // row of Key
 }
 
-// applyToEntry applies a posting to its open entry e, opens one if e is nil and the posting can, and removes a complete entry.
+// applyToEntry applies a posting to its open entry e. If e is nil, it opens an entry if createEntry allows that. It removes the
+// entry when it is complete.
 func (l *Ledger) applyToEntry(p Posting, e *Entry, r *row) {
 	if e == nil {
 		if e = l.createEntry(p, r); e == nil {
@@ -189,8 +190,8 @@
 	return e.FrontEnded && (e.PlanVerdict != undecided || e.NeverTaken) && e.AttemptsNotified >= e.AttemptsOrdered && e.AttemptsEnded <= e.AttemptsNotified
 }
 
-// abandonEntries drops an eighth of the open entries: first those that the front has ended, as only a fault leaves many of
-// them, then any. Audit reports mismatches in their rows from then on.
+// abandonEntries drops an eighth of the open entries. It drops entries that the front has ended before all others, because only a
+// fault leaves many of them. Audit reports mismatches in their rows from then on.
 func (l *Ledger) abandonEntries() {
 	refs := slices.Sorted(maps.Keys(l.entries))
 	slices.SortStableFunc(refs, func(a, b uint64) int {
--- a/internal/ledger/events.go
+++ b/internal/ledger/events.go
@@ -21,7 +21,7 @@
 // Event is the kind of a posting.
 type Event uint8
 
-// The events. Files contain their numbers, so that new events go to the end.
+// The events. Files contain their numbers, so new events are added at the end.
 const (
 	None Event = iota
 
--- a/internal/ledger/key.go
+++ b/internal/ledger/key.go
@@ -18,7 +18,7 @@
 // Reserved classes, which are not in the settings.
 const (
 	ClassQuery   int16 = -1 - iota // queries of a customer's limit
-	ClassAdjust                    // adjustments: units taken or given back
+	ClassAdjust                    // adjustments of a customer's limit: units taken or given back
 	ClassAccount                   // a customer's account: units drawn, and calls to the counter; has no plan
 )
 
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -2,10 +2,10 @@
 // pure state machine: it takes postings one at a time, and returns rows, mismatches and closing postings. It does no I/O, reads
 // no clock and starts no goroutine, so that replaying recorded postings gives the same figures.
 //
-// Bookkeeping is by double entry. Each part of the gateway posts its own actions to its own journal, and takes no figure from
-// another part: the front posts requests received and answers written, the planner its decisions, the pools how attempts
-// ended, and the counter's client how its calls ended. Audit compares the journals with each other, and each journal with the
-// table of open entries.
+// The ledger uses double-entry bookkeeping. Each part of the gateway posts its own actions to its own journal, and uses no
+// figures of other parts: the front posts requests received and answers written, the planner its decisions, the pools how
+// attempts ended, and the counter's client how its calls ended. Audit compares the journals with each other, and each journal
+// with the table of open entries.
 //
 // Counts and the equations between them are modulo 2^64: a count that wraps raises no alarm. Units are kept in millionths.
 package ledger
@@ -17,8 +17,8 @@
 
 // Limits bound a ledger's memory.
 type Limits struct {
-	Rows           int // maximum of customers' rows; one rolled-up row for each plan and class comes on top
-	Open           int // maximum of open entries
+	Rows           int // maximum number of customers' rows, to which one rolled-up row for each plan and class is added
+	Open           int // maximum number of open entries
 	RecentPostings int // number of recent postings that are kept for alarms
 }
 
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// Guards against faults that no check detects. Each single posting is lost, doubled or given wrong units in turn; the checks must
-// report its row, and no other: Audit, or, if the lost posting is an end, Overdue after the deadline.
+// Guards against faults that no check detects. Each single posting is lost, doubled or given wrong units in turn. Audit must
+// report its row and no other; if the lost posting is an end, Overdue must report it after the deadline.
 func TestEveryFaultIsFound(t *testing.T) {
 	for seed := range uint64(6) {
 		var postings []Posting
@@ -94,7 +94,8 @@
 		})
 		for faultAt, faulty := range postings {
 			for _, fault := range []string{"lost", "doubled", "wrong units"} {
-				if fault == "wrong units" && !faulty.Event.HasUnits() || faulty.Event == FrontIdempotencyKey { // it is not a figure, and no check covers it
+				// An idempotency key is not a figure, and no check covers it.
+				if fault == "wrong units" && !faulty.Event.HasUnits() || faulty.Event == FrontIdempotencyKey {
 					continue
 				}
 				l := New(Limits{Rows: 1000, Open: 1000, RecentPostings: 100}, false)
--- a/internal/ledger/posting.go
+++ b/internal/ledger/posting.go
@@ -12,7 +12,7 @@
 	Ref   uint64 // reference of the request or counter call, the same in all journals; 0 if there is none
 	Units int64  // units in millionths; for FrontIdempotencyKey, the hash of the key
 	At    int64  // Unix time in nanoseconds
-	Wait  uint16 // for FrontTaken, the time that the client still waits, in seconds rounded up
+	Wait  uint16 // for FrontTaken, the time that the client waits for the answer, in seconds rounded up
 }
 
 // IdempotentRequest is one attempt of a client at a request that has an idempotency key. All attempts at one booking, through any
--- a/internal/ledger/recorder/alarms.go
+++ b/internal/ledger/recorder/alarms.go
@@ -49,7 +49,8 @@
 	return a
 }
 
-// appendToAlarmFile appends an alarm to the operators' alarm file. It opens the file each time, as operators may move it.
+// appendToAlarmFile appends an alarm to the operators' alarm file. It opens the file for each alarm, because operators may move
+// the file.
 func (rec *Recorder) appendToAlarmFile(a alarm) {
 	if rec.options.AlarmFile == "" {
 		return
--- a/internal/ledger/recorder/audit.go
+++ b/internal/ledger/recorder/audit.go
@@ -12,8 +12,8 @@
 	if read == nil {
 		return
 	}
-	rec.lockAndDrainQueue()                                // before read, to keep the work on the planner short
-	_ = (*read)(func(tally func(uint64) (float64, bool)) { // an error says that the planner has stopped, and has no tallies
+	rec.lockAndDrainQueue()                                // leaves little to do on the planner's goroutine
+	_ = (*read)(func(tally func(uint64) (float64, bool)) { // an error means that the planner has stopped and has no tallies
 		rec.mu.Lock()
 		rec.drainQueue(nil)
 		keys := rec.ledger.Accounts()
--- a/internal/ledger/recorder/names.go
+++ b/internal/ledger/recorder/names.go
@@ -8,9 +8,9 @@
 	"dewhitch/internal/ledger"
 )
 
-// intern returns the number of a name, and assigns one to a new name. Invalid names and those beyond the limits get the number
-// of Overflow: at a forwarder, clients choose the names, which become metric labels and columns. The table is the index in
-// numberByName, and names are those of the same table.
+// intern returns the number of a name, and assigns one to a new name. Invalid names and those beyond the limits get the number of
+// Overflow, because at a forwarder clients choose the names, which become metric labels and columns. table is the index of the
+// plans or the classes in numberByName, and names is their list.
 func (rec *Recorder) intern(table int, names *[]string, s string) int16 {
 	if s == "" || len(s) > maxNameBytes || !utf8.ValidString(s) || strings.ContainsFunc(s, unicode.IsControl) {
 		s = Overflow
--- a/internal/ledger/recorder/names_test.go
+++ b/internal/ledger/recorder/names_test.go
@@ -64,8 +64,8 @@
 func (k *countingStore) Stage(ledger.Statement)    {}
 func (k *countingStore) Commit(ledger.Names) error { return nil }
 
-// Guards against a deadlock: the module has dropped an account while the queue of postings is one short of its limit, so that the
-// posting of the forgotten units fills the queue. Post then locks mu to drain it, so that auditTallies must not hold mu.
+// Guards against a deadlock: the module drops an account while the queue of postings is one short of its limit, and the posting
+// of the forgotten units fills the queue. Post then locks mu to drain it, so auditTallies must not hold mu.
 func TestForgottenUnitsFillQueue(t *testing.T) {
 	limits := ledger.Limits{Rows: 16, Open: 16, RecentPostings: 16}
 	rec := recorder.New(ledger.New(limits, false), ledger.Names{}, nil, recorder.Options{Limits: limits, AuditInterval: time.Millisecond,
--- a/internal/ledger/recorder/planted_test.go
+++ b/internal/ledger/recorder/planted_test.go
@@ -182,7 +182,7 @@
 	g.eventually(t, "the last answers", func(r recorder.Report) bool { return r.Open == 0 })
 	g.recorder.Audit(true)
 	if a := g.alarms(); len(a) > 0 {
-		t.Fatalf("%v", a[0].ContextMap())
+		t.Fatalf("unexpected alarm: %v", a[0].ContextMap())
 	}
 	r := g.recorder.Report()
 	if r.Total.N[ledger.FrontTaken] != 8*4*5 || r.Open != 0 || r.Total.Ended() != 8*4*5 {
@@ -201,7 +201,7 @@
 		}
 	}
 	if a := g.alarms(); len(a) > 0 {
-		t.Fatalf("%s: %v", what, a[0].ContextMap())
+		t.Fatalf("%s: unexpected alarm: %v", what, a[0].ContextMap())
 	}
 }
 
--- a/internal/ledger/recorder/post.go
+++ b/internal/ledger/recorder/post.go
@@ -6,7 +6,8 @@
 	"dewhitch/internal/ledger"
 )
 
-// Post records one posting with the current time. It sets p.At.
+// Post records one posting. It sets p.At to the current time, or to that of the last timed posting if the event is not in
+// isTimed.
 func (rec *Recorder) Post(p ledger.Posting) {
 	now := int64(0)
 	if isTimed[p.Event] {
@@ -16,7 +17,7 @@
 	if now != 0 {
 		rec.lastTime = now
 	}
-	p.At = rec.lastTime // the time of the last timed posting, as readers need the order more than the microsecond
+	p.At = rec.lastTime // readers need the order of postings more than their microsecond
 	if rec.store != nil {
 		rec.store.Append(p)
 	}
@@ -40,15 +41,16 @@
 	rec.drainQueue(nil)
 }
 
-// now returns the time in Unix nanoseconds by the monotonic clock since the start.
+// now returns the Unix time in nanoseconds: the start time plus the time elapsed since by the monotonic clock.
 func (rec *Recorder) now() int64 { return rec.startTime.UnixNano() + int64(time.Since(rec.startTime)) }
 
-// isTimed is true for the events whose time is read: those that open an entry or end a request.
+// isTimed is true for events whose postings get the current time: those that open an entry or end a request. Other postings get
+// the time of the last timed one.
 var isTimed = [ledger.EventCount]bool{ledger.FrontTaken: true, ledger.FrontServed: true, ledger.FrontRejected: true,
 	ledger.FrontFailed: true, ledger.FrontClientDeparted: true, ledger.FrontWriteFailed: true, ledger.FrontNotSubmitted: true, ledger.UnitsPushed: true}
 
-// drainQueue adds the queued postings to the ledger. It calls atBoundary, if not nil, under queueMu, so that the ledger then
-// contains exactly the postings before that call. The lock mu is held.
+// drainQueue adds the queued postings to the ledger. It calls atBoundary, if not nil, under queueMu; the ledger then contains
+// exactly the postings before that call. The lock mu is held.
 func (rec *Recorder) drainQueue(atBoundary func()) {
 	rec.queueMu.Lock()
 	waiting := rec.queue
--- a/internal/ledger/recorder/recorder.go
+++ b/internal/ledger/recorder/recorder.go
@@ -1,7 +1,7 @@
 // Package recorder connects the parts of a running gateway to the ledger: it numbers requests, keeps the names of plans and
 // classes, adds the time to postings, audits the ledger every second, and raises and clears alarms. It owns the only
-// ledger.Ledger of the process. Post gives each posting to the store and appends it to a queue, under a lock that is held for
-// that alone; the queue is added to the ledger in batches. The recorder makes no decision on requests, and delays none beyond
+// ledger.Ledger of the process. Post passes each posting to the store and appends it to a queue, under a lock that is held for
+// nothing else. The queue is added to the ledger in batches. The recorder makes no decision on requests, and delays them only by
 // that lock.
 package recorder
 
@@ -42,9 +42,9 @@
 // Limits of the recorder, and the name that stands in for names beyond them.
 const (
 	auditsPerFullAudit = 4     // one audit in this number is of all rows
-	maxNames           = 200   // maximum of plan names, and of class names
+	maxNames           = 200   // maximum number of plan names, and of class names
 	alarmPostings      = 32    // number of a row's last postings that an alarm shows
-	maxAlarms          = 256   // maximum of active alarms; further mismatches raise none
+	maxAlarms          = 256   // maximum number of active alarms; further mismatches raise none
 	wakeQueueLength    = 1024  // length of the queue at which Post wakes Run to drain it
 	maxQueueLength     = 65536 // length of the queue at which Post drains it itself
 	Overflow           = "…"   // name of plans and classes beyond maxNames, and of those with invalid names
@@ -61,8 +61,8 @@
 
 	lastRef atomic.Uint64 // last reference that Ref returned
 
-	// queueMu guards store, queue and lastTime. It is held only to append one posting or to swap the buffers. Postings are queued
-	// because adding many to the ledger at once costs a fraction of adding them one by one.
+	// queueMu guards store, queue and lastTime. It is held only while one posting is appended or the buffers are swapped.
+	// Postings are queued because adding many to the ledger at once costs a fraction of adding them one by one.
 	queueMu    sync.Mutex
 	store      Store            // nil without a store, and after DetachStore
 	queue      []ledger.Posting // postings that are not in the ledger yet
@@ -70,7 +70,7 @@
 	lastTime   int64            // time of the last timed posting, in Unix nanoseconds
 	wake       chan struct{}    // wakes Run to drain the queue
 
-	// mu guards the ledger, the names, the alarms and the results of checks. It is locked before queueMu where both are needed.
+	// mu guards the ledger, the names, the alarms and the results of checks. Where both are needed, mu is locked before queueMu.
 	mu           sync.Mutex
 	ledger       *ledger.Ledger
 	names        ledger.Names
@@ -81,14 +81,14 @@
 	alarms            map[alarmKey]bool // active alarms
 	raised            atomic.Uint64     // number of alarms raised since the start
 	cleared           atomic.Uint64     // number of alarms cleared since the start
-	auditCount        int               // number of audits by Run, which alone uses it
+	auditCount        int               // number of audits by Run; only Run uses it
 	tallyReader       atomic.Pointer[func(func(tally func(uint64) (float64, bool))) error]
 	accountMismatches []ledger.Mismatch   // mismatches found in accounts since the last audit
 	checkedAccounts   map[ledger.Key]bool // accounts whose tallies were checked since the last audit
 }
 
-// New returns a recorder for a ledger, which may contain figures already; known are the names of the numbers in its keys. The
-// store may be nil.
+// New returns a recorder for a ledger, which may already contain figures. known holds the names of the plan and class numbers in
+// its keys. The store may be nil.
 func New(l *ledger.Ledger, known ledger.Names, store Store, o Options) *Recorder {
 	rec := &Recorder{options: o, startTime: time.Now(), ledger: l, store: store, wake: make(chan struct{}, 1), names: known, alarms: map[alarmKey]bool{}, checkedAccounts: map[ledger.Key]bool{}}
 	for i, names := range [2][]string{known.Plans, known.Classes} {
--- a/internal/ledger/rows.go
+++ b/internal/ledger/rows.go
@@ -44,7 +44,7 @@
 	if l.lastRow == r {
 		return
 	}
-	if r.recencyElement != nil && r.movedInEpoch != l.recencyEpoch { // one move between two audits keeps the order exact enough
+	if r.recencyElement != nil && r.movedInEpoch != l.recencyEpoch { // moving it once between two audits is exact enough
 		l.rowsByRecency.MoveToFront(r.recencyElement)
 	}
 	r.movedInEpoch, l.lastRow = l.recencyEpoch, r
@@ -67,18 +67,19 @@
 	}
 }
 
-// evictionCandidates limits the rows that one eviction examines for a row with nothing open.
+// evictionCandidates is the maximum number of rows that one eviction examines to find one with neither open entries nor pending
+// units.
 const evictionCandidates = 64
 
 // evict rolls the least recently posted row up into the row of its plan and class. It skips rows with open entries or pending
-// units. If all candidates have some, the ledger grows, to at most twice its limit of rows; from there the memory limit takes
+// units. If all candidates have some, the ledger grows to at most twice its limit of rows. Beyond that the memory limit takes
 // precedence, and a row with open entries or pending units is rolled up too.
 func (l *Ledger) evict() {
 	r := l.evictionVictim()
 	if r == nil {
 		return
 	}
-	if r.openEntries == 0 && r.dirty { // the key is not known after the eviction
+	if r.openEntries == 0 && r.dirty { // later audits no longer know the key
 		l.evictedMismatches = append(l.evictedMismatches, r.check(&inFlight{})...)
 	}
 	l.rowsByRecency.Remove(r.recencyElement)
@@ -131,8 +132,8 @@
 	return target
 }
 
-// stateEvicted keeps the figures of an evicted row that no statement covers yet, so that the next statement reports them under
-// the customer's key; the rolled-up row counts them as stated. If more rows than the limit are evicted between two statements,
+// stateEvicted keeps the figures of an evicted row that no statement covers yet. The next statement reports them under the
+// customer's key, and the rolled-up row counts them as stated. If more rows than the limit are evicted between two statements,
 // the figures of the rest are reported under the rolled-up row.
 func (l *Ledger) stateEvicted(r, rolledUp *row) {
 	delta := r.counts
--- a/internal/ledger/statement.go
+++ b/internal/ledger/statement.go
@@ -32,7 +32,7 @@
 func (l *Ledger) Statement() Statement {
 	l.lastRow = nil
 	s := Statement{Deltas: l.evictedDeltas, IdempotentRequests: l.idempotentRequests}
-	for _, k := range l.evictedKeys { // a row that was created again follows below
+	for _, k := range l.evictedKeys { // a row that was created again after its eviction is appended below
 		s.Rows = append(s.Rows, StoredRow{Key: k, RolledUp: true})
 	}
 	l.evictedDeltas, l.evictedKeys, l.idempotentRequests = nil, nil, nil
@@ -87,7 +87,7 @@
 	e.row.openEntries++
 }
 
-// maxIdempotentRequests limits the attempts with an idempotency key that are kept between two statements.
+// maxIdempotentRequests is the maximum number of attempts with an idempotency key that are kept between two statements.
 const maxIdempotentRequests = 1 << 16
 
 // recordIdempotentRequest keeps an ended attempt for the next statement.
--- a/internal/ledger/statement/bookings.go
+++ b/internal/ledger/statement/bookings.go
@@ -6,7 +6,8 @@
 	"dewhitch/internal/ledger"
 )
 
-// maxAttempts limits the attempts that are linked to bookings, to limit memory. Further attempts are only counted.
+// maxAttempts is the maximum number of attempts that are linked to bookings, which bounds memory. Further attempts are only
+// counted.
 const maxAttempts = 4 << 20
 
 // Attempt is one attempt of a client at a booking.
--- a/internal/ledger/statement/chain.go
+++ b/internal/ledger/statement/chain.go
@@ -16,7 +16,7 @@
 // MissingError is the number of records that are missing before a record.
 type MissingError uint64
 
-// Error returns the message.
+// Error implements error.
 func (e MissingError) Error() string {
 	return fmt.Sprintf("%d records are missing before it", uint64(e))
 }
@@ -38,10 +38,10 @@
 type Chain struct {
 	seq   uint64 // number of the last record
 	chain string // chain of the last record
-	begun bool   // there was a record
+	begun bool   // seq and chain are those of a record
 }
 
-// Next verifies a record against the previous one. After a Fault, the next record is verified against the same previous one.
+// Next verifies a record against the previous one. After a Fault the previous record stays the same for the next call.
 func (c *Chain) Next(r Record) error {
 	switch {
 	case c.begun && r.Seq <= c.seq:
--- a/internal/ledger/statement/record.go
+++ b/internal/ledger/statement/record.go
@@ -39,7 +39,7 @@
 	Customer    string         `json:"haulier,omitempty"` // hash of the customer
 	Plan        string         `json:"plan,omitempty"`
 	Class       string         `json:"class,omitempty"`
-	Figures     *ledger.Counts `json:"-"`                  // figures of a record of kind Figures; written as counts and units_millionths, by the events' names, without zeros
+	Figures     *ledger.Counts `json:"-"`                  // figures of a record of kind Figures, in the form of AppendFigures
 	Key         string         `json:"key_hash,omitempty"` // hash of the idempotency key of an AttemptRecord
 	End         string         `json:"end,omitempty"`      // name of the event that ended the attempt of an AttemptRecord
 	Note        string         `json:"note,omitempty"`
@@ -80,8 +80,8 @@
 	return b
 }
 
-// AppendFigures appends figures as the members counts and units_millionths of a JSON object, after a preceding member. It omits
-// zeros.
+// AppendFigures appends figures as the members counts and units_millionths of a JSON object, after a preceding member. Both map
+// the events' names to their figures, without zeros.
 func AppendFigures(b []byte, c *ledger.Counts) []byte {
 	b = append(b, `,"counts":{`...)
 	first := true
--- a/internal/ledger/statement/record_test.go
+++ b/internal/ledger/statement/record_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// Guards against records whose chain can't be verified after parsing: any record that parses must be written in a form that parses
-// again, with the same chain.
+// Guards against records whose chain can't be verified after parsing. Any record that parses must be written in a form that
+// parses again, with the same chain.
 func FuzzRecord(f *testing.F) {
 	for _, r := range []Record{record(1, "n0", func(r *Record) { setCounts(r, ledger.FrontTaken, 2, ledger.FrontServed, 2) }),
 		record(9, "n\"0\n", func(r *Record) { r.Kind, r.Note = Gap, "späť <&> \\ \x00" })} {
@@ -91,7 +91,7 @@
 	}
 	sums := m.Sums(false)
 	if len(sums) != 1 || sums[0].ClientAttempts != 12+9-6 || sums[0].Forwarded != 6 || sums[0].N[ledger.FrontTaken] != 21 {
-		t.Errorf("%+v", sums)
+		t.Errorf("unexpected sums: %+v", sums)
 	}
 	var out bytes.Buffer
 	if err := WriteTable(&out, sums); err != nil || !bytes.Contains(out.Bytes(), []byte("client tries")) {
--- a/internal/ledger/statement/verify.go
+++ b/internal/ledger/statement/verify.go
@@ -48,8 +48,8 @@
 	return wrong
 }
 
-// rowVerifier verifies one row. Its rules do not need the open entries: the figure of a later stage may be smaller than that of the
-// earlier stage, by the number of open requests, and is never greater.
+// rowVerifier verifies one row. The records do not contain the open entries. So a rule allows that the figure of a later stage is
+// smaller than that of the earlier stage by the number of open requests; it is never greater.
 type rowVerifier struct {
 	node   string
 	name   RowName
@@ -59,8 +59,8 @@
 
 // within requires that the later figure is smaller than the earlier one by 0 to slack, and records a Mismatch otherwise.
 func (v *rowVerifier) within(slack int64, what string, earlier, later uint64) {
-	trail := int64(earlier - later)
-	if trail < 0 || trail > slack {
+	lag := int64(earlier - later)
+	if lag < 0 || lag > slack {
 		v.wrong = append(v.wrong, Mismatch{Node: v.node, RowName: v.name, What: what, Left: earlier, Right: later})
 	}
 }
@@ -83,7 +83,7 @@
 	c := v.counts
 	n := &c.N
 	open := max(0, openRequests(c))
-	unwritten := int64(c.FrontFailures()) + open // limit of the answers that the planner returned and the front did not write
+	unwritten := int64(c.FrontFailures()) + open // maximum number of answers that the planner returned and the front did not write
 	submitted := n[ledger.FrontTaken] - n[ledger.FrontNotSubmitted] - n[ledger.FrontNeverTaken]
 	v.within(maxOpenRequests, "taken, served + refused + failed", n[ledger.FrontTaken], c.Ended())
 	v.within(open, "taken by the front, by the planner", submitted, n[ledger.PlanTaken])
--- a/internal/ledger/store/log.go
+++ b/internal/ledger/store/log.go
@@ -33,8 +33,8 @@
 	}
 }
 
-// newSegment creates a segment. It returns nil without an error if the log already has the maximum of segments that no committed
-// statement covers.
+// newSegment creates a segment. It returns nil without an error if the log already has the maximum number of segments that no
+// committed statement covers.
 func (s *Store) newSegment() (*segment, error) {
 	s.mu.Lock()
 	n := s.nextNumber
--- a/internal/ledger/store/recovery.go
+++ b/internal/ledger/store/recovery.go
@@ -59,7 +59,7 @@
 		s.staged.notes = append(s.staged.notes, statement.Record{Kind: statement.Gap, From: now, To: now, Note: note})
 	}
 	// The log starts in a new segment after the first statement, and is replayed only if that one was committed. A crash before
-	// finds the folder unchanged, and the next start repairs it again.
+	// that leaves the folder unchanged, and the next start repairs it again.
 	s.afterGap.Store(true)
 	return l, found, nil
 }
@@ -85,8 +85,8 @@
 	notes    []string // messages on records that were lost or not replayed
 }
 
-// replay restores a ledger from the embedded store and the log after it. It stops at the first invalid record, and never replays
-// records after a break.
+// replay restores a ledger from the embedded store and the log after it. It stops at the first invalid record, and does not
+// replay records after a break of the log.
 func replay(dir string, limits ledger.Limits, m meta, stored storedLedger, makesStatements bool) (*ledger.Ledger, replayResult, error) {
 	l := ledger.New(limits, makesStatements)
 	for _, row := range stored.rows {
--- a/internal/ledger/store/store.go
+++ b/internal/ledger/store/store.go
@@ -27,7 +27,7 @@
 	Dir          string
 	Node, Role   string
 	SegmentBytes int  // size of a segment file
-	Segments     int  // maximum of segments that no committed statement covers
+	Segments     int  // maximum number of segments that no committed statement covers
 	Records      int  // number of records for export that are kept
 	Sync         bool // each statement is flushed to the disk
 	Limits       ledger.Limits
--- a/internal/ledger/store/store_test.go
+++ b/internal/ledger/store/store_test.go
@@ -352,7 +352,7 @@
 			}
 			bad, _ := filepath.Glob(filepath.Join(copied, dbName+".bad-*"))
 			if c.setAside != (len(bad) == 1) {
-				t.Errorf("files set aside: %v", bad)
+				t.Errorf("unexpected files set aside: %v", bad)
 			}
 			got := after.ledger.Total()
 			if n := got.N[ledger.FrontTaken]; n < c.minTaken || n > total.N[ledger.FrontTaken] {
