--- a/internal/forward/call.go
+++ b/internal/forward/call.go
@@ -12,8 +12,8 @@
 	"dewhitch/internal/resp"
 )
 
-// Recorder is the ledger that a forwarder posts to. The forwarder posts the events of three journals: the front's, the
-// planner's, for the choice of a planner, and that of attempts, for the links to planners. Its methods are called from any
+// Recorder is the ledger that a forwarder posts to. The forwarder posts the events of three journals: that of the front, that of
+// the planner for the choice of a planner, and that of attempts for the links to planners. Its methods are called from any
 // goroutine and must not block.
 type Recorder interface {
 	// Ref returns a new reference number, which all postings of one command have.
--- a/internal/forward/commands.go
+++ b/internal/forward/commands.go
@@ -94,8 +94,8 @@
 	return customer, r, nil
 }
 
-// forward writes a command to the first planner of the customer's set that accepts all of its bytes. A planner that was not
-// sent the last byte has applied nothing, so the next one may be tried. Once written completely, a command is never sent again.
+// forward writes a command to the first planner of the customer's set that accepts all of its bytes. A planner to which the last
+// byte was not sent has applied nothing, so the next one may be tried. Once written completely, a command is never sent again.
 func (c *Commands) forward(receivedAt time.Time, cmd resp.Command, customer dewhitch.CustomerID, r *core.Request, s *front.Slot) {
 	encoded := resp.AppendArray(nil, len(cmd))
 	for _, arg := range cmd {
--- a/internal/forward/link.go
+++ b/internal/forward/link.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	dialTimeout    = 250 * time.Millisecond
-	writeTimeout   = time.Second // limit for writing one command
-	readBufferSize = 4 << 10     // in bytes
+	dialTimeout    = 250 * time.Millisecond // limit for connecting to a planner
+	writeTimeout   = time.Second            // limit for writing one command
+	readBufferSize = 4 << 10                // bytes of the buffer for answers
 )
 
 // link is a connection to a planner. Commands are pipelined: the session's goroutine sends them, and a goroutine of the link
@@ -69,13 +69,13 @@
 		p.post(ledger.PlanNotified)
 		return false
 	}
-	// A planner answers every command by its deadline. One that does not hangs or is unreachable, so the link is closed.
+	// A planner answers every command by its deadline. If it does not, it hangs or is unreachable, so the link is closed.
 	timer := time.AfterFunc(max(0, timeout), func() { l.conn.Close() })
 	l.inFlight = append(l.inFlight, inFlightCommand{command: p, timer: timer})
 	return true
 }
 
-// read completes the commands with the planner's answers, in order. When the link is lost it fails the commands in flight.
+// read completes the commands with the planner's answers, in order. When the link is lost, it fails the commands in flight.
 func (l *link) read() {
 	r := resp.NewReader(l.conn, readBufferSize)
 	for {
--- a/internal/forward/planners.go
+++ b/internal/forward/planners.go
@@ -27,7 +27,7 @@
 
 // Select returns the addresses of the planners of a customer's set, in the order in which they are tried. The set consists of
 // spread gateways from number first on, and is rotated by the customer's id to spread the load. The order is the same for all
-// commands of a customer while the planners do not change, so that a query goes where the bookings before it went.
+// commands of a customer while the planners do not change, so a query goes to the planner that received the bookings before it.
 func (p *Planners) Select(customer dewhitch.CustomerID, spread, first, gateways int) (addrs []string) {
 	current := p.current.Load()
 	if current == nil {
@@ -44,8 +44,8 @@
 	return addrs
 }
 
-// FailUnansweredAt ends forwarding at the deadline: it closes all links, which fails the commands without an answer as possibly
-// applied, and no new links are made. It returns at once.
+// FailUnansweredAt ends forwarding at the deadline. All links are then closed, which answers the commands in flight with an error
+// that says they may have been applied, and no new links are made. It returns at once.
 func (p *Planners) FailUnansweredAt(deadline time.Time) {
 	time.AfterFunc(time.Until(deadline), func() {
 		p.mu.Lock()
