--- a/internal/snapshot/files.go
+++ b/internal/snapshot/files.go
@@ -18,9 +18,9 @@
 const (
 	fileSuffix       = ".snapshot"
 	temporarySuffix  = ".part"
-	maxFilesRead     = 8    // snapshots that are read at the start, the newest first
-	maxFileNames     = 4096 // file names that are read from the folder
-	maxClaimAttempts = 64   // incarnations that a process tries to claim when others claim at the same time
+	maxFilesRead     = 8    // maximum number of snapshots that are read at the start, the newest first
+	maxFileNames     = 4096 // maximum number of file names that are read from the folder
+	maxClaimAttempts = 64   // maximum number of incarnations that a process tries to claim when others do so at the same time
 )
 
 // filePrefix returns the prefix of the names of a node's snapshot files.
@@ -122,8 +122,8 @@
 	buf         []byte     // buffer of the encoder, reused by each write
 }
 
-// Claim starts a new incarnation, greater than startedFrom's and than all that the folder has files of. It creates the file of
-// the incarnation exclusively, so that no two processes get the same one.
+// Claim starts a new incarnation, greater than that of startedFrom and than all of which the folder has files. It creates the
+// file of the incarnation exclusively, so that no two processes get the same one.
 func Claim(dir, node string, startedFrom Generation) (*Writer, error) {
 	all, err := incarnations(dir, node)
 	if err != nil {
--- a/internal/snapshot/fit.go
+++ b/internal/snapshot/fit.go
@@ -28,30 +28,30 @@
 	return fmt.Sprint("#", i)
 }
 
-// Fit converts the state of m, in place, to the settings of now. Classes are matched by name, and plans by all of their fields;
-// state of a class or plan that is not in both is dropped. dropped is the number of customers dropped plus the number of
-// classes in now that get no statistics. Fit returns ErrForeign or the error of Check.
-func Fit(m, now *Image) (state *dw.State, dropped int, err error) {
-	if m.Node != now.Node || m.Instances != now.Instances || m.Self != now.Self || m.Zones != now.Zones {
+// Fit converts the state of m, in place, to the settings of current. Classes are matched by name, and plans by all of their
+// fields; state of a class or plan that is not in both is dropped. dropped is the number of customers dropped plus the number of
+// classes in current that get no statistics. Fit returns ErrForeign or the error of Check.
+func Fit(m, current *Image) (state *dw.State, dropped int, err error) {
+	if m.Node != current.Node || m.Instances != current.Instances || m.Self != current.Self || m.Zones != current.Zones {
 		return nil, 0, fmt.Errorf("%w: %s, gateway %d of %d", ErrForeign, m.Node, m.Self, m.Instances)
 	}
 	if err := Check(m); err != nil {
 		return nil, 0, err
 	}
 	state = &m.State
-	oldIndices := make([]int, len(now.Classes)) // index in m of each class in now, or -1
-	for i, c := range now.Classes {
+	oldIndices := make([]int, len(current.Classes)) // index in m of each class in current, or -1
+	for i, c := range current.Classes {
 		oldIndices[i] = slices.Index(m.Classes, c)
 		if oldIndices[i] < 0 {
 			dropped++
 		}
 	}
 	fitClasses(state, oldIndices)
-	dropped += fitPlans(state, m.Plans, now.Plans)
+	dropped += fitPlans(state, m.Plans, current.Plans)
 	return state, dropped, nil
 }
 
-// fitClasses reorders the state that is stored by class. oldIndices is the old index of each class, below 0 for a new class.
+// fitClasses reorders the state that is stored by class. oldIndices holds the old index of each class, or -1 for a new class.
 func fitClasses(state *dw.State, oldIndices []int) {
 	latencyRatios := make([]float64, len(oldIndices))
 	for i, old := range oldIndices {
@@ -90,10 +90,10 @@
 
 // Bounds of the numbers of a valid state.
 const (
-	maxAmount   = 1e12 // greatest rate, amount or latency
-	minPositive = 1e-9 // least value of a number that the module divides by
-	maxWindow   = 1e9  // greatest elapsed time in a counter's window
-	maxFailures = 1000 // greatest number of failures in a row
+	maxAmount   = 1e12 // maximum rate, amount or latency
+	minPositive = 1e-9 // minimum of a number that the module divides by
+	maxWindow   = 1e9  // maximum elapsed time in a counter's window
+	maxFailures = 1000 // maximum number of consecutive failures
 )
 
 // Check returns ErrBroken if a number of the state is out of the bounds that a gateway's state can have. The module uses the
--- a/internal/snapshot/format.go
+++ b/internal/snapshot/format.go
@@ -22,9 +22,9 @@
 
 // Bounds of a snapshot.
 const (
-	MaxSize      = 16 << 20 // greatest size in bytes
-	MaxCustomers = 1 << 16  // greatest number of customers
-	maxElements  = 1 << 17  // greatest number of elements of a CBOR array
+	MaxSize      = 16 << 20 // maximum size in bytes
+	MaxCustomers = 1 << 16  // maximum number of customers
+	maxElements  = 1 << 17  // maximum number of elements of a CBOR array
 )
 
 // Layout of the header, which is big-endian: magic, version, length of the body, incarnation, number, and the checksum of all
@@ -37,7 +37,7 @@
 
 // Generation identifies and orders the snapshots of a node: first by incarnation, then by number.
 type Generation struct {
-	Incarnation uint64 `json:"Life"`   // incarnation of the process; greater than all before it
+	Incarnation uint64 `json:"Life"`   // incarnation of the process; greater than all earlier ones
 	Number      uint64 `json:"Number"` // number of the write within that process, from 1
 }
 
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -38,8 +38,8 @@
 	return m
 }
 
-// TestRoundTrip guards against a snapshot that decodes to another state than was encoded, and against one that is accepted though
-// it is cut short or a byte of it has changed.
+// TestRoundTrip guards against a snapshot that decodes to a state other than the encoded one, and against accepting a snapshot
+// that is truncated or has a changed byte.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newImage(rapid.IntRange(0, 40).Draw(t, "customers"), rapid.Float64Range(0, 1e9).Draw(t, "v"))
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestLengthIsNotBelieved guards against a header whose length is far greater than the snapshot, which must not lead to an
-// allocation of that length.
+// TestLengthIsNotBelieved guards against excessive memory use: a header that announces a length far greater than the snapshot
+// must not lead to an allocation of that length.
 func TestLengthIsNotBelieved(t *testing.T) {
 	m := newImage(0, 1)
 	b, _ := snapshot.Encode(nil, snapshot.Generation{Incarnation: 1}, m)
@@ -223,8 +223,9 @@
 	}
 }
 
-// TestKilledWriter guards against a snapshot that is incomplete or mixed after a crash. It kills a writer 50 times at a random
-// instant. The snapshot found then must be complete, of one write, and at least as new as the last one that the writer reported.
+// TestKilledWriter guards against a snapshot that is incomplete or mixed after a crash. It kills a writer process 50 times at a
+// random time. The snapshot found then must be complete, of one write, and at least as new as the last one that the writer
+// reported.
 func TestKilledWriter(t *testing.T) {
 	const seed = 20261201
 	rng := rand.New(rand.NewPCG(seed, 0))
