--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -35,7 +35,7 @@
 	Names       settings.Names  // names that the settings refer to by index
 }
 
-// Defaults and least values of the limits.
+// Defaults and minimum values of the limits.
 const (
 	defaultCores    = 1.0
 	defaultMemoryMB = 192
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -17,14 +17,14 @@
 	Name              string            // name of the fleet; members of other fleets are ignored
 	Listen            string            // host:port for TCP and UDP; only on loopback without a keyring
 	Region            string            // region of this gateway's zone
-	Voters            []string          // names of the voters, the same odd number at all members
+	Voters            []string          // names of the voters: an odd number of them, the same at all members
 	Seeds             []string          // initial members, each as NAME/HOST:PORT or as a name in Peers
-	Keyring           string            // path of a file with one base64 key a line; the first key encrypts
+	Keyring           string            // path of a file with one base64 key per line; the first key encrypts
 	Dir               string            // folder of a voter's log; if empty, the log is lost with the process
-	Lease             time.Duration     // age at which an unconfirmed view counts as outdated; default 2 s
-	StatusInterval    time.Duration     // least time between two statuses of a member; default 200 ms
+	Lease             time.Duration     // age from which an unconfirmed view counts as outdated; default 2 s
+	StatusInterval    time.Duration     // minimum time between two statuses of a member; default 200 ms
 	Peers             map[string]string // addresses by member name, in place of those that members announce
-	MaxEvacuatedZones int               // most zones that the fleet evacuates at once by itself; 0 for a third of them
+	MaxEvacuatedZones int               // maximum number of zones that the fleet evacuates at once without operators; 0 for a third of all zones
 	Registry          Registry          // registry in which members are found; without servers, seeds alone are used
 }
 
@@ -58,12 +58,12 @@
 	Peers map[string]string
 }
 
-// Defaults of the fleet file, in milliseconds, and the least ratio of the lease to the interval of statuses.
+// Defaults of the fleet file, in milliseconds, and the minimum ratio of the lease to the status interval.
 const (
 	defaultLeaseMS  = 2000
 	defaultStatusMS = 200
 
-	minStatusesPerLease = 4 // least ratio of lease to status interval, as a status or its answer may be lost
+	minStatusesPerLease = 4 // more than 1, because a status or its answer may be lost
 )
 
 // check returns an error for the first key with a value that the schema allows but a fleet can't work with.
@@ -93,7 +93,7 @@
 	for name := range f.Peers {
 		names = append(names, name)
 	}
-	slices.Sort(names) // makes the reported fault the same on each run if there are several
+	slices.Sort(names) // so that each run reports the same of several faults
 	for _, name := range names {
 		if err := checkAddress("peers."+name, f.Peers[name]); err != nil {
 			return err
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -8,9 +8,10 @@
 	"github.com/BurntSushi/toml"
 )
 
-// Limits is the limits file: the front for limit commands, the registry of planners, and the forwarder.
+// Limits is the content of the limits file: the settings of the front for limit commands, of the registry of planners, and of the
+// forwarder.
 type Limits struct {
-	Listen   string   // host:port of a planner's front for limit commands; off if empty
+	Listen   string   // host:port of a planner's front for limit commands; no such front if empty
 	Registry Registry // registry of the planners
 	Forward  Forward  // settings of a forwarder
 }
@@ -25,12 +26,12 @@
 // Forward configures a forwarder.
 type Forward struct {
 	Listen   string // host:port of the clients' listener
-	Gateways int    // number of gateways of the deployment, modulo which a customer's set is computed
+	Gateways int    // number of gateways of the deployment; the numbers of a customer's gateways are modulo this
 	Sockets  int    // number of sockets that the process may open; default 1024, at least 64
 	MemoryMB int    // memory that the process may use, in MiB; default 192, at least 32
 }
 
-// Defaults and least values of the keys of a registry; the session is in milliseconds.
+// Defaults and minimum values of the keys of a registry. The session timeout is in milliseconds.
 const (
 	defaultPlannersPath = "/dewhitch/planners"
 	defaultMembersPath  = "/dewhitch/members"
@@ -45,7 +46,7 @@
 	SessionMS int `toml:"session_ms"`
 }
 
-// parse checks the table and applies the session's default. key is the table's key, which errors name.
+// parse checks the table, and sets the default of the session timeout. key is the key of the table, which errors name.
 func (f registryFile) parse(key string) (Registry, error) {
 	r := Registry{f.Servers, f.Path, time.Duration(orDefault(f.SessionMS, defaultSessionMS)) * time.Millisecond}
 	for _, s := range r.Servers {
--- a/internal/config/operations.go
+++ b/internal/config/operations.go
@@ -17,7 +17,7 @@
 	"dewhitch/deploy"
 )
 
-// Operations is the operators' file, with the settings that the platform does not set.
+// Operations is the content of the operators' file: the settings that the platform does not set.
 type Operations struct {
 	Operator Operator
 	Ledger   Ledger
@@ -36,23 +36,23 @@
 	return w.Mode == "on" || w.Mode == "auto" && inherited
 }
 
-// Operator is the operators' listener.
+// Operator configures the operators' listener.
 type Operator struct {
-	Listen string // host:port for /metrics and /ledger; off if empty
+	Listen string // host:port for /metrics and /ledger; no listener if empty
 }
 
 // Ledger configures the ledger of requests and its audits.
 type Ledger struct {
 	Enabled           bool          // whether the ledger is kept; default false
-	Rows              int           // maximum of customers' rows in memory, about 1 KiB each; default 20000
-	Open              int           // maximum of open entries; default 65536
+	Rows              int           // maximum number of customers' rows in memory, about 1 KiB each; default 20000
+	Open              int           // maximum number of open entries; default 65536
 	RecentPostings    int           // number of recent postings that are kept for alarms; default 4096
 	AuditInterval     time.Duration // time between two audits; default 1 s
 	StatementInterval time.Duration // time between two statements to the disk; default 10 s
 	AlarmFile         string        // path of a file with alarms as JSON lines; none if empty
 	Dir               string        // folder of the durable ledger; if empty, the figures are lost with the process
 	SegmentBytes      int           // size of a segment of the log between statements; default 4 MiB
-	Segments          int           // maximum of segments that no committed statement covers; default 8
+	Segments          int           // maximum number of segments that no committed statement covers; default 8
 	Records           int           // number of records kept for export; default 1000000
 	Sync              bool          // whether each statement is flushed to the disk; default true
 }
@@ -80,8 +80,8 @@
 	} `toml:"warm_start"`
 }
 
-// LoadOperations reads the operators' file and checks it against the published schema. Unlike in other files an unknown key is
-// an error: a misspelt key would silently leave a safeguard off that operators rely on.
+// LoadOperations reads the operators' file and checks it against the published schema. Unlike in other files, an unknown key is
+// an error: a misspelt key would silently disable a safeguard that operators rely on.
 func LoadOperations(path string) (*Operations, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -124,7 +124,7 @@
 		}
 		return newError(path, "%v", err)
 	}
-	// The keys are converted to JSON and back, as the schema library only knows its own types of numbers.
+	// The keys are converted to JSON and back, because the schema library only accepts its own types of numbers.
 	b, err := json.Marshal(keys)
 	if err != nil {
 		return newError(path, "%v", err)
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -17,7 +17,7 @@
 	ConnIdle                     time.Duration // time after which a backend closes an idle connection
 }
 
-// Values of the keys that take a name. An empty name is that of an omitted key.
+// Values of the keys that take a name. The empty name stands for an omitted key.
 var (
 	listModes     = map[string]bool{"": false, "pushed": false, "on_request": true}
 	reportSources = map[string]dw.ReportSource{"": dw.ReportsNone, "none": dw.ReportsNone, "answers": dw.ReportsInAnswers,
