--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -94,8 +94,8 @@
 	return nil
 }
 
-// startServer starts a server with a fakeGateway and returns its address. At the test's end it stops the server and checks that
-// no goroutine is left.
+// startServer starts a server with a fakeGateway and returns its address. At the end of the test, it stops the server and checks
+// that no goroutine remains.
 func startServer(t *testing.T) string {
 	before := goleak.IgnoreCurrent()
 	t.Cleanup(func() { goleak.VerifyNone(t, before) }) // after the server has ended
@@ -116,7 +116,7 @@
 	return l.Addr().String()
 }
 
-// call sends a line over a new connection, closes its sending side, and returns all that is answered.
+// call sends a line over a new connection, closes its sending side, and returns the whole answer.
 func call(t *testing.T, addr, line string) string {
 	t.Helper()
 	c, err := net.Dial("tcp", addr)
@@ -159,8 +159,8 @@
 	}
 }
 
-// TestSilentCallersKeepNobodyOut guards against idle connections that keep operators from calling. With more connections than
-// MaxCallers open, each of which sent half a line, a call is still answered promptly.
+// TestSilentCallersKeepNobodyOut guards against idle connections that use up MaxCallers, so that operators can't call. With three
+// times MaxCallers connections, each of which has sent half a line, a call is still answered promptly.
 func TestSilentCallersKeepNobodyOut(t *testing.T) {
 	addr := startServer(t)
 	var idle []net.Conn
--- a/internal/admin/call.go
+++ b/internal/admin/call.go
@@ -15,7 +15,7 @@
 // The verbs of calls.
 const (
 	Readyz    Verb = iota // reports whether the gateway is ready to serve
-	Telemetry             // returns the figures, then a line END
+	Telemetry             // returns the figures, followed by a line END
 	Exclude               // sends no new work to a server
 	Include               // ends the exclusion of a server
 	Evacuate              // drains the gateway
@@ -42,8 +42,8 @@
 
 // Bounds of a call, in bytes.
 const (
-	MaxLine = 256 // greatest length of a line with its end
-	MaxID   = 64  // greatest length of a server's id
+	MaxLine = 256 // maximum length of a line, including its end
+	MaxID   = 64  // maximum length of a server's id
 )
 
 // ErrLineTooLong is the error of a line that does not end within MaxLine bytes.
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -44,7 +44,7 @@
 	golden.Compare(t, "calls", exchanges.Bytes())
 }
 
-// callOverPipe sends one line over a new connection and returns all that is answered.
+// callOverPipe sends one line over a new connection and returns the whole answer.
 func callOverPipe(s *Server, line string) ([]byte, error) {
 	client, server := net.Pipe()
 	go func() {
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -26,7 +26,7 @@
 
 // Bounds of the callers' connections.
 const (
-	MaxCallers  = 32              // maximum of open connections; one more closes the oldest
+	MaxCallers  = 32              // maximum number of open connections; a further one closes the oldest
 	callTimeout = 3 * time.Second // time from the connection to the end of the call's line
 	sendTimeout = time.Second     // time to send the answer
 )
@@ -42,8 +42,8 @@
 	handlers sync.WaitGroup // goroutines that handle a caller
 }
 
-// Serve answers calls until the context ends. The end closes the listener and all connections, and Serve returns nil after the
-// last caller's goroutine has ended. It returns the error of a listener that fails before.
+// Serve answers calls until the context ends. It then closes the listener and all connections, waits for the goroutines of the
+// callers, and returns nil. If the listener fails before, Serve returns that error.
 func (s *Server) Serve(ctx context.Context) error {
 	stop := context.AfterFunc(ctx, func() {
 		s.Listener.Close()
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -12,7 +12,7 @@
 // Bounds on what is read. A peer that exceeds one violates the protocol.
 const (
 	MaxLine             = 4 << 10 // bytes of a line, including its CR LF
-	MaxHeaders          = 64      // headers of a response; the number of trailers has the same bound
+	MaxHeaders          = 64      // number of headers of a response, and of trailers of a body
 	MaxBody             = 1 << 20 // bytes of a body that ReadBody accepts
 	maxContentLength    = 1 << 30 // bytes that Content-Length may announce; the readers of a body have lower bounds
 	maxInterimResponses = 8       // interim (1xx) responses before the final one
@@ -60,7 +60,7 @@
 			return resp, unexpectedEOF(err)
 		}
 		if len(line) == 0 {
-			if resp.Status < 200 || resp.Status == 204 || resp.Status == 304 { // such a response has no body, whatever its headers announce
+			if resp.Status < 200 || resp.Status == 204 || resp.Status == 304 { // there is no body, whatever the headers announce
 				resp.Length = 0
 				resp.Chunked = false
 			}
--- a/internal/http1/answer_test.go
+++ b/internal/http1/answer_test.go
@@ -44,6 +44,7 @@
 	}
 }
 
+// TestRequest checks the request that AppendRequest writes for a POST, whose empty body must be announced.
 func TestRequest(t *testing.T) {
 	got := AppendRequest(nil, "POST", "/counters/a.1?by=-2.5&expire_ms=4000", "127.0.0.1:1")
 	want := "POST /counters/a.1?by=-2.5&expire_ms=4000 HTTP/1.1\r\nHost: 127.0.0.1:1\r\nContent-Length: 0\r\n\r\n"
@@ -52,6 +53,8 @@
 	}
 }
 
+// FuzzAnswer checks that no response makes a reader panic, or return more than the MaxBody bytes of a body and the one byte that
+// shows that the body is too long.
 func FuzzAnswer(f *testing.F) {
 	f.Add([]byte("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n"))
 	f.Add([]byte("HTTP/1.0 503 x\r\nContent-Length: 2\r\n\r\nab"))
--- a/internal/operator/ledger.go
+++ b/internal/operator/ledger.go
@@ -14,7 +14,7 @@
 // Source returns a report of the ledger's figures. It is called from any goroutine.
 type Source interface{ Report() recorder.Report }
 
-// Ledger returns the component that publishes the ledger. durable returns true if what is posted now survives a crash of the
+// Ledger returns the component that publishes the ledger. durable returns true if a posting made now survives a crash of the
 // process.
 func Ledger(s Source, durable func() bool) Component {
 	return &ledgerComponent{source: s, durable: durable}
@@ -68,7 +68,7 @@
 	durableDesc      = desc("ledger_lasting", "1 if what is booked now survives a crash of the process.")
 )
 
-// rowDescs are the metrics of a row's events, by the journal that has the event.
+// rowDescs holds the metrics of a row's events, by the journal of the event.
 var rowDescs = [ledger.JournalCount]*prometheus.Desc{ledger.JournalFront: requestsDesc, ledger.JournalPlanner: decisionsDesc,
 	ledger.JournalAttempts: attemptsDesc}
 
--- a/internal/operator/server.go
+++ b/internal/operator/server.go
@@ -19,8 +19,8 @@
 const (
 	readTimeout    = 5 * time.Second  // time to read one request
 	writeTimeout   = 30 * time.Second // time to write one answer
-	maxHeaderBytes = 16 << 10         // greatest size of a request's header, in bytes
-	maxScrapes     = 2                // maximum of concurrent requests for the metrics
+	maxHeaderBytes = 16 << 10         // maximum size of a request's header, in bytes
+	maxScrapes     = 2                // maximum number of concurrent requests for the metrics
 )
 
 // Component is a component of the program that publishes metrics and pages. Its methods are called from any goroutine,
@@ -31,14 +31,14 @@
 	prometheus.Collector
 }
 
-// Serve serves the components' metrics and pages on a listener until the context ends, and closes it. It returns nil then, and
-// the error of a listener that fails before.
-func Serve(ctx context.Context, l net.Listener, parts ...Component) error {
+// Serve serves the components' metrics and pages on a listener until the context ends, and closes it. It then returns nil. If the
+// listener fails before, Serve returns that error.
+func Serve(ctx context.Context, l net.Listener, components ...Component) error {
 	registry := prometheus.NewRegistry()
 	registry.MustRegister(collectors.NewGoCollector())
 	mux := http.NewServeMux()
 	mux.Handle("GET /metrics", promhttp.HandlerFor(registry, promhttp.HandlerOpts{MaxRequestsInFlight: maxScrapes}))
-	for _, p := range parts {
+	for _, p := range components {
 		registry.MustRegister(p)
 		p.Pages(mux)
 	}
--- a/internal/ops/figures.go
+++ b/internal/ops/figures.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// MaxClasses is the maximum number of class names that are counted separately, over all reloads of the settings.
+// MaxClasses is the maximum number of classes that are counted by name, including those of earlier settings.
 const MaxClasses = 256
 
 // Result is the result of a request, as the figures count it.
@@ -33,7 +33,7 @@
 type Figures struct {
 	mu      sync.Mutex
 	classes []*classCounts                          // classes in the order in which they were added; at most MaxClasses
-	byName  atomic.Pointer[map[string]*classCounts] // the same classes by name; replaced and never changed, so that it is read without the lock
+	byName  atomic.Pointer[map[string]*classCounts] // classes by name; replaced as a whole, so that reads need no lock
 
 	dispatches        atomic.Int64 // attempts written to backends, of all classes, including unknown ones
 	concurrent        atomic.Int64 // number of open requests
--- a/internal/ops/state.go
+++ b/internal/ops/state.go
@@ -14,8 +14,8 @@
 	drainerCount
 )
 
-// State is the operating state of a gateway. The zero value is the state of a gateway that has not started. drained is true
-// exactly if an element of drainedBy is.
+// State is the operating state of a gateway. The zero value is the state of a gateway that has not started. drained is true if
+// and only if an element of drainedBy is true.
 type State struct {
 	started atomic.Bool // whether the gateway listens and has an endpoint list
 	ending  atomic.Bool // whether SIGTERM was received
--- a/internal/resp/command.go
+++ b/internal/resp/command.go
@@ -1,7 +1,7 @@
 package resp
 
-// ReadCommand reads a command, which is an array of bulk strings. It returns io.EOF if the stream ended between commands, and an error
-// that wraps ErrProtocol for anything else than a command within the bounds.
+// ReadCommand reads a command, which is an array of bulk strings. It returns io.EOF if the stream ended between commands, and an
+// error that wraps ErrProtocol for anything other than a command within the bounds.
 func (r *Reader) ReadCommand() (Command, error) {
 	header, err := r.line()
 	if err != nil {
--- a/internal/resp/resp_test.go
+++ b/internal/resp/resp_test.go
@@ -76,7 +76,8 @@
 	})
 }
 
-// FuzzCommand checks that ReadCommand ends every input with one of its documented errors, and returns 1 to MaxArgs arguments.
+// FuzzCommand checks that ReadCommand returns one of its documented errors at the end of any input, and that the commands before
+// it have 1 to MaxArgs arguments.
 func FuzzCommand(f *testing.F) {
 	f.Add([]byte("*2\r\n$4\r\nPING\r\n$0\r\n\r\n"))
 	f.Fuzz(func(t *testing.T, in []byte) {
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -15,7 +15,7 @@
 	"go.uber.org/zap/zaptest/observer"
 )
 
-// syscallError wraps an error number in the way of the net package.
+// syscallError wraps an error number as the net package does.
 func syscallError(call string, n syscall.Errno) error {
 	return &net.OpError{Op: call, Net: "tcp", Err: os.NewSyscallError(call, n)}
 }
@@ -49,7 +49,8 @@
 		syscall.ECONNABORTED: 0, syscall.EINTR: 0, syscall.EAGAIN: 0, syscall.EPERM: 0, syscall.EPROTO: 0, syscall.ENETDOWN: 0,
 		syscall.ENOPROTOOPT: 0, syscall.EHOSTDOWN: 0, syscall.ENONET: 0, syscall.EHOSTUNREACH: 0, syscall.ENETUNREACH: 0,
 		syscall.ETIMEDOUT: 0, syscall.ECONNRESET: 0,
-		syscall.EMFILE: 1, syscall.ENFILE: 1, syscall.ENOBUFS: 1, syscall.ENOMEM: 1, syscall.EXDEV: 1, // Linux does not document EXDEV for accept(2)
+		syscall.EMFILE: 1, syscall.ENFILE: 1, syscall.ENOBUFS: 1, syscall.ENOMEM: 1,
+		syscall.EXDEV: 1, // Linux does not document EXDEV for accept(2)
 	} {
 		t.Run(errno.Error(), func(t *testing.T) {
 			t.Parallel()
@@ -98,7 +99,8 @@
 	}
 }
 
-// TestDialClass checks that errors of a dial that are due to this machine's shortages are told from errors of the peer and the network.
+// TestDialClass checks that errors of a dial that are due to this machine's shortages are distinguished from errors of the peer
+// and the network.
 func TestDialClass(t *testing.T) {
 	for _, c := range []struct {
 		err  error
--- a/internal/telemetry/telemetry.go
+++ b/internal/telemetry/telemetry.go
@@ -18,7 +18,7 @@
 
 const namespace = "dewhitch"
 
-// buckets are the bounds of the histograms of durations, in seconds. The greatest one is the grace period of a drain.
+// buckets holds the bounds of the histograms of durations, in seconds. The last one is the grace period of a drain.
 var buckets = []float64{0.0001, 0.0005, 0.001, 0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 6}
 
 // Stage is a stage in the processing of an update of the endpoint list.
@@ -39,17 +39,17 @@
 	collectors []prometheus.Collector // all metrics except the versions of the list
 
 	waits    [core.QueueCount]prometheus.Observer // waiting times by queue, in seconds
-	maxWaits [core.QueueCount]atomic.Int64        // greatest waiting times by queue since the start of the process, in nanoseconds
+	maxWaits [core.QueueCount]atomic.Int64        // maximum waiting times by queue since the start of the process, in nanoseconds
 
 	versionDesc       *prometheus.Desc
 	versions          [stageCount]atomic.Int64        // last version of the endpoint list at each stage
 	ages              [stageCount]prometheus.Observer // ages of updates at each stage, from the first byte of the message, in seconds
 	lastAges          [stageCount]atomic.Int64        // age of the last update at each stage, in nanoseconds
-	maxAges           [stageCount]atomic.Int64        // greatest age at each stage since the start of the process, in nanoseconds
-	listBytes         prometheus.Counter              // bytes of messages from discovery that were read
+	maxAges           [stageCount]atomic.Int64        // maximum age at each stage since the start of the process, in nanoseconds
+	listBytes         prometheus.Counter              // number of bytes of the messages read from discovery
 	listInterruptions *prometheus.CounterVec          // interrupted connections for the endpoint list, by reason
 
-	requestsEnded      [ledger.EventCount]prometheus.Counter // ended requests by event; nil for events of other journals than the planner's
+	requestsEnded      [ledger.EventCount]prometheus.Counter // ended requests by event; nil for events outside the planner's journal
 	retries            [dw.OutcomeCount]prometheus.Counter   // retries by the outcome of the previous attempt
 	connectionsClosed  *prometheus.CounterVec                // closed client connections, by reason
 	connectionsOverdue prometheus.Counter                    // client connections open after the deadline for closing them
@@ -143,7 +143,7 @@
 // ConnectionsOverdue counts n client connections that are open after the deadline for closing them, in a drain or a shutdown.
 func (m *Metrics) ConnectionsOverdue(n int) { m.connectionsOverdue.Add(float64(n)) }
 
-// storeMax sets v to n if n is greater.
+// storeMax sets v to n if n is greater than its value.
 func storeMax(v *atomic.Int64, n int64) {
 	for {
 		old := v.Load()
--- a/internal/wire/events.go
+++ b/internal/wire/events.go
@@ -14,7 +14,7 @@
 // messageFormat is the format of one kind of message. decode reads the fields in the order of the line. The first field that
 // can't be read determines the error of the line.
 type messageFormat struct {
-	fieldCount int // number of fields behind the name
+	fieldCount int // number of fields after the name of the message
 	decode     func(*Reader, *fieldReader) (any, error)
 }
 
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -19,8 +19,8 @@
 	err          error    // first error, or nil
 }
 
-// newFieldReader returns a reader of the values behind the first word of the line. It records an error if there are not
-// fieldCount values.
+// newFieldReader returns a reader of the values after the first word of the line. It records an error if there are not fieldCount
+// values.
 func (r *Reader) newFieldReader(message, line string, fieldCount int) *fieldReader {
 	f := &fieldReader{line: r.line, message: message}
 	f.values = strings.Split(line, " ")[1:]
@@ -124,8 +124,8 @@
 
 func (f *fieldReader) outcome() dw.Outcome { return outcomes[f.intBelow("Reason", len(outcomes))] }
 
-// load reads a server's load report: pairs of a metric's name and its value, separated by commas. It ignores unknown names, and
-// an absent report is the zero Load.
+// load reads a server's load report: pairs of a metric's name and its value, separated by commas. It ignores unknown names. An
+// absent report gives the zero Load.
 func (f *fieldReader) load() (l dw.Load) {
 	s := f.next("Metrics")
 	if f.err != nil || s == "-" {
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -9,6 +9,7 @@
 	"dewhitch/internal/golden"
 )
 
+// goldenRound reads the one round of a golden file.
 func goldenRound(t *testing.T, name string) Round {
 	t.Helper()
 	r, err := NewReader(bytes.NewReader(golden.Read(t, name))).Read()
--- a/internal/wire/reader.go
+++ b/internal/wire/reader.go
@@ -18,7 +18,7 @@
 // NewReader returns a Reader that reads from r.
 func NewReader(r io.Reader) *Reader { return &Reader{input: bufio.NewReaderSize(r, 1<<16)} }
 
-// readLine returns the next line without its line end. A last line without a line end is a line as well.
+// readLine returns the next line without its line end. A last line without a line end counts as a line.
 func (r *Reader) readLine() (string, error) {
 	line, err := r.input.ReadString('\n')
 	if err != nil && (line == "" || !errors.Is(err, io.EOF)) {
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -17,6 +17,7 @@
 	`"Fields":["inflight","novel"]},"FamilyInfo":{"Counter":true,"CountLimit":50000000,"UnitsTop":4},` +
 	`"Weights":"nominal","MembershipMode":"on_request"}`
 
+// readRound reads a round that must be valid.
 func readRound(t *testing.T, s string) Round {
 	t.Helper()
 	r, err := NewReader(strings.NewReader(s)).Read()
