--- a/internal/config/fleet_test.go
+++ b/internal/config/fleet_test.go
@@ -39,7 +39,7 @@
 		}
 		_, err := parseFleet("fleet.toml", []byte(strings.Replace(string(text), c.old, c.new, 1)))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: got error %v, want %s", c.new, err, c.want)
+			t.Errorf("with %q: got error %v, want %s", c.new, err, c.want)
 		}
 	}
 }
--- a/internal/config/settings/golden_test.go
+++ b/internal/config/settings/golden_test.go
@@ -25,6 +25,7 @@
 	AnswerSlack:  71, PollWithin: 72, SlowStartSpan: 73, OverloadSpan: 74, DrainGrace: 75, OverloadMultiple: 76.5, StartCapacity: 0.775,
 	CrossZonePrice: 81.5, LatePrice: 82.5, ProbePrice: 83.5, WastePrice: 84.5}
 
+// goldenNames holds the expected names of settings.json.
 var goldenNames = Names{Zones: []string{"lake-a", "lake-b", "lake-c"}, Kinds: []string{"small", "large"},
 	Classes: []string{"quote", "order", "charge"}, Plans: []string{"wide", "slim"}, ConnIdle: 1001}
 
--- a/internal/front/ending_test.go
+++ b/internal/front/ending_test.go
@@ -394,6 +394,6 @@
 	close(buffered.release)
 	eventually(t, "the session did not end", func() bool { return s.ctx.Err() != nil })
 	if n := commands.started.Load(); n != 0 {
-		t.Errorf("%d commands of a departed client were started", n)
+		t.Errorf("%d commands of a departed client were started, expected none", n)
 	}
 }
--- a/internal/front/lifecycle_test.go
+++ b/internal/front/lifecycle_test.go
@@ -112,15 +112,15 @@
 	var l lifecycle
 	l.drain(newDrainTimes(start), time.Time{})
 	if l.drain(newDrainTimes(start.Add(time.Second)), time.Time{}) || l.readUntil != start.Add(drainReadTime) {
-		t.Errorf("after a second drain: got %+v", l)
+		t.Errorf("after a second drain: got %+v, expected the times of the first one", l)
 	}
 	l.limitReading(start.Add(time.Hour))
 	if l.readUntil != start.Add(drainReadTime) {
-		t.Errorf("after a stop at a later time: got %+v", l)
+		t.Errorf("after a stop at a later time: got %+v, expected no change of readUntil", l)
 	}
 	l.limitReading(start.Add(time.Second))
 	if l.readUntil != start.Add(time.Second) {
-		t.Errorf("after a stop at an earlier time: got %+v", l)
+		t.Errorf("after a stop at an earlier time: got %+v, expected readUntil at that time", l)
 	}
 	l.stopReading()
 	l.closeWrite(start.Add(drainCloseTime - time.Millisecond))
@@ -129,6 +129,6 @@
 	}
 	l.closeWrite(start.Add(time.Hour))
 	if l.closeAt.After(start.Add(drainTerm)) {
-		t.Errorf("after a second closeWrite: got %+v", l)
+		t.Errorf("after a second closeWrite: got %+v, expected no later closeAt", l)
 	}
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -22,8 +22,9 @@
 	}
 }
 
-// Guards against mismatches that depend on the order of postings. The ledger must balance at any time, in any order in which the
-// owners may post: with constant evictions, without any, and with counts that wrap. It is audited after every seventh posting.
+// TestBalancesInAnyOrder guards against mismatches that depend on the order of postings. The ledger must balance at any time, in
+// any order in which the owners may post: with constant evictions, without any, and with counts that wrap. The test audits it
+// after every seventh posting.
 func TestBalancesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -53,8 +54,8 @@
 	})
 }
 
-// Guards against entries that a kill of the process leaves open. After each posting of a sequence, CutOff must close all open
-// entries so that the ledger balances.
+// TestCutOffAtEveryPosting guards against entries that a kill of the process leaves open. After each posting of a sequence,
+// CutOff must close all open entries so that the ledger balances.
 func TestCutOffAtEveryPosting(t *testing.T) {
 	for seed := range uint64(8) {
 		var postings []Posting
@@ -77,8 +78,8 @@
 	}
 }
 
-// Guards against faults that no check detects. Each single posting is lost, doubled or given wrong units in turn. Audit must
-// report its row and no other; if the lost posting is an end, Overdue must report it after the deadline.
+// TestEveryFaultIsFound guards against faults that no check detects. Each single posting is lost, doubled or given wrong units in
+// turn. Audit must report its row and no other; if the lost posting is an end, Overdue must report it after the deadline.
 func TestEveryFaultIsFound(t *testing.T) {
 	for seed := range uint64(6) {
 		var postings []Posting
@@ -131,8 +132,8 @@
 	}
 }
 
-// Guards against unbounded memory and wrong sums with customers that send one request each: with 200,000 of them the number of
-// rows stays limited, and the rolled-up figures are exact by plan.
+// TestOneTimeCustomers guards against unbounded memory and wrong sums with customers that send one request each. With 200,000 of
+// them, the number of rows must stay limited, and the rolled-up figures must be exact by plan.
 func TestOneTimeCustomers(t *testing.T) {
 	l := New(Limits{Rows: 500, Open: 100, RecentPostings: 100}, true)
 	var want [3]uint64
@@ -150,7 +151,7 @@
 		}
 	}
 	if rows := len(l.Lines()); rows > 503 {
-		t.Errorf("the ledger has %d rows, expected at most 503", rows)
+		t.Errorf("the ledger has %d rows, expected at most 500 and one for each of 3 plans", rows)
 	}
 	requireBalanced(t, l, "one-time customers")
 	var got [3]uint64
@@ -168,8 +169,8 @@
 	}
 }
 
-// Guards against a mismatch that is lost because its row is rolled up before any audit: it must be reported under the
-// customer's own key.
+// TestEvictedRowIsReportedByName guards against a mismatch that is lost because its row is rolled up before any audit. It must be
+// reported under the customer's own key.
 func TestEvictedRowIsReportedByName(t *testing.T) {
 	l := New(Limits{Rows: 20, Open: 100, RecentPostings: 100}, false)
 	for i := range uint64(100) {
@@ -189,8 +190,8 @@
 	}
 }
 
-// Guards against figures that statements omit or repeat. The statements of any sequence of postings must add up to the ledger,
-// with and without evictions, and the stored rows must restore a ledger that balances.
+// TestStatementsAddUpToLedger guards against figures that statements omit or repeat. The statements of any sequence of postings
+// must add up to the ledger, with and without evictions, and the stored rows must restore a ledger that balances.
 func TestStatementsAddUpToLedger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(Limits{Rows: rapid.SampledFrom([]int{16, 1000}).Draw(t, "rows"), Open: 1000, RecentPostings: 10}, true)
--- a/internal/ledger/recorder/names_test.go
+++ b/internal/ledger/recorder/names_test.go
@@ -14,8 +14,8 @@
 	"dewhitch/internal/ledger/recorder"
 )
 
-// Guards against clients' names of plans and classes that grow without limit or break a metric label: their number and length
-// are limited, and invalid names are replaced.
+// TestClientNamesAreBounded guards against clients' names of plans and classes that grow without limit or break a metric label:
+// their number and length are limited, and invalid names are replaced.
 func TestClientNamesAreBounded(t *testing.T) {
 	limits := ledger.Limits{Rows: 1000, Open: 100, RecentPostings: 100}
 	rec := recorder.New(ledger.New(limits, false), ledger.Names{}, nil, recorder.Options{Limits: limits, Log: zap.NewNop()})
@@ -29,7 +29,7 @@
 	}
 	for _, bad := range []string{"", "\xff\xfe", "a\nb", strings.Repeat("x", 65)} {
 		if got := name(bad, bad); got != recorder.Overflow+"/"+recorder.Overflow {
-			t.Errorf("the invalid name %q became %q", bad, got)
+			t.Errorf("the invalid name %q became %q, expected Overflow", bad, got)
 		}
 	}
 	for i := range 1000 {
@@ -43,7 +43,7 @@
 	}
 }
 
-// Guards against appends to a closed store: no posting after DetachStore reaches it.
+// TestDetachStore guards against appends to a closed store. No posting after DetachStore may reach it.
 func TestDetachStore(t *testing.T) {
 	limits := ledger.Limits{Rows: 16, Open: 16, RecentPostings: 16}
 	store := &countingStore{}
@@ -64,8 +64,9 @@
 func (k *countingStore) Stage(ledger.Statement)    {}
 func (k *countingStore) Commit(ledger.Names) error { return nil }
 
-// Guards against a deadlock: the module drops an account while the queue of postings is one short of its limit, and the posting
-// of the forgotten units fills the queue. Post then locks mu to drain it, so auditTallies must not hold mu.
+// TestForgottenUnitsFillQueue guards against a deadlock: the module drops an account while the queue of postings is one short of
+// its limit, and the posting of the forgotten units fills the queue. Post then locks mu to drain it, so auditTallies must not
+// hold mu.
 func TestForgottenUnitsFillQueue(t *testing.T) {
 	limits := ledger.Limits{Rows: 16, Open: 16, RecentPostings: 16}
 	rec := recorder.New(ledger.New(limits, false), ledger.Names{}, nil, recorder.Options{Limits: limits, AuditInterval: time.Millisecond,
--- a/internal/ledger/recorder/planted_test.go
+++ b/internal/ledger/recorder/planted_test.go
@@ -174,7 +174,8 @@
 	return g.logs.FilterMessage("the books do not add up").All()
 }
 
-// Guards against false alarms: without a fault, frequent audits between the postings of open requests must raise none.
+// TestNoFalseAlarms guards against false alarms: without a fault, frequent audits between the postings of open requests must
+// raise none.
 func TestNoFalseAlarms(t *testing.T) {
 	g := startGateway(t, recorder.Options{AuditInterval: 5 * time.Millisecond}, nil)
 	g.sendRequests(t, 8)
@@ -190,7 +191,8 @@
 	}
 }
 
-// eventually waits until ok returns true for a report, and requires that no alarm was raised.
+// eventually waits until ok returns true for a report, and fails the test if an alarm was raised or after 20 s. what names the
+// awaited state.
 func (g *gateway) eventually(t *testing.T, what string, ok func(recorder.Report) bool) {
 	t.Helper()
 	for began := time.Now(); !ok(g.recorder.Report()); time.Sleep(10 * time.Millisecond) {
@@ -205,8 +207,9 @@
 	}
 }
 
-// Guards against entries that stay open when a client closes its connection. The session has as many open requests as it may,
-// at backends that never answer; each request must end, and each attempt must be cancelled and its end reported to the planner.
+// TestSessionEndsWithManyOpen guards against entries that stay open when a client closes its connection. The session has as many
+// open requests as it may, at backends that never answer; each request must end, and each attempt must be cancelled and its end
+// reported to the planner.
 func TestSessionEndsWithManyOpen(t *testing.T) {
 	g := startGatewayWithBackends(t, recorder.Options{AuditInterval: 5 * time.Millisecond}, nil, standin.Always(standin.Step{Behaviour: standin.Stall}))
 	c, err := standin.Dial(g.addr, 10*time.Second)
@@ -231,8 +234,9 @@
 	})
 }
 
-// Guards against mismatches with a client that sends requests and never reads, until the gateway closes the session. Answers that
-// were completely written count as served, the rest as failed writes or departed clients, and no audit finds a mismatch.
+// TestClientNeverReads guards against mismatches with a client that sends requests and never reads, until the gateway closes the
+// session. Answers that were written completely must count as served and the rest as failed writes or departed clients, and no
+// audit may find a mismatch.
 func TestClientNeverReads(t *testing.T) {
 	g := startGateway(t, recorder.Options{AuditInterval: 20 * time.Millisecond}, nil)
 	c, err := standin.Dial(g.addr, 10*time.Second)
@@ -254,9 +258,9 @@
 	})
 }
 
-// Guards against faults that the audits miss or report late. One fault in each journal must be reported within five seconds, with
-// one audit a second as in production; the alarm must name the customer, plan and class, be raised only once while it is
-// active, and be in the alarm file.
+// TestInjectedFaultIsReported guards against faults that the audits miss or report late. One fault in each journal must be
+// reported within five seconds, with one audit a second as in production; the alarm must name the customer, plan and class, be
+// raised only once while it is active, and be in the alarm file.
 func TestInjectedFaultIsReported(t *testing.T) {
 	for _, c := range []struct {
 		event ledger.Event
@@ -321,8 +325,8 @@
 	}
 }
 
-// Guards against alarms that stay active after the mismatch is gone: here a request that was served before its decision, whose
-// missing postings follow.
+// TestAlarmIsCleared guards against alarms that stay active after the mismatch is gone. The front posts that a request was served
+// before the other journals have its postings, which raises an alarm. The missing postings follow and must clear it.
 func TestAlarmIsCleared(t *testing.T) {
 	g := startGateway(t, recorder.Options{AuditInterval: 20 * time.Millisecond}, nil)
 	g.sendRequests(t, 1)
--- a/internal/ledger/statement/chain_test.go
+++ b/internal/ledger/statement/chain_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Guards against chain faults that go unnoticed or get the wrong error: Next must return a different error for duplicate, missing
-// and changed records, with the node and number of the record.
+// TestChainFaults guards against chain faults that go unnoticed or get the wrong error: Next must return a different error for
+// duplicate, missing and changed records, with the node and number of the record.
 func TestChainFaults(t *testing.T) {
 	records := chainedRecords()
 	changed := records[1]
--- a/internal/ledger/statement/record_test.go
+++ b/internal/ledger/statement/record_test.go
@@ -28,8 +28,8 @@
 	}
 }
 
-// Guards against records whose chain can't be verified after parsing. Any record that parses must be written in a form that
-// parses again, with the same chain.
+// FuzzRecord guards against records whose chain can't be verified after parsing. Any record that parses must be written in a form
+// that parses again, with the same chain.
 func FuzzRecord(f *testing.F) {
 	for _, r := range []Record{record(1, "n0", func(r *Record) { setCounts(r, ledger.FrontTaken, 2, ledger.FrontServed, 2) }),
 		record(9, "n\"0\n", func(r *Record) { r.Kind, r.Note = Gap, "späť <&> \\ \x00" })} {
@@ -69,8 +69,8 @@
 	}
 }
 
-// Guards against requests that are counted twice: with two gateways and a forwarder, a request that the forwarder received and a
-// gateway received again must count as one attempt of a client.
+// TestMerge guards against requests that are counted twice: with two gateways and a forwarder, a request that the forwarder
+// received and a gateway received again must count as one attempt of a client.
 func TestMerge(t *testing.T) {
 	m := NewMerged()
 	served := func(n int) func(*Record) {
@@ -99,7 +99,7 @@
 	}
 }
 
-// Guards against contradictory figures of a row that Verify does not report.
+// TestVerify guards against contradictory figures of a row that Verify does not report.
 func TestVerify(t *testing.T) {
 	for i, c := range [][]any{
 		{ledger.FrontTaken, 1, ledger.FrontServed, 2, ledger.PlanTaken, 1},
@@ -121,12 +121,13 @@
 		r.Figures.Set(ledger.CallAdded, 1, 3e6)
 	}))
 	if wrong := m.Verify(); len(wrong) != 1 {
-		t.Error("a call with different units at its start and end, expected one error:", wrong)
+		t.Error("a call with different units at its start and end: expected one error, got", wrong)
 	}
 }
 
-// Guards against attempts that are not linked to their booking. It has three bookings: one with overlapping attempts through two
-// gateways, one with attempts through two gateways one after the other, and one with a single attempt.
+// TestBookings guards against attempts that are not linked to their booking. The records hold three bookings: one with
+// overlapping attempts through two gateways, one with attempts through two gateways one after the other, and one with a single
+// attempt.
 func TestBookings(t *testing.T) {
 	m := NewMerged()
 	attempt := func(seq uint64, node, key string, from, to int, end ledger.Event) Record {
--- a/internal/ledger/store/fuzz_test.go
+++ b/internal/ledger/store/fuzz_test.go
@@ -6,7 +6,7 @@
 	"dewhitch/internal/ledger"
 )
 
-// Guards against panics and miscounts on segments with arbitrary content: scan must stay within the bytes given.
+// FuzzSegment guards against panics and miscounts on segments with arbitrary content: scan must stay within the bytes given.
 func FuzzSegment(f *testing.F) {
 	dir := f.TempDir()
 	s, err := createSegment(diskFiles{}, dir, 7, headerSize+9*recordSize)
@@ -28,8 +28,8 @@
 	})
 }
 
-// Guards against rows that change when they are read and written again, with arbitrary keys and values, with and without a valid
-// checksum.
+// FuzzRow guards against rows that change when they are read and written again, with arbitrary keys and values, with and without
+// a valid checksum.
 func FuzzRow(f *testing.F) {
 	k := ledger.StoredRow{Key: ledger.Key{Customer: 7, Plan: 1, Class: -3}, Lost: [4]uint64{1, 2, 3, 4}}
 	k.Set(ledger.UnitsDrawn, 5, -6)
--- a/internal/ledger/store/store_test.go
+++ b/internal/ledger/store/store_test.go
@@ -24,12 +24,13 @@
 
 var names = ledger.Names{Plans: []string{"basic", "regular", "fleet"}, Classes: []string{"space-query", "booking"}}
 
+// options returns the options of a store with small segments, in a folder.
 func options(dir string) Options {
 	return Options{Dir: dir, Node: "n0", Role: statement.Gateway, SegmentBytes: 16 << 10, Segments: 8, Records: 1 << 20,
 		Limits: ledger.Limits{Rows: 1000, Open: 1000, RecentPostings: 64}, Log: zap.NewNop(), OpenTimeout: 50 * time.Millisecond}
 }
 
-// testLedger is a ledger with its store, used as a recorder uses them.
+// testLedger is a ledger with its store. Its methods use both as a recorder does.
 type testLedger struct {
 	t *testing.T
 	*Store
@@ -75,7 +76,7 @@
 	}
 }
 
-// copyFolder copies a folder in the state in which a SIGKILL of the process would leave it now.
+// copyFolder returns a copy of a folder, in the state in which a SIGKILL of the process would leave the folder now.
 func copyFolder(t *testing.T, dir string) string {
 	t.Helper()
 	to := t.TempDir()
@@ -122,9 +123,9 @@
 	}
 }
 
-// Guards against postings that a kill of the process loses or repeats. Each of ten runs is killed 20 times, 200 in all: between
-// any two postings, during the write of a record, between staging and commit, and again during the repair. No posting may be
-// lost, all open entries are closed, and no record for export appears twice.
+// TestKillLosesNothing guards against postings that a kill of the process loses or repeats. Each of ten runs is killed 20 times,
+// 200 in all: between any two postings, during the write of a record, between staging and commit, and again during the repair. No
+// posting may be lost, all open entries are closed, and no record for export appears twice.
 func TestKillLosesNothing(t *testing.T) {
 	for seed := range uint64(10) {
 		r := rand.New(rand.NewPCG(seed, 9))
@@ -215,9 +216,9 @@
 	return f.diskFiles.Create(path, size)
 }
 
-// Guards against lost or contradictory figures with a full disk and an embedded store that a reader has locked. The ledger must
-// go on in memory while the log breaks off; a crash in this state must give a ledger that balances and a note on what was lost;
-// and once there is room, the log must resume so that a crash loses nothing.
+// TestDiskFull guards against lost or contradictory figures with a full disk and an embedded store that a reader has locked. The
+// ledger must go on in memory while the log breaks off; a crash in this state must give a ledger that balances and a note on what
+// was lost; and once there is room, the log must resume so that a crash loses nothing.
 func TestDiskFull(t *testing.T) {
 	dir := t.TempDir()
 	o := options(dir)
@@ -258,7 +259,7 @@
 	copied := copyFolder(t, dir)
 	after, found := openTestLedger(t, options(copied))
 	if notes := strings.Join(found.Notes, "; "); !strings.Contains(notes, "was not kept") {
-		t.Errorf("after a crash with a full disk the notes are %q", notes)
+		t.Errorf("after a crash with a full disk, the notes do not mention the loss: %q", notes)
 	}
 	if err := after.commitStatement(); err != nil {
 		t.Fatal(err)
@@ -290,8 +291,9 @@
 	requireBalanced(t, copied, after.ledger)
 }
 
-// Guards against corrupt files that are read as figures. Damage to any file must be reported in a note, a corrupt embedded store
-// must be set aside, and the restored ledger must balance, from the start or from the last valid record.
+// TestCorruptFilesAreReported guards against corrupt files that are read as figures. Damage to any file must be reported in a
+// note, and a corrupt embedded store must be set aside. The restored ledger must balance: it is empty, or contains the postings
+// up to the last valid record.
 func TestCorruptFilesAreReported(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTestLedger(t, options(dir))
@@ -321,7 +323,7 @@
 		}
 		os.WriteFile(path, f, 0o600)
 	}
-	row := func(dir string) func(int) int { // offset in the value of a customer's row
+	row := func(dir string) func(int) int { // returns the offset of a byte in the value of a customer's row
 		f, _ := os.ReadFile(filepath.Join(dir, dbName))
 		i := bytes.LastIndex(f, rowKey(l.ledger.Lines()[9].Key))
 		return func(int) int { return i + 14 }
@@ -330,7 +332,7 @@
 	for what, c := range map[string]struct {
 		do       func(dir string)
 		setAside bool
-		minTaken uint64 // minimum of requests taken that the restored ledger has
+		minTaken uint64 // minimum number of requests taken in the restored ledger
 	}{
 		"a row":             {func(dir string) { corruptFile(dir, dbName, row(dir), "~~~~") }, true, 0},
 		"both heads":        {func(dir string) { corruptFile(dir, dbName, func(int) int { return 0 }, strings.Repeat("~", 8192)) }, true, 0},
@@ -356,7 +358,7 @@
 			}
 			got := after.ledger.Total()
 			if n := got.N[ledger.FrontTaken]; n < c.minTaken || n > total.N[ledger.FrontTaken] {
-				t.Errorf("the ledger has %d requests taken", n)
+				t.Errorf("the ledger has %d requests taken, fewer than minTaken or more than were posted", n)
 			}
 			if err := after.commitStatement(); err != nil {
 				t.Fatal(err)
@@ -365,14 +367,14 @@
 		})
 	}
 	if _, _, _, _, err := Open(options(dir)); !errors.Is(err, ErrInUse) {
-		t.Errorf("a second gateway on the same folder: %v", err)
+		t.Errorf("a second gateway on the same folder: got error %v, expected ErrInUse", err)
 	}
 	l.Close()
 }
 
-// Guards against replaying a segment after a hole. The end of a segment is missing and the next one is present, as after a crash
-// of the machine, or for a reader that read the segment before it was full. The next segment must not be replayed, and the ledger
-// must balance.
+// TestHoleBetweenSegments guards against replaying a segment after a hole. The end of a segment is missing and the next one is
+// present, as after a crash of the machine, or for a reader that read the segment before it was full. The next segment must not
+// be replayed, and the ledger must balance.
 func TestHoleBetweenSegments(t *testing.T) {
 	dir := t.TempDir()
 	l, _ := openTestLedger(t, options(dir))
@@ -409,7 +411,7 @@
 		}
 		after, found := openTestLedger(t, options(copied))
 		if notes := strings.Join(found.Notes, "; "); !strings.Contains(notes, "behind the break were not trusted") {
-			t.Errorf("with %d records lost, the notes are %q", lost, notes)
+			t.Errorf("with %d records lost, the notes do not mention the break: %q", lost, notes)
 		}
 		if err := after.commitStatement(); err != nil {
 			t.Fatal(err)
@@ -419,8 +421,8 @@
 	}
 }
 
-// Guards against readers that see a stale or torn state while a gateway writes: Read must return all postings so far. It also
-// checks that only the newest records, up to the limit, remain.
+// TestReadWhileWriting guards against readers that see a stale or torn state while a gateway writes: Read must return all
+// postings so far. The test also checks that only the newest records, up to the limit, remain.
 func TestReadWhileWriting(t *testing.T) {
 	o := options(t.TempDir())
 	o.Records = 50
@@ -452,7 +454,7 @@
 		t.Errorf("the records are %d to %d, expected 50; error %v", v.First, v.Last, err)
 	}
 	if fmt.Sprint(v.Names) != fmt.Sprint(names) {
-		t.Errorf("the names are %v", v.Names)
+		t.Errorf("got the names %v, expected those that were committed", v.Names)
 	}
 }
 
--- a/internal/ops/ops_test.go
+++ b/internal/ops/ops_test.go
@@ -96,12 +96,12 @@
 	}
 	s.End()
 	if s.Ready() || len(notified) != 2 || !notified[0] || notified[1] {
-		t.Fatalf("after the end: ready %v, notifications %v", s.Ready(), notified)
+		t.Fatalf("after the end: got ready %v, notifications %v, want false and [true false]", s.Ready(), notified)
 	}
 }
 
-// TestDrainsOfTwo guards against a drain by operators that ends a drain by the fleet, or the reverse. The gateway is
-// drained as long as either drains it, and watchers are notified of each change once.
+// TestDrainsOfTwo guards against a drain by operators that ends a drain by the fleet, or the reverse. The gateway must be drained
+// as long as either drains it, and watchers must be notified once of each change.
 func TestDrainsOfTwo(t *testing.T) {
 	steps := map[string]func(*State){
 		"operators drain": func(s *State) { s.Drain(true) }, "operators end": func(s *State) { s.Drain(false) },
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -116,14 +116,15 @@
 // TestFit guards against state that is assigned to the wrong class or plan after a change of the settings, and against state of
 // another deployment or with invalid numbers that is accepted.
 func TestFit(t *testing.T) {
-	now := func() *snapshot.Image { m := newImage(0, 0); m.State = dw.State{}; return m }
+	current := func() *snapshot.Image { m := newImage(0, 0); m.State = dw.State{}; return m }
 	exported := newImage(10, 1)
-	reloaded := now()
-	reloaded.Classes = []string{"booking", "inquiry"}                                                         // one class dropped, one new, in another order
-	reloaded.Plans = []snapshot.Plan{{Name: "basic", Rate: 4, Burst: 8}, {Name: "fleet", Rate: 9, Burst: 16}} // one plan changed
+	reloaded := current()
+	// One class is dropped and one is new, in another order. One plan is changed.
+	reloaded.Classes = []string{"booking", "inquiry"}
+	reloaded.Plans = []snapshot.Plan{{Name: "basic", Rate: 4, Burst: 8}, {Name: "fleet", Rate: 9, Burst: 16}}
 	state, dropped, err := snapshot.Fit(exported, reloaded)
 	if err != nil || dropped != 6 || len(state.Customers) != 5 || state.Customers[0].Plan != 0 {
-		t.Fatalf("error %v, %d dropped, want 6, with 5 customers left of %+v", err, dropped, state)
+		t.Fatalf("got error %v, %d dropped, want 6; want 5 remaining customers, got %+v", err, dropped, state)
 	}
 	if want := []float64{2, 1}; !reflect.DeepEqual(state.ClassLatencyRatios, want) || state.Servers[0].Failures[0].Count != 2 || state.Servers[0].Failures[1].Count != 0 {
 		t.Fatalf("got latency ratios %v and first server %+v", state.ClassLatencyRatios, state.Servers[0])
@@ -135,7 +136,7 @@
 		func(m *snapshot.Image) { m.State.Servers[3].Latency = -1 }} {
 		m := newImage(10, 1)
 		corrupt(m)
-		if state, _, err := snapshot.Fit(m, now()); err == nil || state != nil {
+		if state, _, err := snapshot.Fit(m, current()); err == nil || state != nil {
 			t.Errorf("corruption %d: the state was accepted", i)
 		}
 	}
