--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -24,7 +24,7 @@
 	Lease             time.Duration     // age from which an unconfirmed view counts as outdated; default 2 s
 	StatusInterval    time.Duration     // minimum time between two statuses of a member; default 200 ms
 	Peers             map[string]string // addresses by member name, in place of those that members announce
-	MaxEvacuatedZones int               // maximum number of zones that the fleet evacuates at once without operators; 0 for a third of all zones
+	MaxEvacuatedZones int               // maximum number of zones that the fleet evacuates at the same time of its own accord; 0 for a third of all zones
 	Registry          Registry          // registry in which members are found; without servers, seeds alone are used
 }
 
--- a/internal/forward/planners.go
+++ b/internal/forward/planners.go
@@ -18,7 +18,7 @@
 	current atomic.Pointer[map[int]string] // addresses as host:port, by gateway number; never changed in place
 
 	mu       sync.Mutex
-	links    map[*link]struct{} // the open links of all sessions
+	links    map[*link]struct{} // open links of all sessions
 	shutDown bool               // whether the deadline of FailUnansweredAt has passed
 }
 
--- a/internal/front/drain_test.go
+++ b/internal/front/drain_test.go
@@ -350,8 +350,8 @@
 // slowValueCommands answers each command with value v.
 type slowValueCommands struct{ v *slowValue }
 
-func (d slowValueCommands) Do(_ time.Time, _ resp.Command, s *Slot) {
-	s.FillFrom(resp.AppendBulkHeader(nil, d.v.remaining), d.v)
+func (c slowValueCommands) Do(_ time.Time, _ resp.Command, s *Slot) {
+	s.FillFrom(resp.AppendBulkHeader(nil, c.v.remaining), c.v)
 }
 
 // TestDrainDeliversLargeValue checks that a large value whose transfer has started is sent completely during a drain, however slow
--- a/internal/front/platform/parse.go
+++ b/internal/front/platform/parse.go
@@ -19,8 +19,8 @@
 const (
 	maxTimeout    = time.Hour // maximum timeout of a request
 	customerCount = 1 << 33   // all customer IDs are below this number
-	maxNameBytes  = 64        // bytes of the name of a request
-	maxKeyBytes   = 64        // bytes of an idempotency key
+	maxNameBytes  = 64        // maximum length of the name of a request, in bytes
+	maxKeyBytes   = 64        // maximum length of an idempotency key, in bytes
 	maxNumber     = 1e6       // maximum value of the arguments units, spread and first
 )
 
--- a/internal/front/reader.go
+++ b/internal/front/reader.go
@@ -26,7 +26,7 @@
 // Limit on invalid commands, and the pause after each of them before the next command is read.
 const (
 	maxFaults       = 16                    // number of invalid commands at which the session ends
-	penaltyPerFault = 50 * time.Millisecond // pause for each invalid command so far
+	penaltyPerFault = 50 * time.Millisecond // part of the pause for each invalid command so far
 	maxPenalty      = time.Second           // maximum pause
 )
 
--- a/internal/front/sessions/sessions.go
+++ b/internal/front/sessions/sessions.go
@@ -17,7 +17,7 @@
 
 // Bounds and version of a session.
 const (
-	maxNameBytes    = 128 // bytes of the name of a client
+	maxNameBytes    = 128 // maximum length of the name of a client, in bytes
 	protocolVersion = 2   // the only supported version of RESP
 )
 
@@ -249,7 +249,7 @@
 		}
 		s.Fill(b)
 	case "DOCS":
-		s.Fill(resp.AppendArray(nil, 0)) // the list of commands with documentation is empty
+		s.Fill(resp.AppendArray(nil, 0)) // an empty list, because no command has documentation
 	case "INFO":
 		if len(args) > 1 {
 			names = names[:0]
--- a/internal/front/writer.go
+++ b/internal/front/writer.go
@@ -13,7 +13,7 @@
 
 // Bounds on the writing of a session's answers.
 const (
-	maxReusedBuffer  = 16 << 10        // bytes of a buffer of answers, above which it is not reused
+	maxReusedBuffer  = 16 << 10        // size in bytes above which a buffer of answers is not reused
 	sendTimeout      = 5 * time.Second // time after which a client that reads nothing is disconnected
 	maxStalledWrites = 10              // consecutive writes without progress that make up sendTimeout
 	valueChunkSize   = 16 << 10        // bytes of a large value that are in memory at once
--- a/internal/ledger/audit.go
+++ b/internal/ledger/audit.go
@@ -38,26 +38,26 @@
 }
 
 // add counts one open entry.
-func (t *inFlight) add(e *Entry) {
+func (flight *inFlight) add(e *Entry) {
 	if e.IsCall {
 		ordered, open, returning := e.Pushed && !e.CallStarted && !e.CallEnded, e.CallStarted && !e.CallEnded, e.CallRejected && !e.UnitsReturned
-		t.orderedCalls += countIf(ordered)
-		t.openCalls += countIf(open)
-		t.pendingReturns += countIf(returning)
-		t.orderedCallUnits += countIf(ordered) * uint64(e.Units)
-		t.openCallUnits += countIf(open) * uint64(e.Units)
-		t.pendingReturnUnits += countIf(returning) * uint64(e.Units)
+		flight.orderedCalls += countIf(ordered)
+		flight.openCalls += countIf(open)
+		flight.pendingReturns += countIf(returning)
+		flight.orderedCallUnits += countIf(ordered) * uint64(e.Units)
+		flight.openCallUnits += countIf(open) * uint64(e.Units)
+		flight.pendingReturnUnits += countIf(returning) * uint64(e.Units)
 		return
 	}
-	t.openAtFront += countIf(e.FrontTaken && !e.FrontEnded)
-	t.openAtPlanner += countIf(e.PlanTaken && e.PlanVerdict == undecided)
-	t.submitted += countIf(e.isSubmitted())
-	t.submittedUnits += countIf(e.isSubmitted()) * uint64(e.Units)
-	t.orderedAttempts += uint64(e.orderedAttempts())
-	t.openAttempts += uint64(e.openAttempts())
-	t.unreportedAttempts += uint64(e.unreportedAttempts())
+	flight.openAtFront += countIf(e.FrontTaken && !e.FrontEnded)
+	flight.openAtPlanner += countIf(e.PlanTaken && e.PlanVerdict == undecided)
+	flight.submitted += countIf(e.isSubmitted())
+	flight.submittedUnits += countIf(e.isSubmitted()) * uint64(e.Units)
+	flight.orderedAttempts += uint64(e.orderedAttempts())
+	flight.openAttempts += uint64(e.openAttempts())
+	flight.unreportedAttempts += uint64(e.unreportedAttempts())
 	if !e.FrontEnded {
-		t.pendingAnswers[e.PlanVerdict]++
+		flight.pendingAnswers[e.PlanVerdict]++
 	}
 }
 
@@ -70,19 +70,19 @@
 	found, l.evictedMismatches = l.evictedMismatches, nil
 	inFlightByKey := map[Key]*inFlight{}
 	for _, e := range l.entries {
-		t := inFlightByKey[e.Key]
-		if t == nil {
-			t = &inFlight{}
-			inFlightByKey[e.Key] = t
+		flight := inFlightByKey[e.Key]
+		if flight == nil {
+			flight = &inFlight{}
+			inFlightByKey[e.Key] = flight
 		}
-		t.add(e)
+		flight.add(e)
 	}
 	check := func(r *row) {
-		t := inFlightByKey[r.key]
-		if t == nil {
-			t = &inFlight{}
+		flight := inFlightByKey[r.key]
+		if flight == nil {
+			flight = &inFlight{}
 		}
-		found = append(found, r.check(t)...)
+		found = append(found, r.check(flight)...)
 	}
 	if allRows {
 		var sum Counts
@@ -136,7 +136,7 @@
 }
 
 // check compares the journals of one row, with allowance for the entries that are in flight between their owners.
-func (r *row) check(t *inFlight) (found []Mismatch) {
+func (r *row) check(flight *inFlight) (found []Mismatch) {
 	c := &r.counts
 	n := &c.N
 	expectEqual := func(what string, a Journal, left uint64, b Journal, right uint64) {
@@ -146,34 +146,34 @@
 	}
 	units := func(e Event) uint64 { return uint64(c.Units(e)) }
 	if r.key.Class == ClassAccount {
-		expectEqual("calls ordered = begun", JournalUnits, n[UnitsPushed], JournalCounter, n[CallStarted]+n[CallNeverStarted]+t.orderedCalls)
+		expectEqual("calls ordered = begun", JournalUnits, n[UnitsPushed], JournalCounter, n[CallStarted]+n[CallNeverStarted]+flight.orderedCalls)
 		expectEqual("calls begun = ended + open", JournalCounter, n[CallStarted], JournalCounter,
-			n[CallAdded]+n[CallRejected]+n[CallUnknown]+n[CallCutoff]+t.openCalls)
+			n[CallAdded]+n[CallRejected]+n[CallUnknown]+n[CallCutoff]+flight.openCalls)
 		expectEqual("units ordered = in calls begun", JournalUnits, units(UnitsPushed), JournalCounter,
-			units(CallStarted)+units(CallNeverStarted)+t.orderedCallUnits)
+			units(CallStarted)+units(CallNeverStarted)+flight.orderedCallUnits)
 		expectEqual("units of calls begun = ended + open", JournalCounter, units(CallStarted), JournalCounter,
-			units(CallAdded)+units(CallRejected)+units(CallUnknown)+units(CallCutoff)+t.openCallUnits)
+			units(CallAdded)+units(CallRejected)+units(CallUnknown)+units(CallCutoff)+flight.openCallUnits)
 		expectEqual("units not added = returned", JournalCounter, units(CallRejected), JournalUnits,
-			units(UnitsReturned)+units(UnitsNeverReturned)+t.pendingReturnUnits)
+			units(UnitsReturned)+units(UnitsNeverReturned)+flight.pendingReturnUnits)
 		return found
 	}
-	expectEqual("taken = served + refused + failed + open", JournalFront, n[FrontTaken], JournalFront, c.Ended()+t.openAtFront)
+	expectEqual("taken = served + refused + failed + open", JournalFront, n[FrontTaken], JournalFront, c.Ended()+flight.openAtFront)
 	expectEqual("taken by the front = by the planner", JournalFront, n[FrontTaken]-n[FrontNotSubmitted]-n[FrontNeverTaken], JournalPlanner,
-		n[PlanTaken]+t.submitted)
+		n[PlanTaken]+flight.submitted)
 	expectEqual("units taken by the front = by the planner", JournalFront,
-		units(FrontTaken)-units(FrontNotSubmitted)-units(FrontNeverTaken), JournalPlanner, units(PlanTaken)+t.submittedUnits)
+		units(FrontTaken)-units(FrontNotSubmitted)-units(FrontNeverTaken), JournalPlanner, units(PlanTaken)+flight.submittedUnits)
 	expectEqual("taken by the planner = decided + open", JournalPlanner, n[PlanTaken], JournalPlanner,
-		n[PlanServed]+c.Rejected()+c.Failed()+n[PlanClientDeparted]+n[PlanCutoff]+t.openAtPlanner)
+		n[PlanServed]+c.Rejected()+c.Failed()+n[PlanClientDeparted]+n[PlanCutoff]+flight.openAtPlanner)
 	expectEqual("served by the planner = written or lost", JournalPlanner, n[PlanServed], JournalFront,
-		n[FrontServed]+r.lostAnswers[served]+t.pendingAnswers[served])
+		n[FrontServed]+r.lostAnswers[served]+flight.pendingAnswers[served])
 	expectEqual("refused by the planner = written or lost", JournalPlanner, c.Rejected(), JournalFront,
-		n[FrontRejected]+r.lostAnswers[rejected]+t.pendingAnswers[rejected])
+		n[FrontRejected]+r.lostAnswers[rejected]+flight.pendingAnswers[rejected])
 	expectEqual("failed by the planner = written or lost", JournalPlanner, c.Failed(), JournalFront,
-		n[FrontFailed]+r.lostAnswers[failed]+t.pendingAnswers[failed])
-	expectEqual("fetches ordered = begun", JournalPlanner, n[PlanSent], JournalAttempts, n[AttemptStarted]+n[AttemptNeverStarted]+t.orderedAttempts)
-	expectEqual("fetches begun = ended + open", JournalAttempts, n[AttemptStarted], JournalAttempts, c.AttemptsEnded()+t.openAttempts)
+		n[FrontFailed]+r.lostAnswers[failed]+flight.pendingAnswers[failed])
+	expectEqual("fetches ordered = begun", JournalPlanner, n[PlanSent], JournalAttempts, n[AttemptStarted]+n[AttemptNeverStarted]+flight.orderedAttempts)
+	expectEqual("fetches begun = ended + open", JournalAttempts, n[AttemptStarted], JournalAttempts, c.AttemptsEnded()+flight.openAttempts)
 	expectEqual("fetches ended = heard of", JournalAttempts, c.AttemptsEnded()+n[AttemptNeverStarted], JournalPlanner,
-		n[PlanNotified]+n[PlanNeverNotified]+t.unreportedAttempts)
+		n[PlanNotified]+n[PlanNeverNotified]+flight.unreportedAttempts)
 	if r.key.Class >= 0 && int64(n[PlanServed]-n[AttemptOK]) > 0 {
 		expectEqual("served by a good fetch each", JournalPlanner, n[PlanServed], JournalAttempts, n[AttemptOK])
 	}
@@ -183,10 +183,10 @@
 // CheckTally is the text of the check of AuditAccounts.
 const CheckTally = "units on the tally = drawn - told + returned"
 
-// AuditAccounts compares the tallies of the decision module with the units' journal, for the accounts that Accounts returned.
-// tally returns the units on a customer's tally, and false if the module has dropped the account with its tally. For the units of
-// a dropped account, AuditAccounts returns a posting in forgotten, which the caller must post. No units may be drawn during the
-// call.
+// AuditAccounts compares the tallies of the decision module with the units' journal, for the accounts that Accounts returned. The
+// tally of an account holds the units that were drawn and for which no counter call was ordered yet. tally returns the units on a
+// customer's tally, and false if the module has dropped the account with its tally. For the units of a dropped account,
+// AuditAccounts returns a posting in forgotten, which the caller must post. No units may be drawn during the call.
 func (l *Ledger) AuditAccounts(keys []Key, tally func(customer uint64) (units float64, known bool)) (found []Mismatch,
 	forgotten []Posting) {
 	for _, k := range keys {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -30,7 +30,7 @@
 	rowsByRecency          *list.List          // customers' rows (*row), the most recently posted first; without rolled-up rows
 	entries                map[uint64]*Entry   // open entries by reference
 	lastRow                *row                // row of the last posting, already marked as changed; nil after an audit or statement
-	recencyEpoch           uint64              // number of audits
+	recencyEpoch           uint64              // number of audits; a row moves in rowsByRecency at most once between two audits
 	total                  Counts              // sum over all rows, posted independently of them
 	dirty                  []*row              // rows that were posted to since the last audit
 	unstored               []*row              // rows that were posted to since the last statement
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -208,9 +208,9 @@
 				stated[d.Key].Add(&d.Counts)
 			}
 			open = s.Open
-			for _, k := range s.Rows {
-				if stored[k.Key] = k; k.RolledUp {
-					delete(stored, k.Key)
+			for _, row := range s.Rows {
+				if stored[row.Key] = row; row.RolledUp {
+					delete(stored, row.Key)
 				}
 			}
 		}
@@ -223,8 +223,8 @@
 				takeStatement()
 				// The ledger that a store would restore after any statement must balance as well.
 				restored := New(Limits{Rows: 1000, Open: 1000, RecentPostings: 10}, true)
-				for _, k := range stored {
-					restored.Restore(k)
+				for _, row := range stored {
+					restored.Restore(row)
 				}
 				for _, o := range open {
 					restored.RestoreOpen(o)
@@ -238,9 +238,9 @@
 			statedTotal.Add(c)
 		}
 		restored := New(Limits{Rows: 1000, Open: 1000, RecentPostings: 10}, true)
-		for _, k := range stored {
-			storedTotal.Add(&k.Counts)
-			restored.Restore(k)
+		for _, row := range stored {
+			storedTotal.Add(&row.Counts)
+			restored.Restore(row)
 		}
 		if statedTotal != l.Total() || storedTotal != l.Total() || restored.Total() != l.Total() {
 			t.Fatalf("requests taken: %d in statements, %d in stored rows, %d restored, %d in the ledger", statedTotal.N[FrontTaken], storedTotal.N[FrontTaken],
--- a/internal/ledger/recorder/names_test.go
+++ b/internal/ledger/recorder/names_test.go
@@ -59,10 +59,10 @@
 // countingStore counts the appended postings.
 type countingStore struct{ appended int }
 
-func (k *countingStore) Append(ledger.Posting)     { k.appended++ }
-func (k *countingStore) EndPeriod()                {}
-func (k *countingStore) Stage(ledger.Statement)    {}
-func (k *countingStore) Commit(ledger.Names) error { return nil }
+func (s *countingStore) Append(ledger.Posting)     { s.appended++ }
+func (s *countingStore) EndPeriod()                {}
+func (s *countingStore) Stage(ledger.Statement)    {}
+func (s *countingStore) Commit(ledger.Names) error { return nil }
 
 // TestForgottenUnitsFillQueue guards against a deadlock: the module drops an account while the queue of postings is one short of
 // its limit, and the posting of the forgotten units fills the queue. Post then locks mu to drain it, so auditTallies must not
--- a/internal/ledger/recorder/recorder.go
+++ b/internal/ledger/recorder/recorder.go
@@ -41,7 +41,7 @@
 
 // Limits of the recorder, and the name that stands in for names beyond them.
 const (
-	auditsPerFullAudit = 4     // one audit in this number is of all rows
+	auditsPerFullAudit = 4     // number of audits of which one checks all rows
 	maxNames           = 200   // maximum number of plan names, and of class names
 	alarmPostings      = 32    // number of a row's last postings that an alarm shows
 	maxAlarms          = 256   // maximum number of active alarms; further mismatches raise none
--- a/internal/ledger/store/write.go
+++ b/internal/ledger/store/write.go
@@ -106,10 +106,10 @@
 			return err
 		}
 	}
-	for _, t := range staged.idempotentRequests {
-		r := statement.Record{Kind: statement.AttemptRecord, From: time.Unix(0, t.Taken).UTC(), To: time.Unix(0, t.Ended).UTC(),
-			Customer: ledger.CustomerText(t.Key.Customer), Plan: names.Plan(t.Key.Plan), Class: names.Class(t.Key.Class),
-			Key: fmt.Sprintf("%016x", t.Hash), End: t.End.String()}
+	for _, request := range staged.idempotentRequests {
+		r := statement.Record{Kind: statement.AttemptRecord, From: time.Unix(0, request.Taken).UTC(), To: time.Unix(0, request.Ended).UTC(),
+			Customer: ledger.CustomerText(request.Key.Customer), Plan: names.Plan(request.Key.Plan), Class: names.Class(request.Key.Class),
+			Key: fmt.Sprintf("%016x", request.Hash), End: request.End.String()}
 		if err := w.record(r); err != nil {
 			return err
 		}
