--- a/internal/config/operations.go
+++ b/internal/config/operations.go
@@ -31,7 +31,7 @@
 	Dir      string        // folder of snapshots, shared with the next process; $TMPDIR if empty
 }
 
-// Enabled returns true if the process keeps snapshots. inherited tells whether it inherited a listening socket.
+// Enabled returns true if the process keeps snapshots. inherited is true if the process inherited a listening socket.
 func (w WarmStart) Enabled(inherited bool) bool {
 	return w.Mode == "on" || w.Mode == "auto" && inherited
 }
--- a/internal/front/sessions/golden_test.go
+++ b/internal/front/sessions/golden_test.go
@@ -59,7 +59,7 @@
 }
 
 // TestGoldenCommandList compares the answers to COMMAND and COMMAND LIST with a golden file. Their items are sorted, because they
-// come in no fixed order. RESP clients read them.
+// are in no fixed order. RESP clients read them.
 func TestGoldenCommandList(t *testing.T) {
 	s := &Commands{Commands: echoCommands{}}
 	var b []byte
--- a/internal/front/slot.go
+++ b/internal/front/slot.go
@@ -172,7 +172,7 @@
 	}
 }
 
-// settleAnswers reports the outcomes of consecutive answers of which the first written bytes were written.
+// settleAnswers reports the outcomes of the answers in a buffer. written is the number of bytes of the buffer that were written.
 func settleAnswers(answerEnds []answerEnd, written int) {
 	for _, answer := range answerEnds {
 		if answer.end <= written {
--- a/internal/front/writer.go
+++ b/internal/front/writer.go
@@ -136,7 +136,8 @@
 }
 
 // send writes all of b. The client may read slowly, but must read something within sendTimeout. The timeout is divided into
-// maxStalledWrites writes, because a write does not tell when it last made progress: one long write could last twice the timeout.
+// maxStalledWrites writes, because a write does not report when it last made progress: one long write could last twice the
+// timeout.
 func (s *session) send(b []byte) (n int, err error) {
 	for stalledWrites := 0; n < len(b); {
 		s.conn.SetWriteDeadline(time.Now().Add(sendTimeout / maxStalledWrites))
--- a/internal/http1/answer.go
+++ b/internal/http1/answer.go
@@ -24,7 +24,7 @@
 
 func protocolError(reason string) error { return fmt.Errorf("%w: %s", ErrProtocol, reason) }
 
-// Response is the head of a response: what the status line and the headers say about the body and the connection.
+// Response is the head of a response: the part of the status line and the headers that concerns the body and the connection.
 type Response struct {
 	Status  int
 	Length  int  // bytes of the body; -1 if the body ends with the connection
--- a/internal/ledger/audit.go
+++ b/internal/ledger/audit.go
@@ -37,7 +37,7 @@
 	return 0
 }
 
-// add counts one open entry.
+// add adds an open entry to the counts of the postings that are due for it.
 func (flight *inFlight) add(e *Entry) {
 	if e.IsCall {
 		ordered, open, returning := e.Pushed && !e.CallStarted && !e.CallEnded, e.CallStarted && !e.CallEnded, e.CallRejected && !e.UnitsReturned
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -32,7 +32,7 @@
 	return other
 }
 
-// Entry is an open request or counter call. It holds the state that the postings of each owner with its reference have reported.
+// Entry is an open request or counter call. It holds the state that results from the postings of all owners with its reference.
 type Entry struct {
 	Key               Key     `json:"Key"`
 	Units             int64   `json:"Units"` // units in millionths
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -76,7 +76,7 @@
 }
 
 // TestCheckForm compares the text of each check and the order of its two journals with a golden file. The alarm file, the
-// program's log and the verify command show the text, and readers tell alarms apart by it.
+// program's log and the verify command show the text, and readers distinguish alarms by it.
 func TestCheckForm(t *testing.T) {
 	l := New(Limits{}, false)
 	for _, k := range []Key{{Customer: 5, Plan: 1, Class: 2}, Account(6)} {
--- a/internal/ledger/rows.go
+++ b/internal/ledger/rows.go
@@ -21,7 +21,7 @@
 
 // row finds or creates the row of a key, and marks it as changed.
 func (l *Ledger) row(k Key) *row {
-	if l.lastRow != nil && l.lastRow.key == k { // the postings of one request come close together
+	if l.lastRow != nil && l.lastRow.key == k { // the postings of one request follow each other closely
 		return l.lastRow
 	}
 	r := l.rows[k]
--- a/internal/ledger/store/read.go
+++ b/internal/ledger/store/read.go
@@ -156,11 +156,12 @@
 	Last        uint64         // number of the last record for export
 }
 
-// maxReadAttempts limits how often Read reads a folder. A running gateway that writes meanwhile can make its log look torn.
+// maxReadAttempts is the maximum number of times that Read reads a folder. The log can look torn while a running gateway writes
+// to it.
 const maxReadAttempts = 5
 
-// Read restores the ledger of a folder, from the embedded store and the log, and changes nothing. Of the postings that a running
-// gateway appends meanwhile, the ledger contains those before some point in time.
+// Read restores the ledger of a folder, from the embedded store and the log, and changes nothing. If a running gateway appends
+// postings during the call, the ledger contains those before some point in time.
 func Read(dir string) (v *View, err error) {
 	for range maxReadAttempts {
 		if v, err = readOnce(dir); err != nil || len(v.Notes) == 0 {
--- a/internal/ledger/store/recovery.go
+++ b/internal/ledger/store/recovery.go
@@ -64,7 +64,7 @@
 	return l, found, nil
 }
 
-// setAside renames the embedded store and the segments, so that they are not read again and not lost either.
+// setAside renames the embedded store and the segments, so that they are neither read again nor lost.
 func (s *Store) setAside() error {
 	suffix := fmt.Sprintf(".bad-%d", time.Now().UnixNano())
 	numbers, err := segments(s.options.Dir)
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -278,7 +278,7 @@
 	f.Add([]byte("\x9b\xff\xff\xff\xff\xff\xff\xff\xff"))
 	now := newImage(0, 0)
 	f.Fuzz(func(t *testing.T, body []byte) {
-		// The header is valid, so that the body is what has to be bounded and checked.
+		// The header is valid, so the checks of the body are tested.
 		_, m, err := snapshot.Decode(snapshot.Seal(body))
 		if err != nil {
 			return
