--- a/internal/front/lifecycle.go
+++ b/internal/front/lifecycle.go
@@ -28,7 +28,7 @@
 // Times for which input is discarded after the sending side of a connection is closed.
 const (
 	discardTime    = 300 * time.Millisecond // maximum time; closeAt may be earlier
-	minDiscardTime = 50 * time.Millisecond  // minimum time to discard input, even if closeAt is earlier
+	minDiscardTime = 50 * time.Millisecond  // minimum time, even if closeAt is earlier
 )
 
 // state is a stage of a client connection. It never goes back.
