--- a/internal/fleet/agent/slow_start.go
+++ b/internal/fleet/agent/slow_start.go
@@ -11,12 +11,12 @@
 
 const allocationInterval = 200 * time.Millisecond // shortest time between two allocations of slow-start rates by the leader
 
-// EndpointsChanged replaces the servers that are listed and ready. It does not block. The caller must not modify the
-// slice afterwards.
-func (a *Agent) EndpointsChanged(servers []slowstart.Server) { a.endpoints.Store(&servers) }
+// EndpointsChanged replaces the servers that are listed as ready, in zones that have a name. It does not block. The
+// caller must not modify the slice afterwards.
+func (a *Agent) EndpointsChanged(servers []slowstart.Server) { a.readyServers.Store(&servers) }
 
 func (a *Agent) listedServers() []slowstart.Server {
-	if p := a.endpoints.Load(); p != nil {
+	if p := a.readyServers.Load(); p != nil {
 		return *p
 	}
 	return nil
