--- a/internal/front/closing.go
+++ b/internal/front/closing.go
@@ -134,9 +134,9 @@
 	}
 }
 
-// expediteDrained expedites the answers of sessions with unread input. It repeats this after each expediteInterval until drain d ends
-// or no session is left. Without it, a request at a server that hangs keeps its connection open past the time limit of the drain, and the
-// input that the client has written since is lost.
+// expediteDrained expedites the answers of sessions with unread input. It repeats this after each expediteInterval until drain d
+// ends or no session remains. Without it, a request at a server that hangs keeps its connection open past the time limit of the
+// drain, and the input that the client has written since is lost.
 func (srv *Server) expediteDrained(d *drainTimes) {
 	var sessions []*session
 	srv.mu.Lock()
--- a/internal/front/eviction_test.go
+++ b/internal/front/eviction_test.go
@@ -111,7 +111,7 @@
 	// The three clients that send, send slowly or have a pending answer stay, and seven more: 33 of 40 are evicted, and no more.
 	e.sendUntilEvicted(busy, answers, 33)
 	if len(e.evicted) > 0 {
-		t.Errorf("%d more than 33 clients were evicted", len(e.evicted))
+		t.Errorf("%d clients were evicted in addition to the expected 33", len(e.evicted))
 	}
 	for name, c := range map[string]net.Conn{"with a pending answer": pending, "that never sent a command": silent, "that sends slowly": slow} {
 		c.SetReadDeadline(time.Now().Add(10 * time.Millisecond))
--- a/internal/front/lifecycle.go
+++ b/internal/front/lifecycle.go
@@ -27,8 +27,8 @@
 
 // Times for which input is discarded after the sending side of a connection is closed.
 const (
-	maxDiscardTime = 300 * time.Millisecond // maximum time; closeAt may be earlier
-	minDiscardTime = 50 * time.Millisecond  // minimum time, even if closeAt is earlier
+	maxDiscardTime = 300 * time.Millisecond // maximum time to discard input; closeAt may be earlier
+	minDiscardTime = 50 * time.Millisecond  // minimum time to discard input, even if closeAt is earlier
 )
 
 // state is a stage of a client connection. It never goes back.
--- a/internal/front/lifecycle_test.go
+++ b/internal/front/lifecycle_test.go
@@ -129,6 +129,6 @@
 	}
 	l.closeWrite(start.Add(time.Hour))
 	if l.closeAt.After(start.Add(drainTimeLimit)) {
-		t.Errorf("after a second closeWrite: got %+v", l)
+		t.Errorf("after a second closeWrite: got %+v, expected no later closeAt", l)
 	}
 }
--- a/internal/ledger/store/store_test.go
+++ b/internal/ledger/store/store_test.go
@@ -216,9 +216,9 @@
 	return f.diskFiles.Create(path, size)
 }
 
-// Guards against lost or contradictory figures with a full disk and a bbolt store that a reader has locked. The ledger must
-// go on in memory while the log breaks off; a crash in this state must give a ledger that balances and a note on what was lost;
-// and once there is room, the log must resume so that a crash loses nothing.
+// TestDiskFull guards against lost or contradictory figures with a full disk and a bbolt store that a reader has locked. The
+// ledger must go on in memory while the log breaks off; a crash in this state must give a ledger that balances and a note on what
+// was lost; and once there is room, the log must resume so that a crash loses nothing.
 func TestDiskFull(t *testing.T) {
 	dir := t.TempDir()
 	o := options(dir)
