--- a/internal/front/sessions/golden_test.go
+++ b/internal/front/sessions/golden_test.go
@@ -59,7 +59,7 @@
 }
 
 // TestGoldenCommandList compares the answers to COMMAND and COMMAND LIST with a golden file. Their items are sorted, because they
-// come in no fixed order. RESP clients read them.
+// are in no fixed order. RESP clients read them.
 func TestGoldenCommandList(t *testing.T) {
 	s := &Commands{Commands: echoCommands{}}
 	var b []byte
@@ -103,7 +103,7 @@
 	}
 	var text bytes.Buffer
 	if _, err := standin.ReadReply(bufio.NewReader(io.TeeReader(client, &text))); err != nil {
-		t.Fatalf("%q: %v", words, err)
+		t.Fatalf("%q: no answer: %v", words, err)
 	}
 	return fmt.Appendf(nil, "%q\n\t%q\n", words, text.Bytes())
 }
--- a/internal/front/writer.go
+++ b/internal/front/writer.go
@@ -13,7 +13,7 @@
 
 // Bounds on the writing of a session's answers.
 const (
-	maxReusedBuffer  = 16 << 10        // bytes of a buffer of answers, above which it is not reused
+	maxReusedBuffer  = 16 << 10        // size in bytes above which a buffer of answers is not reused
 	sendTimeout      = 5 * time.Second // time after which a client that reads nothing is disconnected
 	maxStalledWrites = 10              // consecutive writes without progress that make up sendTimeout
 	valueChunkSize   = 16 << 10        // bytes of a large value that are in memory at once
@@ -136,7 +136,8 @@
 }
 
 // send writes all of b. The client may read slowly, but must read something within sendTimeout. The timeout is divided into
-// maxStalledWrites writes, because a write does not tell when it last made progress: one long write could last twice the timeout.
+// maxStalledWrites writes, because a write does not report when it last made progress: one long write could last twice the
+// timeout.
 func (s *session) send(b []byte) (n int, err error) {
 	for stalledWrites := 0; n < len(b); {
 		s.conn.SetWriteDeadline(time.Now().Add(sendTimeout / maxStalledWrites))
--- a/internal/snapshot/snapshot_test.go
+++ b/internal/snapshot/snapshot_test.go
@@ -38,8 +38,8 @@
 	return m
 }
 
-// TestRoundTrip guards against a snapshot that decodes to another state than was encoded, and against one that is accepted though
-// it is cut short or a byte of it has changed.
+// TestRoundTrip guards against a snapshot that decodes to a state other than the encoded one, and against accepting a snapshot
+// that is truncated or has a changed byte.
 func TestRoundTrip(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newImage(rapid.IntRange(0, 40).Draw(t, "customers"), rapid.Float64Range(0, 1e9).Draw(t, "v"))
@@ -98,8 +98,8 @@
 	}
 }
 
-// TestLengthIsNotBelieved guards against a header whose length is far greater than the snapshot, which must not lead to an
-// allocation of that length.
+// TestLengthIsNotBelieved guards against excessive memory use: a header that announces a length far greater than the snapshot
+// must not lead to an allocation of that length.
 func TestLengthIsNotBelieved(t *testing.T) {
 	m := newImage(0, 1)
 	b, _ := snapshot.Encode(nil, snapshot.Generation{Incarnation: 1}, m)
@@ -116,14 +116,15 @@
 // TestFit guards against state that is assigned to the wrong class or plan after a change of the settings, and against state of
 // another deployment or with invalid numbers that is accepted.
 func TestFit(t *testing.T) {
-	now := func() *snapshot.Image { m := newImage(0, 0); m.State = dw.State{}; return m }
+	current := func() *snapshot.Image { m := newImage(0, 0); m.State = dw.State{}; return m }
 	exported := newImage(10, 1)
-	reloaded := now()
-	reloaded.Classes = []string{"booking", "inquiry"}                                                         // one class dropped, one new, in another order
-	reloaded.Plans = []snapshot.Plan{{Name: "basic", Rate: 4, Burst: 8}, {Name: "fleet", Rate: 9, Burst: 16}} // one plan changed
+	reloaded := current()
+	// One class is dropped and one is new, in another order. One plan is changed.
+	reloaded.Classes = []string{"booking", "inquiry"}
+	reloaded.Plans = []snapshot.Plan{{Name: "basic", Rate: 4, Burst: 8}, {Name: "fleet", Rate: 9, Burst: 16}}
 	state, dropped, err := snapshot.Fit(exported, reloaded)
 	if err != nil || dropped != 6 || len(state.Customers) != 5 || state.Customers[0].Plan != 0 {
-		t.Fatalf("error %v, %d dropped, want 6, with 5 customers left of %+v", err, dropped, state)
+		t.Fatalf("got error %v, %d dropped, want 6; want 5 remaining customers, got %+v", err, dropped, state)
 	}
 	if want := []float64{2, 1}; !reflect.DeepEqual(state.ClassLatencyRatios, want) || state.Servers[0].Failures[0].Count != 2 || state.Servers[0].Failures[1].Count != 0 {
 		t.Fatalf("got latency ratios %v and first server %+v", state.ClassLatencyRatios, state.Servers[0])
@@ -135,7 +136,7 @@
 		func(m *snapshot.Image) { m.State.Servers[3].Latency = -1 }} {
 		m := newImage(10, 1)
 		corrupt(m)
-		if state, _, err := snapshot.Fit(m, now()); err == nil || state != nil {
+		if state, _, err := snapshot.Fit(m, current()); err == nil || state != nil {
 			t.Errorf("corruption %d: the state was accepted", i)
 		}
 	}
@@ -223,8 +224,9 @@
 	}
 }
 
-// TestKilledWriter guards against a snapshot that is incomplete or mixed after a crash. It kills a writer 50 times at a random
-// instant. The snapshot found then must be complete, of one write, and at least as new as the last one that the writer reported.
+// TestKilledWriter guards against a snapshot that is incomplete or mixed after a crash. It kills a writer process 50 times at a
+// random time. The snapshot found then must be complete, of one write, and at least as new as the last one that the writer
+// reported.
 func TestKilledWriter(t *testing.T) {
 	const seed = 20261201
 	rng := rand.New(rand.NewPCG(seed, 0))
@@ -276,7 +278,7 @@
 	f.Add([]byte("\x9b\xff\xff\xff\xff\xff\xff\xff\xff"))
 	now := newImage(0, 0)
 	f.Fuzz(func(t *testing.T, body []byte) {
-		// The header is valid, so that the body is what has to be bounded and checked.
+		// The header is valid, so the checks of the body are tested.
 		_, m, err := snapshot.Decode(snapshot.Seal(body))
 		if err != nil {
 			return
