--- a/account.go
+++ b/account.go
@@ -1,9 +1,9 @@
 package dewhitch
 
 const (
-	maxCounterTTL       = 60 * second // time after which the counter forgets a name, at most
-	windowBursts        = 2.0         // bursts that a window refills; a blocked customer waits for its end
-	callsPerWindow      = 4           // ordinary calls in a window, which lasts at least as many timeouts
+	maxCounterTTL       = 60 * second // longest time after which the counter forgets a name
+	windowBursts        = 2.0         // bursts that refill in a window, for whose end a blocked customer waits
+	callsPerWindow      = 4           // ordinary calls in a window; it lasts at least as many counter timeouts
 	accountExpiryPeriod = 5 * second  // interval between two searches for idle accounts
 )
 
@@ -12,7 +12,7 @@
 	id           CustomerID
 	plan         *Plan
 	gateways     float64 // number of gateways that serve the customer, including this one; at least 1
-	counterFirst bool    // an equal share of the burst is less than one request; see newAccount
+	counterFirst bool    // requests are counted before they are admitted; see newAccount
 	window       Span    // length of a window of the shared counter
 
 	bucket  sharedBucket // token bucket of the quota
--- a/actions.go
+++ b/actions.go
@@ -1,6 +1,6 @@
 package dewhitch
 
-// Reason tells why a request was rejected or failed. It is for records: clients get only the Retry-After.
+// Reason is why a request was rejected or failed. It is for records: clients get only the Retry-After.
 type Reason int
 
 // The reasons for rejections and failures.
@@ -58,7 +58,7 @@
 		At Instant
 		ID TimerID
 	}
-	// CounterAdd adds to a named number that all gateways share, and reads it.
+	// CounterAdd adds units to a named counter that all gateways share, and reads its total.
 	CounterAdd struct {
 		Name     string
 		Customer CustomerID // customer whose whole tally is added
--- a/admission.go
+++ b/admission.go
@@ -37,8 +37,8 @@
 // on that before the request is forwarded.
 func (v quotaVerdict) certain() bool { return v.admitted && v.check != counterCheckImpossible }
 
-// handleArrival decides on a new request, or on a LimitAdjust that takes units (unitsOnly): it is rejected at
-// once, or served from here on. The rules apply in this order:
+// handleArrival decides on a new request, or on a LimitAdjust that takes units (unitsOnly): it rejects the
+// request or starts to serve it. The rules apply in this order:
 //
 //  1. validity (checkValid);
 //  2. the quota, less what is reserved for higher priorities; with the counter if needed (checkQuota);
@@ -101,8 +101,8 @@
 	}
 }
 
-// checkQuota decides whether r is within its quota: according to local state, or by demand if the counter
-// must be consulted and cannot be.
+// checkQuota decides whether r is within its quota: according to local state, or at random by demand if the
+// counter must be called first and cannot be.
 func (ad *admission) checkQuota(r *request) quotaVerdict {
 	v := quotaVerdict{verdict: ad.quota.check(r.account, r.units, ad.priorities.reservedFor(r))}
 	if !v.admitted {
@@ -138,7 +138,7 @@
 	return deny(ReasonQuota, 0)
 }
 
-// sampleByDemand returns true for a random part, rate divided by demand, of the requests that should be
+// sampleByDemand returns true for a random fraction, rate divided by demand, of the requests that should be
 // counted first and cannot be, and for all other requests.
 func (ad *admission) sampleByDemand(a *account) bool {
 	return !a.counterFirst || ad.ctx.rng.Float64()*a.demand.units <= a.plan.Rate*a.demand.elapsed
--- a/aperture.go
+++ b/aperture.go
@@ -10,7 +10,7 @@
 )
 
 // aperture limits the number of servers that this gateway uses, in proportion to its own traffic. With more
-// servers it would send to each too rarely to estimate its load.
+// servers, it would send to each too rarely to estimate the server's load.
 type aperture struct {
 	endpoints *endpointSet
 	traffic   *trafficStatistics
--- a/attempt.go
+++ b/attempt.go
@@ -17,7 +17,7 @@
 	counter     *counterSync
 }
 
-// start sends r to s, which the balancer must have selected for r in the present event.
+// start sends r to s, which the balancer must have selected for r during the current event.
 func (c *attemptController) start(r *request, s *server) {
 	c.scheduleHedge(r)
 	endsBy := r.deadline
--- a/balancer.go
+++ b/balancer.go
@@ -9,8 +9,8 @@
 )
 
 // balancer selects the server of an attempt. maxComparedServers and maxVisitedServers bound the work of a
-// selection, so that it does not grow with the endpoint list. A selection only changes the slow-start budgets
-// of warming servers, which it refills.
+// selection, so that it does not grow with the endpoint list. Of the servers, a selection changes only the
+// slow-start budgets of warming ones, which it refills.
 type balancer struct {
 	ctx       *stepContext
 	endpoints *endpointSet
@@ -25,7 +25,7 @@
 // candidate is a server that the request may be sent to. The server is nil if none was found.
 type candidate struct {
 	*server
-	cost     float64 // candidates are compared by cost; the lowest wins
+	cost     float64 // estimated cost; the candidate with the lowest is selected
 	expected float64 // expected latency of a new attempt, in seconds
 }
 
@@ -118,7 +118,7 @@
 	if n := len(r.attempts); n > 0 && r.attempts[n-1].server == s {
 		cost += seconds(r.class.Objective)
 	}
-	// Without this, the loss of a zone would be detected server by server, at the cost of an attempt each.
+	// Without this, the loss of a zone would be detected one server at a time, by a failed attempt on each.
 	cost /= 1 - c.traffic.zoneFailures[s.Zone]
 	if s.Zone != c.ctx.settings.Zone {
 		cost *= 1 + crossZonePenalty
--- a/counter_sync.go
+++ b/counter_sync.go
@@ -8,9 +8,9 @@
 )
 
 const (
-	earlyPushFraction  = 0.25 // fraction of the available units: such a tally is pushed before its period ends
-	counterFirstBursts = 0.5  // bursts beyond the rate in a counterFirst window: few buckets start empty
-	counterPrecision   = 0.01 // error of a total in units, because totals are sent with seven digits
+	earlyPushFraction  = 0.25 // a tally of this fraction of the available units is pushed before its period ends
+	counterFirstBursts = 0.5  // bursts beyond the rate in a counterFirst window, as few buckets start empty
+	counterPrecision   = 0.01 // largest error of a total in units, because totals are sent with seven digits
 )
 
 // counterWindow is the state of an account's synchronization with the shared counter, which counts units by
@@ -20,7 +20,7 @@
 	total         float64 // units of all gateways in this window, as last read
 	confirmedOwn  float64 // units of this gateway that the counter's total certainly contains
 	tally         float64 // units spent here and not yet pushed; below 0: units returned
-	unitsInFlight float64 // units of the call in flight
+	unitsInFlight float64 // units that the call in flight adds
 	callInFlight  bool    // a call is in flight; an account never has more than one
 	totalWanted   bool    // the next call does not wait for its period
 	queued        bool    // the account is in counterSync.queue
@@ -45,7 +45,7 @@
 func (s *counterSync) spend(a *account, units float64) {
 	a.consumed += units
 	s.addToTally(a, units)
-	if a.counterFirst { // pushed with the next checked request: there are no calls to spare
+	if a.counterFirst { // pushed with the next checked request: the rate limit leaves no calls to spare
 		return
 	}
 	a.bucket.spend(s.ctx.now, units)
@@ -64,7 +64,7 @@
 }
 
 // enqueue queues an account for a call by sweep; if its total is wanted, the call does not wait for its
-// period. First calls fall at random into the period, so that the gateways' calls do not coincide.
+// period. The first call is made at a random time of the period, so that the gateways' calls do not coincide.
 func (s *counterSync) enqueue(a *account, totalWanted bool) {
 	a.sync.totalWanted = a.sync.totalWanted || totalWanted
 	if a.sync.queued || !s.ctx.settings.Counter || a.plan.Rate <= 0 {
@@ -130,8 +130,8 @@
 	s.ctx.emit(CounterAdd{Name: name, Customer: a.id, Add: w.unitsInFlight, TTL: min(maxCounterTTL, 2*a.window)})
 }
 
-// startWindow moves an account to the current window. The bucket's level is kept: use in the old window that
-// was not read is assumed to be as predicted.
+// startWindow moves an account to the current window. The bucket's level is kept: use that no total of the
+// old window has shown is assumed to be as predicted.
 func (s *counterSync) startWindow(a *account) {
 	number := a.windowNumber(s.ctx.now)
 	if number == a.sync.windowNumber {
--- a/endpoint_set.go
+++ b/endpoint_set.go
@@ -14,9 +14,9 @@
 	Endpoint
 	rank                uint64          // position in this gateway's order of use; unique in a list
 	inFlight            int             // number of this gateway's attempts that have not ended
-	withoutSuccessSince Instant         // since when attempts are in flight and none has succeeded
+	withoutSuccessSince Instant         // time since which attempts are in flight and none has succeeded
 	succeededAt         Instant         // time of the last success of any class
-	latency             float64         // seconds: moving average for a lone attempt on a warm server
+	latency             float64         // seconds: moving average, corrected to a lone attempt on a warm server
 	measuredAt          Instant         // time of the last sample in latency
 	failures            []failureRecord // failures by class
 	slowStartBudget     bucket          // attempts that may start while the server warms up
--- a/events.go
+++ b/events.go
@@ -3,7 +3,7 @@
 // Event is an input of Gateway.Handle: something that happened at this gateway.
 type Event interface{ event() }
 
-// ListKind tells how the servers of an EndpointList are to be applied.
+// ListKind is how the servers of an EndpointList are applied.
 type ListKind int
 
 // The kinds of endpoint lists.
@@ -35,7 +35,7 @@
 		Repeat       bool    // the client marks the request as a retry
 		Write        bool
 	}
-	// LimitQuery asks how much of a customer's quota remains; it takes no units. Its fields are those of
+	// LimitQuery requests how much of a customer's quota remains; it takes no units. Its fields are those of
 	// Arrival.
 	LimitQuery struct {
 		ID           RequestID
@@ -63,7 +63,7 @@
 		Attempt   int // index among the request's attempts, from 0
 		Server    ServerID
 		Outcome   Outcome
-		Final     bool // the request is finished; no answer is owed
+		Final     bool // the request is finished and needs no answer
 		Latency   Span
 		Used      int     // 1 + the customer's metered use in percent of its rate; 0: unknown
 		TrueUnits float64 // units that the request actually used; 0: unknown
@@ -71,7 +71,7 @@
 	}
 	// ClientDeparted reports that a client no longer waits for its request, which needs no answer.
 	ClientDeparted struct{ Request RequestID }
-	// Expedite demands that a request gets its final answer now, whatever its deadline.
+	// Expedite requires a final answer to a request now, whatever its deadline.
 	Expedite struct{ Request RequestID }
 	// Shutdown announces that this gateway ends at an instant: every request must have its answer by then,
 	// whatever its deadline.
--- a/gateway.go
+++ b/gateway.go
@@ -8,8 +8,8 @@
 
 // Gateway is the decision module of one gateway: a state machine that Handle advances. It holds the
 // components that make the decisions and routes each event to one of them. A component uses only the
-// components above it in this list, and changes only its own state and what it documents. One goroutine owns
-// a Gateway; its methods must not run concurrently.
+// components above it in this list, and changes only its own state and the state that its comments name. One
+// goroutine owns a Gateway; its methods must not run concurrently.
 type Gateway struct {
 	ctx     *stepContext
 	started bool // true once Handle has received its first event
--- a/latency_estimate.go
+++ b/latency_estimate.go
@@ -18,7 +18,7 @@
 	serverParallelism      = 2.0    // attempts that a server is assumed to run in parallel
 	reportWeight           = 0.8    // weight of a load report in a server's latency at full sparsity
 	idleRecoveryTime       = second // time in which an idle server's estimate recovers
-	idleRecoveryInterval   = 3.0    // idle recovery in intervals between attempts on the server, if longer
+	idleRecoveryInterval   = 3.0    // least idle recovery time, in intervals between attempts on a server
 	maxSweptServers        = 256    // number of servers that one sweep updates
 )
 
@@ -36,7 +36,7 @@
 	classLatencyRatio  []float64 // by class: its latency as a multiple of the mean
 	classSamples       []float64 // by class: number of samples in its latency ratio
 	minObjective       Span      // shortest latency objective of all classes
-	lastRecoveredIndex int       // index of the server that the last sweep updated last
+	lastRecoveredIndex int       // index of the server that was updated last
 }
 
 // newLatencyEstimator derives the initial estimates from the latency objectives of the classes.
@@ -55,7 +55,7 @@
 	return l
 }
 
-// reset sets a server's estimate to the mean.
+// reset sets a server's latency to the mean over all servers.
 func (l *latencyEstimator) reset(s *server) { s.latency = l.mean }
 
 // congestion returns the factor by which n other attempts of this gateway on a server slow down an attempt.
--- a/limit_answers.go
+++ b/limit_answers.go
@@ -63,7 +63,7 @@
 	}
 	a.sync.confirmedOwn -= units
 	q.counter.spend(a, -units)
-	q.counter.enqueue(a, true) // so that the other gateways see it soon
+	q.counter.enqueue(a, true) // so that the other gateways soon see the units in the total
 	q.requests.finish(r, AdjustAnswer{Request: r.id, Units: -units})
 }
 
@@ -73,24 +73,24 @@
 func (q *limitQueries) limitAnswer(a *account, spentLater float64, id RequestID) LimitAnswer {
 	now, burst := q.ctx.now, a.plan.Burst
 	a.bucket.advance(now)
-	window := a.plan.Rate*seconds(a.window) - a.sync.total - a.sync.tally + spentLater
-	level := a.bucket.level + spentLater
+	inWindow := a.plan.Rate*seconds(a.window) - a.sync.total - a.sync.tally + spentLater
+	inBucket := a.bucket.level + spentLater
 	if a.counterFirst {
-		window += counterFirstBursts * burst
-		level = window
+		inWindow += counterFirstBursts * burst
+		inBucket = inWindow
 	} else {
-		window += burst
+		inWindow += burst
 	}
 	if now < a.blockedUntil {
-		window = 0
+		inWindow = 0
 	}
-	result := LimitAnswer{Request: id, Limit: burst, Remaining: max(0, min(level, window, burst))}
+	result := LimitAnswer{Request: id, Limit: burst, Remaining: max(0, min(inBucket, inWindow, burst))}
 	switch {
 	case result.Remaining >= burst:
-	case result.Remaining == max(0, window): // the window is the tighter limit
+	case result.Remaining == max(0, inWindow): // the window is the tighter limit
 		result.ReplenishedAfter = Span(a.windowEnd() - now)
 	default:
-		result.ReplenishedAfter = Span(max(1, 1-level) / a.plan.Rate * 1e9)
+		result.ReplenishedAfter = Span(max(1, 1-inBucket) / a.plan.Rate * 1e9)
 	}
 	return result
 }
--- a/load_shedding.go
+++ b/load_shedding.go
@@ -22,8 +22,8 @@
 }
 
 // latencyThreshold returns the expected latency, in seconds, above which r is shed: a fraction of its
-// objective or, if that is more, a multiple of the idle servers' latency, which is no sign of load. The
-// threshold is scaled by the square root of r's priority relative to the mean.
+// objective or, if that is more, a multiple of the idle servers' latency, because less than that is no sign
+// of load. The threshold is scaled by the square root of r's priority relative to the mean.
 func (l *loadShedder) latencyThreshold(r *request, withinQuota bool) float64 {
 	byObjective := objectiveFraction * seconds(r.objective-l.ctx.now)
 	byIdle := idleLatencyMultiple * l.latency.idle * l.latency.classLatencyRatio[r.classIndex]
@@ -49,8 +49,8 @@
 }
 
 // throttled returns true if client-side adaptive throttling rejects a request (Beyer et al., "Site
-// Reliability Engineering", 2016, chapter 21): while most attempts fail or are late, a random part of the
-// requests is rejected, because servers recover only under less load.
+// Reliability Engineering", 2016, chapter 21): while most attempts fail or are late, a random fraction of
+// the requests is rejected, because servers recover only under less load.
 func (l *loadShedder) throttled() bool {
 	t := l.traffic
 	t.decay()
--- a/outlier_detection.go
+++ b/outlier_detection.go
@@ -4,7 +4,7 @@
 
 const (
 	baseEjectionTime      = second      // duration of the first ejection; each further failure doubles it
-	baseEjectionIntervals = 3.0         // first ejection in intervals between attempts on the server, if longer
+	baseEjectionIntervals = 3.0         // least first ejection, in intervals between attempts on a server
 	maxEjectionTime       = 32 * second // longest duration of an ejection
 	maxEjectedFraction    = 0.5         // fraction of the ready servers; if more are outliers, none is excluded
 	maxSuspects           = 256         // number of suspects up to which outliers are counted for each request
@@ -26,7 +26,7 @@
 	endpoints     *endpointSet
 	aperture      *aperture
 	traffic       *trafficStatistics
-	suspects      map[*server]bool // servers that may have failures; contains all that have
+	suspects      map[*server]bool // servers that may have failures, including all that have any
 	ejectedCounts []int            // by class: number of ejected servers at the last count
 	countedAt     []Instant        // by class: time of the last count; 0: never
 }
--- a/priority.go
+++ b/priority.go
@@ -3,7 +3,7 @@
 const (
 	minPriority        = 1e-6  // weight of a class that is configured with none
 	priorityMeanWeight = 0.025 // weight of one request in the mean priority
-	reservedFraction   = 0.7   // fraction of the burst that a request of priority 0 leaves to others
+	reservedFraction   = 0.7   // fraction of the burst that a request of priority 0 leaves to other requests
 )
 
 // priorities ranks requests by the weight that they earn per unit of their work.
--- a/quota.go
+++ b/quota.go
@@ -1,7 +1,7 @@
 package dewhitch
 
-// quotaRules decides whether a request is within its customer's quota. check applies its rules in their
-// order.
+// quotaRules decides whether a request is within its customer's quota. check applies the other methods in a
+// fixed order.
 type quotaRules struct {
 	ctx     *stepContext
 	latency *latencyEstimator
@@ -20,7 +20,7 @@
 	return q.checkInFlight(a)
 }
 
-// checkBlocked rejects requests in a window whose quota is used up. Retry-After is the time until it
+// checkBlocked rejects requests in a window whose quota is used up. Retry-After is the time until the window
 // ends.
 func (q *quotaRules) checkBlocked(a *account) verdict {
 	if q.ctx.now < a.blockedUntil {
@@ -47,9 +47,9 @@
 }
 
 // checkInFlight rejects attempts beyond the plan's limit in flight. Retry-After is the mean latency. The
-// attempts in flight of the other gateways are estimated from their rate by Little's law, or taken to equal
-// those of this gateway if that is more. Streamed answers are excluded from that, because the client
-// determines their length.
+// attempts in flight of the other gateways are estimated from their rate by Little's law or, if that is more,
+// from those of this gateway, as if all gateways had equally many. That excludes streamed answers, because
+// the client determines how long they last.
 func (q *quotaRules) checkInFlight(a *account) verdict {
 	othersRate := a.bucket.assumedOthersRate(q.ctx.now)
 	if a.counterFirst && a.demand.elapsed > 0 {
--- a/request.go
+++ b/request.go
@@ -4,7 +4,7 @@
 type attempt struct {
 	server         *server
 	startedAt      Instant
-	concurrent     int  // number of this gateway's other attempts in flight on the server at its start
+	concurrent     int  // number of this gateway's other attempts in flight on the server at the start
 	failureCounted bool // the attempt is counted as a failure of its server
 	ended          bool
 	outcome        Outcome // valid once the attempt has ended
@@ -85,7 +85,7 @@
 	t.finish(r, Reject{Request: r.id, Reason: v.reason, RetryAfter: retryAfter})
 }
 
-// answerStarted records that a streamed answer is sent to the client, which owns the attempt from now on.
+// answerStarted records that a streamed answer has begun. The request needs no further answer.
 func (t *requestTable) answerStarted(id RequestID) {
 	r := t.byID[id]
 	if r == nil {
--- a/settings.go
+++ b/settings.go
@@ -10,8 +10,8 @@
 	LateWeight       float64 // fraction of Weight that an answer between objective and deadline earns
 	Weight           float64 // priority weight
 	Idempotency      Idempotency
-	DedupScope       DedupScope // which servers drop repeats; for IdempotentByKey only
-	DedupWindow      Span       // how long servers drop repeats after the first attempt that may have run
+	DedupScope       DedupScope // servers that drop repeats; for IdempotentByKey only
+	DedupWindow      Span       // time after the first attempt that may have run in which servers drop repeats
 	Streaming        bool       // an AnswerStarted event reports the start of each answer
 }
 
@@ -28,7 +28,7 @@
 	OverQuotaCost  float64 // fraction of its weight that a request costs when forwarded beyond the quota
 }
 
-// ReportSource tells which outcomes carry the servers' load reports.
+// ReportSource is the set of outcomes that carry the servers' load reports.
 type ReportSource int
 
 // The sources of load reports.
@@ -78,7 +78,7 @@
 	DrainGrace       Span    // time after which attempts to a draining server must have stopped
 	PollWithin       Span    // time after which an endpoint list without subscription counts as known
 	SlowStartSpan    Span    // time after which a started server is warm
-	OverloadSpan     Span    // time for which a warming server bears overload
+	OverloadSpan     Span    // time for which a warming server tolerates overload
 	StartCapacity    float64 // fraction of its capacity that a server starts with, from 0 to 1
 	OverloadMultiple float64 // multiple of its present capacity at which a warming server is overloaded
 
--- a/shared_bucket.go
+++ b/shared_bucket.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	rateMemoryWindows  = 2.0   // time constants of the usage rates per window
+	rateMemoryWindows  = 2.0   // number of time constants of the usage rates in a window
 	freeRateFraction   = 0.125 // fraction of the rate that all gateways together are assumed to use at least
 	unseenSigmas       = 0.25  // standard deviations up to which unseen use by others is reserved
 	staleTotalFraction = 0.5   // fraction of a window after which a total no longer shows the others' use
@@ -60,11 +60,11 @@
 	b.advance(now)
 	othersRate := b.assumedOthersRate(now)
 	free := freeRateFraction * b.rate / b.gateways
-	part := (b.ownRate + free) / (b.ownRate + othersRate + b.gateways*free)
+	share := (b.ownRate + free) / (b.ownRate + othersRate + b.gateways*free)
 	timeout := seconds(counterTimeout)
 	unseenUse := othersRate * (seconds(now-b.lastTotalAt) + timeout)
 	reserve := othersRate*timeout + unseenSigmas*math.Sqrt(unseenUse*max(1, maxUnits/2))
-	return max(part*b.level, b.level-reserve)
+	return max(share*b.level, b.level-reserve)
 }
 
 // spend takes units off the bucket; negative units are returned to it.
--- a/shutdown.go
+++ b/shutdown.go
@@ -20,7 +20,7 @@
 	sd.ctx.setTimer(by, sd.expediteAll)
 }
 
-// capWait limits the time that a client waits to the time that the gateway has left.
+// capWait limits the time that a client waits to the time that remains until the shutdown.
 func (sd *shutdown) capWait(wait Span) Span {
 	if sd.by == 0 {
 		return wait
--- a/state.go
+++ b/state.go
@@ -14,7 +14,7 @@
 	State struct {
 		At                 Instant            `json:"At"`
 		SentAttempts       float64            `json:"Sent"`
-		EndpointRequests   float64            `json:"Wanted"` // requests that asked the balancer for a server
+		EndpointRequests   float64            `json:"Wanted"` // requests that needed a server
 		ThrottleRequests   float64            `json:"Tried"`
 		ThrottleAccepts    float64            `json:"Good"`
 		RetryBudget        float64            `json:"Budget"` // retries in the budget
@@ -74,8 +74,9 @@
 )
 
 // Export fills s with the state after the last event and reuses its slices. It exports at most maxCustomers
-// accounts: more of them cost the caller more than their replacement gains. Accounts that do not differ
-// from new ones are omitted. It must be called between two events, on the goroutine that owns the gateway.
+// accounts, because more would cost the caller more than the next process gains from them. Accounts that
+// have been unused for more than two windows are omitted. It must be called between two events, on the
+// goroutine that owns the gateway.
 func (g *Gateway) Export(s *State, maxCustomers int) {
 	g.traffic.decay()
 	callRate, minLatency := g.counter.limiter.Export()
@@ -112,7 +113,7 @@
 	}
 }
 
-// hasStatistics returns true if this gateway has statistics of a server. Of very many servers it uses few.
+// hasStatistics returns true if this gateway has statistics of a server. It uses only a few of many servers.
 func (g *Gateway) hasStatistics(s *server) bool {
 	return s.measuredAt > 0 || s.inFlight > 0 || s.hasFailures() || g.slowStart.warmth(s) < 1
 }
@@ -135,8 +136,8 @@
 }
 
 // export returns the state of an account for the process that replaces this one. Units that this process has
-// not pushed yet are already deducted from the level. They reach the other process by the counter, as use of
-// other gateways, and are therefore part of the predicted use.
+// not pushed yet are already deducted from the level. The counter shows them to the next process as use by
+// other gateways, so they are part of the predicted use.
 func (a *account) export(plans []Plan) AccountState {
 	e := AccountState{
 		ID:            a.id,
--- a/traffic.go
+++ b/traffic.go
@@ -7,8 +7,8 @@
 	zoneFailureWeight = 0.1        // weight of a new outcome in a zone's failure fraction
 )
 
-// trafficStatistics counts this gateway's recent traffic. All counts decay together at every use, which keeps
-// them comparable; the times of the decays are part of the replayed decisions.
+// trafficStatistics counts this gateway's recent traffic. All counts decay together, which keeps them
+// comparable; the times of the decays are part of the replayed decisions.
 type trafficStatistics struct {
 	ctx              *stepContext
 	sentAttempts     float64         // attempts sent
--- a/types.go
+++ b/types.go
@@ -27,7 +27,7 @@
 	TimerID string
 )
 
-// Idempotency tells what effect a second execution of a request has.
+// Idempotency is the effect that a second execution of a request has.
 type Idempotency int
 
 // The kinds of idempotency.
