--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -25,7 +25,8 @@
 // The states of an attempt, guarded by Pools.mu. The state changes at most once:
 //
 //	waiting -> begun:     by begin, on the attempt's goroutine
-//	waiting -> withdrawn: by Cancel, Retract, RetractAll and Forget, and by begin if it fails
+//	waiting -> withdrawn: by Cancel, Retract, RetractAll and Forget, and by begin if the client has disconnected or the
+//	                      backend may get no new work
 //
 // A connection belongs to the pool until acquire returns it to the attempt's goroutine, which returns it with release or
 // discard after the exchange. While a value is streamed, its consumer reads from the connection.
@@ -50,7 +51,7 @@
 	pool     *pool
 	state    attemptState
 	onStream func(core.Stream) // called if the value is streamed
-	posting  ledger.Posting    // posting of the begin, reused for the end; its Event is ledger.None once the end is posted
+	posting  ledger.Posting    // posting of the start, reused for the end; its Event is ledger.None once the end is posted
 	ctx      context.Context   // ends at the deadline and when the attempt is withdrawn or cancelled
 	cancel   context.CancelFunc
 }
--- a/internal/backend/codec.go
+++ b/internal/backend/codec.go
@@ -42,7 +42,7 @@
 	return b
 }
 
-// commandArgs encodes the names and values of a command.
+// commandArgs encodes the list of names and values in a command.
 func (p *Pools) commandArgs(a *attempt) []byte {
 	r := a.Request
 	b := append([]byte("c="), r.ClassName...)
--- a/internal/backend/connections.go
+++ b/internal/backend/connections.go
@@ -96,8 +96,8 @@
 	return c, nil
 }
 
-// connect dials an attempt's backend. It repeats a dial that fails because this machine is short of a resource, for at most
-// the connect timeout: such a shortage may be brief, and nothing was sent.
+// connect dials an attempt's backend. It repeats a dial that fails for lack of a resource on this machine, for at most the
+// connect timeout: such a shortage may be brief, and nothing was sent.
 func (p *Pools) connect(a *attempt) (net.Conn, error) {
 	retryUntil := p.now().Add(p.limits.ConnectTimeout)
 	for {
--- a/internal/backend/outcomes.go
+++ b/internal/backend/outcomes.go
@@ -53,7 +53,8 @@
 	dw.OutcomeNotSent:       ledger.AttemptNotSent,
 }
 
-// postEnd posts the end of an attempt when it is first called, and does nothing afterwards. Only the attempt's goroutine calls it.
+// postEnd posts the end of an attempt when it is first called, and does nothing after that. Only the attempt's goroutine calls
+// it.
 func (p *Pools) postEnd(a *attempt, o dw.Outcome) {
 	if a.posting.Event != ledger.None {
 		a.posting.Event = outcomeEvents[o]
--- a/internal/core/actions.go
+++ b/internal/core/actions.go
@@ -11,7 +11,7 @@
 	"dewhitch/internal/ledger"
 )
 
-// Ledger events of rejected and failed requests, by the reason that the module gives.
+// These tables map the module's reasons to the ledger events of rejected and failed requests.
 var (
 	rejectionEvents = map[dw.Reason]ledger.Event{
 		dw.ReasonInvalid:   ledger.PlanRejectedInvalid,
--- a/internal/core/attempts.go
+++ b/internal/core/attempts.go
@@ -21,7 +21,7 @@
 	attempt   Attempt
 	startedAt time.Time
 	result    AttemptResult
-	unsent    bool // true if the attempt was never passed to Backends
+	unsent    bool // true if the attempt was not passed to Backends
 }
 
 func (answerStartedMessage) queue() Queue { return QueueOutcome }
--- a/internal/core/counter_calls.go
+++ b/internal/core/counter_calls.go
@@ -13,7 +13,7 @@
 	returned ledger.Posting // posting of units that were certainly not added; its Event is ledger.None if there are none
 }
 
-// tallyMessage has a function read the module's tallies. Any goroutine may post it.
+// tallyMessage passes the module's tallies to a function. Any goroutine may post it.
 type tallyMessage struct {
 	read func(tally func(customer uint64) (units float64, known bool))
 }
@@ -56,8 +56,8 @@
 	p.step(m.CounterAnswered)
 }
 
-// ReadTallies has read called on the planner's goroutine, so that no tally changes during the call; read must not block.
-// ReadTallies does not wait for read. It fails only with ErrStopped, and is safe for concurrent use.
+// ReadTallies causes a call of read on the planner's goroutine, so that no tally changes during the call; read must not
+// block. ReadTallies does not wait for it. It fails only with ErrStopped, and is safe for concurrent use.
 func (p *Planner) ReadTallies(read func(tally func(customer uint64) (units float64, known bool))) error {
 	return p.post(tallyMessage{read})
 }
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// updateAddresses records the servers' addresses, and has Backends forget each server that is no longer listed or has a new
-// address.
+// updateAddresses records the servers' addresses, and calls Backends.Forget for each server that is no longer listed or has a
+// new address.
 func (p *Planner) updateAddresses(u EndpointUpdate) {
 	inUpdate := make(map[dw.ServerID]bool, len(u.List.Servers))
 	for i, s := range u.List.Servers {
--- a/internal/core/inbox.go
+++ b/internal/core/inbox.go
@@ -89,8 +89,8 @@
 	}
 }
 
-// postAndWait posts a message and waits until its handler sends on done, which must have a buffer of one. It returns the handler's
-// error, or ErrStopped.
+// postAndWait posts a message and waits until its handler sends on done, which must have a buffer of one. It returns the
+// handler's error, or ErrStopped.
 func (b *inbox) postAndWait(m inboxMessage, done <-chan error) error {
 	if err := b.post(m); err != nil {
 		return err
--- a/internal/core/monitor.go
+++ b/internal/core/monitor.go
@@ -30,7 +30,7 @@
 	ListApplied(version int64, age time.Duration)
 	// Answered reports the ledger event with which a request ended.
 	Answered(event ledger.Event)
-	// Retried reports that another attempt of a request starts. after is the outcome of the request's attempt that ended last.
+	// Retried reports that another attempt of a request starts. after is the outcome of the attempt that ended last.
 	Retried(after dw.Outcome)
 }
 
--- a/internal/core/shutdown.go
+++ b/internal/core/shutdown.go
@@ -14,8 +14,8 @@
 
 func (shutdownMessage) queue() Queue { return QueueControl }
 
-// Shutdown has every open request, and every request submitted later, answered by the deadline. It returns when the module has
-// been notified, or fails with ErrStopped. Run continues until its context ends. Shutdown is safe for concurrent use.
+// Shutdown sets a time by which every open request, and every request submitted later, is answered. It returns when the module
+// has been notified, or fails with ErrStopped. Run continues until its context ends. Shutdown is safe for concurrent use.
 func (p *Planner) Shutdown(deadline time.Time) error {
 	m := shutdownMessage{deadline, make(chan error, 1)}
 	return p.postAndWait(m, m.done)
--- a/internal/core/state_export.go
+++ b/internal/core/state_export.go
@@ -6,8 +6,8 @@
 	dw "dewhitch"
 )
 
-// exportMessage has the module's state copied to a State. Any goroutine may post it; the goroutine waits on done and does not
-// use the State before that.
+// exportMessage requests a copy of the module's state. Any goroutine may post it; that goroutine waits on done before it uses
+// the State.
 type exportMessage struct {
 	into         *dw.State
 	maxCustomers int
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -40,7 +40,7 @@
 // overtake the request's submitMessage, because its queue has a higher priority.
 type cancelMessage struct{ pending *PendingRequest }
 
-// expediteMessage has a request answered at once. Like cancelMessage, it may overtake the request's submitMessage.
+// expediteMessage requires a request to be answered at once. Like cancelMessage, it may overtake the request's submitMessage.
 type expediteMessage struct{ pending *PendingRequest }
 
 func (submitMessage) queue() Queue   { return QueueArrival }
@@ -65,8 +65,8 @@
 	_ = p.post(cancelMessage{pending}) // a stopped planner has nothing to cancel
 }
 
-// Expedite has a request answered now, with the best answer that is still allowed, because its client's connection must end.
-// It is safe for concurrent use.
+// Expedite requires a request to be answered now, with the best answer that is still allowed, because its client's connection
+// must end. It is safe for concurrent use.
 func (p *Planner) Expedite(pending *PendingRequest) {
 	pending.expedited.Store(true)
 	_ = p.post(expediteMessage{pending}) // a stopped planner answers nothing
@@ -108,8 +108,8 @@
 }
 
 // reserveName reserves a client-given name until the request ends. It returns false if a request with this name is open: a
-// backend that receives two requests with one name would treat the second as a copy of the first, and the customer's quota
-// would be charged for one only.
+// backend that receives two requests with one name would treat the second as a copy of the first, and only one would be
+// charged to the customer's quota.
 func (p *Planner) reserveName(name string) bool {
 	if p.openNames[name] {
 		return false
--- a/internal/core/timers.go
+++ b/internal/core/timers.go
@@ -6,8 +6,8 @@
 	dw "dewhitch"
 )
 
-// maxTimersPerRound is the maximum number of timers that fire before the planner checks its inbox again, so that an endpoint update
-// does not wait behind the deadlines of many requests.
+// maxTimersPerRound is the maximum number of timers that fire before the planner checks its inbox again, so that an endpoint
+// update does not wait behind the deadlines of many requests.
 const maxTimersPerRound = 32
 
 // fireTimers notifies the module of the timers that have expired by now, earliest first, up to maxTimersPerRound of them.
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -35,7 +35,7 @@
 	Repeat          bool          // true if the client marked the request as sent before
 	Message         Message       // contents for the backend; KindForward only
 	LedgerRef       uint64        // number of the request in the ledger
-	LedgerKey       ledger.Key    // row of the request in the ledger
+	LedgerKey       ledger.Key    // row of the ledger to which the request's events are posted
 	Answer          func(Answer)  // called at most once, on the planner's goroutine; must not block
 	clientDeparted  atomic.Bool   // true once the client has disconnected
 }
@@ -120,8 +120,8 @@
 	Retract(request dw.RequestID, attempt int)
 	// RetractAll ends all attempts at a backend of which nothing is written yet. It does not affect attempts started later.
 	RetractAll(b Backend)
-	// Forget does what RetractAll does, closes the idle connections to a backend, and has the connections of the attempts in
-	// flight closed when these end.
+	// Forget does what RetractAll does and closes the idle connections to a backend. The connections of attempts in flight are
+	// closed when these attempts end.
 	Forget(b Backend)
 }
 
