--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -7,8 +7,9 @@
 	"time"
 )
 
-// Guards against callers that retry in step. A service that serves 25 calls per second and queues 20 rejects most of 80 callers
-// that start in the same millisecond; without jitter, it rejected them for a day. With jitter, all must be served soon.
+// TestCallersThatStartTogetherAreServed guards against callers that retry at the same times. A service that serves 25 calls per
+// second and queues 20 rejects most of 80 callers that start in the same millisecond; without jitter, it rejected them for
+// a day. With jitter, all must be served soon.
 func TestCallersThatStartTogetherAreServed(t *testing.T) {
 	const callers, perSecond, queueSize = 80, 25, 20
 	var nextCallAt [callers]time.Duration
@@ -46,13 +47,15 @@
 	}
 }
 
+// TestBounds guards against waits beyond the bounds of Backoff, for failures and for rejections by an overloaded service, and
+// against a bound that Reset does not restore.
 func TestBounds(t *testing.T) {
 	b := Backoff{First: 100, Max: 400, BusyFirst: 100, BusyMax: 1000, Rand: rand.New(rand.NewPCG(1, 1))}
-	longestWait := func(busy bool) (most time.Duration) {
+	longestWait := func(busy bool) (longest time.Duration) {
 		for range 1000 {
-			most = max(most, b.Next(busy))
+			longest = max(longest, b.Next(busy))
 		}
-		return most
+		return longest
 	}
 	if d := b.Next(false); d > 100 {
 		t.Errorf("got a first wait of %d, expected at most 100", d)
--- a/internal/classtable/classtable.go
+++ b/internal/classtable/classtable.go
@@ -102,8 +102,8 @@
 // because such a mapping makes the class lose retries.
 const idempotencyDistance = 100
 
-// NearestClass returns the index of the module's class that c is mapped to: an equal class, or the nearest, by deadline, objective,
-// weight and idempotency, of those that are at least as strict. It returns -1 if there is none.
+// NearestClass returns the index of the module's class that c is mapped to: an equal class, or the nearest, by deadline,
+// objective, weight and idempotency, of those that are at least as strict. It returns -1 if there is none.
 func NearestClass(module []dw.Class, c dw.Class) int {
 	nearest := -1
 	shortest := math.Inf(1)
--- a/internal/classtable/classtable_test.go
+++ b/internal/classtable/classtable_test.go
@@ -54,7 +54,7 @@
 				seen[n] = true
 				e, ok := table.Find(n)
 				if !ok || e.Idempotency != cs[i].Idempotency {
-					t.Fatalf("%s: got entry %+v, found %v", n, e, ok)
+					t.Fatalf("%s: got entry %+v, found %v; expected an entry with the class's idempotency", n, e, ok)
 				}
 				if e.Class >= 0 && !AtLeastAsStrict(module[e.Class], cs[i]) {
 					t.Fatalf("%s: class %+v is mapped to the less strict %+v", n, cs[i], module[e.Class])
@@ -110,23 +110,25 @@
 	})
 }
 
-// TestAtLeastAsStrict checks combinations of idempotency, scope, window and streaming.
+// TestAtLeastAsStrict guards against rules that allow a retry that the class forbids. It checks combinations of idempotency,
+// scope, window and streaming.
 func TestAtLeastAsStrict(t *testing.T) {
-	safe := dw.Class{Idempotency: dw.Idempotent}
+	idempotent := dw.Class{Idempotency: dw.Idempotent}
 	byKeyAll := dw.Class{Idempotency: dw.IdempotentByKey, DedupScope: dw.DedupAll, DedupWindow: 3e9}
 	byKeyZone := dw.Class{Idempotency: dw.IdempotentByKey, DedupScope: dw.DedupZone, DedupWindow: 3e9}
-	unsafe := dw.Class{Idempotency: dw.NotIdempotent}
+	notIdempotent := dw.Class{Idempotency: dw.NotIdempotent}
 	for _, c := range []struct {
-		m, c dw.Class
-		want bool
+		rules, class dw.Class
+		want         bool
 	}{
-		{safe, safe, true}, {unsafe, safe, true}, {safe, unsafe, false}, {safe, byKeyAll, false},
-		{byKeyZone, byKeyAll, true}, {byKeyAll, byKeyZone, false}, {unsafe, byKeyZone, true},
-		{byKeyAll, unsafe, false}, {dw.Class{Idempotency: dw.IdempotentByKey, DedupWindow: 4e9}, byKeyAll, false},
-		{dw.Class{Idempotency: dw.Idempotent, Streaming: true}, safe, false},
+		{idempotent, idempotent, true}, {notIdempotent, idempotent, true}, {idempotent, notIdempotent, false},
+		{idempotent, byKeyAll, false}, {byKeyZone, byKeyAll, true}, {byKeyAll, byKeyZone, false},
+		{notIdempotent, byKeyZone, true}, {byKeyAll, notIdempotent, false},
+		{dw.Class{Idempotency: dw.IdempotentByKey, DedupWindow: 4e9}, byKeyAll, false},
+		{dw.Class{Idempotency: dw.Idempotent, Streaming: true}, idempotent, false},
 	} {
-		if got := AtLeastAsStrict(c.m, c.c); got != c.want {
-			t.Errorf("rules %+v for class %+v: got %v", c.m, c.c, got)
+		if got := AtLeastAsStrict(c.rules, c.class); got != c.want {
+			t.Errorf("rules %+v for class %+v: got %v, expected the opposite", c.rules, c.class, got)
 		}
 	}
 }
--- a/internal/counter/answers.go
+++ b/internal/counter/answers.go
@@ -15,7 +15,7 @@
 
 // readAnswers reads answers and settles the calls in flight with them, in order, until no further answer can be read from the
 // connection. It returns the call whose answer was outstanding at that time, or nil. If a call gets no answer within
-// silenceLimit, readAnswers gives the connection up: this detects a peer that has vanished.
+// silenceLimit, readAnswers gives up the connection: this detects a peer that no longer exists or can't be reached.
 func readAnswers(conn net.Conn, inFlight <-chan *call, silenceLimit time.Duration) (unanswered *call) {
 	r := bufio.NewReaderSize(conn, http1.MaxLine+2)
 	deadline := time.Now()
--- a/internal/counter/call.go
+++ b/internal/counter/call.go
@@ -35,7 +35,7 @@
 	timer     *time.Timer // runs expire at the call's timeout
 	done      func(outcome dw.Outcome, total float64)
 	recorder  Recorder
-	posting   ledger.Posting // posting of the call's begin; when the call is settled, of its end
+	posting   ledger.Posting // posting of the call's start; once the call is settled, of its end
 }
 
 // settlementEvents maps the outcome of a call to the ledger event that records it.
--- a/internal/counter/client.go
+++ b/internal/counter/client.go
@@ -25,7 +25,7 @@
 	redialInterval = 100 * time.Millisecond // time between two attempts to connect
 	writeTimeout   = time.Second            // maximum duration of one write
 	answerTimeout  = 100 * time.Millisecond // maximum time from the first byte of an answer to its last
-	// silenceFactor is the number of call timeouts after which a connection is given up if the oldest call got no answer.
+	// silenceFactor is the number of call timeouts without an answer to the oldest call after which a connection is closed.
 	silenceFactor = 7
 )
 
@@ -41,7 +41,7 @@
 type Client struct {
 	addr        *dynaddr.Address
 	timeout     time.Duration // time from Add until a call is settled at the latest
-	dialTimeout time.Duration
+	dialTimeout time.Duration // maximum time to establish a connection
 	recorder    Recorder
 	log         *zap.Logger
 	pipelines   [pipelineCount]pipeline
--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -62,7 +62,7 @@
 
 	hasList     bool      // true if the planner holds a list of revision, so that a watch can start; otherwise a poll is next
 	revision    int64     // revision of the last accepted message
-	staleSince  time.Time // arrival of the first in the latest run of stale messages; zero if the last message was not stale
+	staleSince  time.Time // arrival of the first of the consecutive stale messages; zero if the last message was not stale
 	interrupted bool      // true if following the list was interrupted and no watch has begun since
 
 	initialDelay time.Duration // delay before the first request
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -15,8 +15,9 @@
 	"dewhitch/internal/standin"
 )
 
-// TestFirstRequest guards against a poll of a shared director by a gateway that holds a list. Such a director receives a watch,
-// and a watch again after it rejected the first one. A director that serves only one gateway is polled.
+// TestFirstRequest guards against a poll of a shared director by a gateway that holds a list, which would overload the director
+// when many gateways start together. Such a director receives a watch, and a watch again after it rejected the first one.
+// A director that serves only one gateway is polled.
 func TestFirstRequest(t *testing.T) {
 	const poll, watch = "/api/targets", "/api/targets?follow=1&since=41"
 	for _, shared := range []bool{false, true} {
@@ -85,7 +86,7 @@
 			d := New("127.0.0.1:1", NewDecoder(Names{}), nil, seed, zap.NewNop())
 			d.ConfigureShared(true, 41, gateways)
 			if d.initialDelay > deliveryTime-pollTimeout || d.backoff.BusyFirst > deliveryTime-pollTimeout {
-				t.Fatalf("seed %d, %d gateways: the first request is sent after %v, the next within %v of a rejection", seed, gateways, d.initialDelay,
+				t.Fatalf("seed %d, %d gateways: got delays of %v before the first request and %v after a rejection, expected at most 5 s", seed, gateways, d.initialDelay,
 					d.backoff.BusyFirst)
 			}
 		}
--- a/internal/discovery/connection.go
+++ b/internal/discovery/connection.go
@@ -8,7 +8,7 @@
 )
 
 // connection is one connection to the director. A read waits for at most idleTimeout, and not beyond the message's deadline, so
-// a long or slow list is read as long as its bytes keep arriving. It is not safe for concurrent use.
+// a long or slow list is read until that deadline while its bytes keep arriving. It is not safe for concurrent use.
 type connection struct {
 	net.Conn
 	idleTimeout     time.Duration
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -14,7 +14,8 @@
 	"dewhitch/internal/http1"
 )
 
-// TestGoldenBreakReasons freezes the reasons for interruptions of the list, which are values of a metric's label.
+// TestGoldenBreakReasons freezes the reason for each error that can interrupt following the list. Reasons are values of
+// a metric's label.
 func TestGoldenBreakReasons(t *testing.T) {
 	var reasons strings.Builder
 	for _, err := range []error{statusError(503), context.Canceled, net.ErrClosed, &net.OpError{Op: "dial", Err: os.ErrDeadlineExceeded},
--- a/internal/discovery/golden_wire_test.go
+++ b/internal/discovery/golden_wire_test.go
@@ -75,7 +75,8 @@
 	golden.Compare(t, "questions.txt", bytes.ReplaceAll(text, []byte(l.Addr()), []byte("HOST:PORT")))
 }
 
-// TestGoldenReasons freezes the reasons for interruptions of the list, which operators read as values of a metric's label.
+// TestGoldenReasons freezes the reasons for interruptions of the list by errors of the client, the network and unknown kinds.
+// Operators read them as values of a metric's label.
 func TestGoldenReasons(t *testing.T) {
 	var reasons strings.Builder
 	for _, err := range []error{statusError(503), net.ErrClosed, &net.OpError{Op: "dial", Err: io.EOF}, errStale, errTooLong, errTooSlow, errEnded, errTruncated,
--- a/internal/discovery/long_list_test.go
+++ b/internal/discovery/long_list_test.go
@@ -15,8 +15,8 @@
 	"dewhitch/internal/standin"
 )
 
-// longMessageJSON returns a message for a list with the given number of servers. Every fourth server has the given phase; a delta
-// contains only these.
+// longMessageJSON returns a message for a list with the given number of servers. Every fourth server has the given phase;
+// a delta contains only these. The separator precedes each key and each member.
 func longMessageJSON(revision, servers int, complete bool, phase string, separator string) string {
 	var members []string
 	for i := range servers {
@@ -48,14 +48,14 @@
 			first := completeAnswer(longMessageJSON(41, servers, true, "up", separator))
 			full, delta := longMessageJSON(42, servers, true, "draining", separator), longMessageJSON(42, servers, false, "draining", separator)
 			for name, answers := range map[string][]answerFunc{
-				"all in the watch":             {first, watchAnswer(stall, full+"\n")},
-				"all in the watch, in pieces":  {first, watchAnswer(stall, append(split(full), "\n")...)},
-				"what changed":                 {first, watchAnswer(stall, delta+"\n")},
-				"what changed, in pieces":      {first, watchAnswer(stall, append(split(delta), "\n")...)},
-				"the watch ends, then all":     {first, watchAnswer(endChunks), watchAnswer(stall, "\n", full+"\n")},
-				"the watch ends within all":    {first, watchAnswer(closeConn, full[:len(full)/2]), watchAnswer(stall, full+"\n")},
-				"unreadable, then all again":   {first, watchAnswer(stall, "nonsense\n"), completeAnswer(full)},
-				"again of no length, by a cut": {first, watchAnswer(stall, "nonsense\n"), unboundedAnswer(full, closeConn)},
+				"complete list in the watch":            {first, watchAnswer(stall, full+"\n")},
+				"complete list in the watch, in pieces": {first, watchAnswer(stall, append(split(full), "\n")...)},
+				"delta":                                 {first, watchAnswer(stall, delta+"\n")},
+				"delta, in pieces":                      {first, watchAnswer(stall, append(split(delta), "\n")...)},
+				"watch ends, then complete list":        {first, watchAnswer(endChunks), watchAnswer(stall, "\n", full+"\n")},
+				"watch ends within complete list":       {first, watchAnswer(closeConn, full[:len(full)/2]), watchAnswer(stall, full+"\n")},
+				"unreadable message, then poll":         {first, watchAnswer(stall, "nonsense\n"), completeAnswer(full)},
+				"unreadable, then poll without length":  {first, watchAnswer(stall, "nonsense\n"), unboundedAnswer(full, closeConn)},
 			} {
 				t.Run(fmt.Sprintf("%d/%s/%s", servers, layout, name), func(t *testing.T) {
 					t.Parallel()
@@ -107,8 +107,9 @@
 	}
 }
 
-// TestViewMatchesMessages applies random sequences of messages to a view. It checks that the planner's list, built from the view's
-// updates, always equals the list described by the messages, and that the decoder keeps no ids of other servers.
+// TestViewMatchesMessages guards against a planner whose list differs from the director's. It applies random sequences of
+// messages to a view and checks that the list built from the view's updates always equals the list that the messages describe,
+// and that the decoder keeps no ids of other servers.
 func TestViewMatchesMessages(t *testing.T) {
 	const seed, runs, messages, ids = 42, 300, 60, 12
 	for run := range runs {
--- a/internal/discovery/sync_test.go
+++ b/internal/discovery/sync_test.go
@@ -100,10 +100,10 @@
 // stalls after the last one.
 type testBed struct {
 	*Client
-	mu       sync.Mutex
-	answers  []answerFunc
-	requests []string
-	updates  chan core.EndpointUpdate
+	mu       sync.Mutex               // guards answers and requests
+	answers  []answerFunc             // answers that the director has not given yet
+	requests []string                 // targets of the requests that the director has received
+	updates  chan core.EndpointUpdate // updates that the client has passed on
 }
 
 func newTestBed(t *testing.T, answers ...answerFunc) *testBed {
@@ -195,19 +195,19 @@
 		"reset before a message":         {[]answerFunc{first, watchAnswer(resetConn, "\n"), last}, []string{"41 up", "43 draining"}, []string{poll, since(41), since(41)}},
 		"closed within a message":        {[]answerFunc{first, watchAnswer(closeConn, truncated), last}, []string{"41 up", "43 draining"}, []string{poll, since(41), since(41)}},
 		"ended within a message":         {[]answerFunc{first, watchAnswer(endChunks, truncated), last}, []string{"41 up", "43 draining"}, []string{poll, since(41), since(41)}},
-		"of no length, closed in it":     {[]answerFunc{first, unboundedAnswer(truncated, closeConn), last}, []string{"41 up", "43 draining"}, []string{poll, since(41), since(41)}},
-		"a complete list of no length":   {[]answerFunc{unboundedAnswer(messageJSON(41, true, "up"), closeConn), last}, []string{"41 up", "43 draining"}, []string{poll, since(41)}},
-		"a list that falls silent in it": {[]answerFunc{unboundedAnswer(messageJSON(41, true, "up")[:60], stall), first, last}, []string{"41 up", "43 draining"}, []string{poll, poll, since(41)}},
-		"such a list, closed in it":      {[]answerFunc{unboundedAnswer(messageJSON(41, true, "up")[:60], closeConn), first, last}, []string{"41 up", "43 draining"}, []string{poll, poll, since(41)}},
+		"no length, closed in a message": {[]answerFunc{first, unboundedAnswer(truncated, closeConn), last}, []string{"41 up", "43 draining"}, []string{poll, since(41), since(41)}},
+		"complete list without length":   {[]answerFunc{unboundedAnswer(messageJSON(41, true, "up"), closeConn), last}, []string{"41 up", "43 draining"}, []string{poll, since(41)}},
+		"no length, silent within list":  {[]answerFunc{unboundedAnswer(messageJSON(41, true, "up")[:60], stall), first, last}, []string{"41 up", "43 draining"}, []string{poll, poll, since(41)}},
+		"no length, closed within list":  {[]answerFunc{unboundedAnswer(messageJSON(41, true, "up")[:60], closeConn), first, last}, []string{"41 up", "43 draining"}, []string{poll, poll, since(41)}},
 		"indented":                       {[]answerFunc{completeAnswer(indentedJSON(41, "up")), watchAnswer(stall, indentedJSON(42, "up")+"\n\n", indentedJSON(43, "draining")+"\n")}, []string{"41 up", "42 (up)", "43 draining"}, []string{poll, since(41)}},
 		"indented, in pieces":            {[]answerFunc{first, watchAnswer(stall, indentedJSON(42, "draining")[:30], indentedJSON(42, "draining")[30:])}, []string{"41 up", "42 draining"}, []string{poll, since(41)}},
 		"rejected":                       {[]answerFunc{statusAnswer(503), first, statusAnswer(503), last}, []string{"41 up", "43 draining"}, []string{poll, poll, since(41), since(41)}},
-		"a list of none":                 {[]answerFunc{completeAnswer(`{"revision":41,"complete":true,"members":[]}`), last}, []string{"41 (none)", "43 draining"}, []string{poll, since(41)}},
-		"what can't be read":             {[]answerFunc{first, watchAnswer(stall, "nonsense\n"), completeAnswer(messageJSON(42, true, "draining"))}, []string{"41 up", "42 draining"}, []string{poll, since(41), poll}},
-		"a message with a fault":         {[]answerFunc{first, watchAnswer(stall, messageJSON(42, false, "gone?")+"\n"), completeAnswer(messageJSON(42, true, "draining"))}, []string{"41 up", "42 draining"}, []string{poll, since(41), poll}},
-		"an older change":                {[]answerFunc{first, watchAnswer(stall, messageJSON(40, false, "up")+"\n"), completeAnswer(messageJSON(42, true, "draining"))}, []string{"41 up", "41 (up)", "42 draining"}, []string{poll, since(41), poll}},
-		"an older change that restricts": {[]answerFunc{first, watchAnswer(stall, messageJSON(40, false, "draining")+"\n"), completeAnswer(messageJSON(42, true, "up"))}, []string{"41 up", "41 draining", "42 up"}, []string{poll, since(41), poll}},
-		"all of an older list, drained":  {[]answerFunc{completeAnswer(messageJSON(41, true, "draining")), watchAnswer(stall, "nonsense\n"), completeAnswer(messageJSON(40, true, "up")), completeAnswer(messageJSON(42, true, "up"))}, []string{"41 draining", "41 (draining)", "42 up"}, []string{poll, since(41), poll, poll}},
+		"complete list without members":  {[]answerFunc{completeAnswer(`{"revision":41,"complete":true,"members":[]}`), last}, []string{"41 (none)", "43 draining"}, []string{poll, since(41)}},
+		"message that is not JSON":       {[]answerFunc{first, watchAnswer(stall, "nonsense\n"), completeAnswer(messageJSON(42, true, "draining"))}, []string{"41 up", "42 draining"}, []string{poll, since(41), poll}},
+		"message with unknown phase":     {[]answerFunc{first, watchAnswer(stall, messageJSON(42, false, "gone?")+"\n"), completeAnswer(messageJSON(42, true, "draining"))}, []string{"41 up", "42 draining"}, []string{poll, since(41), poll}},
+		"stale delta":                    {[]answerFunc{first, watchAnswer(stall, messageJSON(40, false, "up")+"\n"), completeAnswer(messageJSON(42, true, "draining"))}, []string{"41 up", "41 (up)", "42 draining"}, []string{poll, since(41), poll}},
+		"stale delta that drains":        {[]answerFunc{first, watchAnswer(stall, messageJSON(40, false, "draining")+"\n"), completeAnswer(messageJSON(42, true, "up"))}, []string{"41 up", "41 draining", "42 up"}, []string{poll, since(41), poll}},
+		"stale list after draining":      {[]answerFunc{completeAnswer(messageJSON(41, true, "draining")), watchAnswer(stall, "nonsense\n"), completeAnswer(messageJSON(40, true, "up")), completeAnswer(messageJSON(42, true, "up"))}, []string{"41 draining", "41 (draining)", "42 up"}, []string{poll, since(41), poll, poll}},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -270,13 +270,13 @@
 	next := newTestBed(t, completeAnswer(messageJSON(3, true, "draining")))
 	b := newTestBed(t, completeAnswer(messageJSON(41, true, "up")), func(c *net.TCPConn) bool { return stall(c) })
 	b.watchTimeout, b.pollTimeout = testTimeout, testTimeout
-	passOn := b.update
+	forward := b.update
 	b.update = func(l core.EndpointUpdate) error {
 		if l.List.Version == 41 {
 			addr, _ := next.addr.Current()
 			b.Move(addr)
 		}
-		return passOn(l)
+		return forward(l)
 	}
 	b.expectUpdates(t, "41 up", "3 draining")
 }
@@ -298,10 +298,10 @@
 				}
 			}
 		}
-		a, errA := split(bytes.NewReader(text))
-		b, errB := split(&stepReader{text, 1 + max(0, step)%16})
-		if !slices.Equal(a, b) || errA == nil || errB == nil {
-			t.Errorf("%q: got %q and error %v in one read, %q and error %v in small reads", text, a, errA, b, errB)
+		whole, wholeErr := split(bytes.NewReader(text))
+		pieces, piecesErr := split(&stepReader{text, 1 + max(0, step)%16})
+		if !slices.Equal(whole, pieces) || wholeErr == nil || piecesErr == nil {
+			t.Errorf("%q: got %q and error %v in one read, %q and error %v in small reads", text, whole, wholeErr, pieces, piecesErr)
 		}
 	})
 }
--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestReplaceOverWhatAKillLeft guards against a temporary file, which a killed process left with any length, that breaks the next
-// Replace.
+// TestReplaceOverWhatAKillLeft guards against a Replace that fails, or mixes old and new text, because a killed process has left
+// a temporary file of any length.
 func TestReplaceOverWhatAKillLeft(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "file")
 	const text = "text"
--- a/internal/dynaddr/dynaddr_test.go
+++ b/internal/dynaddr/dynaddr_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// TestMove checks that a move closes the channels that were returned before it, and no channel that was returned after it.
+// TestMove guards against clients that stay connected to a former address. A move must close the channels that were returned
+// before it, and no channel that was returned after it.
 func TestMove(t *testing.T) {
 	a := New("one")
 	addr, first := a.Current()
--- a/internal/handover/golden_test.go
+++ b/internal/handover/golden_test.go
@@ -9,8 +9,8 @@
 	"dewhitch/internal/golden"
 )
 
-// TestGoldenHandover compares the name and the content of the file of excluded servers with golden files. The process that reads
-// it may be of another version.
+// TestGoldenHandover freezes the name and the content of the file of excluded servers. The process that reads the file may be of
+// another version.
 func TestGoldenHandover(t *testing.T) {
 	dir := t.TempDir()
 	want := State{Excluded: []string{"s-00000009", "s-5be2a07c"}}
--- a/internal/ratelimit/ratelimit.go
+++ b/internal/ratelimit/ratelimit.go
@@ -37,7 +37,8 @@
 	return &Limiter{timeout: timeout, callers: float64(callers), rate: 1 / max(minTimeout, timeout), minLatency: timeout}
 }
 
-// Allow returns true if a call may be made now. Unused calls accumulate up to the number of calls per timeout, and at least to one.
+// Allow returns true if a call may be made now. Unused calls accumulate up to the number of calls per timeout, and at least to
+// one.
 func (l *Limiter) Allow(now int64) bool {
 	l.tokens = min(max(1, l.rate*l.timeout), l.tokens+l.rate*float64(now-l.updatedAt)/1e9)
 	l.updatedAt = now
--- a/internal/ratelimit/ratelimit_test.go
+++ b/internal/ratelimit/ratelimit_test.go
@@ -5,10 +5,11 @@
 	"testing"
 )
 
-// simulate simulates callers that always have a call to make to a shared service, whose capacity is in calls per second. It returns
-// the number of calls and of late calls in each second. The service answers no calls from second outage[0] to second outage[1].
+// simulate simulates callers that always have a call to make to a shared service. The timeout is in seconds, the capacity of the
+// service in calls per second. It answers no calls in time from second outage[0] to second outage[1]. simulate returns the number
+// of calls and of late calls in each second.
 func simulate(callers int, timeout, capacity float64, seconds int, outage [2]int) (calls, late []int) {
-	const step = 0.001
+	const step = 0.001 // seconds
 	rng := rand.New(rand.NewPCG(1, 2))
 	limiters := make([]*Limiter, callers)
 	for i := range limiters {
@@ -47,7 +48,8 @@
 	return calls, late
 }
 
-// TestCallersShareAService checks that few or many callers that can't communicate converge on the capacity of the service.
+// TestCallersShareAService guards against callers that overload a shared service or leave most of it unused, because they can't
+// communicate. Few or many callers must converge on the capacity of the service.
 func TestCallersShareAService(t *testing.T) {
 	for _, callers := range []int{3, 80} {
 		calls, late := simulate(callers, 0.03, 400, 20, [2]int{})
--- a/internal/registry/registry.go
+++ b/internal/registry/registry.go
@@ -18,8 +18,8 @@
 // retryInterval is the time between two attempts to read or write the registry.
 const retryInterval = 200 * time.Millisecond
 
-// Registry is a session with ZooKeeper. The ZooKeeper client reconnects automatically. When a session expires, its ephemeral nodes
-// are removed, and MaintainNode creates them again. It is safe for concurrent use.
+// Registry is a session with ZooKeeper. The ZooKeeper client reconnects automatically. When a session expires, its ephemeral
+// nodes are removed, and MaintainNode creates them again. It is safe for concurrent use.
 type Registry struct {
 	conn    *zk.Conn
 	path    string // path of the folder that contains the nodes
--- a/internal/registry/watch.go
+++ b/internal/registry/watch.go
@@ -14,8 +14,8 @@
 // it.
 var errNoFolder = errors.New("the registry's folder did not exist and was created")
 
-// WatchPlanners calls onChange with the planners' addresses by gateway number, initially and after every change, until the context
-// ends. It does not call onChange while the registry can't be read. It returns nil.
+// WatchPlanners calls onChange with the planners' addresses by gateway number, initially and after every change, until the
+// context ends. It does not call onChange while the registry can't be read. It returns nil.
 func (r *Registry) WatchPlanners(ctx context.Context, onChange func(map[int]string)) error {
 	return r.WatchNodes(ctx, func(nodes map[string][]byte) {
 		planners := map[int]string{}
@@ -48,8 +48,8 @@
 	return nil
 }
 
-// readNodes returns the data of all nodes by name, and a channel that receives an event when the set of nodes changes. The data of
-// an existing node never changes: a process whose address changes creates a new node.
+// readNodes returns the data of all nodes by name, and a channel that receives an event when the set of nodes changes. The data
+// of an existing node never changes: a process whose address changes creates a new node.
 func (r *Registry) readNodes() (map[string][]byte, <-chan zk.Event, error) {
 	names, _, event, err := r.conn.ChildrenW(r.path)
 	if errors.Is(err, zk.ErrNoNode) {
--- a/internal/shutdown/shutdown_test.go
+++ b/internal/shutdown/shutdown_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// TestPlanHoldsTheTerms guards against a plan that accepts, answers or closes too late. For every longest deadline the times are in
-// order, and each leaves time for a stall before the platform's own limit.
+// TestPlanHoldsTheTerms guards against a plan that stops accepting too early, or accepts, answers or closes too late, so that
+// requests are lost at SIGKILL. For every longest deadline, each time leaves time for a stall before the platform's own limit.
 func TestPlanHoldsTheTerms(t *testing.T) {
 	const seed = 42
 	rng := rand.New(rand.NewPCG(seed, 1))
--- a/internal/warmstart/warmstart.go
+++ b/internal/warmstart/warmstart.go
@@ -5,7 +5,7 @@
 import "math"
 
 const (
-	trustDecay = 5.0  // time constant of the decay of trust in servers' statistics and rates, in seconds
+	trustDecay = 5.0  // time constant in seconds with which the trust in servers' statistics and rates decays
 	maxAge     = 60.0 // greatest age of a state that is used, in seconds
 )
 
--- a/internal/warmstart/warmstart_test.go
+++ b/internal/warmstart/warmstart_test.go
@@ -18,7 +18,7 @@
 		}
 	}
 	if warmstart.Trust(0) != 1 || !warmstart.IsQuotaValid(2, 2) || warmstart.IsQuotaValid(2.01, 2) {
-		t.Error("wrong trust at age 0, or wrong validity of a quota around an age of 2 s")
+		t.Error("got a trust other than 1 at age 0, or a quota with a window of 2 s that is not valid until exactly 2 s")
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		mean, exported := rapid.Float64Range(1e-3, 10).Draw(t, "mean"), rapid.Float64Range(1e-3, 100).Draw(t, "was")
@@ -26,7 +26,7 @@
 		b := rapid.Float64Range(a, 60).Draw(t, "b")
 		newer, older := warmstart.InitialLatency(exported, mean, warmstart.Trust(a)), warmstart.InitialLatency(exported, mean, warmstart.Trust(b))
 		if older > newer || older < mean || newer > max(exported, mean)*(1+1e-12) {
-			t.Fatalf("initial latency %v for the newer state, %v for the older one", newer, older)
+			t.Fatalf("got initial latency %v for the newer state and %v for the older one; expected at most as much for the older one, and both between the mean and the exported latency", newer, older)
 		}
 	})
 }
