--- a/account.go
+++ b/account.go
@@ -45,7 +45,7 @@
 }
 
 // newAccount returns an account with a full bucket. Its ceiling is empty at the start of this gateway,
-// because a previous incarnation may have spent its whole share until then.
+// because a previous incarnation may have spent its whole share just before.
 //
 // Where an equal share of the burst is below one request, a gateway that follows the last total either
 // rejects everything or admits everything. For such customers a request's units are counted before it is
--- a/admission.go
+++ b/admission.go
@@ -17,8 +17,8 @@
 	shutdown   *shutdown
 }
 
-// counterCheck tells whether a request within its quota must be checked with the counter, and whether that is
-// possible.
+// counterCheck states whether a request within its quota must be checked with the counter, and whether that
+// is possible.
 type counterCheck int
 
 const (
--- a/endpoints.go
+++ b/endpoints.go
@@ -28,7 +28,7 @@
 	Zone               int             `json:"Zone"`
 	Kind               int             `json:"Kind"`  // kind of machine
 	StartedAt          Instant         `json:"Since"` // time of the last start; 0: long ago
-	Rating             float64         `json:"Rating"`
+	Rating             float64         `json:"Rating"` // size of the server as listed; no decision depends on it
 	State              EndpointState   `json:"State"`
 	FleetSlowStartRate float64         `json:"Feed"` // slow-start attempts a second from this gateway; 0: unset
 	HealthCheck        HealthCheckMode `json:"Look"`
--- a/events.go
+++ b/events.go
@@ -33,7 +33,7 @@
 		Spread       int     // number of consecutive gateways that serve the customer
 		FirstGateway int     // index of the first of these gateways
 		Repeat       bool    // the client marks the request as a retry
-		Write        bool
+		Write        bool    // the client marks the request as a write; no decision depends on it
 	}
 	// LimitQuery requests how much of a customer's quota remains; it takes no units. Its fields are those of
 	// Arrival.
--- a/settings.go
+++ b/settings.go
@@ -15,7 +15,8 @@
 	Streaming        bool       // an AnswerStarted event reports the start of each answer
 }
 
-// Plan is what a customer has bought. Its limits apply to all gateways together.
+// Plan holds the limits that a customer has bought and the weights of its requests. The limits apply to all
+// gateways together.
 type Plan struct {
 	Rate           float64 // units per second that fill the quota's token bucket; 0: no such quota
 	Burst          float64 // capacity of the quota's token bucket in units
