--- a/cmd/dewhitch/drain_test.go
+++ b/cmd/dewhitch/drain_test.go
@@ -12,10 +12,10 @@
 	"time"
 )
 
-// The term of a drain, as operators state it: drainTerm after the call no client connection may be open that is idle or whose
-// last request is younger than recentRequestAge.
+// Operators' limits on a drain: drainTimeLimit after the call, no client connection may be open that is idle or whose last request is
+// younger than recentRequestAge.
 const (
-	drainTerm        = 4 * time.Second
+	drainTimeLimit   = 4 * time.Second
 	recentRequestAge = 2 * time.Second
 )
 
@@ -29,7 +29,7 @@
 	return calledAt
 }
 
-// waitUntil sleeps until a time of the test's schedule. The term of a drain is real time, so a machine that wakes the test more
+// waitUntil sleeps until a time of the test's schedule. The time limit of a drain is real time, so a machine that wakes the test more
 // than a second late breaks it.
 func waitUntil(at time.Time) { time.Sleep(time.Until(at)) }
 
@@ -79,7 +79,7 @@
 	c.SetReadDeadline(deadline)
 	rest, err := io.ReadAll(c.r)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the connection is still open %v after the start of the drain", drainTerm)
+		t.Errorf("the connection is still open %v after the start of the drain", drainTimeLimit)
 	} else if err != nil && !strings.Contains(err.Error(), "reset") || len(rest) > 0 {
 		t.Errorf("got %q and %v, expected the connection to end without data", rest, err)
 	}
@@ -87,7 +87,7 @@
 
 // TestDrainEndsBehindAHangingServer guards against a request that is taken too late in a drain. A request waits for a hanging
 // server when the gateway is drained, and is answered more than 2 s into the drain. The client then writes the next request: the
-// gateway must not take it, as it would still be in flight, and recent, at the end of the term.
+// gateway must not take it, as it would still be in flight, and recent, at the time limit.
 func TestDrainEndsBehindAHangingServer(t *testing.T) {
 	t.Parallel()
 	env := newEnvironment(t)
@@ -102,7 +102,7 @@
 		t.Fatalf("the request that was taken before the drain was not served: %v\n%s", err, p.log())
 	}
 	c.Write(queryWithLongDeadline("q2"))
-	c.expectClosedBy(t, drainedAt.Add(drainTerm))
+	c.expectClosedBy(t, drainedAt.Add(drainTimeLimit))
 }
 
 // TestDrainEndsUnderAPipeline guards against a drain that never ends because the gateway always has commands in its read buffer:
@@ -122,13 +122,13 @@
 		}
 	}()
 	drainedAt := evacuate(t, env)
-	c.SetReadDeadline(drainedAt.Add(drainTerm))
+	c.SetReadDeadline(drainedAt.Add(drainTimeLimit))
 	if _, err := io.Copy(io.Discard, c.r); errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the connection is still open %v after the start of the drain", drainTerm)
+		t.Errorf("the connection is still open %v after the start of the drain", drainTimeLimit)
 	}
 }
 
-// TestDrainEndsWithinACommand guards against connections that stay open beyond the term because a command is incomplete: the
+// TestDrainEndsWithinACommand guards against connections that stay open beyond the time limit because a command is incomplete: the
 // client stops in the middle of it, or goes on byte by byte.
 func TestDrainEndsWithinACommand(t *testing.T) {
 	t.Parallel()
@@ -154,12 +154,12 @@
 					}
 				}
 			}()
-			c.expectClosedBy(t, drainedAt.Add(drainTerm))
+			c.expectClosedBy(t, drainedAt.Add(drainTimeLimit))
 		})
 	}
 }
 
-// TestDrainEndsWithinAPenalty guards against connections that stay open beyond the term because of the delay between the answers
+// TestDrainEndsWithinAPenalty guards against connections that stay open beyond the time limit because of the delay between the answers
 // to invalid commands.
 func TestDrainEndsWithinAPenalty(t *testing.T) {
 	t.Parallel()
@@ -168,17 +168,17 @@
 	c := env.dial()
 	c.Write([]byte(strings.Repeat("*1\r\n$3\r\nBAD\r\n", 14)))
 	drainedAt := evacuate(t, env)
-	c.SetReadDeadline(drainedAt.Add(drainTerm))
+	c.SetReadDeadline(drainedAt.Add(drainTimeLimit))
 	answers, err := io.ReadAll(c.r)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Errorf("the connection is still open %v after the start of the drain", drainTerm)
+		t.Errorf("the connection is still open %v after the start of the drain", drainTimeLimit)
 	}
 	if n := strings.Count(string(answers), "-ERR unknown command"); n != 14 {
 		t.Errorf("%d of the 14 commands were answered, expected all, as they had been read", n)
 	}
 }
 
-// TestDrainEndsNewConnections guards against connections that stay open beyond the term because they were opened after the start
+// TestDrainEndsNewConnections guards against connections that stay open beyond the time limit because they were opened after the start
 // of the drain: one sends nothing, the other half a command.
 func TestDrainEndsNewConnections(t *testing.T) {
 	t.Parallel()
@@ -187,8 +187,8 @@
 	drainedAt := evacuate(t, env)
 	silent, half := env.dial(), env.dial()
 	half.Write([]byte("*1\r\n$4\r\nPI"))
-	silent.expectClosedBy(t, drainedAt.Add(drainTerm))
-	half.expectClosedBy(t, drainedAt.Add(drainTerm))
+	silent.expectClosedBy(t, drainedAt.Add(drainTimeLimit))
+	half.expectClosedBy(t, drainedAt.Add(drainTimeLimit))
 }
 
 // TestDrainRejectsLateRequests guards against requests on new connections that are sent to a server late in a drain. After the
@@ -201,7 +201,7 @@
 	waitUntil(drainedAt.Add(recentRequestAge))
 	late := env.dial()
 	late.Write(queryWithLongDeadline("q1"))
-	late.SetReadDeadline(drainedAt.Add(drainTerm))
+	late.SetReadDeadline(drainedAt.Add(drainTimeLimit))
 	if answer, err := io.ReadAll(late.r); err != nil || string(answer) != "-BUSY\r\n" {
 		t.Errorf("got %q, %v; expected -BUSY and the end of the connection", answer, err)
 	}
@@ -219,9 +219,9 @@
 	}
 }
 
-// TestDrainEndsUnderAClientThatWritesBehindAHangingServer guards against connections that are open at the end of the term with a
+// TestDrainEndsUnderAClientThatWritesBehindAHangingServer guards against connections that are open at the time limit with a
 // request of the last 2 s, whether the gateway has read it or not. A request that was taken before the drain waits for a hanging
-// server for longer than the term, and its client writes another. A client that writes nothing more keeps its connection until
+// server for longer than the time limit, and its client writes another. A client that writes nothing more keeps its connection until
 // its request is answered.
 func TestDrainEndsUnderAClientThatWritesBehindAHangingServer(t *testing.T) {
 	t.Parallel()
@@ -235,15 +235,15 @@
 	drainedAt := evacuate(t, env)
 	waitUntil(drainedAt.Add(recentRequestAge + 500*time.Millisecond))
 	writing.Write(queryWithLongDeadline("q3"))
-	writing.SetReadDeadline(drainedAt.Add(drainTerm))
+	writing.SetReadDeadline(drainedAt.Add(drainTimeLimit))
 	answers, err := io.ReadAll(writing.r)
 	if errors.Is(err, os.ErrDeadlineExceeded) {
-		t.Fatalf("the connection is open %v after the start of the drain, with a request sent 1.5 s earlier\n%s", drainTerm, p.log())
+		t.Fatalf("the connection is open %v after the start of the drain, with a request sent 1.5 s earlier\n%s", drainTimeLimit, p.log())
 	}
 	if got := string(answers); strings.Count(got, "\r\n") != 1 || got[0] != '-' {
 		t.Errorf("got %q and %v, expected one error answer", got, err)
 	}
-	waitUntil(drainedAt.Add(drainTerm + 500*time.Millisecond))
+	waitUntil(drainedAt.Add(drainTimeLimit + 500*time.Millisecond))
 	server.serve("two")
 	if err := expect(waitingOnly.r, []byte("$3\r\ntwo\r\n")); err != nil {
 		t.Errorf("the request of the client that only waits was not served: %v", err)
--- a/endpoints.go
+++ b/endpoints.go
@@ -26,8 +26,8 @@
 	ID                 ServerID        `json:"ID"`
 	Cell               int             `json:"Cell"` // cell that contains the server, for DedupCell
 	Zone               int             `json:"Zone"`
-	Kind               int             `json:"Kind"`  // kind of machine
-	StartedAt          Instant         `json:"Since"` // time of the last start; 0: long ago
+	Kind               int             `json:"Kind"`   // kind of machine
+	StartedAt          Instant         `json:"Since"`  // time of the last start; 0: long ago
 	Rating             float64         `json:"Rating"` // size of the server as listed; no decision depends on it
 	State              EndpointState   `json:"State"`
 	FleetSlowStartRate float64         `json:"Feed"` // slow-start attempts a second from this gateway; 0: unset
--- a/internal/fleet/agent/tally_test.go
+++ b/internal/fleet/agent/tally_test.go
@@ -55,6 +55,6 @@
 		}
 	}
 	if len(reported) != servers {
-		t.Errorf("%d of %d servers were reported", len(reported), servers)
+		t.Errorf("%d of %d servers were reported, expected all", len(reported), servers)
 	}
 }
