--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -22,8 +22,9 @@
 	}
 }
 
-// Guards against mismatches that depend on the order of postings. The ledger must balance at any time, in any order in which the
-// owners may post: with constant evictions, without any, and with counts that wrap. It is audited after every seventh posting.
+// TestBalancesInAnyOrder guards against mismatches that depend on the order of postings. The ledger must balance at any time, in
+// any order in which the owners may post: with constant evictions, without any, and with counts that wrap. The test audits it
+// after every seventh posting.
 func TestBalancesInAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		seed := rapid.Uint64().Draw(t, "seed")
@@ -53,8 +54,8 @@
 	})
 }
 
-// Guards against entries that a kill of the process leaves open. After each posting of a sequence, CutOff must close all open
-// entries so that the ledger balances.
+// TestCutOffAtEveryPosting guards against entries that a kill of the process leaves open. After each posting of a sequence,
+// CutOff must close all open entries so that the ledger balances.
 func TestCutOffAtEveryPosting(t *testing.T) {
 	for seed := range uint64(8) {
 		var postings []Posting
@@ -77,8 +78,8 @@
 	}
 }
 
-// Guards against faults that no check detects. Each single posting is lost, doubled or given wrong units in turn; the checks must
-// report its row, and no other: Audit, or, if the lost posting is an end, Overdue after the deadline.
+// TestEveryFaultIsFound guards against faults that no check detects. Each single posting is lost, doubled or given wrong units in
+// turn. Audit must report its row and no other; if the lost posting is an end, Overdue must report it after the deadline.
 func TestEveryFaultIsFound(t *testing.T) {
 	for seed := range uint64(6) {
 		var postings []Posting
@@ -94,7 +95,8 @@
 		})
 		for faultAt, faulty := range postings {
 			for _, fault := range []string{"lost", "doubled", "wrong units"} {
-				if fault == "wrong units" && !faulty.Event.HasUnits() || faulty.Event == FrontIdempotencyKey { // it is not a figure, and no check covers it
+				// An idempotency key is not a figure, and no check covers it.
+				if fault == "wrong units" && !faulty.Event.HasUnits() || faulty.Event == FrontIdempotencyKey {
 					continue
 				}
 				l := New(Limits{Rows: 1000, Open: 1000, RecentPostings: 100}, false)
@@ -130,8 +132,8 @@
 	}
 }
 
-// Guards against unbounded memory and wrong sums with customers that send one request each: with 200,000 of them the number of
-// rows stays limited, and the rolled-up figures are exact by plan.
+// TestOneTimeCustomers guards against unbounded memory and wrong sums with customers that send one request each. With 200,000 of
+// them, the number of rows must stay limited, and the rolled-up figures must be exact by plan.
 func TestOneTimeCustomers(t *testing.T) {
 	l := New(Limits{Rows: 500, Open: 100, RecentPostings: 100}, true)
 	var want [3]uint64
@@ -149,7 +151,7 @@
 		}
 	}
 	if rows := len(l.Lines()); rows > 503 {
-		t.Errorf("the ledger has %d rows, expected at most 503", rows)
+		t.Errorf("the ledger has %d rows, expected at most 500 and one for each of 3 plans", rows)
 	}
 	requireBalanced(t, l, "one-time customers")
 	var got [3]uint64
@@ -167,8 +169,8 @@
 	}
 }
 
-// Guards against a mismatch that is lost because its row is rolled up before any audit: it must be reported under the
-// customer's own key.
+// TestEvictedRowIsReportedByName guards against a mismatch that is lost because its row is rolled up before any audit. It must be
+// reported under the customer's own key.
 func TestEvictedRowIsReportedByName(t *testing.T) {
 	l := New(Limits{Rows: 20, Open: 100, RecentPostings: 100}, false)
 	for i := range uint64(100) {
@@ -188,8 +190,8 @@
 	}
 }
 
-// Guards against figures that statements omit or repeat. The statements of any sequence of postings must add up to the ledger,
-// with and without evictions, and the stored rows must restore a ledger that balances.
+// TestStatementsAddUpToLedger guards against figures that statements omit or repeat. The statements of any sequence of postings
+// must add up to the ledger, with and without evictions, and the stored rows must restore a ledger that balances.
 func TestStatementsAddUpToLedger(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		l := New(Limits{Rows: rapid.SampledFrom([]int{16, 1000}).Draw(t, "rows"), Open: 1000, RecentPostings: 10}, true)
@@ -206,9 +208,9 @@
 				stated[d.Key].Add(&d.Counts)
 			}
 			open = s.Open
-			for _, k := range s.Rows {
-				if stored[k.Key] = k; k.RolledUp {
-					delete(stored, k.Key)
+			for _, row := range s.Rows {
+				if stored[row.Key] = row; row.RolledUp {
+					delete(stored, row.Key)
 				}
 			}
 		}
@@ -221,8 +223,8 @@
 				takeStatement()
 				// The ledger that a store would restore after any statement must balance as well.
 				restored := New(Limits{Rows: 1000, Open: 1000, RecentPostings: 10}, true)
-				for _, k := range stored {
-					restored.Restore(k)
+				for _, row := range stored {
+					restored.Restore(row)
 				}
 				for _, o := range open {
 					restored.RestoreOpen(o)
@@ -236,9 +238,9 @@
 			statedTotal.Add(c)
 		}
 		restored := New(Limits{Rows: 1000, Open: 1000, RecentPostings: 10}, true)
-		for _, k := range stored {
-			storedTotal.Add(&k.Counts)
-			restored.Restore(k)
+		for _, row := range stored {
+			storedTotal.Add(&row.Counts)
+			restored.Restore(row)
 		}
 		if statedTotal != l.Total() || storedTotal != l.Total() || restored.Total() != l.Total() {
 			t.Fatalf("requests taken: %d in statements, %d in stored rows, %d restored, %d in the ledger", statedTotal.N[FrontTaken], storedTotal.N[FrontTaken],
