--- a/account.go
+++ b/account.go
@@ -1,9 +1,9 @@
 package dewhitch
 
 const (
-	maxCounterTTL       = 60 * second // time after which the counter forgets a name, at most
-	windowBursts        = 2.0         // bursts that a window refills; a blocked customer waits for its end
-	callsPerWindow      = 4           // ordinary calls in a window, which lasts at least as many timeouts
+	maxCounterTTL       = 60 * second // longest time after which the counter forgets a name
+	windowBursts        = 2.0         // bursts that refill in a window, for whose end a blocked customer waits
+	callsPerWindow      = 4           // ordinary calls in a window; it lasts at least as many counter timeouts
 	accountExpiryPeriod = 5 * second  // interval between two searches for idle accounts
 )
 
@@ -12,7 +12,7 @@
 	id           CustomerID
 	plan         *Plan
 	gateways     float64 // number of gateways that serve the customer, including this one; at least 1
-	counterFirst bool    // an equal share of the burst is less than one request; see newAccount
+	counterFirst bool    // requests are counted before they are admitted; see newAccount
 	window       Span    // length of a window of the shared counter
 
 	bucket  sharedBucket // token bucket of the quota
@@ -45,7 +45,7 @@
 }
 
 // newAccount returns an account with a full bucket. Its ceiling is empty at the start of this gateway,
-// because a previous incarnation may have spent its whole share until then.
+// because a previous incarnation may have spent its whole share just before.
 //
 // Where an equal share of the burst is below one request, a gateway that follows the last total either
 // rejects everything or admits everything. For such customers a request's units are counted before it is
