--- a/internal/fleet/evacuation/config.go
+++ b/internal/fleet/evacuation/config.go
@@ -5,7 +5,7 @@
 // Config has the settings of a Detector.
 type Config struct {
 	Windows       []time.Duration // lengths of the evidence windows, shortest first; a zone is unhealthy if one window shows it
-	MaxEvacuated  int             // limit on zones evacuated at once; 0: a third of all zones, and at least one if there are several
+	MaxEvacuated  int             // limit on zones evacuated at the same time; 0: a third of all zones, and at least one if there are several
 	ProbeDelay    time.Duration   // time from an evacuation to the first probe
 	MaxProbeDelay time.Duration   // upper limit of the backoff after failed probes and returns
 	RecoveryTime  time.Duration   // length of the recovery ramp, the slow start of the servers of a returning zone
@@ -46,8 +46,8 @@
 const (
 	othersFailedRatio = 0.25 // highest fraction of failed attempts at which the other zones count as healthy
 	othersSlowFactor  = 1.8  // multiple of the baseline above which attempts to the other zones count as failed
-	minRejected       = 5    // lowest number of rejected requests, in the longest window, that shows saturation
-	rejectedRatio     = 0.05 // lowest fraction of rejected requests, of those served or rejected, that shows saturation
+	minRejected       = 5    // lowest number of rejected attempts, in the longest window, that shows saturation
+	rejectedRatio     = 0.05 // lowest fraction of rejected attempts, among those served or rejected, that shows saturation
 )
 
 // Thresholds of a probe.
--- a/internal/fleet/evacuation/detector.go
+++ b/internal/fleet/evacuation/detector.go
@@ -33,7 +33,7 @@
 	gatewaysByZone    map[string][]string // gateways that reported within gatewayExpiry, by home zone
 	warmingZones      map[string]bool     // zones with servers in slow start
 	now               time.Duration       // time of the last evaluation
-	statusesChangedAt time.Duration       // time of the last change of a status; evacuations use only later evidence
+	statusesChangedAt time.Duration       // time when Evaluate last changed a status; evacuations use only later evidence
 	sharedSlownessAt  time.Duration       // time when several zones were last slow together; 0: never
 }
 
@@ -55,7 +55,8 @@
 // evacuation is probed without waiting for the backoff.
 func (d *Detector) SetServerStarts(starts map[string]int64) { d.lastStartByZone = starts }
 
-// ZoneOf returns the home zone of a gateway. ok is false if the gateway has not reported within gatewayExpiry.
+// ZoneOf returns the home zone of a gateway. ok is false if the gateway never reported, or if the last
+// evaluation found no report of it within gatewayExpiry.
 func (d *Detector) ZoneOf(gateway string) (zone string, ok bool) {
 	zone, ok = d.zoneByGateway[gateway]
 	return zone, ok
--- a/internal/fleet/evacuation/evacuate.go
+++ b/internal/fleet/evacuation/evacuate.go
@@ -47,7 +47,7 @@
 	return !saturated || !v.partial()
 }
 
-// maxEvacuated returns the limit on the zones that are out of service at once for all gateways.
+// maxEvacuated returns the limit on the number of zones that are evacuated at the same time for all gateways.
 func (e *evaluation) maxEvacuated() int {
 	if e.cfg.MaxEvacuated != 0 {
 		return e.cfg.MaxEvacuated
@@ -84,7 +84,7 @@
 	})
 }
 
-// evacuatePaths evacuates a zone for the gateways of one other zone alone if the path between the two is cut. At least one zone stays
+// evacuatePaths evacuates a zone only for the gateways of one other zone if the path between the two is cut. At least one zone stays
 // in service for the gateways of each zone.
 func (e *evaluation) evacuatePaths() {
 	for _, from := range e.zones {
--- a/internal/fleet/evacuation/evidence.go
+++ b/internal/fleet/evacuation/evidence.go
@@ -18,7 +18,7 @@
 	served       uint64        // number of served attempts
 	failed       uint64        // number of failed attempts
 	rejected     uint64        // number of attempts that servers without capacity rejected
-	answeredLate uint64        // number of attempts that were served after they were counted as failed, in this bucket or before
+	answeredLate uint64        // number of attempts served in this bucket after they were counted as failed, in it or an earlier one
 	answered     uint64        // number of attempts that were served, in time or late
 	latencySum   float64       // total latency of the answered attempts, in seconds
 }
--- a/internal/fleet/evacuation/selfmonitor.go
+++ b/internal/fleet/evacuation/selfmonitor.go
@@ -6,7 +6,7 @@
 // its zone, or while its view of the fleet is out of date. SelfMonitor relies only on this gateway's own attempts. The zero value is
 // ready to use. The owner calls Observe and then Update several times a second.
 type SelfMonitor struct {
-	samples   []sample // within selfSpan, oldest first
+	samples   []sample // observations of the last selfSpan, oldest first
 	drained   bool
 	changedAt time.Duration // time of the last change of drained
 	healthyAt time.Duration // start of the current period, while drained, with a fresh view and the zone not evacuated; 0: none
@@ -15,15 +15,15 @@
 // Thresholds and intervals of a gateway's own draining.
 const (
 	selfSpan        = 3 * time.Second         // period of evidence
-	selfMinSpan     = 1500 * time.Millisecond // shortest time between the first and the last failure that shows isolation
+	selfMinSpan     = 1500 * time.Millisecond // shortest time from the first to the last observation with failures that shows isolation
 	selfMinFailed   = 8                       // lowest number of failed attempts that shows isolation
 	selfFailedRatio = 0.8                     // lowest fraction of failed attempts that shows isolation
 	selfMinDrain    = 5 * time.Second         // shortest time in the drained state
-	selfMaxDrain    = 30 * time.Second        // longest time in the drained state, as recovery does not show without clients
-	selfReturnDelay = 2 * time.Second         // time between the returns of two gateways of a zone
+	selfMaxDrain    = 30 * time.Second        // longest time in the drained state, because without clients no attempt shows the recovery
+	selfReturnDelay = 2 * time.Second         // time between the returns of consecutive gateways of a zone
 )
 
-// Observe adds this gateway's attempts since the last call, to all servers.
+// Observe records how many of this gateway's attempts, over all servers, were served and failed since the last call.
 func (m *SelfMonitor) Observe(now time.Duration, served, failed uint64) {
 	m.samples = append(m.samples, sample{startedAt: now, served: served, failed: failed})
 	for len(m.samples) > 0 && now-m.samples[0].startedAt > selfSpan {
@@ -75,8 +75,8 @@
 	return m.drained
 }
 
-// mayReturn returns true if the gateway may accept clients again: it has been drained for selfMinDrain, and healthy for selfReturnDelay
-// times its returnIndex.
+// mayReturn returns true if the gateway may accept clients again: it has been drained for selfMinDrain, and its healthy period
+// (healthyAt) has lasted returnIndex times selfReturnDelay.
 func (m *SelfMonitor) mayReturn(now time.Duration, returnIndex int) bool {
 	return m.healthyAt > 0 &&
 		now-m.healthyAt >= time.Duration(returnIndex)*selfReturnDelay &&
--- a/internal/fleet/evacuation/simulation_test.go
+++ b/internal/fleet/evacuation/simulation_test.go
@@ -24,7 +24,7 @@
 	rejectionRate  func(zone string) float64          // fraction of the attempts to a zone that its servers reject
 	stopped        map[string]bool                    // gateways that neither report nor probe
 	statuses       Statuses
-	evacuations    int            // number of evacuations so far, without failed probes
+	evacuations    int            // number of evacuations so far; a failed probe does not count as one
 	attemptsByZone map[string]int // number of attempts so far
 }
 
--- a/internal/fleet/evacuation/status.go
+++ b/internal/fleet/evacuation/status.go
@@ -17,7 +17,7 @@
 const (
 	Evacuated State = "out"       // no gateway sends new requests to the zone
 	Probing   State = "probing"   // only the probers send requests to the zone, as a half-open health check
-	Returning State = "returning" // all gateways send requests to the zone, whose servers are in slow start since Status.Since
+	Returning State = "returning" // all gateways send requests to the zone, whose servers have been in slow start since Status.Since
 )
 
 // Status is the state of a zone's servers for all gateways, or for the gateways of one zone. It is durable as part of the plan. The
--- a/internal/fleet/evacuation/transition.go
+++ b/internal/fleet/evacuation/transition.go
@@ -59,7 +59,7 @@
 }
 
 // returnIfSaturated handles a zone that still served some requests when the fleet evacuated it. If the other zones are saturated, it
-// sets the zone to Returning, which adds capacity that the others lack, and returns true.
+// returns true and sets the zone to Returning, unless it already is, which adds the capacity that the others lack.
 func (e *evaluation) returnIfSaturated(c statusContext) bool {
 	if !c.status.Partial || c.status.By != "" {
 		return false
@@ -147,7 +147,7 @@
 }
 
 // endReturn ends the return of a zone when it has a result. The zone is evacuated again if it is unhealthy, and is in service when it has
-// been healthy for two recovery ramps.
+// been healthy for twice RecoveryTime.
 func (e *evaluation) endReturn(c statusContext) {
 	v, unhealthy := e.detectUnhealthy(c.zone, c.startedAt+bucketSpan, c.scope.gateways)
 	switch {
--- a/internal/fleet/evacuation/verdict.go
+++ b/internal/fleet/evacuation/verdict.go
@@ -59,7 +59,7 @@
 // other zones. Therefore the other zones must be healthy, and not just less unhealthy.
 //
 // It records when zones are slow together. Such zones work off their queues at different speeds, so that the last one to recover looks
-// like the only slow one. For sharedSlownessHold no zone is evacuated by its latency.
+// like the only slow one. For sharedSlownessHold after that, no zone is evacuated because of its latency.
 func (e *evaluation) othersHealthy(s scope, v verdict, excluded func(zone string) bool) bool {
 	factor := othersSlowFactor
 	if v.slowGateways == 0 {
