--- a/internal/fleet/maintenance/admission.go
+++ b/internal/fleet/maintenance/admission.go
@@ -84,7 +84,7 @@
 	zoneUnavailable int // number of unavailable servers in the zone
 }
 
-// countServers counts all servers, and those of a zone. out holds the machines that are out for maintenance.
+// countServers counts all servers, and the servers of a zone. out holds the machines that are out for maintenance.
 func (e *evaluation) countServers(zone string, out map[string]bool) (c serverCounts) {
 	for name, server := range e.observed.Servers {
 		unavailable := out[name] || !server.Ready || e.warming(server)
@@ -122,7 +122,7 @@
 	return ""
 }
 
-// maxOut returns the number of machines of a group that may be out at once: a fraction of the group, and at least one.
+// maxOut returns the number of machines of a group that may be out at the same time: a fraction of the group, and at least one.
 func maxOut(fraction float64, total int) int { return max(1, int(fraction*float64(total))) }
 
 // gatewayBlockReason returns the limit that keeps a gateway in the fleet, or an empty string if the gateway may be announced. At most one
@@ -153,8 +153,8 @@
 	return ""
 }
 
-// otherGateways counts the other gateways in maintenance requests: those that are out, and those that have to go before g. reason names a
-// gateway that is out and that g may not be out together with; it is empty if there is none.
+// otherGateways counts the other gateways in maintenance requests: those that are out, and those that have to go before g. If one of
+// them is out and g must not be out at the same time, reason says which; otherwise it is empty.
 func (e *evaluation) otherGateways(m *Machine, g Member) (out, goFirst int, reason string) {
 	for _, r := range e.schedule.Requests {
 		for _, o := range r.Machines {
--- a/internal/fleet/maintenance/command.go
+++ b/internal/fleet/maintenance/command.go
@@ -18,7 +18,7 @@
 	Key       string   `cbor:"3,keyasint,omitempty"` // idempotency key of a new request
 	Kind      Kind     `cbor:"4,keyasint,omitempty"`
 	ForMS     int64    `cbor:"5,keyasint,omitempty"` // longest time that each machine of a new request stays Released, in ms
-	NotBefore int64    `cbor:"6,keyasint,omitempty"` // earliest announcement of a machine of a new request, in Unix ms; 0: no limit
+	NotBefore int64    `cbor:"6,keyasint,omitempty"` // time before which no machine of a new request is announced, in Unix ms; 0: none
 	After     uint64   `cbor:"7,keyasint,omitempty"` // ID of a request that has to end before a new one begins; 0: none
 	Machines  []string `cbor:"8,keyasint,omitempty"` // names of machines
 	ID        uint64   `cbor:"9,keyasint,omitempty"` // ID of an existing request
@@ -304,7 +304,7 @@
 }
 
 // removeGateways removes gateways from the roster whose processes ended without leaving the fleet, so that no machine waits for their
-// acknowledgement any more.
+// acknowledgement any longer.
 func removeGateways(s *Schedule, c Command, _ int64) error {
 	if len(c.Machines) == 0 {
 		return reject(ErrInvalid, "no gateway named")
--- a/internal/fleet/maintenance/evidence.go
+++ b/internal/fleet/maintenance/evidence.go
@@ -5,7 +5,7 @@
 // Limits on the evidence of health and load.
 const (
 	healthSpan        = 4 * time.Second         // age up to which a server's samples are kept
-	lateAnswerDelay   = 1200 * time.Millisecond // time that a server in slow start may take to answer
+	lateAnswerDelay   = 1200 * time.Millisecond // age from which reported timeouts count as failures, because a server in slow start may answer late
 	maxTrackedServers = 1024                    // limit on the servers with samples
 	loadSpan          = time.Hour               // age up to which peak loads are kept
 	loadBucket        = time.Minute             // period for which one peak load is kept
@@ -20,10 +20,11 @@
 	answeredLate uint64 // number of attempts served after they were counted in timedOut, by this report or an earlier one
 }
 
-// peakLoad is the highest load of a server in use within one loadBucket, while no server rejected requests and all zones were in service.
+// peakLoad is the highest mean load of the servers in use within one loadBucket, at times when the fleet was not saturated and all zones
+// were in service.
 type peakLoad struct {
 	at   time.Duration // start of the bucket
-	rate float64       // attempts a second
+	rate float64       // attempts a second per server in use
 }
 
 // Observe adds the attempts of one gateway to a server since the gateway's last report. timedOut counts attempts without an answer for
@@ -38,7 +39,7 @@
 	}
 	s.samples[server] = samples
 	if len(s.samples) > maxTrackedServers {
-		clear(s.samples) // servers are continually replaced under new names; those in use are observed again at once
+		clear(s.samples) // servers are continually replaced under new names; the next reports add those in use again
 	}
 }
 
@@ -60,8 +61,8 @@
 	return served, failed + timedOut - min(timedOut, answeredLate)
 }
 
-// recordLoad updates the peak load with the current load of a server in use, in attempts a second, if the fleet is faultless. It drops
-// peak loads older than loadSpan.
+// recordLoad records rate, the mean attempts a second per server in use, if the fleet is faultless. It keeps one peak for each loadBucket
+// and drops the peaks older than loadSpan.
 func (s *Scheduler) recordLoad(now time.Duration, rate float64, faultless bool) {
 	if faultless {
 		if n := len(s.peakLoads); n == 0 || now-s.peakLoads[n-1].at >= loadBucket {
@@ -75,7 +76,7 @@
 	}
 }
 
-// maxLoad returns the highest load that servers have handled within loadSpan, in attempts a second per server.
+// maxLoad returns the highest peak load of the last loadSpan, in attempts a second per server.
 func (s *Scheduler) maxLoad() (rate float64) {
 	for _, l := range s.peakLoads {
 		rate = max(rate, l.rate)
--- a/internal/fleet/maintenance/forecast.go
+++ b/internal/fleet/maintenance/forecast.go
@@ -9,10 +9,10 @@
 
 // Forecast is the expected course of a request, simulated with a Scheduler.
 type Forecast struct {
-	Steps   []ForecastStep `json:"turns"`           // machines whose maintenance ended, in that order
+	Steps   []ForecastStep `json:"turns"`           // machines whose maintenance ended, in the order in which it ended
 	Elapsed time.Duration  `json:"took"`            // simulated time until the request ended or got stuck
 	Spare   float64        `json:"spare"`           // lowest spare capacity, as a fraction of the capacity of all servers
-	MaxOut  int            `json:"most_out"`        // highest number of servers out of service at once
+	MaxOut  int            `json:"most_out"`        // highest number of servers out of service at the same time
 	Stuck   []string       `json:"stuck,omitempty"` // machines whose maintenance does not end, with the reason
 }
 
@@ -166,7 +166,8 @@
 	return startCapacity + (1-startCapacity)*age.Seconds()/f.cfg.SlowStart.Seconds()
 }
 
-// stuck returns true if no machine is out of service, and none has been for forecastMaxIdle.
+// stuck returns true if no machine is out of service, and more than forecastMaxIdle has passed since the last maintenance ended, or since
+// the start if none has ended.
 func (f *forecastRun) stuck(r *Request) bool {
 	active := slices.ContainsFunc(r.Machines, func(m Machine) bool { return m.State != Waiting && !m.ended() })
 	if active || f.now <= forecastMaxIdle {
@@ -176,7 +177,7 @@
 	return len(steps) == 0 || f.now-steps[len(steps)-1].Done > forecastMaxIdle
 }
 
-// step advances the schedule. One gateway stands for all.
+// step advances the schedule. One simulated gateway stands for all.
 func (f *forecastRun) step() {
 	observed := Observations{
 		Servers: f.servers,
--- a/internal/fleet/maintenance/forecast_test.go
+++ b/internal/fleet/maintenance/forecast_test.go
@@ -18,7 +18,7 @@
 	return servers
 }
 
-// A forecast has each machine once, respects the limits on machines out at once, and names the machines that are stuck.
+// A forecast has each machine once, respects the limits on machines out at the same time, and names the machines that are stuck.
 func TestSimulate(t *testing.T) {
 	cfg := Defaults
 	servers := serversIn(3, 4)
--- a/internal/fleet/maintenance/golden_test.go
+++ b/internal/fleet/maintenance/golden_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-// TestGoldenStates compares the states and kinds with the values in plans, commands and operators' pages.
+// TestGoldenStates checks the values that states and kinds have in plans and commands, and the texts of the states on operators' pages.
 func TestGoldenStates(t *testing.T) {
 	for state, want := range map[State]string{Waiting: "", Announced: "announced", Released: "free", Returned: "back", OnHold: "held", Done: "done",
 		Cancelled: "cancelled"} {
--- a/internal/fleet/maintenance/health.go
+++ b/internal/fleet/maintenance/health.go
@@ -21,7 +21,8 @@
 	e.proveServer(m)
 }
 
-// proveGateway considers a gateway healthy once a new process of it is in the fleet with a fresh view, MinHealthyTime after its return.
+// proveGateway considers a gateway healthy once it is reachable with a fresh view, its process is not the one that was announced, and
+// MinHealthyTime has passed since its return.
 func (e *evaluation) proveGateway(m *Machine, g Member) {
 	age := e.age(m)
 	switch {
@@ -34,8 +35,9 @@
 	}
 }
 
-// proveServer considers a server healthy once it is listed as ready, is warm and has served proofMinServed attempts, MinHealthyTime after
-// its return. After ReturnTimeout it needs no served attempts if it is warm and none failed, because there may be too little traffic.
+// proveServer considers a server healthy once it is listed as ready, is warm and has served proofMinServed attempts in the
+// last healthSpan, and MinHealthyTime has passed since its return. After ReturnTimeout it needs no served
+// attempts if it is warm and none failed, because there may be too little traffic.
 func (e *evaluation) proveServer(m *Machine) {
 	age := e.age(m)
 	server, listed := e.observed.Servers[m.Name]
--- a/internal/fleet/maintenance/schedule.go
+++ b/internal/fleet/maintenance/schedule.go
@@ -1,8 +1,8 @@
 // Package maintenance schedules the maintenance of machines (servers and gateways). It decides which machines are taken out of service, in
-// which order and how many at once, and releases a machine once the gateways have acknowledged that they send it nothing new. The Schedule
+// which order and how many at the same time, and releases a machine once the gateways have acknowledged that they send it nothing new. The Schedule
 // is a section of the plan. Operators' commands change it, and the leader's Scheduler advances it by what it observes of the fleet.
 //
-// The package has no clock, no goroutine and no I/O, and nothing in it may be called concurrently. The owner (package agent) calls
+// The package has no clock, no goroutine and no I/O, and its types are not safe for concurrent use. The owner (package agent) calls
 // Scheduler.Observe for each server in a gateway's load report. On the leader it also calls Step several times a second, with the schedule
 // of the current plan, and proposes the returned one. A change takes effect once the plan contains it.
 //
@@ -75,7 +75,7 @@
 	m.Note = note
 }
 
-// withdrawn returns true if gateways may send nothing new to the machine.
+// withdrawn returns true if gateways must not send new requests to the machine.
 func (m *Machine) withdrawn() bool {
 	return m.State == Announced || m.State == Released || m.onHoldAfterAnnouncement()
 }
@@ -98,7 +98,7 @@
 	Reason      string    `cbor:"4,keyasint" json:"why"`                            // reason that the operator gave
 	Kind        Kind      `cbor:"5,keyasint" json:"kind"`                           // kind of the maintenance of all machines
 	ForMS       int64     `cbor:"6,keyasint" json:"for_ms"`                         // longest time that each machine stays Released, in ms
-	NotBefore   int64     `cbor:"7,keyasint,omitempty" json:"not_before,omitempty"` // earliest announcement of a machine, in Unix ms; 0: no limit
+	NotBefore   int64     `cbor:"7,keyasint,omitempty" json:"not_before,omitempty"` // time before which no machine is announced, in Unix ms; 0: none
 	After       uint64    `cbor:"8,keyasint,omitempty" json:"after,omitempty"`      // ID of a request that has to end before this one begins; 0: none
 	RequestedAt int64     `cbor:"9,keyasint" json:"asked"`                          // time of the request in Unix ms, by the leader's clock
 	State       State     `cbor:"10,keyasint,omitempty" json:"state,omitempty"`     // Waiting, OnHold, Done or Cancelled
@@ -202,7 +202,7 @@
 	return s
 }
 
-// Withdrawn returns the machines to which gateways may send nothing new, with the ID of each machine's announcement, or 0 for a machine
+// Withdrawn returns the machines to which gateways must not send new requests, with the ID of each machine's announcement, or 0 for a machine
 // that is out of service for good.
 func (s Schedule) Withdrawn() map[string]uint64 {
 	withdrawn := map[string]uint64{}
--- a/internal/fleet/maintenance/scheduler.go
+++ b/internal/fleet/maintenance/scheduler.go
@@ -10,14 +10,14 @@
 type Server struct {
 	Zone  string `json:"zone"`
 	Ready bool   `json:"ready"`
-	Since int64  `json:"since"` // time of its last start in Unix ms; 0: long ago
+	Since int64  `json:"since"` // time of its last start in Unix ms; if 0, the server counts as warm
 }
 
 // Member is the leader's view of a gateway.
 type Member struct {
-	HasLeft          bool // true if the gateway has left the fleet gracefully and sends nothing any more
-	Reachable        bool // true if the leader received a status within the lease
-	Fresh            bool // true if the gateway's view of the fleet is not older than the lease
+	HasLeft          bool // true if the gateway announced to gossip that it left the fleet, so that it sends nothing to servers
+	Reachable        bool // true if the gateway's last status reached the leader less than one lease ago
+	Fresh            bool // true if, by its last status, the gateway's view of the plan was fresh (fleet.Node.Fresh)
 	Zone             string
 	Voter            bool
 	Leader           bool
@@ -30,14 +30,14 @@
 	Servers           map[string]Server // listed servers by name
 	Members           map[string]Member // all members that the leader knows, by name, itself included
 	ZonesNotInService []string          // zones that are evacuated, probed or returning
-	Saturated         bool              // true if servers reject requests
+	Saturated         bool              // true if servers reject too many requests
 	Rate              float64           // attempts a second of all gateways together
 }
 
-// Config holds the limits on the machines that are out at once, and the timeouts of their return.
+// Config holds the limits on the machines that are out at the same time, and the timeouts of their return.
 type Config struct {
-	MaxZoneFraction    float64       // highest fraction of a zone's servers that may be out; one may be out if another one stays
-	MaxGatewayFraction float64       // highest fraction of the gateways that may be out, one of a zone; one may be out if another one stays
+	MaxZoneFraction    float64       // highest fraction of a zone's servers that may be out; one may always be out if another stays
+	MaxGatewayFraction float64       // highest fraction of the gateways that may be out, at most one per zone; one may always be out if another stays
 	MaxServerFraction  float64       // highest fraction of all servers that may be out
 	AntiAffinity       [][2]string   // pairs of machines that may not be out together
 	SlowStart          time.Duration // time from the start of a server until it is warm
@@ -59,10 +59,10 @@
 	MaxLoadGrowth:      1.5,
 }
 
-// minNoteInterval is the shortest time between two plans that differ in notes only.
+// minNoteInterval is the shortest time from a change of the schedule to a plan that changes only notes.
 const minNoteInterval = 3 * time.Second
 
-// Scheduler advances the schedule. Every voter calls Observe, so that a new leader has the evidence at once. Only the leader calls Step.
+// Scheduler advances the schedule. Every voter calls Observe, so that a new leader already has the evidence. Only the leader calls Step.
 // Times of type time.Duration are on the owner's monotonic clock.
 type Scheduler struct {
 	cfg       Config
@@ -71,7 +71,7 @@
 	changedAt time.Duration       // time of the last step that changed the schedule
 }
 
-// New returns a Scheduler without evidence.
+// New returns a Scheduler with the limits and timeouts of cfg and no observations yet.
 func New(cfg Config) *Scheduler { return &Scheduler{cfg: cfg, samples: map[string][]sample{}} }
 
 // evaluation is the state of one call to Step.
@@ -152,7 +152,8 @@
 	}
 }
 
-// observeFleet sets the fault that forbids announcements and releases, if there is one, and records the load of the servers in use.
+// observeFleet sets the fault that forbids announcements and releases, if there is one, and records the mean load of the servers
+// in use.
 func (e *evaluation) observeFleet() {
 	inUse := 0
 	withdrawn := e.schedule.Withdrawn()
--- a/internal/fleet/maintenance/scheduler_test.go
+++ b/internal/fleet/maintenance/scheduler_test.go
@@ -11,7 +11,8 @@
 	"pgregory.net/rapid"
 )
 
-// A request for a restart of all servers releases each of them once and ends, with at most two out at once.
+// A request for a restart of all 12 servers must end as done after 12 releases. A request that gets stuck, a second release of a server,
+// or more than two servers out at the same time would be a fault of the limits or of the transitions.
 func TestRestartOfAllServers(t *testing.T) {
 	sim := newSimulation(t, 1, 6, 3, 4)
 	sim.submit("evening", Restart, sortedNames(sim.servers)...)
@@ -103,7 +104,7 @@
 	}
 }
 
-// A zone that goes out of service withdraws an announcement, and no machine is released until the zone is back.
+// When a zone goes out of service, an announcement must be withdrawn, and no machine may be released until the zone is back.
 func TestFaultWithdrawsAnnouncement(t *testing.T) {
 	sim := newSimulation(t, 3, 4, 3, 4)
 	sim.gateways["g0"].stalledUntil = sim.now + 5*time.Second
@@ -183,7 +184,7 @@
 	}
 }
 
-// Commands are idempotent by key, and rejected with the matching cause. A released machine can't be cancelled.
+// Requests are idempotent by key, and invalid commands are rejected with the matching cause. A released machine can't be cancelled.
 func TestCommands(t *testing.T) {
 	sim := newSimulation(t, 5, 2, 2, 3)
 	sim.submit("k", Restart, "s-a1")
@@ -226,7 +227,7 @@
 	}
 }
 
-// Under random stalls, faults and commands, gateways send nothing to a released machine, the limit on machines out at once holds, and
+// Under random stalls, faults and commands, gateways send nothing to a released machine, the limit on machines out at the same time holds, and
 // every request ends or is put on hold.
 func TestRandomFaults(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
--- a/internal/fleet/maintenance/simulation_test.go
+++ b/internal/fleet/maintenance/simulation_test.go
@@ -28,12 +28,12 @@
 	servers     map[string]Server
 	gateways    map[string]*gateway
 	zonesOut    []string        // zones that are not in service
-	saturated   bool            // servers reject requests
+	saturated   bool            // true if servers reject too many requests
 	rate        float64         // attempts a second of all gateways together
 	workTime    time.Duration   // time that the operator needs for a machine
-	neverDone   bool            // the operator never completes the work
+	neverDone   bool            // true if the operator never completes the work
 	unhealthy   map[string]bool // machines whose attempts all fail
-	maxOut      int             // highest number of machines that were out at once
+	maxOut      int             // highest number of machines that were out at the same time
 	released    int             // number of machines that were released
 	planChanges int             // number of steps that changed the schedule
 }
--- a/internal/fleet/maintenance/transition.go
+++ b/internal/fleet/maintenance/transition.go
@@ -49,7 +49,7 @@
 }
 
 // missingAcknowledgements returns the gateways that have not acknowledged the machine's announcement. A server needs the acknowledgement
-// of every gateway in the roster, a gateway only its own, or that it has left the fleet. An acknowledgement of another announcement
+// of every gateway in the roster. A gateway needs only its own, and none if it has left the fleet. An acknowledgement of another announcement
 // does not count.
 func (e *evaluation) missingAcknowledgements(m *Machine) (names []string) {
 	if g, ok := e.gateway(m.Name); ok {
@@ -79,7 +79,7 @@
 }
 
 // announceNext announces one machine, if any may be announced. Only one machine is Announced at a time, so that the effect of taking it
-// out of service shows before the next one. Requests are served oldest first. A younger request may overtake an older one that can't
+// out of service shows before the next one is announced. Requests are served oldest first. A younger request may overtake an older one that can't
 // announce a machine, at most MaxOvertakes times.
 func (e *evaluation) announceNext() {
 	waiting, announced := e.waitingRequests()
