--- a/internal/fleet/slowstart/allocator.go
+++ b/internal/fleet/slowstart/allocator.go
@@ -44,7 +44,7 @@
 // Parameters of the allocation.
 const (
 	demandTimeConstant = 2.0              // time constant of the smoothing of a gateway's demand, in seconds
-	latencySmoothing   = 0.02             // weight of one zone in one report in the mean latency
+	latencySmoothing   = 0.02             // weight in the mean latency of one report's mean for one zone
 	grantPauseLeases   = 1.5              // pause in leases before the first grant of a new leader, while earlier grants may be in use
 	memberExpiry       = 30 * time.Second // time without a report after which a gateway is removed
 	minDemand          = 1e-9             // divisor in place of a demand of 0, in attempts a second
@@ -53,7 +53,7 @@
 // member holds the demand of a gateway and the grants that it may still use.
 type member struct {
 	lastReportAt time.Duration // time of the last report
-	demand       float64       // attempts a second that the gateway has to send, smoothed
+	demand       float64       // estimated rate that the gateway has to send: mean of its attempts and client requests a second, smoothed
 	grants       []grant       // grants that the gateway may still use, oldest first
 }
 
@@ -105,7 +105,7 @@
 	}
 }
 
-// getOrAddMember returns the member of a name, and adds it if it is new.
+// getOrAddMember returns the member with the given name, and adds it if it is new.
 func (a *Allocator) getOrAddMember(name string) *member {
 	m := a.members[name]
 	if m == nil {
@@ -149,7 +149,7 @@
 	a.meanLatencyMicros += latencySmoothing * (micros - a.meanLatencyMicros)
 }
 
-// observeDemand adds the number of attempts since the last report to the smoothed demand.
+// observeDemand updates the smoothed demand with the number of attempts to send since the last report.
 func (m *member) observeDemand(now time.Duration, attempts float64) {
 	if elapsed := (now - m.lastReportAt).Seconds(); m.lastReportAt > 0 && elapsed > 0 {
 		weight := 1 - math.Exp(-elapsed/demandTimeConstant)
@@ -171,7 +171,7 @@
 	a.term = term
 }
 
-// Demand returns the rate that all gateways together have to send, in attempts a second.
+// Demand returns the total demand of all gateways, in attempts a second.
 func (a *Allocator) Demand() (sum float64) {
 	for _, m := range a.members {
 		sum += m.demand
--- a/internal/fleet/slowstart/budget.go
+++ b/internal/fleet/slowstart/budget.go
@@ -7,7 +7,7 @@
 
 // Parameters of the budgets.
 const (
-	maxBudgets      = 256         // largest number of servers with a budget; other servers get nothing until their slow start is over
+	maxBudgets      = 256         // largest number of servers with a budget; other servers in slow start get no rate until it is over
 	probeRate       = 4.0         // attempts a second to all servers of a probed zone together
 	backoffInterval = time.Second // time between two steps of a server's backoff
 	backoffFactor   = 0.5         // factor on the backoff after an interval with failures or high latency
@@ -17,14 +17,14 @@
 	minServed       = 3           // lowest number of served attempts in an interval that shows a slow server
 	failedRatio     = 0.2         // lowest fraction of failed attempts in an interval that counts against a server
 	slowFactor      = 2.5         // multiple of the latency expected at the server's warmth above which it is slow
-	minProbedRate   = 1.0         // lowest even share of the demand, in attempts a second, assumed for a probed server
+	minProbedRate   = 1.0         // lowest even share of the demand, in attempts a second, from which the budget of a probed server is computed
 )
 
 // health holds the backoff of a server with a budget, and the evidence of the current interval.
 type health struct {
 	backoff       float64       // factor on the budget, from backoffMin to 1
 	served        uint64        // number of served attempts
-	failed        uint64        // number of failed attempts
+	failed        uint64        // number of failed and rejected attempts
 	latencyMicros uint64        // total latency of the served attempts
 	intervalStart time.Duration // time of the last backoff step
 }
@@ -40,7 +40,8 @@
 }
 
 // budgets returns the rate at which all gateways together may send to each server in slow start, in attempts a second. The budget is an
-// even share of the total demand, times the warmth, times the backoff. The servers of a probed zone share probeRate.
+// even share of the total demand, times the warmth, times the backoff. The servers of a probed zone have no backoff, and get at most
+// probeRate together.
 func (a *Allocator) budgets(now time.Duration, unixMS int64, servers []Server) map[uint32]float64 {
 	budgets := map[uint32]float64{}
 	inUse, probed := countByUse(servers)
@@ -75,8 +76,8 @@
 	return inUse, probed
 }
 
-// backoff returns the factor on a server's budget. Once in each backoffInterval it is halved if the server failed or was slow, and raised
-// by backoffRecovery otherwise. A server is expected to be slower while it is cold, so the latency is compared with the one expected at
+// backoff returns the factor on a server's budget. Once in each backoffInterval it is halved if too many attempts failed or the server was slow,
+// and raised by backoffRecovery otherwise. A server is expected to be slower while it is cold, so the latency is compared with the one expected at
 // its warmth.
 func (a *Allocator) backoff(now time.Duration, id uint32, warmth float64) float64 {
 	h := a.health[id]
