--- a/internal/fleet/agent/agent.go
+++ b/internal/fleet/agent/agent.go
@@ -26,7 +26,7 @@
 	logTick         = 100 * time.Millisecond // tick of the log
 	minTickInterval = 5 * time.Millisecond   // shortest time between two calls to Node.Tick
 	inboxSize       = 2048                   // limit on queued messages, and on queued member changes; more are lost, as on the network
-	callQueueSize   = 16                     // limit on the queued calls from other goroutines; more block their callers
+	callQueueSize   = 16                     // limit on the queued functions that Agent.call passes to Run; further calls block
 )
 
 // Options configures a member. Callbacks run on the agent's goroutine and must not block.
@@ -64,8 +64,8 @@
 	stopped    chan struct{} // closed when Run returns
 	stopGossip func()        // stops gossip; set by Run
 
-	// Policies. Every member passes all reports that it receives to them, so that a new leader has evidence at
-	// once. Only the leader acts on their decisions.
+	// Policies. Every member passes all reports that it receives to them, so that a new leader already has
+	// the evidence. Only the leader acts on their decisions.
 	zones          *evacuation.Detector
 	slowStart      *slowstart.Allocator
 	maintenance    *maintenance.Scheduler
--- a/internal/fleet/agent/agent_test.go
+++ b/internal/fleet/agent/agent_test.go
@@ -126,7 +126,7 @@
 	members, stop := startMembersWithRegistry(t, 4, false, zk)
 	defer stop()
 	waitUntilFresh(t, members)
-	// All sessions expire at once, as after a long outage of the registry. The members stay alive, and create their
+	// All sessions expire at the same time, as after a long outage of the registry. The members stay alive, and create their
 	// nodes again.
 	names, ownersBefore := []string{"g0", "g1", "g2", "g3"}, map[string]int64{}
 	for _, n := range names {
--- a/internal/fleet/agent/calls.go
+++ b/internal/fleet/agent/calls.go
@@ -10,7 +10,7 @@
 // ErrEnded is returned after Run has returned.
 var ErrEnded = errors.New("fleet: this process is leaving")
 
-// call runs f on the agent's goroutine and waits for its end. If it returns ErrEnded, f may or may not have run.
+// call runs f on the agent's goroutine and waits until f has returned. If call returns ErrEnded, f may or may not have run.
 func (a *Agent) call(f func()) error {
 	done := make(chan struct{})
 	select {
--- a/internal/fleet/agent/decisions.go
+++ b/internal/fleet/agent/decisions.go
@@ -15,7 +15,7 @@
 type Decisions struct {
 	Plan      fleet.Plan
 	Withdrawn map[string]uint64 // machines to which nothing new may be sent, with their announcement IDs
-	SlowStart slowstart.Grant   // rates granted by the leader; empty after the lease expired
+	SlowStart slowstart.Grant   // rates granted by the leader; empty once their lease has expired
 }
 
 // handleEvent logs an event of the node, and updates the decisions if the event changes them.
--- a/internal/fleet/agent/drain.go
+++ b/internal/fleet/agent/drain.go
@@ -18,7 +18,7 @@
 }
 
 // updateDrain starts or stops draining. After an isolation the gateways of a zone stop draining one after the other,
-// in the order of their names, so that their clients do not all return at once.
+// in the order of their names, so that their clients do not all return at the same time.
 func (a *Agent) updateDrain(now time.Duration) {
 	d := &a.drain
 	isolated := d.monitor.Update(now, d.zoneEvacuated, a.node.Fresh(), d.returnIndex)
--- a/internal/fleet/agent/golden_fleet_test.go
+++ b/internal/fleet/agent/golden_fleet_test.go
@@ -117,7 +117,7 @@
 	}{
 		{"freeze", url.Values{"by": {"erin"}, "why": {"noon"}}, 200},
 		{"thaw", url.Values{"by": {"erin"}, "why": {"day"}}, 200},
-		{"freeze", url.Values{"by": {"erin"}, "why": {"night"}}, 200}, // while frozen, the leader proposes nothing by itself
+		{"freeze", url.Values{"by": {"erin"}, "why": {"night"}}, 200}, // while frozen, the leader proposes nothing on its own initiative
 		{"leave", url.Values{"by": {"alice"}, "why": {"power"}, "zone": {"hall-b"}, "for_ms": {"1800000"}}, 200},
 		{"return", url.Values{"by": {"bob"}, "why": {"keep"}, "zone": {"hall-c"}, "hold": {"true"}}, 200},
 		{"leave", url.Values{"by": {"alice"}, "why": {"power"}, "zone": {"hall-b"}, "for_ms": {"x"}}, 400},
--- a/internal/fleet/agent/pages.go
+++ b/internal/fleet/agent/pages.go
@@ -13,9 +13,9 @@
 const maxFormSize = 64 << 10 // limit in bytes on the body of a command
 
 // Pages registers the fleet's pages on the operators' listener: GET /fleet, /fleet/zones, /fleet/work and
-// /fleet/servers in JSON, and POST /fleet/COMMAND with a form of by, why and the command's own fields. The answer to a
-// command is the line YES EPOCH, or NO and the reason. After NO the command has changed nothing, except that with
-// status 503 it may still take effect.
+// /fleet/servers in JSON, and POST /fleet/COMMAND, with a form that has the fields by and why and the command's own
+// fields. The answer to a command is the line YES EPOCH, or NO and the reason. After NO the command has changed
+// nothing, except that with status 503 it may still take effect.
 func (a *Agent) Pages(mux *http.ServeMux) {
 	mux.HandleFunc("GET /fleet", a.statusPage)
 	mux.HandleFunc("GET /fleet/zones", a.planPage(func(p *fleet.Plan) (any, error) { return zoneStatuses(p) }))
--- a/internal/fleet/agent/slow_start.go
+++ b/internal/fleet/agent/slow_start.go
@@ -23,7 +23,7 @@
 }
 
 // grantFor returns the leader's encoded grant to a member: the rates at which the member may send to servers in slow
-// start, and to those of zones that are returning or probed. It returns nil if there are no such servers.
+// start, and to the servers of returning or probed zones. It returns nil if there are no such servers.
 func (a *Agent) grantFor(now time.Duration, to fleet.Peer, seq uint64) []byte {
 	if now >= a.nextAllocation {
 		a.nextAllocation = now + allocationInterval
@@ -48,8 +48,8 @@
 	return a.slowStart.Allocate(now, unixMS, servers, a.maySend(servers, statuses))
 }
 
-// serversByZoneState returns a copy of the servers with the use that the state of each server's zone allows. The slow
-// start of a server begins again when its zone returns.
+// serversByZoneState returns a copy of the servers, with Use set as the state of each server's zone requires. The
+// slow start of a server begins again when its zone returns.
 func serversByZoneState(listed []slowstart.Server, statuses evacuation.Statuses) []slowstart.Server {
 	servers := slices.Clone(listed)
 	for i := range servers {
--- a/internal/fleet/agent/status.go
+++ b/internal/fleet/agent/status.go
@@ -31,11 +31,11 @@
 	Fleet          string              `json:"fleet"`
 	Leader         string              `json:"leader"`
 	LeaderAge      int64               `json:"leader_ms"`        // time since the last contact with the leader in ms
-	Quorum         bool                `json:"quorum"`           // true if a leader with a quorum confirmed the view within the lease
+	Quorum         bool                `json:"quorum"`           // true if this member leads, or the lease of the leader's last confirmation is valid
 	Epoch          fleet.Epoch         `json:"epoch"`            // epoch of the plan
 	Sections       []string            `json:"sections"`         // keys of the plan's sections, sorted
 	Frozen         *fleet.OperatorMark `json:"frozen,omitempty"` // operator's freeze of the plan; nil: none
-	Unacknowledged []string            `json:"unacknowledged"`   // members that do not follow the plan yet
+	Unacknowledged []string            `json:"unacknowledged"`   // live members that have not confirmed the plan within the last lease
 	Members        []MemberStatus      `json:"members"`
 	PassedOver     uint64              `json:"passed_over"` // number of messages and reports that were dropped as unusable
 	Folder         string              `json:"folder"`      // state of a voter's storage: kept, halted or none
--- a/internal/fleet/agent/storage.go
+++ b/internal/fleet/agent/storage.go
@@ -28,7 +28,7 @@
 	store    store            // nil if nothing is stored
 	results  chan writeResult // has room for the result of the write in progress
 	writing  bool             // true from the start of a write until finish
-	failedAt time.Time        // time at which the last write failed; zero: it succeeded
+	failedAt time.Time        // time at which the last write failed; zero: it succeeded, or there was none
 	loggedAt time.Time        // time at which a failure was last logged; zero: writes succeed
 	log      *zap.Logger
 }
@@ -88,7 +88,8 @@
 	}
 }
 
-// persist starts to write the update that the node needs stored. Without a store the update counts as stored at once.
+// persist starts to write the update that the node needs stored. Without a store the update counts as
+// stored immediately.
 func (a *Agent) persist() {
 	for {
 		u, pending := a.node.PendingStorage()
@@ -103,8 +104,8 @@
 	}
 }
 
-// finishWrite reports a successful write to the node, unless the node needs a newer update stored by now. persist
-// writes a newer update, and repeats a failed write.
+// finishWrite reports a successful write to the node, unless the node waits for another update by now. persist
+// writes that update, and repeats a failed write.
 func (a *Agent) finishWrite(r writeResult) {
 	if !a.storage.finish(r) {
 		return
--- a/internal/fleet/agent/tally_test.go
+++ b/internal/fleet/agent/tally_test.go
@@ -9,7 +9,7 @@
 )
 
 // Attempts count by zone and server. A late attempt counts as timed out while it is in flight, and as answered late
-// once it is served. A cancelled attempt does not count.
+// once it is served. An attempt that is cancelled before it is late does not count.
 func TestAttemptCounter(t *testing.T) {
 	now := time.Unix(0, 0)
 	counter := newAttemptCounter(func() time.Time { return now })
--- a/internal/fleet/agent/withdrawal.go
+++ b/internal/fleet/agent/withdrawal.go
@@ -9,7 +9,7 @@
 // MachineName returns the name of a server in commands, plans and statuses.
 func MachineName(id uint32) string { return fmt.Sprintf("s-%08x", id) }
 
-// parseMachineName returns the server with a machine's name. It returns false if the machine is a gateway.
+// parseMachineName returns the ID of the server with a machine's name. It returns false if the name is not a server's.
 func parseMachineName(name string) (uint32, bool) {
 	text, ok := strings.CutPrefix(name, "s-")
 	id, err := strconv.ParseUint(text, 16, 32)
@@ -39,8 +39,9 @@
 	return idle
 }
 
-// sendsNothingTo returns true if this gateway has nothing in flight to a withdrawn server. Gateways send no attempts to
-// other gateways, so it returns true for them, and for this gateway if it has drained its clients.
+// sendsNothingTo returns true if this gateway has nothing in flight to a withdrawn machine. That is always true of other
+// gateways, because gateways send each other no attempts. For this gateway itself, sendsNothingTo returns true once it
+// has drained its clients and has nothing in flight (Options.Quiesced).
 func (a *Agent) sendsNothingTo(machine string, inFlight map[uint32]bool) bool {
 	if id, isServer := parseMachineName(machine); isServer && !inFlight[id] {
 		return true
