--- a/internal/fleet/memberregistry/memberregistry.go
+++ b/internal/fleet/memberregistry/memberregistry.go
@@ -32,7 +32,7 @@
 }
 
 // Run maintains this member's node until the context ends, and calls onChange with the addresses of all members by
-// name at each change. The addresses are hints: a member without one may be alive, because all sessions expire at once
+// name at each change. The addresses are hints: a member without one may be alive, because all sessions expire
 // while the registry is unreachable.
 func Run(ctx context.Context, o Options, onChange func(map[string]string)) error {
 	if len(o.Servers) == 0 {
