--- a/internal/fleet/commands.go
+++ b/internal/fleet/commands.go
@@ -9,8 +9,8 @@
 )
 
 const (
-	// maxCommands is the limit on the commands queued at the leader, on the results that the leader keeps, and on the
-	// submissions pending at a member, each on its own.
+	// maxCommands limits, separately, the commands queued at the leader, the results that the leader keeps, and the
+	// submissions pending at a member.
 	maxCommands     = 256
 	proposalTimeout = commandTimeout // time after which the leader considers a proposal lost
 )
--- a/internal/fleet/dissemination.go
+++ b/internal/fleet/dissemination.go
@@ -45,8 +45,8 @@
 	n.send(p.Name, envelope{Plan: &n.plan})
 }
 
-// Unacknowledged returns the sorted names of the live members that have not confirmed within one lease that
-// they apply epoch e or a later one.
+// Unacknowledged returns the sorted names of the live members whose last status is older than a lease or shows
+// an epoch before e, and of those that have sent no status.
 func (n *Node) Unacknowledged(e Epoch) (names []string) {
 	for _, name := range n.peers.names {
 		p := n.peers.byName[name]
--- a/internal/fleet/epoch.go
+++ b/internal/fleet/epoch.go
@@ -6,8 +6,8 @@
 	"strings"
 )
 
-// Epoch identifies a plan by the generation of the log that committed it and its index in that log, and orders
-// plans in this order. The epoch that a member applies never decreases.
+// Epoch identifies a plan by the generation of the log that committed it and its index in that log. Plans are
+// ordered by generation, then by index. The epoch that a member applies never decreases.
 type Epoch struct {
 	Generation uint64 `cbor:"1,keyasint"`
 	Index      uint64 `cbor:"2,keyasint"`
--- a/internal/fleet/generation.go
+++ b/internal/fleet/generation.go
@@ -7,7 +7,7 @@
 )
 
 // A generation is one instance of the replicated log. If a quorum of its voters loses its storage, that log
-// can't commit anything any more. The first configured voter then starts a new generation in two phases, as in
+// can no longer commit. The first configured voter then starts a new generation in two phases, as in
 // Paxos:
 //
 //  1. Prepare: every configured voter promises the number of the new generation. With its promise a voter
@@ -96,8 +96,8 @@
 	return len(voters) == 0 || count > len(voters)/2
 }
 
-// startGeneration has the first configured voter start a generation, or continue to start it, if no log can
-// commit any more.
+// startGeneration starts a generation if quorumLost shows that no log can commit, or continues a start that is
+// in progress. On any node but the first configured voter it does nothing.
 func (n *Node) startGeneration() {
 	if !n.voterActive() || n.fenced || n.config.Voters[0] != n.config.Name {
 		return
@@ -197,7 +197,7 @@
 		n.send(from, envelope{Generation: &generationMessage{Generation: number, Promise: true, Plan: &n.plan}})
 	}
 	if number == n.voterHeader.Promised && n.voterHeader.Generation == 0 {
-		sendPromise() // the first one may have been lost
+		sendPromise() // the earlier message may have been lost
 		return
 	}
 	if n.voterHeader.Generation != 0 {
--- a/internal/fleet/lease.go
+++ b/internal/fleet/lease.go
@@ -7,7 +7,7 @@
 
 const (
 	statusRingSize = 64 // number of last statuses whose send times are kept; a grant for an older one is ignored
-	grantsPerLease = 5  // number of grants to one member within a lease, so that some may be lost
+	grantsPerLease = 5  // number of grants to one member in the time of a lease; several, because messages are lost
 )
 
 // leaseHolder is a member's side of the leader's leases.
@@ -68,8 +68,8 @@
 	return l.expired && !wasExpired && l.grantSeq > 0
 }
 
-// Fresh returns true if this member leads, or if the leader has confirmed this member's plan as the newest
-// within the lease. A fenced process is never fresh.
+// Fresh returns true if this member leads, or if the leader has confirmed this member's plan as the newest and
+// the lease of that confirmation is still valid. A fenced process is never fresh.
 func (n *Node) Fresh() bool { return !n.fenced && (n.Leads() || n.now < n.lease.freshUntil) }
 
 // Grant returns the payload of the leader's grant to this member. It returns false if there is no grant, if its
@@ -84,7 +84,8 @@
 	return n.Leads() && (!p.Status.Fresh || n.now-p.lastGrantAt >= n.config.Lease/grantsPerLease)
 }
 
-// grantFor returns the payload of the leader's grant to a member that answers its status seq.
+// grantFor returns the payload of the leader's grant to a member. The grant answers the member's status with the
+// sequence number seq.
 func (n *Node) grantFor(to Peer, seq uint64) []byte {
 	if n.config.GrantFor == nil {
 		return nil
--- a/internal/fleet/node.go
+++ b/internal/fleet/node.go
@@ -26,7 +26,7 @@
 	Seed                      uint64        // seed of all random draws, together with Incarnation
 	Tick                      time.Duration // duration of a tick of raft's clock
 	StatusInterval            time.Duration // minimum interval between two statuses
-	Lease                     time.Duration // validity of the leader's confirmations and grants, from the time of the status that they answer
+	Lease                     time.Duration // validity of the leader's confirmations and grants, from the send time of the status that they answer
 	// Commands holds the handlers of operators' commands by name.
 	Commands map[string]CommandHandler
 
@@ -36,8 +36,8 @@
 	// LeaderTick is called on the leader every 200 ms (housekeepingInterval). unixMS is the Unix time in ms. It may be
 	// nil.
 	LeaderTick func(now time.Duration, unixMS int64, n *Node)
-	// GrantFor returns the payload of the leader's grant to a member, the leader included, that answers the
-	// member's status seq. It may be nil.
+	// GrantFor returns the payload of the leader's grant to a member, the leader included. The grant answers the
+	// member's status with the sequence number seq. GrantFor may be nil.
 	GrantFor func(now time.Duration, to Peer, seq uint64) []byte
 }
 
--- a/internal/fleet/node_test.go
+++ b/internal/fleet/node_test.go
@@ -199,7 +199,7 @@
 	if _, events := m.node.TakeOutput(); len(events) != 1 || events[0].Kind != Fenced || m.node.Fresh() {
 		t.Errorf("events %+v, expected Fenced only; fresh %v, expected false", events, m.node.Fresh())
 	}
-	// The two processes may never reach each other, so other members notify the earlier one.
+	// A message of the later process need not reach the earlier one, so other members must notify the earlier one too.
 	other := s.members[2]
 	other.node.Step(s.now, s.unixMS(), messages[0].Data)
 	other.node.TakeOutput()
--- a/internal/fleet/output.go
+++ b/internal/fleet/output.go
@@ -30,7 +30,7 @@
 	GrantChanged                        // Grant returns another result
 	GenerationStarted                   // this voter started a generation of the log
 	GenerationPromised                  // this voter promised a generation of the log and ignores older ones
-	Fenced                              // a later process with this name exists; this one neither sends nor handles anything any more
+	Fenced                              // a later process with this name exists; this one no longer sends or handles anything
 	VotersChanged                       // the leader proposed another set of voters
 	InvalidReport                       // a peer sent an invalid report
 )
--- a/internal/fleet/report.go
+++ b/internal/fleet/report.go
@@ -7,7 +7,7 @@
 	maxNameLength      = 64      // limit in bytes on the name of a member, zone or region
 	maxZones           = 64      // limit on the zones in a report
 	MaxReportedServers = 24      // limit on the servers in a report
-	maxCounter         = 1 << 40 // limit on counted attempts; no process runs long enough to reach it
+	maxCounter         = 1 << 40 // limit on a counter of attempts or requests; no process runs long enough to reach it
 )
 
 var errInvalidReport = errors.New("fleet: report has inconsistent counters or exceeds its bounds")
@@ -15,7 +15,7 @@
 // AttemptCounts holds a member's counters of attempts to a zone or a server since its process started. They
 // never decrease.
 type AttemptCounts struct {
-	Attempts      uint64 `cbor:"1,keyasint" json:"tries"`                    // attempts that ended or are overdue
+	Attempts      uint64 `cbor:"1,keyasint" json:"tries"`                    // attempts that ended with an outcome or are overdue
 	Served        uint64 `cbor:"2,keyasint" json:"served"`                   // attempts answered with success
 	ConnectFailed uint64 `cbor:"3,keyasint" json:"refused"`                  // attempts that could not connect
 	TimedOut      uint64 `cbor:"4,keyasint" json:"silent"`                   // attempts without an answer in time
@@ -53,7 +53,8 @@
 	c.AnsweredLate += o.AnsweredLate
 }
 
-// valid returns true if the counters are consistent and within bounds, as those of a correct process are.
+// valid returns true if the counters are consistent and within bounds. The counters of a correct process
+// always are.
 func (c AttemptCounts) valid() bool {
 	return c.Attempts < maxCounter &&
 		c.LatencyMicros < maxCounter*1000 &&
--- a/internal/fleet/report_baseline.go
+++ b/internal/fleet/report_baseline.go
@@ -3,8 +3,8 @@
 import "maps"
 
 // MaxObservedServers limits the servers whose counters are kept per member. It exceeds the size of the largest
-// fleet. Replaced servers get new IDs, so all counters are dropped once the limit is exceeded, and the counters
-// of servers that still exist start again.
+// fleet. Replaced servers get new IDs. Once the limit is exceeded, a member therefore drops the counters of all
+// servers and counts the existing ones from 0 again, and a receiver of its reports drops its copies.
 const MaxObservedServers = 4096
 
 // reportBaseline holds the counters that one process of a member reported last. The changes in its next report
--- a/internal/fleet/status.go
+++ b/internal/fleet/status.go
@@ -7,7 +7,7 @@
 
 const (
 	statusIntervalPerPeer = time.Millisecond // minimum status interval per known peer, to bound the statuses that a voter receives
-	fullStatusPeriod      = 3                // every third status goes to all voters and includes servers
+	fullStatusPeriod      = 3                // every third status is full (sendStatuses)
 )
 
 // SelfStatus returns this member's own status, without the report and the withdrawn machines.
@@ -43,8 +43,8 @@
 }
 
 // sendStatuses sends this member's status to the leader. Every third status, and every status while the view is
-// not fresh, is full: it goes to all voters and one other member and includes servers. Servers make up most of
-// its bytes, and every decision based on them takes a second or more.
+// not fresh, is full: it goes to all voters and at most one other member, and includes servers. Servers make
+// up most of the bytes of a full status, and every decision based on them takes a second or more.
 func (n *Node) sendStatuses() {
 	status := n.SelfStatus()
 	if n.withdrawn != nil {
@@ -82,7 +82,7 @@
 }
 
 // statusReceivers chooses the members to which a status goes: the leader, or for a full status all known voters
-// and one other member at random. That member need not be alive according to gossip, so that two halves of the
+// and at most one other member at random. That member need not be alive according to gossip, so that two halves of the
 // fleet reconnect as soon as any link works.
 func (n *Node) statusReceivers(full bool) (names []string) {
 	for _, v := range n.config.Voters {
@@ -115,7 +115,7 @@
 		n.sendPlan(p)
 	case n.plan.Epoch.Less(e.Status.Epoch):
 		s := n.SelfStatus()
-		n.send(p.Name, envelope{Status: &s}) // the peer answers it with its plan
+		n.send(p.Name, envelope{Status: &s}) // the peer answers this status with its plan
 	}
 	if n.shouldGrant(p) {
 		p.lastGrantAt = n.now
--- a/internal/fleet/submissions.go
+++ b/internal/fleet/submissions.go
@@ -71,7 +71,7 @@
 
 // retrySubmissions sends pending commands to the leader every commandRetryInterval, because messages are lost and
 // leaders fail, and fails a command at its deadline. While no leader is known a submission stays due, so that it is
-// sent as soon as there is one.
+// sent as soon as a leader is known.
 func (n *Node) retrySubmissions() {
 	for _, id := range slices.Sorted(maps.Keys(n.submissions.pending)) {
 		s := n.submissions.pending[id]
--- a/internal/fleet/voter_ready.go
+++ b/internal/fleet/voter_ready.go
@@ -132,7 +132,7 @@
 	}
 }
 
-// compact drops old applied entries, compactionReserve of them at a time.
+// compact drops old applied entries, at least compactionReserve at a time, and keeps the last compactionReserve.
 func (v *voter) compact() {
 	first, err := v.storage.FirstIndex()
 	if err != nil || v.applied < first+compactionHysteresis {
--- a/internal/fleet/wire.go
+++ b/internal/fleet/wire.go
@@ -38,7 +38,7 @@
 	Report         *Report  `cbor:"10,keyasint,omitempty"`
 	Voters         []uint64 `cbor:"11,keyasint,omitempty"` // identities of the voters in the log that it holds
 	OutgoingVoters []uint64 `cbor:"12,keyasint,omitempty"` // identities of the voters before a joint change in progress
-	GrantSeq       uint64   `cbor:"13,keyasint,omitempty"` // sequence number of its status whose grant it applies
+	GrantSeq       uint64   `cbor:"13,keyasint,omitempty"` // sequence number of its status that the grant it applies answers
 
 	// Withdrawn lists the machines to which this member sends nothing and has nothing in flight, with the ID of
 	// each machine's announcement in the maintenance schedule.
@@ -97,7 +97,7 @@
 	Version          int                `cbor:"1,keyasint"`
 	Fleet            string             `cbor:"2,keyasint"`
 	From             string             `cbor:"3,keyasint"`
-	StartedAt        int64              `cbor:"4,keyasint"` // with Incarnation: identifies the sender's process, as in incarnation
+	StartedAt        int64              `cbor:"4,keyasint"` // together with Incarnation, identifies the sender's process (type incarnation)
 	Incarnation      uint64             `cbor:"5,keyasint"`
 	Seq              uint64             `cbor:"6,keyasint"` // increases with each message of the sender's process
 	Status           *Status            `cbor:"7,keyasint,omitempty"`
