--- a/internal/front/bounds.go
+++ b/internal/front/bounds.go
@@ -16,12 +16,12 @@
 	largeCommands  *semaphore.Weighted // bytes of large commands that are not answered yet
 }
 
-// Limits of the memory of sessions. Most are shares of the machine's memory, because a constant that fits one machine exceeds the
-// memory of a smaller one.
+// Limits of the memory of sessions. Three of them divide the memory that the gateway may use, because a constant that fits one
+// machine exceeds the memory of a smaller one.
 const (
 	unsentMemoryDivisor  = 8         // the unsent answers of all sessions get the memory divided by this
 	sessionUnsentDivisor = 8         // each session gets the memory for unsent answers divided by this
-	maxSessionUnsent     = 512 << 10 // bytes of unsent answers of a session on a machine of any size
+	maxSessionUnsent     = 512 << 10 // upper limit of maxUnsent in bytes, however much memory there is
 	largeMemoryDivisor   = 8         // large commands get the memory divided by this
 	maxPipelined         = 64        // maximum number of unanswered commands of a session; further ones stay unread
 	minLargeCommand      = 2 << 10   // size in bytes above which a command counts as large
--- a/internal/front/closing.go
+++ b/internal/front/closing.go
@@ -60,7 +60,7 @@
 	State          string `json:"state"`
 	PendingAnswers int    `json:"owed"`     // number of commands without an answer
 	Commands       int    `json:"commands"` // number of commands read
-	BusyMS         int64  `json:"busy_ms"`  // milliseconds since an answer was last pending
+	BusyMS         int64  `json:"busy_ms"`  // milliseconds since the last answer was given, or since the accept if there was none
 }
 
 // status returns the description of the session for the log.
@@ -94,7 +94,7 @@
 const maxOverdueLogged = 8
 
 // reportOverdue logs the sessions for which overdue returns true, and reports their number to the monitor, if there are any.
-// cause names the event by which they should have ended: a drain, or the end of the gateway.
+// cause names the event by which they should have ended: a drain, or the shutdown of the gateway.
 func (srv *Server) reportOverdue(cause string, overdue func(*session) bool) {
 	var logged []status
 	n := 0
--- a/internal/front/ending_test.go
+++ b/internal/front/ending_test.go
@@ -117,8 +117,8 @@
 
 func startDrain(s *session) { s.drain(newDrainTimes(time.Now())) }
 
-// TestCommandReadBeforeTheEndIsServed guards against the loss of a command that was read from the system's buffers, but has not
-// reached the session, when an idle session must end.
+// TestCommandReadBeforeTheEndIsServed guards against the loss of a command when its session is evicted, stopped or drained while the
+// command has been read from the system's buffers, but has not reached the session.
 func TestCommandReadBeforeTheEndIsServed(t *testing.T) {
 	for name, end := range map[string]func(*session){"for room": (*session).evict, "at the end": (*session).stop,
 		"by a drain": startDrain} {
@@ -198,7 +198,7 @@
 	}
 }
 
-// TestUnreadInputDoesNotLoseAnswers checks that input that arrives after the end of a session does not reset the connection, which
+// TestUnreadInputDoesNotLoseAnswers checks that input that arrives after a session has ended does not reset the connection, which
 // would lose answers that the client has not read yet.
 func TestUnreadInputDoesNotLoseAnswers(t *testing.T) {
 	c, _, s := newSessionPair(t, okCommands{}, false)
@@ -214,7 +214,7 @@
 		defer s.mu.Unlock()
 		return s.lifecycle.state == stateClosed
 	})
-	c.Write([]byte(ping)) // arrives after the end of the session
+	c.Write([]byte(ping)) // arrives after the session has ended
 	if got := readUntilClosed(t, c); got != "+OK\r\n" {
 		t.Errorf("got unexpected answers: %q", got)
 	}
--- a/internal/front/eviction.go
+++ b/internal/front/eviction.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	evictionInterval = 50 * time.Millisecond  // time between two evictions of idle sessions
+	evictionInterval = 50 * time.Millisecond  // time between two checks for idle sessions to evict
 	evictableAfter   = 250 * time.Millisecond // minimum idle time before an eviction; an active client sends its next command sooner, or reconnects
 )
 
@@ -34,8 +34,9 @@
 	}
 }
 
-// evictSurplus evicts idle sessions while the number of sessions exceeds MaxIdleSessions, the longest idle first. It ignores
-// sessions that have sent no valid command, because they time out soon. It returns the buffer that it was given, for reuse.
+// evictSurplus evicts as many idle sessions as there are sessions above MaxIdleSessions, the longest idle first. It neither counts nor
+// evicts sessions that are ending, or that have sent no valid command and therefore time out soon. It returns
+// the buffer that it was given, for reuse.
 func (srv *Server) evictSurplus(idle []evictable) []evictable {
 	used := 0
 	srv.mu.Lock()
--- a/internal/front/eviction_test.go
+++ b/internal/front/eviction_test.go
@@ -14,7 +14,7 @@
 	"dewhitch/internal/resp"
 )
 
-// okCommands answers each command with OK at once, except WAIT, which it never answers.
+// okCommands answers each command with OK immediately, except WAIT, which it never answers.
 type okCommands struct{}
 
 func (okCommands) Do(_ time.Time, c resp.Command, s *Slot) {
--- a/internal/front/hangup_test.go
+++ b/internal/front/hangup_test.go
@@ -8,8 +8,8 @@
 	"dewhitch/internal/resp"
 )
 
-// The operators' time limit after a client has closed its connection, and their tolerance on it. Later than both together, no attempt
-// for the client may start.
+// Time limit that operators set for the reaction to a client that closes its connection, and their tolerance on it. An attempt
+// for the client must not start after the sum of both.
 const (
 	hangUpTimeLimit = 100 * time.Millisecond
 	hangUpSlack     = 50 * time.Millisecond
@@ -18,7 +18,7 @@
 // TestHangUpIsDetectedWhileNothingIsRead guards against requests that are forwarded after their client has hung up. A session reads
 // nothing in the pause after an invalid command, and while a large command waits for memory that others hold. In both cases,
 // session.watchForHangUp must report the hang-up within hangUpTimeLimit. Detection by reads alone reported it after the pause of 750 ms in
-// the first case, and not within the observed second in the other.
+// the first case, and in the second case not within the one second for which it was observed.
 func TestHangUpIsDetectedWhileNothingIsRead(t *testing.T) {
 	for name, block := range map[string]func(t *testing.T, s *session) (next string){
 		"behind a pause": func(_ *testing.T, s *session) string {
--- a/internal/front/lifecycle.go
+++ b/internal/front/lifecycle.go
@@ -4,15 +4,15 @@
 
 // Limits that operators set for a drained gateway. Times are since the call that drains it.
 const (
-	drainTimeLimit = 4 * time.Second        // time after which no client connection may be idle or have a recent request
-	recentWindow   = 2 * time.Second        // maximum age of a recent request
+	drainTimeLimit = 4 * time.Second        // time from which a client connection must neither be idle nor have a recent request
+	recentWindow   = 2 * time.Second        // maximum age at which a request counts as recent
 	stallMargin    = 150 * time.Millisecond // allowance for a stall of the gateway between reading its clock and acting
 )
 
 // Times by which the gateway acts in order to meet drainTimeLimit.
 const (
-	// drainReadTime is how long requests are accepted. The last one is older than recentWindow at drainTimeLimit, even if the gateway stalls
-	// for stallMargin and the machine is late by as much again.
+	// drainReadTime is how long requests are accepted. At drainTimeLimit, the last accepted request is older than recentWindow, even if
+	// the gateway stalls twice for stallMargin.
 	drainReadTime = drainTimeLimit - recentWindow - 500*time.Millisecond
 	// drainCloseTime is the time by which a connection without pending answers is closed.
 	drainCloseTime = drainTimeLimit - stallMargin - 100*time.Millisecond
@@ -134,7 +134,7 @@
 	l.closeAt = until
 }
 
-// abandon ends a connection to which nothing can be written any more. The connection is closed at once.
+// abandon ends a connection to which nothing can be written any more. The connection is closed immediately.
 func (l *lifecycle) abandon(now time.Time) {
 	l.state = stateClosed
 	l.closeAt = now
--- a/internal/front/platform/parse.go
+++ b/internal/front/platform/parse.go
@@ -54,8 +54,8 @@
 }
 
 // setClass sets the class of a request by its name in the current class table. It returns an error if there is no such class, if
-// the class belongs to the other one of SVC.QUERY and SVC.SUBMIT, or if the class needs an idempotency key and the request has
-// none.
+// the class is one of SVC.SUBMIT and the command is SVC.QUERY or the reverse, or if the class needs an idempotency key and the
+// request has none.
 func (c *Commands) setClass(r *core.Request, name string, query bool) error {
 	entry, known := c.Classes().Find(name)
 	if !known || entry.Class < 0 {
--- a/internal/front/reader.go
+++ b/internal/front/reader.go
@@ -15,18 +15,18 @@
 	firstByteTimeout    = 1500 * time.Millisecond // maximum time from the accept to the first byte
 	byteTimeout         = 2500 * time.Millisecond // maximum time between two bytes of a command; clients may take 2 s for a header
 	commandTimeout      = 10 * time.Second        // maximum time from the first byte of a command to its last
-	idleTimeout         = 5 * time.Second         // maximum time between two commands, after which a client must reconnect
+	idleTimeout         = 5 * time.Second         // maximum time from an answer to the next command, after which a client must reconnect
 	drainCheckInterval  = 50 * time.Millisecond   // time between two checks whether a draining session has pending answers
 	finalReadTime       = time.Millisecond        // last wait for input before a session ends
 	stopReadTime        = 100 * time.Millisecond  // wait for a command that is arriving when the gateway shuts down
 	hangUpCheckInterval = 50 * time.Millisecond   // time between two checks whether the client has hung up while nothing is read
-	maxDiscardBytes     = 256 << 10               // maximum input to discard at the end, in bytes; a client that writes more blocks
+	maxDiscardBytes     = 256 << 10               // maximum input to discard after the last answer, in bytes; further writes of the client block
 )
 
 // Limit on invalid commands, and the pause after each of them before the next command is read.
 const (
 	maxFaults       = 16                    // number of invalid commands at which the session ends
-	penaltyPerFault = 50 * time.Millisecond // part of the pause for each invalid command so far
+	penaltyPerFault = 50 * time.Millisecond // increase of the pause with each invalid command
 	maxPenalty      = time.Second           // maximum pause
 )
 
@@ -97,9 +97,9 @@
 }
 
 // endReading ends a session after the last read, which failed with err. If the gateway ends a session that has read no command, and
-// does not drain or shut down, the session is closed at once and releases its place. Any other session that the gateway ends is
+// does not drain or shut down, the session is closed immediately and releases its place. Any other session that the gateway ends is
 // closed gracefully, so that input that arrives late does not reset the connection. If the connection failed, the session is closed
-// at once.
+// immediately.
 func (s *session) endReading(err error) {
 	s.mu.Lock()
 	byGateway := errors.Is(err, errNoMoreCommands)
--- a/internal/front/send_test.go
+++ b/internal/front/send_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// stalledConn is a connection that accepts capacity bytes in total. Each write returns an exceeded deadline at once.
+// stalledConn is a connection that accepts capacity bytes in total. Each write immediately returns an exceeded deadline.
 type stalledConn struct {
 	net.Conn
 	capacity int
--- a/internal/front/server.go
+++ b/internal/front/server.go
@@ -213,8 +213,8 @@
 	return srv.drain != nil
 }
 
-// finishAccepting lets a listener accept the connections in the queue of the system for finalAcceptTime. Closing the listener at once
-// would reset these connections, and their clients may have sent a command.
+// finishAccepting lets a listener accept the connections in the queue of the system for finalAcceptTime. Closing the listener
+// without this wait would reset these connections, and their clients may have sent a command.
 func finishAccepting(l net.Listener) {
 	if d, ok := l.(interface{ SetDeadline(time.Time) error }); !ok || d.SetDeadline(time.Now().Add(finalAcceptTime)) != nil {
 		l.Close()
--- a/internal/front/session.go
+++ b/internal/front/session.go
@@ -50,7 +50,7 @@
 	streaming     *Slot       // slot whose value is written after unwritten; nil if none is
 	answerEnds    []answerEnd // ends of the answers in unwritten that have an onSettled
 	unsentBytes   int         // bytes of answers in unwritten and in slots
-	lastPendingAt time.Time   // last time at which an answer was pending; the accept time if none was
+	lastPendingAt time.Time   // time at which the last answer was given, or its value written; the accept time if there was none
 
 	// State of the commands.
 	commandDeadline time.Time // deadline of the command that is being read; zero if none is
@@ -165,7 +165,7 @@
 	s.mu.Unlock()
 }
 
-// idle reports whether an open session has no pending answers, since when, and whether its client has sent a valid command.
+// idle returns lastPendingAt, whether the client has sent a valid command, and whether the session is open and has no pending answers.
 func (s *session) idle() (since time.Time, sentValidCommand, idle bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,7 +204,7 @@
 	s.interruptRead()
 }
 
-// abort ends the session at once for a reason. Nothing more is written to its client.
+// abort ends the session immediately for a reason. Nothing more is written to its client.
 func (s *session) abort(r CloseReason) {
 	s.mu.Lock()
 	s.setCloseReason(r)
@@ -212,7 +212,7 @@
 	s.abandon()
 }
 
-// abandon ends the session at once. Nothing more is read or written, and the callbacks of all open commands are called.
+// abandon ends the session immediately. Nothing more is read or written, and the callbacks of all open commands are called.
 func (s *session) abandon() {
 	s.mu.Lock()
 	s.lifecycle.abandon(time.Now())
--- a/internal/front/slot.go
+++ b/internal/front/slot.go
@@ -65,7 +65,7 @@
 }
 
 // OnClientDeparted sets a function that is called once if the client disconnects before the slot is filled. If the client has already
-// disconnected, f is called at once on its own goroutine.
+// disconnected, f is called immediately on its own goroutine.
 func (slot *Slot) OnClientDeparted(f func()) {
 	s := slot.session
 	s.mu.Lock()
@@ -132,8 +132,9 @@
 	s.wakeWriter()
 }
 
-// countUnsent counts n bytes of an answer as unsent. It closes the connection if the client does not read and its answers take too
-// much of the gateway's memory; the reading goroutine then ends the session. The caller holds the lock.
+// countUnsent counts n bytes of an answer as unsent. It closes the connection if the unsent answers of all sessions exceed
+// Bounds.maxUnsentTotal and those of this session exceed Bounds.maxUnsent; the reading goroutine then ends the session. The caller
+// holds the lock.
 func (s *session) countUnsent(n int) {
 	s.unsentBytes += n
 	total := s.bounds.unsentTotal.Add(int64(n))
--- a/internal/front/writer.go
+++ b/internal/front/writer.go
@@ -16,13 +16,13 @@
 	maxReusedBuffer  = 16 << 10        // size in bytes above which a buffer of answers is not reused
 	sendTimeout      = 5 * time.Second // time after which a client that reads nothing is disconnected
 	maxStalledWrites = 10              // consecutive writes without progress that make up sendTimeout
-	valueChunkSize   = 16 << 10        // bytes of a large value that are in memory at once
+	valueChunkSize   = 16 << 10        // bytes of a large value that are in memory at the same time
 )
 
 // chunkBuffers holds buffers for copying large values.
 var chunkBuffers = sync.Pool{New: func() any { return new([valueChunkSize]byte) }}
 
-// batch holds what the writer writes at once: encoded answers, and optionally a streamed value after them.
+// batch holds what the writer writes before it takes more: encoded answers, and optionally a streamed value after them.
 type batch struct {
 	answers    []byte      // encoded answers
 	answerEnds []answerEnd // ends of the answers that have an onSettled
