--- a/internal/ledger/audit.go
+++ b/internal/ledger/audit.go
@@ -116,7 +116,7 @@
 }
 
 // Overdue returns a mismatch for each row with open entries whose clients stopped waiting before the given time (Unix
-// nanoseconds). The posting that ends such an entry is missing. Audit alone would count these entries as open.
+// nanoseconds). The posting that ends such an entry is missing. Audit counts these entries as open, and does not report them.
 func (l *Ledger) Overdue(before int64) (found []Mismatch) {
 	rows := map[Key]uint64{}
 	for _, e := range l.entries {
@@ -213,7 +213,7 @@
 	return found, forgotten
 }
 
-// Accounts returns the keys of the customers' accounts that were posted to since the last call, and of those that hold units.
+// Accounts returns the keys of the customers' accounts that were posted to since the last call, and of all accounts that hold units.
 func (l *Ledger) Accounts() (keys []Key) {
 	l.lastRow = nil
 	remaining := l.pendingAccounts[:0]
--- a/internal/ledger/entry.go
+++ b/internal/ledger/entry.go
@@ -48,7 +48,7 @@
 	PlanTaken         bool    `json:"PlanTaken"`
 	PlanVerdict       verdict `json:"PlanEnded"`
 	AttemptsOrdered   uint16  `json:"Sent"`  // attempts that the planner ordered
-	AttemptsNotified  uint16  `json:"Heard"` // attempts of whose end the planner was notified
+	AttemptsNotified  uint16  `json:"Heard"` // attempts whose end was reported to the planner
 	AttemptsStarted   uint16  `json:"Began"` // attempts that were started
 	AttemptsEnded     uint16  `json:"Ended"` // attempts that have ended
 	Pushed            bool    `json:"Told"`  // the planner ordered the counter call
@@ -131,7 +131,7 @@
 		e.AttemptsOrdered++
 	case PlanNotified, PlanNeverNotified:
 		e.AttemptsNotified++
-	default: // the end of the request; only the first is applied
+	default: // the planner ends the request; any further end is ignored
 		if e.PlanVerdict != undecided {
 			return
 		}
@@ -171,7 +171,7 @@
 	}
 }
 
-// endFront marks the request as ended by the front; only the first end is applied.
+// endFront marks the request as ended by the front, unless it is marked already.
 func (e *Entry) endFront(r *row) {
 	if e.FrontEnded {
 		return
@@ -190,7 +190,7 @@
 	return e.FrontEnded && (e.PlanVerdict != undecided || e.NeverTaken) && e.AttemptsNotified >= e.AttemptsOrdered && e.AttemptsEnded <= e.AttemptsNotified
 }
 
-// abandonEntries drops an eighth of the open entries. It drops entries that the front has ended before all others, because only a
+// abandonEntries drops an eighth of the open entries. Entries that the front has already ended are dropped first, because only a
 // fault leaves many of them. Audit reports mismatches in their rows from then on.
 func (l *Ledger) abandonEntries() {
 	refs := slices.Sorted(maps.Keys(l.entries))
@@ -219,5 +219,5 @@
 	return max(0, int(e.AttemptsStarted)-int(max(e.AttemptsEnded, e.AttemptsNotified)))
 }
 
-// unreportedAttempts returns the number of attempts that have ended and whose end the planner was not notified of.
+// unreportedAttempts returns the number of attempts that have ended and whose end was not reported to the planner yet.
 func (e *Entry) unreportedAttempts() int { return max(0, int(e.AttemptsEnded)-int(e.AttemptsNotified)) }
--- a/internal/ledger/ledgertest/ledgertest.go
+++ b/internal/ledger/ledgertest/ledgertest.go
@@ -8,7 +8,7 @@
 	"dewhitch/internal/ledger"
 )
 
-// maxOpenScripts limits how many requests and counter calls RandomPostings has open at once.
+// maxOpenScripts limits how many requests and counter calls RandomPostings has open at the same time.
 const maxOpenScripts = 20
 
 // millionths is one unit in the measure of postings.
--- a/internal/ledger/ledgertest/request.go
+++ b/internal/ledger/ledgertest/request.go
@@ -90,8 +90,8 @@
 	return decision, end
 }
 
-// end appends the decision, and the end of the request at the front. With a probability of one in six, it puts an attempt around
-// them that is cancelled after the answer.
+// end appends the decision, and the end of the request at the front. With a probability of one in six, it also appends an
+// attempt that starts before both and is cancelled after them.
 func (s *requestScript) end(decision, end ledger.Event) {
 	if s.chance(6) && s.reachesBackends() {
 		s.add(ledger.PlanSent, ledger.AttemptStarted, decision, end, ledger.AttemptCancelled, ledger.PlanNotified)
--- a/internal/ledger/recorder/audit.go
+++ b/internal/ledger/recorder/audit.go
@@ -29,8 +29,8 @@
 	})
 }
 
-// Audit checks the ledger, raises an alarm for each new mismatch and clears the alarms of those that are gone. It checks all
-// rows if allRows is set, and otherwise those that have changed or have an alarm.
+// Audit checks the ledger, raises an alarm for each new mismatch and clears the alarms of mismatches that are gone. It checks
+// all rows if allRows is set, and otherwise those that have changed or have an alarm.
 func (rec *Recorder) Audit(allRows bool) {
 	rec.mu.Lock()
 	found := rec.findMismatches(allRows)
--- a/internal/ledger/recorder/planted_test.go
+++ b/internal/ledger/recorder/planted_test.go
@@ -66,7 +66,7 @@
 	logs     *observer.ObservedLogs
 }
 
-// startGateway starts a gateway whose backends answer at once. faulty may be nil.
+// startGateway starts a gateway whose backends answer immediately. faulty may be nil.
 func startGateway(t *testing.T, o recorder.Options, faulty *faultyRecorder) *gateway {
 	return startGatewayWithBackends(t, o, faulty, standin.Always(standin.Step{}))
 }
--- a/internal/ledger/recorder/post.go
+++ b/internal/ledger/recorder/post.go
@@ -17,7 +17,7 @@
 	if now != 0 {
 		rec.lastTime = now
 	}
-	p.At = rec.lastTime // readers need the order of postings more than their microsecond
+	p.At = rec.lastTime // readers need the order of postings more than the exact time of each
 	if rec.store != nil {
 		rec.store.Append(p)
 	}
--- a/internal/ledger/recorder/recorder.go
+++ b/internal/ledger/recorder/recorder.go
@@ -1,8 +1,8 @@
 // Package recorder connects the parts of a running gateway to the ledger: it numbers requests, keeps the names of plans and
-// classes, adds the time to postings, audits the ledger every second, and raises and clears alarms. It owns the only
-// ledger.Ledger of the process. Post passes each posting to the store and appends it to a queue, under a lock that is held for
-// nothing else. The queue is added to the ledger in batches. The recorder makes no decision on requests, and delays them only by
-// that lock.
+// classes, adds the time to postings, audits the ledger at intervals (one second by default), and raises and clears alarms. It
+// owns the only ledger.Ledger of the process. Post passes each posting to the store and appends it to a queue, under a lock that
+// is never held for long. The queue is added to the ledger in batches. The recorder makes no decision on requests, and delays
+// them only by that lock and, if Run is too slow, by draining the queue in Post.
 package recorder
 
 import (
@@ -32,7 +32,7 @@
 type Options struct {
 	Limits            ledger.Limits
 	Names             ledger.Names  // names of the plans and classes in the settings; callers of Row pass their indexes
-	OverdueAfter      time.Duration // time after a request's deadline at which none of its entries can still be open
+	OverdueAfter      time.Duration // time after the client stopped waiting at which an open entry is a mismatch
 	AuditInterval     time.Duration // time between two audits
 	StatementInterval time.Duration // time between two statements, if there is a store
 	AlarmFile         string        // path of the alarm file (JSON lines); no file is written if empty
@@ -41,18 +41,18 @@
 
 // Limits of the recorder, and the name that stands in for names beyond them.
 const (
-	auditsPerFullAudit = 4     // number of audits of which one checks all rows
-	maxNames           = 200   // maximum number of plan names, and of class names
-	alarmPostings      = 32    // number of a row's last postings that an alarm shows
+	auditsPerFullAudit = 4     // interval of audits of all rows: every fourth audit by Run
+	maxNames           = 200   // maximum number of plan names, and also of class names
+	alarmPostings      = 32    // maximum number of recent postings to a row that its alarm shows
 	maxAlarms          = 256   // maximum number of active alarms; further mismatches raise none
-	wakeQueueLength    = 1024  // length of the queue at which Post wakes Run to drain it
-	maxQueueLength     = 65536 // length of the queue at which Post drains it itself
+	wakeQueueLength    = 1024  // length of the queue at which Post wakes Run to drain the queue
+	maxQueueLength     = 65536 // length of the queue from which Post drains the queue without waiting for Run
 	Overflow           = "…"   // name of plans and classes beyond maxNames, and of those with invalid names
 	maxNameBytes       = 64    // maximum length of a name in bytes
 )
 
-// Recorder records the postings of one gateway. Its methods may be called from any goroutine, but Run is called once, and
-// CloseStatement not while Run or another call of it is running.
+// Recorder records the postings of one gateway. Its methods may be called from any goroutine, but Run must be called only
+// once, and other callers must not call CloseStatement while Run or another CloseStatement is running.
 type Recorder struct {
 	options Options
 	// startTime is the base of all times, to which the elapsed time of the monotonic clock is added: a step of the system's
@@ -61,8 +61,9 @@
 
 	lastRef atomic.Uint64 // last reference that Ref returned
 
-	// queueMu guards store, queue and lastTime. It is held only while one posting is appended or the buffers are swapped.
-	// Postings are queued because adding many to the ledger at once costs a fraction of adding them one by one.
+	// queueMu guards store, queue and lastTime. It is held only to append one posting, to swap the buffers and end a
+	// period, or to detach the store. Postings are queued because adding a batch to the ledger costs a fraction of adding its
+	// postings one by one.
 	queueMu    sync.Mutex
 	store      Store            // nil without a store, and after DetachStore
 	queue      []ledger.Posting // postings that are not in the ledger yet
--- a/internal/ledger/statement/verify.go
+++ b/internal/ledger/statement/verify.go
@@ -49,7 +49,7 @@
 }
 
 // rowVerifier verifies one row. The records do not contain the open entries. So a rule allows that the figure of a later stage is
-// smaller than that of the earlier stage by the number of open requests; it is never greater.
+// smaller than that of the earlier stage by up to the number of open requests, but not that it is greater.
 type rowVerifier struct {
 	node   string
 	name   RowName
--- a/internal/ledger/store/commit.go
+++ b/internal/ledger/store/commit.go
@@ -15,17 +15,17 @@
 	deltas             map[ledger.Key]*ledger.Counts
 	idempotentRequests []ledger.IdempotentRequest
 	notes              []statement.Record // records of starts and gaps
-	segment            uint64             // segment at which the log continues after the statement
+	segment            uint64             // number of the segment in which the log continues after the statement
 	position           int                // index of the first record in that segment that the statement does not contain
-	end                time.Time          // end of the period
+	end                time.Time          // end of the last period that the statement covers
 }
 
 func newStagedStatement() *stagedStatement {
 	return &stagedStatement{rows: map[ledger.Key]ledger.StoredRow{}, deltas: map[ledger.Key]*ledger.Counts{}}
 }
 
-// EndPeriod implements recorder.Store. If the log has broken off, it resumes the log in a new segment, as the statement of this
-// period contains all postings that the log lacks.
+// EndPeriod implements recorder.Store. If the log has broken off, it resumes the log in a new segment if one is ready: the
+// statement of this period contains all postings that the log lacks.
 func (s *Store) EndPeriod() {
 	if s.staged == nil {
 		s.staged = newStagedStatement()
--- a/internal/ledger/store/log.go
+++ b/internal/ledger/store/log.go
@@ -99,7 +99,7 @@
 	}
 }
 
-// firstFreeNumber returns the number after those of all segments that hold postings.
+// firstFreeNumber returns the number after the highest number of a segment that holds postings.
 func (s *Store) firstFreeNumber() uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/ledger/store/store.go
+++ b/internal/ledger/store/store.go
@@ -75,7 +75,7 @@
 
 	// The recorder's lock on its queue guards current and unloggedPostings. Only EndPeriod, Stage and Commit, whose calls do not
 	// overlap, use staged and resumePending.
-	current          *segment // segment that Append writes; nil before the first
+	current          *segment // segment that Append writes; nil until the first one is ready
 	logIntact        atomic.Bool
 	unloggedPostings uint64           // number of postings of this period that are not in the log
 	staged           *stagedStatement // statements that are not committed yet; nil if all are
