--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -23,7 +23,7 @@
 	Listen      string          // address of the clients' listener
 	Discovery   string          // address of the discovery service
 	Counter     string          // address of the shared counter; required if Settings.Counter is true
-	Admin       string          // address of the operators' calls; empty if there is none
+	Admin       string          // address of the listener for operators' calls; empty if there is none
 	InheritedFD int             // descriptor of the clients' listening socket, inherited from the parent; 0 if there is none
 	TempDir     string          // $TMPDIR, shared with the process that replaces this one
 	Seed        uint64          // seed of the random numbers of the decision module and of discovery
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -25,7 +25,7 @@
 	StatusInterval    time.Duration     // minimum time between two statuses of a member; default 200 ms
 	Peers             map[string]string // addresses by member name, in place of those that members announce
 	MaxEvacuatedZones int               // maximum number of zones that the fleet evacuates at the same time of its own accord; 0 for a third of all zones
-	Registry          Registry          // registry in which members are found; without servers, seeds alone are used
+	Registry          Registry          // registry in which members are found; if it has no servers, only Seeds are used
 }
 
 // LoadFleet reads the fleet file and checks it against the published schema. It returns nil if the path is empty.
--- a/internal/config/operations.go
+++ b/internal/config/operations.go
@@ -152,14 +152,14 @@
 	return nil
 }
 
-// newSchemaError returns an error for the first key that violates the schema, with its line.
+// newSchemaError returns an error that names the first key that violates the schema, and the line of that key.
 func newSchemaError(path string, text []byte, invalid *jsonschema.ValidationError) error {
 	for len(invalid.Causes) > 0 {
 		invalid = invalid.Causes[0]
 	}
 	key := strings.Join(invalid.InstanceLocation, ".")
 	problem := invalid.ErrorKind.LocalizedString(message.NewPrinter(language.English))
-	if _, unknown, ok := strings.Cut(problem, "additional properties '"); ok { // the faulty key is the unknown one
+	if _, unknown, ok := strings.Cut(problem, "additional properties '"); ok { // the location is the table; the key at fault is the unknown key in it
 		unknown, _, _ = strings.Cut(unknown, "'")
 		key = strings.TrimPrefix(key+"."+unknown, ".")
 		problem = "there is no such key"
@@ -167,7 +167,8 @@
 	return newError(fmt.Sprintf("%s:%d", path, lineOf(text, key)), "%s: %s", key, problem)
 }
 
-// lineOf returns the line of a key such as ledger.rows, or else that of its table, or 1 if neither is found.
+// lineOf returns the number of the line that sets key, such as ledger.rows. If there is none, it returns the line of the table whose
+// name is key, or 1 if there is no such table either.
 func lineOf(text []byte, key string) int {
 	table, found := "", 1
 	for i, line := range strings.Split(string(text), "\n") {
--- a/internal/config/settings/settings.go
+++ b/internal/config/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings decodes the settings object, which the simulator and the configuration of a gateway have in common. It alone
-// maps the object's keys to the decision module's settings.
+// Package settings decodes the settings object, which the simulator and the configuration of a gateway have in common. No
+// other package maps the object's keys to the decision module's settings.
 package settings
 
 import (
--- a/internal/forward/planners.go
+++ b/internal/forward/planners.go
@@ -45,7 +45,7 @@
 }
 
 // FailUnansweredAt ends forwarding at the deadline. All links are then closed, which answers the commands in flight with an error
-// that says they may have been applied, and no new links are made. It returns at once.
+// that says they may have been applied, and no new links are made. The call itself does not wait for the deadline.
 func (p *Planners) FailUnansweredAt(deadline time.Time) {
 	time.AfterFunc(time.Until(deadline), func() {
 		p.mu.Lock()
--- a/internal/operator/golden_test.go
+++ b/internal/operator/golden_test.go
@@ -17,7 +17,7 @@
 
 func (b fixedSource) Report() recorder.Report { return recorder.Report(b) }
 
-// counts returns counts with a distinct value for each event, which follow first.
+// counts returns a count for each event, which is first plus the number of the event, and distinct units.
 func counts(first uint64) (c ledger.Counts) {
 	for e := ledger.None + 1; e < ledger.EventCount; e++ {
 		n := first + uint64(e)
--- a/internal/snapshot/files.go
+++ b/internal/snapshot/files.go
@@ -122,8 +122,8 @@
 	buf         []byte     // buffer of the encoder, reused by each write
 }
 
-// Claim starts a new incarnation, greater than that of startedFrom and than all of which the folder has files. It creates the
-// file of the incarnation exclusively, so that no two processes get the same one.
+// Claim starts a new incarnation, greater than that of startedFrom and than all incarnations that have a file in the folder.
+// It creates the file of the incarnation exclusively, so that no two processes get the same one.
 func Claim(dir, node string, startedFrom Generation) (*Writer, error) {
 	all, err := incarnations(dir, node)
 	if err != nil {
@@ -168,8 +168,8 @@
 	return len(w.buf), nil
 }
 
-// prune removes the files of incarnations older than the one that this process started from. It keeps that one, as its process
-// may still run and its last snapshot is the fallback.
+// prune removes the files of incarnations older than the one that this process started from. It keeps the file of that
+// incarnation, because its process may still run and its last snapshot is the fallback.
 func (w *Writer) prune() {
 	all, err := incarnations(w.dir, w.node)
 	if err != nil {
