--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -51,8 +51,8 @@
 	}
 }
 
-// FuzzParse checks that a line of any content is either rejected, or parsed to a known verb with an id exactly if the verb takes
-// one, and that the id is part of the line.
+// FuzzParse checks that a line of any content is either rejected, or parsed to a known verb with an id if and only if the verb
+// takes one, and that the id is part of the line.
 func FuzzParse(f *testing.F) {
 	for _, s := range []string{"readyz", "exclude s-1", "include  s-2\r", "telemetry", "\xff\xfe", "evacuate x"} {
 		f.Add([]byte(s))
@@ -134,7 +134,8 @@
 	return string(out)
 }
 
-// TestCalls checks the answers to calls over TCP.
+// TestCalls checks the answers to a sequence of calls over TCP, each over its own connection. It guards against a call that has no
+// effect on later ones, such as evacuate on readyz, and against an invalid line that is executed or gets the wrong error.
 func TestCalls(t *testing.T) {
 	addr := startServer(t)
 	for _, c := range []struct{ line, want string }{
--- a/internal/resp/reader.go
+++ b/internal/resp/reader.go
@@ -45,7 +45,7 @@
 		return nil, protocolError("line does not end in CR LF")
 	}
 	s = s[:len(s)-2]
-	if bytes.IndexByte(s, '\r') >= 0 { // a peer to which the line is forwarded could take the CR for its end
+	if bytes.IndexByte(s, '\r') >= 0 { // a peer to which the line is forwarded could take the CR for the end of the line
 		return nil, protocolError("CR within a line")
 	}
 	return s, nil
--- a/internal/sockets/errors.go
+++ b/internal/sockets/errors.go
@@ -17,7 +17,7 @@
 const (
 	None      Class = iota // the call succeeded
 	Ended                  // this process closed the socket, or its deadline has passed
-	Transient              // the call can be repeated at once: at most one connection failed
+	Transient              // the call can be repeated immediately: at most one connection failed
 	Shortage               // this machine lacks descriptors, memory or ports: the call can be repeated after a pause
 	Peer                   // the peer or the network failed
 	Broken                 // the socket is unusable
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -19,8 +19,8 @@
 	return r
 }
 
-// TestGoldenEvents guards against a changed name, order or meaning of a field. The simulator writes the lines that the adapter
-// reads; the golden round has every message with all of its fields.
+// TestGoldenEvents guards against a changed name, order or meaning of a field. The simulator writes the lines, and the program
+// simadapter reads them; the golden round has every message with all of its fields.
 func TestGoldenEvents(t *testing.T) {
 	load := dw.Load{Has: dw.HasInflight | dw.HasQueue | dw.HasUtil | dw.HasLatency | dw.HasRate | dw.HasErrors,
 		Inflight: 1.5, Queue: 2.5, Util: 0.5, LatencyMS: 3.25, Rate: 4.5, Errors: 0.25}
@@ -109,7 +109,8 @@
 	golden.Compare(t, "actions.txt", AppendException(b, "gateway_3", "panic:  of\n two\tlines"))
 }
 
-// TestGoldenErrors guards against a changed text of the errors that end the adapter. Each names its line, message and field.
+// TestGoldenErrors guards against a changed text of the errors at which the program simadapter exits. Each error names the line,
+// message and field that it is about.
 func TestGoldenErrors(t *testing.T) {
 	var b []byte
 	for _, c := range malformed {
