--- a/cmd/dewhitch/drain_test.go
+++ b/cmd/dewhitch/drain_test.go
@@ -193,7 +193,7 @@
 }
 
 // TestDrainRejectsLateRequests guards against requests on new connections that are sent to a server late in a drain. After the
-// time for taking requests they are refused at once, without an attempt, and they are served again after the drain.
+// time for taking requests they are refused immediately, without an attempt, and requests are served again after the drain.
 func TestDrainRejectsLateRequests(t *testing.T) {
 	t.Parallel()
 	env := newEnvironment(t)
--- a/cmd/dewhitch/earliest_kill_test.go
+++ b/cmd/dewhitch/earliest_kill_test.go
@@ -10,8 +10,9 @@
 	"time"
 )
 
-// The platform sends SIGKILL no sooner than the longest deadline plus killMargin after SIGTERM. Deadlines above
-// maxCountedDeadline count as maxCountedDeadline, which gives earliestKill.
+// The platform sends SIGKILL no sooner than the longest deadline plus killMargin after SIGTERM, where a deadline above
+// maxCountedDeadline counts as maxCountedDeadline. earliestKill is the resulting time after SIGTERM if the longest deadline is at
+// least maxCountedDeadline.
 const (
 	maxCountedDeadline = 3 * time.Second
 	killMargin         = 700 * time.Millisecond
--- a/cmd/dewhitch/fleet.go
+++ b/cmd/dewhitch/fleet.go
@@ -105,8 +105,8 @@
 // quiesced reports whether the gateway is drained and every request is answered.
 func (g *gateway) quiesced() bool { return g.state.Drained() && g.figures.Concurrent() == 0 }
 
-// followFleet applies the fleet's decisions to the planner until ctx ends. It closes g.firstPlanApplied after the first plan. A
-// plan stays applied while the view of the fleet is old; servers in slow start then get no requests.
+// followFleet applies the fleet's decisions to the planner until ctx ends. It closes g.firstPlanApplied after the first plan. While
+// the view of the fleet is old, the last plan stays applied, but without rates for servers in slow start.
 func (g *gateway) followFleet(ctx context.Context) error {
 	var firstPlan sync.Once
 	for {
--- a/cmd/dewhitch/fleet_command.go
+++ b/cmd/dewhitch/fleet_command.go
@@ -184,7 +184,7 @@
 
 func (s fleetFreeze) Run() error { return s.post("freeze", nil) }
 
-// fleetThaw ends a freeze, so that the fleet decides by itself again.
+// fleetThaw ends a freeze, so that the fleet again makes decisions without an operator.
 type fleetThaw struct{ operatorReason }
 
 func (s fleetThaw) Run() error { return s.post("thaw", nil) }
@@ -228,7 +228,7 @@
 	return l.post("leave", url.Values{"zone": {l.Zone}, "for_ms": {fmt.Sprint(l.For.Milliseconds())}})
 }
 
-// fleetReturn returns a zone to service. With Hold, the fleet does not evacuate the zone by itself until the zone is returned
+// fleetReturn returns a zone to service. With Hold, only an operator can have the zone evacuated, until the zone is returned
 // without Hold.
 type fleetReturn struct {
 	Zone string `arg:"" help:"The zone, by its full name."`
--- a/cmd/dewhitch/fleet_plan_test.go
+++ b/cmd/dewhitch/fleet_plan_test.go
@@ -9,7 +9,7 @@
 	"dewhitch/internal/fleet/evacuation"
 )
 
-// TestZoneUses guards against a gateway that uses zones other than the fleet's plan says: only probers send health checks to a
+// TestZoneUses guards against a gateway whose use of zones differs from the fleet's plan: only probers send health checks to a
 // zone that is probed, and all other gateways avoid it. A start time in the future counts as the current time.
 func TestZoneUses(t *testing.T) {
 	zones := []string{"hall-a", "hall-b", "hall-c"}
--- a/cmd/dewhitch/forward.go
+++ b/cmd/dewhitch/forward.go
@@ -61,7 +61,7 @@
 	server           *front.Server
 }
 
-// openForwarder opens all parts of a forwarder. Only the ledger already runs when it returns.
+// openForwarder opens all parts of a forwarder. The ledger runs when it returns, and must then be closed by close.
 func openForwarder(limits *config.Limits, operations *config.Operations, log *zap.Logger) (*forwarder, error) {
 	f := &forwarder{limits: limits, log: log, planners: &forward.Planners{}}
 	if err := f.open(operations); err != nil {
--- a/cmd/dewhitch/gateway.go
+++ b/cmd/dewhitch/gateway.go
@@ -84,7 +84,8 @@
 	snapshots  *snapshotKeeper // nil if no snapshots are kept
 }
 
-// openGateway opens all parts of a gateway, each after the parts that it needs. Only the ledger already runs when it returns.
+// openGateway opens all parts of a gateway, each after the parts that it needs. The ledger runs when it returns, and must then be
+// closed by closeLedger.
 func openGateway(node *config.Node, limits *config.Limits, operations *config.Operations, fleetConfig *config.Fleet,
 	log *zap.Logger) (*gateway, error) {
 	g := &gateway{node: node, limits: limits, operations: operations, fleetConfig: fleetConfig, log: log}
--- a/cmd/dewhitch/handover_test.go
+++ b/cmd/dewhitch/handover_test.go
@@ -138,7 +138,8 @@
 }
 
 // TestWarmProcess guards against a replacement process that rejects a customer who has used most of its quota. Without a warm
-// start it does that, as it attributes all use in the counter to other gateways. A torn snapshot must not be used.
+// start, the new process rejects the customer, as it attributes all use in the counter to other gateways. A torn snapshot must
+// not be used.
 func TestWarmProcess(t *testing.T) {
 	served := map[string]int{}
 	for _, mode := range []string{"auto", "off"} {
--- a/cmd/dewhitch/large_test.go
+++ b/cmd/dewhitch/large_test.go
@@ -20,7 +20,7 @@
 // errBusy is the error for a query that is answered with -BUSY.
 var errBusy = errors.New("refused")
 
-// largeValueSize is the least length of a value, in bytes.
+// largeValueSize is the minimum length of a value, in bytes.
 const largeValueSize = 3 << 20
 
 // largeValueOf returns the value of the request with that id, which determines its length and bytes.
@@ -177,7 +177,7 @@
 	return rejected, nil
 }
 
-// TestLargeValues guards against large values that are corrupted, reordered or held in memory as a whole. 40 clients at once,
+// TestLargeValues guards against large values that are corrupted, reordered or held in memory as a whole. 40 concurrent clients,
 // some of them slow, read values of 3 MiB each, together well above the memory limit. Connections to the backend are reused, and
 // a value that breaks off, or a client that disconnects within one, affects no other request.
 func TestLargeValues(t *testing.T) {
--- a/cmd/dewhitch/ledger_commands.go
+++ b/cmd/dewhitch/ledger_commands.go
@@ -63,7 +63,7 @@
 	From []string `arg:"" help:"Folders, or files of JSON lines; - is the standard input."`
 }
 
-// errInconsistent reports that figures don't add up. The faults are printed, one a line, before it is returned.
+// errInconsistent reports that figures don't add up. The faults are printed, one per line, before it is returned.
 var errInconsistent = errors.New("the figures do not add up")
 
 func (c ledgerVerify) Run() error {
@@ -143,7 +143,8 @@
 
 func (c ledgerExport) Run() error { return c.write(os.Stdout) }
 
-// write exports the records after c.After to w. If c.Follow is positive, it does so again after each c.Follow, until an error.
+// write exports the records after c.After to w. If c.Follow is positive, it exports further records at intervals of c.Follow
+// until an error occurs.
 func (c ledgerExport) write(w io.Writer) error {
 	out := bufio.NewWriter(w)
 	var csvWriter *statement.CSV // nil if the output is JSON lines
--- a/cmd/dewhitch/limits_test.go
+++ b/cmd/dewhitch/limits_test.go
@@ -251,8 +251,8 @@
 }
 
 // TestForwarder guards against a forwarder that loses a customer's commands, sends one twice or spreads them over gateways. A
-// customer's commands go to one gateway of its set of three. It registers again when its session expires. When it is killed,
-// the commands in flight fail, and later ones go to another gateway of the set.
+// customer's commands go to one gateway of its set of three. That gateway registers again when its session expires. When it is
+// killed, the commands in flight fail, and later ones go to another gateway of the set.
 func TestForwarder(t *testing.T) {
 	t.Parallel()
 	waitForFirstHalfOfWindow()
@@ -334,9 +334,9 @@
 	}
 }
 
-// TestForwarderEndsBeforeTheEarliestKill guards against a forwarder that has open connections at the earliest SIGKILL. It
-// receives SIGTERM while a planner takes longer to answer than the time until then. The command must fail, as it may
-// have been applied, and the connection must end in time.
+// TestForwarderEndsBeforeTheEarliestKill guards against a forwarder that has open connections at the earliest SIGKILL. The
+// forwarder receives SIGTERM while a planner takes longer to answer than the time until that SIGKILL. The command must fail, as
+// it may have been applied, and the connection must end in time.
 func TestForwarderEndsBeforeTheEarliestKill(t *testing.T) {
 	t.Parallel()
 	registry := newZookeeper(t)
--- a/cmd/dewhitch/player_test.go
+++ b/cmd/dewhitch/player_test.go
@@ -18,8 +18,8 @@
 	"dewhitch/internal/standin"
 )
 
-// waitLimit is how long the tests wait for an event that must happen. A test that states no other limit
-// does not fail for slowness before that.
+// waitLimit is how long the tests wait for an event that must happen, unless they state another limit. An event that comes late
+// but within waitLimit fails only tests that state another limit.
 const waitLimit = 20 * time.Second
 
 // program is the path of the program under test, which TestMain builds.
--- a/cmd/dewhitch/redis_test.go
+++ b/cmd/dewhitch/redis_test.go
@@ -39,7 +39,8 @@
 	}
 }
 
-// checkClient sends commands of all kinds with a client library: on the client's session, on limits, and the platform's.
+// checkClient checks the answers to commands that a client library sends: commands that concern the session, LIMIT commands and
+// SVC commands.
 func checkClient(t *testing.T, addr string, protocol int, customer string) {
 	ctx, cancel := context.WithTimeout(t.Context(), 6*waitLimit)
 	defer cancel()
--- a/cmd/dewhitch/repeat_window_test.go
+++ b/cmd/dewhitch/repeat_window_test.go
@@ -22,8 +22,8 @@
 
 // TestRepeatEndsWithItsWindow guards against a booking that runs twice. A server resets the connection of a booking that may have
 // run, and the gateway repeats it at another server, which hangs. Servers forget the key of the first attempt after a second, so
-// a repeat that is still open then runs again once that server recovers; dedup_window.go ends the repeat with the window. Before
-// that, the second connection closed 2.0 s after the first attempt, at half of the aim, in 10 of 10 runs. In the drill of
+// a repeat that is still open then runs again once that server recovers; dedup_window.go ends the repeat with the window. Without
+// dedup_window.go, the second connection closed 2.0 s after the first attempt, at half of Aim, in 10 of 10 runs. In the drill of
 // TestLeavers, seed 7, a key arrived again after 3.13 s, when a partition was healed, although servers forget keys after 3 s.
 func TestRepeatEndsWithItsWindow(t *testing.T) {
 	t.Parallel()
--- a/cmd/dewhitch/serve.go
+++ b/cmd/dewhitch/serve.go
@@ -13,7 +13,7 @@
 
 // Settings of the Go runtime.
 const (
-	memoryLimitShare = 0.7 // share of the process's memory; the rest is for stacks, kernel buffers and spikes
+	memoryLimitShare = 0.7 // share of the configured memory; the rest is for stacks, kernel buffers and spikes
 	gcPercent        = 400 // the live heap is small and collection costs CPU; the memory limit triggers it earlier if needed
 )
 
@@ -21,7 +21,7 @@
 type serveCmd struct{}
 
 func (serveCmd) Run() error {
-	reload := hangUpSignals() // first of all, as an unhandled SIGHUP would end the process
+	reload := hangUpSignals() // before anything else, as an unhandled SIGHUP would end the process
 	node, err := config.LoadNode(os.Getenv)
 	if err != nil {
 		return err
@@ -47,7 +47,8 @@
 	return serve(node, limits, operations, fleetConfig, log, reload)
 }
 
-// setRuntimeLimits limits the Go runtime to the CPU cores and the memory that are configured for the process.
+// setRuntimeLimits sets GOMAXPROCS to the configured cores, rounded up and at least 1, the soft memory limit to memoryLimitShare
+// of the configured memory, and the GC percentage to gcPercent.
 func setRuntimeLimits(node *config.Node) {
 	runtime.GOMAXPROCS(max(1, int(math.Ceil(node.Cores))))
 	debug.SetGCPercent(gcPercent)
--- a/cmd/dewhitch/snapshot_commands.go
+++ b/cmd/dewhitch/snapshot_commands.go
@@ -19,7 +19,7 @@
 	Verify snapshotVerify `cmd:"" help:"Tell whether a snapshot is whole, and why not; end with 1 if it is not."`
 }
 
-// snapshotShow prints a snapshot as tables or, with JSON, as it is.
+// snapshotShow prints a snapshot as tables or, if JSON is true, completely as JSON.
 type snapshotShow struct {
 	File string `arg:"" help:"The file (dewhitch-NAME.LIFE.snapshot)."`
 	JSON bool   `help:"All of it, as JSON."`
@@ -55,7 +55,7 @@
 	return w.Flush()
 }
 
-// printServers writes a row for each server, with the number of classes that have failures there.
+// printServers writes a row for each server, with the number of classes for which failures of the server are recorded.
 func printServers(w io.Writer, state *dw.State) {
 	fmt.Fprintln(w, "\nserver\tlatency\tmeasured before\tclasses that failed")
 	for _, s := range state.Servers {
--- a/cmd/dewhitch/snapshots.go
+++ b/cmd/dewhitch/snapshots.go
@@ -15,20 +15,20 @@
 	"dewhitch/internal/warmstart"
 )
 
-// snapshotKeeper writes snapshots of the decision module's state for the next process. A nil snapshotKeeper writes none; the
-// gateway serves without snapshots if warm start is off or the folder can't be used.
+// snapshotKeeper writes snapshots of the decision module's state for the next process. A nil snapshotKeeper writes none; it
+// stands for a gateway whose warm start is off or whose snapshot folder can't be used.
 type snapshotKeeper struct {
 	planner  *core.Planner
 	image    snapshot.Image // settings of this process; the state is copied into it for each write
 	writer   *snapshot.Writer
 	interval time.Duration
-	failing  bool          // true if the last write failed; the failure is logged already
-	stop     chan struct{} // closed by writeLast
-	stopped  chan struct{} // closed when run ends
+	failing  bool          // true if the latest write failed; a further failure is then not logged
+	stop     chan struct{} // closed by writeLast to end run
+	stopped  chan struct{} // closed when run has ended
 	log      *zap.Logger
 }
 
-// openSnapshots imports the newest snapshot of an earlier process and claims the files for those of this process. It must be
+// openSnapshots imports the newest snapshot of an earlier process and claims the files for this process's snapshots. It must be
 // called before the planner runs. It returns nil if warm start is off or the folder can't be used.
 func openSnapshots(node *config.Node, warm config.WarmStart, classes []string, planner *core.Planner, figures *ops.Figures,
 	log *zap.Logger) *snapshotKeeper {
--- a/cmd/dewhitch/soak_test.go
+++ b/cmd/dewhitch/soak_test.go
@@ -31,7 +31,7 @@
 	crowdSize           = 60                     // number of idle connections to each gateway in runs with a crowd
 	drainGrace          = 550 * time.Millisecond // time after the announcement in which a draining server may get requests
 	stallDuration       = 150 * time.Millisecond // length of a stop, which may fall between reading the clock and acting
-	answerRequiredAfter = 700 * time.Millisecond // requests sent later than this after SIGTERM must be answered before SIGKILL
+	answerRequiredAfter = 700 * time.Millisecond // requests sent later than this after SIGTERM are lost if unanswered at SIGKILL
 	soakSlack           = 250 * time.Millisecond // allowance for scheduling delays of the machine that runs the test
 )
 
@@ -158,8 +158,8 @@
 	}
 }
 
-// sendSignals sends a gateway one signal after another: reloads, stops of stallDuration and drains, and at last SIGTERM, followed
-// by the earliest SIGKILL. Then it starts a new process in its place.
+// sendSignals sends a gateway one signal after another: reloads, stops of stallDuration and drains, and finally SIGTERM, followed
+// by SIGKILL as early as the platform may send it. Then it starts a new process in its place.
 func (s *soakRun) sendSignals(g *gatewayRecord, p *process, startedAt time.Time, rng *rand.Rand) {
 	send := func(signal syscall.Signal) { p.cmd.Process.Signal(signal) }
 	if rng.IntN(3) == 0 {
--- a/cmd/dewhitch/standins_test.go
+++ b/cmd/dewhitch/standins_test.go
@@ -26,7 +26,7 @@
 	return standIn
 }
 
-// newManualBackends starts a listener for backends that answers nothing by itself.
+// newManualBackends starts a listener for backends. It answers nothing unless the test does, or calls serveAll.
 func newManualBackends(t *testing.T) *manualBackends {
 	b := &manualBackends{conns: make(chan net.Conn, 1024)}
 	listener, err := standin.Listen("", func(conn net.Conn) {
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,5 +1,6 @@
-// Command simadapter connects gateways of package dewhitch to the simulator: it reads events from the standard input and writes
-// the gateways' actions to the standard output. The gateways share no state, and the adapter makes no decisions of its own.
+// Command simadapter is the adapter that connects gateways of package dewhitch to the simulator: it reads events from the
+// standard input and writes the gateways' actions to the standard output. The gateways share no state, and the adapter makes no
+// decisions of its own.
 package main
 
 import (
@@ -20,8 +21,8 @@
 	}
 }
 
-// run processes rounds until the input ends between two of them. For each round it writes the actions
-// and an acknowledgement.
+// run processes rounds, which are groups of messages with the same time, and writes the actions and an acknowledgement for each
+// round. It returns nil if the input ends between two rounds.
 func run(in io.Reader, out io.Writer) error {
 	r, w := wire.NewReader(in), bufio.NewWriter(out)
 	gateways := map[string]*dw.Gateway{}
