--- a/internal/drill/commandrules.go
+++ b/internal/drill/commandrules.go
@@ -40,8 +40,8 @@
 	r.checkServer(c, a)
 }
 
-// checkForwarded checks the first attempt of a request whose client closed the connection before any attempt had arrived: it must
-// arrive within forwardBound of that, unless its first byte had already left the gateway.
+// checkForwarded checks the first attempt of a request whose client closed the connection before any attempt had arrived. The
+// attempt must arrive at most forwardBound after the close, unless its first byte had left the gateway before the close.
 func (r *ruleChecker) checkForwarded(c *standin.Command, a *arrival) {
 	departedAt, departed := r.departedWaitingAt[c.ID]
 	if !departed {
--- a/internal/drill/gateway.go
+++ b/internal/drill/gateway.go
@@ -145,8 +145,8 @@
 	})
 }
 
-// restartAfter starts a process that has exited again after delay, without its files if fresh is true, and calls end once it
-// serves. If delay is 0, the process is not started again and end is not called.
+// restartAfter restarts an exited process after delay, without its files if fresh is true, and calls end once the process serves.
+// If delay is 0, the process is not restarted and end is not called.
 func (c *cluster) restartAfter(g *gateway, delay time.Duration, fresh bool, end func()) {
 	g.addCPU()
 	if delay == 0 {
--- a/internal/drill/page.go
+++ b/internal/drill/page.go
@@ -115,7 +115,7 @@
 	return render(p)
 }
 
-// addLines adds lines to a plot in the order of their names, and returns their highest value, at least 1.
+// addLines adds lines to a plot in the order of their names, and returns their highest value, or 1 if that is lower.
 func addLines(p *plot.Plot, lines map[string]plotter.XYs, legend bool) (maxValue float64, err error) {
 	maxValue = 1
 	for i, name := range slices.Sorted(maps.Keys(lines)) {
--- a/internal/drill/rest.go
+++ b/internal/drill/rest.go
@@ -212,7 +212,7 @@
 		strings.Join(voters, ", "), strings.Join(seeds, ", "), dir)
 }
 
-// observeLine reads a log line of a process for whether its view is fresh and which plans it applies.
+// observeLine records from a log line of a process whether the process's view is fresh, or which plan it has applied.
 func (r *idleFleetRun) observeLine(name, line string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/drill/rules.go
+++ b/internal/drill/rules.go
@@ -8,14 +8,14 @@
 	"dewhitch/internal/standin"
 )
 
-// Rules that every drill must keep. They are checked from what stand-ins, clients and processes do. The names are keys of
+// Rules that must hold in every drill. They are checked by observing stand-ins, clients and processes. The names are keys of
 // results.
 const (
 	ruleLost           = "lost"    // a request has no final answer
-	ruleInvalidAnswer  = "answers" // a gateway sends an answer to no request, or one that no server sent
+	ruleInvalidAnswer  = "answers" // a gateway sends an answer without a request, or one that no server sent
 	ruleOverlap        = "two_out" // two attempts of a request are in flight at once
 	ruleRepeat         = "repeat"  // a request is sent again although its class does not allow a repeat
-	ruleDrain          = "drain"   // an attempt arrives at a server that drains
+	ruleDrain          = "drain"   // an attempt arrives at a server that has been draining for longer than the grace period
 	ruleCeiling        = "ceiling" // a customer's requests exceed the plan's hard ceiling, over all gateways
 	ruleOverload       = "pushed"  // a server in slow start fails under overload
 	ruleFree           = "free"    // an attempt arrives at a server that is free for maintenance
@@ -37,7 +37,7 @@
 type violation struct {
 	rule      string // name of the rule, a key of results
 	text      string // description of what was observed
-	requestID string // empty if the violation is not of one request
+	requestID string // empty if the violation does not concern a single request
 	at        time.Time
 }
 
@@ -99,7 +99,7 @@
 	return r
 }
 
-// addViolation records a violation with the history of its request, if it is of one. The caller holds the lock.
+// addViolation records a violation with the history of its request, if it concerns one. The caller holds the lock.
 func (r *ruleChecker) addViolation(now time.Time, rule, requestID, format string, a ...any) {
 	r.counts[rule]++
 	if len(r.firstViolations) >= maxViolations {
--- a/internal/drill/rules_test.go
+++ b/internal/drill/rules_test.go
@@ -42,8 +42,8 @@
 	return counts
 }
 
-// TestViolationsAreFound guards against planted violations that the checker misses, which would hide a fault in every drill, and
-// against permitted attempts that it reports, which would end a drill.
+// TestViolationsAreFound guards against a checker that misses violations, which would hide a fault in every drill, or that reports
+// permitted attempts, which would end a drill.
 func TestViolationsAreFound(t *testing.T) {
 	for _, c := range []struct {
 		name, class string
@@ -195,8 +195,9 @@
 	})
 }
 
-// TestServerModelFailsUnderOverload guards against overload that scenarios don't detect, as they detect it by a server's failure.
-// A server in slow start must withstand twice its capacity and fail at four times.
+// TestServerModelFailsUnderOverload guards against a server model that does not fail under overload, as scenarios detect overload
+// by that failure, or that fails without overload. A server in slow start must withstand twice its capacity and fail at four
+// times.
 func TestServerModelFailsUnderOverload(t *testing.T) {
 	failsAt := func(ratio float64) bool {
 		m := newServerModel(serverCores, serverQueue, meanWork)
--- a/internal/drill/server.go
+++ b/internal/drill/server.go
@@ -105,7 +105,7 @@
 		if c.draining[s.name] {
 			phase = "draining"
 		}
-		startedAt := int64(0) // Unix time in ms; 0 if the start is long past
+		startedAt := int64(0) // Unix time in ms; 0 if the server is not in slow start
 		if s.model.slowStart {
 			startedAt = s.model.startedAt.UnixMilli()
 		}
