--- a/internal/standin/counter.go
+++ b/internal/standin/counter.go
@@ -13,14 +13,14 @@
 
 // The modes of a counter's listener, which say how it treats calls.
 const (
-	modeAdd       = "add"     // the call is added and answered at once
-	modeSilent    = "silent"  // the call is added but not answered
-	modeFull      = "full"    // the call is not added; the answer is status 503
-	modeLate      = "late"    // the call is added and answered after lateAnswerDelay
-	modeReset     = "reset"   // the call is not added, and the connection is closed
-	modeCorrupt   = "spoilt"  // the call is added, and the answer is not a number
-	modeInterim   = "interim" // the call is added, and a 100 Continue precedes the answer
-	modeDuplicate = "doubled" // the call is added once and answered twice
+	modeAdd       = "add"     // the call's units are added, and the call is answered
+	modeSilent    = "silent"  // the call's units are added, but the call is not answered
+	modeFull      = "full"    // the call's units are not added; the answer is status 503
+	modeLate      = "late"    // the call's units are added, and the call is answered after lateAnswerDelay
+	modeReset     = "reset"   // the call's units are not added, and the connection is closed
+	modeCorrupt   = "spoilt"  // the call's units are added, and the answer is not a number
+	modeInterim   = "interim" // the call's units are added, and a 100 Continue precedes the answer
+	modeDuplicate = "doubled" // the call's units are added once, and the call is answered twice
 )
 
 const (
--- a/internal/standin/counter_store.go
+++ b/internal/standin/counter_store.go
@@ -12,8 +12,8 @@
 	atSplit        totals             // totals at the time of the partition
 	snapshot       totals             // totals that Restore returns to; nil if there is no snapshot
 	lowest         float64            // lowest total so far, in units; 0 if no total was negative
-	calls          int                // number of calls that were added
-	addedByAccount map[string]float64 // units added so far; the account is the part of a total's name before the dot
+	calls          int                // number of calls whose units were added
+	addedByAccount map[string]float64 // units added so far, by account: the part of a total's name before the dot
 }
 
 // totals is the content of a store, keyed by the total's name.
@@ -29,8 +29,8 @@
 	return counterStore{partitions: [2]totals{{}, {}}, addedByAccount: map[string]float64{}}
 }
 
-// add adds a call to its total if executed is set, and returns the total; a call that is not executed only reads it. An expired
-// total starts again from 0.
+// add adds a call's units to the total that the call names if executed is true, and returns that total. If executed is false, it
+// only reads the total. An expired total starts again from 0.
 func (s *counterStore) add(partition int, call counterCall, executed bool) float64 {
 	now := time.Now()
 	t := s.partitions[partition][call.name]
@@ -117,8 +117,8 @@
 	}
 }
 
-// Sum returns the sum, in units, of the totals whose names begin with a prefix. While the store is partitioned, it sums those of
-// the first partition.
+// Sum returns the sum, in units, of the totals whose names begin with a prefix. While the store is partitioned, only totals of
+// the first partition count.
 func (c *Counter) Sum(prefix string) (sum float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -137,8 +137,8 @@
 	return c.lowest
 }
 
-// Added returns the number of calls that were added so far, and the units that they added by account. The account is the part of a
-// total's name before the dot.
+// Added returns the number of calls whose units were added so far, and the sum of those units for each account. The account is
+// the part of a total's name before the dot.
 func (c *Counter) Added() (calls int, byAccount map[string]float64) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
--- a/internal/standin/discovery.go
+++ b/internal/standin/discovery.go
@@ -35,12 +35,13 @@
 	return d, err
 }
 
-// Member returns the list entry of a backend in zone a whose start time is 0, which stands for long ago.
+// Member returns the list entry of a backend in zone a that has started too long ago to be in slow start.
 func Member(id, addr, phase string) string {
 	return MemberIn("a", id, addr, phase, 0)
 }
 
-// MemberIn returns the list entry of a backend in the given zone. upSince is its start in ms of Unix time; 0 stands for long ago.
+// MemberIn returns the list entry of a backend in the given zone. upSince is its start in ms of Unix time, or 0 if it has started
+// too long ago to be in slow start.
 func MemberIn(zone, id, addr, phase string, upSince int64) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":%q,"flavor":"std-3c","cell":0,"phase":%q,"size":1,"up_since_ms":%d}`,
 		id, addr, zone, phase, upSince)
--- a/internal/standin/link/direction.go
+++ b/internal/standin/link/direction.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// State is the set of faults of one direction. In the zero State, everything is delivered at once.
+// State is the set of faults of one direction. In the zero State, everything is delivered without delay.
 type State struct {
 	Silent  bool          // true if nothing is delivered; data that TCP would retransmit is delivered once Silent is false
 	Refused bool          // true if new connections are refused and open ones are reset
--- a/internal/standin/listener.go
+++ b/internal/standin/listener.go
@@ -11,7 +11,7 @@
 	listener net.Listener
 	mu       sync.Mutex
 	conns    map[net.Conn]struct{} // open connections
-	closed   bool                  // true once the listener is closed; connections accepted after that are closed at once
+	closed   bool                  // true once the listener is closed; connections accepted after that are closed immediately
 }
 
 // Listen listens at a loopback address and calls serve for each connection. An empty addr stands for a free port of 127.0.0.1.
--- a/internal/standin/process.go
+++ b/internal/standin/process.go
@@ -112,8 +112,8 @@
 	return p.AwaitExit(timeout)
 }
 
-// AwaitExit waits until the incarnation exits by itself. It returns the error of the exit, or wraps ErrStillRunning after the
-// timeout; the error contains the log.
+// AwaitExit waits for the exit of the latest incarnation and sends it no signal. It returns nil after a clean exit. Otherwise, the
+// error contains the log and wraps the error of the exit, or ErrStillRunning after the timeout.
 func (p *Process) AwaitExit(timeout time.Duration) error {
 	program := p.Program()
 	if err := program.Wait(timeout); err != nil {
