--- a/internal/soak/audit.go
+++ b/internal/soak/audit.go
@@ -61,8 +61,8 @@
 
 // audit compares the ledgers, as read from the nodes' folders and from their exports, with the records of the clients, the
 // backends and the counter. The counts must be equal unless a session ended with requests unanswered; then they may differ by at
-// most as many as the other side can have missed. audit returns an error if they don't agree, or if the run had no kill or no
-// booking through several gateways.
+// most the number of requests or answers that were lost with such sessions. audit returns an error if they don't agree, or if the
+// run had no kill or no booking through several gateways.
 func (env *environment) audit() error {
 	r := &auditResult{rows: map[Row]*ledgerRow{}, accounts: map[uint64]*ledger.Counts{}, merged: statement.NewMerged()}
 	for _, n := range env.nodes {
--- a/internal/soak/cost.go
+++ b/internal/soak/cost.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// client sends requests one after another until the context ends, and returns their latencies. An error answer other than BUSY ends
-// it with an error.
+// client sends requests one after another until the context ends, and returns their latencies. It returns an error if an answer
+// is an error other than BUSY.
 func (c CostConfig) client(ctx context.Context, addr string, number int) (latencies []time.Duration, err error) {
 	conn, err := standin.Dial(addr, waitTimeout)
 	if err != nil {
--- a/internal/soak/customers.go
+++ b/internal/soak/customers.go
@@ -139,8 +139,8 @@
 	})
 }
 
-// sendBatch sends a batch. In one of 60 batches, the client disconnects while all of it is open; in another one of 60, it reads
-// the answers late. sendBatch returns true if the session can be used again.
+// sendBatch sends a batch. In one of 60 batches, the client reads no answers and disconnects at most 20 ms after the last command;
+// in another one of 60, it reads the answers after a pause. sendBatch returns true if the session can be used again.
 func (env *environment) sendBatch(ctx context.Context, rng *rand.Rand, c *standin.Client, batch []command) bool {
 	switch rng.IntN(60) {
 	case 0:
--- a/internal/soak/soak.go
+++ b/internal/soak/soak.go
@@ -186,8 +186,9 @@
 	return n.Write(map[string]string{"config.json": config, "limits.toml": limits, "operations.toml": operations})
 }
 
-// killNodes kills a node by SIGKILL at each interval, every fourth time the forwarder, and restarts it. With a chance of one in
-// three, it also kills the new process while that repairs its ledger, and with one in four it repeats the kill and the restart.
+// killNodes kills a random gateway, or every fourth time the forwarder, by SIGKILL at each interval and restarts it. With a
+// probability of 1/3 it also kills a new process less than 60 ms after its start, when the process may be repairing its ledger.
+// With a probability of 1/4 it repeats the kill and the restart.
 func (env *environment) killNodes(ctx context.Context) error {
 	rng := rand.New(rand.NewPCG(env.Seed, 11))
 	tick := time.NewTicker(env.KillInterval)
