--- a/account.go
+++ b/account.go
@@ -2,12 +2,12 @@
 
 const (
 	maxCounterTTL       = 60 * second // longest time after which the counter forgets a name
-	windowBursts        = 2.0         // bursts that refill in a window, for whose end a blocked customer waits
-	callsPerWindow      = 4           // ordinary calls in a window; it lasts at least as many counter timeouts
+	windowBursts        = 2.0         // bursts that refill in a window; a blocked customer waits for its end
+	callsPerWindow      = 4           // ordinary calls in a window, which lasts at least as many call timeouts
 	accountExpiryPeriod = 5 * second  // interval between two searches for idle accounts
 )
 
-// account is what this gateway knows and holds of one customer.
+// account is the state that this gateway keeps of one customer.
 type account struct {
 	id           CustomerID
 	plan         *Plan
@@ -44,12 +44,13 @@
 	return a
 }
 
-// newAccount returns an account with a full bucket. Its ceiling is empty at the start of this gateway,
+// newAccount returns an account with a full bucket. Its ceiling is used up when this gateway starts,
 // because a previous incarnation may have spent its whole share just before.
 //
-// Where an equal share of the burst is below one request, a gateway that follows the last total either
-// rejects everything or admits everything. For such customers a request's units are counted before it is
-// admitted (counterFirst).
+// If an equal share of the burst is smaller than the largest permitted request, max(1, MaxUnits), a gateway
+// that decides by the counter's last total either rejects everything or admits everything. Requests of such
+// customers are therefore counted before they are admitted (counterFirst), if the settings have a counter and
+// the plan has a rate.
 func (t *accounts) newAccount(e Arrival, plan *Plan) *account {
 	ctx, set := t.ctx, &t.ctx.settings
 	n := min(max(1, e.Spread), set.Instances)
--- a/account_test.go
+++ b/account_test.go
@@ -17,7 +17,7 @@
 	}
 }
 
-// Accounts of customers that come only once must expire: otherwise a long day holds more of them than a short one.
+// Accounts of customers that come only once must expire: otherwise their number grows with the running time.
 func TestAccountsOfOneTimeCustomersExpire(t *testing.T) {
 	h := newHarness(t, settings(), dw.Endpoint{ID: 7})
 	for i := range 400 {
--- a/admission.go
+++ b/admission.go
@@ -198,10 +198,10 @@
 }
 
 // decideCounted decides on the requests that waited for a call of a; counted is true if the call was
-// answered. The window must not be blocked and, with a reservation for higher priority, the total must be
-// within the rate less the reservation. Without an answer, as many are admitted as the demand allows.
-// Requests that ended while they waited are ignored, because balancer and requestTable skip requests that are
-// done.
+// answered. A request is rejected if its window is blocked or if the total has reached the part of the
+// window's quota that is reserved for higher priorities. Without an answer, as many requests are admitted as
+// the demand allows. Requests that ended while they waited are not affected, because balancer and
+// requestTable skip requests that are done.
 func (ad *admission) decideCounted(a *account, counted bool) {
 	for _, r := range a.sync.awaitingCount {
 		reserved := ad.priorities.reservedFor(r)
--- a/aperture.go
+++ b/aperture.go
@@ -26,8 +26,8 @@
 	return float64(a.size()) / max(minAttemptRate, a.traffic.attemptRate())
 }
 
-// sparsity measures how rarely this gateway sends to a server, and so how old its estimate of it is: near 1
-// if it sends rarely, near 0 if it sends continuously.
+// sparsity measures how rarely this gateway sends to a server, and so how old the estimate of the server is:
+// near 1 if this gateway sends rarely, near 0 if it sends continuously.
 func (a *aperture) sparsity() float64 {
 	return 1 / (1 + math.Pow(seconds(currentEstimateInterval)/a.attemptInterval(), 2))
 }
--- a/attempt.go
+++ b/attempt.go
@@ -84,7 +84,7 @@
 		c.outliers.recordSuccess(a.server, r.classIndex)
 		c.latency.observeClassLatency(r.classIndex, latency, a.concurrent)
 	} else {
-		// A server that does not answer is an outlier. Were its failures taken as latency, a few failed servers
+		// A server that does not answer is an outlier. If its failures counted as latency, a few failed servers
 		// would raise the mean until every request is shed.
 		outlier := c.outliers.recordFailure(r.classIndex, a)
 		if outlier && e.Outcome != OutcomeRejected {
--- a/attempt_rules.go
+++ b/attempt_rules.go
@@ -1,7 +1,7 @@
 package dewhitch
 
 // These tables define what may follow an attempt: the first one which outcomes mean that an attempt may have
-// run, the second one what each idempotency then allows. An attempt in flight may always run.
+// run, the second one what each idempotency then allows. An attempt in flight counts as one that may run.
 var (
 	outcomeMayHaveRun = [OutcomeCount]bool{OutcomeOK: true, OutcomeError: true, OutcomeTimeout: true,
 		OutcomeReset: true, OutcomeCancelled: true}
--- a/balancer.go
+++ b/balancer.go
@@ -3,7 +3,7 @@
 import "math"
 
 const (
-	maxComparedServers = 64   // servers compared for a request; more are searched from a random start
+	maxComparedServers = 64   // servers compared for a request; a search among more starts at random
 	maxVisitedServers  = 1024 // servers visited for a request to find those to compare
 	crossZonePenalty   = 0.1  // fraction added to the cost of a server in another zone
 )
@@ -87,7 +87,7 @@
 }
 
 // consider compares s with the best candidate if the request may be sent there. A server under health check
-// is selected at once; its slow-start budget limits the number of such requests.
+// is selected without comparison; its slow-start budget limits the number of such requests.
 func (c *selection) consider(s *server) {
 	if !c.eligible(s) {
 		return
--- a/counter_sync.go
+++ b/counter_sync.go
@@ -9,7 +9,7 @@
 
 const (
 	earlyPushFraction  = 0.25 // a tally of this fraction of the available units is pushed before its period ends
-	counterFirstBursts = 0.5  // bursts beyond the rate in a counterFirst window, as few buckets start empty
+	counterFirstBursts = 0.5  // bursts beyond the rate in a counterFirst window: few begin with an empty bucket
 	counterPrecision   = 0.01 // largest error of a total in units, because totals are sent with seven digits
 )
 
@@ -64,7 +64,8 @@
 }
 
 // enqueue queues an account for a call by sweep; if its total is wanted, the call does not wait for its
-// period. The first call is made at a random time of the period, so that the gateways' calls do not coincide.
+// period. If the last call is more than a period ago, the time of the next one is random within a period, so
+// that the gateways' calls do not coincide.
 func (s *counterSync) enqueue(a *account, totalWanted bool) {
 	a.sync.totalWanted = a.sync.totalWanted || totalWanted
 	if a.sync.queued || !s.ctx.settings.Counter || a.plan.Rate <= 0 {
@@ -130,8 +131,8 @@
 	s.ctx.emit(CounterAdd{Name: name, Customer: a.id, Add: w.unitsInFlight, TTL: min(maxCounterTTL, 2*a.window)})
 }
 
-// startWindow moves an account to the current window. The bucket's level is kept: use that no total of the
-// old window has shown is assumed to be as predicted.
+// startWindow moves an account to the current window. The bucket's level is kept. It already includes the
+// predicted use by other gateways since the last total of the old window, which no later total corrects.
 func (s *counterSync) startWindow(a *account) {
 	number := a.windowNumber(s.ctx.now)
 	if number == a.sync.windowNumber {
--- a/counter_sync_test.go
+++ b/counter_sync_test.go
@@ -38,8 +38,8 @@
 	}
 }
 
-// Where a gateway's share of the burst is below one request, the counter's total decides on a request. Otherwise each of many
-// gateways would admit a customer's first request.
+// If a gateway's share of the burst is smaller than the largest permitted request, the counter's total decides on a request.
+// Otherwise each of many gateways would admit a customer's first request.
 func TestCustomerOfSmallBurstIsCountedFirst(t *testing.T) {
 	for total, want := range map[float64]bool{1: true, 9: true, 10: false, 500: false} { // admitted up to a burst and a half
 		h := newHarness(t, manyGateways(), dw.Endpoint{ID: 7})
--- a/endpoints.go
+++ b/endpoints.go
@@ -17,7 +17,7 @@
 // The health check modes.
 const (
 	HealthCheckOff        HealthCheckMode = iota // no health check
-	HealthCheckIdempotent                        // checks with requests idempotent by themselves or by key
+	HealthCheckIdempotent                        // checks with requests that are idempotent, also if only by key
 	HealthCheckAny                               // checks with any request
 )
 
@@ -27,7 +27,7 @@
 	Cell               int             `json:"Cell"` // cell that contains the server, for DedupCell
 	Zone               int             `json:"Zone"`
 	Kind               int             `json:"Kind"`   // kind of machine
-	StartedAt          Instant         `json:"Since"`  // time of the last start; 0: long ago
+	StartedAt          Instant         `json:"Since"`  // time of the last start; 0: too long ago for slow start
 	Rating             float64         `json:"Rating"` // size of the server as listed; no decision depends on it
 	State              EndpointState   `json:"State"`
 	FleetSlowStartRate float64         `json:"Feed"` // slow-start attempts a second from this gateway; 0: unset
--- a/hard_ceiling.go
+++ b/hard_ceiling.go
@@ -1,7 +1,7 @@
 package dewhitch
 
 // hardCeiling is the token bucket that no customer may exceed, whatever the counter's total is. Each gateway
-// holds an equal share of the plan's rate, burst and tolerance by itself, so the ceiling depends on no call.
+// enforces an equal share of the ceiling's rate, burst and tolerance, and needs no counter call for it.
 type hardCeiling struct {
 	bucket
 	plan     *Plan
--- a/harness_test.go
+++ b/harness_test.go
@@ -135,7 +135,7 @@
 	return a.ID, len(h.attempts) > n
 }
 
-// serve submits n requests at intervals of d, answers each at once, and returns the number of admitted requests.
+// serve submits n requests at intervals of d, answers each immediately, and returns the number of admitted requests.
 func (h *harness) serve(n int, interval dw.Span, a dw.Arrival) (admitted int) {
 	for range n {
 		id, sent := h.request(a)
@@ -149,7 +149,7 @@
 	return admitted
 }
 
-// manyGateways returns the settings of one of very many gateways: an even share of a burst is below one request.
+// manyGateways returns the settings of one of very many gateways: an equal share of a burst is smaller than a request.
 func manyGateways() dw.Settings {
 	s := settings()
 	s.Instances, s.ParallelAttempts = 100, true
--- a/hedging.go
+++ b/hedging.go
@@ -2,7 +2,7 @@
 
 const hedgeFraction = 0.5 // fraction of the latency objective after which an unanswered attempt is hedged
 
-// scheduleHedge sets the timer that hedges the next attempt of r, if it fires before the objective ends.
+// scheduleHedge sets the timer that hedges the next attempt of r, unless the objective ends before that.
 func (c *attemptController) scheduleHedge(r *request) {
 	attemptNumber := len(r.attempts) + 1
 	hedgeAt := c.ctx.now + Instant(hedgeFraction*float64(r.class.Objective))
@@ -11,8 +11,8 @@
 	}
 }
 
-// hedge sends r to another server if its n-th attempt is unanswered and its last one, and the server of that
-// attempt is unresponsive: it has served no other request of the class since the attempt started. An attempt
+// hedge sends r to another server if the n-th attempt of r is its last one and unanswered, and its server is
+// unresponsive: it has served no other request of the class since the attempt started. An attempt
 // that is only slow is not hedged, because hedging would add to an overload. The new attempt runs in parallel
 // to the n-th or, where the settings forbid that, replaces it.
 func (c *attemptController) hedge(r *request, n int) {
--- a/latency_estimate.go
+++ b/latency_estimate.go
@@ -36,7 +36,7 @@
 	classLatencyRatio  []float64 // by class: its latency as a multiple of the mean
 	classSamples       []float64 // by class: number of samples in its latency ratio
 	minObjective       Span      // shortest latency objective of all classes
-	lastRecoveredIndex int       // index of the server that was updated last
+	lastRecoveredIndex int       // index of the server that recoverIdle visited last
 }
 
 // newLatencyEstimator derives the initial estimates from the latency objectives of the classes.
@@ -98,7 +98,7 @@
 	return max(minWeight, maxSampleWeight*(1-math.Exp(-seconds(l.ctx.now-last)/seconds(sampleWeightRiseTime))))
 }
 
-// expected returns the expected latency, in seconds, of a new attempt on s for a class of mean latency. It
+// expected returns the expected latency, in seconds, of a new attempt on s for a class of latency ratio 1. It
 // is based on the latency and load of s, or on the time that s has been without success while attempts are
 // in flight, if that is longer.
 func (l *latencyEstimator) expected(s *server) float64 {
--- a/limit_answers_test.go
+++ b/limit_answers_test.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// Guards against units that count twice after a lost answer: the call has counted them, so the gateway must not take them in the next
-// total for use by others.
+// Guards against units that count twice after a lost answer: the call has counted them, so the gateway must not treat them as use
+// by others when the next total includes them.
 func TestLostCounterAnswer(t *testing.T) {
 	h := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
 	add := h.counter
@@ -149,7 +149,7 @@
 // A request that waits for its count must not be forwarded after its client has departed: nothing would end that attempt.
 func TestUncountedRequestOfDepartedClient(t *testing.T) {
 	s := settings()
-	// The burst is below one request per gateway, so units are counted first.
+	// A gateway's share of the burst is smaller than a request, so units are counted first.
 	s.Plans[0] = dw.Plan{Rate: 1, Burst: 1, WeightFactor: 1, OverQuotaCost: 1}
 	h := newHarness(t, s, dw.Endpoint{ID: 7})
 	id, sent := h.request(dw.Arrival{Customer: 1, Spread: 2})
--- a/many_gateways_test.go
+++ b/many_gateways_test.go
@@ -278,8 +278,8 @@
 	}
 }
 
-// Guards against the overload of warming servers when six in ten servers are replaced and all 80 gateways learn of it at once. No
-// warming server may get more than a multiple of its present capacity in a time that would overload it (rule 4).
+// Guards against the overload of warming servers when six in ten servers are replaced and all 80 gateways learn of it at the same
+// time. No warming server may get more than a multiple of its present capacity in a time that would overload it (rule 4).
 func TestManyGatewaysSpareWarmingServers(t *testing.T) {
 	s := eightyGateways()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
--- a/quota.go
+++ b/quota.go
@@ -48,8 +48,8 @@
 
 // checkInFlight rejects attempts beyond the plan's limit in flight. Retry-After is the mean latency. The
 // attempts in flight of the other gateways are estimated from their rate by Little's law or, if that is more,
-// from those of this gateway, as if all gateways had equally many. That excludes streamed answers, because
-// the client determines how long they last.
+// from those of this gateway, as if all gateways had equally many. The latter estimate excludes attempts with
+// streamed answers, because the client determines how long these last.
 func (q *quotaRules) checkInFlight(a *account) verdict {
 	othersRate := a.bucket.assumedOthersRate(q.ctx.now)
 	if a.counterFirst && a.demand.elapsed > 0 {
--- a/quota_test.go
+++ b/quota_test.go
@@ -58,7 +58,7 @@
 	for _, id := range streaming {
 		h.handle(dw.AttemptEnded{Request: id, Server: 7, Final: true, Latency: 10 * millisecond})
 	}
-	// None of them remains in the count. An attempt whose answer has not begun counts as four, one for each gateway.
+	// No ended attempt remains in the count. An attempt whose answer has not begun counts as four, one for each gateway.
 	if _, ok := h.request(dw.Arrival{Spread: 4}); !ok {
 		t.Fatal("request rejected with no attempt in flight")
 	}
--- a/scale_test.go
+++ b/scale_test.go
@@ -17,7 +17,7 @@
 	maxServers = 3200
 )
 
-// scaleHarness drives one of many gateways with servers that answer at once.
+// scaleHarness drives one of many gateways with servers that answer immediately.
 type scaleHarness struct {
 	*harness
 	interval dw.Span             // time between two requests
--- a/settings.go
+++ b/settings.go
@@ -11,7 +11,7 @@
 	Weight           float64 // priority weight
 	Idempotency      Idempotency
 	DedupScope       DedupScope // servers that drop repeats; for IdempotentByKey only
-	DedupWindow      Span       // time after the first attempt that may have run in which servers drop repeats
+	DedupWindow      Span       // time in which servers drop repeats, from the first attempt that may have run
 	Streaming        bool       // an AnswerStarted event reports the start of each answer
 }
 
@@ -25,8 +25,8 @@
 	CeilingBurst   float64 // capacity of the hard ceiling's token bucket in units
 	Tolerance      float64 // units by which the hard ceiling's bucket may drop below 0
 	WeightFactor   float64 // factor on the weight of the request's class
-	OverQuotaValue float64 // fraction of its weight that a request earns when served beyond the quota
-	OverQuotaCost  float64 // fraction of its weight that a request costs when forwarded beyond the quota
+	OverQuotaValue float64 // value of serving a request beyond the quota, as a fraction of its weight
+	OverQuotaCost  float64 // cost of forwarding a request beyond the quota, as a fraction of its weight
 }
 
 // ReportSource is the set of outcomes that carry the servers' load reports.
@@ -42,10 +42,10 @@
 // Settings holds the parameters that a gateway is given at its start. Classes and plans have no names here.
 // The caller supplies defaults: the zero value of Settings does not pass Check.
 //
-// No decision of the module depends on Class.ObjectiveStretch and LateWeight, Plan.WeightFactor, CounterFee,
-// MeterPeriod, MayProbe, MayMessagePeers, ConnectTimeout, Reports, ReportFields, RatingsDiffer, AnswerSlack,
-// DrainGrace, PollWithin, OverloadSpan, OverloadMultiple and the prices: the caller uses them, or they are
-// only validated.
+// No decision of the module depends on Class.ObjectiveStretch, Class.LateWeight, Plan.WeightFactor,
+// CounterFee, MeterPeriod, MayProbe, MayMessagePeers, ConnectTimeout, Reports, ReportFields, RatingsDiffer,
+// AnswerSlack, DrainGrace, PollWithin, OverloadSpan, OverloadMultiple or the prices: the caller uses them, or
+// they are only validated.
 type Settings struct {
 	Instances int  // number of gateways
 	Self      int  // index of this gateway, from 0
@@ -57,7 +57,7 @@
 
 	Counter        bool    // CounterAdd is available
 	CounterTimeout Span    // time in which a counter call should be answered; the caller may wait longer
-	CounterFee     float64 // fraction of the result, times counter calls per request
+	CounterFee     float64 // fraction of the result that one counter call per request costs
 	MeterPeriod    Span    // period over which AttemptEnded.Used is metered; 0: it is not metered
 	MaxUnits       float64 // maximum number of units of one request
 	UnitsCorrected bool    // a request's units are an estimate, corrected by AttemptEnded.TrueUnits
@@ -78,15 +78,15 @@
 	AnswerSlack      Span    // time after the deadline in which a final answer still counts
 	DrainGrace       Span    // time after which attempts to a draining server must have stopped
 	PollWithin       Span    // time after which an endpoint list without subscription counts as known
-	SlowStartSpan    Span    // time after which a started server is warm
+	SlowStartSpan    Span    // time from the start of a server until it is warm
 	OverloadSpan     Span    // time for which a warming server tolerates overload
 	StartCapacity    float64 // fraction of its capacity that a server starts with, from 0 to 1
 	OverloadMultiple float64 // multiple of its present capacity at which a warming server is overloaded
 
-	CrossZonePrice float64 // fraction of the result, times attempts to another zone per request
+	CrossZonePrice float64 // fraction of the result that one attempt to another zone per request costs
 	WastePrice     float64 // fraction of the result, times the fraction of server work that served no answer
-	ProbePrice     float64 // fraction of the result, times health checks per request
-	LatePrice      float64 // fraction of the result, times the fraction of weight unserved after its objective
+	ProbePrice     float64 // fraction of the result that one health check per request costs
+	LatePrice      float64 // fraction of the result, times the fraction of weight not served by its objective
 }
 
 // SettingError reports a setting that no gateway can work with.
--- a/shared_bucket.go
+++ b/shared_bucket.go
@@ -4,9 +4,9 @@
 
 const (
 	rateMemoryWindows  = 2.0   // number of time constants of the usage rates in a window
-	freeRateFraction   = 0.125 // fraction of the rate that all gateways together are assumed to use at least
-	unseenSigmas       = 0.25  // standard deviations up to which unseen use by others is reserved
-	staleTotalFraction = 0.5   // fraction of a window after which a total no longer shows the others' use
+	freeRateFraction   = 0.125 // fraction of the rate that is added to all gateways' use to compute shares
+	unseenSigmas       = 0.25  // standard deviations of unseen use by others that are reserved
+	staleTotalFraction = 0.5   // age, as a fraction of a window, above which the last total is stale
 )
 
 // sharedBucket is the token bucket of a customer's quota as this gateway knows it. All gateways draw on it;
@@ -16,7 +16,7 @@
 	burst       float64 // capacity in units
 	gateways    float64 // number of gateways that serve the customer
 	window      Span    // length of a window of the shared counter
-	level       float64 // units after own use (deducted at once) and others' use (as predicted)
+	level       float64 // units left; the use by others since the last total is predicted
 	updatedAt   Instant // time of the level
 	predicted   float64 // units of others' use deducted from the level since the last total
 	ownRate     float64 // units per second used by this gateway: exponential moving average
@@ -54,8 +54,9 @@
 }
 
 // available returns how many units this gateway may admit: its share of the level according to recent use or,
-// if that is more, the level without what others may have used unseen. Use is unseen for the age of the total
-// plus a call's timeout, and varies by requests of half maxUnits.
+// if that is more, the level less a reserve for use by others that the level does not include. The reserve is
+// their use during one call timeout, plus unseenSigmas standard deviations of their use since the last total
+// and during one call timeout, if random requests of half maxUnits cause it.
 func (b *sharedBucket) available(now Instant, counterTimeout Span, maxUnits float64) float64 {
 	b.advance(now)
 	othersRate := b.assumedOthersRate(now)
--- a/slow_start.go
+++ b/slow_start.go
@@ -3,7 +3,7 @@
 import "cmp"
 
 const (
-	slowStartFraction = 0.5 // a warming server's fraction of an even share of the attempts, times its warmth
+	slowStartFraction = 0.5 // fraction of an even share of attempts that a warming server gets, times warmth
 	slowStartBurst    = 1.0 // largest number of attempts in a warming server's budget
 )
 
@@ -21,7 +21,7 @@
 	s.slowStartBudget = bucket{level: w.ctx.rng.Float64(), updatedAt: w.ctx.now}
 }
 
-// warmth returns the fraction of its capacity that a server has reached at least. The fraction grows
+// warmth returns the fraction of its full capacity that a server is assumed to have. The fraction grows
 // linearly from StartCapacity to 1 over SlowStartSpan.
 func (w *slowStart) warmth(s *server) float64 {
 	settings, age := &w.ctx.settings, w.ctx.now-s.StartedAt
--- a/slow_start_test.go
+++ b/slow_start_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// Guards against a hundred gateways that all send their first attempt to a new server at once: their slow-start budgets start at
-// random levels.
+// Guards against a hundred gateways that send their first attempts to a new server at the same time: their slow-start budgets
+// start at random levels.
 func TestSlowStartBudgetsStartAtRandom(t *testing.T) {
 	attemptsOnNew := 0
 	for seed := range uint64(100) {
--- a/state.go
+++ b/state.go
@@ -113,7 +113,7 @@
 	}
 }
 
-// hasStatistics returns true if this gateway has statistics of a server. It uses only a few of many servers.
+// hasStatistics returns true if this gateway has statistics of a server. Of many servers, it uses only a few.
 func (g *Gateway) hasStatistics(s *server) bool {
 	return s.measuredAt > 0 || s.inFlight > 0 || s.hasFailures() || g.slowStart.warmth(s) < 1
 }
--- a/state_test.go
+++ b/state_test.go
@@ -26,8 +26,8 @@
 	return next
 }
 
-// A warm successor must serve a customer near its quota like the old process. A cold one takes the whole total of the window for
-// use by other gateways, and rejects requests within the quota.
+// A warm successor must serve a customer near its quota like the old process. A cold one assumes that other gateways used the
+// whole total of the window, and rejects requests within the quota.
 func TestWarmStartKeepsACustomersAccount(t *testing.T) {
 	s := settings()
 	s.Instances, s.Plans[0] = 4, dw.Plan{Rate: 4, Burst: 12, WeightFactor: 1, OverQuotaCost: 1}
@@ -56,7 +56,7 @@
 		h = h.restart(s, true, endpoint)
 		admitted += h.serve(24, 50*millisecond, dw.Arrival{})
 	}
-	if maxAdmitted := 12 + 2*8 + 5; admitted > maxAdmitted || admitted < 20 { // one more request for each replacement
+	if maxAdmitted := 12 + 2*8 + 5; admitted > maxAdmitted || admitted < 20 { // burst, refill, and one more request per replacement
 		t.Errorf("%d requests were admitted, want 20 to %d", admitted, maxAdmitted)
 	}
 }
--- a/timers.go
+++ b/timers.go
@@ -2,8 +2,8 @@
 
 import "strconv"
 
-// timerTable holds the callback of each pending timer. A timer fires once and cannot be withdrawn: its
-// callback checks whether it still applies.
+// timerTable holds the callback of each pending timer. A timer fires once and cannot be withdrawn, so its
+// callback checks whether there is still something to do.
 type timerTable struct {
 	callbacks map[TimerID]func()
 	lastID    int64
