--- a/internal/core/clock.go
+++ b/internal/core/clock.go
@@ -27,5 +27,6 @@
 	return c.start.Add(time.Duration(int64(i) - c.start.UnixNano()))
 }
 
-// FromUnixMS converts Unix time in milliseconds to an instant. Values of 0 or less become 0, which means long ago.
+// FromUnixMS converts Unix time in milliseconds to an instant. Values of 0 or less become 0, which stands for a start too long
+// ago for slow start.
 func FromUnixMS(ms int64) dw.Instant { return dw.Instant(max(0, ms) * 1e6) }
--- a/internal/core/start_times.go
+++ b/internal/core/start_times.go
@@ -33,8 +33,8 @@
 
 func newStartTimes() startTimes { return startTimes{servers: map[dw.ServerID]startTime{}} }
 
-// resolve returns a listed start time on the planner's clock; 0 means long ago and stays 0. now and wall are the current time
-// on the planner's clock and on the wall clock.
+// resolve converts a listed start time to the planner's clock. It returns 0 for 0, which stands for a start too long ago for
+// slow start. now and wall are the current time on the planner's clock and on the wall clock.
 func (s *startTimes) resolve(id dw.ServerID, listed, now, wall dw.Instant) dw.Instant {
 	previous, known := s.servers[id]
 	previous.lastListed = max(previous.lastListed, s.lastCompleteListAt)
--- a/internal/core/submit.go
+++ b/internal/core/submit.go
@@ -20,7 +20,7 @@
 	maxAttempts int        // maximum number of attempts, fixed at submission; 0 if only the module limits it
 	inFlight    int        // number of attempts that have not ended
 	lastOutcome dw.Outcome // outcome of the attempt that ended last
-	answered    bool       // true if no answer may be given any more: one was given, or the client has disconnected
+	answered    bool       // true if no further answer may be given: one was given, or the client has disconnected
 }
 
 // PendingRequest identifies a submitted request for Cancel and Expedite. It is safe for concurrent use.
@@ -40,7 +40,7 @@
 // overtake the request's submitMessage, because its queue has a higher priority.
 type cancelMessage struct{ pending *PendingRequest }
 
-// expediteMessage requires a request to be answered at once. Like cancelMessage, it may overtake the request's submitMessage.
+// expediteMessage requires a request to be answered now. Like cancelMessage, it may overtake the request's submitMessage.
 type expediteMessage struct{ pending *PendingRequest }
 
 func (submitMessage) queue() Queue   { return QueueArrival }
@@ -72,7 +72,7 @@
 	_ = p.post(expediteMessage{pending}) // a stopped planner answers nothing
 }
 
-// handle records a request and requests the module's decision on it. It ends the request at once if the client has
+// handle records a request and requests the module's decision on it. It ends the request immediately if the client has
 // disconnected, if Expedite was already called, or if another request with the same name is open.
 func (m submitMessage) handle(p *Planner) {
 	m.pending.id = p.nextRequestID()
@@ -170,7 +170,7 @@
 	p.forgetIfEnded(s)
 }
 
-// closeRequest marks a request as answered and retracts its attempts of which nothing is written yet. The module does not
+// closeRequest marks a request as answered and retracts its attempts for which nothing is written yet. The module does not
 // cancel these if the settings forbid cancelling, but an unwritten attempt can be withdrawn in any case.
 func (p *Planner) closeRequest(s *requestState) {
 	s.answered = true
--- a/internal/core/targets.go
+++ b/internal/core/targets.go
@@ -7,7 +7,7 @@
 )
 
 // targetsReportInterval is the time between two reports to the TargetsReporter. Reports at changes of the list are not enough,
-// because the module ejects servers by itself. The figures that operators read may lag by 0.5 s.
+// because the module also ejects servers while the list does not change. The figures that operators read may lag by 0.5 s.
 const targetsReportInterval = dw.Span(200 * time.Millisecond)
 
 // TargetsReporter receives counts of servers for operators. Its method is called on the planner's goroutine and must not
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -118,7 +118,7 @@
 	Cancel(request dw.RequestID, attempt int)
 	// Retract ends an attempt if nothing of it is written yet, and otherwise does nothing.
 	Retract(request dw.RequestID, attempt int)
-	// RetractAll ends all attempts at a backend of which nothing is written yet. It does not affect attempts started later.
+	// RetractAll does what Retract does for all attempts at a backend. It does not affect attempts started later.
 	RetractAll(b Backend)
 	// Forget does what RetractAll does and closes the idle connections to a backend. The connections of attempts in flight are
 	// closed when these attempts end.
