--- a/internal/backend/attempt.go
+++ b/internal/backend/attempt.go
@@ -124,5 +124,5 @@
 	return result
 }
 
-// expired is a deadline in the past, which makes reads and writes fail at once.
+// expired is a deadline in the past, which makes reads and writes fail immediately.
 var expired = time.Unix(1, 0)
--- a/internal/backend/dial_test.go
+++ b/internal/backend/dial_test.go
@@ -26,7 +26,7 @@
 	return dials
 }
 
-// Guards against backends that are blamed for a shortage on this machine. A dial that fails because of a shortage is repeated; if
+// Guards against attributing a shortage on this machine to a backend. A dial that fails because of a shortage is repeated; if
 // the shortage lasts, the attempt ends as not sent. A dial that fails on the way to the backend is not repeated.
 func TestDialDuringLocalShortage(t *testing.T) {
 	const permanent = 1 << 40
--- a/internal/backend/exchange.go
+++ b/internal/backend/exchange.go
@@ -9,7 +9,8 @@
 	"dewhitch/internal/resp"
 )
 
-// answerTimeout is the maximum time from the first byte of an answer to its last. A backend writes an answer at once.
+// answerTimeout is the maximum time from the first byte of an answer to its last, as a backend writes an answer without pauses.
+// If the value is streamed, answerTimeout applies to the parts before and after the value, and streamIdleTimeout to the value.
 const answerTimeout = 250 * time.Millisecond
 
 // exchange writes the command of an attempt and reads the answer. It returns true if the connection may be reused. detachContext
--- a/internal/backend/idle_test.go
+++ b/internal/backend/idle_test.go
@@ -48,7 +48,7 @@
 			t.Errorf("request %s got value %q and outcome %d, expected its own value", id, result.Value, result.Outcome)
 		}
 		mu.Lock()
-		now = now.Add(19 * time.Millisecond / 5) // all five attempts start within 19 ms
+		now = now.Add(19 * time.Millisecond / 5) // the attempts start within 19 ms, which is less than minIdleTime
 		mu.Unlock()
 	}
 	b.expectNoLeaks()
--- a/internal/backend/pools.go
+++ b/internal/backend/pools.go
@@ -32,7 +32,7 @@
 }
 
 // Recorder is the ledger to which the pools post each attempt, once when it is started and once at its end. Post is called
-// from several goroutines at once and must not block.
+// from several goroutines concurrently and must not block.
 type Recorder interface{ Post(ledger.Posting) }
 
 // Pools owns all connections to the backends and implements core.Backends. Only release and discard return a
