--- a/internal/counter/answers.go
+++ b/internal/counter/answers.go
@@ -38,7 +38,7 @@
 		case err == nil && oldest == nil: // an unsolicited answer, which would be paired with the next call
 			return nil
 		case err == nil:
-			conn.SetReadDeadline(time.Now().Add(answerTimeout)) // a malformed answer may never end
+			conn.SetReadDeadline(time.Now().Add(answerTimeout)) // a malformed answer might never end
 			a := readAnswer(r)
 			oldest.settle(callWritten, a.outcome, a.total)
 			if !a.reusable {
--- a/internal/counter/client.go
+++ b/internal/counter/client.go
@@ -35,13 +35,13 @@
 const Sockets = 2 * pipelineCount
 
 // Recorder is the ledger to which the client posts each call, once when it begins and once when it is settled. Post is called
-// from several goroutines at once and must not block.
+// from several goroutines concurrently and must not block.
 type Recorder interface{ Post(ledger.Posting) }
 
 // Client sends calls to the counter. It implements core.Counter and is safe for concurrent use.
 type Client struct {
 	addr        *dynaddr.Address
-	timeout     time.Duration // time from Add until a call is settled at the latest
+	timeout     time.Duration // maximum time from Add until a call is settled
 	dialTimeout time.Duration // maximum time to establish a connection
 	recorder    Recorder
 	log         *zap.Logger
--- a/internal/counter/connection.go
+++ b/internal/counter/connection.go
@@ -80,7 +80,7 @@
 		return next
 	}
 	// The former connection stays open for one call timeout, so that calls that were written still get their answers. Repeated
-	// moves must not accumulate connections, so the one before has to be closed first; that takes one call timeout at most.
+	// moves must not accumulate connections, so the previous one has to be closed first, which takes at most one call timeout.
 	time.AfterFunc(p.client.timeout, c.cancel)
 	if p.draining != nil {
 		<-p.draining
