--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -22,7 +22,7 @@
 
 const (
 	dialTimeout = time.Second
-	// pollTimeout limits the wait for an answer of a director that serves only this gateway: it answers at once.
+	// pollTimeout limits the wait for an answer of a director that serves only this gateway: it answers immediately.
 	pollTimeout = time.Second
 	// sharedPollTimeout limits the wait for an answer of a director that all gateways share: it queues requests, and also
 	// serves queued requests whose gateway has closed the connection.
--- a/internal/discovery/sync_test.go
+++ b/internal/discovery/sync_test.go
@@ -212,7 +212,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			b := newTestBed(t, c.answers...)
-			b.watchTimeout, b.pollTimeout = time.Second, time.Second // the test bed answers at once or not at all
+			b.watchTimeout, b.pollTimeout = time.Second, time.Second // the test bed answers immediately or not at all
 			b.backoff.BusyFirst, b.backoff.BusyMax = time.Millisecond, time.Millisecond
 			b.expectUpdates(t, c.updates...)
 			b.mu.Lock()
@@ -265,7 +265,7 @@
 }
 
 // TestMoveDuringSilentWatch guards against a delayed move. When the director's address changes during a silent watch, the client
-// reads the new director's list at once, even if its revision is older.
+// reads the new director's list immediately, even if its revision is older.
 func TestMoveDuringSilentWatch(t *testing.T) {
 	next := newTestBed(t, completeAnswer(messageJSON(3, true, "draining")))
 	b := newTestBed(t, completeAnswer(messageJSON(41, true, "up")), func(c *net.TCPConn) bool { return stall(c) })
