--- a/internal/classtable/classtable.go
+++ b/internal/classtable/classtable.go
@@ -17,7 +17,7 @@
 type Entry struct {
 	Name  string
 	Class int // index of the module's class; below 0 if none is strict enough, so that requests are rejected
-	// Idempotency is that of the latest settings with the name; it decides which commands may use the name.
+	// Idempotency is taken from the latest settings that contain the name; it decides which commands may use the name.
 	Idempotency dw.Idempotency `json:"Effect"` // key in the log line of a reload
 }
 
--- a/internal/classtable/classtable_test.go
+++ b/internal/classtable/classtable_test.go
@@ -36,7 +36,7 @@
 }
 
 // TestReloadedTable guards against reloaded settings whose requests are handled by less strict rules than their own. After any
-// number of reloads every name is mapped to a module class that is at least as strict, or to none if there is none. An equal
+// number of reloads every name is mapped to a module class that is at least as strict, or to none if no class is. An equal
 // class is preferred, names of earlier settings keep their entries, and the table is bounded.
 func TestReloadedTable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
