--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-// TestHandover guards against exclusions that are lost between two processes, and against a corrupt file of which a part is used.
+// TestHandover guards against exclusions that are lost between two processes, and against the use of a part of a corrupt file.
 func TestHandover(t *testing.T) {
 	dir := t.TempDir()
 	path := Path(dir, "n3")
@@ -30,7 +30,7 @@
 	if files, _ := os.ReadDir(dir); len(files) != 1 {
 		t.Fatalf("got %d files in the folder, want 1: a temporary file is left", len(files))
 	}
-	// Of a corrupt file nothing is used.
+	// No part of a corrupt file is used.
 	for _, broken := range []string{"", `{"excluded":["s-1"`, `{"excluded":[""]}`, `{"excluded":"s-1"}`,
 		`{"excluded":["` + strings.Repeat("x", 65) + `"]}`, strings.Repeat(" ", maxSize+1)} {
 		os.WriteFile(path, []byte(broken), 0o600)
