--- a/internal/durable/durable_test.go
+++ b/internal/durable/durable_test.go
@@ -77,9 +77,9 @@
 
 func (w *faultyFile) Close() error { return errors.Join(w.system.fail(stepClose), w.File.Close()) }
 
-// TestReplaceFails guards against a damaged or lost file when a step of Replace fails. Each step fails with each error, a write
-// also after each number of bytes. The error must be returned, the file must have the old text (the new one if only the sync of
-// the folder fails), no other file may be left in the folder, and the next attempt must succeed.
+// TestReplaceFails guards against a damaged or lost file when a step of Replace fails. Each step fails with each error, and
+// the write does so after each number of written bytes. The error must be returned, the file must have the old text (the new one
+// if only the sync of the folder fails), no other file may be left in the folder, and the next attempt must succeed.
 func TestReplaceFails(t *testing.T) {
 	const before, after = "before", "after, and longer"
 	file := filepath.Join(t.TempDir(), "file")
