--- a/internal/backoff/backoff_test.go
+++ b/internal/backoff/backoff_test.go
@@ -8,8 +8,9 @@
 )
 
 // TestCallersThatStartTogetherAreServed guards against callers that retry at the same times. A service that serves 25 calls per
-// second and queues 20 rejects most of 80 callers that start in the same millisecond; without jitter, it rejected them for
-// a day. With jitter, all must be served soon.
+// second and queues 20 rejects most of 80 callers that start in the same millisecond. It rejected 80 gateways for a day when
+// they retried without jitter, at most 0.5 s apart, and gave up a queued call after 1 s. The callers of this test do not give
+// up queued calls. With jitter, all must be served soon.
 func TestCallersThatStartTogetherAreServed(t *testing.T) {
 	const callers, perSecond, queueSize = 80, 25, 20
 	var nextCallAt [callers]time.Duration
@@ -42,7 +43,7 @@
 	}
 	slices.Sort(served)
 	t.Logf("half of the callers were served after %v, all after %v, with %d calls", served[callers/2], served[callers-1], calls)
-	if served[callers-1] > 8*time.Second || calls > 5*callers/2 { // 14.8 s without jitter; 343 calls if busy waits are as short as others
+	if served[callers-1] > 8*time.Second || calls > 5*callers/2 { // 14.8 s if these callers wait for the bound, without jitter; 343 calls if busy waits are as short as others
 		t.Errorf("the last of %d callers was served after %v, with %d calls; expected at most 8 s and 200 calls", callers, served[callers-1], calls)
 	}
 }
--- a/internal/config/fleet.go
+++ b/internal/config/fleet.go
@@ -24,7 +24,7 @@
 	Lease             time.Duration     // age from which an unconfirmed view counts as outdated; default 2 s
 	StatusInterval    time.Duration     // minimum time between two statuses of a member; default 200 ms
 	Peers             map[string]string // addresses by member name, in place of those that members announce
-	MaxEvacuatedZones int               // maximum number of zones that the fleet evacuates at the same time of its own accord; 0 for a third of all zones
+	MaxEvacuatedZones int               // number of evacuated zones from which the fleet evacuates no more without an operator, unless a whole region fails; 0: a third of all zones
 	Registry          Registry          // registry in which members are found; if it has no servers, only Seeds are used
 }
 
--- a/internal/core/endpoints.go
+++ b/internal/core/endpoints.go
@@ -166,7 +166,8 @@
 	return p.excluded[e.ID] || p.fleetPlan.InMaintenance[e.ID] || p.fleetPlan.Zones[e.Zone].Avoid
 }
 
-// isWarmingUp reports whether a server that started at startedAt is still in its slow start. It returns false for 0.
+// isWarmingUp reports whether a server that started at startedAt is still in its slow start. It returns false for 0, which
+// stands for a start too long ago for slow start.
 func (p *Planner) isWarmingUp(startedAt dw.Instant) bool {
 	return startedAt > 0 && p.Instant(time.Now())-startedAt < dw.Instant(p.slowStartSpan)
 }
--- a/internal/core/inbox.go
+++ b/internal/core/inbox.go
@@ -38,9 +38,10 @@
 	postedAt time.Time
 }
 
-// inbox holds the messages that wait for the planner, in queues of strict priority, highest first. Endpoint updates and
-// control messages go before client work. Ends of attempts go before new requests because they answer a client and release
-// the resources of the attempt.
+// inbox holds the messages that wait for the planner, in queues by priority, highest first. Endpoint updates and control
+// messages go before client work. Ends of attempts go before new requests because they answer a client and release the
+// resources of the attempt. The priority is certain only for messages that were posted before next polls the queues. Of
+// those posted from then until its select starts to wait, an arrival may be handled before an earlier endpoint update.
 type inbox struct {
 	queues  [QueueCount]chan queuedMessage
 	stopped chan struct{} // closed when Run returns, so that no goroutine waits for the planner any longer
