--- a/attempt.go
+++ b/attempt.go
@@ -84,8 +84,9 @@
 		c.outliers.recordSuccess(a.server, r.classIndex)
 		c.latency.observeClassLatency(r.classIndex, latency, a.concurrent)
 	} else {
-		// A server that does not answer is an outlier. If its failures counted as latency, a few failed servers
-		// would raise the mean until every request is shed.
+		// An error, a timeout, a reset or a failed connect makes the server an outlier, unless recordFailure
+		// does not count it. If these failures counted as latency, a few failed servers would raise the mean
+		// until every request is shed. Rejections count as latency nevertheless.
 		outlier := c.outliers.recordFailure(r.classIndex, a)
 		if outlier && e.Outcome != OutcomeRejected {
 			return
--- a/cmd/dewhitch/drain_fleet_test.go
+++ b/cmd/dewhitch/drain_fleet_test.go
@@ -15,8 +15,8 @@
 	"dewhitch/internal/standin"
 )
 
-// The load of TestDrainsUnderLoad. maxRequestTimeout is longer than recentRequestAge, so that requests are in flight throughout a
-// drain. It is short enough that a request taken before the drain is not in flight for long after drainTimeLimit.
+// The load of TestDrainsUnderLoad. A draining gateway accepts requests for 1.5 s. maxRequestTimeout is longer than recentRequestAge, and
+// long enough that accepted requests can be in flight until drainTimeLimit, but no accepted request has a later deadline.
 const (
 	drainGateways     = 4
 	drainSeeds        = 10
--- a/hedging_test.go
+++ b/hedging_test.go
@@ -30,7 +30,8 @@
 }
 
 // Guards against hedging while all servers are slow. If gateways rarely send to each server, every slow answer looks like an
-// unresponsive server, and hedging made all servers slower (report L2da371). An unresponsive server among fast ones is hedged.
+// unresponsive server, and hedging made all servers slower (incident report L2da371). An unresponsive server among fast ones is
+// hedged.
 func TestNoHedgingWhenAllAreSlow(t *testing.T) {
 	for latency, want := range map[dw.Span]struct{ min, max int }{250 * millisecond: {0, 5}, 10 * millisecond: {10, 40}} {
 		s := manyGateways()
--- a/internal/drill/open.go
+++ b/internal/drill/open.go
@@ -12,8 +12,8 @@
 	"dewhitch/internal/standin/zookeeper"
 )
 
-// classesOf returns the request classes of a drill, by the argument cls of its scenario: safe, keyed, unsafe, or all three for
-// mixed.
+// classesOf returns the request classes of a drill. kind is the argument cls of its scenario: safe, keyed or unsafe for a single class,
+// or mixed for all three.
 func classesOf(kind string) []class {
 	safe := class{query: true, Class: standin.Class{
 		Name:     "space-query",
--- a/internal/drill/result.go
+++ b/internal/drill/result.go
@@ -31,7 +31,7 @@
 	DepartedClients   DepartedClients   `json:"left"`                    // requests whose client departed
 	CPUPerRequest     float64           `json:"cpu_us_per_req"`          // processor time in microseconds per request
 	FleetBytes        float64           `json:"fleet_bytes_per_s"`       // bytes per second between gateways, per gateway
-	Fleet             *FleetResult      `json:"fleet,omitempty"`         // nil without the fleet view
+	Fleet             *FleetResult      `json:"fleet,omitempty"`         // nil if the gateways ran uncoordinated, without the fleet view
 	Work              *WorkResult       `json:"work,omitempty"`          // nil if no maintenance was requested
 	SlowStarts        []SlowStartResult `json:"returns,omitempty"`       // restarts of servers
 	ServerFaults      []ServerFault     `json:"troubles,omitempty"`      // faults of servers
--- a/internal/fleet/agent/storage_test.go
+++ b/internal/fleet/agent/storage_test.go
@@ -27,9 +27,9 @@
 // maxAdoptionDelay is the longest time until all members follow a committed plan.
 const maxAdoptionDelay = time.Second
 
-// Guards against a voter that stops following plans while its disk is stuck. Such a voter must follow a committed plan
-// and answer calls like any member; only its messages that depend on stored log entries wait for the disk. The fault is
-// described in docs/incidents/2026-12-03-voter-waits-for-its-disk.md.
+// Guards against a voter that stops following plans while its disk is stuck. A voter with a stuck disk must follow a
+// committed plan and answer calls like any member; only its messages that depend on stored log entries wait for the disk.
+// The fault is described in docs/incidents/2026-12-03-voter-waits-for-its-disk.md.
 func TestVoterWithStuckDiskAdoptsPlan(t *testing.T) {
 	defer waitForGoroutines(t)
 	diskToken := make(chan struct{}, 1)
--- a/internal/fleet/voter_ready.go
+++ b/internal/fleet/voter_ready.go
@@ -126,7 +126,8 @@
 // createSnapshot creates a snapshot of the applied state, which raft sends to followers that lag far behind. It
 // is stored with the next write that the log needs. Until then stable storage holds the entries instead.
 func (v *voter) createSnapshot() {
-	// An error means that this snapshot exists already.
+	// The only error is raft.ErrSnapOutOfDate. It is ignored, because it means that the storage already has a
+	// snapshot of this state or of a later one.
 	if s, err := v.storage.CreateSnapshot(v.applied, v.confState, encode(v.plan)); err == nil {
 		v.unpersisted.Snapshot = s
 	}
--- a/internal/front/drain_test.go
+++ b/internal/front/drain_test.go
@@ -117,8 +117,9 @@
 	}
 }
 
-// TestDrainWithFullPipeline guards against lost commands when a client sends more commands than a session may hold. At the end of
-// the time to read, all commands that were read are answered, and no more are read, however long they have waited for capacity.
+// TestDrainWithFullPipeline guards against lost commands when a client sends more commands than a session may hold. When the time to
+// read ends, each command that the session has read must be answered, however long it has waited for capacity, and the session must
+// read no more.
 func TestDrainWithFullPipeline(t *testing.T) {
 	commands := &delayedCommands{answer: make(chan struct{})}
 	c, checker, s, run := newCheckedPair(t, commands)
--- a/internal/front/reader.go
+++ b/internal/front/reader.go
@@ -96,10 +96,10 @@
 	return errCommandTimeout
 }
 
-// endReading ends a session after the last read, which failed with err. If the gateway ends a session that has read no command, and
-// does not drain or shut down, the session is closed immediately and releases its place. Any other session that the gateway ends is
-// closed gracefully, so that input that arrives late does not reset the connection. If the connection failed, the session is closed
-// immediately.
+// endReading ends a session after the last read, which failed with err. If the client closed the connection or the connection failed,
+// the session is closed immediately. The same holds if the gateway ends a session that has read no command while the gateway neither
+// drains nor shuts down: the session releases its place. Any other session that the gateway ends is closed gracefully, so that input
+// that arrives late does not reset the connection.
 func (s *session) endReading(err error) {
 	s.mu.Lock()
 	byGateway := errors.Is(err, errNoMoreCommands)
--- a/internal/ledger/counts.go
+++ b/internal/ledger/counts.go
@@ -80,7 +80,8 @@
 	return c.N[FrontServed] + c.N[FrontRejected] + c.FrontFailures()
 }
 
-// FrontFailures returns the number of requests that ended in the front's journal neither served nor refused.
+// FrontFailures returns the number of requests that failed according to the front's journal: they ended with an error, with a
+// departed client, with a failed write, without being submitted, or by a cutoff.
 func (c *Counts) FrontFailures() uint64 {
 	return c.N[FrontFailed] + c.N[FrontClientDeparted] + c.N[FrontWriteFailed] + c.N[FrontNotSubmitted] + c.N[FrontCutoff]
 }
--- a/internal/ledger/statement.go
+++ b/internal/ledger/statement.go
@@ -69,7 +69,8 @@
 	return stored
 }
 
-// Restore adds a stored row, whose figures statements cover already. It must be called before the first posting.
+// Restore adds a stored row. Earlier statements already include its figures, so the next statement does not repeat them. Restore
+// must be called before the first posting.
 func (l *Ledger) Restore(stored StoredRow) {
 	restored := l.row(stored.Key)
 	restored.counts = stored.Counts
--- a/internal/resp/golden_test.go
+++ b/internal/resp/golden_test.go
@@ -10,7 +10,7 @@
 )
 
 // TestGoldenValues compares the encoding of each kind of value with a golden file, and checks that the same bytes decode to the value.
-// Clients, servers and planners read and write these values.
+// Clients, backends, and other versions of gateways and forwarders read and write these values.
 func TestGoldenValues(t *testing.T) {
 	b := AppendBulk(nil, "bulk\r\n1")
 	b = AppendBulk(b, []byte{})
--- a/internal/resp/resp.go
+++ b/internal/resp/resp.go
@@ -50,6 +50,6 @@
 	Null  bool    // the value is a null bulk string or a null array
 	Text  []byte  // text of a bulk string, a status or an error, or of an integer that cannot be parsed
 	Int   int64   // value of an integer
-	Len   int     // length that an array announces
+	Len   int     // length that an array announces; -1 if a null array was read
 	Items []Value // items of an array; fewer than Len if the array could not be read completely
 }
--- a/internal/sockets/sockets_test.go
+++ b/internal/sockets/sockets_test.go
@@ -42,8 +42,9 @@
 	return errs
 }
 
-// TestAcceptRetries guards against a gateway that stops accepting after an error that does not break the listener. Accept retries after
-// each such error and accepts the next connection. It logs a shortage once, and not at each attempt.
+// TestAcceptRetries guards against a gateway that stops accepting after an error that leaves the listener usable. After each such error
+// Accept calls the listener again, until it returns a connection. Five errors in a row that report a shortage are logged once, not five
+// times; other errors are not logged.
 func TestAcceptRetries(t *testing.T) {
 	for errno, wantLogLines := range map[syscall.Errno]int{
 		syscall.ECONNABORTED: 0, syscall.EINTR: 0, syscall.EAGAIN: 0, syscall.EPERM: 0, syscall.EPROTO: 0, syscall.ENETDOWN: 0,
--- a/internal/standin/backends.go
+++ b/internal/standin/backends.go
@@ -61,7 +61,7 @@
 	return append([]Command(nil), b.commands...)
 }
 
-// Stop stops one backend as a crash of its process does: open connections are reset and new ones are refused.
+// Stop stops one backend as a crash of its process can do: open connections are reset and new ones are refused.
 func (b *Backends) Stop(node int) {
 	b.mu.Lock()
 	l := b.Nodes[node]
--- a/internal/standin/golden_test.go
+++ b/internal/standin/golden_test.go
@@ -6,8 +6,8 @@
 	"dewhitch/internal/golden"
 )
 
-// TestGoldenConfig guards against changes of the configuration that runs write for a gateway. Every value is set. The golden tests
-// of the packages that read the configuration fix its keys.
+// TestGoldenConfig guards against unintended changes of the configuration file that drills and tests write for a gateway. Every value
+// is set. The golden tests of the packages that read the configuration fix its keys.
 func TestGoldenConfig(t *testing.T) {
 	text, err := Config{Name: "node-1", Listen: "10.0.0.1:1001", Discovery: "10.0.0.2:1002", Counter: "10.0.0.3:1003", Admin: "10.0.0.4:1004",
 		Seed: 5, Instances: 6, Number: 4, Zones: []string{"lake-a", "lake-b"}, Zone: 1, Cores: 1.5,
--- a/internal/standin/link/endpoint.go
+++ b/internal/standin/link/endpoint.go
@@ -38,7 +38,7 @@
 			return false
 		}
 		outagesBefore = e.outagesBefore
-		if n < len(b) { // the kernel's buffer is empty, so later bytes are sent after now
+		if n < len(b) { // the kernel's buffer is empty, so the peer has yet to send the bytes that are read next
 			e.outagesBefore = e.outgoing.endedOutages()
 		}
 		return true
--- a/internal/standin/listener.go
+++ b/internal/standin/listener.go
@@ -66,7 +66,7 @@
 // StopAccepting stops listening, so that new connections are refused. Open connections stay open.
 func (l *Listener) StopAccepting() { l.listener.Close() }
 
-// Reset resets all open connections, as a crash of the process does, and continues to listen.
+// Reset resets all open connections, as a crash of the process can do, but continues to listen.
 func (l *Listener) Reset() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -78,7 +78,7 @@
 // Close stops listening and closes all connections.
 func (l *Listener) Close() { l.closeAll((*net.TCPConn).Close) }
 
-// CloseWithReset stops listening and resets all connections, as a crash of the process does.
+// CloseWithReset stops listening and resets all connections, as a crash of the process can do.
 func (l *Listener) CloseWithReset() { l.closeAll(resetConn) }
 
 // closeAll stops listening and closes each open connection with closeConn.
--- a/limit_answers_test.go
+++ b/limit_answers_test.go
@@ -55,7 +55,8 @@
 	}
 }
 
-// Units that are taken after a query arrived must not show in its answer, although the same call may push them.
+// Units taken after a query arrived must not show in its answer, even if the counter call made for the query also adds those units
+// to the counter.
 func TestLimitQueryExcludesLaterUse(t *testing.T) {
 	h := newHarness(t, slowRefillSettings(), dw.Endpoint{ID: 7})
 	h.serve(1, millisecond, dw.Arrival{Customer: 1})
--- a/load_shedding_test.go
+++ b/load_shedding_test.go
@@ -59,7 +59,7 @@
 }
 
 // Among a hundred servers there is always one whose last sample dates from before the overload. The gateway must shed load
-// nevertheless (report L2da371, incident ife4101).
+// nevertheless (incident report L2da371, incident ife4101).
 func TestOverloadIsSeenAmongManyServers(t *testing.T) {
 	s := manyGateways()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
@@ -88,8 +88,8 @@
 	}
 }
 
-// Retry-After must differ from request to request, so that clients do not return together (report L2da371), and must leave time
-// for an answer.
+// Retry-After must differ from request to request, so that clients do not return together (incident report L2da371). It must be at
+// most 400 ms, so that a client that returns can still be answered before its deadline of 800 ms.
 func TestRetryAfterIsSpread(t *testing.T) {
 	s := settings()
 	s.Plans[0] = dw.Plan{WeightFactor: 1}
